--- /dev/null
+++ b/control-plane/tests/stored_data/records.rs
@@ -0,0 +1,163 @@
+//! A record of every kind that the log on disk holds.
+use crate::samples::rows;
+use control_plane::prelude::*;
+
+fn address(number: u16) -> SocketAddr {
+    crate::samples::address(number)
+}
+
+pub fn records() -> Vec<Record> {
+    vec![
+        Record::Image(Box::new(Replica {
+            life: 2019,
+            full: true,
+            removed: false,
+            lost: 2020,
+            membership_version: Some((
+                2021,
+                vec![Peer {
+                    address: address(2022),
+                    life: 2023,
+                }],
+            )),
+            founding: true,
+            retired: vec![2024].into(),
+            slices: vec![
+                ReplicaPartition {
+                    promised: 2025,
+                    image: PartitionState {
+                        epoch: 2026,
+                        version: 2027,
+                        published: 2028,
+                        rows: rows().into_iter().collect()
+                    },
+                    shown: rows().into_iter().collect(),
+                    tail: vec![(2029, rows())].into()
+                };
+                usize::from(SLICES)
+            ],
+        })),
+        Record::Image(Box::new(Replica {
+            life: 2019,
+            full: false,
+            removed: true,
+            lost: 2020,
+            membership_version: None,
+            founding: false,
+            retired: vec![2024].into(),
+            slices: vec![
+                ReplicaPartition {
+                    promised: 2025,
+                    image: PartitionState {
+                        epoch: 2026,
+                        version: 2027,
+                        published: 2028,
+                        rows: rows().into_iter().collect()
+                    },
+                    shown: rows().into_iter().collect(),
+                    tail: vec![(2029, rows())].into()
+                };
+                usize::from(SLICES)
+            ],
+        })),
+        Record::Life { life: 2001 },
+        Record::Recovered {
+            held: vec![PartitionSnapshot {
+                slice: 7,
+                promised: 2003,
+                image: PartitionState {
+                    epoch: 2004,
+                    version: 2005,
+                    published: 2006,
+                    rows: rows().into_iter().collect(),
+                },
+                shown: rows().into_iter().collect(),
+            }],
+            lost: true,
+        },
+        Record::Recovered {
+            held: vec![PartitionSnapshot {
+                slice: 7,
+                promised: 2003,
+                image: PartitionState {
+                    epoch: 2004,
+                    version: 2005,
+                    published: 2006,
+                    rows: rows().into_iter().collect(),
+                },
+                shown: rows().into_iter().collect(),
+            }],
+            lost: false,
+        },
+        Record::Promise {
+            slice: 12,
+            epoch: 2008,
+        },
+        Record::Appended {
+            keep: AppendRequest {
+                slice: 14,
+                epoch: 2010,
+                membership_version: 2011,
+                round: 2012,
+                whole: true,
+                from: 2013,
+                to: 2014,
+                rows: rows(),
+                drops: vec!["text 2015".into()],
+                published: 2016,
+                base: Some(EarlierState {
+                    epoch: 2017,
+                    keys: Some(vec!["text 2018".into()]),
+                }),
+            },
+        },
+        Record::Appended {
+            keep: AppendRequest {
+                slice: 14,
+                epoch: 2010,
+                membership_version: 2011,
+                round: 2012,
+                whole: false,
+                from: 2013,
+                to: 2014,
+                rows: rows(),
+                drops: vec!["text 2015".into()],
+                published: 2016,
+                base: Some(EarlierState {
+                    epoch: 2017,
+                    keys: None,
+                }),
+            },
+        },
+        Record::Appended {
+            keep: AppendRequest {
+                slice: 14,
+                epoch: 2010,
+                membership_version: 2011,
+                round: 2012,
+                whole: true,
+                from: 2013,
+                to: 2014,
+                rows: rows(),
+                drops: vec!["text 2015".into()],
+                published: 2016,
+                base: None,
+            },
+        },
+        Record::Removed,
+        Record::MembershipTable {
+            version: 2030,
+            places: vec![Peer {
+                address: address(2031),
+                life: 2032,
+            }],
+        },
+        Record::Founding {
+            places: vec![Peer {
+                address: address(2033),
+                life: 2034,
+            }],
+        },
+        Record::Retired { life: 2035 },
+    ]
+}
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -80,7 +80,8 @@
         output
     }
 
-    fn answer(&self, id: u64, output: Output) {
+    /// Hands an output to whoever waits for it under this id, if anyone does.
+    pub fn complete(&self, id: u64, output: Output) {
         let then = self.waits.lock().expect("no holder panics").remove(&id);
         if let Some(then) = then {
             then(output);
@@ -186,7 +187,7 @@
                         self.put(&store, Unstored::Image(serial, record))
                     }
                     Output::Answer { id, .. } | Output::OperatorAnswer { id, .. } => {
-                        port.answer(id, output)
+                        port.complete(id, output)
                     }
                     Output::Call { id, call } => self.face.call(id, call),
                     Output::CancelCall { id } => self.face.cancel_call(id),
--- /dev/null
+++ b/kernel/tests/samples/mod.rs
@@ -0,0 +1,213 @@
+//! A value of every kind that stands in messages and in the stored log, each
+//! field unlike its neighbours: a swapped or reordered field changes the bytes.
+use kernel::prelude::*;
+
+pub fn address(number: u16) -> SocketAddr {
+    format!("10.1.0.{}:{}", number % 250, 7000 + number)
+        .parse()
+        .unwrap()
+}
+
+pub fn accepted_revisions() -> AcceptedRevisions {
+    let mut accepted = AcceptedRevisions::default();
+    for revision in 0..ACCEPTED_REVISIONS as u64 + 2 {
+        accepted.remember(AcceptedRevision::of(&Item {
+            kind: ItemKind::Group,
+            name: "group".into(),
+            revision,
+            text: (revision % 2 == 0).then(|| "{}".into()),
+            source: format!("source {revision}").into(),
+        }));
+    }
+    accepted
+}
+
+pub fn applied_changes() -> AppliedChanges {
+    let mut applied = AppliedChanges::default();
+    for change in 0..APPLIED_CHANGES as u64 + 2 {
+        applied.remember(change * 3 + 1, change + 5);
+    }
+    applied
+}
+
+/// A row with each kind of value.
+pub fn rows() -> Vec<(String, Row)> {
+    let values = vec![
+        Value::Configuration {
+            text: "shared text 301".into(),
+            change: 302,
+        },
+        Value::Item(Item {
+            kind: ItemKind::Group,
+            name: "text 303".into(),
+            revision: 304,
+            text: Some("shared text 305".into()),
+            source: "shared text 306".into(),
+        }),
+        Value::Item(Item {
+            kind: ItemKind::Entry,
+            name: "text 303".into(),
+            revision: 304,
+            text: None,
+            source: "shared text 306".into(),
+        }),
+        Value::Item(Item {
+            kind: ItemKind::Bounds,
+            name: "text 303".into(),
+            revision: 304,
+            text: Some("shared text 305".into()),
+            source: "shared text 306".into(),
+        }),
+        Value::Purge {
+            purge: Purge {
+                entry: Some("text 307".into()),
+                url: Some("text 308".into()),
+                prefix: Some("text 309".into()),
+                host: Some("text 310".into()),
+                tag: Some("text 311".into()),
+            },
+            change: 312,
+        },
+        Value::Purge {
+            purge: Purge {
+                entry: None,
+                url: None,
+                prefix: None,
+                host: None,
+                tag: None,
+            },
+            change: 312,
+        },
+        Value::Origins {
+            list: Arc::new(vec![
+                Origin {
+                    address: address(313),
+                    service: "text 314".into(),
+                    instance: "text 315".into(),
+                    leaving: true,
+                    zone: "text 316".into(),
+                    region: "text 317".into(),
+                    capacity: 318,
+                    cold_ms: 319,
+                },
+                Origin {
+                    address: address(313),
+                    service: "text 314".into(),
+                    instance: "text 315".into(),
+                    leaving: false,
+                    zone: "text 316".into(),
+                    region: "text 317".into(),
+                    capacity: 318,
+                    cold_ms: 319,
+                },
+            ]),
+            change: 320,
+        },
+        Value::Duty(Duty {
+            holder: Some(Peer {
+                address: address(321),
+                life: 322,
+            }),
+            last: Some(Peer {
+                address: address(323),
+                life: 324,
+            }),
+            epoch: 325,
+        }),
+        Value::Duty(Duty {
+            holder: None,
+            last: None,
+            epoch: 325,
+        }),
+        Value::Places(vec![Peer {
+            address: address(326),
+            life: 327,
+        }]),
+        Value::Roll {
+            members: vec![Peer {
+                address: address(328),
+                life: 329,
+            }],
+            gone: vec![Peer {
+                address: address(330),
+                life: 331,
+            }],
+            complete: true,
+        },
+        Value::Roll {
+            members: vec![Peer {
+                address: address(328),
+                life: 329,
+            }],
+            gone: vec![Peer {
+                address: address(330),
+                life: 331,
+            }],
+            complete: false,
+        },
+        Value::Enrolled {
+            members: vec![Peer {
+                address: address(332),
+                life: 333,
+            }],
+        },
+        Value::Opened { realm: 334 },
+        Value::Founded { realm: 335 },
+        Value::Operation(Operation {
+            print: [86; 32],
+            by: Peer {
+                address: address(337),
+                life: 338,
+            },
+            request: 339,
+            state: OperationState::Running,
+        }),
+        Value::Operation(Operation {
+            print: [86; 32],
+            by: Peer {
+                address: address(337),
+                life: 338,
+            },
+            request: 339,
+            state: OperationState::Released,
+        }),
+        Value::Operation(Operation {
+            print: [86; 32],
+            by: Peer {
+                address: address(337),
+                life: 338,
+            },
+            request: 339,
+            state: OperationState::Unknown,
+        }),
+        Value::Operation(Operation {
+            print: [86; 32],
+            by: Peer {
+                address: address(337),
+                life: 338,
+            },
+            request: 339,
+            state: OperationState::Done(Arc::new(Reply {
+                status: 5000,
+                headers: vec![("text 341".into(), "text 342".into())],
+                body: Arc::new(vec![93, 94]),
+                tags: vec!["text 345".into()],
+            })),
+        }),
+        Value::Accepted(accepted_revisions()),
+        Value::Applied(applied_changes()),
+    ];
+    values
+        .into_iter()
+        .enumerate()
+        .map(|(number, value)| {
+            (
+                format!("row {number:02}"),
+                Row {
+                    version: 1000 + number as u64,
+                    value,
+                },
+            )
+        })
+        .collect()
+}
--- /dev/null
+++ b/kernel/tests/wire_format/messages.rs
@@ -0,0 +1,1220 @@
+//! A message of every kind, with each choice that a field of it has.
+use crate::samples::{address, rows};
+use kernel::prelude::*;
+
+pub fn messages() -> Vec<Message> {
+    vec![
+        Heartbeat {
+            slot: 12,
+            full: true,
+            blank: false,
+            membership_version: 12,
+            closed: Duration::from_micros(13007),
+            lost: 14,
+            hears: [15, 4].into_iter().collect(),
+            contacts: [0, 6].into_iter().collect(),
+            vouched: [1, 7].into_iter().collect(),
+            got: 18,
+            seen: Some(SessionsDelta {
+                from: 19,
+                at: 20,
+                sum: 21,
+                put: vec![
+                    SessionInfo {
+                        peer: Peer {
+                            address: address(22),
+                            life: 23,
+                        },
+                        zone: "text 24".into(),
+                        ring: "text 25".into(),
+                        strength: 26,
+                        draining: true,
+                        realm: 27,
+                        recalled: false,
+                        vector: vec![28],
+                        usage: Usage {
+                            errands: 29,
+                            near: 30,
+                            answered: 31,
+                            refused: 32,
+                            copies: 33,
+                            calls: 34,
+                            extra: 35,
+                            pending: 36,
+                            left: 37,
+                            abandoned: 38,
+                        },
+                        found: vec![
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Proven,
+                                calls: 42,
+                            },
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Unproven,
+                                calls: 42,
+                            },
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Aside,
+                                calls: 42,
+                            },
+                        ],
+                    },
+                    SessionInfo {
+                        peer: Peer {
+                            address: address(22),
+                            life: 23,
+                        },
+                        zone: "text 24".into(),
+                        ring: "text 25".into(),
+                        strength: 26,
+                        draining: false,
+                        realm: 27,
+                        recalled: true,
+                        vector: vec![28],
+                        usage: Usage {
+                            errands: 29,
+                            near: 30,
+                            answered: 31,
+                            refused: 32,
+                            copies: 33,
+                            calls: 34,
+                            extra: 35,
+                            pending: 36,
+                            left: 37,
+                            abandoned: 38,
+                        },
+                        found: vec![
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Proven,
+                                calls: 42,
+                            },
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Unproven,
+                                calls: 42,
+                            },
+                            OriginFound {
+                                address: address(39),
+                                service: "text 40".into(),
+                                instance: "text 41".into(),
+                                condition: OriginCondition::Aside,
+                                calls: 42,
+                            },
+                        ],
+                    },
+                ],
+                gone: vec![Peer {
+                    address: address(43),
+                    life: 44,
+                }],
+                newest: vec![(
+                    45,
+                    Peer {
+                        address: address(46),
+                        life: 47,
+                    },
+                )],
+            }),
+        }
+        .into(),
+        Heartbeat {
+            slot: 12,
+            full: false,
+            blank: true,
+            membership_version: 12,
+            closed: Duration::from_micros(13007),
+            lost: 14,
+            hears: [15, 4].into_iter().collect(),
+            contacts: [0, 6].into_iter().collect(),
+            vouched: [1, 7].into_iter().collect(),
+            got: 18,
+            seen: None,
+        }
+        .into(),
+        SnapshotRequest {
+            slot: 49,
+            round: 50,
+            membership_version: 50,
+        }
+        .into(),
+        SnapshotReply {
+            slot: 52,
+            asker: 52,
+            round: 54,
+            full: true,
+            lost: 54,
+            membership_version: 55,
+            held: vec![PartitionSnapshot {
+                slice: 14,
+                promised: 57,
+                image: PartitionState {
+                    epoch: 58,
+                    version: 59,
+                    published: 60,
+                    rows: rows().into_iter().collect(),
+                },
+                shown: rows().into_iter().collect(),
+            }],
+        }
+        .into(),
+        SnapshotReply {
+            slot: 52,
+            asker: 52,
+            round: 54,
+            full: false,
+            lost: 54,
+            membership_version: 55,
+            held: vec![PartitionSnapshot {
+                slice: 14,
+                promised: 57,
+                image: PartitionState {
+                    epoch: 58,
+                    version: 59,
+                    published: 60,
+                    rows: rows().into_iter().collect(),
+                },
+                shown: rows().into_iter().collect(),
+            }],
+        }
+        .into(),
+        PrepareRequest {
+            slice: 19,
+            epoch: 62,
+            membership_version: 63,
+            held: StateId {
+                epoch: 64,
+                version: 65,
+            },
+        }
+        .into(),
+        PrepareReply {
+            slice: 3,
+            epoch: 67,
+            lost: 68,
+            retired: vec![69],
+            state: PromisedState::NotNewer {
+                id: StateId {
+                    epoch: 70,
+                    version: 71,
+                },
+                published: 72,
+            },
+        }
+        .into(),
+        PrepareReply {
+            slice: 3,
+            epoch: 67,
+            lost: 68,
+            retired: vec![69],
+            state: PromisedState::Newer(PartitionState {
+                epoch: 73,
+                version: 74,
+                published: 75,
+                rows: rows().into_iter().collect(),
+            }),
+        }
+        .into(),
+        AppendRequest {
+            slice: 13,
+            epoch: 77,
+            membership_version: 78,
+            round: 79,
+            whole: true,
+            from: 80,
+            to: 81,
+            rows: rows(),
+            drops: vec!["text 82".into()],
+            published: 83,
+            base: Some(EarlierState {
+                epoch: 84,
+                keys: Some(vec!["text 85".into()]),
+            }),
+        }
+        .into(),
+        AppendRequest {
+            slice: 13,
+            epoch: 77,
+            membership_version: 78,
+            round: 79,
+            whole: false,
+            from: 80,
+            to: 81,
+            rows: rows(),
+            drops: vec!["text 82".into()],
+            published: 83,
+            base: Some(EarlierState {
+                epoch: 84,
+                keys: None,
+            }),
+        }
+        .into(),
+        AppendRequest {
+            slice: 13,
+            epoch: 77,
+            membership_version: 78,
+            round: 79,
+            whole: true,
+            from: 80,
+            to: 81,
+            rows: rows(),
+            drops: vec!["text 82".into()],
+            published: 83,
+            base: None,
+        }
+        .into(),
+        AppendReply {
+            slice: 2,
+            epoch: 87,
+            round: 88,
+            to: 89,
+            clear: Some(90),
+            retired: vec![91],
+        }
+        .into(),
+        AppendReply {
+            slice: 2,
+            epoch: 87,
+            round: 88,
+            to: 89,
+            clear: None,
+            retired: vec![91],
+        }
+        .into(),
+        AppendGap {
+            slice: 8,
+            epoch: 93,
+            round: 94,
+        }
+        .into(),
+        StaleEpoch {
+            slice: 11,
+            epoch: 96,
+            promised: 97,
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::PutConfiguration {
+                text: "shared text 102".into(),
+                expect: Some(103),
+                change: 104,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::PutConfiguration {
+                text: "shared text 102".into(),
+                expect: None,
+                change: 104,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::GetConfiguration,
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::PutItems {
+                items: vec![
+                    Item {
+                        kind: ItemKind::Group,
+                        name: "text 105".into(),
+                        revision: 106,
+                        text: Some("shared text 107".into()),
+                        source: "shared text 108".into(),
+                    },
+                    Item {
+                        kind: ItemKind::Entry,
+                        name: "text 105".into(),
+                        revision: 106,
+                        text: None,
+                        source: "shared text 108".into(),
+                    },
+                    Item {
+                        kind: ItemKind::Bounds,
+                        name: "text 105".into(),
+                        revision: 106,
+                        text: Some("shared text 107".into()),
+                        source: "shared text 108".into(),
+                    },
+                ],
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::AddPurge {
+                purge: Purge {
+                    entry: Some("text 109".into()),
+                    url: Some("text 110".into()),
+                    prefix: Some("text 111".into()),
+                    host: Some("text 112".into()),
+                    tag: Some("text 113".into()),
+                },
+                change: 114,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::AddPurge {
+                purge: Purge {
+                    entry: None,
+                    url: None,
+                    prefix: None,
+                    host: None,
+                    tag: None,
+                },
+                change: 114,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::PutOrigins {
+                list: Arc::new(vec![
+                    Origin {
+                        address: address(115),
+                        service: "text 116".into(),
+                        instance: "text 117".into(),
+                        leaving: true,
+                        zone: "text 118".into(),
+                        region: "text 119".into(),
+                        capacity: 120,
+                        cold_ms: 121,
+                    },
+                    Origin {
+                        address: address(115),
+                        service: "text 116".into(),
+                        instance: "text 117".into(),
+                        leaving: false,
+                        zone: "text 118".into(),
+                        region: "text 119".into(),
+                        capacity: 120,
+                        cold_ms: 121,
+                    },
+                ]),
+                expect: Some(122),
+                change: 123,
+                acknowledge: Acknowledge::Committed,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::PutOrigins {
+                list: Arc::new(vec![
+                    Origin {
+                        address: address(115),
+                        service: "text 116".into(),
+                        instance: "text 117".into(),
+                        leaving: true,
+                        zone: "text 118".into(),
+                        region: "text 119".into(),
+                        capacity: 120,
+                        cold_ms: 121,
+                    },
+                    Origin {
+                        address: address(115),
+                        service: "text 116".into(),
+                        instance: "text 117".into(),
+                        leaving: false,
+                        zone: "text 118".into(),
+                        region: "text 119".into(),
+                        capacity: 120,
+                        cold_ms: 121,
+                    },
+                ]),
+                expect: None,
+                change: 123,
+                acknowledge: Acknowledge::Settled,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::List,
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::OpenLedger { realm: 124 },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::JoinRequest {
+                peer: Peer {
+                    address: address(125),
+                    life: 126,
+                },
+                founding: true,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::JoinRequest {
+                peer: Peer {
+                    address: address(125),
+                    life: 126,
+                },
+                founding: false,
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::OfferSlot {
+                member: Peer {
+                    address: address(127),
+                    life: 128,
+                },
+            },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::Refound { after: 129 },
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::Claim(Claim {
+                operation: "text 130".into(),
+                print: [131; 32],
+                by: Peer {
+                    address: address(132),
+                    life: 133,
+                },
+                request: 134,
+            }),
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::Release(Claim {
+                operation: "text 135".into(),
+                print: [136; 32],
+                by: Peer {
+                    address: address(137),
+                    life: 138,
+                },
+                request: 139,
+            }),
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::Record(
+                Claim {
+                    operation: "text 140".into(),
+                    print: [141; 32],
+                    by: Peer {
+                        address: address(142),
+                        life: 143,
+                    },
+                    request: 144,
+                },
+                Some(Arc::new(Reply {
+                    status: 4805,
+                    headers: vec![("text 146".into(), "text 147".into())],
+                    body: Arc::new(vec![148, 149]),
+                    tags: vec!["text 150".into()],
+                })),
+            ),
+        }
+        .into(),
+        ChangeRequest {
+            asker: address(98),
+            id: 99,
+            slice: 16,
+            hops: 102,
+            ask: Change::Record(
+                Claim {
+                    operation: "text 140".into(),
+                    print: [141; 32],
+                    by: Peer {
+                        address: address(142),
+                        life: 143,
+                    },
+                    request: 144,
+                },
+                None,
+            ),
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Settled { version: 152 },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Raced {
+                version: 153,
+                complete_after: 154,
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Configuration {
+                version: 155,
+                text: "shared text 156".into(),
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Rows {
+                version: 157,
+                rows: rows(),
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Findings(vec![Finding {
+                place: "text 158".into(),
+                text: "text 159".into(),
+            }]),
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Claimed,
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Taken {
+                same: true,
+                state: OperationState::Running,
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Taken {
+                same: false,
+                state: OperationState::Released,
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Taken {
+                same: true,
+                state: OperationState::Unknown,
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Taken {
+                same: false,
+                state: OperationState::Done(Arc::new(Reply {
+                    status: 4820,
+                    headers: vec![("text 161".into(), "text 162".into())],
+                    body: Arc::new(vec![163, 164]),
+                    tags: vec!["text 165".into()],
+                })),
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Released,
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Recorded,
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Lost,
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::NoMajority,
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Closed {
+                left: Duration::from_micros(166007),
+            },
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::Conflict(vec![Finding {
+                place: "text 167".into(),
+                text: "text 168".into(),
+            }]),
+        }
+        .into(),
+        ChangeReply {
+            id: 151,
+            told: Outcome::RevisionForgotten(vec![Finding {
+                place: "text 169".into(),
+                text: "text 170".into(),
+            }]),
+        }
+        .into(),
+        JoinRequest { founding: true }.into(),
+        JoinRequest { founding: false }.into(),
+        MembershipTable {
+            version: 171,
+            places: vec![Peer {
+                address: address(172),
+                life: 173,
+            }],
+        }
+        .into(),
+        SlotOfferReply {
+            answer: SlotOfferAnswer::NoNewcomer,
+        }
+        .into(),
+        SlotOfferReply {
+            answer: SlotOfferAnswer::Later,
+        }
+        .into(),
+        SlotOfferReply {
+            answer: SlotOfferAnswer::Assigned {
+                version: 174,
+                successor: Peer {
+                    address: address(175),
+                    life: 176,
+                },
+            },
+        }
+        .into(),
+        SlotState {
+            version: 177,
+            slot: 179,
+            lost: 179,
+            retired: vec![180],
+            held: vec![PartitionSnapshot {
+                slice: 13,
+                promised: 182,
+                image: PartitionState {
+                    epoch: 183,
+                    version: 184,
+                    published: 185,
+                    rows: rows().into_iter().collect(),
+                },
+                shown: rows().into_iter().collect(),
+            }],
+        }
+        .into(),
+        SlotStateReceived { version: 186 }.into(),
+        RenewRequest {
+            sent: Duration::from_micros(187007),
+            heard: Some(Mark {
+                run: 188,
+                count: 189,
+            }),
+            realm: 190,
+            recalled: true,
+            vector: vec![191],
+            zone: "text 192".into(),
+            ring: "text 193".into(),
+            strength: 194,
+            draining: false,
+            usage: Usage {
+                errands: 195,
+                near: 196,
+                answered: 197,
+                refused: 198,
+                copies: 199,
+                calls: 200,
+                extra: 201,
+                pending: 202,
+                left: 203,
+                abandoned: 204,
+            },
+            found: vec![
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Proven,
+                    calls: 208,
+                },
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Unproven,
+                    calls: 208,
+                },
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Aside,
+                    calls: 208,
+                },
+            ],
+        }
+        .into(),
+        RenewRequest {
+            sent: Duration::from_micros(187007),
+            heard: None,
+            realm: 190,
+            recalled: false,
+            vector: vec![191],
+            zone: "text 192".into(),
+            ring: "text 193".into(),
+            strength: 194,
+            draining: true,
+            usage: Usage {
+                errands: 195,
+                near: 196,
+                answered: 197,
+                refused: 198,
+                copies: 199,
+                calls: 200,
+                extra: 201,
+                pending: 202,
+                left: 203,
+                abandoned: 204,
+            },
+            found: vec![
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Proven,
+                    calls: 208,
+                },
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Unproven,
+                    calls: 208,
+                },
+                OriginFound {
+                    address: address(205),
+                    service: "text 206".into(),
+                    instance: "text 207".into(),
+                    condition: OriginCondition::Aside,
+                    calls: 208,
+                },
+            ],
+        }
+        .into(),
+        RenewReply {
+            life: 209,
+            mark: Mark {
+                run: 210,
+                count: 211,
+            },
+            sent: Duration::from_micros(212007),
+            realm: 213,
+            recall: true,
+            news: vec![News {
+                slice: 4,
+                version: 215,
+                rows: rows(),
+            }]
+            .into(),
+        }
+        .into(),
+        RenewReply {
+            life: 209,
+            mark: Mark {
+                run: 210,
+                count: 211,
+            },
+            sent: Duration::from_micros(212007),
+            realm: 213,
+            recall: false,
+            news: SharedNews::default(),
+        }
+        .into(),
+        RecallRequest { slice: 6 }.into(),
+        RecallReply {
+            slice: 7,
+            version: 218,
+            rows: rows(),
+        }
+        .into(),
+        UpdateNotice {
+            slice: 9,
+            version: 220,
+            mark: Mark {
+                run: 221,
+                count: 222,
+            },
+        }
+        .into(),
+        RenewPrompt {
+            mark: Mark {
+                run: 223,
+                count: 224,
+            },
+        }
+        .into(),
+        SessionClose {}.into(),
+        Get {
+            id: 225,
+            key: [226; 32],
+            entry: "text 227".into(),
+            host: "text 228".into(),
+            url: "text 229".into(),
+            keep: Duration::from_micros(230007),
+            wait: Duration::from_micros(231007),
+            spare: true,
+        }
+        .into(),
+        Get {
+            id: 225,
+            key: [226; 32],
+            entry: "text 227".into(),
+            host: "text 228".into(),
+            url: "text 229".into(),
+            keep: Duration::from_micros(230007),
+            wait: Duration::from_micros(231007),
+            spare: false,
+        }
+        .into(),
+        Copy {
+            id: 232,
+            key: [233; 32],
+            wait: Duration::from_micros(234007),
+            copy: CopyOut {
+                reply: Reply {
+                    status: 4895,
+                    headers: vec![("text 236".into(), "text 237".into())],
+                    body: Arc::new(vec![238, 239]),
+                    tags: vec!["text 240".into()],
+                },
+                purged: 241,
+                age: Duration::from_micros(242007),
+                fresh: Duration::from_micros(243007),
+                left: Duration::from_micros(244007),
+                held: Duration::from_micros(245007),
+            },
+        }
+        .into(),
+        GetQueued { id: 246 }.into(),
+        Miss {
+            id: 247,
+            key: [248; 32],
+            token: Token {
+                serial: 249,
+                epoch: 250,
+                purged: 251,
+            },
+        }
+        .into(),
+        NoCopy {
+            id: 252,
+            key: [3; 32],
+        }
+        .into(),
+        Put {
+            key: [4; 32],
+            token: Token {
+                serial: 255,
+                epoch: 256,
+                purged: 257,
+            },
+            reply: Reply {
+                status: 4918,
+                headers: vec![("text 259".into(), "text 260".into())],
+                body: Arc::new(vec![11, 12]),
+                tags: vec!["text 263".into()],
+            },
+        }
+        .into(),
+        Fail {
+            key: [14; 32],
+            token: Token {
+                serial: 265,
+                epoch: 266,
+                purged: 267,
+            },
+            private: true,
+        }
+        .into(),
+        Fail {
+            key: [14; 32],
+            token: Token {
+                serial: 265,
+                epoch: 266,
+                purged: 267,
+            },
+            private: false,
+        }
+        .into(),
+        HandoverRequest {
+            slice: 4928,
+            epoch: 269,
+            sent: Duration::from_micros(270007),
+        }
+        .into(),
+        HandoverReply {
+            slice: 4931,
+            epoch: 272,
+            sent: Duration::from_micros(273007),
+            copies: vec![Carried {
+                key: [24; 32],
+                entry: "text 275".into(),
+                host: "text 276".into(),
+                url: "text 277".into(),
+                keep: Duration::from_micros(278007),
+                reply: Reply {
+                    status: 4939,
+                    headers: vec![("text 280".into(), "text 281".into())],
+                    body: Arc::new(vec![32, 33]),
+                    tags: vec!["text 284".into()],
+                },
+                purged: 285,
+                age: Duration::from_micros(286007),
+                minor: Duration::from_micros(287007),
+                major: Duration::from_micros(288007),
+            }],
+        }
+        .into(),
+        PermitRequest {
+            service: "text 289".into(),
+            id: 290,
+            rank: 291,
+            wait: Duration::from_micros(292007),
+            sent: Duration::from_micros(293007),
+            extra: true,
+            call: Duration::from_micros(294007),
+            aim: Duration::from_micros(295007),
+            zone: "text 296".into(),
+            region: "text 297".into(),
+            avoid: vec![address(298)],
+        }
+        .into(),
+        PermitRequest {
+            service: "text 289".into(),
+            id: 290,
+            rank: 291,
+            wait: Duration::from_micros(292007),
+            sent: Duration::from_micros(293007),
+            extra: false,
+            call: Duration::from_micros(294007),
+            aim: Duration::from_micros(295007),
+            zone: "text 296".into(),
+            region: "text 297".into(),
+            avoid: vec![address(298)],
+        }
+        .into(),
+        Permit {
+            id: 299,
+            service: "text 300".into(),
+            epoch: 301,
+            serial: 302,
+            origin: Origin {
+                address: address(303),
+                service: "text 304".into(),
+                instance: "text 305".into(),
+                leaving: true,
+                zone: "text 306".into(),
+                region: "text 307".into(),
+                capacity: 308,
+                cold_ms: 309,
+            },
+            sent: Duration::from_micros(310007),
+            held: Duration::from_micros(311007),
+            takes: Duration::from_micros(312007),
+        }
+        .into(),
+        Permit {
+            id: 299,
+            service: "text 300".into(),
+            epoch: 301,
+            serial: 302,
+            origin: Origin {
+                address: address(303),
+                service: "text 304".into(),
+                instance: "text 305".into(),
+                leaving: false,
+                zone: "text 306".into(),
+                region: "text 307".into(),
+                capacity: 308,
+                cold_ms: 309,
+            },
+            sent: Duration::from_micros(310007),
+            held: Duration::from_micros(311007),
+            takes: Duration::from_micros(312007),
+        }
+        .into(),
+        PermitQueued { id: 313 }.into(),
+        PermitRefused {
+            id: 314,
+            reason: AwayReason::Busy,
+            back: Duration::from_micros(315007),
+        }
+        .into(),
+        PermitRefused {
+            id: 314,
+            reason: AwayReason::Budget,
+            back: Duration::from_micros(315007),
+        }
+        .into(),
+        PermitRefused {
+            id: 314,
+            reason: AwayReason::NoOrigin,
+            back: Duration::from_micros(315007),
+        }
+        .into(),
+        PermitRefused {
+            id: 314,
+            reason: AwayReason::NotHere,
+            back: Duration::from_micros(315007),
+        }
+        .into(),
+        CallsInProgress {
+            service: "text 316".into(),
+            calls: vec![(317, 318, address(319), Duration::from_micros(320007))],
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Good,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Bad,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Refused,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::NotRun,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Stranger,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Unused,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        CallDone {
+            service: "text 321".into(),
+            epoch: 322,
+            serial: 323,
+            result: CallResult::Cancelled,
+            took: Duration::from_micros(324007),
+        }
+        .into(),
+        PermitWithdrawn {
+            service: "text 325".into(),
+            id: 326,
+        }
+        .into(),
+        GetWithdrawn {
+            key: [77; 32],
+            id: 328,
+        }
+        .into(),
+    ]
+}
