--- a/control-plane/src/duty_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -3,10 +3,10 @@
 
 use crate::prelude::*;
 
-/// Decides who shall hold each duty. A duty with a holder is first revoked;
+/// Decides who shall hold each assignment. An assignment with a holder is first revoked;
 /// only when that has settled (every live edge knows, or has fenced itself)
 /// is it granted again, under a higher epoch.
-pub struct DutyPlan<'a> {
+pub struct AssignmentPlan<'a> {
     pub rows: &'a BTreeMap<String, Row>,
     pub settled: u64,
     pub live: &'a [SessionInfo],
@@ -20,28 +20,28 @@
     pub early: bool,
 }
 
-/// Duties taken from live holders at a time, so that a join does not empty
+/// Assignments taken from live holders at a time, so that a join does not empty
 /// the whole ring at once.
 const MOVES: usize = 64;
-/// So much stronger must one beside a control node be to have a gate as often.
+/// So much stronger must one beside a control node be to have an admission controller as often.
 const APART: u32 = 4;
 
-impl DutyPlan<'_> {
+impl AssignmentPlan<'_> {
     /// The rows to write now.
-    pub fn next(&self, duties: &[String]) -> Vec<(String, Duty)> {
+    pub fn next(&self, assignments: &[String]) -> Vec<(String, Assignment)> {
         let mut moves = self
             .rows
             .values()
-            .filter(|row| matches!(&row.value, Value::Duty(duty) if duty.holder.is_none()))
+            .filter(|row| matches!(&row.value, Value::Assignment(assignment) if assignment.holder.is_none()))
             .count();
         let mut out = Vec::new();
-        for name in duties {
+        for name in assignments {
             let want = self.best(name);
             let known = self.rows.get(name).map(|row| (row.version, &row.value));
             match known {
                 Some((
                     version,
-                    Value::Duty(Duty {
+                    Value::Assignment(Assignment {
                         holder: None,
                         last,
                         epoch,
@@ -50,7 +50,7 @@
                     if want.is_some() && self.settled >= version && !self.early {
                         out.push((
                             name.clone(),
-                            Duty {
+                            Assignment {
                                 holder: want,
                                 last: *last,
                                 epoch: epoch + 1,
@@ -60,7 +60,7 @@
                 }
                 Some((
                     _,
-                    Value::Duty(Duty {
+                    Value::Assignment(Assignment {
                         holder: Some(holder),
                         epoch,
                         ..
@@ -69,7 +69,7 @@
                     if want.is_some() && (self.ended)(*holder) {
                         out.push((
                             name.clone(),
-                            Duty {
+                            Assignment {
                                 holder: want,
                                 last: None,
                                 epoch: epoch + 1,
@@ -93,7 +93,7 @@
                         let last = (!gone).then_some(*holder);
                         out.push((
                             name.clone(),
-                            Duty {
+                            Assignment {
                                 holder: None,
                                 last,
                                 epoch: epoch + 1,
@@ -105,7 +105,7 @@
                     if want.is_some() && !self.early {
                         out.push((
                             name.clone(),
-                            Duty {
+                            Assignment {
                                 holder: want,
                                 last: None,
                                 epoch: 1,
@@ -119,13 +119,13 @@
     }
 
     fn best(&self, name: &str) -> Option<Peer> {
-        let near = |seen: &&SessionInfo| duty_ring(name).is_none_or(|ring| ring == seen.ring);
+        let near = |seen: &&SessionInfo| assignment_ring(name).is_none_or(|ring| ring == seen.ring);
         let able = self.live.iter().filter(|seen| !seen.draining).filter(near);
         // A copy goes from its one owner to every edge that is asked for it, so
-        // the narrow links own next to nothing where wide ones are there. A gate
+        // the narrow links own next to nothing where wide ones are there. An admission controller
         // is one node's work: the strong ones have it, beside a control node
         // only where others are much weaker.
-        let strength = |seen: &SessionInfo| match duty_ring(name) {
+        let strength = |seen: &SessionInfo| match assignment_ring(name) {
             Some(_) => seen.strength.saturating_pow(2),
             None if (self.beside)(seen) => (seen.strength / APART).max(1).saturating_pow(3),
             None => seen.strength.saturating_pow(3),
@@ -134,7 +134,7 @@
         able.min_by(|one, other| {
             far(one)
                 .total_cmp(&far(other))
-                .then(one.peer.life.cmp(&other.peer.life))
+                .then(one.peer.incarnation.cmp(&other.peer.incarnation))
         })
         .map(|seen| seen.peer)
     }
--- a/control-plane/src/duty_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `duty_plan`.
+//! Tests of `assignment_plan`.
 use crate::prelude::*;
 
 fn seen(port: u16, draining: bool) -> SessionInfo {
@@ -9,7 +9,7 @@
         ring: String::new(),
         strength: 1,
         draining,
-        realm: 0,
+        generation: 0,
         recalled: true,
         vector: vec![],
         usage: Usage::default(),
@@ -17,14 +17,14 @@
     }
 }
 
-fn apply(rows: &mut BTreeMap<String, Row>, out: Vec<(String, Duty)>, version: u64) -> usize {
+fn apply(rows: &mut BTreeMap<String, Row>, out: Vec<(String, Assignment)>, version: u64) -> usize {
     let count = out.len();
-    for (key, duty) in out {
+    for (key, assignment) in out {
         rows.insert(
             key,
             Row {
                 version,
-                value: Value::Duty(duty),
+                value: Value::Assignment(assignment),
             },
         );
     }
@@ -32,17 +32,17 @@
 }
 
 fn names() -> Vec<String> {
-    (0..CACHE_SLICES)
-        .map(|slice| cache_duty("", slice))
+    (0..CACHE_PARTITIONS)
+        .map(|partition| cache_assignment("", partition))
         .collect()
 }
 
 #[test]
-fn a_duty_is_granted_again_only_after_its_revocation_settled() {
+fn a_assignment_is_granted_again_only_after_its_revocation_settled() {
     let mut rows = BTreeMap::new();
     let (one, two) = ([seen(1, false)], [seen(2, false)]);
     let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 0,
         live: &one,
@@ -54,7 +54,7 @@
     .next(&names());
     apply(&mut rows, out, 1);
     let all: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 1,
         live: &two,
@@ -66,11 +66,11 @@
     .next(&names());
     assert!(
         out.iter()
-            .all(|(_, duty)| duty.holder.is_none() && duty.epoch == 2)
+            .all(|(_, assignment)| assignment.holder.is_none() && assignment.epoch == 2)
     );
-    assert_eq!(apply(&mut rows, out, 2), usize::from(CACHE_SLICES));
+    assert_eq!(apply(&mut rows, out, 2), usize::from(CACHE_PARTITIONS));
     assert!(
-        DutyPlan {
+        AssignmentPlan {
             rows: &rows,
             settled: 1,
             live: &two,
@@ -82,7 +82,7 @@
         .next(&names())
         .is_empty()
     );
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 2,
         live: &two,
@@ -94,16 +94,16 @@
     .next(&names());
     assert!(
         out.iter()
-            .all(|(_, duty)| duty.holder == Some(two[0].peer) && duty.epoch == 3)
+            .all(|(_, assignment)| assignment.holder == Some(two[0].peer) && assignment.epoch == 3)
     );
-    assert_eq!(out.len(), usize::from(CACHE_SLICES));
+    assert_eq!(out.len(), usize::from(CACHE_PARTITIONS));
 }
 
 #[test]
 fn what_an_ended_process_held_is_granted_at_once_also_before_all_sessions_are_known() {
     let mut rows = BTreeMap::new();
     let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 0,
         live: &[seen(1, false), seen(2, false)],
@@ -116,13 +116,13 @@
     apply(&mut rows, out, 1);
     let again = SessionInfo {
         peer: Peer {
-            life: 9,
+            incarnation: 9,
             ..seen(1, false).peer
         },
         ..seen(1, false)
     };
     let over: &dyn Fn(Peer) -> bool = &|peer| peer == seen(1, false).peer;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 1,
         live: std::slice::from_ref(&again),
@@ -138,7 +138,7 @@
     );
     assert!(
         out.iter()
-            .all(|(_, duty)| duty.holder == Some(again.peer) && duty.epoch == 2)
+            .all(|(_, assignment)| assignment.holder == Some(again.peer) && assignment.epoch == 2)
     );
 }
 
@@ -147,7 +147,7 @@
     let mut rows = BTreeMap::new();
     let mut live: Vec<SessionInfo> = (1..8).map(|port| seen(port, false)).collect();
     let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &rows,
         settled: 0,
         live: &live,
@@ -161,7 +161,7 @@
     live.push(seen(8, false));
     let mut moved = 0;
     for version in (2..100).step_by(2) {
-        let out = DutyPlan {
+        let out = AssignmentPlan {
             rows: &rows,
             settled: version,
             live: &live,
@@ -173,7 +173,7 @@
         .next(&names());
         assert!(out.len() <= 64);
         moved += apply(&mut rows, out, version);
-        let out = DutyPlan {
+        let out = AssignmentPlan {
             rows: &rows,
             settled: version,
             live: &live,
@@ -185,7 +185,7 @@
         .next(&names());
         assert!(
             out.iter()
-                .all(|(_, duty)| duty.holder == Some(live[7].peer))
+                .all(|(_, assignment)| assignment.holder == Some(live[7].peer))
         );
         apply(&mut rows, out, version + 1);
     }
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn duties_go_by_strength() {
+fn assignments_go_by_strength() {
     let strong = |port, strength| SessionInfo {
         strength,
         ..seen(port, false)
@@ -206,7 +206,7 @@
         .chain((5..=34).map(|port| strong(port, 1)))
         .collect();
     let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &BTreeMap::new(),
         settled: 0,
         live: &live,
@@ -218,7 +218,11 @@
     .next(&names());
     let strong = out
         .iter()
-        .filter(|(_, duty)| duty.holder.is_some_and(|peer| peer.address.port() <= 4))
+        .filter(|(_, assignment)| {
+            assignment
+                .holder
+                .is_some_and(|peer| peer.address.port() <= 4)
+        })
         .count();
     // By the square: 4 x 900 of 3,630 parts.
     assert!(
@@ -228,8 +232,10 @@
 }
 
 #[test]
-fn a_gate_is_apart_from_control_nodes_unless_others_are_much_weaker() {
-    let gates: Vec<String> = (0..200).map(|at| gate_duty(&format!("s{at}"))).collect();
+fn a_admission_is_apart_from_control_nodes_unless_others_are_much_weaker() {
+    let admissions: Vec<String> = (0..200)
+        .map(|at| admission_assignment(&format!("s{at}")))
+        .collect();
     let none: &dyn Fn(Peer) -> bool = &|_| false;
     let beside = |seen: &SessionInfo| seen.peer.address.port() <= 4;
     let held = |other: u32| {
@@ -239,7 +245,7 @@
                 ..seen(port, false)
             })
             .collect();
-        let out = DutyPlan {
+        let out = AssignmentPlan {
             rows: &BTreeMap::new(),
             settled: 0,
             live: &live,
@@ -248,9 +254,13 @@
             beside: &beside,
             early: false,
         }
-        .next(&gates);
+        .next(&admissions);
         out.iter()
-            .filter(|(_, duty)| duty.holder.is_some_and(|peer| peer.address.port() <= 4))
+            .filter(|(_, assignment)| {
+                assignment
+                    .holder
+                    .is_some_and(|peer| peer.address.port() <= 4)
+            })
             .count()
     };
     assert!(
@@ -262,17 +272,17 @@
 }
 
 #[test]
-fn a_slice_of_a_ring_goes_to_its_own_edges_only() {
+fn a_partition_of_a_ring_goes_to_its_own_edges_only() {
     let near = |port, ring: &str| SessionInfo {
         ring: ring.into(),
         ..seen(port, false)
     };
     let live = [near(1, "a"), near(2, "a"), near(3, "b")];
-    let names: Vec<String> = (0..CACHE_SLICES)
-        .flat_map(|slice| ["a", "b", "c"].map(|ring| cache_duty(ring, slice)))
+    let names: Vec<String> = (0..CACHE_PARTITIONS)
+        .flat_map(|partition| ["a", "b", "c"].map(|ring| cache_assignment(ring, partition)))
         .collect();
     let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = DutyPlan {
+    let out = AssignmentPlan {
         rows: &BTreeMap::new(),
         settled: 0,
         live: &live,
@@ -284,8 +294,8 @@
     .next(&names);
     let held = |ring: &str| -> BTreeSet<Option<Peer>> {
         out.iter()
-            .filter(|(name, _)| duty_ring(name) == Some(ring))
-            .map(|(_, duty)| duty.holder)
+            .filter(|(name, _)| assignment_ring(name) == Some(ring))
+            .map(|(_, assignment)| assignment.holder)
             .collect()
     };
     assert_eq!(held("a"), [Some(live[0].peer), Some(live[1].peer)].into());
@@ -294,14 +304,14 @@
 }
 
 #[test]
-fn a_draining_holder_loses_its_gate_and_a_live_one_keeps_it() {
-    let gate = [gate_duty("book")];
+fn a_draining_holder_loses_its_admission_and_a_live_one_keeps_it() {
+    let admission = [admission_assignment("book")];
     let held = |peer| {
         BTreeMap::from([(
-            gate[0].clone(),
+            admission[0].clone(),
             Row {
                 version: 1,
-                value: Value::Duty(Duty {
+                value: Value::Assignment(Assignment {
                     holder: Some(peer),
                     last: None,
                     epoch: 4,
@@ -314,7 +324,7 @@
         let rows = held(seen(port, false).peer);
         let live: Vec<SessionInfo> = (1..9).map(|port| seen(port, false)).collect();
         assert!(
-            DutyPlan {
+            AssignmentPlan {
                 rows: &rows,
                 settled: 9,
                 live: &live,
@@ -323,12 +333,12 @@
                 beside: &|_| false,
                 early: false
             }
-            .next(&gate)
+            .next(&admission)
             .is_empty()
         );
         let live: Vec<SessionInfo> = (1..9).map(|other| seen(other, other == port)).collect();
         assert_eq!(
-            DutyPlan {
+            AssignmentPlan {
                 rows: &rows,
                 settled: 9,
                 live: &live,
@@ -337,7 +347,7 @@
                 beside: &|_| false,
                 early: false
             }
-            .next(&gate)
+            .next(&admission)
             .len(),
             1
         );
--- a/control-plane/src/control_part/duties.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -1,8 +1,8 @@
-//! What edges are assigned: cache slices and gates, planned by the leader of the duties.
+//! What edges are assigned: cache partitions and admission controllers, planned by the leader of the assignments.
 
 use super::*;
 
-/// What the duties were last planned from: the same again gives the same plan.
+/// What the assignments were last planned from: the same again gives the same plan.
 #[derive(PartialEq)]
 pub(super) struct PlannedFrom {
     epoch: u64,
@@ -13,7 +13,7 @@
     ended: BTreeSet<Peer>,
 }
 
-impl ControlPart {
+impl ControlNode {
     /// Who owns the list of origins is the one to read the platform's.
     pub(super) fn show_lists(&mut self, now: Duration) {
         let leads = self
@@ -29,12 +29,12 @@
             } else {
                 vec![]
             };
-            self.out.push(Output::Show(Shown::Duties(list)));
+            self.out.push(Output::Show(Shown::Assignments(list)));
         }
     }
 
-    pub(super) fn plan_duties(&mut self, now: Duration) {
-        let Some(leader) = self.leaders.get(&DUTIES) else {
+    pub(super) fn plan_assignments(&mut self, now: Duration) {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS) else {
             return;
         };
         // A new owner pending_replies until sessions have had time to show.
@@ -48,14 +48,14 @@
         // what holders left who are known to have ended is given out.
         let known = self.sessions.known(now);
         if known {
-            self.plan_roll(now);
+            self.plan_edge_registry(now);
         }
         self.read_services();
-        let Some(leader) = self.leaders.get(&DUTIES) else {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS) else {
             return;
         };
         let holders = leader.rows.values().filter_map(|row| match &row.value {
-            Value::Duty(duty) => duty.holder,
+            Value::Assignment(assignment) => assignment.holder,
             _ => None,
         });
         let over: BTreeSet<Peer> = holders
@@ -78,7 +78,10 @@
         } else {
             self.sessions.mine()
         };
-        let spread = leader.rows.keys().filter_map(|duty| duty_ring(duty));
+        let spread = leader
+            .rows
+            .keys()
+            .filter_map(|assignment| assignment_ring(assignment));
         let rings: BTreeSet<&str> = live
             .iter()
             .map(|seen| seen.ring.as_str())
@@ -86,18 +89,24 @@
             .collect();
         let mut names: Vec<String> = rings
             .iter()
-            .flat_map(|ring| (0..CACHE_SLICES).map(|slice| cache_duty(ring, slice)))
+            .flat_map(|ring| {
+                (0..CACHE_PARTITIONS).map(|partition| cache_assignment(ring, partition))
+            })
             .collect();
-        names.extend(self.services.iter().map(|service| gate_duty(service)));
+        names.extend(
+            self.services
+                .iter()
+                .map(|service| admission_assignment(service)),
+        );
         let gone = |peer: Peer| self.sessions.gone(now, peer, quorum);
         let ended = |peer: Peer| planned.ended.contains(&peer);
-        let places = &self.places;
+        let members = &self.members;
         let beside = |seen: &SessionInfo| {
-            places
+            members
                 .iter()
                 .any(|place| place.address.ip() == seen.peer.address.ip())
         };
-        let plan = DutyPlan {
+        let plan = AssignmentPlan {
             rows: &leader.rows,
             settled: leader.settled(),
             live: &live,
@@ -109,19 +118,22 @@
         let out = plan.next(&names);
         self.planned = Some(planned);
         if !out.is_empty() {
-            self.granted = self.sessions.marks();
+            self.granted = self.sessions.renewal_tokens();
         }
-        let leader = self.leaders.get_mut(&DUTIES).expect("just seen");
-        for (key, duty) in &out {
-            leader.put(key.clone(), Value::Duty(duty.clone()));
+        let leader = self.leaders.get_mut(&ASSIGNMENTS).expect("just seen");
+        for (key, assignment) in &out {
+            leader.put(key.clone(), Value::Assignment(assignment.clone()));
         }
-        for (key, duty) in out {
-            match duty.holder {
+        for (key, assignment) in out {
+            match assignment.holder {
                 Some(peer) => self.note(
-                    Event::DutyGranted,
-                    format!("{key} epoch {} to {peer}", duty.epoch),
+                    Event::AssignmentGranted,
+                    format!("{key} epoch {} to {peer}", assignment.epoch),
+                ),
+                None => self.note(
+                    Event::AssignmentRevoked,
+                    format!("{key} epoch {}", assignment.epoch),
                 ),
-                None => self.note(Event::DutyRevoked, format!("{key} epoch {}", duty.epoch)),
             }
         }
     }
--- a/control-plane/src/control_part/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -15,7 +15,7 @@
 
 /// An answer that waits for its leader to get so far.
 pub(super) struct PendingReply {
-    pub(super) slice: u8,
+    pub(super) partition: u8,
     pub(super) asker: SocketAddr,
     pub(super) id: u64,
     pub(super) commit: u64,
@@ -28,7 +28,7 @@
     /// A reply to this request that has to wait for nothing yet.
     fn new(request: &ChangeRequest) -> PendingReply {
         PendingReply {
-            slice: request.slice,
+            partition: request.partition,
             asker: request.asker,
             id: request.id,
             commit: 0,
@@ -129,7 +129,7 @@
 
 /// A call from an operator, on its way to the leader of its partition.
 pub(super) struct OperatorCall {
-    slice: u8,
+    partition: u8,
     change: Change,
     until: Duration,
     next: Duration,
@@ -177,7 +177,7 @@
 /// A cut of this length may be over before a caller could ask another node.
 const CUT_OFF_GRACE: Duration = Duration::from_millis(600);
 
-impl ControlPart {
+impl ControlNode {
     /// Notes since when no majority is in contact with this node.
     pub(super) fn watch_contact(&mut self, now: Duration) {
         if self.reaches_majority(now) {
@@ -219,7 +219,7 @@
                 self.answer_operator(id, outcome);
                 continue;
             }
-            let leader = self.chosen(now, call.slice);
+            let leader = self.chosen(now, call.partition);
             if leader.is_some() && (now >= call.next || call.sent_to != leader) {
                 self.send_operator_call(now, id, leader);
             }
@@ -240,7 +240,7 @@
         let request = ChangeRequest {
             asker,
             id,
-            slice: call.slice,
+            partition: call.partition,
             hops: 0,
             ask: call.change.clone(),
         };
@@ -253,7 +253,7 @@
         from: Peer,
         request: ChangeRequest,
     ) {
-        if !self.leads(request.slice) {
+        if !self.leads(request.partition) {
             return self.pass_on(now, from, request);
         }
         if let Change::Claim(claim) = &request.ask
@@ -263,11 +263,11 @@
         }
         self.pending_replies
             .retain(|known| (known.asker, known.id) != (request.asker, request.id));
-        let slice = request.slice;
-        let before = self.leaders[&slice].version;
+        let partition = request.partition;
+        let before = self.leaders[&partition].version;
         let mut reply = self.change(now, request);
         let somebody_waits = reply.id != NOBODY_WAITS;
-        if let Some(leader) = self.leaders.get_mut(&slice)
+        if let Some(leader) = self.leaders.get_mut(&partition)
             && leader.version == before
             && somebody_waits
         {
@@ -279,8 +279,8 @@
     }
 
     /// Whether we lead a partition, as far as we know.
-    fn leads(&self, slice: u8) -> bool {
-        let leader = self.leaders.get(&slice);
+    fn leads(&self, partition: u8) -> bool {
+        let leader = self.leaders.get(&partition);
         self.able() && leader.is_some_and(|leader| leader.ready() && leader.wary.is_none())
     }
 
@@ -295,7 +295,7 @@
             };
             return self.tell(from.address, reply);
         }
-        let leader = self.chosen(now, request.slice);
+        let leader = self.chosen(now, request.partition);
         let elsewhere = leader.filter(|slot| *slot != self.slot);
         let Some(next_hop) = elsewhere.and_then(|slot| self.next_hop(now, slot)) else {
             return;
@@ -304,7 +304,7 @@
             return;
         }
         request.hops += 1;
-        let from_member = self.places.iter().any(|peer| peer.names(&from));
+        let from_member = self.members.iter().any(|peer| peer.names(&from));
         if from_member && request.asker == from.address {
             request.id = self.relay_id(now, request.asker, request.id);
             request.asker = self.address;
@@ -328,12 +328,12 @@
         relay_id
     }
 
-    /// Makes a change as the slice's owner; the answer pending_replies for the disks.
+    /// Makes a change as the partition's owner; the answer pending_replies for the disks.
     pub(super) fn change(&mut self, now: Duration, ask: ChangeRequest) -> PendingReply {
         let mut wait = PendingReply::new(&ask);
-        let ChangeRequest { slice, ask, .. } = ask;
+        let ChangeRequest { partition, ask, .. } = ask;
         let left = self.closed.saturating_sub(now);
-        let leader = self.leaders.get_mut(&slice).expect("owner");
+        let leader = self.leaders.get_mut(&partition).expect("owner");
         match ask {
             Change::GetConfiguration => {
                 wait.round = leader.start_round();
@@ -414,21 +414,21 @@
                     wait.acknowledge_commit();
                 }
             }
-            Change::OpenLedger { realm } if realm != self.realm => {
-                let text = format!("the realm is {} now", Realm::name(self.realm));
+            Change::OpenLedger { generation } if generation != self.generation => {
+                let text = format!("the realm is {} now", Generation::name(self.generation));
                 wait.told = Outcome::Findings(vec![Finding::new("/realm", text)]);
             }
-            Change::OpenLedger { realm } => {
-                let version = if leader.opened() == realm {
+            Change::OpenLedger { generation } => {
+                let version = if leader.opened() == generation {
                     leader.version
                 } else {
-                    leader.put("opened".into(), Value::Opened { realm })
+                    leader.put("opened".into(), Value::Opened { generation })
                 };
                 wait.commit = version;
                 wait.told = Outcome::Settled { version };
                 self.note(
                     Event::LedgerOpened,
-                    format!("realm {}: operators said so", Realm::name(realm)),
+                    format!("realm {}: operators said so", Generation::name(generation)),
                 );
             }
             Change::Refound { after } => self.refound(after),
@@ -483,9 +483,9 @@
             OperatorAsk::Change { .. } if self.removed || self.slot == NO_SLOT => {
                 self.answer_operator(id, Outcome::NoMajority);
             }
-            OperatorAsk::Change { slice, change } => {
+            OperatorAsk::Change { partition, change } => {
                 let call = OperatorCall {
-                    slice,
+                    partition,
                     change,
                     until: now + OPERATOR_CALL_LIMIT,
                     next: now,
@@ -504,7 +504,7 @@
 
     /// What this node knows of the fleet.
     pub(super) fn state(&self, now: Duration) -> serde_json::Value {
-        let control: Vec<_> = (0..self.places.len() as u8)
+        let control: Vec<_> = (0..self.members.len() as u8)
             .map(|slot| {
                 let peer = self.peers.get(&slot);
                 let live = self.contacts(now).contains(slot);
@@ -518,7 +518,7 @@
             .into_iter()
             .map(|seen| {
                 serde_json::json!({
-                    "address": seen.peer.address, "life": format!("{:016x}", seen.peer.life), "zone": seen.zone,
+                    "address": seen.peer.address, "life": format!("{:016x}", seen.peer.incarnation), "zone": seen.zone,
                     "draining": seen.draining, "vector": seen.vector, "usage": seen.usage,
                 })
             })
@@ -529,18 +529,18 @@
             .into_iter()
             .flat_map(|seen| seen.found)
             .collect();
-        let slices: Vec<_> = self
+        let partitions: Vec<_> = self
             .leaders
             .values()
             .filter(|leader| leader.ready())
             .map(|leader| {
                 serde_json::json!({
-                    "slice": leader.slice, "epoch": leader.epoch, "version": leader.version,
+                    "slice": leader.partition, "epoch": leader.epoch, "version": leader.version,
                     "committed": leader.committed(), "settled": leader.settled(), "rows": leader.rows.len(),
                 })
             })
             .collect();
-        let ledger = serde_json::json!({ "realm": Realm::name(self.realm), "closed_s": self.closed.saturating_sub(now).as_secs_f64().ceil() });
-        serde_json::json!({ "slot": self.slot, "majority": self.reaches_majority(now), "ledger": ledger, "control": control, "edges": edges, "origins": origins, "owned_slices": slices })
+        let ledger = serde_json::json!({ "realm": Generation::name(self.generation), "closed_s": self.closed.saturating_sub(now).as_secs_f64().ceil() });
+        serde_json::json!({ "slot": self.slot, "majority": self.reaches_majority(now), "ledger": ledger, "control": control, "edges": edges, "origins": origins, "owned_slices": partitions })
     }
 }
--- a/control-plane/src/control_part/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -19,7 +19,7 @@
 }
 
 struct Node {
-    part: Option<ControlPart>,
+    part: Option<ControlNode>,
     /// Counts its starts: what was due for an earlier one is dropped.
     run: u64,
     disk: Vec<Vec<u8>>,
@@ -31,7 +31,7 @@
     serial: u64,
     queue: BTreeMap<(Duration, u64), (usize, Happening)>,
     nodes: Vec<Node>,
-    lives: u64,
+    incarnations: u64,
     /// Nodes that no message reaches or leaves.
     pub isolated: BTreeSet<usize>,
     /// Answers to changes are lost.
@@ -57,7 +57,7 @@
             serial: 0,
             queue: BTreeMap::new(),
             nodes: (0..SLOTS).map(|_| node()).collect(),
-            lives: 0,
+            incarnations: 0,
             isolated: BTreeSet::new(),
             replies_lost: false,
             answers: BTreeMap::new(),
@@ -72,10 +72,17 @@
     pub fn start(&mut self, slot: usize) {
         let known = Replica::replay(&self.nodes[slot].disk).expect("own records read");
         let blank = known.is_none();
-        self.lives += 1;
-        let replica = known.unwrap_or_else(|| Replica::blank(1000 + self.lives));
+        self.incarnations += 1;
+        let replica = known.unwrap_or_else(|| Replica::blank(1000 + self.incarnations));
         let seeds = (0..SLOTS).map(address).collect();
-        let part = ControlPart::new(address(slot), seeds, replica, blank, None, self.lives);
+        let part = ControlNode::new(
+            address(slot),
+            seeds,
+            replica,
+            blank,
+            None,
+            self.incarnations,
+        );
         let node = &mut self.nodes[slot];
         node.run += 1;
         node.part = Some(part);
@@ -94,7 +101,7 @@
         self.nodes[slot].disk.clear();
     }
 
-    /// For so long an edge renews with all nodes and applies no news.
+    /// For so long an edge renews with all nodes and applies no updates.
     pub fn renew_without_applying(&mut self, span: Duration) {
         let until = self.now + span;
         let edge = Peer::new(address(SLOTS + 1), 77);
@@ -102,9 +109,9 @@
             let renew = RenewRequest {
                 sent: self.now,
                 heard: None,
-                realm: 0,
+                generation: 0,
                 recalled: true,
-                vector: vec![0; NEWS.into()],
+                vector: vec![0; PUBLISHED_PARTITIONS.into()],
                 zone: "z".into(),
                 ring: "z".into(),
                 strength: 1,
@@ -127,10 +134,10 @@
     }
 
     /// Who leads a partition and may answer for it.
-    pub fn leader(&self, slice: u8) -> Option<usize> {
+    pub fn leader(&self, partition: u8) -> Option<usize> {
         let leads = |slot: &usize| {
             let part = self.nodes[*slot].part.as_ref();
-            let leader = part.and_then(|part| part.leaders.get(&slice));
+            let leader = part.and_then(|part| part.leaders.get(&partition));
             !self.isolated.contains(slot)
                 && leader.is_some_and(|leader| leader.ready() && leader.wary.is_none())
         };
@@ -138,16 +145,16 @@
     }
 
     /// Asks a node; the answer comes under this id.
-    pub fn ask(&mut self, slot: usize, id: u64, slice: u8, change: Change) {
-        let ask = OperatorAsk::Change { slice, change };
+    pub fn ask(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
+        let ask = OperatorAsk::Change { partition, change };
         self.step(slot, Input::Operator { id, ask });
     }
 
     /// Asks a node and waits for the answer.
-    pub fn outcome(&mut self, slot: usize, slice: u8, change: Change) -> Outcome {
+    pub fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> Outcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
-        self.ask(slot, id, slice, change);
+        self.ask(slot, id, partition, change);
         for _ in 0..150 {
             if let Some(outcome) = self.answers.remove(&id) {
                 return outcome;
--- a/control-plane/src/control_part/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -194,7 +194,7 @@
 /// A document or a list that names the version it replaces.
 #[test]
 fn a_document_or_list_sent_again_after_a_takeover_is_acknowledged_under_its_first_version() {
-    for (slice, make) in [
+    for (partition, make) in [
         (
             CONFIGURATION,
             document as fn(&str, Option<u64>, u64) -> Change,
@@ -202,25 +202,25 @@
         (ORIGINS, origins as fn(&str, Option<u64>, u64) -> Change),
     ] {
         for newer in [false, true] {
-            let what = format!("slice {slice}, newer: {newer}");
+            let what = format!("slice {partition}, newer: {newer}");
             let mut cluster = Cluster::new();
-            let first = version(&cluster.outcome(0, slice, make("/a/", Some(0), 5)));
+            let first = version(&cluster.outcome(0, partition, make("/a/", Some(0), 5)));
             let mut stands = first;
             if newer {
-                stands = version(&cluster.outcome(1, slice, make("/b/", Some(first), 6)));
+                stands = version(&cluster.outcome(1, partition, make("/b/", Some(first), 6)));
             }
-            let leader = cluster.leader(slice).unwrap();
+            let leader = cluster.leader(partition).unwrap();
             cluster.kill(leader);
             cluster.run_for(PATIENT);
             let asked = cluster.other(leader);
-            let told = cluster.outcome(asked, slice, make("/a/", Some(0), 5));
+            let told = cluster.outcome(asked, partition, make("/a/", Some(0), 5));
             assert_eq!(version(&told), first, "{what}");
-            let told = cluster.outcome(asked, slice, make("/c/", Some(0), 9));
+            let told = cluster.outcome(asked, partition, make("/c/", Some(0), 9));
             assert!(
                 matches!(told, Outcome::Raced { version, .. } if version == stands),
                 "{what}: {told:?}"
             );
-            let told = cluster.outcome(asked, slice, make("/c/", Some(stands), 9));
+            let told = cluster.outcome(asked, partition, make("/c/", Some(stands), 9));
             assert_settled(&told, &what);
         }
     }
--- a/control-plane/src/control_part/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -12,7 +12,7 @@
 /// we take a member for gone ourselves, nobody vouches for it any more.
 const VOUCH: Duration = lease::CONTROL_PEER.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
-impl ControlPart {
+impl ControlNode {
     /// Slots whose heartbeats came within the span, our own among them.
     pub(super) fn hears(&self, now: Duration, span: Duration) -> SlotSet {
         let near = self
@@ -99,14 +99,14 @@
 
     /// The slot that shall lead a partition: by weight over those that may.
     /// None while nobody may, as far as known here.
-    pub(super) fn chosen(&self, now: Duration, slice: u8) -> Option<u8> {
-        self.chosen_among(self.eligible(now), slice)
+    pub(super) fn chosen(&self, now: Duration, partition: u8) -> Option<u8> {
+        self.chosen_among(self.eligible(now), partition)
     }
 
     /// The same, for who asks for several partitions at once.
-    pub(super) fn chosen_among(&self, eligible: SlotSet, slice: u8) -> Option<u8> {
-        let name = format!("slice/{slice}");
-        let known = |slot: &u8| usize::from(*slot) < self.places.len();
+    pub(super) fn chosen_among(&self, eligible: SlotSet, partition: u8) -> Option<u8> {
+        let name = format!("slice/{partition}");
+        let known = |slot: &u8| usize::from(*slot) < self.members.len();
         let eligible = eligible.iter().filter(known);
         eligible.max_by_key(|slot| Peer::new(self.address(*slot), 0).weight(&name))
     }
--- a/control-plane/src/control_part/disk_failure.rs
+++ b/control-plane/src/control_node/disk_failure.rs
@@ -18,7 +18,7 @@
     image: Option<u64>,
 }
 
-impl ControlPart {
+impl ControlNode {
     /// A write failed, maybe one that was to end an earlier failure.
     pub(super) fn handle_store_failure(&mut self, now: Duration) {
         if self.failed.is_none() {
--- a/control-plane/src/control_part/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -1,31 +1,31 @@
-//! Renewals of edges and the news they are told.
+//! Renewals of edges and the updates they are told.
 
 use super::*;
 
-impl ControlPart {
+impl ControlNode {
     /// All sessions renew now, with a mark of this moment.
     pub(super) fn ask_all(&mut self) {
-        let mark = self.sessions.mark();
+        let renewal_token = self.sessions.renewal_token();
         for edge in self.sessions.addresses() {
-            self.tell(edge, RenewPrompt { mark });
+            self.tell(edge, RenewPrompt { renewal_token });
         }
     }
 
     pub(super) fn renew(&mut self, now: Duration, from: Peer, renew: RenewRequest) {
-        let mine = self.replica.realm();
-        // An edge of another realm takes everything anew.
-        let known: &[u64] = if renew.realm == mine || mine == 0 {
+        let mine = self.replica.generation();
+        // An edge of another generation takes everything anew.
+        let known: &[u64] = if renew.generation == mine || mine == 0 {
             &renew.vector
         } else {
             &[]
         };
-        let news = self.news_replies.reply(now, from, known, &self.replica);
+        let updates = self.update_replies.reply(now, from, known, &self.replica);
         let recall = now < self.closed;
-        let founded = renew.realm == 0 || mine != 0;
+        let founded = renew.generation == 0 || mine != 0;
         let RenewRequest {
             sent,
             heard,
-            realm,
+            generation,
             recalled,
             vector,
             zone,
@@ -43,7 +43,7 @@
                 ring,
                 strength,
                 draining,
-                realm,
+                generation,
                 recalled,
                 vector,
                 usage,
@@ -53,26 +53,26 @@
         ) {
             self.note(Event::SessionOpened, from.to_string());
         }
-        // An edge of an earlier realm is heard, but not live by us, until there
+        // An edge of an earlier generation is heard, but not live by us, until there
         // is a new one for it to enter.
         if !founded {
             return;
         }
-        // A renewal counts only with all news it lacks: while that is on the way
+        // A renewal counts only with all updates it lacks: while that is on the way
         // there is nothing to say.
-        let Some(news) = news else {
+        let Some(updates) = updates else {
             return;
         };
-        let mark = self.sessions.mark();
+        let renewal_token = self.sessions.renewal_token();
         self.tell(
             from.address,
             RenewReply {
-                life: from.life,
-                mark,
+                incarnation: from.incarnation,
+                renewal_token,
                 sent,
-                realm: mine,
+                generation: mine,
                 recall,
-                news,
+                updates,
             },
         );
     }
--- a/control-plane/src/control_part/realm.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -1,19 +1,19 @@
-//! After a majority of disks was lost: realms, rows taken back from edges, and when the operation ledger opens again.
+//! After a majority of disks was lost: generations, rows taken back from edges, and when the operation ledger opens again.
 
 use super::*;
 
-impl ControlPart {
+impl ControlNode {
     /// Operations: those whose edge is gone become unknown; final ones are
     /// dropped when they have stood their time under this owner.
     pub(super) fn sweep(&mut self, now: Duration) {
         let mut notes = Vec::new();
         let quorum = self.quorum();
-        for (slice, leader) in self
+        for (partition, leader) in self
             .leaders
             .iter_mut()
-            .filter(|(slice, leader)| **slice >= NEWS && leader.ready())
+            .filter(|(partition, leader)| **partition >= PUBLISHED_PARTITIONS && leader.ready())
         {
-            let finished_since = self.finished_since.entry(*slice).or_default();
+            let finished_since = self.finished_since.entry(*partition).or_default();
             let mut lost = Vec::new();
             let mut old = Vec::new();
             for (key, row) in &leader.rows {
@@ -66,42 +66,46 @@
         self.closed = now + lease::CLOSED;
     }
 
-    /// Whether the ledger of this realm is known to be complete.
+    /// Whether the ledger of this generation is known to be complete.
     pub(super) fn open(&self) -> bool {
-        self.realm != 0 && self.replica.opened() == self.realm && self.refound.is_none()
+        self.generation != 0 && self.replica.opened() == self.generation && self.refound.is_none()
     }
 
-    /// The realm whose acknowledged rows may be lost, as far as known here.
+    /// The generation whose acknowledged rows may be lost, as far as known here.
     pub(super) fn lost(&self) -> u64 {
-        let known = Some(self.replica.lost).filter(|realm| *realm == self.replica.realm());
+        let known =
+            Some(self.replica.lost).filter(|generation| *generation == self.replica.generation());
         self.refound.or(known).unwrap_or(0)
     }
 
     /// Another knows that a majority of disks was lost: said with every
-    /// promise, so that no slice is taken in ignorance of it.
-    pub(super) fn note_loss(&mut self, now: Duration, realm: u64) {
-        if realm != 0 && realm == self.realm && self.refound.is_none() {
+    /// promise, so that no partition is taken in ignorance of it.
+    pub(super) fn note_loss(&mut self, now: Duration, generation: u64) {
+        if generation != 0 && generation == self.generation && self.refound.is_none() {
             self.majority_lost(now);
-            self.refound = Some(realm);
+            self.refound = Some(generation);
         }
     }
 
-    /// Slices that were founded, or lost a majority of their disks, first
+    /// Partitions that were founded, or lost a majority of their disks, first
     /// take back from the edges what those were shown.
     pub(super) fn recollect(&mut self, now: Duration) {
-        if self.realm != self.replica.realm() {
-            self.realm = self.replica.realm();
+        if self.generation != self.replica.generation() {
+            self.generation = self.replica.generation();
             self.entered = now;
-            self.refound = Some(self.replica.lost).filter(|realm| *realm == self.realm);
-            if self.replica.opened() != self.realm || self.refound.is_some() {
+            self.refound =
+                Some(self.replica.lost).filter(|generation| *generation == self.generation);
+            if self.replica.opened() != self.generation || self.refound.is_some() {
                 // A first founding looks like the loss of everything.
                 self.majority_lost(now);
                 // An owner that lost nothing itself knows the roll as it was.
                 let owner = self
                     .leaders
-                    .get(&DUTIES)
+                    .get(&ASSIGNMENTS)
                     .filter(|leader| leader.ready() && leader.wary.is_none());
-                self.before = owner.and_then(PartitionLeader::roll).or(self.before.take());
+                self.before = owner
+                    .and_then(PartitionLeader::edge_registry)
+                    .or(self.before.take());
             }
         }
         if self.open() {
@@ -113,7 +117,7 @@
                 asker: self.address,
                 id: changes::NOBODY_WAITS,
                 hops: 0,
-                slice: CONFIGURATION,
+                partition: CONFIGURATION,
                 ask: Change::Refound { after },
             };
             self.tell(self.address, ask);
@@ -125,108 +129,125 @@
             .sessions
             .all()
             .iter()
-            .map(|seen| seen.realm)
+            .map(|seen| seen.generation)
             .max()
             .unwrap_or(0);
-        let realm = Realm::after(earlier.max(self.replica.realm()), self.replica.life);
-        for (slice, leader) in self
+        let generation = Generation::after(
+            earlier.max(self.replica.generation()),
+            self.replica.incarnation,
+        );
+        for (partition, leader) in self
             .leaders
             .iter_mut()
             .filter(|(_, leader)| leader.ready() && leader.wary.is_some())
         {
-            if *slice < NEWS {
+            if *partition < PUBLISHED_PARTITIONS {
                 told.extend(
                     self.sessions
-                        .beyond(*slice, leader.version)
+                        .beyond(*partition, leader.version)
                         .into_iter()
-                        .map(|edge| (edge, *slice)),
+                        .map(|edge| (edge, *partition)),
                 );
             }
-            // The ledger opens once the realm tells whether anything was lost.
-            let may = *slice < NEWS || self.realm != 0;
+            // The ledger opens once the generation tells whether anything was lost.
+            let may = *partition < PUBLISHED_PARTITIONS || self.generation != 0;
             if may && leader.wary.is_some_and(|until| now >= until) {
                 leader.wary = None;
-                before = leader.roll().or(before);
-                leader.put("founded".into(), Value::Founded { realm });
-                if *slice == CONFIGURATION {
-                    notes.push(format!("realm {realm:016x}"));
+                before = leader.edge_registry().or(before);
+                leader.put("founded".into(), Value::Founded { generation });
+                if *partition == CONFIGURATION {
+                    notes.push(format!("realm {generation:016x}"));
                 }
             }
         }
         self.before = before.or(self.before.take());
-        for (edge, slice) in told {
-            self.tell(edge, RecallRequest { slice });
+        for (edge, partition) in told {
+            self.tell(edge, RecallRequest { partition });
         }
         for text in notes {
-            self.note(Event::RealmFounded, text);
+            self.note(Event::GenerationFounded, text);
         }
     }
 
     pub(super) fn handle_recall_reply(&mut self, recalled: RecallReply) {
         let RecallReply {
-            slice,
+            partition,
             version,
             rows,
         } = recalled;
         let Some(leader) = self
             .leaders
-            .get_mut(&slice)
+            .get_mut(&partition)
             .filter(|leader| leader.wary.is_some() && leader.version < version)
         else {
             return;
         };
         let newer = leader.recall(version, rows);
-        self.granted = self.sessions.marks();
+        self.granted = self.sessions.renewal_tokens();
         self.note(
             Event::RowsRecalled,
-            format!("slice {slice}: {newer} rows up to version {version}"),
+            format!("slice {partition}: {newer} rows up to version {version}"),
         );
     }
 
     /// Keeps the roll; and opens the ledger once all of the roll before a loss
     /// have told what they knew.
-    pub(super) fn plan_roll(&mut self, now: Duration) {
+    pub(super) fn plan_edge_registry(&mut self, now: Duration) {
         let mut notes = Vec::new();
         let quorum = self.quorum();
-        let Some(leader) = self.leaders.get_mut(&DUTIES) else {
+        let Some(leader) = self.leaders.get_mut(&ASSIGNMENTS) else {
             return;
         };
         let told = |peer: &Peer| {
-            self.sessions
-                .all()
-                .iter()
-                .any(|seen| seen.peer == *peer && seen.realm == self.realm && seen.recalled)
+            self.sessions.all().iter().any(|seen| {
+                seen.peer == *peer && seen.generation == self.generation && seen.recalled
+            })
         };
         if let Some((members, gone, true)) = &self.before
             && now < self.closed
-            && Realm::again(self.realm)
+            && Generation::again(self.generation)
             && gone.is_empty()
             && !members.is_empty()
             && members.iter().all(told)
         {
-            leader.put("opened".into(), Value::Opened { realm: self.realm });
+            leader.put(
+                "opened".into(),
+                Value::Opened {
+                    generation: self.generation,
+                },
+            );
             self.before = None;
             notes.push("all of the roll told what they knew");
         }
         if self.fresh
-            && self.realm != 0
-            && !Realm::again(self.realm)
-            && leader.opened() != self.realm
+            && self.generation != 0
+            && !Generation::again(self.generation)
+            && leader.opened() != self.generation
         {
-            leader.put("opened".into(), Value::Opened { realm: self.realm });
+            leader.put(
+                "opened".into(),
+                Value::Opened {
+                    generation: self.generation,
+                },
+            );
             notes.push("the fleet is new");
         }
         // All that could come again has come.
         let over = now >= self.closed.max(self.entered + lease::CLOSED);
-        if self.realm != 0
-            && self.replica.opened() != self.realm
+        if self.generation != 0
+            && self.replica.opened() != self.generation
             && over
-            && leader.opened() != self.realm
+            && leader.opened() != self.generation
         {
-            leader.put("opened".into(), Value::Opened { realm: self.realm });
+            leader.put(
+                "opened".into(),
+                Value::Opened {
+                    generation: self.generation,
+                },
+            );
             notes.push("all that could come again has come");
         }
-        let (known, mut gone, complete) = leader.roll().unwrap_or_default();
+        let (known, mut gone, complete) = leader.edge_registry().unwrap_or_default();
         let mut members: BTreeSet<Peer> = self
             .sessions
             .live(now, quorum)
@@ -247,13 +268,13 @@
         // Who is back in the same life has kept what it knows.
         gone.retain(|peer| !members.contains(peer) && now < self.departed[peer] + lease::CLOSED);
         let members: Vec<Peer> = members.into_iter().collect();
-        // Until the new realm has its name, the roll is the lost one's.
-        let complete = if self.realm == 0 {
+        // Until the new generation has its name, the roll is the lost one's.
+        let complete = if self.generation == 0 {
             complete
         } else {
-            leader.opened() == self.realm
+            leader.opened() == self.generation
         };
-        let value = Value::Roll {
+        let value = Value::EdgeRegistry {
             members: members.clone(),
             gone,
             complete,
@@ -276,24 +297,24 @@
         for why in notes {
             self.note(
                 Event::LedgerOpened,
-                format!("realm {}: {why}", Realm::name(self.realm)),
+                format!("realm {}: {why}", Generation::name(self.generation)),
             );
         }
     }
 
-    /// Names the next realm, unless that was done since it was asked for.
+    /// Names the next generation, unless that was done since it was asked for.
     pub(super) fn refound(&mut self, after: u64) {
-        let realm = Realm::after(self.replica.realm(), self.replica.life);
+        let generation = Generation::after(self.replica.generation(), self.replica.incarnation);
         let Some(leader) = self.leaders.get_mut(&CONFIGURATION) else {
             return;
         };
         if leader
             .rows
             .get("founded")
-            .is_some_and(|row| row.value == Value::Founded { realm: after })
+            .is_some_and(|row| row.value == Value::Founded { generation: after })
         {
-            leader.put("founded".into(), Value::Founded { realm });
-            self.note(Event::RealmFounded, format!("realm {realm:016x}"));
+            leader.put("founded".into(), Value::Founded { generation });
+            self.note(Event::GenerationFounded, format!("realm {generation:016x}"));
         }
     }
 
--- a/control-plane/src/control_part/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -40,10 +40,10 @@
     }
 }
 
-impl ControlPart {
+impl ControlNode {
     /// The slot that this life of a peer holds by our table.
     pub(super) fn slot_of(&self, peer: &Peer) -> Option<u8> {
-        let at = self.places.iter().position(|known| known.names(peer))?;
+        let at = self.members.iter().position(|known| known.names(peer))?;
         Some(at as u8)
     }
 
@@ -92,7 +92,12 @@
             Message::RecallReply(reply) => self.learn_table(now, reply),
             // After a loss of all disks nobody but the edges knows the table.
             Message::RenewRequest(_) if self.bootstrap.is_some() => {
-                self.tell(from.address, RecallRequest { slice: PLACES });
+                self.tell(
+                    from.address,
+                    RecallRequest {
+                        partition: MEMBERSHIP,
+                    },
+                );
             }
             // The sender takes us for a member: seeds may be gone, it is there.
             Message::Heartbeat(_) => {
@@ -143,7 +148,7 @@
         heartbeat: Heartbeat,
     ) {
         let status = PeerStatus {
-            life: from.life,
+            incarnation: from.incarnation,
             full: heartbeat.full,
             blank: heartbeat.blank,
             heard: now,
@@ -160,31 +165,31 @@
         }
     }
 
-    /// The table of places is news like any other: heeded once published.
+    /// The table of places is updates like any other: heeded once published.
     pub(super) fn see_places(&mut self) {
-        if let Some((version, places)) = self
+        if let Some((version, members)) = self
             .replica
-            .places()
+            .members()
             .filter(|(version, _)| *version > self.membership_version)
         {
-            self.go_by(version, places);
+            self.go_by(version, members);
         }
     }
 
     /// Of a full disk: from now on nobody who goes by an older table gets a
     /// promise or has anything kept here.
-    pub(super) fn go_by(&mut self, version: u64, places: Vec<Peer>) {
+    pub(super) fn go_by(&mut self, version: u64, members: Vec<Peer>) {
         self.membership_version = version;
-        if places == self.places {
+        if members == self.members {
             self.leaders
                 .values_mut()
                 .for_each(|leader| leader.go_by(version));
             return;
         }
         self.table_since = self.watch.last_tick();
-        let before = std::mem::replace(&mut self.places, places.clone());
-        for slot in 0..before.len().max(places.len()) {
-            let (old, new) = (before.get(slot), places.get(slot));
+        let before = std::mem::replace(&mut self.members, members.clone());
+        for slot in 0..before.len().max(members.len()) {
+            let (old, new) = (before.get(slot), members.get(slot));
             if old == new {
                 continue;
             }
@@ -199,17 +204,17 @@
             };
             let stays = old
                 .zip(new)
-                .is_some_and(|(old, new)| new.names(&Peer::new(old.address, peer.life)));
+                .is_some_and(|(old, new)| new.names(&Peer::new(old.address, peer.incarnation)));
             if !stays {
-                self.retire(peer.life);
+                self.retire(peer.incarnation);
             }
         }
         // What was promised and counted so far was counted by another table:
-        // slices are taken anew by this one.
+        // partitions are taken anew by this one.
         self.leaders.clear();
         self.pending_replies.clear();
         if self.slot != NO_SLOT
-            && !places
+            && !members
                 .get(usize::from(self.slot))
                 .is_some_and(|peer| peer.names(&self.me()))
         {
@@ -219,27 +224,27 @@
 
     /// What this disk said counts for nothing any more. Written down: whoever
     /// hears an acknowledgement of ours hears of this first, over our restarts.
-    pub(super) fn retire(&mut self, life: u64) {
-        if life == self.replica.life || self.retired.contains(&life) {
+    pub(super) fn retire(&mut self, incarnation: u64) {
+        if incarnation == self.replica.incarnation || self.retired.contains(&incarnation) {
             return;
         }
-        self.retired.push_back(life);
+        self.retired.push_back(incarnation);
         while self.retired.len() > RETIRED {
             self.retired.pop_front();
         }
         if self.replica.full {
-            self.store(&Record::Retired { life });
+            self.store(&Record::Retired { incarnation });
         }
     }
 
     /// Another retired these.
-    pub(super) fn note_retired(&mut self, lives: &[u64]) {
-        for life in lives {
-            self.retire(*life);
+    pub(super) fn note_retired(&mut self, incarnations: &[u64]) {
+        for incarnation in incarnations {
+            self.retire(*incarnation);
             let slots: Vec<u8> = self
                 .peers
                 .iter()
-                .filter(|(_, peer)| peer.life == *life)
+                .filter(|(_, peer)| peer.incarnation == *incarnation)
                 .map(|(slot, _)| *slot)
                 .collect();
             for slot in slots {
@@ -252,7 +257,7 @@
         }
     }
 
-    pub(super) fn retired_lives(&self) -> Vec<u64> {
+    pub(super) fn retired_incarnations(&self) -> Vec<u64> {
         self.retired.iter().copied().collect()
     }
 
@@ -271,11 +276,11 @@
 
     /// Another goes by a newer table.
     pub(super) fn handle_membership(&mut self, now: Duration, table: MembershipTable) {
-        let MembershipTable { version, places } = table;
+        let MembershipTable { version, members } = table;
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.met_others();
         }
-        let slot = places
+        let slot = members
             .iter()
             .position(|peer| peer.names(&self.me()))
             .map(|at| at as u8);
@@ -285,35 +290,35 @@
                 .bootstrap
                 .as_ref()
                 .is_some_and(|bootstrap| bootstrap.founding)
-                && self.places.is_empty()
+                && self.members.is_empty()
                 && !self.replica.full;
             if version == 0 && mine && slot.is_some() {
                 self.store(&Record::Founding {
-                    places: places.clone(),
+                    members: members.clone(),
                 });
-                self.join_table(now, 0, places, slot);
+                self.join_table(now, 0, members, slot);
             }
             return;
         }
-        // Kept beside what the slice's rows say: those may be longer in coming.
+        // Kept beside what the partition's rows say: those may be longer in coming.
         self.store(&Record::MembershipTable {
             version,
-            places: places.clone(),
+            members: members.clone(),
         });
-        if self.replica.full && !self.places.is_empty() {
-            return self.go_by(version, places);
+        if self.replica.full && !self.members.is_empty() {
+            return self.go_by(version, members);
         }
-        self.join_table(now, version, places, slot);
+        self.join_table(now, version, members, slot);
     }
 
     pub(super) fn join_table(
         &mut self,
         now: Duration,
         version: u64,
-        places: Vec<Peer>,
+        members: Vec<Peer>,
         slot: Option<u8>,
     ) {
-        (self.membership_version, self.places) = (version, places);
+        (self.membership_version, self.members) = (version, members);
         if self.slot != NO_SLOT && slot.is_none() {
             // It may have been met by others, who then retired this life.
             return self.mark_removed();
@@ -326,7 +331,7 @@
         self.retired = self.replica.retired.clone();
         self.slot = slot.unwrap_or(NO_SLOT);
         let blank = slot.filter(|_| !self.replica.full);
-        self.recovery = blank.map(|slot| ReplicaRecovery::new(slot, self.places.len(), version));
+        self.recovery = blank.map(|slot| ReplicaRecovery::new(slot, self.members.len(), version));
         self.sessions.begin(now);
     }
 
@@ -334,29 +339,29 @@
     /// ask.
     pub(super) fn ask_for_slot(&mut self, now: Duration) {
         let first = self.seeds.first() == Some(&self.address)
-            && self.places.is_empty()
+            && self.members.is_empty()
             && !self.replica.full;
         let table = self
             .bootstrap
             .as_mut()
             .filter(|_| first)
             .and_then(|bootstrap| bootstrap.table(now, &self.seeds));
-        if let Some(places) = table {
+        if let Some(members) = table {
             self.store(&Record::Founding {
-                places: places.clone(),
+                members: members.clone(),
             });
-            for peer in &places {
+            for peer in &members {
                 if peer.address != self.address {
                     self.tell_synced(
                         peer.address,
                         MembershipTable {
                             version: 0,
-                            places: places.clone(),
+                            members: members.clone(),
                         },
                     );
                 }
             }
-            return self.join_table(now, 0, places, Some(0));
+            return self.join_table(now, 0, members, Some(0));
         }
         let founding = self
             .bootstrap
@@ -364,7 +369,7 @@
             .is_some_and(|bootstrap| bootstrap.founding)
             && !self.replica.full;
         // Seeds may be gone by now: who is in the last known table is asked too.
-        let known = self.places.iter().map(|peer| peer.address);
+        let known = self.members.iter().map(|peer| peer.address);
         let asked: BTreeSet<SocketAddr> = self
             .seeds
             .iter()
@@ -389,7 +394,7 @@
         if self.slot == NO_SLOT {
             return;
         }
-        if self.places.iter().any(|peer| peer.names(&from)) {
+        if self.members.iter().any(|peer| peer.names(&from)) {
             // Also one that was removed may know. The founder's own table is on its disk before it is told.
             return self.tell_synced(from.address, self.known_table());
         }
@@ -401,7 +406,7 @@
             asker: self.address,
             id: changes::NOBODY_WAITS,
             hops: 0,
-            slice: PLACES,
+            partition: MEMBERSHIP,
             ask: Change::JoinRequest {
                 peer: from,
                 founding,
@@ -413,20 +418,20 @@
     pub(super) fn known_table(&self) -> MembershipTable {
         MembershipTable {
             version: self.membership_version,
-            places: self.places.clone(),
+            members: self.members.clone(),
         }
     }
 
     /// An edge told who holds the slots, which nobody else knows here.
     pub(super) fn learn_table(&mut self, now: Duration, recalled: &RecallReply) {
         let table = recalled.rows.iter().find_map(|(_, row)| match &row.value {
-            Value::Places(places) if recalled.slice == PLACES => {
-                Some((row.version, places.clone()))
+            Value::Members(members) if recalled.partition == MEMBERSHIP => {
+                Some((row.version, members.clone()))
             }
             _ => None,
         });
-        if let Some((version, places)) = table.filter(|_| self.bootstrap.is_some()) {
-            self.handle_membership(now, MembershipTable { version, places });
+        if let Some((version, members)) = table.filter(|_| self.bootstrap.is_some()) {
+            self.handle_membership(now, MembershipTable { version, members });
         }
     }
 
@@ -435,7 +440,7 @@
     pub(super) fn write_table(&mut self) {
         let Some(leader) = self
             .leaders
-            .get_mut(&PLACES)
+            .get_mut(&MEMBERSHIP)
             .filter(|leader| leader.ready() && leader.wary.is_none())
         else {
             return;
@@ -445,7 +450,7 @@
             || known.unwrap_or(0) < self.membership_version
         {
             leader.version = leader.version.max(self.membership_version);
-            leader.put("places".into(), Value::Places(self.places.clone()));
+            leader.put("places".into(), Value::Members(self.members.clone()));
         }
     }
 
@@ -477,7 +482,7 @@
     pub(super) fn table_has_settled(&self) -> bool {
         let Some(leader) = self
             .leaders
-            .get(&PLACES)
+            .get(&MEMBERSHIP)
             .filter(|leader| leader.settled() >= leader.version)
         else {
             return false;
@@ -489,15 +494,15 @@
     }
 
     /// A slot was heard with this life; an earlier one is retired.
-    pub(super) fn meet(&mut self, slot: u8, life: u64) {
+    pub(super) fn meet(&mut self, slot: u8, incarnation: u64) {
         self.met.insert(slot, self.watch.last_tick());
         let known = self
             .peers
             .entry(slot)
-            .or_insert_with(|| PeerStatus::unheard(life));
-        if known.life != life {
-            let earlier = known.life;
-            *known = PeerStatus::unheard(life);
+            .or_insert_with(|| PeerStatus::unheard(incarnation));
+        if known.incarnation != incarnation {
+            let earlier = known.incarnation;
+            *known = PeerStatus::unheard(incarnation);
             for leader in self.leaders.values_mut() {
                 leader.forget(slot);
             }
@@ -510,12 +515,12 @@
     /// new slot, once the last change has settled. A lost or a new slot also
     /// waits until the last newcomer was refilled.
     pub(super) fn assign_slot(&mut self, now: Duration, peer: Peer, founding: bool) {
-        if self.places.iter().any(|known| known.names(&peer)) {
+        if self.members.iter().any(|known| known.names(&peer)) {
             return;
         }
         // A new disk at a place that holds a slot asks for that slot.
         let own = self
-            .places
+            .members
             .iter()
             .position(|known| known.address == peer.address)
             .map(|at| at as u8);
@@ -533,20 +538,20 @@
                     .is_some_and(|peer| peer.full && peer.near(now))
             })
         };
-        let mut places = self.places.clone();
+        let mut members = self.members.clone();
         if let Some(slot) = own.or_else(lost) {
-            places[usize::from(slot)] = peer;
-        } else if founding && places.len() < SLOTS_MOST && all_full() {
-            places.push(Peer::new(peer.address, 0));
+            members[usize::from(slot)] = peer;
+        } else if founding && members.len() < SLOTS_MOST && all_full() {
+            members.push(Peer::new(peer.address, 0));
         } else {
             return;
         }
-        self.put_table(places);
+        self.put_table(members);
     }
 
     /// Writes a table to follow the one that is in force. Its version.
-    pub(super) fn put_table(&mut self, places: Vec<Peer>) -> Option<u64> {
-        let leader = self.leaders.get_mut(&PLACES)?;
-        Some(leader.put("places".into(), Value::Places(places)))
+    pub(super) fn put_table(&mut self, members: Vec<Peer>) -> Option<u64> {
+        let leader = self.leaders.get_mut(&MEMBERSHIP)?;
+        Some(leader.put("places".into(), Value::Members(members)))
     }
 }
--- a/control-plane/src/control_part/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -1,20 +1,20 @@
 //! A control node as a state machine without I/O: this module routes each input to the part of the node whose
-//! duty it is.
+//! assignment it is.
 
 use crate::prelude::*;
+use assignments::PlannedFrom;
 use changes::{OperatorCall, PendingReply, RELAY_IDS, Relay};
 use disk_failure::DiskFailure;
-use duties::PlannedFrom;
 use membership::Watch;
 use slot_handover::{Handover, Newcomer};
 
+mod assignments;
 mod changes;
 mod contact;
 mod disk_failure;
-mod duties;
 mod edge_sessions;
+mod generation;
 mod membership;
-mod realm;
 mod replication;
 mod slot_handover;
 #[cfg(test)]
@@ -31,11 +31,11 @@
 ///   later one was met, or once the slot went to another place.
 /// - A node without a slot (`NO_SLOT`) only asks for one; one that was removed
 ///   does nothing.
-pub struct ControlPart {
+pub struct ControlNode {
     slot: u8,
     address: SocketAddr,
     /// Who holds the slots, by the newest table heard of; empty before one is.
-    places: Vec<Peer>,
+    members: Vec<Peer>,
     /// Version of that table.
     membership_version: u64,
     seeds: Vec<SocketAddr>,
@@ -52,13 +52,13 @@
     log_bytes: usize,
     image_bytes: usize,
     leaders: BTreeMap<u8, PartitionLeader>,
-    /// Highest promise met for each slice, and when to raise it at the soonest.
+    /// Highest promise met for each partition, and when to raise it at the soonest.
     superseded: BTreeMap<u8, (u64, Duration, u32)>,
     peers: BTreeMap<u8, PeerStatus>,
     /// The replica's, and what was met while the disk was blank.
     retired: VecDeque<u64>,
     sessions: Sessions,
-    news_replies: NewsReplies,
+    update_replies: UpdateReplies,
     pending_replies: Vec<PendingReply>,
     operator_calls: BTreeMap<u64, OperatorCall>,
     /// Changes passed on for other members, by the id under which that was done.
@@ -72,25 +72,25 @@
     closed: Duration,
     /// Version of the configuration last shown to the history.
     shown: u64,
-    /// The realm as last looked at; 0 after a start, so that one whose ledger
+    /// The generation as last looked at; 0 after a start, so that one whose ledger
     /// is not open yet closes it anew, in full.
-    realm: u64,
+    generation: u64,
     /// When that was first seen.
     entered: Duration,
-    /// Our disk was refilled after a loss in this realm: a new one is asked for.
+    /// Our disk was refilled after a loss in this generation: a new one is asked for.
     refound: Option<u64>,
     /// The roll as it was before the loss, while the ledger is closed.
     before: Option<(Vec<Peer>, Vec<Peer>, bool)>,
-    /// As owner of the duties: when edges on the roll were seen to be gone.
+    /// As owner of the assignments: when edges on the roll were seen to be gone.
     departed: BTreeMap<Peer, Duration>,
     /// The configuration's parts as far as shown here, up to this version, and
     /// the services of it.
     items: Items,
     read: u64,
     services: Vec<String>,
-    /// Marks told when the last duty was known: each holder had begun by then.
+    /// Marks told when the last assignment was known: each holder had begun by then.
     granted: u64,
-    /// What the duties were last planned from.
+    /// What the assignments were last planned from.
     planned: Option<PlannedFrom>,
     /// The whole fleet started for the first time when we did, on empty disks:
     /// no operation ran before.
@@ -117,7 +117,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct PeerStatus {
-    life: u64,
+    incarnation: u64,
     full: bool,
     blank: bool,
     heard: Duration,
@@ -132,9 +132,9 @@
 
 impl PeerStatus {
     /// Of a life that was not heard yet.
-    fn unheard(life: u64) -> PeerStatus {
+    fn unheard(incarnation: u64) -> PeerStatus {
         PeerStatus {
-            life,
+            incarnation,
             full: false,
             blank: true,
             heard: Duration::ZERO,
@@ -159,7 +159,7 @@
 /// A fresh image is written when the log since the last one is this long.
 const LOG_BYTES: usize = 4 * 1024 * 1024;
 
-impl ControlPart {
+impl ControlNode {
     /// `replica` as read from disk, or a blank one with a new life. The node's
     /// slot is the one its address holds; a blank node elsewhere asks for one.
     /// The table begins with the seeds, unless there is a `bootstrap`.
@@ -170,7 +170,7 @@
         blank: bool,
         mut bootstrap: Option<Bootstrap>,
         run: u64,
-    ) -> ControlPart {
+    ) -> ControlNode {
         // One that was removed gets no slot of its own and opens no ledger.
         if let Some(bootstrap) = bootstrap.as_mut().filter(|_| replica.table().is_some()) {
             bootstrap.end_founding();
@@ -182,22 +182,22 @@
                 seeds.iter().map(|seed| Peer::new(*seed, 0)).collect()
             }
         };
-        let (version, places) = replica.table().unwrap_or_else(|| (0, table_of_seeds()));
-        let slot = places
+        let (version, members) = replica.table().unwrap_or_else(|| (0, table_of_seeds()));
+        let slot = members
             .iter()
             .position(|peer| peer.address == address)
             .map_or(NO_SLOT, |at| at as u8);
-        let slots = places.len();
+        let slots = members.len();
         // Who knows a table was there before, or follows one who was.
         let fresh = blank
-            && places.is_empty()
+            && members.is_empty()
             && bootstrap
                 .as_ref()
                 .is_some_and(|bootstrap| bootstrap.first_start);
-        let mut part = ControlPart {
+        let mut part = ControlNode {
             slot,
             address,
-            places,
+            members,
             membership_version: version,
             seeds,
             bootstrap,
@@ -216,7 +216,7 @@
             superseded: BTreeMap::new(),
             peers: BTreeMap::new(),
             sessions: Sessions::new(run),
-            news_replies: NewsReplies::default(),
+            update_replies: UpdateReplies::default(),
             pending_replies: Vec::new(),
             operator_calls: BTreeMap::new(),
             relays: BTreeMap::new(),
@@ -226,7 +226,7 @@
             swept: Duration::ZERO,
             closed: Duration::ZERO,
             shown: 0,
-            realm: 0,
+            generation: 0,
             entered: Duration::ZERO,
             refound: None,
             before: None,
@@ -247,8 +247,8 @@
             out: Vec::new(),
         };
         if blank {
-            part.store(&Record::Life {
-                life: part.replica.life,
+            part.store(&Record::Incarnation {
+                incarnation: part.replica.incarnation,
             });
             part.note(Event::DiskBlank, format!("slot {slot}"));
         }
@@ -258,8 +258,8 @@
     /// How long the log on disk is already, and the image that it begins with:
     /// a node that is often restarted must write an image as soon as one that
     /// is not.
-    pub fn with_log(self, log_bytes: usize, image_bytes: usize) -> ControlPart {
-        ControlPart {
+    pub fn with_log(self, log_bytes: usize, image_bytes: usize) -> ControlNode {
+        ControlNode {
             log_bytes: self.log_bytes + log_bytes,
             image_bytes,
             ..self
@@ -267,21 +267,21 @@
     }
 
     pub fn me(&self) -> Peer {
-        Peer::new(self.address, self.replica.life)
+        Peer::new(self.address, self.replica.incarnation)
     }
 
     fn quorum(&self) -> Quorum {
-        Quorum::new(self.places.len())
+        Quorum::new(self.members.len())
     }
 
     /// All slots but ours.
     fn others(&self) -> impl Iterator<Item = u8> + use<> {
         let mine = self.slot;
-        (0..self.places.len() as u8).filter(move |slot| *slot != mine)
+        (0..self.members.len() as u8).filter(move |slot| *slot != mine)
     }
 
     fn address(&self, slot: u8) -> SocketAddr {
-        self.places[usize::from(slot)].address
+        self.members[usize::from(slot)].address
     }
 
     fn note(&mut self, event: Event, text: String) {
@@ -361,7 +361,7 @@
             }
         }
         if self.able() {
-            self.take_slices(now);
+            self.take_partitions(now);
         }
         if now >= self.swept + Duration::from_secs(1) {
             self.swept = now;
@@ -381,7 +381,7 @@
         self.show_lists(now);
         self.recollect(now);
         self.write_table();
-        self.plan_duties(now);
+        self.plan_assignments(now);
         self.send_operator_calls(now);
         self.relays.retain(|_, relay| now < relay.until);
     }
@@ -419,7 +419,7 @@
     }
 
     fn heard(&mut self, now: Duration, from: Peer, message: Message) {
-        let retired = self.retired.contains(&from.life);
+        let retired = self.retired.contains(&from.incarnation);
         let slot = self.slot_of(&from).filter(|_| !retired);
         let Some(message) = self.check_membership(now, from, slot, message) else {
             return;
@@ -428,7 +428,7 @@
             return;
         }
         if let Some(slot) = slot.filter(|slot| *slot != self.slot) {
-            self.meet(slot, from.life);
+            self.meet(slot, from.incarnation);
         }
         match slot {
             Some(slot) => self.heard_from_member(now, from, slot, message),
@@ -474,7 +474,7 @@
     }
 }
 
-impl Part for ControlPart {
+impl StateMachine for ControlNode {
     fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut tick = false;
         match input {
--- a/control-plane/src/control_part/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -17,67 +17,75 @@
     }
 }
 
-impl ControlPart {
-    pub(super) fn take_slices(&mut self, now: Duration) {
+impl ControlNode {
+    pub(super) fn take_partitions(&mut self, now: Duration) {
         if !self.may_lead(now) {
             return;
         }
         let eligible = self.eligible(now);
-        for slice in 0..SLICES {
-            if self.chosen_among(eligible, slice) != Some(self.slot) {
+        for partition in 0..PARTITIONS {
+            if self.chosen_among(eligible, partition) != Some(self.slot) {
                 if self
                     .leaders
-                    .get(&slice)
+                    .get(&partition)
                     .is_some_and(|leader| leader.active_since.is_none())
                 {
-                    self.leaders.remove(&slice);
+                    self.leaders.remove(&partition);
                 }
                 continue;
             }
-            let (met, soonest, _) = self.superseded.get(&slice).copied().unwrap_or_default();
-            if self.leaders.contains_key(&slice) || now < soonest {
+            let (met, soonest, _) = self.superseded.get(&partition).copied().unwrap_or_default();
+            if self.leaders.contains_key(&partition) || now < soonest {
                 continue;
             }
-            let highest = met.max(self.replica.held(slice).promised);
+            let highest = met.max(self.replica.held(partition).promised);
             let epoch =
                 (highest / SLOTS_MOST as u64 + 1) * SLOTS_MOST as u64 + u64::from(self.slot);
             // On our own disk before others are asked: an epoch that others
             // promised and we forgot over a restart would be taken twice.
-            self.store(&Record::Promise { slice, epoch });
+            self.store(&Record::Promise { partition, epoch });
             self.leaders.insert(
-                slice,
-                PartitionLeader::new(slice, epoch, self.places.len(), self.membership_version)
-                    .holding(self.replica.held(slice).image.clone()),
+                partition,
+                PartitionLeader::new(
+                    partition,
+                    epoch,
+                    self.members.len(),
+                    self.membership_version,
+                )
+                .holding(self.replica.held(partition).image.clone()),
             );
         }
     }
 
     pub(super) fn handle_prepare_request(&mut self, from: Peer, request: PrepareRequest) {
         let PrepareRequest {
-            slice, epoch, held, ..
+            partition,
+            epoch,
+            held,
+            ..
         } = request;
-        let promised = self.replica.held(slice).promised;
+        let promised = self.replica.held(partition).promised;
         if epoch < promised {
             return self.tell_synced(
                 from.address,
                 StaleEpoch {
-                    slice,
+                    partition,
                     epoch,
                     promised,
                 },
             );
         }
         if epoch > promised {
-            self.store(&Record::Promise { slice, epoch });
+            self.store(&Record::Promise { partition, epoch });
         }
-        let state = self.replica.held(slice).promised_state(slice, held);
+        let state = self.replica.held(partition).promised_state(partition, held);
         self.tell_synced(
             from.address,
             PrepareReply {
-                slice,
+                partition,
                 epoch,
                 lost: self.lost(),
-                retired: self.retired_lives(),
+                retired: self.retired_incarnations(),
                 state,
             },
         );
@@ -85,19 +93,19 @@
 
     pub(super) fn handle_append_request(&mut self, now: Duration, from: Peer, keep: AppendRequest) {
         let AppendRequest {
-            slice,
+            partition,
             epoch,
             round,
             to,
             ..
         } = keep;
-        let held = self.replica.held(slice);
+        let held = self.replica.held(partition);
         if epoch < held.promised {
             let promised = held.promised;
             return self.tell_synced(
                 from.address,
                 StaleEpoch {
-                    slice,
+                    partition,
                     epoch,
                     promised,
                 },
@@ -107,7 +115,7 @@
             return self.tell(
                 from.address,
                 AppendGap {
-                    slice,
+                    partition,
                     epoch,
                     round,
                 },
@@ -124,9 +132,9 @@
             let keep = without_rows(keep);
             self.store(&Record::Appended { keep });
         }
-        let held = self.replica.held(slice);
-        let clear = if slice < NEWS {
-            self.sessions.clear(now, slice, held.image.published)
+        let held = self.replica.held(partition);
+        let clear = if partition < PUBLISHED_PARTITIONS {
+            self.sessions.clear(now, partition, held.image.published)
         } else {
             None
         };
@@ -134,23 +142,26 @@
         self.tell_synced(
             from.address,
             AppendReply {
-                slice,
+                partition,
                 epoch,
                 round,
                 to,
                 clear,
-                retired: self.retired_lives(),
+                retired: self.retired_incarnations(),
             },
         );
-        if version > published && slice < NEWS {
-            let mark = self.sessions.mark();
-            for edge in self.sessions.lacking(self.replica.realm(), slice, version) {
+        if version > published && partition < PUBLISHED_PARTITIONS {
+            let renewal_token = self.sessions.renewal_token();
+            for edge in self
+                .sessions
+                .lacking(self.replica.generation(), partition, version)
+            {
                 self.tell(
                     edge,
                     UpdateNotice {
-                        slice,
+                        partition,
                         version,
-                        mark,
+                        renewal_token,
                     },
                 );
             }
@@ -160,39 +171,41 @@
     pub(super) fn handle_stale_epoch(&mut self, now: Duration, superseded: StaleEpoch) {
         if self
             .leaders
-            .get(&superseded.slice)
+            .get(&superseded.partition)
             .is_none_or(|leader| leader.epoch != superseded.epoch)
         {
             return;
         }
-        self.leaders.remove(&superseded.slice);
+        self.leaders.remove(&superseded.partition);
         self.pending_replies
-            .retain(|wait| wait.slice != superseded.slice);
+            .retain(|wait| wait.partition != superseded.partition);
         // Two that both think themselves chosen do not chase each other:
         // each pending_replies longer after each loss, and unlike long.
         let recent = |known: &&(u64, Duration, u32)| now < known.1 + STALE_EPOCH_CALM;
         let spell = self
             .superseded
-            .get(&superseded.slice)
+            .get(&superseded.partition)
             .filter(recent)
             .map_or(0, |known| (known.2 + 1).min(5));
         let pause = Duration::from_millis((40 + 30 * u64::from(self.slot)) << spell);
-        self.superseded
-            .insert(superseded.slice, (superseded.promised, now + pause, spell));
+        self.superseded.insert(
+            superseded.partition,
+            (superseded.promised, now + pause, spell),
+        );
         self.note(
-            Event::SliceLost,
+            Event::PartitionLost,
             format!(
                 "slice {} epoch {} to {}",
-                superseded.slice, superseded.epoch, superseded.promised
+                superseded.partition, superseded.epoch, superseded.promised
             ),
         );
     }
 
     pub(super) fn finish_step(&mut self, now: Duration, tick: bool) {
         let mut told = Vec::new();
-        for (slice, leader) in &mut self.leaders {
+        for (partition, leader) in &mut self.leaders {
             for (slot, message) in leader.flush(now, tick) {
-                told.push((self.places[usize::from(slot)].address, message));
+                told.push((self.members[usize::from(slot)].address, message));
             }
             let (committed, settled, round) = (
                 leader.committed(),
@@ -200,7 +213,7 @@
                 leader.confirmed_round(),
             );
             self.pending_replies.retain(|wait| {
-                let done = wait.slice == *slice
+                let done = wait.partition == *partition
                     && wait.commit <= committed
                     && wait.settle <= settled
                     && wait.round <= round;
@@ -237,15 +250,15 @@
         let full = self.replica.full || self.replica.founding;
         // After a loss of everything no table is shown by anybody, and no edge
         // is renewed that might go by another.
-        let none_shown = self.replica.held(PLACES).image.version == 0;
+        let none_shown = self.replica.held(MEMBERSHIP).image.version == 0;
         let membership_version = if none_shown {
             self.membership_version
         } else {
-            self.replica.places().map_or(0, |(version, _)| version)
+            self.replica.members().map_or(0, |(version, _)| version)
         };
         let reply = SnapshotReply {
             slot: self.slot,
-            asker: from.life,
+            asker: from.incarnation,
             round: request.round,
             full,
             lost: self.lost(),
@@ -256,7 +269,7 @@
     }
 
     pub(super) fn handle_snapshot_reply(&mut self, now: Duration, reply: SnapshotReply) {
-        if reply.asker != self.replica.life {
+        if reply.asker != self.replica.incarnation {
             return; // To an earlier disk of this slot, which acknowledged since.
         }
         let merged = self.recovery.as_mut().and_then(|one| one.heard(reply));
@@ -273,18 +286,18 @@
             held: merged.held,
             lost: merged.lost,
         });
-        for life in self.retired_lives() {
-            if !self.replica.retired.contains(&life) {
-                self.store(&Record::Retired { life });
+        for incarnation in self.retired_incarnations() {
+            if !self.replica.retired.contains(&incarnation) {
+                self.store(&Record::Retired { incarnation });
             }
         }
-        self.realm = self.replica.realm();
+        self.generation = self.replica.generation();
         if merged.lost {
-            self.refound = Some(self.realm);
+            self.refound = Some(self.generation);
         }
-        // A realm met for the first time may have a ledger that is not complete.
+        // A generation met for the first time may have a ledger that is not complete.
         self.entered = now;
-        if merged.lost || self.realm != 0 && self.replica.opened() != self.realm {
+        if merged.lost || self.generation != 0 && self.replica.opened() != self.generation {
             self.majority_lost(now);
         }
         self.note(Event::DiskRefilled, format!("slot {}", self.slot));
@@ -293,36 +306,36 @@
     pub(super) fn handle_prepare_reply(&mut self, now: Duration, slot: u8, reply: PrepareReply) {
         self.note_loss(now, reply.lost);
         self.note_retired(&reply.retired);
-        let Some(leader) = self.leader_of(reply.slice, reply.epoch) else {
+        let Some(leader) = self.leader_of(reply.partition, reply.epoch) else {
             return;
         };
         let was_active = leader.active_since.is_some();
         leader.raised(now, slot, reply.state);
         if !was_active && leader.active_since.is_some() {
-            self.begin_leading(now, reply.slice);
+            self.begin_leading(now, reply.partition);
         }
     }
 
     /// A majority promised our epoch.
-    fn begin_leading(&mut self, now: Duration, slice: u8) {
+    fn begin_leading(&mut self, now: Duration, partition: u8) {
         let closed = now < self.closed;
-        let Some(leader) = self.leaders.get_mut(&slice) else {
+        let Some(leader) = self.leaders.get_mut(&partition) else {
             return;
         };
         // Also one whose founding another began and did not end.
         if closed || !leader.rows.contains_key("founded") {
-            // The realm is named last, when all have listened.
-            let rounds = if slice == CONFIGURATION { 2 } else { 1 };
+            // The generation is named last, when all have listened.
+            let rounds = if partition == CONFIGURATION { 2 } else { 1 };
             leader.wary = Some(now + lease::RECOLLECT * rounds);
         }
         let text = format!(
-            "slice {slice} epoch {} version {}",
+            "slice {partition} epoch {} version {}",
             leader.epoch, leader.version
         );
-        self.granted = self.sessions.marks();
-        self.finished_since.remove(&slice);
-        self.note(Event::SliceTaken, text);
-        if slice == DUTIES {
+        self.granted = self.sessions.renewal_tokens();
+        self.finished_since.remove(&partition);
+        self.note(Event::PartitionAcquired, text);
+        if partition == ASSIGNMENTS {
             // Which of the holders are still there?
             self.ask_all();
         }
@@ -330,21 +343,21 @@
 
     pub(super) fn handle_append_reply(&mut self, slot: u8, reply: &AppendReply) {
         self.note_retired(&reply.retired);
-        if let Some(leader) = self.leader_of(reply.slice, reply.epoch) {
+        if let Some(leader) = self.leader_of(reply.partition, reply.epoch) {
             leader.kept(slot, reply);
         }
     }
 
     /// The replica has not what we thought: it gets everything.
     pub(super) fn handle_append_gap(&mut self, slot: u8, gap: &AppendGap) {
-        if let Some(leader) = self.leader_of(gap.slice, gap.epoch) {
+        if let Some(leader) = self.leader_of(gap.partition, gap.epoch) {
             leader.forget(slot);
         }
     }
 
     /// Our own leadership of a partition, if it is under this epoch.
-    fn leader_of(&mut self, slice: u8, epoch: u64) -> Option<&mut PartitionLeader> {
-        let leader = self.leaders.get_mut(&slice)?;
+    fn leader_of(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
+        let leader = self.leaders.get_mut(&partition)?;
         Some(leader).filter(|leader| leader.epoch == epoch)
     }
 }
--- a/control-plane/src/control_part/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -53,7 +53,7 @@
     Received,
 }
 
-impl ControlPart {
+impl ControlNode {
     /// Offers the slot of a node that was warned to who leads the table.
     pub(super) fn offer_slot(&mut self, now: Duration) {
         let answered = matches!(self.handover, Handover::Kept | Handover::Received);
@@ -62,14 +62,14 @@
         if answered || calls_first || !self.able() {
             return;
         }
-        let Some(slot) = self.chosen(now, PLACES) else {
+        let Some(slot) = self.chosen(now, MEMBERSHIP) else {
             return;
         };
         let offer = ChangeRequest {
             hops: 0,
             asker: self.address,
             id: 0,
-            slice: PLACES,
+            partition: MEMBERSHIP,
             ask: Change::OfferSlot { member: self.me() },
         };
         self.tell(self.address(slot), offer);
@@ -78,22 +78,22 @@
     /// As leader of the table: gives a leaving member's slot to a newcomer, if
     /// one waits.
     pub(super) fn assign_offered_slot(&mut self, now: Duration, member: Peer) {
-        let Some(slot) = self.places.iter().position(|known| known.names(&member)) else {
+        let Some(slot) = self.members.iter().position(|known| known.names(&member)) else {
             return;
         };
         let waiting = self
             .newcomer
             .filter(|newcomer| now < newcomer.asked + NEWCOMER_WAITS)
             .map(|newcomer| newcomer.peer)
-            .filter(|peer| !self.places.iter().any(|known| known.names(peer)));
+            .filter(|peer| !self.members.iter().any(|known| known.names(peer)));
         let answer = match waiting {
             None if self.may_lack_newcomers(now) => return,
             None => SlotOfferAnswer::NoNewcomer,
             Some(_) if !self.membership_is_calm(now) => SlotOfferAnswer::Later,
             Some(successor) => {
-                let mut places = self.places.clone();
-                places[slot] = successor;
-                let Some(version) = self.put_table(places) else {
+                let mut members = self.members.clone();
+                members[slot] = successor;
+                let Some(version) = self.put_table(members) else {
                     return;
                 };
                 SlotOfferAnswer::Assigned { version, successor }
@@ -106,7 +106,7 @@
     fn may_lack_newcomers(&self, now: Duration) -> bool {
         let since = self
             .leaders
-            .get(&PLACES)
+            .get(&MEMBERSHIP)
             .and_then(|leader| leader.active_since);
         since.is_none_or(|since| now < since + NEWCOMER_HEARD)
     }
@@ -163,7 +163,7 @@
             version,
             slot: self.slot,
             lost: self.lost(),
-            retired: self.retired_lives(),
+            retired: self.retired_incarnations(),
             held: self.replica.copy_out(),
         };
         self.tell_synced(successor.address, self.known_table());
@@ -178,8 +178,8 @@
         let version = state.version;
         let direct = self.membership_version == version && self.slot == state.slot;
         if self.recovery.is_some() && direct {
-            for life in &state.retired {
-                self.retire(*life);
+            for incarnation in &state.retired {
+                self.retire(*incarnation);
             }
             let merged = Merged {
                 held: state.held,
--- a/control-plane/src/control_part/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -13,7 +13,7 @@
 
 /// Slot 0 with a full disk that syncs at once; the peers are scripted.
 struct Script {
-    part: ControlPart,
+    part: ControlNode,
 }
 
 impl Script {
@@ -24,7 +24,7 @@
         };
         let seeds = (0..3).map(address).collect();
         Script {
-            part: ControlPart::new(address(0), seeds, replica, false, None, 1),
+            part: ControlNode::new(address(0), seeds, replica, false, None, 1),
         }
     }
 
@@ -57,10 +57,10 @@
         &mut self,
         ms: u64,
         slot: u16,
-        life: u64,
+        incarnation: u64,
         message: impl Into<Message>,
     ) -> Vec<(SocketAddr, Message)> {
-        let from = Peer::new(address(slot), life);
+        let from = Peer::new(address(slot), incarnation);
         self.step(
             ms,
             Input::Heard {
@@ -70,11 +70,11 @@
         )
     }
 
-    fn beat(&mut self, ms: u64, life: u64) -> Vec<(SocketAddr, Message)> {
+    fn beat(&mut self, ms: u64, incarnation: u64) -> Vec<(SocketAddr, Message)> {
         self.hear(
             ms,
             1,
-            life,
+            incarnation,
             Heartbeat {
                 hears: everybody(),
                 contacts: everybody(),
@@ -101,18 +101,18 @@
         said.extend(script.step(ms + 1, Input::Tick));
         while let Some((to, message)) = said.pop_front() {
             match message {
-                Message::PrepareRequest(PrepareRequest { slice, epoch, .. })
-                    if to == address(1) =>
-                {
-                    if [PURGES, ORIGINS].contains(&slice) {
-                        owned = Some((slice, epoch));
+                Message::PrepareRequest(PrepareRequest {
+                    partition, epoch, ..
+                }) if to == address(1) => {
+                    if [PURGES, ORIGINS].contains(&partition) {
+                        owned = Some((partition, epoch));
                     }
                     said.extend(script.hear(
                         ms + 2,
                         1,
                         11,
                         PrepareReply {
-                            slice,
+                            partition,
                             epoch,
                             lost: 0,
                             retired: vec![],
@@ -121,7 +121,7 @@
                     ));
                 }
                 Message::AppendRequest(AppendRequest {
-                    slice,
+                    partition,
                     epoch,
                     round,
                     to: version,
@@ -132,7 +132,7 @@
                         1,
                         11,
                         AppendReply {
-                            slice,
+                            partition,
                             epoch,
                             round,
                             to: version,
@@ -145,8 +145,8 @@
             }
         }
     }
-    let (slice, epoch) = owned.expect("one of the two is ours by weight");
-    let ask = match slice {
+    let (partition, epoch) = owned.expect("one of the two is ours by weight");
+    let ask = match partition {
         PURGES => Change::AddPurge {
             purge: Purge {
                 entry: Some("e".into()),
@@ -169,19 +169,19 @@
             hops: 0,
             asker: address(1),
             id: 7,
-            slice,
+            partition,
             ask,
         },
     );
     let version = told.iter().find_map(|(_, message)| match message {
-        Message::AppendRequest(keep) if keep.slice == slice => Some(keep.to),
+        Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to),
         _ => None,
     });
     let version = version.expect("it is written at once");
     // The disk of slot 1 is another now; what the earlier one says comes late.
     script.beat(1710, 12);
     let kept = AppendReply {
-        slice,
+        partition,
         epoch,
         round: 100,
         to: version,
@@ -204,7 +204,7 @@
 /// with ours that is a majority. But disk 2 knows that disk 1 is another by
 /// now, refilled without it, and says so with its acknowledgement.
 #[test]
-fn an_acknowledgement_of_a_retired_life_that_another_reports_is_not_counted() {
+fn an_acknowledgement_of_a_retired_incarnation_that_another_reports_is_not_counted() {
     let owned =
         |retired: Vec<u64>| {
             let replica = Replica {
@@ -212,7 +212,7 @@
                 ..Replica::blank(1)
             };
             let mut script = Script {
-                part: ControlPart::new(
+                part: ControlNode::new(
                     address(0),
                     (0..5).map(address).collect(),
                     replica,
@@ -243,18 +243,20 @@
                 said.extend(script.step(ms + 1, Input::Tick));
                 while let Some((to, message)) = said.pop_front() {
                     let slot = to.port() - 100;
-                    let life = 10 + u64::from(slot);
+                    let incarnation = 10 + u64::from(slot);
                     match message {
-                        Message::PrepareRequest(PrepareRequest { slice, epoch, .. }) => {
-                            owned = Some((slice, epoch))
-                                .filter(|_| [PURGES, ORIGINS].contains(&slice))
+                        Message::PrepareRequest(PrepareRequest {
+                            partition, epoch, ..
+                        }) => {
+                            owned = Some((partition, epoch))
+                                .filter(|_| [PURGES, ORIGINS].contains(&partition))
                                 .or(owned);
                             said.extend(script.hear(
                                 ms + 2,
                                 slot,
-                                life,
+                                incarnation,
                                 PrepareReply {
-                                    slice,
+                                    partition,
                                     epoch,
                                     lost: 0,
                                     retired: vec![],
@@ -263,7 +265,7 @@
                             ));
                         }
                         Message::AppendRequest(AppendRequest {
-                            slice,
+                            partition,
                             epoch,
                             round,
                             to: version,
@@ -272,9 +274,9 @@
                             said.extend(script.hear(
                                 ms + 3,
                                 slot,
-                                life,
+                                incarnation,
                                 AppendReply {
-                                    slice,
+                                    partition,
                                     epoch,
                                     round,
                                     to: version,
@@ -287,8 +289,8 @@
                     }
                 }
             }
-            let (slice, epoch) = owned?;
-            let ask = match slice {
+            let (partition, epoch) = owned?;
+            let ask = match partition {
                 PURGES => Change::AddPurge {
                     purge: Purge {
                         entry: Some("e".into()),
@@ -311,16 +313,16 @@
                     hops: 0,
                     asker: address(1),
                     id: 7,
-                    slice,
+                    partition,
                     ask,
                 },
             );
             let version = told.iter().find_map(|(_, message)| match message {
-                Message::AppendRequest(keep) if keep.slice == slice => Some(keep.to),
+                Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to),
                 _ => None,
             })?;
             let kept = |retired| AppendReply {
-                slice,
+                partition,
                 epoch,
                 round: 1_000,
                 to: version,
@@ -341,7 +343,7 @@
 
 /// A control node whose disk keeps what is synced, alone with its peers.
 struct Alone {
-    part: ControlPart,
+    part: ControlNode,
     disk: Vec<Vec<u8>>,
     unsynced: Vec<(u64, Vec<u8>)>,
 }
@@ -352,7 +354,7 @@
         let blank = known.is_none();
         let bootstrap = Bootstrap::new(founding, Duration::from_millis(500));
         let replica = known.unwrap_or_else(|| Replica::blank(40 + u64::from(slot)));
-        let part = ControlPart::new(
+        let part = ControlNode::new(
             address(slot),
             (0..3).map(address).collect(),
             replica,
@@ -409,7 +411,7 @@
     told.iter().find_map(|(_, message)| match message {
         Message::MembershipTable(membership_version) => Some(
             membership_version
-                .places
+                .members
                 .iter()
                 .map(|peer| peer.address.port() - 100)
                 .collect(),
@@ -433,7 +435,7 @@
     );
     // It ends before the sync: nobody was told, and it begins anew.
     let mut again = Alone::start(0, founder.disk.clone(), true);
-    assert!(again.part.places.is_empty());
+    assert!(again.part.members.is_empty());
     again.step(0, Input::Tick);
     again.hear(100, 5, JoinRequest { founding: true });
     again.step(600, Input::Tick);
@@ -457,7 +459,7 @@
 fn a_founding_table_is_taken_once_and_only_by_who_was_there() {
     let table = |list: &[u16]| MembershipTable {
         version: 0,
-        places: list
+        members: list
             .iter()
             .map(|slot| Peer::new(address(*slot), 0))
             .collect(),
@@ -471,9 +473,9 @@
     seed.hear(5_001, 0, table(&[0, 1, 2, 3]));
     seed.hear(5_002, 0, table(&[0, 1, 2, 4]));
     seed.sync(5_003);
-    assert_eq!(seed.part.places.len(), 4);
+    assert_eq!(seed.part.members.len(), 4);
     let again = Alone::start(1, seed.disk, false);
-    assert_eq!(again.part.places[3].address, address(3));
+    assert_eq!(again.part.members[3].address, address(3));
     // A machine that came in place of another never takes or makes one.
     for slot in [0, 1] {
         let mut other = Alone::start(slot, vec![], false);
@@ -482,7 +484,7 @@
         assert!(
             (1..20).all(|more| membership_version(&other.step(100 * more, Input::Tick)).is_none())
         );
-        assert!(other.part.places.is_empty());
+        assert!(other.part.members.is_empty());
         other.hear(
             3_000,
             2,
@@ -491,7 +493,7 @@
                 ..table(&[0, 1, 2])
             },
         );
-        assert_eq!((other.part.places.len(), other.part.slot), (3, slot as u8));
+        assert_eq!((other.part.members.len(), other.part.slot), (3, slot as u8));
     }
     // Nor does the first seed, if it hears of somebody who has one.
     let mut late = Alone::start(0, vec![], true);
@@ -514,7 +516,7 @@
         },
     );
     late.step(900, Input::Tick);
-    assert!(late.part.places.is_empty());
+    assert!(late.part.members.is_empty());
 }
 
 fn purge_rows(versions: std::ops::RangeInclusive<u64>) -> Vec<(String, Row)> {
@@ -535,7 +537,7 @@
     let mut script = Script::new();
     script.beat(10, 11);
     let whole = AppendRequest {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 17,
         membership_version: 0,
         round: 1,
@@ -559,7 +561,7 @@
     script.hear(30, 1, 11, next);
     script.hear(40, 1, 11, whole);
     let prepare = PrepareRequest {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 34,
         membership_version: 0,
         held: StateId::default(),
--- a/control-plane/src/control_part/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -8,25 +8,25 @@
     SocketAddr::from(([127, 0, 0, 1], 100 + slot))
 }
 
-fn life(slot: u16) -> u64 {
+fn incarnation(slot: u16) -> u64 {
     40 + u64::from(slot)
 }
 
 fn peer(slot: u16) -> Peer {
-    Peer::new(address(slot), life(slot))
+    Peer::new(address(slot), incarnation(slot))
 }
 
 /// The table in which node 3 has the slot of node 0.
 fn moved() -> MembershipTable {
     MembershipTable {
         version: VERSION,
-        places: vec![peer(3), peer(1), peer(2)],
+        members: vec![peer(3), peer(1), peer(2)],
     }
 }
 
 /// A control node that syncs at once.
 struct Node {
-    part: ControlPart,
+    part: ControlNode,
     records: Vec<Vec<u8>>,
 }
 
@@ -34,10 +34,10 @@
     fn start(slot: u16, full: bool) -> Node {
         let replica = Replica {
             full,
-            ..Replica::blank(life(slot))
+            ..Replica::blank(incarnation(slot))
         };
         let seeds = (0..3).map(address).collect();
-        let part = ControlPart::new(address(slot), seeds, replica, false, None, 1);
+        let part = ControlNode::new(address(slot), seeds, replica, false, None, 1);
         Node {
             part,
             records: vec![],
@@ -123,17 +123,20 @@
     let (told, ended) = node.step(300, Input::Tick);
     assert_eq!((states(&told), ended), (1, false));
     let prepare = PrepareRequest {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 99,
         membership_version: VERSION,
         held: StateId::default(),
     };
     assert!(node.hear(310, 1, prepare).is_empty(), "it promises nothing");
     let again = Replica::replay(
-        &[Record::Life { life: life(0) }.bytes()]
-            .into_iter()
-            .chain(node.records.clone())
-            .collect::<Vec<_>>(),
+        &[Record::Incarnation {
+            incarnation: incarnation(0),
+        }
+        .bytes()]
+        .into_iter()
+        .chain(node.records.clone())
+        .collect::<Vec<_>>(),
     );
     assert!(again.unwrap().unwrap().removed, "over its restarts");
     let (told, ended) = node.step(1_000, Input::Tick);
@@ -174,8 +177,8 @@
 }
 
 fn state(version: u64, slot: u8) -> SlotState {
-    let mut replica = Replica::blank(life(0));
-    replica.slices[usize::from(PURGES)].promised = 7;
+    let mut replica = Replica::blank(incarnation(0));
+    replica.partitions[usize::from(PURGES)].promised = 7;
     SlotState {
         version,
         slot,
@@ -220,11 +223,11 @@
     node.hear(50, 1, moved());
     assert!(node.step(100, Input::Tick).1, "it is no member any more");
     let renewed = node.part.replica.renewed(500);
-    assert!(!renewed.full && !renewed.removed && renewed.life == 500);
-    assert_eq!(renewed.table(), Some((VERSION, moved().places)));
+    assert!(!renewed.full && !renewed.removed && renewed.incarnation == 500);
+    assert_eq!(renewed.table(), Some((VERSION, moved().members)));
     let founding = Bootstrap::new(true, Duration::ZERO);
     let seeds = (0..3).map(address).collect();
-    let part = ControlPart::new(address(0), seeds, renewed, true, Some(founding), 1);
+    let part = ControlNode::new(address(0), seeds, renewed, true, Some(founding), 1);
     let mut again = Node {
         part,
         records: vec![],
@@ -271,14 +274,14 @@
 /// A disk wiped, and back within two seconds: another told that its earlier life
 /// is retired, and its slot went to a node that waited.
 #[test]
-fn a_life_that_another_retired_was_met_no_earlier_for_that() {
+fn a_incarnation_that_another_retired_was_met_no_earlier_for_that() {
     let mut node = Node::start(0, true);
     for tick in 0..40 {
         node.step(tick * 100, Input::Tick);
         node.beat(tick * 100 + 10, 1);
         node.beat(tick * 100 + 10, 2);
     }
-    node.part.note_retired(&[life(2)]);
+    node.part.note_retired(&[incarnation(2)]);
     assert!(!node.part.is_lost(Duration::from_millis(3_950), 2));
 }
 
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -3,7 +3,7 @@
 
 use crate::prelude::*;
 
-/// The rules of operations, over the leader of their slice. Each answer comes
+/// The rules of operations, over the leader of their partition. Each answer comes
 /// with the version that must be on a majority before it is given.
 pub struct Ledger;
 
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_key_is_held_by_one_errand_and_a_repeat_hears_how_it_stands() {
-    let mut leader = PartitionLeader::new(NEWS, 3, 3, 0);
+    let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
         (1, Outcome::Claimed)
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_release_frees_the_key_and_is_met_by_a_claim_that_comes_after_it() {
-    let mut leader = PartitionLeader::new(NEWS, 3, 3, 0);
+    let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
         Outcome::Released
@@ -88,7 +88,7 @@
 
 #[test]
 fn unknown_is_final_but_for_the_claim_that_was_held() {
-    let mut leader = PartitionLeader::new(NEWS, 3, 3, 0);
+    let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     Ledger::claim(&mut leader, claim(1, 0));
     Ledger::finish(&mut leader, claim(1, 0), OperationState::Unknown);
     assert_eq!(
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,17 +1,17 @@
-//! The control plane: owners of slices, sessions with the edges, duties.
+//! The control plane: owners of partitions, sessions with the edges, assignments.
+mod assignment_plan;
 mod bootstrap;
-mod control_part;
-mod duty_plan;
+mod control_node;
 mod history;
 mod ledger;
-mod news_replies;
 mod operator_face;
 mod partition_leader;
 pub mod prelude;
 mod replica;
 mod replica_recovery;
 mod sessions;
+mod update_replies;
 pub use bootstrap::Bootstrap;
-pub use control_part::ControlPart;
+pub use control_node::ControlNode;
 pub use history::History;
 pub use replica::{Record, Replica};
--- a/control-plane/src/operator_face.rs
+++ b/control-plane/src/operator_face.rs
@@ -30,7 +30,7 @@
         ("PUT", "origins") => answer_of(put_origins(port, request)),
         ("GET", "items") => get_items(port),
         ("PATCH", "items") => answer_of(put_items(port, request)),
-        ("GET", "duties") => list(port, DUTIES, &show_duties),
+        ("GET", "duties") => list(port, ASSIGNMENTS, &show_assignments),
         ("GET", "state") => match port.ask(PATIENCE, &|id| Input::Operator {
             id,
             ask: OperatorAsk::State,
@@ -112,11 +112,11 @@
     json(422, &body)
 }
 
-fn ask(port: &Port, slice: u8, change: &Change) -> Outcome {
+fn ask(port: &Port, partition: u8, change: &Change) -> Outcome {
     match port.ask(PATIENCE, &|id| Input::Operator {
         id,
         ask: OperatorAsk::Change {
-            slice,
+            partition,
             change: change.clone(),
         },
     }) {
@@ -245,12 +245,13 @@
     )))
 }
 
-/// What an operator says of a realm: nothing that may come again ran before.
+/// What an operator says of a generation: nothing that may come again ran before.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OpenLedger {
     /// As `state` shows it, so that nobody opens another one by habit.
-    realm: String,
+    #[serde(rename = "realm")]
+    generation: String,
 }
 
 fn open_ledger(
@@ -259,7 +260,7 @@
 ) -> Result<rouille::Response, rouille::Response> {
     let said: OpenLedger = serde_json::from_str(&text_of(request)?)
         .map_err(|error| invalid(&[Finding::new("", error.to_string())]))?;
-    let realm = u64::from_str_radix(&said.realm, 16).map_err(|_| {
+    let generation = u64::from_str_radix(&said.generation, 16).map_err(|_| {
         invalid(&[Finding::new(
             "/realm",
             "must be 16 hexadecimal digits, as state shows it",
@@ -267,8 +268,8 @@
     })?;
     Ok(acknowledged(ask(
         port,
-        DUTIES,
-        &Change::OpenLedger { realm },
+        ASSIGNMENTS,
+        &Change::OpenLedger { generation },
     )))
 }
 
@@ -444,15 +445,16 @@
 }
 
 fn new_change_id() -> Result<u64, rouille::Response> {
-    new_life().map_err(|error| refuse(&Refusal::not_run(500, "no_randomness", &error.to_string())))
+    new_incarnation()
+        .map_err(|error| refuse(&Refusal::not_run(500, "no_randomness", &error.to_string())))
 }
 
 fn list(
     port: &Port,
-    slice: u8,
+    partition: u8,
     show: &dyn Fn(u64, Vec<(String, Row)>) -> serde_json::Value,
 ) -> rouille::Response {
-    match ask(port, slice, &Change::List) {
+    match ask(port, partition, &Change::List) {
         Outcome::Rows { version, rows } => json(200, &show(version, rows)),
         other => unanswered(&other),
     }
@@ -466,16 +468,16 @@
     serde_json::json!({ "version": version, "origins": origins.unwrap_or_default() })
 }
 
-fn show_duties(version: u64, rows: Vec<(String, Row)>) -> serde_json::Value {
-    let duties: Vec<_> = rows
+fn show_assignments(version: u64, rows: Vec<(String, Row)>) -> serde_json::Value {
+    let assignments: Vec<_> = rows
         .into_iter()
-        .filter_map(|(duty, row)| match row.value {
-            Value::Duty(known) => {
+        .filter_map(|(assignment, row)| match row.value {
+            Value::Assignment(known) => {
                 let holder = known.holder.map(|peer| peer.address.to_string());
-                Some(serde_json::json!({ "duty": duty, "epoch": known.epoch, "holder": holder }))
+                Some(serde_json::json!({ "duty": assignment, "epoch": known.epoch, "holder": holder }))
             }
             _ => None,
         })
         .collect();
-    serde_json::json!({ "version": version, "duties": duties })
+    serde_json::json!({ "version": version, "duties": assignments })
 }
--- a/control-plane/src/operator_face/tests.rs
+++ b/control-plane/src/operator_face/tests.rs
@@ -15,12 +15,12 @@
         .replace("9.50", "0")
         .replace(r#","value":null"#, "")
         .replace(']', r#",{"kind":"odd"}]"#);
-    let places: Vec<String> = super::items_of(&body)
+    let members: Vec<String> = super::items_of(&body)
         .unwrap_err()
         .into_iter()
         .map(|one| one.place)
         .collect();
-    assert_eq!(places, ["/0/rate", "/1", "/2"]);
+    assert_eq!(members, ["/0/rate", "/1", "/2"]);
 }
 
 #[test]
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -3,7 +3,7 @@
 
 use crate::prelude::*;
 
-/// The owner of one slice, for one epoch. Invariants:
+/// The owner of one partition, for one epoch. Invariants:
 /// - All that is counted here is counted by one table: with another table
 ///   comes another leader, under an epoch that was promised by that.
 /// - Until a majority promised the epoch and took the whole adopted image,
@@ -13,7 +13,7 @@
 /// - `published` never exceeds what a majority of copies has.
 #[derive(Debug, Clone)]
 pub struct PartitionLeader {
-    pub slice: u8,
+    pub partition: u8,
     pub epoch: u64,
     pub rows: BTreeMap<String, Row>,
     pub version: u64,
@@ -67,15 +67,20 @@
 /// whole.
 const APPLIED_KEY: &str = "applied";
 const RAISE_AGAIN: Duration = Duration::from_millis(400);
-/// Between rounds of a slice that is not news.
+/// Between rounds of a partition that is not updates.
 const SELDOM: Duration = Duration::from_secs(1);
 /// Dropped keys remembered for copies that lag.
 const DROPS: usize = 4096;
 
 impl PartitionLeader {
-    pub fn new(slice: u8, epoch: u64, slots: usize, membership_version: u64) -> PartitionLeader {
+    pub fn new(
+        partition: u8,
+        epoch: u64,
+        slots: usize,
+        membership_version: u64,
+    ) -> PartitionLeader {
         PartitionLeader {
-            slice,
+            partition,
             epoch,
             rows: BTreeMap::new(),
             version: 0,
@@ -148,9 +153,9 @@
     pub fn recall(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
         let mut newer = 0;
         for (key, row) in rows {
-            // The realm of the lost state is not this one's.
-            let realm = matches!(row.value, Value::Founded { .. });
-            if !realm
+            // The generation of the lost state is not this one's.
+            let generation = matches!(row.value, Value::Founded { .. });
+            if !generation
                 && self
                     .rows
                     .get(&key)
@@ -284,8 +289,8 @@
     /// one is under way goes together in the next.
     pub fn flush(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
         if self.active_since.is_none() {
-            let (slice, epoch, membership_version) =
-                (self.slice, self.epoch, self.membership_version);
+            let (partition, epoch, membership_version) =
+                (self.partition, self.epoch, self.membership_version);
             // The answers bring whole images: asked too often, they stand in
             // each other's way.
             let due = tick && self.asked.is_none_or(|asked| now >= asked + RAISE_AGAIN);
@@ -299,7 +304,7 @@
                     (
                         slot,
                         PrepareRequest {
-                            slice,
+                            partition,
                             epoch,
                             membership_version,
                             held: self.own.id(),
@@ -311,8 +316,8 @@
         }
         // What edges are not shown needs no settling: its rounds are seldom, and
         // that a row is on a majority goes along with the next.
-        let news = self.slice < NEWS;
-        let tick = tick && (news || now >= self.rounded + SELDOM);
+        let updates = self.partition < PUBLISHED_PARTITIONS;
+        let tick = tick && (updates || now >= self.rounded + SELDOM);
         if tick {
             self.round += 1;
             self.rounded = now;
@@ -322,7 +327,7 @@
         for slot in 0..self.quorum.slots as u8 {
             let copy = &self.copies[usize::from(slot)];
             let lacking = copy.to.is_none_or(|to| to < self.version)
-                || news && copy.shown < published
+                || updates && copy.shown < published
                 || copy.round < self.round;
             let busy = copy.busy.is_some_and(|(_, again)| now < again);
             if busy || !(tick || lacking) || self.awaits_promise(now, slot) {
@@ -337,7 +342,7 @@
                 .iter()
                 .filter(|(_, row)| whole || row.version > from);
             let keep = AppendRequest {
-                slice: self.slice,
+                partition: self.partition,
                 epoch: self.epoch,
                 membership_version: self.membership_version,
                 round: self.round,
@@ -372,7 +377,7 @@
         let unknown = self.copies[usize::from(slot)].to.is_none();
         self.bases.get(&slot).copied().filter(|base| {
             unknown
-                && self.slice >= NEWS
+                && self.partition >= PUBLISHED_PARTITIONS
                 && base.epoch != 0
                 && base.epoch == self.adopted.epoch
                 && base.version <= self.adopted.version
@@ -386,7 +391,10 @@
             .active_since
             .is_some_and(|since| now < since + PROMISE_WAIT);
         let unknown = self.copies[usize::from(slot)].to.is_none();
-        early && unknown && self.slice >= NEWS && !self.bases.contains_key(&slot)
+        early
+            && unknown
+            && self.partition >= PUBLISHED_PARTITIONS
+            && !self.bases.contains_key(&slot)
     }
 
     fn earlier_state(&self, base: StateId) -> EarlierState {
@@ -414,24 +422,24 @@
         }
     }
 
-    /// The realm whose ledger is said to be complete.
+    /// The generation whose ledger is said to be complete.
     pub fn opened(&self) -> u64 {
         match self.rows.get("opened") {
             Some(Row {
-                value: Value::Opened { realm },
+                value: Value::Opened { generation },
                 ..
-            }) => *realm,
+            }) => *generation,
             _ => 0,
         }
     }
 
-    /// Members, gone and whether the ledger was complete, in the slice that
+    /// Members, gone and whether the ledger was complete, in the partition that
     /// keeps the roll.
-    pub fn roll(&self) -> Option<(Vec<Peer>, Vec<Peer>, bool)> {
+    pub fn edge_registry(&self) -> Option<(Vec<Peer>, Vec<Peer>, bool)> {
         match self.rows.get("roll") {
             Some(Row {
                 value:
-                    Value::Roll {
+                    Value::EdgeRegistry {
                         members,
                         gone,
                         complete,
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -22,7 +22,7 @@
 
 fn kept(round: u64, to: u64, clear: u64) -> AppendReply {
     AppendReply {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 3,
         round,
         to,
@@ -70,7 +70,7 @@
 fn a_ledger_has_no_rounds_but_for_what_it_lacks_and_once_a_second() {
     let at = Duration::from_millis;
     let mut leader = PartitionLeader {
-        slice: NEWS,
+        partition: PUBLISHED_PARTITIONS,
         ..active()
     };
     assert_eq!(leader.flush(at(1000), true).len(), 3, "the adopted image");
@@ -78,7 +78,7 @@
         leader.kept(
             slot,
             &AppendReply {
-                slice: NEWS,
+                partition: PUBLISHED_PARTITIONS,
                 ..kept(1, 0, 0)
             },
         );
@@ -93,7 +93,7 @@
         leader.kept(
             slot,
             &AppendReply {
-                slice: NEWS,
+                partition: PUBLISHED_PARTITIONS,
                 ..kept(2, 0, 0)
             },
         );
@@ -104,7 +104,7 @@
         leader.kept(
             slot,
             &AppendReply {
-                slice: NEWS,
+                partition: PUBLISHED_PARTITIONS,
                 ..kept(2, 1, 0)
             },
         );
--- a/control-plane/src/prelude.rs
+++ b/control-plane/src/prelude.rs
@@ -1,12 +1,12 @@
+pub use crate::assignment_plan::AssignmentPlan;
 pub use crate::bootstrap::Bootstrap;
-pub use crate::control_part::ControlPart;
-pub use crate::duty_plan::DutyPlan;
+pub use crate::control_node::ControlNode;
 pub use crate::history::History;
 pub use crate::ledger::Ledger;
-pub use crate::news_replies::NewsReplies;
 pub use crate::partition_leader::{PROMISE_WAIT, PartitionLeader};
 pub use crate::replica::{RETIRED, Record, Replica, ReplicaPartition};
 pub use crate::replica_recovery::{Merged, ReplicaRecovery};
 pub use crate::sessions::Sessions;
+pub use crate::update_replies::UpdateReplies;
 pub use kernel::prelude::*;
 pub use serde_json::value::RawValue;
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -4,10 +4,10 @@
 use crate::prelude::*;
 
 /// What one disk holds. All changes go through `apply`, on the path and when
-/// the log is read back. Invariants, per slice:
+/// the log is read back. Invariants, per partition:
 /// - `promised` never goes down, and nothing under a lower epoch is taken.
 /// - `image` is complete up to `image.version` under `image.epoch`.
-/// - `shown` is, for the news slices, all rows for edges as they were at
+/// - `shown` is, for the updates partitions, all rows for edges as they were at
 ///   `image.published`. Rows that came after it wait in `tail`, by the version
 ///   up to which each message made the image complete: what is published in
 ///   between is not shown, since a later row may hide an earlier one of its key
@@ -15,15 +15,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
     /// The disk's own number, drawn when it was blank.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether the disk counts: it was refilled since it was blank.
     pub full: bool,
     /// Its slot went to another: it counts for nothing, for good.
     pub removed: bool,
-    /// The realm that may have lost something when this disk was refilled: of
-    /// any two disks one knows, until the next realm has its name.
+    /// The generation that may have lost something when this disk was refilled: of
+    /// any two disks one knows, until the next generation has its name.
     pub lost: u64,
-    /// A table of places heard of from others; the one in the slice of places
+    /// A table of places heard of from others; the one in the partition of places
     /// goes first if it is as new.
     pub membership_version: Option<(u64, Vec<Peer>)>,
     /// The first disk of its slot: it was there when the table was founded, and
@@ -31,7 +31,7 @@
     pub founding: bool,
     /// Lives of slots that count for nothing any more, the latest last.
     pub retired: VecDeque<u64>,
-    pub slices: Vec<ReplicaPartition>,
+    pub partitions: Vec<ReplicaPartition>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -49,8 +49,8 @@
 /// One entry of the log on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    Life {
-        life: u64,
+    Incarnation {
+        incarnation: u64,
     },
     /// `lost`: from what was left after a majority of disks went.
     Recovered {
@@ -58,7 +58,7 @@
         lost: bool,
     },
     Promise {
-        slice: u8,
+        partition: u8,
         epoch: u64,
     },
     Appended {
@@ -68,14 +68,14 @@
     Removed,
     MembershipTable {
         version: u64,
-        places: Vec<Peer>,
+        members: Vec<Peer>,
     },
     /// The founding table, as the first seed fixed it.
     Founding {
-        places: Vec<Peer>,
+        members: Vec<Peer>,
     },
     Retired {
-        life: u64,
+        incarnation: u64,
     },
 }
 
@@ -87,20 +87,20 @@
 }
 
 impl Replica {
-    pub fn blank(life: u64) -> Replica {
+    pub fn blank(incarnation: u64) -> Replica {
         Replica {
-            life,
-            slices: vec![ReplicaPartition::default(); SLICES.into()],
+            incarnation,
+            partitions: vec![ReplicaPartition::default(); PARTITIONS.into()],
             ..Replica::default()
         }
     }
 
     /// What a removed disk starts over with: a new life, which holds nothing, and
     /// the table that told of the removal.
-    pub fn renewed(&self, life: u64) -> Replica {
+    pub fn renewed(&self, incarnation: u64) -> Replica {
         Replica {
             membership_version: self.table(),
-            ..Replica::blank(life)
+            ..Replica::blank(incarnation)
         }
     }
 
@@ -110,27 +110,29 @@
         for record in records {
             replica.apply(&bincode::deserialize(record).context("record does not read")?);
         }
-        Ok((replica.life != 0).then_some(replica))
+        Ok((replica.incarnation != 0).then_some(replica))
     }
 
-    pub fn held(&self, slice: u8) -> &ReplicaPartition {
-        &self.slices[usize::from(slice)]
+    pub fn held(&self, partition: u8) -> &ReplicaPartition {
+        &self.partitions[usize::from(partition)]
     }
 
     pub fn apply(&mut self, record: &Record) {
         match record {
-            Record::Life { life } => self.life = *life,
-            Record::Promise { slice, epoch } => self.slices[usize::from(*slice)].promised = *epoch,
-            Record::Appended { keep } => self.slices[usize::from(keep.slice)].keep(keep),
+            Record::Incarnation { incarnation } => self.incarnation = *incarnation,
+            Record::Promise { partition, epoch } => {
+                self.partitions[usize::from(*partition)].promised = *epoch
+            }
+            Record::Appended { keep } => self.partitions[usize::from(keep.partition)].keep(keep),
             Record::Removed => self.removed = true,
-            Record::MembershipTable { version, places } => {
-                self.membership_version = Some((*version, places.clone()))
+            Record::MembershipTable { version, members } => {
+                self.membership_version = Some((*version, members.clone()))
             }
-            Record::Founding { places } => {
-                (self.founding, self.membership_version) = (true, Some((0, places.clone())))
+            Record::Founding { members } => {
+                (self.founding, self.membership_version) = (true, Some((0, members.clone())))
             }
-            Record::Retired { life } => {
-                self.retired.push_back(*life);
+            Record::Retired { incarnation } => {
+                self.retired.push_back(*incarnation);
                 while self.retired.len() > RETIRED {
                     self.retired.pop_front();
                 }
@@ -139,45 +141,45 @@
             Record::Recovered { held, lost } => {
                 self.full = true;
                 for one in held {
-                    let slice = &mut self.slices[usize::from(one.slice)];
-                    slice.promised = slice.promised.max(one.promised);
-                    slice.image = one.image.clone();
-                    slice.shown = one.shown.clone();
-                    slice.tail.clear();
-                    if one.slice < NEWS {
+                    let partition = &mut self.partitions[usize::from(one.partition)];
+                    partition.promised = partition.promised.max(one.promised);
+                    partition.image = one.image.clone();
+                    partition.shown = one.shown.clone();
+                    partition.tail.clear();
+                    if one.partition < PUBLISHED_PARTITIONS {
                         let rows = one
                             .image
                             .rows
                             .iter()
                             .map(|(key, row)| (key.clone(), row.clone()))
                             .collect();
-                        slice.tail.push_back((one.image.version, rows));
+                        partition.tail.push_back((one.image.version, rows));
                     }
                 }
-                self.lost = if *lost { self.realm() } else { 0 };
+                self.lost = if *lost { self.generation() } else { 0 };
             }
         }
     }
 
     pub fn copy_out(&self) -> Vec<PartitionSnapshot> {
         let one = |(at, held): (usize, &ReplicaPartition)| PartitionSnapshot {
-            slice: at as u8,
+            partition: at as u8,
             promised: held.promised,
             image: held.image.clone(),
             shown: held.shown.clone(),
         };
-        self.slices.iter().enumerate().map(one).collect()
+        self.partitions.iter().enumerate().map(one).collect()
     }
 
     /// What an edge with this vector lacks.
-    pub fn news(&self, vector: &[u64]) -> Vec<News> {
-        (0..NEWS)
-            .filter_map(|slice| {
-                let held = self.held(slice);
-                let known = vector.get(usize::from(slice)).copied().unwrap_or(0);
+    pub fn updates(&self, vector: &[u64]) -> Vec<PartitionUpdate> {
+        (0..PUBLISHED_PARTITIONS)
+            .filter_map(|partition| {
+                let held = self.held(partition);
+                let known = vector.get(usize::from(partition)).copied().unwrap_or(0);
                 let rows = held.shown.iter().filter(|(_, row)| row.version > known);
-                (held.image.published > known).then(|| News {
-                    slice,
+                (held.image.published > known).then(|| PartitionUpdate {
+                    partition,
                     version: held.image.published,
                     rows: rows.map(|(key, row)| (key.clone(), row.clone())).collect(),
                 })
@@ -185,36 +187,36 @@
             .collect()
     }
 
-    /// The realm, as far as this replica may show it; 0 before the founding.
-    pub fn realm(&self) -> u64 {
+    /// The generation, as far as this replica may show it; 0 before the founding.
+    pub fn generation(&self) -> u64 {
         match self.held(CONFIGURATION).shown.get("founded") {
             Some(Row {
-                value: Value::Founded { realm },
+                value: Value::Founded { generation },
                 ..
-            }) => *realm,
+            }) => *generation,
             _ => 0,
         }
     }
 
-    /// The realm whose ledger was told to be complete.
+    /// The generation whose ledger was told to be complete.
     pub fn opened(&self) -> u64 {
-        match self.held(DUTIES).shown.get("opened") {
+        match self.held(ASSIGNMENTS).shown.get("opened") {
             Some(Row {
-                value: Value::Opened { realm },
+                value: Value::Opened { generation },
                 ..
-            }) => *realm,
+            }) => *generation,
             _ => 0,
         }
     }
 
     /// Whether an edge may claim operations: its loss would be noticed.
     pub fn enrolled(&self, peer: &Peer) -> bool {
-        matches!(self.held(DUTIES).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
+        matches!(self.held(ASSIGNMENTS).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
     }
 
     /// Who holds the slots by the newest table known here, if any is.
     pub fn table(&self) -> Option<(u64, Vec<Peer>)> {
-        let shown = self.places();
+        let shown = self.members();
         match &self.membership_version {
             Some(heard) if shown.as_ref().is_none_or(|(version, _)| *version < heard.0) => {
                 Some(heard.clone())
@@ -224,12 +226,12 @@
     }
 
     /// Who holds the slots as edges are shown it here, if there is such a row.
-    pub fn places(&self) -> Option<(u64, Vec<Peer>)> {
-        self.held(PLACES)
+    pub fn members(&self) -> Option<(u64, Vec<Peer>)> {
+        self.held(MEMBERSHIP)
             .shown
             .values()
             .find_map(|row| match &row.value {
-                Value::Places(places) => Some((row.version, places.clone())),
+                Value::Members(members) => Some((row.version, members.clone())),
                 _ => None,
             })
     }
@@ -259,9 +261,9 @@
 
     /// What is told with a promise to one who holds `held`. States of the ledger
     /// are large and mostly the same at all replicas.
-    pub fn promised_state(&self, slice: u8, held: StateId) -> PromisedState {
+    pub fn promised_state(&self, partition: u8, held: StateId) -> PromisedState {
         let id = self.image.id();
-        if slice >= NEWS && id <= held {
+        if partition >= PUBLISHED_PARTITIONS && id <= held {
             let published = self.image.published;
             PromisedState::NotNewer { id, published }
         } else {
@@ -294,11 +296,11 @@
             let keys: HashSet<&String> = keys.iter().collect();
             self.image.rows.retain(|key, _| keys.contains(key));
         }
-        if keep.slice < NEWS && (keep.whole || keep.to > self.image.version) {
+        if keep.partition < PUBLISHED_PARTITIONS && (keep.whole || keep.to > self.image.version) {
             self.tail.push_back((keep.to, keep.rows.clone()));
         }
         self.image.version = self.image.version.max(keep.to);
-        if keep.slice < NEWS {
+        if keep.partition < PUBLISHED_PARTITIONS {
             self.publish(keep.published);
         } else {
             self.image.published = self
--- a/control-plane/src/replica/tests.rs
+++ b/control-plane/src/replica/tests.rs
@@ -12,7 +12,7 @@
     };
     let rows = vec![("k".to_string(), row)];
     AppendRequest {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 3,
         membership_version: 0,
         round: 1,
@@ -32,18 +32,18 @@
     replica.apply(&Record::Appended {
         keep: keep(0, 1, 0),
     });
-    assert!(replica.news(&[0; 4]).is_empty());
+    assert!(replica.updates(&[0; 4]).is_empty());
     // Publishing 1 and adding 2 over it come in one message.
     replica.apply(&Record::Appended {
         keep: keep(1, 2, 1),
     });
-    let news = replica.news(&[0; 4]);
-    assert_eq!((news[0].version, news[0].rows[0].1.version), (1, 1));
-    assert!(replica.news(&[0, 1, 0, 0]).is_empty());
+    let updates = replica.updates(&[0; 4]);
+    assert_eq!((updates[0].version, updates[0].rows[0].1.version), (1, 1));
+    assert!(replica.updates(&[0, 1, 0, 0]).is_empty());
 }
 
 /// Once, a row that a lagging disk never got was claimed to be shown by it:
-/// the edge missed that its duty had been revoked, and two held it.
+/// the edge missed that its assignment had been revoked, and two held it.
 #[test]
 fn what_a_later_row_hides_is_not_claimed_to_be_shown() {
     let mut replica = Replica::blank(1);
@@ -54,24 +54,24 @@
     replica.apply(&Record::Appended {
         keep: keep(1, 4, 3),
     });
-    assert!(replica.news(&[0, 1]).is_empty(), "3 is not known here");
+    assert!(replica.updates(&[0, 1]).is_empty(), "3 is not known here");
     replica.apply(&Record::Appended {
         keep: AppendRequest {
             rows: vec![],
             ..keep(4, 4, 4)
         },
     });
-    let news = replica.news(&[0, 1]);
-    assert_eq!((news[0].version, news[0].rows[0].1.version), (4, 4));
+    let updates = replica.updates(&[0, 1]);
+    assert_eq!((updates[0].version, updates[0].rows[0].1.version), (4, 4));
 }
 
 #[test]
 fn the_log_reads_back_to_the_same_state_and_without_a_number_it_is_blank() {
     let mut replica = Replica::blank(0);
     let records = [
-        Record::Life { life: 9 },
+        Record::Incarnation { incarnation: 9 },
         Record::Promise {
-            slice: PURGES,
+            partition: PURGES,
             epoch: 3,
         },
         Record::Appended {
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -35,7 +35,7 @@
     held: Vec<PartitionSnapshot>,
 }
 
-/// All slices merged, and whether a majority of disks was lost: too many others
+/// All partitions merged, and whether a majority of disks was lost: too many others
 /// were blank too, or just refilled from what was left, and yet there was
 /// something.
 pub struct Merged {
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// All slices merged, once the second round is whole.
+    /// All partitions merged, once the second round is whole.
     pub fn heard(&mut self, refilled: SnapshotReply) -> Option<Merged> {
         if refilled.round != self.round || refilled.slot == self.slot {
             return None;
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -5,7 +5,7 @@
 fn only_the_second_round_of_both_others_counts_and_the_newer_image_wins() {
     let held = |promised, epoch, version| {
         vec![PartitionSnapshot {
-            slice: 0,
+            partition: 0,
             promised,
             image: PartitionState {
                 epoch,
@@ -114,7 +114,7 @@
         rows: BTreeMap::new(),
     };
     let held = vec![PartitionSnapshot {
-        slice: 0,
+        partition: 0,
         promised: 1,
         image,
         shown: BTreeMap::new(),
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -71,34 +71,37 @@
     }
 
     /// A mark for the next renewal told.
-    pub fn mark(&mut self) -> Mark {
+    pub fn renewal_token(&mut self) -> RenewalToken {
         self.count += 1;
-        Mark {
+        RenewalToken {
             run: self.run,
             count: self.count,
         }
     }
 
     /// Marks told so far in this run.
-    pub fn marks(&self) -> u64 {
+    pub fn renewal_tokens(&self) -> u64 {
         self.count
     }
 
     /// True if this renewal opened the session. Earlier lives at the address
     /// that are known to have ended have none any more.
-    pub fn renew(&mut self, now: Duration, seen: SessionInfo, heard: Option<Mark>) -> bool {
+    pub fn renew(&mut self, now: Duration, seen: SessionInfo, heard: Option<RenewalToken>) -> bool {
         let peer = seen.peer;
         let opened = self.stand(now, seen);
-        if let Some(mark) = heard.filter(|mark| mark.run == self.run) {
-            let there = self.there.entry(peer.address).or_insert((peer.life, 0));
-            if mark.count > there.1 {
-                *there = (peer.life, mark.count);
+        if let Some(renewal_token) = heard.filter(|renewal_token| renewal_token.run == self.run) {
+            let there = self
+                .there
+                .entry(peer.address)
+                .or_insert((peer.incarnation, 0));
+            if renewal_token.count > there.1 {
+                *there = (peer.incarnation, renewal_token.count);
             }
-            let lives = self
+            let incarnations = self
                 .mine
                 .range(Peer::new(peer.address, 0)..=Peer::new(peer.address, u64::MAX));
-            let over: Vec<Peer> = lives
-                .filter(|(other, one)| **other != peer && one.first < mark.count)
+            let over: Vec<Peer> = incarnations
+                .filter(|(other, one)| **other != peer && one.first < renewal_token.count)
                 .map(|(other, _)| *other)
                 .collect();
             for other in over {
@@ -141,12 +144,14 @@
         false
     }
 
-    /// Whether a life that had begun when `marks` were told has ended since:
+    /// Whether a life that had begun when `renewal_tokens` were told has ended since:
     /// another is at its address.
-    pub fn ended(&self, peer: Peer, marks: u64) -> bool {
+    pub fn ended(&self, peer: Peer, renewal_tokens: u64) -> bool {
         self.there
             .get(&peer.address)
-            .is_some_and(|(life, count)| *life != peer.life && *count > marks)
+            .is_some_and(|(incarnation, count)| {
+                *incarnation != peer.incarnation && *count > renewal_tokens
+            })
     }
 
     pub fn leave(&mut self, peer: Peer) -> bool {
@@ -195,14 +200,14 @@
             .range(from + 1..)
             .map(|(_, peer)| *peer)
             .filter(|peer| from > 0 && !self.mine.contains_key(peer));
-        let newest = (0..NEWS).filter_map(|slice| {
+        let newest = (0..PUBLISHED_PARTITIONS).filter_map(|partition| {
             self.mine
                 .iter()
                 .map(|(peer, one)| {
                     (
                         one.seen
                             .vector
-                            .get(usize::from(slice))
+                            .get(usize::from(partition))
                             .copied()
                             .unwrap_or(0),
                         *peer,
@@ -266,12 +271,12 @@
             .is_some_and(|began| now >= began + lease::CONTROL)
     }
 
-    /// The version of a slice that every session standing here has confirmed.
-    pub fn clear(&self, now: Duration, slice: u8, published: u64) -> Option<u64> {
+    /// The version of a partition that every session standing here has confirmed.
+    pub fn clear(&self, now: Duration, partition: u8, published: u64) -> Option<u64> {
         let confirmed = self
             .mine
             .values()
-            .filter_map(|standing| standing.seen.vector.get(usize::from(slice)).copied());
+            .filter_map(|standing| standing.seen.vector.get(usize::from(partition)).copied());
         self.known(now)
             .then(|| confirmed.min().unwrap_or(published).min(published))
     }
@@ -284,13 +289,13 @@
         self.mine.keys().map(|peer| peer.address).collect()
     }
 
-    /// Who has not confirmed this version of a slice, in this realm.
-    pub fn lacking(&self, realm: u64, slice: u8, version: u64) -> Vec<SocketAddr> {
+    /// Who has not confirmed this version of a partition, in this generation.
+    pub fn lacking(&self, generation: u64, partition: u8, version: u64) -> Vec<SocketAddr> {
         let has = |seen: &SessionInfo| {
-            seen.realm == realm
+            seen.generation == generation
                 && seen
                     .vector
-                    .get(usize::from(slice))
+                    .get(usize::from(partition))
                     .is_some_and(|known| *known >= version)
         };
         self.mine
@@ -340,17 +345,17 @@
             .collect()
     }
 
-    /// Who confirmed more of a news slice than this version: here all, of others'
+    /// Who confirmed more of updates partition than this version: here all, of others'
     /// tables the one that confirmed most.
-    pub fn beyond(&self, slice: u8, version: u64) -> BTreeSet<SocketAddr> {
+    pub fn beyond(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
         let mine = self
             .mine
             .iter()
-            .filter_map(|(peer, one)| Some((*one.seen.vector.get(usize::from(slice))?, *peer)));
+            .filter_map(|(peer, one)| Some((*one.seen.vector.get(usize::from(partition))?, *peer)));
         let told = self
             .told
             .values()
-            .filter_map(|table| table.newest.get(usize::from(slice)).copied());
+            .filter_map(|table| table.newest.get(usize::from(partition)).copied());
         mine.chain(told)
             .filter(|(known, _)| *known > version)
             .map(|(_, peer)| peer.address)
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -9,7 +9,7 @@
         ring: String::new(),
         strength: 1,
         draining: false,
-        realm: 0,
+        generation: 0,
         recalled: true,
         vector: vec![version; 4],
         usage: Usage::default(),
@@ -37,45 +37,49 @@
 }
 
 #[test]
-fn of_two_lives_at_an_address_the_one_that_gives_back_a_later_mark_is_there() {
+fn of_two_incarnations_at_an_address_the_one_that_gives_back_a_later_renewal_token_is_there() {
     let at = Duration::from_millis;
-    let life = |life| SessionInfo {
+    let incarnation = |incarnation| SessionInfo {
         peer: Peer {
-            life,
+            incarnation,
             ..seen(1, 0).peer
         },
         ..seen(1, 0)
     };
     let mut table = Sessions::new(7);
     table.tick(at(0));
-    let (one, two) = (life(8), life(3));
+    let (one, two) = (incarnation(8), incarnation(3));
     table.renew(at(10), one.clone(), None);
-    let mark = table.mark();
-    table.renew(at(20), one.clone(), Some(mark));
+    let renewal_token = table.renewal_token();
+    table.renew(at(20), one.clone(), Some(renewal_token));
     table.renew(at(30), two.clone(), None);
     assert_eq!(
         table.mine().len(),
         2,
         "a first renewal may have been long on the way"
     );
-    table.renew(at(40), two.clone(), Some(Mark { run: 6, count: 99 }));
+    table.renew(
+        at(40),
+        two.clone(),
+        Some(RenewalToken { run: 6, count: 99 }),
+    );
     assert!(
         !table.ended(one.peer, 0) && table.mine().len() == 2,
         "a mark of another run tells nothing"
     );
-    let granted = table.marks();
-    table.renew(at(45), two.clone(), Some(mark));
+    let granted = table.renewal_tokens();
+    table.renew(at(45), two.clone(), Some(renewal_token));
     assert!(
         !table.ended(one.peer, granted),
         "told before it was known that the other had begun"
     );
-    let mark = table.mark();
-    table.renew(at(50), two.clone(), Some(mark));
+    let renewal_token = table.renewal_token();
+    table.renew(at(50), two.clone(), Some(renewal_token));
     assert!(table.ended(one.peer, granted) && !table.ended(two.peer, granted));
     assert_eq!(table.mine(), std::slice::from_ref(&two));
     table.renew(at(60), one, None);
-    let mark = table.mark();
-    table.renew(at(70), two.clone(), Some(mark));
+    let renewal_token = table.renewal_token();
+    table.renew(at(70), two.clone(), Some(renewal_token));
     assert_eq!(table.mine(), [two], "what the earlier life said came late");
 }
 
@@ -94,7 +98,7 @@
 #[test]
 fn differences_never_make_a_table_that_the_other_did_not_have() {
     let mut dice = 7u64;
-    let mut roll = |most: u64| {
+    let mut edge_registry = |most: u64| {
         dice = dice
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
@@ -112,15 +116,15 @@
     let mut had: BTreeMap<u64, Vec<BTreeSet<(Peer, bool)>>> = BTreeMap::new();
     for step in 1..6000u64 {
         let now = Duration::from_millis(step * 100);
-        let port = 1 + roll(20) as u16;
-        match roll(8) {
+        let port = 1 + edge_registry(20) as u16;
+        match edge_registry(8) {
             0 => _ = one.leave(seen(port, 1).peer),
-            1 if roll(40) == 0 => one = Sessions::default(),
+            1 if edge_registry(40) == 0 => one = Sessions::default(),
             _ => {
                 _ = one.renew(
                     now,
                     SessionInfo {
-                        draining: roll(3) == 0,
+                        draining: edge_registry(3) == 0,
                         ..seen(port, step)
                     },
                     None,
@@ -129,11 +133,11 @@
         }
         had.entry(one.sum).or_default().push(core(&one));
         let beat = one.since(other.got(1));
-        if roll(4) == 0 {
+        if edge_registry(4) == 0 {
             late.push(beat.clone());
         }
-        let late = if !late.is_empty() && roll(4) == 0 {
-            late.swap_remove(roll(late.len() as u64) as usize)
+        let late = if !late.is_empty() && edge_registry(4) == 0 {
+            late.swap_remove(edge_registry(late.len() as u64) as usize)
         } else {
             beat
         };
--- a/control-plane/src/news_replies.rs
+++ b/control-plane/src/update_replies.rs
@@ -1,4 +1,4 @@
-//! What renewing edges are told of the news, shared among those that lack the
+//! What renewing edges are told of the updates, shared among those that lack the
 //! same.
 use crate::prelude::*;
 
@@ -14,15 +14,15 @@
 
 /// Invariant: what is kept was taken from the replica as it is now.
 #[derive(Debug, Default)]
-pub struct NewsReplies {
-    /// Epoch and published version of each news slice when `kept` was taken.
+pub struct UpdateReplies {
+    /// Epoch and published version of each updates partition when `kept` was taken.
     shown: Vec<(u64, u64)>,
     /// By the versions that the edge knows, the latest last.
-    kept: VecDeque<(Vec<u64>, SharedNews)>,
+    kept: VecDeque<(Vec<u64>, SharedUpdates)>,
     on_the_way: BTreeMap<Peer, OnTheWay>,
 }
 
-/// Large news told to an edge that has not confirmed it.
+/// Large updates told to an edge that has not confirmed it.
 #[derive(Debug)]
 struct OnTheWay {
     /// What the edge knew when it was told.
@@ -31,7 +31,7 @@
     until: Duration,
 }
 
-impl NewsReplies {
+impl UpdateReplies {
     /// What an edge lacks that knows these versions. None if it was told the
     /// same a moment ago, and that may not have arrived yet.
     pub fn reply(
@@ -40,19 +40,19 @@
         edge: Peer,
         vector: &[u64],
         replica: &Replica,
-    ) -> Option<SharedNews> {
-        let known: Vec<u64> = (0..usize::from(NEWS))
-            .map(|slice| vector.get(slice).copied().unwrap_or(0))
+    ) -> Option<SharedUpdates> {
+        let known: Vec<u64> = (0..usize::from(PUBLISHED_PARTITIONS))
+            .map(|partition| vector.get(partition).copied().unwrap_or(0))
             .collect();
         let told = self.on_the_way.get(&edge);
         if told.is_some_and(|told| told.known == known && now < told.until) {
             return None;
         }
-        let news = self.lacking(&known, replica);
-        let bytes = if news.is_empty() {
+        let updates = self.lacking(&known, replica);
+        let bytes = if updates.is_empty() {
             0
         } else {
-            news.encoded().len()
+            updates.encoded().len()
         };
         if bytes < LARGE_BYTES {
             self.on_the_way.remove(&edge);
@@ -62,29 +62,29 @@
             self.on_the_way.retain(|_, told| now < told.until);
             self.on_the_way.insert(edge, OnTheWay { known, until });
         }
-        Some(news)
+        Some(updates)
     }
 
-    fn lacking(&mut self, known: &[u64], replica: &Replica) -> SharedNews {
-        let held = (0..NEWS).map(|slice| &replica.held(slice).image);
+    fn lacking(&mut self, known: &[u64], replica: &Replica) -> SharedUpdates {
+        let held = (0..PUBLISHED_PARTITIONS).map(|partition| &replica.held(partition).image);
         let shown: Vec<(u64, u64)> = held.map(|image| (image.epoch, image.published)).collect();
         let knows_all = |((_, published), known): (&(u64, u64), &u64)| known >= published;
         if shown.iter().zip(known).all(knows_all) {
-            return SharedNews::default();
+            return SharedUpdates::default();
         }
         if self.shown != shown {
             self.kept.clear();
             self.shown = shown;
         }
-        if let Some((_, news)) = self.kept.iter().find(|(kept, _)| kept == known) {
-            return news.clone();
+        if let Some((_, updates)) = self.kept.iter().find(|(kept, _)| kept == known) {
+            return updates.clone();
         }
-        let news = SharedNews::from(replica.news(known));
-        self.kept.push_back((known.to_vec(), news.clone()));
+        let updates = SharedUpdates::from(replica.updates(known));
+        self.kept.push_back((known.to_vec(), updates.clone()));
         if self.kept.len() > KEPT {
             self.kept.pop_front();
         }
-        news
+        updates
     }
 }
 
--- a/control-plane/src/news_replies/tests.rs
+++ b/control-plane/src/update_replies/tests.rs
@@ -25,7 +25,7 @@
         (format!("purge/{version}"), Row { version, value })
     };
     let keep = AppendRequest {
-        slice: PURGES,
+        partition: PURGES,
         epoch: 1,
         membership_version: 0,
         round: to,
@@ -40,19 +40,25 @@
     replica.apply(&Record::Appended { keep });
 }
 
-fn told(replies: &mut NewsReplies, ms: u64, to: Peer, known: u64, from: &Replica) -> SharedNews {
+fn told(
+    replies: &mut UpdateReplies,
+    ms: u64,
+    to: Peer,
+    known: u64,
+    from: &Replica,
+) -> SharedUpdates {
     let vector = [0, known, 0, 0, 0];
-    let news = replies
+    let updates = replies
         .reply(at(ms), to, &vector, from)
         .expect("it is told");
-    assert_eq!(news.to_vec(), from.news(&vector));
-    news
+    assert_eq!(updates.to_vec(), from.updates(&vector));
+    updates
 }
 
 #[test]
 fn edges_that_lack_the_same_share_it_until_more_is_published() {
     let mut replica = Replica::blank(1);
-    let mut replies = NewsReplies::default();
+    let mut replies = UpdateReplies::default();
     publish(&mut replica, 400);
     let first = told(&mut replies, 0, edge(1), 0, &replica);
     let second = told(&mut replies, 0, edge(2), 0, &replica);
@@ -66,25 +72,25 @@
 }
 
 #[test]
-fn a_slice_taken_from_another_disk_is_not_told_as_it_was() {
+fn a_partition_taken_from_another_disk_is_not_told_as_it_was() {
     let mut replica = Replica::blank(1);
-    let mut replies = NewsReplies::default();
+    let mut replies = UpdateReplies::default();
     publish(&mut replica, 3);
     told(&mut replies, 0, edge(1), 0, &replica);
     let mut other = Replica::blank(2);
     publish(&mut other, 3);
-    other.slices[usize::from(PURGES)].image.epoch = 2;
-    other.slices[usize::from(PURGES)].shown.clear();
+    other.partitions[usize::from(PURGES)].image.epoch = 2;
+    other.partitions[usize::from(PURGES)].shown.clear();
     told(&mut replies, 0, edge(1), 0, &other);
 }
 
 #[test]
 fn what_is_large_and_on_the_way_is_told_again_only_after_a_while() {
     let mut replica = Replica::blank(1);
-    let mut replies = NewsReplies::default();
+    let mut replies = UpdateReplies::default();
     publish(&mut replica, 2_000);
-    let news = told(&mut replies, 0, edge(1), 0, &replica);
-    let bytes = news.encoded().len() as u64;
+    let updates = told(&mut replies, 0, edge(1), 0, &replica);
+    let bytes = updates.encoded().len() as u64;
     assert!(bytes > 200_000);
     let again = bytes / 500 + 251;
     for ms in [1, 200, again - 2] {
@@ -93,8 +99,8 @@
     }
     told(&mut replies, 201, edge(2), 0, &replica);
     // Another run of the edge, and one that has taken some of it, get theirs.
-    let life = Peer::new(edge(1).address, 2);
-    told(&mut replies, 202, life, 0, &replica);
+    let incarnation = Peer::new(edge(1).address, 2);
+    told(&mut replies, 202, incarnation, 0, &replica);
     told(&mut replies, 203, edge(1), 1_900, &replica);
     told(&mut replies, 204, edge(1), 0, &replica);
     told(&mut replies, 204 + again, edge(1), 0, &replica);
@@ -103,7 +109,7 @@
 #[test]
 fn what_is_small_is_told_with_every_renewal() {
     let mut replica = Replica::blank(1);
-    let mut replies = NewsReplies::default();
+    let mut replies = UpdateReplies::default();
     publish(&mut replica, 2);
     for ms in 0..3 {
         assert_eq!(told(&mut replies, ms, edge(1), 0, &replica).len(), 1);
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -1,7 +1,7 @@
 //! Control nodes without edges in virtual time: the real state machines, a network that can be cut in either
 //! direction, and disks that keep what was synced.
 
-use control_plane::{ControlPart, Replica};
+use control_plane::{ControlNode, Replica};
 use kernel::prelude::*;
 
 /// From the sending of a message to its hearing.
@@ -26,7 +26,7 @@
 }
 
 struct Node {
-    part: ControlPart,
+    part: ControlNode,
     run: u64,
     disk: Vec<Vec<u8>>,
     /// It refuses writes.
@@ -102,18 +102,18 @@
     /// each takeover waits for what edges might still know.
     fn open_ledger(&mut self) {
         let state = self.state(0);
-        let realm = state["ledger"]["realm"].as_str().expect("a text");
-        let realm = u64::from_str_radix(realm, 16).expect("a realm");
-        let at = self.ask(0, DUTIES, Change::OpenLedger { realm });
+        let generation = state["ledger"]["realm"].as_str().expect("a text");
+        let generation = u64::from_str_radix(generation, 16).expect("a realm");
+        let at = self.ask(0, ASSIGNMENTS, Change::OpenLedger { generation });
         self.run(Duration::from_secs(2));
         let answer = &self.calls[at].answer;
         let opened = matches!(answer, Some((_, Outcome::Settled { .. })));
         assert!(opened, "{answer:?}");
     }
 
-    fn part(node: usize, size: usize, replica: Replica, run: u64) -> ControlPart {
+    fn part(node: usize, size: usize, replica: Replica, run: u64) -> ControlNode {
         let seeds = (0..size).map(address).collect();
-        ControlPart::new(address(node), seeds, replica, false, None, run)
+        ControlNode::new(address(node), seeds, replica, false, None, run)
     }
 
     pub fn size(&self) -> usize {
@@ -248,7 +248,7 @@
                     answer: OperatorAnswer::Outcome(outcome),
                 } => self.calls[id as usize - 1].answer = Some((self.now, outcome)),
                 Output::Note {
-                    event: Event::SliceTaken,
+                    event: Event::PartitionAcquired,
                     ..
                 } => self.takeovers += 1,
                 _ => {}
@@ -271,14 +271,14 @@
     }
 
     /// An operator calls a node. The call's index.
-    pub fn ask(&mut self, node: usize, slice: u8, change: Change) -> usize {
+    pub fn ask(&mut self, node: usize, partition: u8, change: Change) -> usize {
         self.calls.push(Call {
             node,
             asked: self.now,
             answer: None,
         });
         let id = self.calls.len() as u64;
-        let ask = OperatorAsk::Change { slice, change };
+        let ask = OperatorAsk::Change { partition, change };
         self.step(node, Input::Operator { id, ask });
         self.calls.len() - 1
     }
@@ -315,18 +315,18 @@
     }
 
     /// The node that leads a partition under the highest epoch, as they say.
-    pub fn leader(&mut self, slice: u8) -> usize {
+    pub fn leader(&mut self, partition: u8) -> usize {
         let led = |state: serde_json::Value| {
-            let slices = state["owned_slices"]
+            let partitions = state["owned_slices"]
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
-            let mine = slices.iter().find(|one| one["slice"] == slice);
+            let mine = partitions.iter().find(|one| one["slice"] == partition);
             mine.and_then(|one| one["epoch"].as_u64())
         };
         let epochs = (0..self.size()).map(|node| (led(self.state(node)), node));
         let (epoch, node) = epochs.collect::<Vec<_>>().into_iter().max().expect("nodes");
-        assert!(epoch.is_some(), "nobody leads partition {slice}");
+        assert!(epoch.is_some(), "nobody leads partition {partition}");
         node
     }
 }
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -1,6 +1,6 @@
 //! A leader's epoch is on its own disk before anybody else is asked to promise
 //! it, so that no epoch is taken twice over a restart.
-use control_plane::{ControlPart, Record, Replica};
+use control_plane::{ControlNode, Record, Replica};
 use kernel::prelude::*;
 
 fn address(slot: u16) -> SocketAddr {
@@ -8,9 +8,9 @@
 }
 
 /// Slot 0 of three, on a full disk.
-fn start(replica: Replica) -> ControlPart {
+fn start(replica: Replica) -> ControlNode {
     let seeds = (0..3).map(address).collect();
-    ControlPart::new(address(0), seeds, replica, false, None, 1)
+    ControlNode::new(address(0), seeds, replica, false, None, 1)
 }
 
 fn heartbeat() -> Input {
@@ -40,7 +40,7 @@
         Output::Tell {
             to,
             message: Message::PrepareRequest(request),
-        } if *to != address(0) => Some((request.slice, request.epoch)),
+        } if *to != address(0) => Some((request.partition, request.epoch)),
         _ => None,
     };
     outputs.iter().filter_map(request).collect()
--- a/control-plane/tests/recovery_answers.rs
+++ b/control-plane/tests/recovery_answers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// The life of the blank disk in slot 0, and that of the disk before it.
-const LIFE: u64 = 7;
+const INCARNATION: u64 = 7;
 const EARLIER: u64 = 6;
 
 fn address(slot: u16) -> SocketAddr {
@@ -11,7 +11,7 @@
 }
 
 /// All outputs of an input; what is stored is synced at once.
-fn step(part: &mut ControlPart, ms: u64, input: Input) -> Vec<Output> {
+fn step(part: &mut ControlNode, ms: u64, input: Input) -> Vec<Output> {
     let mut inputs = VecDeque::from([input]);
     let mut all = Vec::new();
     while let Some(input) = inputs.pop_front() {
@@ -26,7 +26,7 @@
 }
 
 /// Both others answer, to the disk of this life. True if the disk is full now.
-fn both_answer(part: &mut ControlPart, ms: u64, asker: u64, round: u8) -> bool {
+fn both_answer(part: &mut ControlNode, ms: u64, asker: u64, round: u8) -> bool {
     let mut refilled = false;
     for slot in [1, 2] {
         let reply = SnapshotReply {
@@ -58,14 +58,21 @@
 #[test]
 fn what_was_told_to_an_earlier_disk_of_the_slot_does_not_fill_this_one() {
     let seeds = (0..3).map(address).collect();
-    let mut part = ControlPart::new(address(0), seeds, Replica::blank(LIFE), false, None, 1);
+    let mut part = ControlNode::new(
+        address(0),
+        seeds,
+        Replica::blank(INCARNATION),
+        false,
+        None,
+        1,
+    );
     step(&mut part, 0, Input::Tick);
     assert!(!both_answer(&mut part, 10, EARLIER, 0));
     assert!(!both_answer(&mut part, 20, EARLIER, 1));
-    assert!(!both_answer(&mut part, 30, LIFE, 0));
+    assert!(!both_answer(&mut part, 30, INCARNATION, 0));
     assert!(
         !both_answer(&mut part, 40, EARLIER, 1),
         "late to the earlier"
     );
-    assert!(both_answer(&mut part, 50, LIFE, 1));
+    assert!(both_answer(&mut part, 50, INCARNATION, 1));
 }
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -84,7 +84,7 @@
 /// The slot that the outsider gets.
 const REPLACED_SLOT: usize = 1;
 /// Lives of wiped disks follow those of the first ones.
-const WIPED_LIFE: u64 = 100;
+const WIPED_INCARNATION: u64 = 100;
 
 impl Cluster {
     /// So many members with full, empty disks and one outsider with a blank one.
@@ -253,7 +253,7 @@
             }
         }
         for node in distinct(&budget.replacements) {
-            if self.leads(node, PLACES) {
+            if self.leads(node, MEMBERSHIP) {
                 actions.push(Action::Replace { node });
             }
         }
@@ -302,15 +302,15 @@
             Action::Wipe { node } => {
                 self.spend(|budget| &mut budget.wipes, node);
                 self.drop_messages_to_itself(node);
-                let life = WIPED_LIFE + self.nodes[node].replica.life;
-                self.run(node, |node| node.wipe(life));
+                let incarnation = WIPED_INCARNATION + self.nodes[node].replica.incarnation;
+                self.run(node, |node| node.wipe(incarnation));
             }
             Action::Replace { node } => {
                 self.spend(|budget| &mut budget.replacements, node);
                 let mut members = self.nodes[node].members.clone();
                 members[REPLACED_SLOT] = self.nodes[self.outsider()].me();
                 self.run(node, |node| {
-                    node.write(PLACES, "places".into(), Value::Places(members))
+                    node.write(MEMBERSHIP, "places".into(), Value::Members(members))
                 });
             }
             Action::Seat { from } => {
@@ -340,7 +340,7 @@
     fn write(&mut self, node: usize, partition: u8) {
         let number = self.budget.writes.len() as u64;
         self.spend(|budget| &mut budget.writes, (node, partition));
-        let value = Value::Opened { realm: number };
+        let value = Value::Opened { generation: number };
         self.run(node, |node| {
             node.write(partition, format!("row-{number}"), value)
         });
@@ -400,10 +400,10 @@
                     leader.version
                 };
                 for (key, row) in &leader.rows {
-                    let known = self.acknowledged.rows.get(&(leader.slice, key.clone()));
+                    let known = self.acknowledged.rows.get(&(leader.partition, key.clone()));
                     let told = row.version <= committed;
                     if told && known.is_none_or(|known| known.epoch > leader.epoch) {
-                        fresh.push((leader.slice, leader.epoch, key.clone(), row.clone()));
+                        fresh.push((leader.partition, leader.epoch, key.clone(), row.clone()));
                     }
                 }
             }
@@ -456,7 +456,7 @@
     fn judge_images(&mut self) {
         let full = || self.nodes.iter().filter(|node| node.replica.full);
         for (one, other) in full().flat_map(|one| full().map(move |other| (one, other))) {
-            for (mine, theirs) in one.replica.slices.iter().zip(&other.replica.slices) {
+            for (mine, theirs) in one.replica.partitions.iter().zip(&other.replica.partitions) {
                 let (mine, theirs) = (&mine.image, &theirs.image);
                 let level = (mine.epoch, mine.version) == (theirs.epoch, theirs.version);
                 if level && mine.rows != theirs.rows {
@@ -476,7 +476,7 @@
     /// Edges are shown only what was acknowledged.
     fn judge_published(&mut self) {
         for node in &self.nodes {
-            for (partition, held) in node.replica.slices.iter().enumerate() {
+            for (partition, held) in node.replica.partitions.iter().enumerate() {
                 for (key, row) in &held.shown {
                     let known = self
                         .acknowledged
@@ -498,7 +498,7 @@
         for node in self.nodes.iter().filter(|node| node.able()) {
             for leader in node.leaders.values().filter(|leader| node.answers(leader)) {
                 for ((partition, key), known) in &self.acknowledged.rows {
-                    let later = leader.slice == *partition && leader.epoch >= known.epoch;
+                    let later = leader.partition == *partition && leader.epoch >= known.epoch;
                     if later && leader.rows.get(key) != Some(&known.row) {
                         let text = format!(
                             "{key}, acknowledged under epoch {}, is lost with the leader of epoch {} at {}",
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -1,5 +1,5 @@
 //! One control node of the model: the product's `Replica`, `PartitionLeader`
-//! and `ReplicaRecovery`, wired as `ControlPart` wires them.
+//! and `ReplicaRecovery`, wired as `ControlNode` wires them.
 //!
 //! Left out, since safety must not depend on it: heartbeats, the choice of the
 //! leader by weight (any node may stand at any moment), notices of a stale
@@ -40,7 +40,7 @@
     pub membership_version: u64,
     pub members: Vec<Peer>,
     /// Disks last met, by slot.
-    lives: BTreeMap<u8, u64>,
+    incarnations: BTreeMap<u8, u64>,
     retired: VecDeque<u64>,
     pub leaders: BTreeMap<u8, PartitionLeader>,
     pub recovery: Option<ReplicaRecovery>,
@@ -56,7 +56,7 @@
 /// Longer than the product waits before it sends a message again.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Partitions of a model replica: up to the first ledger partition.
-const PARTITIONS: usize = NEWS as usize + 1;
+const PARTITIONS: usize = PUBLISHED_PARTITIONS as usize + 1;
 
 /// Shows all that the node's behaviour hangs on; partitions nobody touched are
 /// left out, since states are told apart by this text.
@@ -65,19 +65,19 @@
         let replicas: Vec<_> = std::iter::once(&self.replica)
             .chain(&self.disk)
             .map(|replica| {
-                let touched = replica.slices.iter().enumerate();
+                let touched = replica.partitions.iter().enumerate();
                 let touched: Vec<_> = touched
                     .filter(|(_, held)| **held != ReplicaPartition::default())
                     .collect();
                 (
-                    (replica.life, replica.full, replica.removed),
+                    (replica.incarnation, replica.full, replica.removed),
                     (&replica.membership_version, &replica.retired),
                     touched,
                 )
             })
             .collect();
         let membership = (self.membership_version, &self.members, self.joined);
-        let volatile = (&self.lives, &self.retired, &self.leaders, self.now);
+        let volatile = (&self.incarnations, &self.retired, &self.leaders, self.now);
         let waiting = (&self.recovery, &self.first_answers, &self.reads);
         write!(out, "{replicas:?}{membership:?}{volatile:?}{waiting:?}")
     }
@@ -95,9 +95,9 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-fn empty_replica(life: u64) -> Replica {
-    let mut replica = Replica::blank(life);
-    replica.slices.truncate(PARTITIONS);
+fn empty_replica(incarnation: u64) -> Replica {
+    let mut replica = Replica::blank(incarnation);
+    replica.partitions.truncate(PARTITIONS);
     replica
 }
 
@@ -119,7 +119,7 @@
             disk: None,
             membership_version: 0,
             members: vec![],
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             retired: VecDeque::new(),
             leaders: BTreeMap::new(),
             recovery: None,
@@ -133,16 +133,16 @@
 
     /// Every member's first disk was heard of here.
     pub fn acquainted(&mut self) {
-        self.lives = (0..self.members.len())
+        self.incarnations = (0..self.members.len())
             .map(|slot| (slot as u8, slot as u64 + 1))
             .collect();
         if let Some(slot) = self.slot() {
-            self.lives.remove(&slot);
+            self.incarnations.remove(&slot);
         }
     }
 
     pub fn me(&self) -> Peer {
-        Peer::new(self.address, self.replica.life)
+        Peer::new(self.address, self.replica.incarnation)
     }
 
     fn keeps(&self, safeguard: Safeguard) -> bool {
@@ -158,7 +158,7 @@
         self.slot_of(&self.me())
     }
 
-    /// Whether this disk counts (`ControlPart::able`).
+    /// Whether this disk counts (`ControlNode::able`).
     pub fn able(&self) -> bool {
         let counts = self.replica.full
             || !self.keeps(Safeguard::BlankDiskTakesNoPart)
@@ -196,7 +196,7 @@
     }
 
     fn see_membership(&mut self) {
-        if let Some((version, members)) = self.replica.places()
+        if let Some((version, members)) = self.replica.members()
             && version > self.membership_version
         {
             self.go_by(version, members);
@@ -211,10 +211,10 @@
             if old == new {
                 continue;
             }
-            if let Some(life) = self.lives.remove(&(slot as u8))
-                && !new.names(&Peer::new(old.address, life))
+            if let Some(incarnation) = self.incarnations.remove(&(slot as u8))
+                && !new.names(&Peer::new(old.address, incarnation))
             {
-                self.retire(life);
+                self.retire(incarnation);
             }
         }
         self.leaders.clear();
@@ -224,25 +224,30 @@
         }
     }
 
-    fn retire(&mut self, life: u64) {
-        if life == self.replica.life || self.retired.contains(&life) {
+    fn retire(&mut self, incarnation: u64) {
+        if incarnation == self.replica.incarnation || self.retired.contains(&incarnation) {
             return;
         }
-        self.retired.push_back(life);
+        self.retired.push_back(incarnation);
         if self.replica.full {
-            self.store(&Record::Retired { life });
+            self.store(&Record::Retired { incarnation });
         }
     }
 
-    fn note_retired(&mut self, lives: &[u64]) {
-        if !self.keeps(Safeguard::RetiredLivesNotCounted) {
+    fn note_retired(&mut self, incarnations: &[u64]) {
+        if !self.keeps(Safeguard::RetiredIncarnationsNotCounted) {
             return;
         }
-        for life in lives {
-            self.retire(*life);
-            let known = |(slot, known): (&u8, &u64)| (known == life).then_some(*slot);
-            for slot in self.lives.iter().filter_map(known).collect::<Vec<u8>>() {
-                self.lives.remove(&slot);
+        for incarnation in incarnations {
+            self.retire(*incarnation);
+            let known = |(slot, known): (&u8, &u64)| (known == incarnation).then_some(*slot);
+            for slot in self
+                .incarnations
+                .iter()
+                .filter_map(known)
+                .collect::<Vec<u8>>()
+            {
+                self.incarnations.remove(&slot);
                 self.forget(slot);
             }
         }
@@ -255,27 +260,27 @@
     }
 
     /// A slot was heard with this disk; an earlier one is retired.
-    fn meet(&mut self, slot: u8, life: u64) {
-        let known = *self.lives.entry(slot).or_insert(life);
-        if known != life && self.keeps(Safeguard::RetiredLivesNotCounted) {
-            self.lives.insert(slot, life);
+    fn meet(&mut self, slot: u8, incarnation: u64) {
+        let known = *self.incarnations.entry(slot).or_insert(incarnation);
+        if known != incarnation && self.keeps(Safeguard::RetiredIncarnationsNotCounted) {
+            self.incarnations.insert(slot, incarnation);
             self.forget(slot);
             self.retire(known);
         }
     }
 
-    fn retired_lives(&self) -> Vec<u64> {
+    fn retired_incarnations(&self) -> Vec<u64> {
         self.retired.iter().copied().collect()
     }
 
-    /// Stands as leader of a partition (`ControlPart::take_slices`).
+    /// Stands as leader of a partition (`ControlNode::take_partitions`).
     pub fn elect(&mut self, partition: u8) -> Vec<Envelope> {
         let slot = self.slot().expect("a member");
         let highest = self.replica.held(partition).promised;
         let epoch = (highest / SLOTS_MOST as u64 + 1) * SLOTS_MOST as u64 + u64::from(slot);
         if self.keeps(Safeguard::OwnPromiseFirst) {
             self.store(&Record::Promise {
-                slice: partition,
+                partition: partition,
                 epoch,
             });
         }
@@ -344,15 +349,15 @@
     }
 
     /// The process ends and starts again on a blank disk.
-    pub fn wipe(&mut self, life: u64) -> Vec<Envelope> {
-        self.start(empty_replica(life))
+    pub fn wipe(&mut self, incarnation: u64) -> Vec<Envelope> {
+        self.start(empty_replica(incarnation))
     }
 
     fn start(&mut self, replica: Replica) -> Vec<Envelope> {
         self.disk = None;
         self.retired = replica.retired.clone();
         self.replica = replica;
-        self.lives.clear();
+        self.incarnations.clear();
         self.leaders.clear();
         self.reads.clear();
         self.begin_recovery()
@@ -376,18 +381,18 @@
             .collect()
     }
 
-    /// An outsider learns a table that names it (`ControlPart::take_seat`).
+    /// An outsider learns a table that names it (`ControlNode::take_seat`).
     pub fn take_seat(&mut self, version: u64, members: Vec<Peer>) -> Vec<Envelope> {
         self.store(&Record::MembershipTable {
             version,
-            places: members.clone(),
+            members: members.clone(),
         });
         (self.membership_version, self.members) = (version, members);
         self.joined = true;
         self.begin_recovery()
     }
 
-    /// What the leaders have to say now (`ControlPart::finish_step`).
+    /// What the leaders have to say now (`ControlNode::finish_step`).
     fn flush(&mut self, tick: bool) -> Vec<Envelope> {
         if !self.able() {
             return vec![];
@@ -412,23 +417,23 @@
                 .filter(|leader| leader.epoch == epoch)
         };
         match message {
-            Message::PrepareReply(reply) => leads(reply.slice, reply.epoch).is_some(),
-            Message::AppendReply(reply) => leads(reply.slice, reply.epoch).is_some(),
-            Message::AppendGap(reply) => leads(reply.slice, reply.epoch).is_some(),
+            Message::PrepareReply(reply) => leads(reply.partition, reply.epoch).is_some(),
+            Message::AppendReply(reply) => leads(reply.partition, reply.epoch).is_some(),
+            Message::AppendGap(reply) => leads(reply.partition, reply.epoch).is_some(),
             Message::SnapshotReply(_) => self.recovery.is_some(),
             Message::StaleEpoch(_) => false,
             Message::PrepareRequest(request) => {
-                request.epoch >= self.replica.held(request.slice).promised
+                request.epoch >= self.replica.held(request.partition).promised
             }
             Message::AppendRequest(request) => {
-                request.epoch >= self.replica.held(request.slice).promised
+                request.epoch >= self.replica.held(request.partition).promised
                     || !self.keeps(Safeguard::PromiseCheckedOnAppend)
             }
             _ => true,
         }
     }
 
-    /// Takes a message (`ControlPart::heard`) and says what follows.
+    /// Takes a message (`ControlNode::heard`) and says what follows.
     pub fn hear(&mut self, from: Peer, message: Message) -> Vec<Envelope> {
         let mut out = self.handle(from, message);
         out.extend(self.flush(false));
@@ -445,17 +450,17 @@
         if self.is_fenced(&message) {
             let table = MembershipTable {
                 version: self.membership_version,
-                places: self.members.clone(),
+                members: self.members.clone(),
             };
             return vec![self.envelope(from.address, table)];
         }
-        let counts_retired = !self.keeps(Safeguard::RetiredLivesNotCounted);
-        let retired = self.retired.contains(&from.life) && !counts_retired;
+        let counts_retired = !self.keeps(Safeguard::RetiredIncarnationsNotCounted);
+        let retired = self.retired.contains(&from.incarnation) && !counts_retired;
         let Some(slot) = self.slot_of(&from).filter(|_| !retired) else {
             return vec![];
         };
         if Some(slot) != self.slot() {
-            self.meet(slot, from.life);
+            self.meet(slot, from.incarnation);
         }
         match message {
             Message::PrepareRequest(request) if self.able() => self.handle_prepare(from, request),
@@ -463,7 +468,7 @@
             Message::PrepareReply(reply) => self.handle_promise(slot, reply),
             Message::AppendReply(reply) => self.handle_appended(slot, reply),
             Message::AppendGap(gap) => {
-                if let Some(leader) = self.leaders.get_mut(&gap.slice) {
+                if let Some(leader) = self.leaders.get_mut(&gap.partition) {
                     leader.forget(slot);
                 }
                 vec![]
@@ -488,43 +493,47 @@
         if table.version > self.membership_version && self.replica.full {
             self.store(&Record::MembershipTable {
                 version: table.version,
-                places: table.places.clone(),
+                members: table.members.clone(),
             });
-            self.go_by(table.version, table.places);
+            self.go_by(table.version, table.members);
         }
         vec![]
     }
 
     fn handle_prepare(&mut self, from: Peer, request: PrepareRequest) -> Vec<Envelope> {
         let PrepareRequest {
-            slice, epoch, held, ..
+            partition,
+            epoch,
+            held,
+            ..
         } = request;
-        let promised = self.replica.held(slice).promised;
+        let promised = self.replica.held(partition).promised;
         if epoch < promised {
             return vec![];
         }
         if epoch > promised {
-            self.store(&Record::Promise { slice, epoch });
+            self.store(&Record::Promise { partition, epoch });
         }
         let reply = PrepareReply {
-            slice,
+            partition,
             epoch,
             lost: 0,
-            retired: self.retired_lives(),
-            state: self.replica.held(slice).promised_state(slice, held),
+            retired: self.retired_incarnations(),
+            state: self.replica.held(partition).promised_state(partition, held),
         };
         vec![self.envelope(from.address, reply)]
     }
 
     fn handle_append(&mut self, from: Peer, request: AppendRequest) -> Vec<Envelope> {
-        let (slice, epoch, round, to) = (request.slice, request.epoch, request.round, request.to);
-        let held = self.replica.held(slice);
+        let (partition, epoch, round, to) =
+            (request.partition, request.epoch, request.round, request.to);
+        let held = self.replica.held(partition);
         if epoch < held.promised && self.keeps(Safeguard::PromiseCheckedOnAppend) {
             return vec![];
         }
         if !held.fits(&request) && self.keeps(Safeguard::GapRefused) {
             let gap = AppendGap {
-                slice,
+                partition,
                 epoch,
                 round,
             };
@@ -545,19 +554,19 @@
             self.store(&Record::Appended { keep });
         }
         let reply = AppendReply {
-            slice,
+            partition,
             epoch,
             round,
             to,
             clear: None,
-            retired: self.retired_lives(),
+            retired: self.retired_incarnations(),
         };
         vec![self.envelope(from.address, reply)]
     }
 
     fn handle_promise(&mut self, slot: u8, reply: PrepareReply) -> Vec<Envelope> {
         self.note_retired(&reply.retired);
-        if let Some(leader) = self.leaders.get_mut(&reply.slice)
+        if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
             let was_active = leader.active_since.is_some();
@@ -572,7 +581,7 @@
 
     fn handle_appended(&mut self, slot: u8, reply: AppendReply) -> Vec<Envelope> {
         self.note_retired(&reply.retired);
-        if let Some(leader) = self.leaders.get_mut(&reply.slice)
+        if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
             leader.kept(slot, &reply);
@@ -582,10 +591,10 @@
 
     fn snapshot(&self, from: Peer, request: SnapshotRequest) -> Envelope {
         let counts = request.round > 0 || !self.keeps(Safeguard::SecondRecoveryRound);
-        let founding = self.replica.held(PLACES).image.version == 0;
-        let shown = self.replica.places().map_or(0, |(version, _)| version);
+        let founding = self.replica.held(MEMBERSHIP).image.version == 0;
+        let shown = self.replica.members().map_or(0, |(version, _)| version);
         let reply = SnapshotReply {
-            asker: from.life,
+            asker: from.incarnation,
             slot: self.slot().expect("a member"),
             round: request.round,
             full: self.replica.full,
@@ -605,7 +614,7 @@
     }
 
     fn handle_snapshot(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
-        if reply.asker != self.replica.life {
+        if reply.asker != self.replica.incarnation {
             return vec![];
         }
         if !self.keeps(Safeguard::SecondRecoveryRound) {
@@ -649,9 +658,9 @@
             held: merged.held,
             lost: merged.lost,
         });
-        for life in self.retired_lives() {
-            if !self.replica.retired.contains(&life) {
-                self.store(&Record::Retired { life });
+        for incarnation in self.retired_incarnations() {
+            if !self.replica.retired.contains(&incarnation) {
+                self.store(&Record::Retired { incarnation });
             }
         }
     }
--- a/control-plane/tests/replication/model/safeguard.rs
+++ b/control-plane/tests/replication/model/safeguard.rs
@@ -25,7 +25,7 @@
     /// A blank disk asks the others twice and takes the second answers.
     SecondRecoveryRound,
     /// Replies of a disk that was replaced count for nothing.
-    RetiredLivesNotCounted,
+    RetiredIncarnationsNotCounted,
     /// Requests by an older membership table are refused.
     MembershipVersionFences,
     /// A newcomer counts only once it was refilled by the new table's members.
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -1,4 +1,4 @@
-//! Drawn sequences of operations and faults over `ControlPart`,
+//! Drawn sequences of operations and faults over `ControlNode`,
 //! `PartitionLeader` and `Replica`; proptest makes a failing one short.
 
 use crate::model::node::{Node, address};
@@ -8,10 +8,12 @@
 use segment_log::SegmentLog;
 
 /// A ledger partition, and one that is shown to edges.
-const PARTITIONS: [u8; 2] = [NEWS, PURGES];
+const PARTITIONS: [u8; 2] = [PUBLISHED_PARTITIONS, PURGES];
 
 fn row(version: u64) -> (String, Row) {
-    let value = Value::Opened { realm: version };
+    let value = Value::Opened {
+        generation: version,
+    };
     (format!("row-{}", version % 4), Row { version, value })
 }
 
@@ -20,9 +22,9 @@
 }
 
 fn prepare() -> impl Strategy<Value = Message> {
-    (partition(), 0u64..40).prop_map(|(slice, epoch)| {
+    (partition(), 0u64..40).prop_map(|(partition, epoch)| {
         let request = PrepareRequest {
-            slice,
+            partition,
             epoch,
             membership_version: 0,
             held: StateId::default(),
@@ -34,10 +36,10 @@
 fn append() -> impl Strategy<Value = Message> {
     let versions = (0u64..6, 0u64..6, 0u64..6);
     (partition(), 0u64..40, versions, any::<bool>()).prop_map(
-        |(slice, epoch, (one, other, published), whole)| {
+        |(partition, epoch, (one, other, published), whole)| {
             let (from, to) = (if whole { 0 } else { one.min(other) }, one.max(other));
             let request = AppendRequest {
-                slice,
+                partition,
                 epoch,
                 membership_version: 0,
                 round: to,
@@ -84,9 +86,9 @@
     }
 }
 
-fn member(replica: Replica) -> ControlPart {
+fn member(replica: Replica) -> ControlNode {
     let seeds = (0..3).map(address).collect();
-    ControlPart::new(address(0), seeds, replica, false, None, 1)
+    ControlNode::new(address(0), seeds, replica, false, None, 1)
 }
 
 fn heard(from: u16, message: Message) -> Input {
@@ -95,7 +97,7 @@
 }
 
 /// One step after which everything is synced at once.
-fn step_synced(part: &mut ControlPart, input: Input) -> Vec<Message> {
+fn step_synced(part: &mut ControlNode, input: Input) -> Vec<Message> {
     let mut inputs = VecDeque::from([input]);
     let mut told = Vec::new();
     while let Some(input) = inputs.pop_front() {
@@ -119,7 +121,7 @@
             Some(reply.into())
         }
         Message::SnapshotReply(mut reply) => {
-            reply.held.truncate(usize::from(NEWS) + 1);
+            reply.held.truncate(usize::from(PUBLISHED_PARTITIONS) + 1);
             Some(reply.into())
         }
         other => Some(other),
@@ -129,9 +131,9 @@
 /// Whether a replica holds what a reply told.
 fn holds(replica: &Replica, reply: &Message) -> bool {
     match reply {
-        Message::PrepareReply(reply) => replica.held(reply.slice).promised >= reply.epoch,
+        Message::PrepareReply(reply) => replica.held(reply.partition).promised >= reply.epoch,
         Message::AppendReply(reply) => {
-            let image = &replica.held(reply.slice).image;
+            let image = &replica.held(reply.partition).image;
             (image.epoch, image.version) >= (reply.epoch, reply.to) || image.epoch > reply.epoch
         }
         _ => true,
@@ -236,7 +238,7 @@
         match step {
             Step::Put(key) => {
                 let value = Value::Opened {
-                    realm: self.leader.version,
+                    generation: self.leader.version,
                 };
                 self.leader.put(format!("row-{key}"), value);
             }
@@ -283,7 +285,7 @@
     /// Every replica is the leader's state of some version, whole, and a
     /// majority holds what the leader counts as committed.
     fn check(&self) -> Result<(), TestCaseError> {
-        let partition = self.leader.slice;
+        let partition = self.leader.partition;
         let holding = self.replicas.iter().filter(|node| {
             let image = &node.replica.held(partition).image;
             image.epoch == EPOCH && image.version >= self.leader.committed()
@@ -299,7 +301,7 @@
                 let known = self.states.get(&held.image.version);
                 prop_assert_eq!(Some(&held.image.rows), known);
             }
-            if partition < NEWS && held.image.published > 0 {
+            if partition < PUBLISHED_PARTITIONS && held.image.published > 0 {
                 prop_assert!(held.image.published <= self.leader.committed());
             }
         }
@@ -399,9 +401,9 @@
         for version in versions {
             newest = newest.max(version);
             // Slot 1 goes to another address with each version.
-            let mut places = members();
-            places[1] = Peer::new(address(10 + version as usize), 50 + version);
-            let table = MembershipTable { version, places };
+            let mut members = members();
+            members[1] = Peer::new(address(10 + version as usize), 50 + version);
+            let table = MembershipTable { version, members };
             for output in part.step(Duration::from_secs(1), heard(2, table.into())) {
                 if let Output::Store { serial, record } = output {
                     replica.apply(&bincode::deserialize(&record).unwrap());
@@ -421,7 +423,7 @@
         }
     }
 
-    /// The model of the exhaustive search answers as `ControlPart` does.
+    /// The model of the exhaustive search answers as `ControlNode` does.
     #[test]
     fn the_model_answers_as_the_product(
         requests in prop::collection::vec(request(), 1..40),
