--- a/control-plane/tests/stored_data/records.rs
+++ b/control-plane/tests/stored_data/records.rs
@@ -9,7 +9,7 @@
 pub fn records() -> Vec<Record> {
     vec![
         Record::Image(Box::new(Replica {
-            life: 2019,
+            incarnation: 2019,
             full: true,
             removed: false,
             lost: 2020,
@@ -17,12 +17,12 @@
                 2021,
                 vec![Peer {
                     address: address(2022),
-                    life: 2023,
+                    incarnation: 2023,
                 }],
             )),
             founding: true,
             retired: vec![2024].into(),
-            slices: vec![
+            partitions: vec![
                 ReplicaPartition {
                     promised: 2025,
                     image: PartitionState {
@@ -34,18 +34,18 @@
                     shown: rows().into_iter().collect(),
                     tail: vec![(2029, rows())].into()
                 };
-                usize::from(SLICES)
+                usize::from(PARTITIONS)
             ],
         })),
         Record::Image(Box::new(Replica {
-            life: 2019,
+            incarnation: 2019,
             full: false,
             removed: true,
             lost: 2020,
             membership_version: None,
             founding: false,
             retired: vec![2024].into(),
-            slices: vec![
+            partitions: vec![
                 ReplicaPartition {
                     promised: 2025,
                     image: PartitionState {
@@ -57,13 +57,13 @@
                     shown: rows().into_iter().collect(),
                     tail: vec![(2029, rows())].into()
                 };
-                usize::from(SLICES)
+                usize::from(PARTITIONS)
             ],
         })),
-        Record::Life { life: 2001 },
+        Record::Incarnation { incarnation: 2001 },
         Record::Recovered {
             held: vec![PartitionSnapshot {
-                slice: 7,
+                partition: 7,
                 promised: 2003,
                 image: PartitionState {
                     epoch: 2004,
@@ -77,7 +77,7 @@
         },
         Record::Recovered {
             held: vec![PartitionSnapshot {
-                slice: 7,
+                partition: 7,
                 promised: 2003,
                 image: PartitionState {
                     epoch: 2004,
@@ -90,12 +90,12 @@
             lost: false,
         },
         Record::Promise {
-            slice: 12,
+            partition: 12,
             epoch: 2008,
         },
         Record::Appended {
             keep: AppendRequest {
-                slice: 14,
+                partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
                 round: 2012,
@@ -113,7 +113,7 @@
         },
         Record::Appended {
             keep: AppendRequest {
-                slice: 14,
+                partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
                 round: 2012,
@@ -131,7 +131,7 @@
         },
         Record::Appended {
             keep: AppendRequest {
-                slice: 14,
+                partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
                 round: 2012,
@@ -147,17 +147,17 @@
         Record::Removed,
         Record::MembershipTable {
             version: 2030,
-            places: vec![Peer {
+            members: vec![Peer {
                 address: address(2031),
-                life: 2032,
+                incarnation: 2032,
             }],
         },
         Record::Founding {
-            places: vec![Peer {
+            members: vec![Peer {
                 address: address(2033),
-                life: 2034,
+                incarnation: 2034,
             }],
         },
-        Record::Retired { life: 2035 },
+        Record::Retired { incarnation: 2035 },
     ]
 }
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -50,21 +50,24 @@
         }
         match message {
             Message::PrepareRequest(request) => {
-                let (slice, epoch) = (request.slice, request.epoch);
-                replica.apply(&Record::Promise { slice, epoch });
-                let state = replica.held(slice).promised_state(slice, request.held);
+                let (partition, epoch) = (request.partition, request.epoch);
+                replica.apply(&Record::Promise { partition, epoch });
+                let state = replica
+                    .held(partition)
+                    .promised_state(partition, request.held);
                 bytes += bincode::serialized_size(&state).unwrap() as usize;
                 leader.raised(now, slot, state);
             }
             Message::AppendRequest(keep) => {
-                let (slice, epoch, round, to) = (keep.slice, keep.epoch, keep.round, keep.to);
-                if !replica.held(slice).fits(&keep) {
+                let (partition, epoch, round, to) =
+                    (keep.partition, keep.epoch, keep.round, keep.to);
+                if !replica.held(partition).fits(&keep) {
                     leader.forget(slot);
                     continue;
                 }
                 replica.apply(&Record::Appended { keep });
                 let reply = AppendReply {
-                    slice,
+                    partition,
                     epoch,
                     round,
                     to,
@@ -90,7 +93,7 @@
     let mut replicas: Vec<Replica> = (0..SLOTS)
         .map(|slot| Replica::blank(slot as u64 + 1))
         .collect();
-    let mut leader = PartitionLeader::new(NEWS, FIRST_EPOCH, SLOTS, 0);
+    let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, FIRST_EPOCH, SLOTS, 0);
     let mut now = Duration::from_secs(1);
     for _ in 0..2 {
         exchange(&mut leader, &mut replicas, now, true, |_| true);
@@ -115,8 +118,8 @@
 
 /// The next leader's life until every replica holds what it holds; bytes sent.
 fn take_over(replicas: &mut [Replica]) -> (PartitionLeader, usize) {
-    let own = replicas[CANDIDATE].held(NEWS).image.clone();
-    let mut next = PartitionLeader::new(NEWS, NEXT_EPOCH, SLOTS, 0).holding(own);
+    let own = replicas[CANDIDATE].held(PUBLISHED_PARTITIONS).image.clone();
+    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0).holding(own);
     let mut now = Duration::from_secs(100);
     let mut bytes = 0;
     for _ in 0..10 {
@@ -131,7 +134,8 @@
     const WRITES: u64 = 600;
     const BYTES: usize = 2000;
     let (mut replicas, _) = lived(&mut Dice(1), WRITES, BYTES, false);
-    let held = bincode::serialized_size(&replicas[0].held(NEWS).image).unwrap() as usize;
+    let held =
+        bincode::serialized_size(&replicas[0].held(PUBLISHED_PARTITIONS).image).unwrap() as usize;
     assert!(held > 400_000, "{held} bytes of ledger");
     let (next, bytes) = take_over(&mut replicas);
     assert!(next.ready());
@@ -149,7 +153,8 @@
     }
     let now = Duration::from_secs(50);
     exchange(&mut leader, &mut replicas, now, false, |slot| slot < 3);
-    let held = bincode::serialized_size(&replicas[0].held(NEWS).image).unwrap() as usize;
+    let held =
+        bincode::serialized_size(&replicas[0].held(PUBLISHED_PARTITIONS).image).unwrap() as usize;
     let (next, bytes) = take_over(&mut replicas);
     assert_eq!(next.rows, leader.rows);
     assert!(bytes < held / 2, "{bytes} bytes to take over {held}");
@@ -179,7 +184,7 @@
             );
         }
         for (slot, replica) in replicas.iter().enumerate() {
-            let image = &replica.held(NEWS).image;
+            let image = &replica.held(PUBLISHED_PARTITIONS).image;
             assert_eq!(image.rows, next.rows, "seed {seed}, slot {slot}");
             assert_eq!(image.epoch, NEXT_EPOCH, "seed {seed}, slot {slot}");
         }
@@ -191,8 +196,8 @@
 fn rows_are_added_to_no_state_but_the_one_they_were_made_for() {
     let (mut replicas, _) = lived(&mut Dice(3), 40, 10, false);
     let (mut other, _) = lived(&mut Dice(4), 40, 10, false);
-    let own = replicas[CANDIDATE].held(NEWS).image.clone();
-    let mut next = PartitionLeader::new(NEWS, NEXT_EPOCH, SLOTS, 0).holding(own);
+    let own = replicas[CANDIDATE].held(PUBLISHED_PARTITIONS).image.clone();
+    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0).holding(own);
     let now = Duration::from_secs(100);
     exchange(&mut next, &mut replicas, now, true, |_| true);
     let keep = next
@@ -203,15 +208,23 @@
             _ => None,
         })
         .expect("a replica holds the adopted state");
-    assert!(replicas[4].held(NEWS).fits(&keep));
-    let image = &mut other[4].slices[usize::from(NEWS)].image;
+    assert!(replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep));
+    let image = &mut other[4].partitions[usize::from(PUBLISHED_PARTITIONS)].image;
     image.epoch += 1;
     image.version = keep.from;
-    assert!(!other[4].held(NEWS).fits(&keep), "another epoch");
+    assert!(
+        !other[4].held(PUBLISHED_PARTITIONS).fits(&keep),
+        "another epoch"
+    );
     image_version(&mut replicas[4], keep.from + 1);
-    assert!(!replicas[4].held(NEWS).fits(&keep), "another version");
+    assert!(
+        !replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep),
+        "another version"
+    );
 }
 
 fn image_version(replica: &mut Replica, version: u64) {
-    replica.slices[usize::from(NEWS)].image.version = version;
+    replica.partitions[usize::from(PUBLISHED_PARTITIONS)]
+        .image
+        .version = version;
 }
--- a/data-plane/src/gate/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -8,7 +8,7 @@
 use arrivals::Arrivals;
 use calls_under_way::{CallsUnderWay, Under};
 
-/// The gate of one origin group: hands out short-lived permits by rank.
+/// The admission controller of one origin group: hands out short-lived permits by rank.
 /// Invariants:
 /// - Tokens of an origin grow by its rate and never exceed `burst`; a new
 ///   holder starts with none, so what it gives adds to what the holder before
@@ -26,7 +26,7 @@
 ///   that it holds at the origins, too.
 /// - A lower rank takes no place that the higher ones will need while its call
 ///   runs: calls are not taken back.
-pub struct Gate {
+pub struct AdmissionController {
     pub service: String,
     pub epoch: u64,
     allowance: usize,
@@ -100,11 +100,11 @@
 const MANY_WAIT: usize = 64;
 const PUMP_PAUSE: Duration = Duration::from_millis(5);
 const WINDOW: Duration = Duration::from_secs(10);
-/// Of a whole rate the gate gives out this part. The edges have a tenth for when
-/// the gate is silent, told afterwards and counted here: with a change of holder
+/// Of a whole rate the admission controller gives out this part. The edges have a tenth for when
+/// the admission controller is silent, told afterwards and counted here: with a change of holder
 /// 0.95 x 5 s + 0.25 s + a burst of 0.1 s + 0.1 x 5.5 s stays below 110 % of 5 s
 /// while four of five edges cannot tell.
-const GATE_PART: f64 = 0.95;
+const ADMISSION_PART: f64 = 0.95;
 const AT_ONCE_S: f64 = 0.25;
 /// Arrivals are counted over this span to foresee who will not get through.
 const FORESEE: Duration = Duration::from_secs(2);
@@ -122,10 +122,10 @@
 /// One whose address is another's now.
 const GONE: Duration = Duration::from_secs(5);
 
-impl Gate {
+impl AdmissionController {
     /// `allowance`: extra tries in ten seconds beside a fifth of the first ones.
-    pub fn new(now: Duration, service: &str, epoch: u64, allowance: usize) -> Gate {
-        Gate {
+    pub fn new(now: Duration, service: &str, epoch: u64, allowance: usize) -> AdmissionController {
+        AdmissionController {
             service: service.into(),
             epoch,
             allowance,
@@ -158,9 +158,9 @@
             // Some calls at once: what waited for a holder comes together.
             (whole, rate) => *whole = rate.map(|rate| Room::with(now, rate, rate * AT_ONCE_S)),
         }
-        // What is left of it is for edges that cannot reach the gate.
+        // What is left of it is for edges that cannot reach the admission controller.
         if let Some(room) = self.whole.as_mut().filter(|_| group.proof == Proof::Named) {
-            room.rate *= GATE_PART;
+            room.rate *= ADMISSION_PART;
         }
         self.origins
             .values_mut()
--- a/data-plane/src/gate/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -49,8 +49,9 @@
 }
 
 /// All but that somebody stands in line.
-fn said(gate: &mut Gate) -> Vec<(SocketAddr, Message)> {
-    gate.take_out()
+fn said(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
+    admission
+        .take_out()
         .into_iter()
         .filter(|(_, message)| !matches!(message, Message::PermitQueued(_)))
         .collect()
@@ -58,20 +59,20 @@
 
 #[test]
 fn who_waits_is_told_so_each_time_it_asks() {
-    let mut gate = Gate::new(at(0), "s", 1, 3);
-    gate.update(at(0), &group(100.0, 9), &[origin(1)]);
+    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
+    admission.update(at(0), &group(100.0, 9), &[origin(1)]);
     for ms in [400, 600] {
-        gate.request_permit(at(ms), origin(9).address, permit_request(1, 1, 5000, false));
+        admission.request_permit(at(ms), origin(9).address, permit_request(1, 1, 5000, false));
         assert!(
-            matches!(gate.take_out().as_slice(), [(to, Message::PermitQueued(PermitQueued { id: 1 }))] if *to == origin(9).address),
+            matches!(admission.take_out().as_slice(), [(to, Message::PermitQueued(PermitQueued { id: 1 }))] if *to == origin(9).address),
             "nothing is proven yet"
         );
     }
-    gate.watched(at(650), origin(1).address, true);
-    let probe = gate.probes(at(700)).remove(0);
-    gate.probed(at(710), &probe, true);
+    admission.watched(at(650), origin(1).address, true);
+    let probe = admission.probes(at(700)).remove(0);
+    admission.probed(at(710), &probe, true);
     assert!(matches!(
-        gate.take_out().as_slice(),
+        admission.take_out().as_slice(),
         [(_, Message::Permit(_))]
     ));
 }
@@ -86,7 +87,7 @@
         // 4 a second of the high rank, 14 of the low one, where 16 fit.
         if id % 25 == 0 || id % 7 == 1 {
             let aim = if id % 2 == 0 { at(100) } else { at(800) };
-            run.gate.request_permit(
+            run.admission.request_permit(
                 at(run.now),
                 origin(9).address,
                 PermitRequest {
@@ -119,15 +120,15 @@
         total_rate: Some(100.0),
         ..group(9999.0, 99)
     };
-    let mut gate = Gate::new(at(0), "s", 1, 3);
-    gate.update(at(0), &named, &[origin(1), origin(2)]);
+    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
+    admission.update(at(0), &named, &[origin(1), origin(2)]);
     let mut calls = vec![];
     for id in 0..2000u64 {
         let now = at(id * 5);
-        gate.request_permit(now, origin(9).address, permit_request(id, 1, 60_000, false));
+        admission.request_permit(now, origin(9).address, permit_request(id, 1, 60_000, false));
         if id % 20 == 0 {
             calls.push(id * 5);
-            gate.done(
+            admission.done(
                 now,
                 CallDone {
                     service: "s".into(),
@@ -138,10 +139,10 @@
                 },
             );
         }
-        for (_, message) in said(&mut gate) {
+        for (_, message) in said(&mut admission) {
             if let Message::Permit(permit) = message {
                 calls.push(id * 5);
-                gate.done(
+                admission.done(
                     now,
                     CallDone {
                         service: "s".into(),
@@ -159,7 +160,7 @@
 }
 
 struct Run {
-    gate: Gate,
+    admission: AdmissionController,
     now: u64,
     given: Vec<(u64, u64)>,
     away: Vec<(u64, u64, AwayReason)>,
@@ -168,11 +169,11 @@
 
 impl Run {
     fn new(began: u64, epoch: u64, rate: f64, concurrency: u32) -> Run {
-        let mut gate = Gate::new(at(began), "s", epoch, 3);
-        gate.update(at(began), &group(rate, concurrency), &[origin(1)]);
-        gate.watched(at(began), origin(1).address, true);
+        let mut admission = AdmissionController::new(at(began), "s", epoch, 3);
+        admission.update(at(began), &group(rate, concurrency), &[origin(1)]);
+        admission.watched(at(began), origin(1).address, true);
         Run {
-            gate,
+            admission,
             now: began,
             given: vec![],
             away: vec![],
@@ -183,19 +184,19 @@
     /// One step of 10 ms; every permit is used at once and ends after `took`.
     fn step(&mut self, took: u64, ends: &mut Vec<(u64, CallDone)>) {
         self.now += 10;
-        for probe in self.gate.probes(at(self.now)) {
+        for probe in self.admission.probes(at(self.now)) {
             self.calls.push(self.now);
-            self.gate.probed(at(self.now), &probe, true);
+            self.admission.probed(at(self.now), &probe, true);
         }
         let (due, later) = std::mem::take(ends)
             .into_iter()
             .partition(|(when, _)| *when <= self.now);
         *ends = later;
         for (_, done) in due as Vec<(u64, CallDone)> {
-            self.gate.done(at(self.now), done);
+            self.admission.done(at(self.now), done);
         }
-        self.gate.pump(at(self.now));
-        for (_, message) in self.gate.take_out() {
+        self.admission.pump(at(self.now));
+        for (_, message) in self.admission.take_out() {
             match message {
                 Message::Permit(permit) => {
                     self.given.push((self.now, permit.id));
@@ -235,7 +236,7 @@
     let mut ends = vec![];
     let mut first = Run::new(0, 1, 20.0, 50);
     for id in 0..2000 {
-        first.gate.request_permit(
+        first.admission.request_permit(
             at(first.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
@@ -244,7 +245,7 @@
     }
     let mut next = Run::new(first.now + 100, 3, 20.0, 50);
     for id in 0..2000 {
-        next.gate.request_permit(
+        next.admission.request_permit(
             at(next.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
@@ -266,7 +267,7 @@
     // 33 a second are asked where 20 may be called, half of high rank.
     for id in 0..6000u64 {
         if id % 3 == 0 {
-            run.gate.request_permit(
+            run.admission.request_permit(
                 at(run.now),
                 origin(9).address,
                 permit_request(id, if id % 6 == 0 { 9 } else { 1 }, 2000, false),
@@ -300,13 +301,13 @@
     let mut ends = vec![];
     let mut run = Run::new(0, 1, 1000.0, 2);
     for id in 0..3000u64 {
-        run.gate.request_permit(
+        run.admission.request_permit(
             at(run.now),
             origin(9).address,
             permit_request(id, if id % 50 == 0 { 9 } else { 1 }, 2000, false),
         );
         run.step(400, &mut ends);
-        assert!(run.gate.calls.len() <= 2);
+        assert!(run.admission.calls.len() <= 2);
     }
     let high = run.given.iter().filter(|(_, id)| id % 50 == 0).count();
     assert!(
@@ -326,7 +327,7 @@
         // 3 a second of the high rank, 30 of the low one.
         let high = id % 33 == 0;
         if high || id % 3 == 1 {
-            run.gate.request_permit(
+            run.admission.request_permit(
                 at(run.now),
                 origin(9).address,
                 permit_request(id, if high { 9 } else { 1 }, 1500, false),
@@ -364,7 +365,7 @@
         let mut ends = vec![];
         let mut run = Run::new(0, 1, rate, 50);
         for id in 0..6000 {
-            run.gate.request_permit(
+            run.admission.request_permit(
                 at(run.now),
                 origin(9).address,
                 permit_request(id, 1, 60_000, false),
@@ -386,93 +387,96 @@
     let mut run = Run::new(0, 1, 1000.0, 500);
     let mut ends = vec![];
     for id in 0..1000u64 {
-        run.gate.request_permit(
+        run.admission.request_permit(
             at(run.now),
             origin(9).address,
             permit_request(id, 1, 2000, id % 2 == 0),
         );
         run.step(5, &mut ends);
-        let gate = &run.gate;
+        let admission = &run.admission;
         let earned = if run.now >= 10_000 { 3 } else { 0 };
-        assert!(gate.extras.len() <= gate.firsts.len() / 5 + earned);
+        assert!(admission.extras.len() <= admission.firsts.len() / 5 + earned);
     }
     assert!(
         run.away
             .iter()
             .any(|(_, _, reason)| *reason == AwayReason::Budget)
     );
-    assert!(run.gate.extras.len() > 50);
+    assert!(run.admission.extras.len() > 50);
 }
 
 #[test]
 fn an_origin_is_called_only_once_it_has_shown_who_it_is_and_not_while_aside() {
-    let mut gate = Gate::new(at(0), "s", 1, 3);
-    gate.update(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
-    assert_eq!(gate.watches(at(1)).len(), 2);
-    assert!(gate.probes(at(350)).is_empty(), "no connection stands yet");
-    gate.watched(at(2), origin(1).address, true);
-    gate.watched(at(2), origin(2).address, true);
-    gate.request_permit(
+    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
+    admission.update(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
+    assert_eq!(admission.watches(at(1)).len(), 2);
+    assert!(
+        admission.probes(at(350)).is_empty(),
+        "no connection stands yet"
+    );
+    admission.watched(at(2), origin(1).address, true);
+    admission.watched(at(2), origin(2).address, true);
+    admission.request_permit(
         at(400),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
-    assert!(said(&mut gate).is_empty(), "nothing is proven");
-    let probes = gate.probes(at(500));
+    assert!(said(&mut admission).is_empty(), "nothing is proven");
+    let probes = admission.probes(at(500));
     assert_eq!(probes.len(), 2);
-    gate.probed(at(510), &probes[0], false);
-    assert!(said(&mut gate).is_empty());
-    gate.probed(at(520), &probes[1], true);
-    let out = said(&mut gate);
+    admission.probed(at(510), &probes[0], false);
+    assert!(said(&mut admission).is_empty());
+    admission.probed(at(520), &probes[1], true);
+    let out = said(&mut admission);
     let [(_, Message::Permit(permit))] = out.as_slice() else {
         panic!("{out:?}")
     };
     assert_eq!(permit.origin, probes[1]);
     // The connection ends: the next process there must show itself first.
-    gate.watched(at(600), origin(2).address, false);
-    gate.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
-    assert!(said(&mut gate).is_empty());
-    gate.watched(at(620), origin(2).address, true);
-    let probe = gate.probes(at(650)).remove(0);
-    gate.probed(at(660), &probe, true);
+    admission.watched(at(600), origin(2).address, false);
+    admission.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
+    assert!(said(&mut admission).is_empty());
+    admission.watched(at(620), origin(2).address, true);
+    let probe = admission.probes(at(650)).remove(0);
+    admission.probed(at(660), &probe, true);
     assert!(matches!(
-        said(&mut gate).as_slice(),
+        said(&mut admission).as_slice(),
         [(_, Message::Permit(_))]
     ));
     // The proof ages; without a newer one no more permits.
-    gate.request_permit(
+    admission.request_permit(
         at(2700),
         origin(9).address,
         permit_request(2, 1, 5000, false),
     );
-    assert!(said(&mut gate).is_empty());
+    assert!(said(&mut admission).is_empty());
     // Listed under another instance it must be proven again.
     let other = Origin {
         instance: "new".into(),
         ..origin(2)
     };
-    gate.update(at(2700), &group(100.0, 9), std::slice::from_ref(&other));
+    admission.update(at(2700), &group(100.0, 9), std::slice::from_ref(&other));
     assert!(
-        !gate.probed(at(2800), &probes[1], true),
+        !admission.probed(at(2800), &probes[1], true),
         "the old instance's probe counts for nothing"
     );
-    assert!(said(&mut gate).is_empty());
+    assert!(said(&mut admission).is_empty());
 }
 
 #[test]
 fn all_origins_failing_is_told_at_once_and_a_leaving_one_gets_no_permit() {
-    let mut gate = Gate::new(at(0), "s", 1, 3);
-    gate.update(at(0), &group(100.0, 9), &[origin(1)]);
-    gate.watched(at(0), origin(1).address, true);
-    let probe = gate.probes(at(400)).remove(0);
-    gate.probed(at(400), &probe, false);
-    gate.request_permit(
+    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
+    admission.update(at(0), &group(100.0, 9), &[origin(1)]);
+    admission.watched(at(0), origin(1).address, true);
+    let probe = admission.probes(at(400)).remove(0);
+    admission.probed(at(400), &probe, false);
+    admission.request_permit(
         at(410),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
     assert!(matches!(
-        said(&mut gate).as_slice(),
+        said(&mut admission).as_slice(),
         [(
             _,
             Message::PermitRefused(PermitRefused {
@@ -481,9 +485,9 @@
             })
         )]
     ));
-    let probe = gate.probes(at(1000)).remove(0);
-    gate.probed(at(1000), &probe, true);
-    gate.update(
+    let probe = admission.probes(at(1000)).remove(0);
+    admission.probed(at(1000), &probe, true);
+    admission.update(
         at(1001),
         &group(100.0, 9),
         &[Origin {
@@ -491,13 +495,13 @@
             ..origin(1)
         }],
     );
-    gate.request_permit(
+    admission.request_permit(
         at(1002),
         origin(9).address,
         permit_request(2, 1, 5000, false),
     );
     assert!(
-        !said(&mut gate)
+        !said(&mut admission)
             .iter()
             .any(|(_, message)| matches!(message, Message::Permit(_)))
     );
@@ -506,7 +510,7 @@
 #[test]
 fn a_new_holder_counts_calls_that_began_under_the_one_before() {
     let mut run = Run::new(0, 5, 1000.0, 2);
-    run.gate.underway(
+    run.admission.underway(
         at(10),
         CallsInProgress {
             service: "s".into(),
@@ -517,13 +521,13 @@
         },
     );
     let mut ends = vec![];
-    run.gate
+    run.admission
         .request_permit(at(10), origin(9).address, permit_request(1, 1, 5000, false));
     for _ in 0..60 {
         run.step(5, &mut ends);
     }
     assert!(run.given.is_empty());
-    run.gate.done(
+    run.admission.done(
         at(run.now),
         CallDone {
             service: "s".into(),
@@ -537,23 +541,23 @@
     assert_eq!(run.given.len(), 1);
 }
 
-/// A gate with one origin of two places, in use from now on.
-fn gate_of_two_places() -> Gate {
-    let mut gate = Gate::new(at(0), "s", 1, 3);
+/// An admission controller with one origin of two places, in use from now on.
+fn admission_of_two_places() -> AdmissionController {
+    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     let named = Group {
         proof: Proof::Named,
         ..group(1000.0, 2)
     };
-    gate.update(at(0), &named, &[origin(1)]);
-    gate
+    admission.update(at(0), &named, &[origin(1)]);
+    admission
 }
 
-fn permits(gate: &mut Gate) -> Vec<Permit> {
+fn permits(admission: &mut AdmissionController) -> Vec<Permit> {
     let one = |(_, message)| match message {
         Message::Permit(permit) => Some(permit),
         _ => None,
     };
-    said(gate).into_iter().filter_map(one).collect()
+    said(admission).into_iter().filter_map(one).collect()
 }
 
 fn ended(permit: &Permit, result: CallResult) -> CallDone {
@@ -568,21 +572,21 @@
 
 #[test]
 fn a_withdrawn_question_is_not_granted_and_the_next_has_its_turn() {
-    let mut gate = gate_of_two_places();
+    let mut admission = admission_of_two_places();
     for id in 1..=4 {
-        gate.request_permit(
+        admission.request_permit(
             at(1000),
             origin(9).address,
             permit_request(id, 1, 5000, false),
         );
     }
-    let given = permits(&mut gate);
+    let given = permits(&mut admission);
     assert_eq!(given.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2]);
-    gate.withdraw(at(1010), origin(8).address, 3);
-    gate.withdraw(at(1010), origin(9).address, 3);
-    gate.withdraw(at(1010), origin(9).address, 3);
-    gate.done(at(1100), ended(&given[0], CallResult::Good));
-    let next = permits(&mut gate);
+    admission.withdraw(at(1010), origin(8).address, 3);
+    admission.withdraw(at(1010), origin(9).address, 3);
+    admission.withdraw(at(1010), origin(9).address, 3);
+    admission.done(at(1100), ended(&given[0], CallResult::Good));
+    let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
 
@@ -590,26 +594,26 @@
 /// nothing wrong.
 #[test]
 fn the_place_of_a_cancelled_call_is_free_a_moment_later_and_judges_no_origin() {
-    let mut gate = gate_of_two_places();
+    let mut admission = admission_of_two_places();
     for id in 1..=3 {
-        gate.request_permit(
+        admission.request_permit(
             at(1000),
             origin(9).address,
             permit_request(id, 1, 5000, false),
         );
     }
-    let given = permits(&mut gate);
+    let given = permits(&mut admission);
     assert_eq!(given.len(), 2);
-    gate.done(at(1100), ended(&given[0], CallResult::Cancelled));
+    admission.done(at(1100), ended(&given[0], CallResult::Cancelled));
     assert!(
-        permits(&mut gate).is_empty(),
+        permits(&mut admission).is_empty(),
         "its place is not free at once"
     );
-    gate.done(at(1105), ended(&given[0], CallResult::Cancelled));
-    gate.pump(at(1100 + 40));
-    let next = permits(&mut gate);
+    admission.done(at(1105), ended(&given[0], CallResult::Cancelled));
+    admission.pump(at(1100 + 40));
+    let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [3]);
-    let found = gate.found(at(1141));
+    let found = admission.found(at(1141));
     assert_eq!(found[0].calls, 2, "counted once more, not twice");
     assert_ne!(found[0].condition, OriginCondition::Aside);
 }
@@ -618,24 +622,24 @@
 /// a call that was broken off counts.
 #[test]
 fn cancelled_calls_count_for_the_rate() {
-    let mut gate = gate_of_two_places();
+    let mut admission = admission_of_two_places();
     let limited = Group {
         proof: Proof::Named,
         total_rate: Some(20.0),
         ..group(1000.0, 32)
     };
-    gate.update(at(0), &limited, &[origin(1)]);
+    admission.update(at(0), &limited, &[origin(1)]);
     let mut sent = 0;
     for ms in (0..5000).step_by(5) {
-        gate.request_permit(
+        admission.request_permit(
             at(1000 + ms),
             origin(9).address,
             permit_request(ms, 1, 300, false),
         );
-        for permit in permits(&mut gate) {
+        for permit in permits(&mut admission) {
             sent += 1;
             let cancelled = ended(&permit, CallResult::Cancelled);
-            gate.done(at(1000 + ms + 1), cancelled);
+            admission.done(at(1000 + ms + 1), cancelled);
         }
     }
     assert!(
@@ -646,14 +650,14 @@
 
 #[test]
 fn edges_that_are_gone_have_no_place_in_line() {
-    let mut gate = gate_of_two_places();
+    let mut admission = admission_of_two_places();
     for (id, port) in [(1, 8), (2, 8), (3, 9), (4, 8)] {
         let ask = permit_request(id, 1, 5000, false);
-        gate.request_permit(at(1000), origin(port).address, ask);
+        admission.request_permit(at(1000), origin(port).address, ask);
     }
-    let given = permits(&mut gate);
-    gate.forget_askers(at(1010), &HashSet::from([origin(9).address]));
-    gate.done(at(1100), ended(&given[0], CallResult::Good));
-    let next = permits(&mut gate);
+    let given = permits(&mut admission);
+    admission.forget_askers(at(1010), &HashSet::from([origin(9).address]));
+    admission.done(at(1100), ended(&given[0], CallResult::Good));
+    let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
--- a/data-plane/src/cache_owner.rs
+++ b/data-plane/src/cache_owner.rs
@@ -3,7 +3,7 @@
 
 use crate::prelude::*;
 
-/// Copies of the cache slices this edge holds: MashCache's two expiries with
+/// Copies of the cache partitions this edge holds: MashCache's two expiries with
 /// the owner of a key. Invariants:
 /// - `minor <= major`; both are reset by a put, and `major` never goes beyond
 ///   the keep time counted from the start of the fetch (the token's issue).
@@ -17,7 +17,7 @@
     limit: u64,
     serial: u64,
     pub given: u64,
-    /// Copies of slices that were taken from us, not served any more, for the
+    /// Copies of partitions that were taken from us, not served any more, for the
     /// next holder to ask for; each as it was then, purges included.
     aside: BTreeMap<u16, (Duration, Vec<(CacheKey, Slot)>)>,
     /// Questions that were answered with a copy lately, and when: asked again,
@@ -261,7 +261,7 @@
         .into()
     }
 
-    /// False if the put came too late: under another epoch of the duty, after
+    /// False if the put came too late: under another epoch of the assignment, after
     /// a purge that reaches it, or older than what is held.
     pub fn put(&mut self, now: Duration, put: Put, epoch: u64, book: &PurgeBook) -> bool {
         let Put { key, token, reply } = put;
@@ -381,7 +381,7 @@
             slot.held.is_some() || !slot.waits.is_empty() || now < slot.used + TOKEN
         });
         for key in stalled {
-            self.next_refresher(now, key, epoch(cache_slice(&key)), purged);
+            self.next_refresher(now, key, epoch(cache_partition(&key)), purged);
         }
     }
 
@@ -398,13 +398,13 @@
         }
     }
 
-    /// Keeps only slices that are held under an unchanged epoch; copies of the
+    /// Keeps only partitions that are held under an unchanged epoch; copies of the
     /// others are set aside.
-    pub fn keep_slices(&mut self, now: Duration, purged: u64, keep: &dyn Fn(u16) -> bool) {
+    pub fn keep_partitions(&mut self, now: Duration, purged: u64, keep: &dyn Fn(u16) -> bool) {
         let lost: Vec<CacheKey> = self
             .keys
             .keys()
-            .filter(|key| !keep(cache_slice(key)))
+            .filter(|key| !keep(cache_partition(key)))
             .copied()
             .collect();
         for key in lost {
@@ -413,7 +413,7 @@
             if let Some(held) = &mut slot.held {
                 held.purged = purged;
                 self.aside
-                    .entry(cache_slice(&key))
+                    .entry(cache_partition(&key))
                     .or_insert((now, Vec::new()))
                     .1
                     .push((key, slot));
@@ -426,9 +426,9 @@
         !self.aside.is_empty()
     }
 
-    /// What was set aside of a slice, latest asked for first.
-    pub fn hand(&mut self, now: Duration, slice: u16) -> Vec<Carried> {
-        let Some((_, mut list)) = self.aside.remove(&slice) else {
+    /// What was set aside of a partition, latest asked for first.
+    pub fn hand(&mut self, now: Duration, partition: u16) -> Vec<Carried> {
+        let Some((_, mut list)) = self.aside.remove(&partition) else {
             return Vec::new();
         };
         list.sort_by_key(|(_, slot)| std::cmp::Reverse(slot.used));
@@ -521,7 +521,7 @@
     }
 
     pub fn clear(&mut self) {
-        self.keep_slices(Duration::ZERO, 0, &|_| false);
+        self.keep_partitions(Duration::ZERO, 0, &|_| false);
         self.aside.clear();
     }
 
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -262,11 +262,11 @@
 }
 
 #[test]
-fn a_moved_slice_takes_its_copies_along_with_expiries_and_purges() {
+fn a_moved_partition_takes_its_copies_along_with_expiries_and_purges() {
     let mut owner = filled(0);
-    owner.keep_slices(at(2000), 3, &|_| false);
+    owner.keep_partitions(at(2000), 3, &|_| false);
     assert_eq!(owner.bytes, 0);
-    let copies = owner.hand(at(2100), cache_slice(&KEY));
+    let copies = owner.hand(at(2100), cache_partition(&KEY));
     assert_eq!(
         (
             copies.len(),
@@ -315,9 +315,9 @@
     assert_eq!(next.take_over(at(50_000), at(100), copies, &book), 0);
     // Set aside too long, it is gone.
     let mut owner = filled(0);
-    owner.keep_slices(at(2000), 3, &|_| false);
+    owner.keep_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
-    assert!(owner.hand(at(5000), cache_slice(&KEY)).is_empty() && !owner.has_aside());
+    assert!(owner.hand(at(5000), cache_partition(&KEY)).is_empty() && !owner.has_aside());
 }
 
 /// A copy is sent to nobody who took the question back, and whose refresher
--- a/data-plane/src/edge_part/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -1,104 +1,110 @@
-//! What is assigned to this edge: cache slices and admission control of origin groups.
-use super::{AGAIN, EdgePart, PROBE, PROBE_LIMIT, WANTS};
+//! What is assigned to this edge: cache partitions and admission control of origin groups.
+use super::{AGAIN, EdgeNode, PROBE, PROBE_LIMIT, WANTS};
 use crate::prelude::*;
 
-impl EdgePart {
-    /// The epoch under which a duty is granted to this life.
-    pub(super) fn granted(&self, duty: &str) -> Option<u64> {
-        self.duties
-            .get(duty)
-            .filter(|duty| duty.holder == Some(self.me))
-            .map(|duty| duty.epoch)
+impl EdgeNode {
+    /// The epoch under which an assignment is granted to this life.
+    pub(super) fn granted(&self, assignment: &str) -> Option<u64> {
+        self.assignments
+            .get(assignment)
+            .filter(|assignment| assignment.holder == Some(self.me))
+            .map(|assignment| assignment.epoch)
     }
 
-    /// Where a duty is done now.
-    pub(super) fn holder(&self, duty: &str) -> Option<SocketAddr> {
-        self.duties
-            .get(duty)
-            .and_then(|duty| duty.holder)
+    /// Where an assignment is done now.
+    pub(super) fn holder(&self, assignment: &str) -> Option<SocketAddr> {
+        self.assignments
+            .get(assignment)
+            .and_then(|assignment| assignment.holder)
             .map(|peer| peer.address)
     }
 
-    pub(super) fn sync_duties(&mut self, now: Duration) {
-        let mut slices = BTreeMap::new();
-        for slice in 0..CACHE_SLICES {
-            if let Some(epoch) = self.granted(&cache_duty(&self.spot.ring, slice)) {
-                slices.insert(slice, epoch);
+    pub(super) fn sync_assignments(&mut self, now: Duration) {
+        let mut partitions = BTreeMap::new();
+        for partition in 0..CACHE_PARTITIONS {
+            if let Some(epoch) = self.granted(&cache_assignment(&self.locality.ring, partition)) {
+                partitions.insert(partition, epoch);
             }
         }
-        if slices != self.slices {
-            self.cache.keep_slices(now, self.book.applied, &|slice| {
-                self.slices.contains_key(&slice) && slices.get(&slice) == self.slices.get(&slice)
-            });
-            let (before, after) = (self.slices.len(), slices.len());
-            self.wants.retain(|slice, _| slices.contains_key(slice));
-            for slice in slices
+        if partitions != self.partitions {
+            self.cache
+                .keep_partitions(now, self.book.applied, &|partition| {
+                    self.partitions.contains_key(&partition)
+                        && partitions.get(&partition) == self.partitions.get(&partition)
+                });
+            let (before, after) = (self.partitions.len(), partitions.len());
+            self.wants
+                .retain(|partition, _| partitions.contains_key(partition));
+            for partition in partitions
                 .iter()
-                .filter(|(slice, epoch)| self.slices.get(slice) != Some(epoch))
-                .map(|(slice, _)| *slice)
+                .filter(|(partition, epoch)| self.partitions.get(partition) != Some(epoch))
+                .map(|(partition, _)| *partition)
             {
                 let last = self
-                    .duties
-                    .get(&cache_duty(&self.spot.ring, slice))
-                    .and_then(|duty| duty.last);
+                    .assignments
+                    .get(&cache_assignment(&self.locality.ring, partition))
+                    .and_then(|assignment| assignment.last);
                 if let Some(last) = last.filter(|last| last.address != self.me.address) {
-                    self.wants.insert(slice, (last.address, 0));
+                    self.wants.insert(partition, (last.address, 0));
                 }
             }
-            self.slices = slices;
+            self.partitions = partitions;
             self.ask_wants(now);
             self.note(
-                Event::DutyTaken,
+                Event::AssignmentAcquired,
                 format!("{after} cache slices, before {before}"),
             );
         }
         if let Some(table) = self.table.clone() {
-            self.sync_gates(now, &table);
+            self.sync_admissions(now, &table);
         }
-        let gates = self.gates.keys().map(|service| gate_duty(service));
+        let admissions = self
+            .admissions
+            .keys()
+            .map(|service| admission_assignment(service));
         let list = self
-            .slices
+            .partitions
             .keys()
-            .map(|slice| cache_duty(&self.spot.ring, *slice))
-            .chain(gates)
+            .map(|partition| cache_assignment(&self.locality.ring, *partition))
+            .chain(admissions)
             .collect();
-        self.out.push(Output::Show(Shown::Duties(list)));
+        self.out.push(Output::Show(Shown::Assignments(list)));
     }
 
-    pub(super) fn sync_gates(&mut self, now: Duration, table: &EntryTable) {
+    pub(super) fn sync_admissions(&mut self, now: Duration, table: &EntryTable) {
         let wanted: Vec<(&Group, u64)> = table
             .document
             .groups
             .iter()
-            .filter_map(|group| Some((group, self.granted(&gate_duty(&group.service))?)))
+            .filter_map(|group| Some((group, self.granted(&admission_assignment(&group.service))?)))
             .collect();
         let held: Vec<(String, u64)> = self
-            .gates
+            .admissions
             .values()
-            .map(|gate| (gate.service.clone(), gate.epoch))
+            .map(|admission| (admission.service.clone(), admission.epoch))
             .collect();
         for (service, epoch) in held {
             if !wanted
                 .iter()
                 .any(|(group, granted)| group.service == service && *granted == epoch)
             {
-                self.gates.remove(&service);
-                self.note(Event::DutyDropped, gate_duty(&service));
+                self.admissions.remove(&service);
+                self.note(Event::AssignmentDropped, admission_assignment(&service));
             }
         }
         for (group, epoch) in wanted {
-            if !self.gates.contains_key(&group.service) {
-                self.gates.insert(
+            if !self.admissions.contains_key(&group.service) {
+                self.admissions.insert(
                     group.service.clone(),
-                    Gate::new(now, &group.service, epoch, self.extra_tries),
+                    AdmissionController::new(now, &group.service, epoch, self.extra_tries),
                 );
                 self.note(
-                    Event::DutyTaken,
-                    format!("{} epoch {epoch}", gate_duty(&group.service)),
+                    Event::AssignmentAcquired,
+                    format!("{} epoch {epoch}", admission_assignment(&group.service)),
                 );
             }
-            let gate = self.gates.get_mut(&group.service).expect("just put");
-            gate.update(now, group, &self.origins);
+            let admission = self.admissions.get_mut(&group.service).expect("just put");
+            admission.update(now, group, &self.origins);
         }
         self.tell_underway(now, table);
     }
@@ -107,9 +113,9 @@
     /// for permits nor waits for copies.
     pub(super) fn forget_gone_askers(&mut self, now: Duration) {
         let Some(Row {
-            value: Value::Roll { members, gone, .. },
+            value: Value::EdgeRegistry { members, gone, .. },
             ..
-        }) = self.known[usize::from(DUTIES)].get("roll")
+        }) = self.known[usize::from(ASSIGNMENTS)].get("roll")
         else {
             return;
         };
@@ -123,8 +129,8 @@
             return;
         }
         self.cache.forget_askers(&gone);
-        for gate in self.gates.values_mut() {
-            gate.forget_askers(now, &gone);
+        for admission in self.admissions.values_mut() {
+            admission.forget_askers(now, &gone);
         }
     }
 
@@ -134,15 +140,15 @@
         let due: Vec<(u16, SocketAddr)> = self
             .wants
             .iter()
-            .map(|(slice, (last, _))| (*slice, *last))
+            .map(|(partition, (last, _))| (*partition, *last))
             .collect();
-        for (slice, last) in due {
-            self.wants.get_mut(&slice).expect("just listed").1 += 1;
-            let epoch = self.slices.get(&slice).copied().unwrap_or(0);
+        for (partition, last) in due {
+            self.wants.get_mut(&partition).expect("just listed").1 += 1;
+            let epoch = self.partitions.get(&partition).copied().unwrap_or(0);
             self.tell(
                 last,
                 HandoverRequest {
-                    slice,
+                    partition,
                     epoch,
                     sent: now,
                 },
@@ -151,13 +157,17 @@
     }
 
     pub(super) fn want(&mut self, now: Duration, from: Peer, want: HandoverRequest) {
-        let HandoverRequest { slice, epoch, sent } = want;
-        let copies = self.cache.hand(now, slice);
+        let HandoverRequest {
+            partition,
+            epoch,
+            sent,
+        } = want;
+        let copies = self.cache.hand(now, partition);
         if !copies.is_empty() {
             self.tell(
                 from.address,
                 HandoverReply {
-                    slice,
+                    partition,
                     epoch,
                     sent,
                     copies,
@@ -168,27 +178,27 @@
 
     pub(super) fn handed(&mut self, now: Duration, handed: HandoverReply) {
         let HandoverReply {
-            slice,
+            partition,
             epoch,
             sent,
             copies,
         } = handed;
-        if self.slices.get(&slice) == Some(&epoch)
-            && self.wants.remove(&slice).is_some()
+        if self.partitions.get(&partition) == Some(&epoch)
+            && self.wants.remove(&partition).is_some()
             && sent <= now
         {
             self.cache.take_over(now, now - sent, copies, &self.book);
         }
     }
 
-    /// New gate holders hear of our calls under way by earlier permits.
+    /// New admission controller holders hear of our calls under way by earlier permits.
     pub(super) fn tell_underway(&mut self, now: Duration, table: &EntryTable) {
         for group in &table.document.groups {
-            let Some(Duty {
+            let Some(Assignment {
                 holder: Some(holder),
                 epoch,
                 ..
-            }) = self.duties.get(&gate_duty(&group.service))
+            }) = self.assignments.get(&admission_assignment(&group.service))
             else {
                 continue;
             };
@@ -222,14 +232,19 @@
         }
     }
 
-    pub(super) fn handle_duty_message(&mut self, now: Duration, from: Peer, message: Message) {
+    pub(super) fn handle_assignment_message(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        message: Message,
+    ) {
         if !self.is_live(now) {
             return;
         }
         let purged = self.book.applied;
         match message {
             Message::Get(get) => {
-                match self.slices.get(&cache_slice(&get.key)) {
+                match self.partitions.get(&cache_partition(&get.key)) {
                     Some(epoch) => self.cache.get(now, from.address, get, *epoch, purged),
                     // Between two owners: whoever asks fetches for itself.
                     None => self.tell(
@@ -242,7 +257,7 @@
                 }
             }
             Message::Put(put) => {
-                if let Some(epoch) = self.slices.get(&cache_slice(&put.key)) {
+                if let Some(epoch) = self.partitions.get(&cache_partition(&put.key)) {
                     let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
                     if !self.cache.put(now, put, *epoch, &self.book) {
                         self.note(Event::PutDropped, text);
@@ -254,12 +269,12 @@
                 token,
                 private,
             }) => {
-                if let Some(epoch) = self.slices.get(&cache_slice(&key)) {
+                if let Some(epoch) = self.partitions.get(&cache_partition(&key)) {
                     self.cache.give_up(now, key, token, *epoch, purged, private);
                 }
             }
-            Message::PermitRequest(request) => match self.gates.get_mut(&request.service) {
-                Some(gate) => gate.request_permit(now, from.address, request),
+            Message::PermitRequest(request) => match self.admissions.get_mut(&request.service) {
+                Some(admission) => admission.request_permit(now, from.address, request),
                 None => self.tell(
                     from.address,
                     PermitRefused {
@@ -270,8 +285,8 @@
                 ),
             },
             Message::PermitWithdrawn(withdrawn) => {
-                if let Some(gate) = self.gates.get_mut(&withdrawn.service) {
-                    gate.withdraw(now, from.address, withdrawn.id);
+                if let Some(admission) = self.admissions.get_mut(&withdrawn.service) {
+                    admission.withdraw(now, from.address, withdrawn.id);
                 }
             }
             Message::GetWithdrawn(withdrawn) => {
@@ -279,32 +294,32 @@
                     .withdraw(from.address, &withdrawn.key, withdrawn.id);
             }
             Message::CallDone(done) => {
-                if let Some(gate) = self.gates.get_mut(&done.service) {
-                    gate.done(now, done);
+                if let Some(admission) = self.admissions.get_mut(&done.service) {
+                    admission.done(now, done);
                 }
             }
             Message::CallsInProgress(told) => {
-                if let Some(gate) = self.gates.get_mut(&told.service) {
-                    gate.underway(now, told);
+                if let Some(admission) = self.admissions.get_mut(&told.service) {
+                    admission.underway(now, told);
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn run_gates(&mut self, now: Duration) {
+    pub(super) fn run_admissions(&mut self, now: Duration) {
         let Some(table) = self.table.clone() else {
             return;
         };
         let mut calls = Vec::new();
         let mut watches = Vec::new();
-        for gate in self.gates.values_mut() {
-            gate.pump(now);
-            let Some(group) = table.document.group(&gate.service) else {
+        for admission in self.admissions.values_mut() {
+            admission.pump(now);
+            let Some(group) = table.document.group(&admission.service) else {
                 continue;
             };
-            watches.extend(gate.watches(now));
-            for origin in gate.probes(now) {
+            watches.extend(admission.watches(now));
+            for origin in admission.probes(now) {
                 calls.push((origin, group.key.clone()));
             }
         }
@@ -345,9 +360,9 @@
             CallBack::Bad(why) => (false, why),
         };
         let changed = self
-            .gates
+            .admissions
             .get_mut(&origin.service)
-            .is_some_and(|gate| gate.probed(now, &origin, good));
+            .is_some_and(|admission| admission.probed(now, &origin, good));
         if changed {
             let text = format!(
                 "{} {} {}: {why}",
@@ -364,11 +379,11 @@
         }
     }
 
-    /// What the duties held here have to say goes out.
-    pub(super) fn flush_duties(&mut self) {
+    /// What the assignments held here have to say goes out.
+    pub(super) fn flush_assignments(&mut self) {
         let mut told = self.cache.take_out();
-        for gate in self.gates.values_mut() {
-            told.extend(gate.take_out());
+        for admission in self.admissions.values_mut() {
+            told.extend(admission.take_out());
         }
         for (to, message) in told {
             self.tell(to, message);
--- a/data-plane/src/edge_part/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -3,7 +3,7 @@
 //! Of all requests here that miss the same key one asks the owner; the others
 //! follow it (`Coalescer`). What it gets is kept (`NearCache`) and serves them
 //! all. An owner that says nothing is done without after `OWNER_SILENT`.
-use super::{EdgePart, PURGE_GRACE};
+use super::{EdgeNode, PURGE_GRACE};
 use crate::cache_owner::{STALL, minor_span};
 use crate::job::{keepable, shareable};
 use crate::prelude::*;
@@ -23,7 +23,7 @@
     doubled.min(SLOWEST_REPEAT)
 }
 
-impl EdgePart {
+impl EdgeNode {
     /// The near copy that this request is served at once, if there is one: a
     /// fresh one, or any while another request asks the owner for it.
     pub(super) fn near_answer(&mut self, now: Duration, job: &Job) -> Option<Answer> {
--- a/data-plane/src/edge_part/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -1,8 +1,8 @@
 //! Calls to origins: permits, their endings and further tries.
-use super::EdgePart;
+use super::EdgeNode;
 use crate::prelude::*;
 
-impl EdgePart {
+impl EdgeNode {
     pub(super) fn permit(&mut self, now: Duration, from: Peer, permit: Permit) {
         let fresh = now.saturating_sub(permit.sent).saturating_sub(permit.held) < lease::PERMIT;
         let live = self.is_live(now);
@@ -29,7 +29,7 @@
                 },
             );
             if let Some(job) = asker.and_then(|id| self.jobs.get_mut(&id)) {
-                // With the next tick, not at once: a gate that has not heard
+                // With the next tick, not at once: an admission controller that has not heard
                 // of a leaving origin yet would give it again and again.
                 job.again = now;
             }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Calls without a permit, within our own share, where the gate is silent.
+    /// Calls without a permit, within our own share, where the admission controller is silent.
     pub(super) fn call_without_permit(&mut self, now: Duration, id: u64) {
         let Some(job) = self.jobs.get(&id).filter(|job| {
             job.calls == 0 && now < job.deadline && matches!(job.stage, Stage::AwaitingPermit)
@@ -95,9 +95,9 @@
             let there = |job: &&Job| matches!(&job.stage, Stage::Calling { permit, .. } if permit.origin.address == address);
             self.jobs.values().filter(there).count()
         };
-        let edges = match self.known[usize::from(DUTIES)].get("roll") {
+        let edges = match self.known[usize::from(ASSIGNMENTS)].get("roll") {
             Some(Row {
-                value: Value::Roll { members, .. },
+                value: Value::EdgeRegistry { members, .. },
                 ..
             }) => members.len(),
             _ => return,
@@ -107,7 +107,7 @@
             now,
             job.request.group(),
             &self.origins,
-            &self.spot,
+            &self.locality,
             edges,
             &under,
         ) else {
@@ -245,9 +245,9 @@
         }
     }
 
-    /// The gate hears how a call by its permit has ended.
+    /// The admission controller hears how a call by its permit has ended.
     pub(super) fn tell_call_done(&mut self, permit: &Permit, result: CallResult, took: Duration) {
-        if let Some(holder) = self.holder(&gate_duty(&permit.service)) {
+        if let Some(holder) = self.holder(&admission_assignment(&permit.service)) {
             let done = CallDone {
                 service: permit.service.clone(),
                 epoch: permit.epoch,
--- a/data-plane/src/edge_part/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -4,10 +4,10 @@
 //! may be repeated is broken off, unless others gain by it: requests that wait
 //! for the same copy, or the cache owner that made this one its refresher. An
 //! operation that may have run goes on until its outcome is recorded.
-use super::{EdgePart, OWN_IDS};
+use super::{EdgeNode, OWN_IDS};
 use crate::prelude::*;
 
-impl EdgePart {
+impl EdgeNode {
     /// The close of the caller's connection was read.
     pub(super) fn caller_left(&mut self, now: Duration, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes back the question to the gate or cache owner that has not answered
+    /// Takes back the question to the admission controller or cache owner that has not answered
     /// yet.
     pub(super) fn withdraw_question(&mut self, now: Duration, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/data-plane/src/edge_part/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -10,30 +10,30 @@
 use crate::prelude::*;
 
 /// An edge node without its I/O. Invariants:
-/// - `vector` holds, for each news slice, the version that was applied whole;
+/// - `vector` holds, for each updates partition, the version that was applied whole;
 ///   it never goes down in a life.
-/// - Duties are exercised only while live and only under the epoch the news
+/// - Assignments are exercised only while live and only under the epoch the updates
 ///   granted to this very life.
 /// - A call leaves only while live, under a permit younger than
 ///   `lease::PERMIT`, to an origin that is listed and not leaving.
-pub struct EdgePart {
+pub struct EdgeNode {
     me: Peer,
-    spot: Spot,
+    locality: Locality,
     /// Who is renewed with: those who hold the slots, as far as that is known.
     seeds: Vec<SocketAddr>,
     /// How many slots there are; 0 before that is known.
     slots: usize,
-    /// The realm the news is of; 0 before the first.
-    realm: u64,
+    /// The generation the updates is of; 0 before the first.
+    generation: u64,
     vector: Vec<u64>,
     /// The last mark of each control node, to be given back.
-    marks: HashMap<SocketAddr, Mark>,
+    renewal_tokens: HashMap<SocketAddr, RenewalToken>,
     /// Every row shown to us, to tell it back if the control plane lost it.
     known: Vec<BTreeMap<String, Row>>,
     /// Own operations that ended lately, for the same reason.
     ended: VecDeque<(Duration, Claim, Option<Arc<Reply>>)>,
     recalling: bool,
-    /// When the realm was entered.
+    /// When the generation was entered.
     entered: Duration,
     leases: Leases,
     link_delay: LinkDelay,
@@ -43,21 +43,21 @@
     /// The parts of the configuration the table was made of.
     items: Items,
     origins: Arc<Vec<Origin>>,
-    duties: HashMap<String, Duty>,
+    assignments: HashMap<String, Assignment>,
     book: PurgeBook,
     cache: CacheOwner,
     /// Copies served here lately, whoever owns them.
     near: NearCache,
     coalescer: Coalescer,
-    /// Cache slices held here, with the epoch they were granted under.
-    slices: BTreeMap<u16, u64>,
-    /// Slices just taken whose copies the last holder may have: asked so often.
+    /// Cache partitions held here, with the epoch they were granted under.
+    partitions: BTreeMap<u16, u64>,
+    /// Partitions just taken whose copies the last holder may have: asked so often.
     wants: BTreeMap<u16, (SocketAddr, u32)>,
-    gates: BTreeMap<String, Gate>,
+    admissions: BTreeMap<String, AdmissionController>,
     extra_tries: usize,
     /// From a warning to the end of the process at the latest.
     grace: Duration,
-    /// What is sent by ourselves while a gate says nothing.
+    /// What is sent by ourselves while an admission controller says nothing.
     shares: BTreeMap<String, OwnShare>,
     jobs: BTreeMap<u64, Job>,
     /// Which job waits for the answer to a question or call, by its own id.
@@ -83,7 +83,7 @@
 const AGAIN: Duration = Duration::from_millis(200);
 /// A request whose deadline passed gets this much more to tell the ledger.
 const LATE: Duration = Duration::from_secs(1);
-/// A warned edge waits this long for its duties to be taken.
+/// A warned edge waits this long for its assignments to be taken.
 const HAND_OVER: Duration = Duration::from_secs(5);
 /// Errands of one service pending at one edge at most.
 const PENDING: usize = 256;
@@ -99,7 +99,7 @@
 /// Where nothing is said of it.
 const GRACE: Duration = Duration::from_secs(20);
 const EXTRA_TRIES: usize = 3;
-/// A gate that says nothing for this long is done without.
+/// An admission controller that says nothing for this long is done without.
 const SILENT: Duration = Duration::from_millis(250);
 const PROBE: &str = "/.well-known/otterslip-identity";
 const PROBE_LIMIT: Duration = Duration::from_millis(1000);
@@ -108,24 +108,24 @@
 /// An odd number that spreads lives over all ids.
 const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
-impl EdgePart {
+impl EdgeNode {
     /// The seeds hold the slots, unless it is `asked` who does.
     pub fn new(
         me: Peer,
-        spot: Spot,
+        locality: Locality,
         seeds: Vec<SocketAddr>,
         asked: bool,
         cache_bytes: u64,
-    ) -> EdgePart {
-        EdgePart {
+    ) -> EdgeNode {
+        EdgeNode {
             slots: if asked { 0 } else { seeds.len() },
             me,
-            spot,
+            locality,
             seeds,
-            realm: 0,
-            vector: vec![0; NEWS.into()],
-            marks: HashMap::new(),
-            known: vec![BTreeMap::new(); NEWS.into()],
+            generation: 0,
+            vector: vec![0; PUBLISHED_PARTITIONS.into()],
+            renewal_tokens: HashMap::new(),
+            known: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
             ended: VecDeque::new(),
             recalling: false,
             entered: Duration::ZERO,
@@ -136,14 +136,14 @@
             table: None,
             items: Items::default(),
             origins: Arc::default(),
-            duties: HashMap::new(),
+            assignments: HashMap::new(),
             book: PurgeBook::default(),
             cache: CacheOwner::new(cache_bytes),
             near: NearCache::new(cache_bytes / NEAR_PART),
             coalescer: Coalescer::default(),
-            slices: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             wants: BTreeMap::new(),
-            gates: BTreeMap::new(),
+            admissions: BTreeMap::new(),
             extra_tries: EXTRA_TRIES,
             grace: GRACE,
             shares: BTreeMap::new(),
@@ -153,7 +153,7 @@
             probes: HashMap::new(),
             // Not where another life at this address began: answers to its
             // questions may still be on their way.
-            last_id: me.life.wrapping_mul(SPREAD),
+            last_id: me.incarnation.wrapping_mul(SPREAD),
             usage: Usage::default(),
             abandoned_work: AbandonedWork::default(),
             warned: None,
@@ -164,16 +164,16 @@
 
     /// Extra tries a service may get in ten seconds beside a fifth of the
     /// first ones.
-    pub fn with_extra_tries(self, most: Option<u32>) -> EdgePart {
-        EdgePart {
+    pub fn with_extra_tries(self, most: Option<u32>) -> EdgeNode {
+        EdgeNode {
             extra_tries: most.map_or(EXTRA_TRIES, |most| most as usize),
             ..self
         }
     }
 
     /// How long the process goes on after a warning at most.
-    pub fn with_grace(self, grace: Duration) -> EdgePart {
-        EdgePart { grace, ..self }
+    pub fn with_grace(self, grace: Duration) -> EdgeNode {
+        EdgeNode { grace, ..self }
     }
 
     /// An id for one question or call, unlike all before in this life.
@@ -195,7 +195,7 @@
         question
     }
 
-    /// The job that this answer of a gate or cache owner is for, which is asked
+    /// The job that this answer of an admission controller or cache owner is for, which is asked
     /// no more.
     fn answered(&mut self, question: u64) -> Option<u64> {
         let id = self.asker(question)?;
@@ -228,13 +228,13 @@
         self.check_live(now);
         self.ask_wants(now);
         if self.is_live(now) {
-            let epochs = &self.slices;
+            let epochs = &self.partitions;
             self.cache.tick(
                 now,
-                &|slice| epochs.get(&slice).copied().unwrap_or(0),
+                &|partition| epochs.get(&partition).copied().unwrap_or(0),
                 self.book.applied,
             );
-            self.run_gates(now);
+            self.run_admissions(now);
         }
         let mut overdue = Vec::new();
         let mut again = Vec::new();
@@ -268,11 +268,12 @@
         self.check_ended(now);
     }
 
-    /// After a warning: duties are taken by others, what was read is
+    /// After a warning: assignments are taken by others, what was read is
     /// answered, then the session is left.
     fn check_ended(&mut self, now: Duration) {
         let Some(since) = self.warned else { return };
-        let idle = self.slices.is_empty() && self.gates.is_empty() && !self.cache.has_aside();
+        let idle =
+            self.partitions.is_empty() && self.admissions.is_empty() && !self.cache.has_aside();
         if !self.left
             && self.jobs.is_empty()
             && self.loose.is_empty()
@@ -293,12 +294,12 @@
             Message::RenewReply(renewed) => self.renewed(now, from, renewed),
             Message::UpdateNotice(nudge) => self.nudged(now, from, &nudge),
             Message::RenewPrompt(who) => {
-                self.marks.insert(from.address, who.mark);
+                self.renewal_tokens.insert(from.address, who.renewal_token);
                 self.renew(now);
             }
             Message::HandoverRequest(want) => self.want(now, from, want),
             Message::HandoverReply(handed) => self.handed(now, handed),
-            Message::RecallRequest(recall) => self.recall(from, recall.slice),
+            Message::RecallRequest(recall) => self.recall(from, recall.partition),
             Message::ChangeReply(told) => self.told(now, told),
             Message::Copy(copy) => self.copy(now, copy),
             Message::Miss(miss) => self.miss(now, from, miss),
@@ -307,12 +308,12 @@
             Message::Permit(permit) => self.permit(now, from, permit),
             Message::PermitRefused(away) => self.permit_refused(now, away),
             Message::PermitQueued(line) => self.permit_queued(now, line.id),
-            other => self.handle_duty_message(now, from, other),
+            other => self.handle_assignment_message(now, from, other),
         }
     }
 }
 
-impl Part for EdgePart {
+impl StateMachine for EdgeNode {
     fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
@@ -324,11 +325,11 @@
                 self.called(now, id, result);
             }
             Input::Watched { address, open } => {
-                self.gates
+                self.admissions
                     .values_mut()
-                    .for_each(|gate| gate.watched(now, address, open));
+                    .for_each(|admission| admission.watched(now, address, open));
                 // At once: a proof is on the path of the first errands.
-                self.run_gates(now);
+                self.run_admissions(now);
             }
             Input::ShutdownRequested => {
                 self.warned.get_or_insert(now);
@@ -342,7 +343,7 @@
             }
             Input::Stored { .. } | Input::StoreFailed => {}
         }
-        self.flush_duties();
+        self.flush_assignments();
         self.watch_calls(now);
         std::mem::take(&mut self.out)
     }
--- a/data-plane/src/edge_part/operations.rs
+++ b/data-plane/src/edge_node/operations.rs
@@ -1,14 +1,14 @@
 //! What a keyed request tells the ledger.
-use super::{ENDED, EdgePart, Loose};
+use super::{ENDED, EdgeNode, Loose};
 use crate::prelude::*;
 
-impl EdgePart {
+impl EdgeNode {
     /// Asks the ledger, through the control node that answered last, then
     /// through the others in turn.
     pub(super) fn ask(&mut self, question: u64, round: usize, change: Change) {
-        let slice = match &change {
+        let partition = match &change {
             Change::Claim(claim) | Change::Release(claim) | Change::Record(claim, _) => {
-                ledger_slice(&claim.operation)
+                ledger_partition(&claim.operation)
             }
             _ => return,
         };
@@ -24,7 +24,7 @@
                 hops: 0,
                 asker: self.me.address,
                 id: question,
-                slice,
+                partition,
                 ask: change,
             },
         );
--- a/data-plane/src/edge_part/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -1,8 +1,8 @@
-//! Renewals of this edge's lease and the news they bring.
-use super::EdgePart;
+//! Renewals of this edge's lease and the updates they bring.
+use super::EdgeNode;
 use crate::prelude::*;
 
-impl EdgePart {
+impl EdgeNode {
     pub(super) fn renew(&mut self, now: Duration) {
         if self.left {
             return;
@@ -17,29 +17,29 @@
             pending: self.jobs.len() as u64,
             ..self.usage.clone()
         };
-        // Keyed errands begun in an earlier realm still have their end to tell.
+        // Keyed errands begun in an earlier generation still have their end to tell.
         let old = |job: &Job| job.claim.is_some() && job.began < self.entered;
         let recalled = self.loose.is_empty() && !self.jobs.values().any(old);
         let found = self
-            .gates
+            .admissions
             .values()
-            .flat_map(|gate| gate.found(now))
+            .flat_map(|admission| admission.found(now))
             .collect();
         let renew = RenewRequest {
             sent: now,
             heard: None,
-            realm: self.realm,
+            generation: self.generation,
             recalled,
             vector: self.vector.clone(),
-            zone: self.spot.zone.clone(),
-            ring: self.spot.ring.clone(),
-            strength: self.spot.strength,
+            zone: self.locality.zone.clone(),
+            ring: self.locality.ring.clone(),
+            strength: self.locality.strength,
             draining: self.warned.is_some(),
             usage,
             found,
         };
         for seed in seeds {
-            let heard = self.marks.get(&seed).copied();
+            let heard = self.renewal_tokens.get(&seed).copied();
             self.tell(
                 seed,
                 RenewRequest {
@@ -53,10 +53,11 @@
     /// Who nudged shows what we lack: it is asked alone, the others are told
     /// once it is applied.
     pub(super) fn nudged(&mut self, now: Duration, from: Peer, nudge: &UpdateNotice) {
-        self.marks.insert(from.address, nudge.mark);
+        self.renewal_tokens
+            .insert(from.address, nudge.renewal_token);
         let known = self
             .vector
-            .get(usize::from(nudge.slice))
+            .get(usize::from(nudge.partition))
             .is_some_and(|known| *known >= nudge.version);
         if known || self.left {
             return;
@@ -69,31 +70,35 @@
     }
 
     pub(super) fn renewed(&mut self, now: Duration, from: Peer, renewed: RenewReply) {
-        if renewed.life != self.me.life || !self.seeds.contains(&from.address) || self.left {
+        if renewed.incarnation != self.me.incarnation
+            || !self.seeds.contains(&from.address)
+            || self.left
+        {
             return;
         }
-        if Realm::older(renewed.realm, self.realm) && renewed.realm != 0 {
-            return; // It has not heard of the new realm yet.
+        if Generation::older(renewed.generation, self.generation) && renewed.generation != 0 {
+            return; // It has not heard of the new generation yet.
         }
-        if renewed.news.is_empty() {
+        if renewed.updates.is_empty() {
             let delay =
                 self.link_delay
                     .measured(now, from.address, now.saturating_sub(renewed.sent));
             self.out.push(Output::Show(Shown::LinkDelay(delay)));
         }
-        self.marks.insert(from.address, renewed.mark);
+        self.renewal_tokens
+            .insert(from.address, renewed.renewal_token);
         let before = std::mem::replace(&mut self.recalling, renewed.recall);
         let recall = renewed.recall && !before;
-        if renewed.realm != 0 && renewed.realm != self.realm {
-            self.enter(now, renewed.realm);
+        if renewed.generation != 0 && renewed.generation != self.generation {
+            self.enter(now, renewed.generation);
         } else if recall {
             self.tell_ended();
         }
         let mut newer = false;
-        for news in renewed.news.into_news() {
-            if news.version > self.vector[usize::from(news.slice)] {
+        for updates in renewed.updates.into_updates() {
+            if updates.version > self.vector[usize::from(updates.partition)] {
                 newer = true;
-                self.learn(now, news);
+                self.learn(now, updates);
             }
         }
         if self.seeds.contains(&from.address) {
@@ -106,10 +111,10 @@
         }
     }
 
-    /// A new realm: what is known of the old one goes, but for what is told
-    /// back; all news is taken anew. Duties of the old one are void.
-    pub(super) fn enter(&mut self, now: Duration, realm: u64) {
-        let before = std::mem::replace(&mut self.realm, realm);
+    /// A new generation: what is known of the old one goes, but for what is told
+    /// back; all updates is taken anew. Assignments of the old one are void.
+    pub(super) fn enter(&mut self, now: Duration, generation: u64) {
+        let before = std::mem::replace(&mut self.generation, generation);
         self.entered = now;
         if before == 0 {
             return;
@@ -117,16 +122,16 @@
         // What is taken anew may be older at one control node than what was
         // known here: as at a start, two must have told theirs.
         self.leases.drop_all();
-        // Fenced before anything of the new realm is shown.
+        // Fenced before anything of the new generation is shown.
         self.check_live(now);
-        self.vector = vec![0; NEWS.into()];
-        self.known = vec![BTreeMap::new(); NEWS.into()];
+        self.vector = vec![0; PUBLISHED_PARTITIONS.into()];
+        self.known = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
         self.items = Items::default();
-        self.duties.clear();
+        self.assignments.clear();
         self.cache.clear();
         self.near.clear();
         self.book = PurgeBook::default();
-        self.sync_duties(now);
+        self.sync_assignments(now);
         self.tell_ended();
     }
 
@@ -141,8 +146,8 @@
         }
     }
 
-    pub(super) fn recall(&mut self, from: Peer, slice: u8) {
-        if let Some(rows) = self.known.get(usize::from(slice)) {
+    pub(super) fn recall(&mut self, from: Peer, partition: u8) {
+        if let Some(rows) = self.known.get(usize::from(partition)) {
             let rows = rows
                 .iter()
                 .map(|(key, row)| (key.clone(), row.clone()))
@@ -150,25 +155,25 @@
             self.tell(
                 from.address,
                 RecallReply {
-                    slice,
-                    version: self.vector[usize::from(slice)],
+                    partition,
+                    version: self.vector[usize::from(partition)],
                     rows,
                 },
             );
         }
     }
 
-    pub(super) fn learn(&mut self, now: Duration, news: News) {
-        let known = self.vector[usize::from(news.slice)];
-        let rows: Vec<(String, Row)> = news
+    pub(super) fn learn(&mut self, now: Duration, updates: PartitionUpdate) {
+        let known = self.vector[usize::from(updates.partition)];
+        let rows: Vec<(String, Row)> = updates
             .rows
             .into_iter()
             .filter(|(_, row)| row.version > known)
             .collect();
-        self.known[usize::from(news.slice)].extend(rows.iter().cloned());
-        match news.slice {
+        self.known[usize::from(updates.partition)].extend(rows.iter().cloned());
+        match updates.partition {
             PURGES => {
-                let (fresh, missed) = self.book.learn(now, news.version, &rows);
+                let (fresh, missed) = self.book.learn(now, updates.version, &rows);
                 if missed {
                     self.cache.clear();
                     self.near.clear();
@@ -185,25 +190,25 @@
                 rows.into_iter()
                     .for_each(|(key, row)| self.learn_row(key, row));
                 if parts {
-                    self.take_configuration(news.version);
+                    self.take_configuration(updates.version);
                 }
             }
             _ => rows
                 .into_iter()
                 .for_each(|(key, row)| self.learn_row(key, row)),
         }
-        self.vector[usize::from(news.slice)] = news.version;
-        // What duties are held and how hangs on these three.
-        if [CONFIGURATION, ORIGINS, DUTIES].contains(&news.slice) {
-            self.sync_duties(now);
+        self.vector[usize::from(updates.partition)] = updates.version;
+        // What assignments are held and how hangs on these three.
+        if [CONFIGURATION, ORIGINS, ASSIGNMENTS].contains(&updates.partition) {
+            self.sync_assignments(now);
         }
-        if news.slice == DUTIES {
+        if updates.partition == ASSIGNMENTS {
             self.forget_gone_askers(now);
         }
     }
 
     /// The parts as they stand now, made one table. What was acknowledged fits
-    /// together; news shows whole versions only.
+    /// together; updates shows whole versions only.
     pub(super) fn take_configuration(&mut self, version: u64) {
         if let Ok((document, bounds)) = self.items.merged() {
             let table = Arc::new(EntryTable::new(version, document).within(bounds));
@@ -220,10 +225,10 @@
                 let _ = self.items.learn(&key, &row);
             }
             Value::Origins { list, .. } => self.origins = list,
-            Value::Duty(duty) => {
-                self.duties.insert(key, duty);
+            Value::Assignment(assignment) => {
+                self.assignments.insert(key, assignment);
             }
-            Value::Places(places) => {
+            Value::Members(places) => {
                 // Renewals of who no longer holds a slot count for nothing.
                 self.seeds = places.iter().map(|peer| peer.address).collect();
                 self.slots = places.len();
@@ -232,7 +237,7 @@
             Value::Purge { .. }
             | Value::Operation(_)
             | Value::Founded { .. }
-            | Value::Roll { .. }
+            | Value::EdgeRegistry { .. }
             | Value::Enrolled { .. }
             | Value::Opened { .. }
             | Value::Accepted(_)
--- a/data-plane/src/edge_part/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -1,9 +1,9 @@
 //! The life of a request, from its arrival to its one answer.
 use super::cached::{OWNER_SILENT, repeat_span};
-use super::{AGAIN, EdgePart, LATE, PENDING, SILENT};
+use super::{AGAIN, EdgeNode, LATE, PENDING, SILENT};
 use crate::prelude::*;
 
-impl EdgePart {
+impl EdgeNode {
     pub(super) fn begin(&mut self, now: Duration, id: u64, request: ClientRequest) {
         self.usage.errands += 1;
         let mut job = Job::new(now, request);
@@ -124,7 +124,10 @@
                     spare: *spare,
                 };
                 let spare = *spare;
-                match self.holder(&cache_duty(&self.spot.ring, cache_slice(&key))) {
+                match self.holder(&cache_assignment(
+                    &self.locality.ring,
+                    cache_partition(&key),
+                )) {
                     Some(holder) => {
                         asked_of = Some(holder);
                         self.tell(holder, get);
@@ -137,9 +140,9 @@
             Stage::AwaitingPermit => {
                 let entry = job.request.entry();
                 let service = job.request.service.clone();
-                let gate = gate_duty(&service);
+                let admission = admission_assignment(&service);
                 let (extra, call) = (job.calls > 0, job.call_limit(now, Duration::ZERO));
-                let (zone, region) = (self.spot.zone.clone(), self.spot.region.clone());
+                let (zone, region) = (self.locality.zone.clone(), self.locality.region.clone());
                 let permit_request = PermitRequest {
                     service,
                     id: question,
@@ -153,7 +156,7 @@
                     region,
                     avoid: job.failed.clone(),
                 };
-                match self.holder(&gate) {
+                match self.holder(&admission) {
                     Some(holder) => {
                         asked_of = Some(holder);
                         self.tell(holder, permit_request);
--- a/data-plane/src/job.rs
+++ b/data-plane/src/job.rs
@@ -14,7 +14,7 @@
     pub stage: Stage,
     /// The id of the question or call whose answer the stage waits for.
     pub question: u64,
-    /// The gate or cache owner that holds the question, unless it has answered.
+    /// The admission controller or cache owner that holds the question, unless it has answered.
     pub asked_of: Option<SocketAddr>,
     /// Its caller closed the connection: nobody waits for the answer.
     pub caller_left: bool,
@@ -29,7 +29,7 @@
     pub failure: Option<Reply>,
     /// When the message of this stage was last said.
     pub asked: Duration,
-    /// When the gate or the cache owner was last heard of, or first asked.
+    /// When the admission controller or the cache owner was last heard of, or first asked.
     pub heard: Duration,
     /// Origins that failed it.
     pub failed: Vec<SocketAddr>,
--- a/data-plane/src/leases.rs
+++ b/data-plane/src/leases.rs
@@ -4,7 +4,7 @@
 use crate::prelude::*;
 
 /// This edge's sessions with the control nodes. Invariant: a renewal
-/// counts from its sending and only once the news it brought is applied; the
+/// counts from its sending and only once the updates it brought is applied; the
 /// edge is live only while `rest` of the slots in the table stand: whoever asks
 /// `most` of them about an edge that is live asks one that it relies on.
 #[derive(Debug, Default)]
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -1,13 +1,13 @@
-//! The data plane: filters, cache owners, gates, calls to origins.
+//! The data plane: filters, cache owners, admission controllers, calls to origins.
 mod abandoned_work;
+mod admission;
 mod answer_sizes;
 mod cache_owner;
 mod call_result;
 mod caller_face;
 mod coalescer;
-mod edge_part;
+mod edge_node;
 mod filter;
-mod gate;
 mod job;
 mod leases;
 mod line_face;
@@ -21,7 +21,7 @@
 mod seal;
 pub use call_result::judge_call;
 pub use caller_face::client_request_of;
-pub use edge_part::EdgePart;
+pub use edge_node::EdgeNode;
 pub use line_face::LineFace;
 pub use own_words::OwnWords;
 pub use seal::Seal;
--- a/data-plane/src/own_share.rs
+++ b/data-plane/src/own_share.rs
@@ -3,12 +3,12 @@
 
 use crate::prelude::*;
 
-/// What one edge sends a service by itself while the service's gate says
+/// What one edge sends a service by itself while the service's admission controller says
 /// nothing. Invariants:
 /// - Only groups whose origins are named with each call: no proof is missed.
-/// - All edges' shares and the gate's part stay within the whole rate: each
+/// - All edges' shares and the admission controller's part stay within the whole rate: each
 ///   edge of the roll has an equal share of `OWN_PART`.
-/// - First tries only: the budget of the others is the gate's.
+/// - First tries only: the budget of the others is the admission controller's.
 #[derive(Default)]
 pub struct OwnShare {
     room: Option<Room>,
@@ -16,7 +16,7 @@
     sore: HashMap<SocketAddr, Duration>,
 }
 
-/// Of a whole rate, for all edges that cannot reach the gate.
+/// Of a whole rate, for all edges that cannot reach the admission controller.
 const OWN_PART: f64 = 0.1;
 const SORE: Duration = Duration::from_secs(1);
 
@@ -28,7 +28,7 @@
         now: Duration,
         group: &Group,
         origins: &[Origin],
-        spot: &Spot,
+        locality: &Locality,
         edges: usize,
         under: &dyn Fn(SocketAddr) -> usize,
     ) -> Option<Origin> {
@@ -54,9 +54,14 @@
                 && !self.sore.contains_key(&origin.address)
                 && under(origin.address) < places(origin)
         });
-        let far = |origin: &Origin| (origin.region != spot.region, origin.zone != spot.zone);
+        let far = |origin: &Origin| {
+            (
+                origin.region != locality.region,
+                origin.zone != locality.zone,
+            )
+        };
         let best = usable
-            .min_by_key(|origin| (far(origin), under(origin.address), spread(spot, origin)))?
+            .min_by_key(|origin| (far(origin), under(origin.address), spread(locality, origin)))?
             .clone();
         if let Some(room) = &mut self.room {
             room.take(now);
@@ -70,6 +75,6 @@
 }
 
 /// Unlike edges begin with unlike origins.
-fn spread(spot: &Spot, origin: &Origin) -> u32 {
-    crc32fast::hash(format!("{}{}", spot.zone, origin.address).as_bytes())
+fn spread(locality: &Locality, origin: &Origin) -> u32 {
+    crc32fast::hash(format!("{}{}", locality.zone, origin.address).as_bytes())
 }
--- a/data-plane/src/own_share/tests.rs
+++ b/data-plane/src/own_share/tests.rs
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn all_edges_shares_and_the_gates_part_stay_within_the_whole_rate() {
-    let spot = Spot {
+fn all_edges_shares_and_the_admissions_part_stay_within_the_whole_rate() {
+    let locality = Locality {
         zone: "a".into(),
         region: "r".into(),
         ring: String::new(),
@@ -47,7 +47,7 @@
                     Duration::from_millis(ms),
                     &group(Proof::Named, Some(300.0)),
                     &origins,
-                    &spot,
+                    &locality,
                     10,
                     &|_| 0,
                 )
@@ -62,7 +62,7 @@
                 Duration::from_secs(9),
                 &group(Proof::Seal, None),
                 &origins,
-                &spot,
+                &locality,
                 10,
                 &|_| 0
             )
@@ -73,7 +73,7 @@
 
 #[test]
 fn the_nearest_goes_first_and_what_failed_or_is_full_is_left_alone() {
-    let spot = Spot {
+    let locality = Locality {
         zone: "b".into(),
         region: "r".into(),
         ring: String::new(),
@@ -92,7 +92,7 @@
     let now = Duration::from_secs(1);
     let port = |origin: Option<Origin>| origin.map(|origin| origin.address.port());
     assert_eq!(
-        port(share.pick(now, &named, &origins, &spot, 4, &|_| 0)),
+        port(share.pick(now, &named, &origins, &locality, 4, &|_| 0)),
         Some(2)
     );
     assert_eq!(
@@ -100,7 +100,7 @@
             now,
             &named,
             &origins,
-            &spot,
+            &locality,
             4,
             &|address| if address.port() == 2 { 8 } else { 0 }
         )),
@@ -108,7 +108,7 @@
     );
     share.failed(now, origins[1].address);
     assert_eq!(
-        port(share.pick(now, &named, &origins, &spot, 4, &|_| 0)),
+        port(share.pick(now, &named, &origins, &locality, 4, &|_| 0)),
         Some(1)
     );
     assert_eq!(
@@ -116,7 +116,7 @@
             now + Duration::from_secs(2),
             &named,
             &origins,
-            &spot,
+            &locality,
             4,
             &|_| 0
         )),
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -1,12 +1,12 @@
 pub use crate::abandoned_work::{AbandonedWork, Violation, ViolationKind};
+pub use crate::admission::AdmissionController;
 pub use crate::answer_sizes::AnswerSizes;
 pub use crate::cache_owner::CacheOwner;
 pub use crate::call_result::judge_call;
 pub use crate::caller_face::client_request_of;
 pub use crate::coalescer::{Coalescer, GroupRole};
-pub use crate::edge_part::EdgePart;
+pub use crate::edge_node::EdgeNode;
 pub use crate::filter::{Arrival, Filter, FilterPlugIn, Filtered, chain};
-pub use crate::gate::Gate;
 pub use crate::job::{Fetch, Job, Stage};
 pub use crate::leases::Leases;
 pub use crate::link_delay::LinkDelay;
--- a/data-plane/src/purge_book.rs
+++ b/data-plane/src/purge_book.rs
@@ -16,7 +16,7 @@
 }
 
 impl PurgeBook {
-    /// Takes news; returns what is new, and whether some were missed so that
+    /// Takes updates; returns what is new, and whether some were missed so that
     /// every copy must go.
     pub fn learn(
         &mut self,
--- a/data-plane/tests/crossed_answers.rs
+++ b/data-plane/tests/crossed_answers.rs
@@ -5,7 +5,7 @@
 use edge::*;
 use std::collections::HashSet;
 
-fn begin(edge: &mut EdgePart, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
+fn begin(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
     edge.step(
         at(now),
         Input::ClientRequest {
@@ -15,7 +15,7 @@
     )
 }
 
-fn called(edge: &mut EdgePart, now: u64, id: u64, result: CallBack) -> Vec<Output> {
+fn called(edge: &mut EdgeNode, now: u64, id: u64, result: CallBack) -> Vec<Output> {
     edge.step(at(now), Input::Called { id, result })
 }
 
@@ -47,22 +47,32 @@
 fn a_permit_for_an_earlier_try_is_not_used_for_the_next() {
     let mut edge = live(1000);
     let listed = origin(50);
-    news(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let first = question(&begin(&mut edge, 1000, 1, "/low", "GET"));
-    let out = heard(&mut edge, 1010, GATE, permit(first, listed.clone(), 1005));
+    let out = heard(
+        &mut edge,
+        1010,
+        ADMISSION,
+        permit(first, listed.clone(), 1005),
+    );
     assert_eq!(calls(&out), 1);
     let out = called(&mut edge, 1020, question(&out), CallBack::NotRun);
     let second = question(&out);
     assert_ne!(first, second);
-    // The gate was asked twice for the first try: it counted both as such.
-    let out = heard(&mut edge, 1030, GATE, permit(first, listed.clone(), 1025));
+    // The admission controller was asked twice for the first try: it counted both as such.
+    let out = heard(
+        &mut edge,
+        1030,
+        ADMISSION,
+        permit(first, listed.clone(), 1025),
+    );
     assert_eq!(calls(&out), 0);
     let unused = |output: &Output| {
         matches!(output, Output::Tell { message: Message::CallDone(done), .. }
             if done.result == CallResult::Unused)
     };
     assert!(out.iter().any(unused), "it is given back");
-    let out = heard(&mut edge, 1040, GATE, permit(second, listed, 1035));
+    let out = heard(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
     assert_eq!(calls(&out), 1);
 }
 
@@ -70,17 +80,22 @@
 fn the_end_of_an_earlier_call_says_nothing_of_the_one_under_way() {
     let mut edge = live(1000);
     let listed = origin(50);
-    news(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let asked_for = question(&begin(&mut edge, 1000, 1, "/once", "POST"));
     let out = heard(
         &mut edge,
         1010,
-        GATE,
+        ADMISSION,
         permit(asked_for, listed.clone(), 1005),
     );
     let first = question(&out);
     let out = called(&mut edge, 1020, first, CallBack::NotRun);
-    let out = heard(&mut edge, 1030, GATE, permit(question(&out), listed, 1025));
+    let out = heard(
+        &mut edge,
+        1030,
+        ADMISSION,
+        permit(question(&out), listed, 1025),
+    );
     let second = question(&out);
     for result in [CallBack::NotRun, CallBack::Stranger, good("first")] {
         let out = called(&mut edge, 1040, first, result);
@@ -93,7 +108,7 @@
 #[test]
 fn a_copy_that_was_asked_for_earlier_does_not_pass_as_a_fresh_one() {
     let mut edge = live(1000);
-    news(&mut edge, 1000, &[], true);
+    updates(&mut edge, 1000, &[], true);
     let first = question(&begin(&mut edge, 1000, 1, "/copy", "GET"));
     let key = Job::cache_key(&client_request("/copy", "GET"));
     let copy = |id, left| Copy {
@@ -121,16 +136,19 @@
 }
 
 #[test]
-fn ids_of_two_lives_at_one_address_do_not_meet() {
-    let ids = |life: u64| -> HashSet<u64> {
-        let mut edge = live_as(1000, life);
-        news_as(&mut edge, 1000, &[], false, life);
+fn ids_of_two_incarnations_at_one_address_do_not_meet() {
+    let ids = |incarnation: u64| -> HashSet<u64> {
+        let mut edge = live_as(1000, incarnation);
+        updates_as(&mut edge, 1000, &[], false, incarnation);
         (0..200)
             .map(|id| question(&begin(&mut edge, 1000, id, "/low", "GET")))
             .collect()
     };
-    let lives: Vec<HashSet<u64>> = [5, 6, 7, 1 << 40, u64::MAX].map(ids).into();
-    let all: HashSet<u64> = lives.iter().flatten().copied().collect();
-    assert_eq!(all.len(), lives.iter().map(HashSet::len).sum::<usize>());
+    let incarnations: Vec<HashSet<u64>> = [5, 6, 7, 1 << 40, u64::MAX].map(ids).into();
+    let all: HashSet<u64> = incarnations.iter().flatten().copied().collect();
+    assert_eq!(
+        all.len(),
+        incarnations.iter().map(HashSet::len).sum::<usize>()
+    );
     assert_eq!(all.len(), 5 * 200);
 }
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -103,9 +103,9 @@
     answered: bool,
 }
 
-/// An edge with requests of all kinds; gate, owner and ledger are the test's.
+/// An edge with requests of all kinds; admission controller, owner and ledger are the test's.
 struct Model {
-    edge: EdgePart,
+    edge: EdgeNode,
     now: u64,
     requests: BTreeMap<u64, Request>,
     /// Questions not answered yet, oldest first.
@@ -125,7 +125,7 @@
 impl Model {
     fn new() -> Model {
         let mut edge = live(START_MS);
-        news(&mut edge, START_MS, &[origin(50)], true);
+        updates(&mut edge, START_MS, &[origin(50)], true);
         Model {
             edge,
             now: START_MS,
@@ -166,7 +166,7 @@
                 self.edge.step(at(now), Input::CallerLeft { id })
             }
             Step::Permit(which) => match take(&mut self.permits, which) {
-                Some(id) => heard(&mut self.edge, now, GATE, permit(id, origin(50), now)),
+                Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
                 None => return Ok(()),
             },
             Step::Refused(which) => match take(&mut self.permits, which) {
@@ -176,7 +176,7 @@
                         reason: AwayReason::Busy,
                         back: at(100),
                     };
-                    heard(&mut self.edge, now, GATE, refused)
+                    heard(&mut self.edge, now, ADMISSION, refused)
                 }
                 None => return Ok(()),
             },
@@ -374,20 +374,25 @@
     out.iter().filter_map(one).collect()
 }
 
-fn begin(edge: &mut EdgePart, id: u64, url: &str, method: &str) -> Vec<Output> {
+fn begin(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
     let request = client_request(url, method);
     edge.step(at(START_MS), Input::ClientRequest { id, request })
 }
 
-fn ready_edge() -> EdgePart {
+fn ready_edge() -> EdgeNode {
     let mut edge = live(START_MS);
-    news(&mut edge, START_MS, &[origin(50)], true);
+    updates(&mut edge, START_MS, &[origin(50)], true);
     edge
 }
 
 /// The call of the request, begun by a permit.
-fn called(edge: &mut EdgePart, begun: &[Output]) -> u64 {
-    let out = heard(edge, 1010, GATE, permit(question(begun), origin(50), 1005));
+fn called(edge: &mut EdgeNode, begun: &[Output]) -> u64 {
+    let out = heard(
+        edge,
+        1010,
+        ADMISSION,
+        permit(question(begun), origin(50), 1005),
+    );
     question(&out)
 }
 
@@ -418,7 +423,7 @@
     assert_eq!(withdrawn(&out), [asked]);
     let left = (1, 503, "caller_left".to_string(), RunState::NotRun);
     assert_eq!(answers(out), [left]);
-    let out = heard(&mut edge, 1301, GATE, permit(asked, origin(50), 1299));
+    let out = heard(&mut edge, 1301, ADMISSION, permit(asked, origin(50), 1299));
     assert_eq!(call_results(&out), [CallResult::Unused]);
 }
 
@@ -536,7 +541,7 @@
     let asked = question(&out);
     let out = edge.step(at(1050), Input::CallerLeft { id: 1 });
     assert!(withdrawn(&out).is_empty());
-    let out = heard(&mut edge, 1060, GATE, permit(asked, origin(50), 1059));
+    let out = heard(&mut edge, 1060, ADMISSION, permit(asked, origin(50), 1059));
     let call = question(&out);
     let result = CallBack::Good(reply(200));
     let out = edge.step(at(1100), Input::Called { id: call, result });
@@ -601,38 +606,38 @@
     }
 }
 
-/// An edge that died has no place in line at the gate that this edge holds.
+/// An edge that died has no place in line at the admission controller that this edge holds.
 #[test]
-fn a_gate_forgets_what_a_gone_edge_asked_for() {
+fn a_admission_forgets_what_a_gone_edge_asked_for() {
     const GONE: u16 = 60;
     let mut edge = live(START_MS);
     let row = |value| Row { version: 1, value };
     let me = Peer::new(address(9), 5);
-    let duty = Duty {
+    let assignment = Assignment {
         epoch: 1,
         holder: Some(me),
         last: None,
     };
     let list = Arc::new(Vec::new());
-    let roll = |members: Vec<Peer>, gone| Value::Roll {
+    let roll = |members: Vec<Peer>, gone| Value::EdgeRegistry {
         members,
         gone,
         complete: true,
     };
     let dead = Peer::new(address(GONE), 1);
-    let learn = |edge: &mut EdgePart, version, rows: Vec<(String, Row)>, slice| {
-        let news = News {
-            slice,
+    let learn = |edge: &mut EdgeNode, version, rows: Vec<(String, Row)>, partition| {
+        let updates = PartitionUpdate {
+            partition,
             version,
             rows,
         };
         let renewed = RenewReply {
-            life: 5,
-            mark: Mark::default(),
+            incarnation: 5,
+            renewal_token: RenewalToken::default(),
             sent: at(START_MS),
-            realm: 0,
+            generation: 0,
             recall: false,
-            news: vec![news].into(),
+            updates: vec![updates].into(),
         };
         heard(edge, START_MS, 1, renewed);
     };
@@ -654,11 +659,14 @@
         vec![("origins".into(), row(origins))],
         ORIGINS,
     );
-    let duties = vec![
-        (gate_duty("slow"), row(Value::Duty(duty))),
+    let assignments = vec![
+        (
+            admission_assignment("slow"),
+            row(Value::Assignment(assignment)),
+        ),
         ("roll".into(), row(roll(vec![me, dead], vec![]))),
     ];
-    learn(&mut edge, 1, duties, DUTIES);
+    learn(&mut edge, 1, assignments, ASSIGNMENTS);
     let ask = PermitRequest {
         service: "slow".into(),
         id: 1,
@@ -683,7 +691,7 @@
                 value: roll(vec![me], vec![dead]),
             },
         )],
-        DUTIES,
+        ASSIGNMENTS,
     );
     let mut told = Vec::new();
     for now in (START_MS + 50..START_MS + 3000).step_by(50) {
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -32,16 +32,16 @@
 }
 
 /// An edge with two renewals at `now`, whose peers are played by the test.
-pub fn live(now: u64) -> EdgePart {
+pub fn live(now: u64) -> EdgeNode {
     live_as(now, 5)
 }
 
 /// The same, in a life of the test's choice.
-pub fn live_as(now: u64, life: u64) -> EdgePart {
-    let me = Peer::new(address(9), life);
-    let mut edge = EdgePart::new(
+pub fn live_as(now: u64, incarnation: u64) -> EdgeNode {
+    let me = Peer::new(address(9), incarnation);
+    let mut edge = EdgeNode::new(
         me,
-        Spot::default(),
+        Locality::default(),
         vec![address(1), address(2), address(3)],
         false,
         1 << 20,
@@ -49,12 +49,12 @@
     edge.step(at(now), Input::Tick);
     for seed in [1, 2] {
         let renewed = RenewReply {
-            life,
-            mark: Mark::default(),
+            incarnation,
+            renewal_token: RenewalToken::default(),
             sent: at(now),
-            realm: 0,
+            generation: 0,
             recall: false,
-            news: SharedNews::default(),
+            updates: SharedUpdates::default(),
         };
         edge.step(
             at(now),
@@ -68,15 +68,15 @@
 }
 
 /// Renewals with two control nodes, so that an edge of life 5 stays live.
-pub fn renew(edge: &mut EdgePart, now: u64) {
+pub fn renew(edge: &mut EdgeNode, now: u64) {
     for seed in [1, 2] {
         let renewed = RenewReply {
-            life: 5,
-            mark: Mark::default(),
+            incarnation: 5,
+            renewal_token: RenewalToken::default(),
             sent: at(now),
-            realm: 0,
+            generation: 0,
             recall: false,
-            news: SharedNews::default(),
+            updates: SharedUpdates::default(),
         };
         heard(edge, now, seed, renewed);
     }
@@ -140,7 +140,7 @@
     out.iter().rev().find_map(one).expect("a question")
 }
 
-pub fn told(edge: &mut EdgePart, now: u64, id: u64, told: Outcome) -> Vec<Output> {
+pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: Outcome) -> Vec<Output> {
     edge.step(
         at(now),
         Input::Heard {
@@ -150,59 +150,62 @@
     )
 }
 
-/// News that names an origin of "slow" and the peers that hold its gate and,
-/// if `cache` is set, all cache slices.
-pub fn news(edge: &mut EdgePart, now: u64, origins: &[Origin], cache: bool) -> Vec<Output> {
-    news_as(edge, now, origins, cache, 5)
+/// Updates that names an origin of "slow" and the peers that hold its admission controller and,
+/// if `cache` is set, all cache partitions.
+pub fn updates(edge: &mut EdgeNode, now: u64, origins: &[Origin], cache: bool) -> Vec<Output> {
+    updates_as(edge, now, origins, cache, 5)
 }
 
 /// The same, to an edge of another life.
-pub fn news_as(
-    edge: &mut EdgePart,
+pub fn updates_as(
+    edge: &mut EdgeNode,
     now: u64,
     origins: &[Origin],
     cache: bool,
-    life: u64,
+    incarnation: u64,
 ) -> Vec<Output> {
     let row = |value| Row { version: 1, value };
-    let duty = |holder: u16| {
-        row(Value::Duty(Duty {
+    let assignment = |holder: u16| {
+        row(Value::Assignment(Assignment {
             epoch: 1,
             holder: Some(Peer::new(address(holder), 1)),
             last: None,
         }))
     };
-    let mut duties = vec![(gate_duty("slow"), duty(GATE))];
+    let mut assignments = vec![(admission_assignment("slow"), assignment(ADMISSION))];
     if cache {
-        duties.extend((0..CACHE_SLICES).map(|slice| (cache_duty("", slice), duty(OWNER))));
+        assignments.extend(
+            (0..CACHE_PARTITIONS)
+                .map(|partition| (cache_assignment("", partition), assignment(OWNER))),
+        );
     }
     let list = Arc::new(origins.to_vec());
     let origins = row(Value::Origins { list, change: 1 });
-    let news = |slice, rows| News {
-        slice,
+    let updates = |partition, rows| PartitionUpdate {
+        partition,
         version: 1,
         rows,
     };
     let renewed = RenewReply {
-        life,
-        mark: Mark::default(),
+        incarnation,
+        renewal_token: RenewalToken::default(),
         sent: at(now),
-        realm: 0,
+        generation: 0,
         recall: false,
-        news: vec![
-            news(ORIGINS, vec![("origins".into(), origins)]),
-            news(DUTIES, duties),
+        updates: vec![
+            updates(ORIGINS, vec![("origins".into(), origins)]),
+            updates(ASSIGNMENTS, assignments),
         ]
         .into(),
     };
     heard(edge, now, 1, renewed)
 }
 
-/// Who holds the gate of "slow", and who the cache slices.
-pub const GATE: u16 = 8;
+/// Who holds the admission controller of "slow", and who the cache partitions.
+pub const ADMISSION: u16 = 8;
 pub const OWNER: u16 = 7;
 
-pub fn heard(edge: &mut EdgePart, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
+pub fn heard(edge: &mut EdgeNode, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
     edge.step(at(now), Input::Heard { from, message })
--- a/data-plane/tests/edge_part.rs
+++ b/data-plane/tests/edge_node.rs
@@ -56,7 +56,7 @@
 #[test]
 fn without_two_renewals_nothing_is_begun_and_of_a_keyed_errand_nothing_is_said() {
     let mut edge = live(1000);
-    let told = |edge: &mut EdgePart, now, id, url: &str, method: &str| {
+    let told = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
         answers(edge.step(
             at(now),
             Input::ClientRequest {
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn a_renewal_of_an_earlier_life_or_a_stranger_counts_for_nothing() {
-    for (life, seed) in [(4, 3), (5, 7)] {
+fn a_renewal_of_an_earlier_incarnation_or_a_stranger_counts_for_nothing() {
+    for (incarnation, seed) in [(4, 3), (5, 7)] {
         let mut edge = live(1000);
         let renewed = RenewReply {
-            life,
-            mark: Mark::default(),
+            incarnation,
+            renewal_token: RenewalToken::default(),
             sent: at(5000),
-            realm: 0,
+            generation: 0,
             recall: false,
-            news: SharedNews::default(),
+            updates: SharedUpdates::default(),
         };
         for _ in 0..2 {
             edge.step(
@@ -104,7 +104,7 @@
                 request: client_request("/quick", "GET"),
             },
         ));
-        assert_eq!(told.len(), 1, "life {life}, seed {seed}");
+        assert_eq!(told.len(), 1, "life {incarnation}, seed {seed}");
     }
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn what_is_known_already_is_not_renewed_for_and_a_nudge_asks_the_nudger_alone() {
     let mut edge = live(1000);
-    let said = |edge: &mut EdgePart, seed, message: Message| -> Vec<SocketAddr> {
+    let said = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
         let out = edge.step(
             at(1010),
             Input::Heard {
@@ -130,14 +130,14 @@
             })
             .collect()
     };
-    let news = || RenewReply {
-        life: 5,
-        mark: Mark::default(),
+    let updates = || RenewReply {
+        incarnation: 5,
+        renewal_token: RenewalToken::default(),
         sent: at(1010),
-        realm: 0,
+        generation: 0,
         recall: false,
-        news: vec![News {
-            slice: PURGES,
+        updates: vec![PartitionUpdate {
+            partition: PURGES,
             version: 4,
             rows: vec![],
         }]
@@ -148,28 +148,28 @@
             &mut edge,
             2,
             UpdateNotice {
-                slice: PURGES,
+                partition: PURGES,
                 version: 4,
-                mark: Mark::default()
+                renewal_token: RenewalToken::default()
             }
             .into()
         ),
         [address(2)]
     );
     assert_eq!(
-        said(&mut edge, 2, news().into()).len(),
+        said(&mut edge, 2, updates().into()).len(),
         3,
         "all are told that it is applied"
     );
-    assert!(said(&mut edge, 3, news().into()).is_empty());
+    assert!(said(&mut edge, 3, updates().into()).is_empty());
     assert!(
         said(
             &mut edge,
             3,
             UpdateNotice {
-                slice: PURGES,
+                partition: PURGES,
                 version: 4,
-                mark: Mark::default()
+                renewal_token: RenewalToken::default()
             }
             .into()
         )
@@ -180,9 +180,9 @@
             &mut edge,
             3,
             UpdateNotice {
-                slice: PURGES,
+                partition: PURGES,
                 version: 5,
-                mark: Mark::default()
+                renewal_token: RenewalToken::default()
             }
             .into()
         ),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn the_lease_of_who_lost_its_slot_ends_with_the_news_of_it() {
+fn the_lease_of_who_lost_its_slot_ends_with_the_updates_of_it() {
     let mut edge = live(1000);
     let places = [
         Peer::new(address(4), 8),
@@ -200,26 +200,26 @@
     ];
     let row = Row {
         version: 1,
-        value: Value::Places(places.to_vec()),
+        value: Value::Members(places.to_vec()),
     };
-    let news = vec![News {
-        slice: PLACES,
+    let updates = vec![PartitionUpdate {
+        partition: MEMBERSHIP,
         version: 1,
         rows: vec![("places".into(), row)],
     }];
-    let renewed = |sent, news| RenewReply {
-        life: 5,
-        mark: Mark::default(),
+    let renewed = |sent, updates| RenewReply {
+        incarnation: 5,
+        renewal_token: RenewalToken::default(),
         sent: at(sent),
-        realm: 0,
+        generation: 0,
         recall: false,
-        news,
+        updates,
     };
     edge.step(
         at(1100),
         Input::Heard {
             from: Peer::new(address(2), 1),
-            message: renewed(1100, news.into()).into(),
+            message: renewed(1100, updates.into()).into(),
         },
     );
     let told = answers(edge.step(
@@ -234,7 +234,7 @@
         at(1300),
         Input::Heard {
             from: Peer::new(address(4), 8),
-            message: renewed(1300, SharedNews::default()).into(),
+            message: renewed(1300, SharedUpdates::default()).into(),
         },
     );
     assert!(
@@ -252,7 +252,7 @@
 #[test]
 fn not_run_is_said_of_a_keyed_errand_only_once_its_release_is_recorded() {
     let mut edge = live(1000);
-    news(&mut edge, 1000, &[], false);
+    updates(&mut edge, 1000, &[], false);
     let out = edge.step(
         at(1000),
         Input::ClientRequest {
@@ -288,7 +288,7 @@
 fn what_was_sent_and_not_answered_is_unknown_and_recorded_before_it_is_said() {
     let mut edge = live(1000);
     let listed = origin(50);
-    news(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let out = edge.step(
         at(1000),
         Input::ClientRequest {
@@ -298,7 +298,7 @@
     );
     let out = told(&mut edge, 1010, question(&out), Outcome::Claimed);
     let asked_for = question(&out);
-    let permitted = |edge: &mut EdgePart, permit: Permit| heard(edge, 1300, GATE, permit);
+    let permitted = |edge: &mut EdgeNode, permit: Permit| heard(edge, 1300, ADMISSION, permit);
     let called = |out: &[Output]| {
         out.iter()
             .any(|output| matches!(output, Output::Call { .. }))
--- a/data-plane/tests/ending.rs
+++ b/data-plane/tests/ending.rs
@@ -11,7 +11,7 @@
 #[test]
 fn whatever_waits_is_given_back_in_the_first_half_of_the_grace_time() {
     let mut edge = live(1000).with_grace(at(GRACE_MS));
-    news(&mut edge, 1000, &[origin(50)], true);
+    updates(&mut edge, 1000, &[origin(50)], true);
     let urls = [("/copy", "GET"), ("/low", "GET"), ("/k", "POST")];
     for id in 0..30u64 {
         let (url, method) = urls[id as usize % 3];
@@ -39,7 +39,7 @@
 #[test]
 fn a_request_that_comes_late_in_the_grace_time_is_refused_at_once_and_a_call_goes_on() {
     let mut edge = live(1000).with_grace(at(GRACE_MS));
-    news(&mut edge, 1000, &[origin(50)], false);
+    updates(&mut edge, 1000, &[origin(50)], false);
     let once = client_request("/once", "POST");
     let begun = edge.step(
         at(1000),
@@ -51,7 +51,7 @@
     let out = heard(
         &mut edge,
         1010,
-        GATE,
+        ADMISSION,
         permit(question(&begun), origin(50), 1005),
     );
     let call = question(&out);
@@ -83,7 +83,7 @@
     const PATIENCE_MS: u64 = 4000;
     for warned in [false, true] {
         let mut edge = live(1000).with_grace(at(GRACE_MS));
-        news(&mut edge, 1000, &[origin(50)], false);
+        updates(&mut edge, 1000, &[origin(50)], false);
         if warned {
             edge.step(at(1000), Input::ShutdownRequested);
         }
@@ -91,7 +91,7 @@
         request.patience = Some(at(PATIENCE_MS));
         let begun = edge.step(at(1000), Input::ClientRequest { id: 1, request });
         let permit = permit(question(&begun), origin(50), 1005);
-        let out = heard(&mut edge, 1010, GATE, permit);
+        let out = heard(&mut edge, 1010, ADMISSION, permit);
         let limit = out.iter().find_map(|output| match output {
             Output::Call { call, .. } => Some(call.limit),
             _ => None,
@@ -107,12 +107,12 @@
 fn at_the_warning_calls_under_way_are_given_all_the_time_that_is_left() {
     const PATIENCE_MS: u64 = 4000;
     let mut edge = live(1000).with_grace(at(GRACE_MS));
-    news(&mut edge, 1000, &[origin(50)], false);
+    updates(&mut edge, 1000, &[origin(50)], false);
     let mut request = client_request("/low", "GET");
     request.patience = Some(at(PATIENCE_MS));
     let begun = edge.step(at(1000), Input::ClientRequest { id: 1, request });
     let permit = permit(question(&begun), origin(50), 1005);
-    let call = question(&heard(&mut edge, 1010, GATE, permit));
+    let call = question(&heard(&mut edge, 1010, ADMISSION, permit));
     let out = edge.step(at(1500), Input::ShutdownRequested);
     let extended = out.iter().find_map(|output| match output {
         Output::ExtendCall { id, limit } => Some((*id, *limit)),
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -86,7 +86,7 @@
 }
 
 struct Fleet {
-    edges: Vec<EdgePart>,
+    edges: Vec<EdgeNode>,
     links: Vec<Link>,
     queue: BTreeMap<(u64, u64), Happening>,
     serial: u64,
@@ -126,12 +126,12 @@
         match message {
             Message::RenewRequest(renew) => {
                 let reply = RenewReply {
-                    life: edge as u64 + 1,
-                    mark: Mark::default(),
+                    incarnation: edge as u64 + 1,
+                    renewal_token: RenewalToken::default(),
                     sent: renew.sent,
-                    realm: 0,
+                    generation: 0,
                     recall: false,
-                    news: SharedNews::default(),
+                    updates: SharedUpdates::default(),
                 };
                 let came = self.links[edge].carry(left as f64, 200) as u64 + WAY_MS;
                 self.push(
@@ -189,35 +189,45 @@
     }
 
     /// Edge 0 owns all keys.
-    fn news(life: u64) -> RenewReply {
-        let duty = |name: String, peer: Peer| {
+    fn updates(incarnation: u64) -> RenewReply {
+        let assignment = |name: String, peer: Peer| {
             let holder = Some(peer);
-            let duty = Duty {
+            let assignment = Assignment {
                 epoch: 1,
                 holder,
                 last: None,
             };
-            let value = Value::Duty(duty);
+            let value = Value::Assignment(assignment);
             (name, Row { version: 1, value })
         };
         let owner = Peer::new(edge_address(0), 1);
-        let mut duties = vec![duty(gate_duty("slow"), Peer::new(address(GATE), 1))];
-        duties.extend((0..CACHE_SLICES).map(|slice| duty(cache_duty("", slice), owner)));
+        let mut assignments = vec![assignment(
+            admission_assignment("slow"),
+            Peer::new(address(ADMISSION), 1),
+        )];
+        assignments.extend(
+            (0..CACHE_PARTITIONS)
+                .map(|partition| assignment(cache_assignment("", partition), owner)),
+        );
         let list = Arc::new(vec![origin(50)]);
         let value = Value::Origins { list, change: 1 };
         let origins = ("origins".to_string(), Row { version: 1, value });
-        let news = |slice, rows| News {
-            slice,
+        let updates = |partition, rows| PartitionUpdate {
+            partition,
             version: 1,
             rows,
         };
         RenewReply {
-            life,
-            mark: Mark::default(),
+            incarnation,
+            renewal_token: RenewalToken::default(),
             sent: at(0),
-            realm: 0,
+            generation: 0,
             recall: false,
-            news: vec![news(ORIGINS, vec![origins]), news(DUTIES, duties)].into(),
+            updates: vec![
+                updates(ORIGINS, vec![origins]),
+                updates(ASSIGNMENTS, assignments),
+            ]
+            .into(),
         }
     }
 
@@ -225,7 +235,7 @@
         let edge = |index: usize| {
             let me = Peer::new(edge_address(index), index as u64 + 1);
             let seeds = vec![address(1), address(2), address(3)];
-            EdgePart::new(me, Spot::default(), seeds, false, 1 << 24)
+            EdgeNode::new(me, Locality::default(), seeds, false, 1 << 24)
         };
         let mut fleet = Fleet {
             edges: (0..EDGES).map(edge).collect(),
@@ -245,7 +255,7 @@
         };
         for index in 0..EDGES {
             for seed in [1, 2] {
-                let message = Box::new(Fleet::news(index as u64 + 1).into());
+                let message = Box::new(Fleet::updates(index as u64 + 1).into());
                 let heard = Happening::Heard(index, Peer::new(address(seed), 1), message);
                 fleet.push(0, heard);
             }
--- a/data-plane/tests/near_copies.rs
+++ b/data-plane/tests/near_copies.rs
@@ -12,7 +12,7 @@
     Job::cache_key(&client_request("/copy", "GET"))
 }
 
-fn begin(edge: &mut EdgePart, now: u64, id: u64) -> Vec<Output> {
+fn begin(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
     let mut request = client_request("/copy", "GET");
     request.patience = Some(at(PATIENCE_MS));
     edge.step(at(now), Input::ClientRequest { id, request })
@@ -80,7 +80,7 @@
 }
 
 /// Steps of 50 ms with renewals; everything that comes out.
-fn run(edge: &mut EdgePart, from: u64, to: u64) -> Vec<Output> {
+fn run(edge: &mut EdgeNode, from: u64, to: u64) -> Vec<Output> {
     let mut out = Vec::new();
     for now in (from..=to).step_by(50) {
         renew(edge, now);
@@ -89,14 +89,14 @@
     out
 }
 
-fn ready() -> EdgePart {
+fn ready() -> EdgeNode {
     let mut edge = live(1000);
-    news(&mut edge, 1000, &[origin(50)], true);
+    updates(&mut edge, 1000, &[origin(50)], true);
     edge
 }
 
 /// An edge that has a copy since 1000.
-fn filled() -> EdgePart {
+fn filled() -> EdgeNode {
     let mut edge = ready();
     let question = question(&begin(&mut edge, 1000, 1));
     heard(&mut edge, 1000, OWNER, copy(question, "a", 0));
@@ -152,13 +152,13 @@
     let value = Value::Purge { purge, change: 1 };
     let row = Row { version: 2, value };
     let renewed = RenewReply {
-        life: 5,
-        mark: Mark::default(),
+        incarnation: 5,
+        renewal_token: RenewalToken::default(),
         sent: at(1100),
-        realm: 0,
+        generation: 0,
         recall: false,
-        news: vec![News {
-            slice: PURGES,
+        updates: vec![PartitionUpdate {
+            partition: PURGES,
             version: 2,
             rows: vec![("p".into(), row)],
         }]
@@ -241,7 +241,7 @@
         reason: AwayReason::Busy,
         back: at(100),
     };
-    let told = answers(heard(&mut edge, 1020, GATE, refused));
+    let told = answers(heard(&mut edge, 1020, ADMISSION, refused));
     assert_eq!(told.len(), 9);
     assert!(told.iter().all(|(_, status, _, _)| *status == 429));
 }
@@ -265,7 +265,7 @@
     let out = heard(
         &mut edge,
         1020,
-        GATE,
+        ADMISSION,
         permit(question(&out), origin(50), 1015),
     );
     let call = question(&out);
@@ -287,7 +287,7 @@
 fn a_follower_that_is_turned_away_does_not_lead_its_group_later() {
     const PENDING: u64 = 256;
     let mut edge = ready();
-    let request = |edge: &mut EdgePart, now: u64, id: u64, url: &str, patience: u64| {
+    let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, patience: u64| {
         let mut request = client_request(url, "GET");
         request.patience = Some(at(patience));
         edge.step(at(now), Input::ClientRequest { id, request })
@@ -322,7 +322,7 @@
     };
     let out = heard(&mut edge, 1010, OWNER, miss);
     let ask = permit(question(&out), origin(50), 1015);
-    let call = question(&heard(&mut edge, 1020, GATE, ask));
+    let call = question(&heard(&mut edge, 1020, ADMISSION, ask));
     let result = CallBack::Good(reply("x"));
     let out = edge.step(at(1100), Input::Called { id: call, result });
     assert_eq!(served(&out).len(), 9);
@@ -387,13 +387,13 @@
                     value,
                 };
                 let renewed = RenewReply {
-                    life: 5,
-                    mark: Mark::default(),
+                    incarnation: 5,
+                    renewal_token: RenewalToken::default(),
                     sent: at(now),
-                    realm: 0,
+                    generation: 0,
                     recall: false,
-                    news: vec![News {
-                        slice: PURGES,
+                    updates: vec![PartitionUpdate {
+                        partition: PURGES,
                         version: purges,
                         rows: vec![(format!("p{purges}"), row)],
                     }]
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -115,7 +115,7 @@
 
 struct Model {
     sort: Sort,
-    edge: EdgePart,
+    edge: EdgeNode,
     now: u64,
     permits: Vec<u64>,
     ledger: Vec<u64>,
@@ -131,7 +131,7 @@
 impl Model {
     fn new(sort: Sort) -> Result<Model, TestCaseError> {
         let mut edge = live(1000);
-        news(&mut edge, 1000, &[origin(50)], false);
+        updates(&mut edge, 1000, &[origin(50)], false);
         let mut model = Model {
             sort,
             edge,
@@ -163,12 +163,12 @@
     fn renew(&mut self) {
         for seed in [1, 2] {
             let renewed = RenewReply {
-                life: 5,
-                mark: Mark::default(),
+                incarnation: 5,
+                renewal_token: RenewalToken::default(),
                 sent: at(self.now),
-                realm: 0,
+                generation: 0,
                 recall: false,
-                news: SharedNews::default(),
+                updates: SharedUpdates::default(),
             };
             heard(&mut self.edge, self.now, seed, renewed);
         }
@@ -178,7 +178,7 @@
         let now = self.now;
         let out = match step {
             Step::Permit { back } => match earlier(&self.permits, back) {
-                Some(id) => heard(&mut self.edge, now, GATE, permit(id, origin(50), now)),
+                Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
                 None => return Ok(()),
             },
             Step::Refused { back, busy } => match earlier(&self.permits, back) {
@@ -192,7 +192,7 @@
                     heard(
                         &mut self.edge,
                         now,
-                        GATE,
+                        ADMISSION,
                         PermitRefused { id, reason, back },
                     )
                 }
--- a/http-line/src/outgoing.rs
+++ b/http-line/src/outgoing.rs
@@ -11,7 +11,7 @@
     left: usize,
 }
 
-const SLICES: usize = 16;
+const PARTITIONS: usize = 16;
 
 impl Outgoing {
     pub fn push(&mut self, body: Body) {
@@ -34,16 +34,16 @@
     pub fn write(&mut self, sink: &mut dyn Write) -> (usize, io::Result<()>) {
         let mut sum = 0;
         while self.left > 0 {
-            let mut slices = [IoSlice::new(&[]); SLICES];
+            let mut partitions = [IoSlice::new(&[]); PARTITIONS];
             let mut count = 0;
-            for (slice, piece) in slices.iter_mut().zip(&self.pieces) {
+            for (partition, piece) in partitions.iter_mut().zip(&self.pieces) {
                 let from = if count == 0 { self.at } else { 0 };
-                *slice = IoSlice::new(&piece.bytes()[from..]);
+                *partition = IoSlice::new(&piece.bytes()[from..]);
                 count += 1;
             }
             let wrote = match count {
-                1 => sink.write(&slices[0]),
-                _ => sink.write_vectored(&slices[..count]),
+                1 => sink.write(&partitions[0]),
+                _ => sink.write_vectored(&partitions[..count]),
             };
             match wrote {
                 Ok(0) => return (sum, Err(ErrorKind::WriteZero.into())),
@@ -55,7 +55,7 @@
                 Err(e) => return (sum, Err(e)),
             }
         }
-        if self.pieces.capacity() > SLICES {
+        if self.pieces.capacity() > PARTITIONS {
             self.pieces = VecDeque::new();
         }
         (sum, Ok(()))
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -15,7 +15,7 @@
 }
 
 /// The origins of one service and how they may be called. A service has one
-/// group, so budgets and rates of a service have one gate.
+/// group, so budgets and rates of a service have one admission controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Group {
     #[validate(length(min = 1, max = 64))]
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -21,8 +21,8 @@
     FrameRefused = 111, Warn;
     MessageRefused = 112, Warn;
     QueueFull = 113, Warn;
-    SliceTaken = 200, Info;
-    SliceLost = 201, Warn;
+    PartitionAcquired = 200, Info;
+    PartitionLost = 201, Warn;
     DiskBlank = 210, Warn;
     DiskRefilled = 211, Info;
     DiskFailed = 212, Error;
@@ -30,7 +30,7 @@
     LogCorrupt = 214, Error;
     MemberReplaced = 215, Info;
     MemberRemoved = 216, Error;
-    RealmFounded = 217, Info;
+    GenerationFounded = 217, Info;
     MajorityLost = 218, Error;
     RowsRecalled = 219, Warn;
     SessionOpened = 220, Info;
@@ -38,8 +38,8 @@
     SessionLeft = 222, Info;
     DiskRestored = 223, Info;
     LogRefused = 224, Error;
-    DutyRevoked = 230, Info;
-    DutyGranted = 231, Info;
+    AssignmentRevoked = 230, Info;
+    AssignmentGranted = 231, Info;
     ConfigurationPut = 240, Info;
     OriginsPut = 241, Info;
     HistoryFailed = 242, Warn;
@@ -48,8 +48,8 @@
     Live = 300, Info;
     Fenced = 301, Warn;
     ConfigurationTaken = 302, Info;
-    DutyTaken = 310, Info;
-    DutyDropped = 311, Info;
+    AssignmentAcquired = 310, Info;
+    AssignmentDropped = 311, Info;
     PutDropped = 320, Info;
     OriginProven = 330, Info;
     OriginAside = 331, Warn;
--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 use bincode::Options;
 
-/// Larger than any whole slice image we send.
+/// Larger than any whole partition image we send.
 pub const FRAME_BYTES: usize = 64 * 1024 * 1024;
 /// A larger message that need not hurry goes in pieces of this size.
 pub const PIECE_BYTES: usize = 16 * 1024;
@@ -55,8 +55,8 @@
 impl EncodedMessage {
     pub fn new(from: Peer, message: &Message) -> Result<EncodedMessage> {
         let encoded = match message {
-            Message::RenewReply(reply) if !reply.news.is_empty() => {
-                EncodedMessage::sharing_news(from, reply)?
+            Message::RenewReply(reply) if !reply.updates.is_empty() => {
+                EncodedMessage::sharing_updates(from, reply)?
             }
             _ => EncodedMessage {
                 own: bincode::serialize(&(from, message))?,
@@ -70,17 +70,17 @@
         Ok(encoded)
     }
 
-    /// News is the last field of a reply, so it stands at the end.
-    fn sharing_news(from: Peer, reply: &RenewReply) -> Result<EncodedMessage> {
+    /// Updates is the last field of a reply, so it stands at the end.
+    fn sharing_updates(from: Peer, reply: &RenewReply) -> Result<EncodedMessage> {
         let without = RenewReply {
-            news: SharedNews::default(),
+            updates: SharedUpdates::default(),
             ..reply.clone()
         };
         let mut own = bincode::serialize(&(from, Message::from(without)))?;
         own.truncate(own.len() - EMPTY_LIST_BYTES);
         Ok(EncodedMessage {
             own,
-            shared: Some(reply.news.encoded()),
+            shared: Some(reply.updates.encoded()),
             expires: None,
         })
     }
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -14,8 +14,8 @@
     fence: AtomicU64,
     ready: AtomicBool,
     pub ending: AtomicBool,
-    /// The duties held now, by name.
-    pub duties: ArcSwap<Vec<String>>,
+    /// The assignments held now, by name.
+    pub assignments: ArcSwap<Vec<String>>,
     pub startup: Startup,
 }
 
@@ -26,13 +26,13 @@
             give,
             began: Instant::now(),
             // Not where an earlier run began: its late answers fit no call of ours.
-            serial: AtomicU64::new(new_life()? >> 1),
+            serial: AtomicU64::new(new_incarnation()? >> 1),
             waits: Mutex::default(),
             image: ArcSwap::from_pointee(None),
             fence: AtomicU64::new(0),
             ready: AtomicBool::new(false),
             ending: AtomicBool::new(false),
-            duties: ArcSwap::default(),
+            assignments: ArcSwap::default(),
             startup,
         })
     }
@@ -88,9 +88,12 @@
         }
     }
 
-    /// Whether this process holds a duty now, as far as it knows.
-    pub fn holds(&self, duty: &str) -> bool {
-        self.duties.load().iter().any(|known| known == duty)
+    /// Whether this process holds an assignment now, as far as it knows.
+    pub fn holds(&self, assignment: &str) -> bool {
+        self.assignments
+            .load()
+            .iter()
+            .any(|known| known == assignment)
     }
 
     /// True while the lease stands; read anew right before an answer is sent.
@@ -123,7 +126,7 @@
 const FLUSH_STEPS: u32 = 32;
 
 impl Host {
-    pub fn run(mut self, mut part: Box<dyn Part>) -> Result<()> {
+    pub fn run(mut self, mut part: Box<dyn StateMachine>) -> Result<()> {
         let (give, take) = flume::unbounded::<Input>();
         let mesh = self.startup.mesh.context("mesh address")?;
         let listener =
@@ -200,7 +203,9 @@
                     Output::Show(Shown::Fence { until, ready }) => {
                         port.set_fence(until, ready);
                     }
-                    Output::Show(Shown::Duties(list)) => port.duties.store(Arc::new(list)),
+                    Output::Show(Shown::Assignments(list)) => {
+                        port.assignments.store(Arc::new(list))
+                    }
                     Output::Show(Shown::LinkDelay(delay)) => self.face.link_delay(delay),
                     Output::Show(Shown::Acknowledged { version, text }) => {
                         if let Some(history) = &self.history {
@@ -284,7 +289,7 @@
 }
 
 /// A number no other run has.
-pub fn new_life() -> Result<u64> {
+pub fn new_incarnation() -> Result<u64> {
     let mut bytes = [0u8; 8];
     getrandom::fill(&mut bytes).map_err(|error| anyhow!("no randomness: {error}"))?;
     Ok(u64::from_be_bytes(bytes).max(1))
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -6,12 +6,12 @@
 ///   they share names and places, and are valid only as a whole.
 #[derive(Debug, Default, Clone)]
 pub struct Items {
-    parts: BTreeMap<String, (u64, Part)>,
+    parts: BTreeMap<String, (u64, ItemContent)>,
 }
 
 /// One named part, read.
 #[derive(Debug, Clone)]
-pub(crate) enum Part {
+pub(crate) enum ItemContent {
     Document(Arc<Configuration>),
     Group(Arc<Group>),
     Entry(Arc<Entry>),
@@ -37,7 +37,7 @@
         format!("accepted/{}", Items::key(kind, name))
     }
 
-    /// Takes one row of the configuration's slice; others than document and
+    /// Takes one row of the configuration's partition; others than document and
     /// items are passed over. Findings have places within the item.
     pub fn learn(&mut self, key: &str, row: &Row) -> Result<bool, Vec<Finding>> {
         if self
@@ -49,7 +49,7 @@
         }
         let part = match &row.value {
             Value::Configuration { text, .. } => {
-                Part::Document(Arc::new(Configuration::read(text)?))
+                ItemContent::Document(Arc::new(Configuration::read(text)?))
             }
             Value::Item(item) => Items::read(item)?,
             _ => return Ok(false),
@@ -58,18 +58,18 @@
         Ok(true)
     }
 
-    pub(crate) fn read(item: &Item) -> Result<Part, Vec<Finding>> {
+    pub(crate) fn read(item: &Item) -> Result<ItemContent, Vec<Finding>> {
         let Some(text) = &item.text else {
-            return Ok(Part::Removed);
+            return Ok(ItemContent::Removed);
         };
         let part = match item.kind {
-            ItemKind::Group => Part::Group(Arc::new(read_part(text)?)),
-            ItemKind::Entry => Part::Entry(Arc::new(read_part(text)?)),
-            ItemKind::Bounds => Part::Bounds(Arc::new(read_part(text)?)),
+            ItemKind::Group => ItemContent::Group(Arc::new(read_part(text)?)),
+            ItemKind::Entry => ItemContent::Entry(Arc::new(read_part(text)?)),
+            ItemKind::Bounds => ItemContent::Bounds(Arc::new(read_part(text)?)),
         };
         let own = match &part {
-            Part::Group(group) => group.service.as_str(),
-            Part::Entry(entry) => entry.name.as_str(),
+            ItemContent::Group(group) => group.service.as_str(),
+            ItemContent::Entry(entry) => entry.name.as_str(),
             _ => "",
         };
         if own == item.name {
@@ -109,14 +109,14 @@
         let mut bounds = None;
         for (key, (_, part)) in &self.parts {
             match part {
-                Part::Document(whole) => {
+                ItemContent::Document(whole) => {
                     document.groups.extend(whole.groups.iter().cloned());
                     document.entries.extend(whole.entries.iter().cloned());
                 }
-                Part::Group(group) => document.groups.push((**group).clone()),
-                Part::Entry(entry) => document.entries.push((**entry).clone()),
-                Part::Bounds(known) => bounds = Some(known.clone()),
-                Part::Removed => {}
+                ItemContent::Group(group) => document.groups.push((**group).clone()),
+                ItemContent::Entry(entry) => document.entries.push((**entry).clone()),
+                ItemContent::Bounds(known) => bounds = Some(known.clone()),
+                ItemContent::Removed => {}
             }
             group_keys.resize(document.groups.len(), key);
             entry_keys.resize(document.entries.len(), key);
@@ -145,7 +145,7 @@
     }
 
     /// Takes a part that no row holds yet, to see whether all fits together.
-    pub(crate) fn try_part(&mut self, key: String, part: Part) {
+    pub(crate) fn try_part(&mut self, key: String, part: ItemContent) {
         self.parts.insert(key, (0, part));
     }
 }
--- a/kernel/src/lease.rs
+++ b/kernel/src/lease.rs
@@ -17,7 +17,7 @@
 
 /// How often an edge renews with each control node.
 pub const EDGE_TICK: Duration = Duration::from_millis(200);
-/// How often control nodes confirm their slices with each other.
+/// How often control nodes confirm their partitions with each other.
 pub const CONTROL_TICK: Duration = Duration::from_millis(100);
 /// How long an edge relies on one control node's renewal, from its sending.
 pub const EDGE: Duration = Duration::from_millis(600);
@@ -26,7 +26,7 @@
 /// How long a control node counts another as live without a word from it.
 pub const CONTROL_PEER: Duration = Duration::from_millis(450);
 /// A permit is good for this long from its granting: a leaving origin gets no
-/// request later than this after the gate dropped it. Also the arrival jitter
+/// request later than this after the admission controller dropped it. Also the arrival jitter
 /// in the rate bound: 5.2 s of rate fit into any 5 s window (104 %), the rest
 /// up to 110 % is the bucket's burst.
 pub const PERMIT: Duration = Duration::from_millis(200);
@@ -37,7 +37,7 @@
 pub const PROOF: Duration = Duration::from_secs(2);
 /// A proof older than this is renewed by a probe.
 pub const PROOF_RENEW: Duration = Duration::from_secs(1);
-/// A slice that was founded, or lost a majority of its disks, hears the edges
+/// A partition that was founded, or lost a majority of its disks, hears the edges
 /// for this long before it answers: each renews five times in it.
 pub const RECOLLECT: Duration = Duration::from_millis(1200);
 /// After a loss of a majority, unknown operations are not run for as long as a
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Queues are bounded in bytes, for each peer and for the process
 //! ([`QueueLimits`]). What is urgent (heartbeats, renewals, agreements, permits)
-//! goes ahead of bulk (snapshots, news, rows, copies), and bulk goes in pieces,
+//! goes ahead of bulk (snapshots, updates, rows, copies), and bulk goes in pieces,
 //! so a heartbeat waits for no snapshot. When there is no room, bulk is dropped
 //! first.
 //!
@@ -25,17 +25,17 @@
 //! - `PrepareReply` names its epoch; a leader that is active by now ignores it.
 //! - `SnapshotReply` names its round and table. What the sender acknowledges
 //!   later tells its leader of the lives that count no more, by itself.
-//! - `RenewReply` with news: an edge takes rows above the version it has, its
+//! - `RenewReply` with updates: an edge takes rows above the version it has, its
 //!   lease runs from the sending of its renewal and never goes back, and a reply
-//!   of an older realm is dropped. A reply without news is sent only to a
+//!   of an older generation is dropped. A reply without updates is sent only to a
 //!   renewal that confirmed all that is shown here, so no lease counts before
-//!   the news that belongs to it is applied. An older mark given back proves
+//!   the updates that belongs to it is applied. An older mark given back proves
 //!   less, never more.
 //! - `RecallReply` names version and rows; rows count by their versions.
 //! - `Copy`, `Put`, `HandoverReply`: their age is counted from the asking, purges
 //!   are compared by number, and a put goes by its token, after which a `Fail`
 //!   with another token changes nothing.
-//! - Large changes and answers (configuration, lists) are of other slices than
+//! - Large changes and answers (configuration, lists) are of other partitions than
 //!   the claims and purges beside them, and are told apart by id.
 //!
 //! A message that was dropped is like one lost with its session.
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -20,20 +20,22 @@
     /// `bytes`: the size of the message as it is sent.
     pub fn of(message: &Message, bytes: usize) -> Priority {
         let partition = match message {
-            Message::AppendRequest(request) => Some(request.slice),
-            Message::PrepareReply(reply) => Some(reply.slice),
-            Message::RecallReply(reply) => Some(reply.slice),
+            Message::AppendRequest(request) => Some(request.partition),
+            Message::PrepareReply(reply) => Some(reply.partition),
+            Message::RecallReply(reply) => Some(reply.partition),
             _ => None,
         };
         match partition {
-            Some(slice) if slice < NEWS && bytes <= URGENT_STATE_BYTES => Priority::Urgent,
+            Some(partition) if partition < PUBLISHED_PARTITIONS && bytes <= URGENT_STATE_BYTES => {
+                Priority::Urgent
+            }
             _ => Priority::of_kind(message),
         }
     }
 
     fn of_kind(message: &Message) -> Priority {
         match message {
-            Message::RenewReply(reply) if reply.news.is_empty() => Priority::Urgent,
+            Message::RenewReply(reply) if reply.updates.is_empty() => Priority::Urgent,
             Message::RenewReply(_)
             | Message::SnapshotReply(_)
             | Message::PrepareReply(_)
--- a/kernel/src/message.rs
+++ b/kernel/src/message.rs
@@ -26,7 +26,7 @@
     /// these sessions, once they are known, as far as the hearer has not got them
     /// by its last beat (`got`: the state of its table here); `membership_version` is the version of the table
     /// of places I go by; for `closed` no unknown operation may be claimed;
-    /// what was acknowledged in the realm `lost` may be lost (0: none was).
+    /// what was acknowledged in the generation `lost` may be lost (0: none was).
     /// `blank`: the disk was not refilled yet. `hears`: slots whose heartbeats
     /// come here; `contacts`: those of them that hear us too; `vouched`: those
     /// of them that may lead partitions.
@@ -41,27 +41,27 @@
     /// `asker`: the life of the disk that asked; a later disk of its slot starts
     /// again with round 0, and what was told to the earlier one counts for nothing.
     SnapshotReply { slot: u8, asker: u64, round: u8, full: bool, lost: u64, membership_version: u64, held: Vec<PartitionSnapshot> }
-    /// Take a slice: promise to heed no lower epoch.
+    /// Take a partition: promise to heed no lower epoch.
     /// `held`: what the asker's own disk holds of it: whoever holds nothing newer
     /// need not send it.
-    PrepareRequest { slice: u8, epoch: u64, membership_version: u64, held: StateId }
+    PrepareRequest { partition: u8, epoch: u64, membership_version: u64, held: StateId }
     /// `retired`: lives of slots that count for nothing any more.
-    PrepareReply { slice: u8, epoch: u64, lost: u64, retired: Vec<u64>, state: PromisedState }
+    PrepareReply { partition: u8, epoch: u64, lost: u64, retired: Vec<u64>, state: PromisedState }
     /// Rows after `from` up to `to`; with `whole`, all there is; with `base`, from
     /// a state that the replica holds under an earlier epoch. An empty one
     /// is a round: it collects the sessions and confirms the owner.
-    AppendRequest { slice: u8, epoch: u64, membership_version: u64, round: u64, whole: bool, from: u64, to: u64, rows: Vec<(String, Row)>, drops: Vec<String>, published: u64, base: Option<EarlierState> }
+    AppendRequest { partition: u8, epoch: u64, membership_version: u64, round: u64, whole: bool, from: u64, to: u64, rows: Vec<(String, Row)>, drops: Vec<String>, published: u64, base: Option<EarlierState> }
     /// Kept and synced up to `to`. `clear`: every session standing here has
     /// confirmed this version; none while the sessions are not known yet.
     /// `retired` as in Raised: heeded before anything is counted.
-    AppendReply { slice: u8, epoch: u64, round: u64, to: u64, clear: Option<u64>, retired: Vec<u64> }
+    AppendReply { partition: u8, epoch: u64, round: u64, to: u64, clear: Option<u64>, retired: Vec<u64> }
     /// Rows before `from` are missing here.
-    AppendGap { slice: u8, epoch: u64, round: u64 }
+    AppendGap { partition: u8, epoch: u64, round: u64 }
     /// A higher epoch was promised.
-    StaleEpoch { slice: u8, epoch: u64, promised: u64 }
+    StaleEpoch { partition: u8, epoch: u64, promised: u64 }
     /// A change on its way to the leader of its partition; answered to
     /// `asker`. `hops`: how many control nodes passed it on.
-    ChangeRequest { asker: SocketAddr, id: u64, slice: u8, hops: u8, ask: Change }
+    ChangeRequest { asker: SocketAddr, id: u64, partition: u8, hops: u8, ask: Change }
     ChangeReply { id: u64, told: Outcome }
 
     /// An empty control node without a slot asks for one that is lost, or
@@ -70,7 +70,7 @@
     /// Who holds the slots, to one who asks for a slot or goes by an older
     /// table. Who thought to hold one and is not in it, is struck. Version 0 is
     /// the founding table; there is one, made by the first seed.
-    MembershipTable { version: u64, places: Vec<Peer> }
+    MembershipTable { version: u64, members: Vec<Peer> }
     /// To a leaving member that offered its slot.
     SlotOfferReply { answer: SlotOfferAnswer }
     /// All that the disk of a removed member ever acknowledged, to its direct
@@ -81,21 +81,21 @@
     SlotStateReceived { version: u64 }
 
     // Between edges and control nodes.
-    /// `recalled`: in this realm, nothing of an earlier one is left to tell.
+    /// `recalled`: in this generation, nothing of an earlier one is left to tell.
     /// `heard`: the last mark of this control node, none before the first.
-    RenewRequest { sent: Duration, heard: Option<Mark>, realm: u64, recalled: bool, vector: Vec<u64>, zone: String, ring: String, strength: u32, draining: bool, usage: Usage, found: Vec<OriginFound> }
+    RenewRequest { sent: Duration, heard: Option<RenewalToken>, generation: u64, recalled: bool, vector: Vec<u64>, zone: String, ring: String, strength: u32, draining: bool, usage: Usage, found: Vec<OriginFound> }
     /// To the life that sent the renewal, with its own time of sending.
-    /// `recall`: acknowledged operations may be lost; tell those you know. `news` stands
+    /// `recall`: acknowledged operations may be lost; tell those you know. `updates` stands
     /// last: it is encoded once for all who are told the same.
-    RenewReply { life: u64, mark: Mark, sent: Duration, realm: u64, recall: bool, news: SharedNews }
-    /// Tell all rows you know of this slice: more than its owner does.
-    RecallRequest { slice: u8 }
-    RecallReply { slice: u8, version: u64, rows: Vec<(String, Row)> }
-    /// This version of a news slice is shown here, and you have not confirmed
+    RenewReply { incarnation: u64, renewal_token: RenewalToken, sent: Duration, generation: u64, recall: bool, updates: SharedUpdates }
+    /// Tell all rows you know of this partition: more than its owner does.
+    RecallRequest { partition: u8 }
+    RecallReply { partition: u8, version: u64, rows: Vec<(String, Row)> }
+    /// This version of updates partition is shown here, and you have not confirmed
     /// it: renew now, unless you have it from another by now.
-    UpdateNotice { slice: u8, version: u64, mark: Mark }
+    UpdateNotice { partition: u8, version: u64, renewal_token: RenewalToken }
     /// It matters who is there: renew now, with this mark.
-    RenewPrompt { mark: Mark }
+    RenewPrompt { renewal_token: RenewalToken }
     /// The edge has fenced itself for good.
     SessionClose { }
 
@@ -114,11 +114,11 @@
     /// The refresher gave up, or (`private`) the answer may not be shared.
     Fail { key: CacheKey, token: Token, private: bool }
 
-    /// The new holder of a cache slice asks the last one for its copies.
-    HandoverRequest { slice: u16, epoch: u64, sent: Duration }
-    HandoverReply { slice: u16, epoch: u64, sent: Duration, copies: Vec<Carried> }
+    /// The new holder of a cache partition asks the last one for its copies.
+    HandoverRequest { partition: u16, epoch: u64, sent: Duration }
+    HandoverReply { partition: u16, epoch: u64, sent: Duration, copies: Vec<Carried> }
 
-    // Between edges: the gate.
+    // Between edges: the admission controller.
     PermitRequest { service: String, id: u64, rank: u32, wait: Duration, sent: Duration, extra: bool, call: Duration, aim: Duration, zone: String, region: String, avoid: Vec<SocketAddr> }
     Permit { id: u64, service: String, epoch: u64, serial: u64, origin: Origin, sent: Duration, held: Duration, takes: Duration }
     /// Heard, and stands in line.
@@ -129,7 +129,7 @@
     CallsInProgress { service: String, calls: Vec<(u64, u64, SocketAddr, Duration)> }
     CallDone { service: String, epoch: u64, serial: u64, result: CallResult, took: Duration }
 
-    /// To the gate: nobody waits for this permit any more.
+    /// To the admission controller: nobody waits for this permit any more.
     PermitWithdrawn { service: String, id: u64 }
     /// To the cache owner: nobody waits for this copy any more.
     GetWithdrawn { key: CacheKey, id: u64 }
@@ -158,25 +158,25 @@
     Assigned { version: u64, successor: Peer },
 }
 
-/// A realm is the state since the control plane was last founded on blank
+/// A generation is the state since the control plane was last founded on blank
 /// disks, or went on after a majority of them was lost. The upper half counts,
-/// the lower tells two of one count apart. An edge that meets a newer realm
+/// the lower tells two of one count apart. An edge that meets a newer generation
 /// tells what it knows and then takes everything anew.
-pub struct Realm;
+pub struct Generation;
 
-impl Realm {
-    pub fn after(known: u64, life: u64) -> u64 {
-        ((known >> 32) + 1) << 32 | u64::from(life as u32)
+impl Generation {
+    pub fn after(known: u64, incarnation: u64) -> u64 {
+        ((known >> 32) + 1) << 32 | u64::from(incarnation as u32)
     }
 
     /// Not the first: something was lost before it, and is known to be.
-    pub fn again(realm: u64) -> bool {
-        realm >> 32 > 1
+    pub fn again(generation: u64) -> bool {
+        generation >> 32 > 1
     }
 
     /// As operators read and say it.
-    pub fn name(realm: u64) -> String {
-        format!("{realm:016x}")
+    pub fn name(generation: u64) -> String {
+        format!("{generation:016x}")
     }
 
     pub fn older(one: u64, other: u64) -> bool {
@@ -184,17 +184,17 @@
     }
 }
 
-/// What one disk holds of a slice.
+/// What one disk holds of a partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionSnapshot {
-    pub slice: u8,
+    pub partition: u8,
     pub promised: u64,
     pub image: PartitionState,
-    /// A news slice's rows as they were at `image.published`.
+    /// An updates partition's rows as they were at `image.published`.
     pub shown: BTreeMap<String, Row>,
 }
 
-/// A slice at one replica. Within an epoch an image is complete up to
+/// A partition at one replica. Within an epoch an image is complete up to
 /// `version`, so of two images the one with the higher (epoch, version) holds
 /// all that the other's majority ever acknowledged.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
@@ -267,12 +267,12 @@
 pub struct SessionInfo {
     pub peer: Peer,
     pub zone: String,
-    /// The ring of cache slices it takes part in.
+    /// The ring of cache partitions it takes part in.
     pub ring: String,
     /// What it can carry beside others (1: the least).
     pub strength: u32,
     pub draining: bool,
-    pub realm: u64,
+    pub generation: u64,
     pub recalled: bool,
     pub vector: Vec<u64>,
     pub usage: Usage,
@@ -282,7 +282,7 @@
 /// What a control node tells with each renewal: its run and a number that
 /// rises within it. Who gives one back was alive after it was told.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark {
+pub struct RenewalToken {
     pub run: u64,
     pub count: u64,
 }
@@ -297,7 +297,7 @@
     pub sum: u64,
     pub put: Vec<SessionInfo>,
     pub gone: Vec<Peer>,
-    /// For each news slice the highest version confirmed here right now, and by
+    /// For each updates partition the highest version confirmed here right now, and by
     /// whom: vectors rise with each change and are not told as differences.
     pub newest: Vec<(u64, Peer)>,
 }
@@ -312,7 +312,7 @@
             &self.ring,
             self.strength,
             self.draining,
-            self.realm,
+            self.generation,
             self.recalled,
         )
     }
@@ -324,7 +324,7 @@
     }
 }
 
-/// How an origin stands with the gate of its group.
+/// How an origin stands with the admission controller of its group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OriginFound {
     pub address: SocketAddr,
@@ -364,15 +364,15 @@
     pub abandoned: u64,
 }
 
-/// Rows of one slice after what the edge's vector says, up to `version`.
+/// Rows of one partition after what the edge's vector says, up to `version`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
-    pub slice: u8,
+pub struct PartitionUpdate {
+    pub partition: u8,
     pub version: u64,
     pub rows: Vec<(String, Row)>,
 }
 
-/// What may be asked of a slice's owner. `change` makes a repeat harmless.
+/// What may be asked of a partition's owner. `change` makes a repeat harmless.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     PutConfiguration {
@@ -399,11 +399,11 @@
         change: u64,
         acknowledge: Acknowledge,
     },
-    /// All rows of a news slice, confirmed at a majority.
+    /// All rows of updates partition, confirmed at a majority.
     List,
-    /// Says that no operation was run before this realm that may come again.
+    /// Says that no operation was run before this generation that may come again.
     OpenLedger {
-        realm: u64,
+        generation: u64,
     },
     /// Puts the peer in the place of a lost slot, if there is one; a
     /// `founding` one in a slot of its own.
@@ -416,7 +416,7 @@
     OfferSlot {
         member: Peer,
     },
-    /// Acknowledged rows may be lost: name a new realm after this one.
+    /// Acknowledged rows may be lost: name a new generation after this one.
     Refound {
         after: u64,
     },
@@ -496,7 +496,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
     pub serial: u64,
-    /// Epoch of the cache duty: a put to a later owner is dropped.
+    /// Epoch of the cache assignment: a put to a later owner is dropped.
     pub epoch: u64,
     /// Purges the owner knew: a later one that reaches the key drops the put.
     pub purged: u64,
@@ -542,7 +542,7 @@
     Budget,
     /// No origin can be called now.
     NoOrigin,
-    /// Not the holder of this gate.
+    /// Not the holder of this admission controller.
     NotHere,
 }
 
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -1,30 +1,34 @@
 use crate::prelude::*;
 
 /// Another process of the fleet. `address` is where it listens for peers and
-/// is its name; `life` tells one run (edge) or one disk (control) at that
+/// is its name; `incarnation` tells one run (edge) or one disk (control) at that
 /// address from the next, so nothing said by an earlier life is laid to a later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
     pub address: SocketAddr,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Peer {
-    pub fn new(address: SocketAddr, life: u64) -> Peer {
-        Peer { address, life }
+    pub fn new(address: SocketAddr, incarnation: u64) -> Peer {
+        Peer {
+            address,
+            incarnation,
+        }
     }
 
     /// Whether an entry of the table of places (life 0: whoever is there)
     /// names this peer.
     pub fn names(&self, peer: &Peer) -> bool {
-        self.address == peer.address && (self.life == 0 || self.life == peer.life)
+        self.address == peer.address
+            && (self.incarnation == 0 || self.incarnation == peer.incarnation)
     }
 
-    /// Rendezvous weight of this peer for a named duty: the live peer with the
+    /// Rendezvous weight of this peer for a named assignment: the live peer with the
     /// highest weight is wanted, so one peer coming or going moves only its own.
-    pub fn weight(&self, duty: &str) -> u64 {
+    pub fn weight(&self, assignment: &str) -> u64 {
         let mut hash = Sha256::new();
-        hash.update(duty.as_bytes());
+        hash.update(assignment.as_bytes());
         hash.update(self.address.to_string().as_bytes());
         u64::from_be_bytes(hash.finalize()[..8].try_into().expect("eight bytes"))
     }
@@ -33,9 +37,9 @@
 impl Peer {
     /// The same among peers of unlike strength: each is wanted for its part of
     /// the sum. The peer with the lowest wins.
-    pub fn distance(&self, duty: &str, strength: u32) -> f64 {
+    pub fn distance(&self, assignment: &str, strength: u32) -> f64 {
         let mut hash = std::hash::DefaultHasher::new();
-        std::hash::Hash::hash(&(duty, self.address), &mut hash);
+        std::hash::Hash::hash(&(assignment, self.address), &mut hash);
         let part = (std::hash::Hasher::finish(&hash) >> 11) as f64 / (1u64 << 53) as f64;
         -part.max(f64::MIN_POSITIVE).ln() / f64::from(strength.max(1))
     }
@@ -43,6 +47,6 @@
 
 impl fmt::Display for Peer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{:08x}", self.address, self.life as u32)
+        write!(f, "{}#{:08x}", self.address, self.incarnation as u32)
     }
 }
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -1,48 +1,48 @@
 use crate::prelude::*;
 
-/// The control state is cut into slices; a slice has one owner at a time.
-/// The first `NEWS` slices are carried to the edges as news, one version each;
+/// The control state is cut into partitions; a partition has one owner at a time.
+/// The first `PUBLISHED_PARTITIONS` partitions are carried to the edges as updates, one version each;
 /// the others hold operations (the ledger).
 pub const CONFIGURATION: u8 = 0;
 pub const PURGES: u8 = 1;
 pub const ORIGINS: u8 = 2;
-pub const DUTIES: u8 = 3;
-pub const PLACES: u8 = 4;
-pub const NEWS: u8 = 5;
+pub const ASSIGNMENTS: u8 = 3;
+pub const MEMBERSHIP: u8 = 4;
+pub const PUBLISHED_PARTITIONS: u8 = 5;
 pub const LEDGERS: u8 = 16;
-pub const SLICES: u8 = NEWS + LEDGERS;
+pub const PARTITIONS: u8 = PUBLISHED_PARTITIONS + LEDGERS;
 /// Slots of the control plane at most; epochs are told apart by it.
 pub const SLOTS_MOST: usize = 16;
-/// Cached content is cut into this many slices on the ring.
-pub const CACHE_SLICES: u16 = 256;
+/// Cached content is cut into this many partitions on the ring.
+pub const CACHE_PARTITIONS: u16 = 256;
 /// This many purges are kept as rows, one over the other; an edge further
 /// behind than that drops its whole cache.
 pub const PURGES_KEPT: u64 = 1024;
 
-/// The slice that holds an operation key of a service.
-pub fn ledger_slice(operation: &str) -> u8 {
-    NEWS + Sha256::digest(operation.as_bytes())[0] % LEDGERS
+/// The partition that holds an operation key of a service.
+pub fn ledger_partition(operation: &str) -> u8 {
+    PUBLISHED_PARTITIONS + Sha256::digest(operation.as_bytes())[0] % LEDGERS
 }
 
-/// The cache slice of a hashed cache key.
-pub fn cache_slice(key: &CacheKey) -> u16 {
-    u16::from_be_bytes([key[0], key[1]]) % CACHE_SLICES
+/// The cache partition of a hashed cache key.
+pub fn cache_partition(key: &CacheKey) -> u16 {
+    u16::from_be_bytes([key[0], key[1]]) % CACHE_PARTITIONS
 }
 
 pub type CacheKey = [u8; 32];
 
-/// The duty of a cache slice of one ring; copies do not cross between rings.
-pub fn cache_duty(ring: &str, slice: u16) -> String {
+/// The assignment of a cache partition of one ring; copies do not cross between rings.
+pub fn cache_assignment(ring: &str, partition: u16) -> String {
     if ring.is_empty() {
-        format!("cache/{slice:03}")
+        format!("cache/{partition:03}")
     } else {
-        format!("cache/{ring}/{slice:03}")
+        format!("cache/{ring}/{partition:03}")
     }
 }
 
-/// The ring whose edges may hold a duty; none: any edge.
-pub fn duty_ring(duty: &str) -> Option<&str> {
-    let (ring, _) = duty
+/// The ring whose edges may hold an assignment; none: any edge.
+pub fn assignment_ring(assignment: &str) -> Option<&str> {
+    let (ring, _) = assignment
         .strip_prefix("cache/")?
         .rsplit_once('/')
         .unwrap_or_default();
@@ -51,7 +51,7 @@
 
 /// Where an edge is.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Spot {
+pub struct Locality {
     pub zone: String,
     pub region: String,
     pub ring: String,
@@ -62,11 +62,11 @@
 /// Of the control node that owns the list of origins.
 pub const LISTS: &str = "slice/origins";
 
-pub fn gate_duty(service: &str) -> String {
+pub fn admission_assignment(service: &str) -> String {
     format!("gate/{service}")
 }
 
-/// A value under a key. `version` counts within the slice and never goes down.
+/// A value under a key. `version` counts within the partition and never goes down.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub version: u64,
@@ -91,14 +91,14 @@
         list: Arc<Vec<Origin>>,
         change: u64,
     },
-    Duty(Duty),
+    Assignment(Assignment),
     /// Who holds the slots of the control plane, 1 to `SLOTS_MOST` of them;
     /// life 0: whoever listens there.
-    Places(Vec<Peer>),
+    Members(Vec<Peer>),
     /// Edges that have a session, and those gone for less than
     /// `lease::CLOSED`: all whose operations may be asked for again. Only if
     /// the ledger was `complete` by then, all of them together know of all.
-    Roll {
+    EdgeRegistry {
         members: Vec<Peer>,
         gone: Vec<Peer>,
         complete: bool,
@@ -108,15 +108,15 @@
     Enrolled {
         members: Vec<Peer>,
     },
-    /// The realm's ledger is complete: all of the roll told what they knew, or
+    /// The generation's ledger is complete: all of the roll told what they knew, or
     /// no repeat of what it lacks can come any more, or operators said so.
     Opened {
-        realm: u64,
+        generation: u64,
     },
-    /// Marks the founding of the slice; in the configuration's, names the realm
-    /// (see `message::Realm`).
+    /// Marks the founding of the partition; in the configuration's, names the generation
+    /// (see `message::Generation`).
     Founded {
-        realm: u64,
+        generation: u64,
     },
     Operation(Operation),
     /// Revisions an item was accepted under before the one that stands.
@@ -154,10 +154,10 @@
     Bounds,
 }
 
-/// Who holds a duty. A duty goes from one holder to the next only through a
+/// Who holds an assignment. An assignment goes from one holder to the next only through a
 /// settled row without a holder; `epoch` rises with every row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Duty {
+pub struct Assignment {
     pub holder: Option<Peer>,
     /// Who held it before: a new holder asks it for what it left.
     pub last: Option<Peer>,
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -17,7 +17,7 @@
     pub region: String,
     /// Edges: whose copies are shared. None: those of the region.
     pub ring: Option<String>,
-    /// Edges: what this machine can carry beside others (default 1): duties go
+    /// Edges: what this machine can carry beside others (default 1): assignments go
     /// by it.
     pub strength: Option<u32>,
     /// Edges: no callers come here, so `http` is not needed; it owns copies and
@@ -235,9 +235,9 @@
         self.gather_ms.map(Duration::from_millis)
     }
 
-    pub fn spot(&self) -> Spot {
+    pub fn locality(&self) -> Locality {
         let ring = self.ring.clone().unwrap_or_else(|| self.region.clone());
-        Spot {
+        Locality {
             zone: self.zone.clone(),
             region: self.region.clone(),
             ring,
--- a/kernel/src/part.rs
+++ b/kernel/src/state_machine.rs
@@ -2,7 +2,7 @@
 
 /// A state machine without I/O. It is told the time (a span since some start,
 /// monotonic) with each input and says what shall be done.
-pub trait Part: Send {
+pub trait StateMachine: Send {
     fn step(&mut self, now: Duration, input: Input) -> Vec<Output>;
 }
 
@@ -109,8 +109,8 @@
         version: u64,
         text: Arc<str>,
     },
-    /// The duties held now, by name.
-    Duties(Vec<String>),
+    /// The assignments held now, by name.
+    Assignments(Vec<String>),
     /// Small messages are so late on this machine's link.
     LinkDelay(Duration),
 }
@@ -338,7 +338,7 @@
 
 #[derive(Debug, Clone)]
 pub enum OperatorAsk {
-    Change { slice: u8, change: Change },
+    Change { partition: u8, change: Change },
     State,
 }
 
--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -29,12 +29,12 @@
 fn large(fill: u32) -> Message {
     let row = |at: u32| {
         let value = Value::Founded {
-            realm: u64::from(at * fill),
+            generation: u64::from(at * fill),
         };
         (format!("row {at}"), Row { version: 1, value })
     };
     RecallReply {
-        slice: 3,
+        partition: 3,
         version: 7,
         rows: (0..4 * PIECE_BYTES as u32 / 40).map(row).collect(),
     }
@@ -135,35 +135,36 @@
 }
 
 #[test]
-fn news_told_to_many_is_encoded_once_and_read_as_ever() {
-    let news = SharedNews::from(vec![News {
-        slice: 3,
+fn updates_told_to_many_is_encoded_once_and_read_as_ever() {
+    let updates = SharedUpdates::from(vec![PartitionUpdate {
+        partition: 3,
         version: 7,
         rows: match large(2) {
             Message::RecallReply(reply) => reply.rows,
             _ => vec![],
         },
     }]);
-    let reply = |life: u64| {
+    let reply = |incarnation: u64| {
         Message::from(RenewReply {
-            life,
-            mark: Mark::default(),
-            sent: Duration::from_millis(life),
-            realm: 5,
+            incarnation,
+            renewal_token: RenewalToken::default(),
+            sent: Duration::from_millis(incarnation),
+            generation: 5,
             recall: false,
-            news: news.clone(),
+            updates: updates.clone(),
         })
     };
-    let [one, other] = [1, 2].map(|life| EncodedMessage::new(peer(), &reply(life)).unwrap());
+    let [one, other] =
+        [1, 2].map(|incarnation| EncodedMessage::new(peer(), &reply(incarnation)).unwrap());
     assert!(Arc::ptr_eq(one.shared().unwrap(), other.shared().unwrap()));
     assert!(one.own_len() < 200);
-    for life in [1, 2] {
-        let whole = bincode::serialize(&(peer(), reply(life))).unwrap();
-        let frame = frame::write(peer(), &reply(life)).unwrap();
+    for incarnation in [1, 2] {
+        let whole = bincode::serialize(&(peer(), reply(incarnation))).unwrap();
+        let frame = frame::write(peer(), &reply(incarnation)).unwrap();
         assert_eq!(frame[8..], whole);
-        let pieces = in_pieces(&reply(life)).concat();
+        let pieces = in_pieces(&reply(incarnation)).concat();
         let found = messages(&mut FrameDecoder::default(), &pieces);
-        assert_eq!(found, [reply(life)]);
+        assert_eq!(found, [reply(incarnation)]);
     }
 }
 
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -20,7 +20,7 @@
 }
 
 fn peer_at(listener: &TcpListener) -> Peer {
-    Peer::new(listener.local_addr().unwrap(), new_life().unwrap())
+    Peer::new(listener.local_addr().unwrap(), new_incarnation().unwrap())
 }
 
 impl Node {
@@ -351,10 +351,10 @@
     assert!(node.links.queued_bytes() < 100_000);
     let listener = TcpListener::bind(me.address).unwrap();
     let (give, take) = flume::unbounded();
-    let life = Peer::new(me.address, new_life().unwrap());
+    let incarnation = Peer::new(me.address, new_incarnation().unwrap());
     other = Node {
-        me: life,
-        links: Links::open(life, listener, give).unwrap(),
+        me: incarnation,
+        links: Links::open(incarnation, listener, give).unwrap(),
         take,
     };
     let began = Instant::now();
--- a/kernel/tests/samples/mod.rs
+++ b/kernel/tests/samples/mod.rs
@@ -103,61 +103,61 @@
             ]),
             change: 320,
         },
-        Value::Duty(Duty {
+        Value::Assignment(Assignment {
             holder: Some(Peer {
                 address: address(321),
-                life: 322,
+                incarnation: 322,
             }),
             last: Some(Peer {
                 address: address(323),
-                life: 324,
+                incarnation: 324,
             }),
             epoch: 325,
         }),
-        Value::Duty(Duty {
+        Value::Assignment(Assignment {
             holder: None,
             last: None,
             epoch: 325,
         }),
-        Value::Places(vec![Peer {
+        Value::Members(vec![Peer {
             address: address(326),
-            life: 327,
+            incarnation: 327,
         }]),
-        Value::Roll {
+        Value::EdgeRegistry {
             members: vec![Peer {
                 address: address(328),
-                life: 329,
+                incarnation: 329,
             }],
             gone: vec![Peer {
                 address: address(330),
-                life: 331,
+                incarnation: 331,
             }],
             complete: true,
         },
-        Value::Roll {
+        Value::EdgeRegistry {
             members: vec![Peer {
                 address: address(328),
-                life: 329,
+                incarnation: 329,
             }],
             gone: vec![Peer {
                 address: address(330),
-                life: 331,
+                incarnation: 331,
             }],
             complete: false,
         },
         Value::Enrolled {
             members: vec![Peer {
                 address: address(332),
-                life: 333,
+                incarnation: 333,
             }],
         },
-        Value::Opened { realm: 334 },
-        Value::Founded { realm: 335 },
+        Value::Opened { generation: 334 },
+        Value::Founded { generation: 335 },
         Value::Operation(Operation {
             print: [86; 32],
             by: Peer {
                 address: address(337),
-                life: 338,
+                incarnation: 338,
             },
             request: 339,
             state: OperationState::Running,
@@ -166,7 +166,7 @@
             print: [86; 32],
             by: Peer {
                 address: address(337),
-                life: 338,
+                incarnation: 338,
             },
             request: 339,
             state: OperationState::Released,
@@ -175,7 +175,7 @@
             print: [86; 32],
             by: Peer {
                 address: address(337),
-                life: 338,
+                incarnation: 338,
             },
             request: 339,
             state: OperationState::Unknown,
@@ -184,7 +184,7 @@
             print: [86; 32],
             by: Peer {
                 address: address(337),
-                life: 338,
+                incarnation: 338,
             },
             request: 339,
             state: OperationState::Done(Arc::new(Reply {
--- a/kernel/tests/wire_format/messages.rs
+++ b/kernel/tests/wire_format/messages.rs
@@ -23,13 +23,13 @@
                     SessionInfo {
                         peer: Peer {
                             address: address(22),
-                            life: 23,
+                            incarnation: 23,
                         },
                         zone: "text 24".into(),
                         ring: "text 25".into(),
                         strength: 26,
                         draining: true,
-                        realm: 27,
+                        generation: 27,
                         recalled: false,
                         vector: vec![28],
                         usage: Usage {
@@ -71,13 +71,13 @@
                     SessionInfo {
                         peer: Peer {
                             address: address(22),
-                            life: 23,
+                            incarnation: 23,
                         },
                         zone: "text 24".into(),
                         ring: "text 25".into(),
                         strength: 26,
                         draining: false,
-                        realm: 27,
+                        generation: 27,
                         recalled: true,
                         vector: vec![28],
                         usage: Usage {
@@ -119,13 +119,13 @@
                 ],
                 gone: vec![Peer {
                     address: address(43),
-                    life: 44,
+                    incarnation: 44,
                 }],
                 newest: vec![(
                     45,
                     Peer {
                         address: address(46),
-                        life: 47,
+                        incarnation: 47,
                     },
                 )],
             }),
@@ -159,7 +159,7 @@
             lost: 54,
             membership_version: 55,
             held: vec![PartitionSnapshot {
-                slice: 14,
+                partition: 14,
                 promised: 57,
                 image: PartitionState {
                     epoch: 58,
@@ -179,7 +179,7 @@
             lost: 54,
             membership_version: 55,
             held: vec![PartitionSnapshot {
-                slice: 14,
+                partition: 14,
                 promised: 57,
                 image: PartitionState {
                     epoch: 58,
@@ -192,7 +192,7 @@
         }
         .into(),
         PrepareRequest {
-            slice: 19,
+            partition: 19,
             epoch: 62,
             membership_version: 63,
             held: StateId {
@@ -202,7 +202,7 @@
         }
         .into(),
         PrepareReply {
-            slice: 3,
+            partition: 3,
             epoch: 67,
             lost: 68,
             retired: vec![69],
@@ -216,7 +216,7 @@
         }
         .into(),
         PrepareReply {
-            slice: 3,
+            partition: 3,
             epoch: 67,
             lost: 68,
             retired: vec![69],
@@ -229,7 +229,7 @@
         }
         .into(),
         AppendRequest {
-            slice: 13,
+            partition: 13,
             epoch: 77,
             membership_version: 78,
             round: 79,
@@ -246,7 +246,7 @@
         }
         .into(),
         AppendRequest {
-            slice: 13,
+            partition: 13,
             epoch: 77,
             membership_version: 78,
             round: 79,
@@ -263,7 +263,7 @@
         }
         .into(),
         AppendRequest {
-            slice: 13,
+            partition: 13,
             epoch: 77,
             membership_version: 78,
             round: 79,
@@ -277,7 +277,7 @@
         }
         .into(),
         AppendReply {
-            slice: 2,
+            partition: 2,
             epoch: 87,
             round: 88,
             to: 89,
@@ -286,7 +286,7 @@
         }
         .into(),
         AppendReply {
-            slice: 2,
+            partition: 2,
             epoch: 87,
             round: 88,
             to: 89,
@@ -295,13 +295,13 @@
         }
         .into(),
         AppendGap {
-            slice: 8,
+            partition: 8,
             epoch: 93,
             round: 94,
         }
         .into(),
         StaleEpoch {
-            slice: 11,
+            partition: 11,
             epoch: 96,
             promised: 97,
         }
@@ -309,7 +309,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::PutConfiguration {
                 text: "shared text 102".into(),
@@ -321,7 +321,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::PutConfiguration {
                 text: "shared text 102".into(),
@@ -333,7 +333,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::GetConfiguration,
         }
@@ -341,7 +341,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::PutItems {
                 items: vec![
@@ -373,7 +373,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::AddPurge {
                 purge: Purge {
@@ -390,7 +390,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::AddPurge {
                 purge: Purge {
@@ -407,7 +407,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::PutOrigins {
                 list: Arc::new(vec![
@@ -441,7 +441,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::PutOrigins {
                 list: Arc::new(vec![
@@ -475,7 +475,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::List,
         }
@@ -483,20 +483,20 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
-            ask: Change::OpenLedger { realm: 124 },
+            ask: Change::OpenLedger { generation: 124 },
         }
         .into(),
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::JoinRequest {
                 peer: Peer {
                     address: address(125),
-                    life: 126,
+                    incarnation: 126,
                 },
                 founding: true,
             },
@@ -505,12 +505,12 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::JoinRequest {
                 peer: Peer {
                     address: address(125),
-                    life: 126,
+                    incarnation: 126,
                 },
                 founding: false,
             },
@@ -519,12 +519,12 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::OfferSlot {
                 member: Peer {
                     address: address(127),
-                    life: 128,
+                    incarnation: 128,
                 },
             },
         }
@@ -532,7 +532,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::Refound { after: 129 },
         }
@@ -540,14 +540,14 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::Claim(Claim {
                 operation: "text 130".into(),
                 print: [131; 32],
                 by: Peer {
                     address: address(132),
-                    life: 133,
+                    incarnation: 133,
                 },
                 request: 134,
             }),
@@ -556,14 +556,14 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::Release(Claim {
                 operation: "text 135".into(),
                 print: [136; 32],
                 by: Peer {
                     address: address(137),
-                    life: 138,
+                    incarnation: 138,
                 },
                 request: 139,
             }),
@@ -572,7 +572,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::Record(
                 Claim {
@@ -580,7 +580,7 @@
                     print: [141; 32],
                     by: Peer {
                         address: address(142),
-                        life: 143,
+                        incarnation: 143,
                     },
                     request: 144,
                 },
@@ -596,7 +596,7 @@
         ChangeRequest {
             asker: address(98),
             id: 99,
-            slice: 16,
+            partition: 16,
             hops: 102,
             ask: Change::Record(
                 Claim {
@@ -604,7 +604,7 @@
                     print: [141; 32],
                     by: Peer {
                         address: address(142),
-                        life: 143,
+                        incarnation: 143,
                     },
                     request: 144,
                 },
@@ -738,9 +738,9 @@
         JoinRequest { founding: false }.into(),
         MembershipTable {
             version: 171,
-            places: vec![Peer {
+            members: vec![Peer {
                 address: address(172),
-                life: 173,
+                incarnation: 173,
             }],
         }
         .into(),
@@ -757,7 +757,7 @@
                 version: 174,
                 successor: Peer {
                     address: address(175),
-                    life: 176,
+                    incarnation: 176,
                 },
             },
         }
@@ -768,7 +768,7 @@
             lost: 179,
             retired: vec![180],
             held: vec![PartitionSnapshot {
-                slice: 13,
+                partition: 13,
                 promised: 182,
                 image: PartitionState {
                     epoch: 183,
@@ -783,11 +783,11 @@
         SlotStateReceived { version: 186 }.into(),
         RenewRequest {
             sent: Duration::from_micros(187007),
-            heard: Some(Mark {
+            heard: Some(RenewalToken {
                 run: 188,
                 count: 189,
             }),
-            realm: 190,
+            generation: 190,
             recalled: true,
             vector: vec![191],
             zone: "text 192".into(),
@@ -834,7 +834,7 @@
         RenewRequest {
             sent: Duration::from_micros(187007),
             heard: None,
-            realm: 190,
+            generation: 190,
             recalled: false,
             vector: vec![191],
             zone: "text 192".into(),
@@ -879,16 +879,16 @@
         }
         .into(),
         RenewReply {
-            life: 209,
-            mark: Mark {
+            incarnation: 209,
+            renewal_token: RenewalToken {
                 run: 210,
                 count: 211,
             },
             sent: Duration::from_micros(212007),
-            realm: 213,
+            generation: 213,
             recall: true,
-            news: vec![News {
-                slice: 4,
+            updates: vec![PartitionUpdate {
+                partition: 4,
                 version: 215,
                 rows: rows(),
             }]
@@ -896,35 +896,35 @@
         }
         .into(),
         RenewReply {
-            life: 209,
-            mark: Mark {
+            incarnation: 209,
+            renewal_token: RenewalToken {
                 run: 210,
                 count: 211,
             },
             sent: Duration::from_micros(212007),
-            realm: 213,
+            generation: 213,
             recall: false,
-            news: SharedNews::default(),
+            updates: SharedUpdates::default(),
         }
         .into(),
-        RecallRequest { slice: 6 }.into(),
+        RecallRequest { partition: 6 }.into(),
         RecallReply {
-            slice: 7,
+            partition: 7,
             version: 218,
             rows: rows(),
         }
         .into(),
         UpdateNotice {
-            slice: 9,
+            partition: 9,
             version: 220,
-            mark: Mark {
+            renewal_token: RenewalToken {
                 run: 221,
                 count: 222,
             },
         }
         .into(),
         RenewPrompt {
-            mark: Mark {
+            renewal_token: RenewalToken {
                 run: 223,
                 count: 224,
             },
@@ -1024,13 +1024,13 @@
         }
         .into(),
         HandoverRequest {
-            slice: 4928,
+            partition: 4928,
             epoch: 269,
             sent: Duration::from_micros(270007),
         }
         .into(),
         HandoverReply {
-            slice: 4931,
+            partition: 4931,
             epoch: 272,
             sent: Duration::from_micros(273007),
             copies: vec![Carried {
--- a/programs/examples/session_storm.rs
+++ b/programs/examples/session_storm.rs
@@ -2,7 +2,7 @@
 //!
 //! Starts a real control plane of three slots and plays many edges from this
 //! process over loopback: each renews five times a second with every slot and
-//! takes the news it is sent. Then all control nodes are killed and started
+//! takes the updates it is sent. Then all control nodes are killed and started
 //! again on the same disks, so that all edges come back at once. After each
 //! stage the memory, threads and descriptors of the control process that has
 //! most are printed, as the kernel tells them.
@@ -35,21 +35,21 @@
 /// What an edge knows of the control state, and what it was sent.
 struct EdgeState {
     began: Instant,
-    realm: AtomicU64,
+    generation: AtomicU64,
     vector: Mutex<Vec<u64>>,
-    marks: Mutex<HashMap<SocketAddr, Mark>>,
+    renewal_tokens: Mutex<HashMap<SocketAddr, RenewalToken>>,
     last_reply: AtomicU64,
 }
 
 impl EdgeState {
     fn renewal(&self, control: SocketAddr, ring: String) -> RenewRequest {
-        let marks = self.marks.lock().expect("no holder panics");
-        let heard = marks.get(&control).copied();
-        drop(marks);
+        let renewal_tokens = self.renewal_tokens.lock().expect("no holder panics");
+        let heard = renewal_tokens.get(&control).copied();
+        drop(renewal_tokens);
         RenewRequest {
             sent: self.began.elapsed(),
             heard,
-            realm: self.realm.load(Ordering::Relaxed),
+            generation: self.generation.load(Ordering::Relaxed),
             recalled: true,
             vector: self.vector.lock().expect("no holder panics").clone(),
             zone: "zone".into(),
@@ -63,15 +63,15 @@
 
     fn take(&self, control: SocketAddr, reply: &RenewReply) {
         let mut vector = self.vector.lock().expect("no holder panics");
-        if self.realm.swap(reply.realm, Ordering::Relaxed) != reply.realm {
+        if self.generation.swap(reply.generation, Ordering::Relaxed) != reply.generation {
             vector.fill(0);
         }
-        for news in reply.news.iter() {
-            let known = &mut vector[usize::from(news.slice)];
-            *known = (*known).max(news.version);
+        for updates in reply.updates.iter() {
+            let known = &mut vector[usize::from(updates.partition)];
+            *known = (*known).max(updates.version);
         }
-        let mut marks = self.marks.lock().expect("no holder panics");
-        marks.insert(control, reply.mark);
+        let mut renewal_tokens = self.renewal_tokens.lock().expect("no holder panics");
+        renewal_tokens.insert(control, reply.renewal_token);
         let now = self.began.elapsed().as_millis() as u64;
         self.last_reply.store(now, Ordering::Relaxed);
     }
@@ -108,12 +108,12 @@
     received: Arc<AtomicUsize>,
 ) -> Result<Arc<EdgeState>> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let me = Peer::new(listener.local_addr()?, new_life()?);
+    let me = Peer::new(listener.local_addr()?, new_incarnation()?);
     let state = Arc::new(EdgeState {
         began: Instant::now(),
-        realm: AtomicU64::new(0),
-        vector: Mutex::new(vec![0; NEWS.into()]),
-        marks: Mutex::default(),
+        generation: AtomicU64::new(0),
+        vector: Mutex::new(vec![0; PUBLISHED_PARTITIONS.into()]),
+        renewal_tokens: Mutex::default(),
         last_reply: AtomicU64::new(0),
     });
     let heard = state.clone();
--- a/programs/src/bin/operate.rs
+++ b/programs/src/bin/operate.rs
@@ -126,9 +126,9 @@
         ["items", "put", path] => {
             (ask.method, ask.path, ask.body) = ("PATCH", "items".into(), file(path))
         }
-        ["open-ledger", realm] => {
+        ["open-ledger", generation] => {
             (ask.method, ask.path) = ("POST", "ledger/open".into());
-            ask.body = serde_json::json!({ "realm": realm })
+            ask.body = serde_json::json!({ "realm": generation })
                 .to_string()
                 .into_bytes();
         }
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -7,16 +7,16 @@
     let (replica, blank) = match read_back(&folder, &loaded.records) {
         Some(replica) if replica.removed => (start_over(&mut loaded.log, &replica)?, true),
         Some(replica) => (replica, false),
-        None => (Replica::blank(new_life()?), true),
+        None => (Replica::blank(new_incarnation()?), true),
     };
     let mesh = startup.mesh.context("mesh address")?;
-    let part = ControlPart::new(
+    let part = ControlNode::new(
         mesh,
         startup.seeds.clone(),
         replica,
         blank,
         startup.gather_span().map(|span| bootstrap(&startup, span)),
-        new_life()?,
+        new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.image_bytes);
     let history = Some(History::keep(startup.data.clone().context("data folder")?));
@@ -43,7 +43,7 @@
 /// The slot of this disk went to another node while it was away, so what it holds
 /// counts for nothing: it goes on as an empty one, which may be given a slot.
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
-    let renewed = removed.renewed(new_life()?);
+    let renewed = removed.renewed(new_incarnation()?);
     let image = Record::Image(Box::new(renewed.clone()));
     log.image(&image.bytes())?;
     log.sync()?;
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -8,15 +8,15 @@
 /// Runs an edge until it has left; callers and origins are spoken to in
 /// `dialect`'s words.
 pub fn run_edge_node(startup: Startup, dialect: Arc<dyn Dialect>) -> Result<()> {
-    let me = Peer::new(startup.mesh.context("mesh address")?, new_life()?);
+    let me = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
     // A quarter of what the process may use goes to copies.
     let bytes = startup
         .cache_bytes
         .or(startup.memory_bytes.map(|bytes| bytes / 4))
         .unwrap_or(CACHE_BYTES);
-    let part = EdgePart::new(
+    let part = EdgeNode::new(
         me,
-        startup.spot(),
+        startup.locality(),
         startup.seeds.clone(),
         startup.gather_ms.is_some(),
         bytes,
--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -28,7 +28,7 @@
         let folder = std::env::temp_dir().join(format!(
             "otterslip-path-{}-{}",
             std::process::id(),
-            new_life().ok()?
+            new_incarnation().ok()?
         ));
         let mut deployment = Deployment::find("small")?;
         deployment.edges = 3;
@@ -630,15 +630,18 @@
     Fleet::start(&folder, &mut path.fleet.control[0]).unwrap();
     let node = &path.fleet.control[0];
     assert!(Fleet::wait(LONG, &mut || node.ready()));
-    // A warned edge drains and ends; the others take its duties.
+    // A warned edge drains and ends; the others take its assignments.
     path.fleet.edges[0].signal("-TERM");
     assert!(path.fleet.edges[0].ended(LONG));
     let gone = path.fleet.edges[0].words[2].clone();
     let moved = Fleet::wait(LONG, &mut || {
         let (_, told) = path.operate("GET", "duties", "", None);
         told["duties"].as_array().is_some_and(|list| {
-            list.iter()
-                .all(|duty| duty["holder"].as_str().is_some_and(|holder| holder != gone))
+            list.iter().all(|assignment| {
+                assignment["holder"]
+                    .as_str()
+                    .is_some_and(|holder| holder != gone)
+            })
         })
     });
     assert!(moved);
--- a/simulate-fleet/src/bin/simulate-fleet.rs
+++ b/simulate-fleet/src/bin/simulate-fleet.rs
@@ -274,7 +274,7 @@
         report.steps,
         took.as_millis()
     );
-    let moves = report.notes.get(&Event::DutyRevoked).unwrap_or(&0);
+    let moves = report.notes.get(&Event::AssignmentRevoked).unwrap_or(&0);
     println!(
         "  duties moved {moves}; longest gap without a success {:.2} s; {}",
         checker.longest_gap(),
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -17,7 +17,7 @@
 struct Hollow {
     role: Role,
     peer: Peer,
-    part: Option<Box<dyn Part>>,
+    part: Option<Box<dyn StateMachine>>,
     until: Duration,
 }
 
@@ -76,7 +76,7 @@
     pub configuration: (Tally, Duration),
     /// Five seconds in which an edge is gone.
     pub loss: Tally,
-    /// Rows and bytes of each news slice, as its owner lists it.
+    /// Rows and bytes of each updates partition, as its owner lists it.
     pub state: Vec<(usize, u64)>,
     /// Bytes in use for the parts: one control node, one edge. None without the
     /// counting allocator.
@@ -92,7 +92,7 @@
 const WAY: Duration = Duration::from_millis(1);
 const SYNC: Duration = Duration::from_millis(2);
 const GATHER: Duration = Duration::from_millis(1000);
-/// Begins once the fleet is founded and has its duties.
+/// Begins once the fleet is founded and has its assignments.
 const SETTLED: Duration = Duration::from_secs(8);
 pub const SIZES: [usize; 4] = [16, 64, 256, 1100];
 pub const CONTROL: usize = 12;
@@ -105,7 +105,7 @@
         let mut nodes = Vec::new();
         for at in 0..control {
             let gather = Some(Bootstrap::new(true, GATHER));
-            let part = ControlPart::new(
+            let part = ControlNode::new(
                 address(1, at),
                 seeds.clone(),
                 Replica::blank(1 + at as u64),
@@ -128,9 +128,9 @@
                 format!("region-{:02}-{}", zone % REGIONS, zone / REGIONS),
             );
             let peer = Peer::new(address(2, at), 1000 + at as u64);
-            let part = EdgePart::new(
+            let part = EdgeNode::new(
                 peer,
-                Spot {
+                Locality {
                     zone,
                     ring: region.clone(),
                     region,
@@ -298,23 +298,23 @@
         }
     }
 
-    fn ask(&mut self, id: u64, slice: u8, change: Change) {
+    fn ask(&mut self, id: u64, partition: u8, change: Change) {
         self.step(
             0,
             "operator",
             Input::Operator {
                 id,
-                ask: OperatorAsk::Change { slice, change },
+                ask: OperatorAsk::Change { partition, change },
             },
         );
     }
 
     /// Asks for a change and counts for a second; with how long it took to be
     /// in force everywhere.
-    fn change(&mut self, id: u64, slice: u8, change: Change) -> Result<(Tally, Duration)> {
+    fn change(&mut self, id: u64, partition: u8, change: Change) -> Result<(Tally, Duration)> {
         let began = self.now;
         self.tally = Tally::default();
-        self.ask(id, slice, change);
+        self.ask(id, partition, change);
         self.run_to(began + Duration::from_secs(1));
         let tally = Tally {
             span: Duration::from_secs(1),
@@ -407,14 +407,14 @@
         )?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
         let mut state = Vec::new();
-        for slice in 0..NEWS {
-            let id = 10 + u64::from(slice);
-            fleet.ask(id, slice, Change::List);
+        for partition in 0..PUBLISHED_PARTITIONS {
+            let id = 10 + u64::from(partition);
+            fleet.ask(id, partition, Change::List);
             fleet.run_to(fleet.now + Duration::from_secs(1));
             let Some((_, OperatorAnswer::Outcome(Outcome::Rows { rows, .. }))) =
                 fleet.answers.remove(&id)
             else {
-                bail!("slice {slice} was not listed")
+                bail!("slice {partition} was not listed")
             };
             state.push((rows.len(), bincode::serialized_size(&rows)?));
         }
@@ -572,15 +572,15 @@
             ),
             (
                 "news rows: duties",
-                self.state[usize::from(DUTIES)].0 as f64,
+                self.state[usize::from(ASSIGNMENTS)].0 as f64,
             ),
             (
                 "news bytes: duties",
-                self.state[usize::from(DUTIES)].1 as f64,
+                self.state[usize::from(ASSIGNMENTS)].1 as f64,
             ),
             (
                 "news bytes: places",
-                self.state[usize::from(PLACES)].1 as f64,
+                self.state[usize::from(MEMBERSHIP)].1 as f64,
             ),
         ]
     }
