--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -232,24 +232,24 @@
         ranks.into_iter().map(one).collect()
     }
 
-    /// Cache slices by edge: least and most held, and how many move when one
+    /// Cache partitions by edge: least and most held, and how many move when one
     /// edge more comes.
     pub fn ring(edges: usize) -> (usize, usize, usize) {
         let peer = |at: usize| Peer::new(SocketAddr::from(([10, 2, 0, 1], 1000 + at as u16)), 1);
-        let best = |count: usize, slice: u16| {
-            let name = cache_duty("", slice);
+        let best = |count: usize, partition: u16| {
+            let name = cache_assignment("", partition);
             (0..count)
                 .max_by_key(|at| peer(*at).weight(&name))
                 .expect("some edge")
         };
         let held = |at: usize| {
-            (0..CACHE_SLICES)
-                .filter(|slice| best(edges, *slice) == at)
+            (0..CACHE_PARTITIONS)
+                .filter(|partition| best(edges, *partition) == at)
                 .count()
         };
         let counts: Vec<usize> = (0..edges).map(held).collect();
-        let moved = (0..CACHE_SLICES)
-            .filter(|slice| best(edges, *slice) != best(edges + 1, *slice))
+        let moved = (0..CACHE_PARTITIONS)
+            .filter(|partition| best(edges, *partition) != best(edges + 1, *partition))
             .count();
         (
             counts.iter().copied().min().unwrap_or(0),
@@ -355,7 +355,7 @@
             let (least, most, moved) = Figures::ring(edges);
             println!(
                 "{edges} edges: {least} to {most} cache slices an edge (mean {:.1}); one more edge moves {moved}",
-                f64::from(CACHE_SLICES) / edges as f64
+                f64::from(CACHE_PARTITIONS) / edges as f64
             );
         }
     }
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -35,7 +35,7 @@
 fn a_table_is_founded_once_and_grows_by_who_came_late() {
     for control in [4, 5, 8] {
         for founder in [
-            FounderEnd::Lives,
+            FounderEnd::Incarnations,
             FounderEnd::Unwritten,
             FounderEnd::Untold,
             FounderEnd::Told,
@@ -107,7 +107,7 @@
                 "{control} {seed}"
             );
             assert_eq!(
-                report.notes.get(&Event::RealmFounded),
+                report.notes.get(&Event::GenerationFounded),
                 Some(&1),
                 "{control} {seed}: nothing was lost"
             );
@@ -868,7 +868,7 @@
 }
 
 #[test]
-fn two_that_cannot_hear_each_other_do_not_starve_a_slice() {
+fn two_that_cannot_hear_each_other_do_not_starve_a_partition() {
     // Control 0 and 1 both hear 2, and each thinks itself chosen for much.
     let (one, two) = (Place::Control(0), Place::Control(1));
     let mut faults = vec![
@@ -1094,7 +1094,7 @@
             )
         };
         let verdicts = World::new(plan).run().checker.verdicts();
-        // Of what hangs on leases: purges, configurations, duties.
+        // Of what hangs on leases: purges, configurations, assignments.
         [3, 5]
             .iter()
             .any(|never| matches!(verdicts[*never].1, Verdict::Broken(_)))
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -334,7 +334,11 @@
                 judge(&report, &[1, 12]);
                 assert_eq!(count(&report, "read-back"), 1, "{what}");
                 assert_eq!(count(&report, "configured"), 3, "{what}");
-                assert_eq!(report.notes.get(&Event::RealmFounded), Some(&1), "{what}");
+                assert_eq!(
+                    report.notes.get(&Event::GenerationFounded),
+                    Some(&1),
+                    "{what}"
+                );
             }
         }
     }
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -26,11 +26,11 @@
     }
 
     /// As a control node's program does at its start.
-    fn renew_if_removed(&mut self, replica: Replica, life: u64) -> Replica {
+    fn renew_if_removed(&mut self, replica: Replica, incarnation: u64) -> Replica {
         if !replica.removed {
             return replica;
         }
-        let renewed = replica.renewed(life);
+        let renewed = replica.renewed(incarnation);
         let image = Record::Image(Box::new(renewed.clone()));
         self.synced = vec![image.bytes()];
         renewed
@@ -51,7 +51,7 @@
     pub place: Place,
     pub peer: Peer,
     pub zone: String,
-    pub part: Option<Box<dyn Part>>,
+    pub part: Option<Box<dyn StateMachine>>,
     /// Counts starts: what an earlier run began does not reach a later one.
     pub run: u64,
     pub began: Duration,
@@ -73,7 +73,7 @@
     pub ending: bool,
     /// It was told to end and is not started again.
     pub retiring: bool,
-    pub duties: Vec<String>,
+    pub assignments: Vec<String>,
     /// What its settings say of the fleet's founding.
     pub founding: Founding,
 }
@@ -120,7 +120,7 @@
             in_force: 0,
             ending: false,
             retiring: false,
-            duties: Vec::new(),
+            assignments: Vec::new(),
             founding: Founding::Never,
         }
     }
@@ -144,10 +144,10 @@
         now: Duration,
         seeds: &[SocketAddr],
         gather: Option<Duration>,
-        life: u64,
+        incarnation: u64,
     ) {
         self.run += 1;
-        self.duties.clear();
+        self.assignments.clear();
         self.in_force = 0;
         self.began = now;
         self.retiring = false;
@@ -155,27 +155,29 @@
         self.part = Some(match self.place {
             Place::Control(_) => {
                 let known = Replica::replay(&self.disk.synced).expect("synced records read back");
-                let known = known.map(|replica| self.disk.renew_if_removed(replica, life));
-                let blank = known.as_ref().is_none_or(|replica| replica.life == life);
+                let known = known.map(|replica| self.disk.renew_if_removed(replica, incarnation));
+                let blank = known
+                    .as_ref()
+                    .is_none_or(|replica| replica.incarnation == incarnation);
                 let gather = gather.map(|span| self.founding.bootstrap(span));
-                let part = ControlPart::new(
+                let part = ControlNode::new(
                     self.peer.address,
                     seeds.to_vec(),
-                    known.unwrap_or_else(|| Replica::blank(life)),
+                    known.unwrap_or_else(|| Replica::blank(incarnation)),
                     blank,
                     gather,
-                    life,
+                    incarnation,
                 );
                 self.peer = part.me();
                 Box::new(part)
             }
             Place::Edge(_) => {
-                self.peer.life = life;
-                Box::new(EdgePart::new(
+                self.peer.incarnation = incarnation;
+                Box::new(EdgeNode::new(
                     self.peer,
-                    Spot {
+                    Locality {
                         zone: self.zone.clone(),
-                        ..Spot::default()
+                        ..Locality::default()
                     },
                     seeds.to_vec(),
                     gather.is_some(),
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FounderEnd {
-    Lives,
+    Incarnations,
     /// Before the table is on its disk.
     Unwritten,
     /// When it is, and nobody was told.
@@ -56,7 +56,7 @@
             control: 3,
             gather: false,
             late: false,
-            founder: FounderEnd::Lives,
+            founder: FounderEnd::Incarnations,
             orders: Vec::new(),
             spares: 1,
             callers_leave: false,
@@ -74,7 +74,7 @@
         }
         let late = self.seed.is_multiple_of(3);
         let founder = [
-            FounderEnd::Lives,
+            FounderEnd::Incarnations,
             FounderEnd::Unwritten,
             FounderEnd::Untold,
             FounderEnd::Told,
@@ -322,9 +322,9 @@
     PutItem {
         item: Item,
     },
-    /// The realm is asked for first.
+    /// The generation is asked for first.
     OpenLedger {
-        realm: Option<u64>,
+        generation: Option<u64>,
     },
     /// The place of the order among those of the plan.
     Order {
@@ -461,7 +461,7 @@
             at(1700),
             Happening::Ask {
                 node: 0,
-                order: Asked::OpenLedger { realm: None }.into(),
+                order: Asked::OpenLedger { generation: None }.into(),
                 tries: 0,
             },
         );
@@ -765,7 +765,7 @@
             Output::CancelCall { id } => {
                 self.cancelled.insert((node, run, id));
             }
-            Output::Show(Shown::Duties(list)) => self.duties_shown(node, list),
+            Output::Show(Shown::Assignments(list)) => self.assignments_shown(node, list),
             Output::Show(Shown::Configuration(table)) => self.nodes[node].image = Some(table),
             Output::Ended => {
                 if self.nodes[node].retiring {
@@ -783,31 +783,31 @@
         }
     }
 
-    /// No duty is ever held by two live nodes.
-    pub(crate) fn duties_shown(&mut self, node: usize, list: Vec<String>) {
-        let others = |duty: &String| {
+    /// No assignment is ever held by two live nodes.
+    pub(crate) fn assignments_shown(&mut self, node: usize, list: Vec<String>) {
+        let others = |assignment: &String| {
             self.edges().find(|other| {
                 *other != node
                     && self.nodes[*other].live(self.now)
-                    && self.nodes[*other].duties.contains(duty)
+                    && self.nodes[*other].assignments.contains(assignment)
             })
         };
         if self.nodes[node].live(self.now)
-            && let Some((duty, other)) = list
+            && let Some((assignment, other)) = list
                 .iter()
-                .find_map(|duty| Some((duty.clone(), others(duty)?)))
+                .find_map(|assignment| Some((assignment.clone(), others(assignment)?)))
         {
             self.record(
                 "duty-held-twice",
                 &format!(
-                    "{duty} by {:?} and {:?}",
+                    "{assignment} by {:?} and {:?}",
                     self.nodes[node].place, self.nodes[other].place
                 ),
                 0,
                 false,
             );
         }
-        self.nodes[node].duties = list;
+        self.nodes[node].assignments = list;
     }
 
     pub(crate) fn spring(&mut self, moment: Moment) {
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -57,10 +57,10 @@
             self.nodes[node].founding = Founding::Never;
         }
         let seeds = self.seeds(node);
-        let life = self.dice.roll(u64::MAX >> 12) + 1;
+        let incarnation = self.dice.roll(u64::MAX >> 12) + 1;
         self.nodes[node].offset = self.micros(0, 1 << 40);
         let gather = self.plan.gather.then_some(GATHER);
-        self.nodes[node].start(self.now, &seeds, gather, life);
+        self.nodes[node].start(self.now, &seeds, gather, incarnation);
         let run = self.nodes[node].run;
         let span = self.micros(0, 100_000);
         self.after(span, Happening::Tick { node, run });
@@ -374,7 +374,7 @@
             }
             Fault::Trap(moment, loss) => self.trap = Some((moment, loss)),
             Fault::LoseAll => self.lose_all(),
-            Fault::OpenLedger => self.ask(0, Asked::OpenLedger { realm: None }, 0),
+            Fault::OpenLedger => self.ask(0, Asked::OpenLedger { generation: None }, 0),
             Fault::Returned => {
                 self.record("returned", "all", 0, true);
                 self.after(
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -78,7 +78,7 @@
         }
         let drawn = self.dice.roll(u64::MAX >> 12);
         let change = *order.change.get_or_insert(drawn);
-        let (slice, change) = match &order.asked {
+        let (partition, change) = match &order.asked {
             Asked::Configure { text, expect, .. } => (
                 CONFIGURATION,
                 Change::PutConfiguration {
@@ -109,7 +109,7 @@
                 (CONFIGURATION, Change::PutItems { items })
             }
             Asked::Order { order } => return self.send_order(*order),
-            Asked::OpenLedger { realm: None } => {
+            Asked::OpenLedger { generation: None } => {
                 self.serial += 1;
                 self.note_question(node, order);
                 return self.step(
@@ -120,9 +120,14 @@
                     },
                 );
             }
-            Asked::OpenLedger { realm: Some(realm) } => {
-                (DUTIES, Change::OpenLedger { realm: *realm })
-            }
+            Asked::OpenLedger {
+                generation: Some(generation),
+            } => (
+                ASSIGNMENTS,
+                Change::OpenLedger {
+                    generation: *generation,
+                },
+            ),
         };
         self.serial += 1;
         let id = self.serial;
@@ -131,7 +136,7 @@
             node,
             Input::Operator {
                 id,
-                ask: OperatorAsk::Change { slice, change },
+                ask: OperatorAsk::Change { partition, change },
             },
         );
     }
@@ -182,11 +187,11 @@
         let outcome = match answer {
             OperatorAnswer::Outcome(outcome) => outcome,
             OperatorAnswer::State(state) => {
-                let realm = state["ledger"]["realm"]
+                let generation = state["ledger"]["realm"]
                     .as_str()
                     .and_then(|text| u64::from_str_radix(text, 16).ok())
-                    .filter(|realm| *realm != 0);
-                let next = Asked::OpenLedger { realm };
+                    .filter(|generation| *generation != 0);
+                let next = Asked::OpenLedger { generation };
                 return self.after(
                     Duration::from_millis(50),
                     Happening::Ask {
@@ -234,7 +239,7 @@
                 Duration::from_millis(50),
                 Happening::Ask {
                     node: 1,
-                    order: Asked::OpenLedger { realm: None }.into(),
+                    order: Asked::OpenLedger { generation: None }.into(),
                     tries: 0,
                 },
             ),
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_orders.rs
@@ -116,8 +116,8 @@
         let id = self.serial;
         self.note_question(node, Asked::Order { order });
         self.after(PATIENCE, Happening::OrderUnanswered { id });
-        let slice = CONFIGURATION;
-        let ask = OperatorAsk::Change { slice, change };
+        let partition = CONFIGURATION;
+        let ask = OperatorAsk::Change { partition, change };
         self.step(node, Input::Operator { id, ask });
     }
 
--- a/stand-ins/src/bin/run-fleet.rs
+++ b/stand-ins/src/bin/run-fleet.rs
@@ -111,7 +111,7 @@
         }) {
             bail!("edges are not ready after 20 s");
         }
-        // Duties are granted and origins proven within a moment.
+        // Assignments are granted and origins proven within a moment.
         thread::sleep(Duration::from_secs(2));
         println!(
             "up: {} control nodes, {} edges, {} origins",
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -505,7 +505,7 @@
                     acknowledged.clear();
                 }
                 // Only the simulator sees these: what was in force at the very
-                // moment of the acknowledgement, and duties held by two live
+                // moment of the acknowledgement, and assignments held by two live
                 // nodes.
                 "at-ack" | "duty-held-twice" => {
                     cases.case((one.at - GRACE, one.at), one.good, || {
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -27,7 +27,7 @@
 pub fn free_address() -> Result<SocketAddr> {
     static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     loop {
-        let port = 10_000 + (new_life()? % 22_000) as u16;
+        let port = 10_000 + (new_incarnation()? % 22_000) as u16;
         let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) else {
             continue;
         };
@@ -414,21 +414,21 @@
         answer.map(|answer| (answer.status, answer.body))
     }
 
-    /// Says that no fleet was here before, once the realm has a name.
+    /// Says that no fleet was here before, once the generation has a name.
     pub fn open_ledger(&self) -> Result<()> {
-        let mut realm = String::new();
+        let mut generation = String::new();
         Fleet::wait(Duration::from_secs(20), &mut || {
             let state = self
                 .operate("GET", "state", "", None)
                 .map(|(_, state)| state)
                 .unwrap_or_default();
-            realm = state["ledger"]["realm"].as_str().unwrap_or_default().into();
-            realm.bytes().any(|byte| byte != b'0')
+            generation = state["ledger"]["realm"].as_str().unwrap_or_default().into();
+            generation.bytes().any(|byte| byte != b'0')
         });
         let (status, body) = self.operate(
             "POST",
             "ledger/open",
-            &json!({ "realm": realm }).to_string(),
+            &json!({ "realm": generation }).to_string(),
             None,
         )?;
         if status != 200 {
