--- a/control-plane/src/bootstrap.rs
+++ b/control-plane/src/bootstrap.rs
@@ -67,7 +67,7 @@
             seeds
                 .iter()
                 .chain(more)
-                .take(SLOTS_MOST)
+                .take(MAX_SLOTS)
                 .map(|address| Peer::new(*address, 0))
                 .collect(),
         )
--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -25,11 +25,12 @@
         if lists != self.lists {
             self.lists = lists;
             let list = if lists {
-                vec![LISTS.to_string()]
+                vec![ORIGIN_LIST_ASSIGNMENT.to_string()]
             } else {
                 vec![]
             };
-            self.out.push(Output::Show(Shown::Assignments(list)));
+            self.out
+                .push(Output::Publish(PublishedState::Assignments(list)));
         }
     }
 
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -21,7 +21,7 @@
     pub(super) commit: u64,
     pub(super) settle: u64,
     pub(super) round: u64,
-    pub(super) told: Outcome,
+    pub(super) told: ChangeOutcome,
 }
 
 impl PendingReply {
@@ -34,14 +34,14 @@
             commit: 0,
             settle: 0,
             round: 0,
-            told: Outcome::Lost,
+            told: ChangeOutcome::Unknown,
         }
     }
 
     /// Acknowledges once this version is in force everywhere.
     fn acknowledge(&mut self, version: u64) {
         self.settle = version;
-        self.told = Outcome::Settled { version };
+        self.told = ChangeOutcome::Acknowledged { version };
     }
 
     /// Acknowledges as soon as the version is on a majority of disks instead.
@@ -54,7 +54,7 @@
     /// Refuses for what stands: only once that is on a majority of disks and
     /// the leader is confirmed, since one that was superseded may not know what
     /// was accepted after it.
-    fn refuse(&mut self, leader: &mut PartitionLeader, told: Outcome) {
+    fn refuse(&mut self, leader: &mut PartitionLeader, told: ChangeOutcome) {
         self.commit = leader.version;
         self.round = leader.start_round();
         self.told = told;
@@ -78,7 +78,7 @@
         }
         let current = leader.rows.get(key).map_or(0, |row| row.version);
         if expect.is_some_and(|version| version != current) {
-            let raced = Outcome::Raced {
+            let raced = ChangeOutcome::VersionConflict {
                 version: current,
                 complete_after: leader.applied().complete_after(),
             };
@@ -86,7 +86,7 @@
             return None;
         }
         if let Some(found) = found() {
-            self.told = Outcome::Findings(found);
+            self.told = ChangeOutcome::Findings(found);
             return None;
         }
         let version = leader.apply_change(key, value, change);
@@ -119,11 +119,11 @@
     }
 }
 
-fn outcome_of(refusal: ItemsRefusal) -> Outcome {
+fn outcome_of(refusal: ItemsRefusal) -> ChangeOutcome {
     match refusal {
-        ItemsRefusal::Invalid(found) => Outcome::Findings(found),
-        ItemsRefusal::Conflict(found) => Outcome::Conflict(found),
-        ItemsRefusal::Forgotten(found) => Outcome::RevisionForgotten(found),
+        ItemsRefusal::Invalid(found) => ChangeOutcome::Findings(found),
+        ItemsRefusal::Conflict(found) => ChangeOutcome::RevisionConflict(found),
+        ItemsRefusal::Forgotten(found) => ChangeOutcome::RevisionForgotten(found),
     }
 }
 
@@ -149,12 +149,12 @@
 
     /// What is known of a call that is given up: reads have no effect, and
     /// what was never sent had none.
-    fn given_up(&self) -> Outcome {
+    fn given_up(&self) -> ChangeOutcome {
         let is_read = matches!(self.change, Change::GetConfiguration | Change::List);
         if is_read || self.tries == 0 {
-            Outcome::NoMajority
+            ChangeOutcome::NoMajority
         } else {
-            Outcome::Lost
+            ChangeOutcome::Unknown
         }
     }
 }
@@ -192,9 +192,9 @@
         self.cut_off.is_some_and(for_long) && !self.reaches_majority(now)
     }
 
-    pub(super) fn answer_operator(&mut self, id: u64, outcome: Outcome) {
-        let answer = OperatorAnswer::Outcome(outcome);
-        self.out.push(Output::OperatorAnswer { id, answer });
+    pub(super) fn answer_operator(&mut self, id: u64, outcome: ChangeOutcome) {
+        let answer = OperatorResponse::ChangeOutcome(outcome);
+        self.out.push(Output::OperatorResponse { id, answer });
     }
 
     /// Answers all operators' calls with what is known of them by now.
@@ -291,7 +291,7 @@
         if self.is_cut_off(now) {
             let reply = ChangeReply {
                 id: request.id,
-                told: Outcome::NoMajority,
+                told: ChangeOutcome::NoMajority,
             };
             return self.tell(from.address, reply);
         }
@@ -343,12 +343,12 @@
                 }) = leader.rows.get("configuration")
                 {
                     wait.commit = *version;
-                    wait.told = Outcome::Configuration {
+                    wait.told = ChangeOutcome::Configuration {
                         version: *version,
                         text: text.clone(),
                     };
                 } else {
-                    wait.told = Outcome::Configuration {
+                    wait.told = ChangeOutcome::Configuration {
                         version: 0,
                         text: "".into(),
                     };
@@ -362,7 +362,7 @@
                     .iter()
                     .map(|(key, row)| (key.clone(), row.clone()))
                     .collect();
-                wait.told = Outcome::Rows {
+                wait.told = ChangeOutcome::Rows {
                     version: leader.version,
                     rows,
                 };
@@ -393,7 +393,7 @@
                 let same = |row: &&Row| matches!(&row.value, Value::Purge { change: known, .. } if *known == change);
                 let known = leader.rows.values().find(same).map(|row| row.version);
                 let version = known.unwrap_or_else(|| {
-                    let key = format!("purge/{:04}", (leader.version + 1) % PURGES_KEPT);
+                    let key = format!("purge/{:04}", (leader.version + 1) % MAX_RETAINED_PURGES);
                     leader.put(key, Value::Purge { purge, change })
                 });
                 wait.acknowledge(version);
@@ -416,7 +416,7 @@
             }
             Change::OpenLedger { generation } if generation != self.generation => {
                 let text = format!("the realm is {} now", Generation::name(self.generation));
-                wait.told = Outcome::Findings(vec![Finding::new("/realm", text)]);
+                wait.told = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
             }
             Change::OpenLedger { generation } => {
                 let version = if leader.opened() == generation {
@@ -425,7 +425,7 @@
                     leader.put("opened".into(), Value::Opened { generation })
                 };
                 wait.commit = version;
-                wait.told = Outcome::Settled { version };
+                wait.told = ChangeOutcome::Acknowledged { version };
                 self.note(
                     Event::LedgerOpened,
                     format!("realm {}: operators said so", Generation::name(generation)),
@@ -435,7 +435,7 @@
             Change::JoinRequest { peer, founding } => self.assign_slot(now, peer, founding),
             Change::OfferSlot { member } => self.assign_offered_slot(now, member),
             Change::Claim(claim) if !left.is_zero() && !Ledger::tells(leader, &claim) => {
-                wait.told = Outcome::Closed { left }
+                wait.told = ChangeOutcome::LedgerClosed { left }
             }
             Change::Claim(claim) => (wait.commit, wait.told) = Ledger::claim(leader, claim),
             Change::Release(claim) => {
@@ -462,15 +462,15 @@
         };
         let outcome = match reply.told {
             // Who was to pass it on is cut off: another way may be found.
-            Outcome::NoMajority => {
+            ChangeOutcome::NoMajority => {
                 call.next = Duration::ZERO;
                 return;
             }
             // An earlier try of ours may be what this one lost against.
-            Outcome::Raced { complete_after, .. }
+            ChangeOutcome::VersionConflict { complete_after, .. }
                 if call.tries > 1 && call.expect().is_some_and(|from| from < complete_after) =>
             {
-                Outcome::Lost
+                ChangeOutcome::Unknown
             }
             outcome => outcome,
         };
@@ -478,12 +478,12 @@
         self.answer_operator(reply.id, outcome);
     }
 
-    pub(super) fn operator(&mut self, now: Duration, id: u64, ask: OperatorAsk) {
+    pub(super) fn operator(&mut self, now: Duration, id: u64, ask: OperatorRequest) {
         match ask {
-            OperatorAsk::Change { .. } if self.removed || self.slot == NO_SLOT => {
-                self.answer_operator(id, Outcome::NoMajority);
+            OperatorRequest::Change { .. } if self.removed || self.slot == NO_SLOT => {
+                self.answer_operator(id, ChangeOutcome::NoMajority);
             }
-            OperatorAsk::Change { partition, change } => {
+            OperatorRequest::Change { partition, change } => {
                 let call = OperatorCall {
                     partition,
                     change,
@@ -495,9 +495,9 @@
                 self.operator_calls.insert(id, call);
                 self.send_operator_calls(now);
             }
-            OperatorAsk::State => {
-                let answer = OperatorAnswer::State(self.state(now));
-                self.out.push(Output::OperatorAnswer { id, answer });
+            OperatorRequest::State => {
+                let answer = OperatorResponse::State(self.state(now));
+                self.out.push(Output::OperatorResponse { id, answer });
             }
         }
     }
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -36,7 +36,7 @@
     pub isolated: BTreeSet<usize>,
     /// Answers to changes are lost.
     pub replies_lost: bool,
-    pub answers: BTreeMap<u64, Outcome>,
+    pub answers: BTreeMap<u64, ChangeOutcome>,
 }
 
 fn address(slot: usize) -> SocketAddr {
@@ -122,7 +122,7 @@
             for slot in 0..SLOTS {
                 let message = renew.clone().into();
                 let from = edge;
-                self.step(slot, Input::Heard { from, message });
+                self.step(slot, Input::MessageReceived { from, message });
             }
             self.run_for(lease::EDGE_TICK);
         }
@@ -146,12 +146,12 @@
 
     /// Asks a node; the answer comes under this id.
     pub fn ask(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
-        let ask = OperatorAsk::Change { partition, change };
+        let ask = OperatorRequest::Change { partition, change };
         self.step(slot, Input::Operator { id, ask });
     }
 
     /// Asks a node and waits for the answer.
-    pub fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> Outcome {
+    pub fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
         self.ask(slot, id, partition, change);
@@ -195,7 +195,7 @@
             }
             Happening::Heard { from, message } => {
                 let message = *message;
-                self.step(slot, Input::Heard { from, message });
+                self.step(slot, Input::MessageReceived { from, message });
             }
             Happening::Tick { .. } | Happening::Synced { .. } => {}
         }
@@ -219,14 +219,14 @@
         let run = self.nodes[slot].run;
         for output in outputs {
             match output {
-                Output::Tell { to, message } => self.tell(slot, from, to, message),
-                Output::Store { serial, record } | Output::StoreImage { serial, record } => {
+                Output::Send { to, message } => self.tell(slot, from, to, message),
+                Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                     self.nodes[slot].unsynced.push_back((serial, record));
                     self.push(now + SYNC, slot, Happening::Synced { run, serial });
                 }
-                Output::OperatorAnswer {
+                Output::OperatorResponse {
                     id,
-                    answer: OperatorAnswer::Outcome(outcome),
+                    answer: OperatorResponse::ChangeOutcome(outcome),
                 } => {
                     self.answers.insert(id, outcome);
                 }
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -50,22 +50,22 @@
     }
 }
 
-fn version(outcome: &Outcome) -> u64 {
+fn version(outcome: &ChangeOutcome) -> u64 {
     match outcome {
-        Outcome::Settled { version } => *version,
+        ChangeOutcome::Acknowledged { version } => *version,
         other => panic!("{other:?}"),
     }
 }
 
-fn assert_settled(outcome: &Outcome, what: &str) {
+fn assert_settled(outcome: &ChangeOutcome, what: &str) {
     assert!(
-        matches!(outcome, Outcome::Settled { .. }),
+        matches!(outcome, ChangeOutcome::Acknowledged { .. }),
         "{what}: {outcome:?}"
     );
 }
 
-fn assert_conflict(outcome: &Outcome, what: &str) {
-    let Outcome::Conflict(found) = outcome else {
+fn assert_conflict(outcome: &ChangeOutcome, what: &str) {
+    let ChangeOutcome::RevisionConflict(found) = outcome else {
         panic!("{what}: {outcome:?}")
     };
     assert!(found[0].text.contains("item/group/s"), "{what}: {found:?}");
@@ -79,14 +79,14 @@
         cluster.ask(first, 1, CONFIGURATION, items(vec![group("s", 7, 1)]));
         cluster.ask(second, 2, CONFIGURATION, items(vec![group("s", 7, 2)]));
         cluster.run_for(PATIENT);
-        let told: Vec<&Outcome> = [1, 2].iter().map(|id| &cluster.answers[id]).collect();
+        let told: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.answers[id]).collect();
         let settled = told
             .iter()
-            .filter(|told| matches!(told, Outcome::Settled { .. }));
+            .filter(|told| matches!(told, ChangeOutcome::Acknowledged { .. }));
         assert_eq!(settled.count(), 1, "{told:?}");
         let conflict = told
             .iter()
-            .find(|told| matches!(told, Outcome::Conflict(_)));
+            .find(|told| matches!(told, ChangeOutcome::RevisionConflict(_)));
         assert_conflict(conflict.expect("the other"), "the other");
     }
 }
@@ -217,7 +217,7 @@
             assert_eq!(version(&told), first, "{what}");
             let told = cluster.outcome(asked, partition, make("/c/", Some(0), 9));
             assert!(
-                matches!(told, Outcome::Raced { version, .. } if version == stands),
+                matches!(told, ChangeOutcome::VersionConflict { version, .. } if version == stands),
                 "{what}: {told:?}"
             );
             let told = cluster.outcome(asked, partition, make("/c/", Some(stands), 9));
@@ -241,7 +241,10 @@
     cluster.replies_lost = false;
     cluster.run_for(PATIENT);
     let told = &cluster.answers[&1];
-    assert!(matches!(told, Outcome::Raced { .. }), "{told:?}");
+    assert!(
+        matches!(told, ChangeOutcome::VersionConflict { .. }),
+        "{told:?}"
+    );
 }
 
 /// A leader that is cut off does not know what was accepted after it.
@@ -271,7 +274,7 @@
     cluster.ask(old, 3, CONFIGURATION, items(vec![orphan]));
     cluster.run_for(Duration::from_secs(14));
     for id in [1, 2, 3] {
-        assert_eq!(cluster.answers[&id], Outcome::Lost, "call {id}");
+        assert_eq!(cluster.answers[&id], ChangeOutcome::Unknown, "call {id}");
     }
 }
 
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -541,7 +541,7 @@
         let mut members = self.members.clone();
         if let Some(slot) = own.or_else(lost) {
             members[usize::from(slot)] = peer;
-        } else if founding && members.len() < SLOTS_MOST && all_full() {
+        } else if founding && members.len() < MAX_SLOTS && all_full() {
             members.push(Peer::new(peer.address, 0));
         } else {
             return;
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -285,11 +285,11 @@
     }
 
     fn note(&mut self, event: Event, text: String) {
-        self.out.push(Output::Note { event, text });
+        self.out.push(Output::Log { event, text });
     }
 
     fn tell(&mut self, to: SocketAddr, message: impl Into<Message>) {
-        self.out.push(Output::Tell {
+        self.out.push(Output::Send {
             to,
             message: message.into(),
         });
@@ -329,7 +329,7 @@
         self.image_bytes = image.len();
         self.log_bytes = 0;
         self.serial += 1;
-        self.out.push(Output::StoreImage {
+        self.out.push(Output::StoreSnapshot {
             serial: self.serial,
             record: image,
         });
@@ -374,7 +374,10 @@
         {
             self.shown = version;
             self.out
-                .push(Output::Show(Shown::Acknowledged { version, text }));
+                .push(Output::Publish(PublishedState::CommittedConfiguration {
+                    version,
+                    text,
+                }));
         }
         self.restore_disk(now);
         self.watch_contact(now);
@@ -464,7 +467,7 @@
         match message {
             Message::RenewRequest(request) if self.able() => self.renew(now, from, request),
             Message::SessionClose(_) if self.sessions.leave(from) => {
-                self.note(Event::SessionLeft, from.to_string());
+                self.note(Event::SessionClosed, from.to_string());
             }
             Message::RecallReply(reply) => self.handle_recall_reply(reply),
             Message::ChangeRequest(request) => self.handle_change_request(now, from, request),
@@ -482,15 +485,15 @@
                 tick = true;
                 self.tick(now);
                 let ready = self.able() && self.warned.is_none() && self.reaches_majority(now);
-                self.out.push(Output::Show(Shown::Fence {
+                self.out.push(Output::Publish(PublishedState::Fence {
                     until: now + lease::CONTROL,
                     ready,
                 }));
                 if self.may_end(now) {
-                    self.out.push(Output::Ended);
+                    self.out.push(Output::ShutdownComplete);
                 }
             }
-            Input::Heard { from, message } => self.heard(now, from, message),
+            Input::MessageReceived { from, message } => self.heard(now, from, message),
             Input::Stored { serial } => {
                 self.finish_restoring(now, serial);
                 self.synced = self.synced.max(serial);
@@ -510,9 +513,9 @@
                 self.offer_slot(now);
             }
             Input::ClientRequest { .. }
-            | Input::CallerLeft { .. }
-            | Input::Called { .. }
-            | Input::Watched { .. } => {}
+            | Input::ClientDisconnected { .. }
+            | Input::CallCompleted { .. }
+            | Input::ConnectionChanged { .. } => {}
         }
         if self.able() {
             self.finish_step(now, tick);
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -39,8 +39,7 @@
                 continue;
             }
             let highest = met.max(self.replica.held(partition).promised);
-            let epoch =
-                (highest / SLOTS_MOST as u64 + 1) * SLOTS_MOST as u64 + u64::from(self.slot);
+            let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(self.slot);
             // On our own disk before others are asked: an epoch that others
             // promised and we forgot over a restart would be taken twice.
             self.store(&Record::Promise { partition, epoch });
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -88,15 +88,15 @@
             .filter(|peer| !self.members.iter().any(|known| known.names(peer)));
         let answer = match waiting {
             None if self.may_lack_newcomers(now) => return,
-            None => SlotOfferAnswer::NoNewcomer,
-            Some(_) if !self.membership_is_calm(now) => SlotOfferAnswer::Later,
+            None => SlotOfferOutcome::NoNewcomer,
+            Some(_) if !self.membership_is_calm(now) => SlotOfferOutcome::Later,
             Some(successor) => {
                 let mut members = self.members.clone();
                 members[slot] = successor;
                 let Some(version) = self.put_table(members) else {
                     return;
                 };
-                SlotOfferAnswer::Assigned { version, successor }
+                SlotOfferOutcome::Assigned { version, successor }
             }
         };
         self.tell(member.address, SlotOfferReply { answer });
@@ -120,11 +120,11 @@
         }
         let assigned = matches!(self.handover, Handover::Assigned { .. });
         self.handover = match reply.answer {
-            SlotOfferAnswer::NoNewcomer => Handover::Kept,
+            SlotOfferOutcome::NoNewcomer => Handover::Kept,
             // To an offer made again while the table was on its way.
-            SlotOfferAnswer::Later if assigned => return,
-            SlotOfferAnswer::Later => Handover::Later,
-            SlotOfferAnswer::Assigned { version, successor } => Handover::Assigned {
+            SlotOfferOutcome::Later if assigned => return,
+            SlotOfferOutcome::Later => Handover::Later,
+            SlotOfferOutcome::Assigned { version, successor } => Handover::Assigned {
                 version,
                 successor,
                 sent: None,
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -8,7 +8,7 @@
 
 /// All slots that there may be.
 fn everybody() -> SlotSet {
-    (0..SLOTS_MOST as u8).collect()
+    (0..MAX_SLOTS as u8).collect()
 }
 
 /// Slot 0 with a full disk that syncs at once; the peers are scripted.
@@ -36,14 +36,14 @@
         while let Some(input) = inputs.pop_front() {
             for output in self.part.step(now, input) {
                 match output {
-                    Output::Tell { to, message } if to == address(0) => {
-                        inputs.push_back(Input::Heard {
+                    Output::Send { to, message } if to == address(0) => {
+                        inputs.push_back(Input::MessageReceived {
                             from: self.part.me(),
                             message,
                         })
                     }
-                    Output::Tell { to, message } => told.push((to, message)),
-                    Output::Store { serial, .. } | Output::StoreImage { serial, .. } => {
+                    Output::Send { to, message } => told.push((to, message)),
+                    Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } => {
                         inputs.push_back(Input::Stored { serial })
                     }
                     _ => {}
@@ -63,7 +63,7 @@
         let from = Peer::new(address(slot), incarnation);
         self.step(
             ms,
-            Input::Heard {
+            Input::MessageReceived {
                 from,
                 message: message.into(),
             },
@@ -116,7 +116,7 @@
                             epoch,
                             lost: 0,
                             retired: vec![],
-                            state: PromisedState::Newer(PartitionState::default()),
+                            state: PreparedState::Newer(PartitionState::default()),
                         },
                     ));
                 }
@@ -260,7 +260,7 @@
                                     epoch,
                                     lost: 0,
                                     retired: vec![],
-                                    state: PromisedState::Newer(PartitionState::default()),
+                                    state: PreparedState::Newer(PartitionState::default()),
                                 },
                             ));
                         }
@@ -374,7 +374,7 @@
         let mut told = Vec::new();
         for output in self.part.step(Duration::from_millis(ms), input) {
             match output {
-                Output::Tell { to, message } => told.push((to, message)),
+                Output::Send { to, message } => told.push((to, message)),
                 Output::Store { serial, record } => self.unsynced.push((serial, record)),
                 _ => {}
             }
@@ -399,7 +399,7 @@
     ) -> Vec<(SocketAddr, Message)> {
         self.step(
             ms,
-            Input::Heard {
+            Input::MessageReceived {
                 from: Peer::new(address(from), 40 + u64::from(from)),
                 message: message.into(),
             },
@@ -571,7 +571,7 @@
         .into_iter()
         .find_map(|(_, message)| match message {
             Message::PrepareReply(PrepareReply {
-                state: PromisedState::Newer(image),
+                state: PreparedState::Newer(image),
                 ..
             }) => Some(image),
             _ => None,
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -51,12 +51,12 @@
         while let Some(input) = inputs.pop_front() {
             for output in self.part.step(Duration::from_millis(ms), input) {
                 match output {
-                    Output::Tell { to, message } => told.push((to, message)),
+                    Output::Send { to, message } => told.push((to, message)),
                     Output::Store { serial, record } => {
                         self.records.push(record);
                         inputs.push_back(Input::Stored { serial });
                     }
-                    Output::Ended => ended = true,
+                    Output::ShutdownComplete => ended = true,
                     _ => {}
                 }
             }
@@ -65,7 +65,7 @@
     }
 
     fn hear(&mut self, ms: u64, from: u16, message: impl Into<Message>) -> Vec<Message> {
-        let input = Input::Heard {
+        let input = Input::MessageReceived {
             from: peer(from),
             message: message.into(),
         };
@@ -91,7 +91,7 @@
     }
 
     /// It is told to end, and its offer is answered so.
-    fn leave(&mut self, answer: SlotOfferAnswer) {
+    fn leave(&mut self, answer: SlotOfferOutcome) {
         self.step(0, Input::Tick);
         self.beat(10, 1);
         self.beat(10, 2);
@@ -100,8 +100,8 @@
     }
 }
 
-fn assigned() -> SlotOfferAnswer {
-    SlotOfferAnswer::Assigned {
+fn assigned() -> SlotOfferOutcome {
+    SlotOfferOutcome::Assigned {
         version: VERSION,
         successor: peer(3),
     }
@@ -161,13 +161,13 @@
 #[test]
 fn a_member_whose_slot_nobody_waits_for_keeps_it_and_ends_at_once() {
     let mut node = Node::start(0, true);
-    node.leave(SlotOfferAnswer::NoNewcomer);
+    node.leave(SlotOfferOutcome::NoNewcomer);
     let (_, ended) = node.step(200, Input::Tick);
     assert!(ended && !node.part.removed);
     let mut node = Node::start(0, true);
     node.leave(assigned());
     let later = SlotOfferReply {
-        answer: SlotOfferAnswer::Later,
+        answer: SlotOfferOutcome::Later,
     };
     node.hear(120, 1, later);
     assert!(
@@ -287,5 +287,5 @@
 
 /// All slots that there may be.
 fn everybody() -> SlotSet {
-    (0..SLOTS_MOST as u8).collect()
+    (0..MAX_SLOTS as u8).collect()
 }
--- a/control-plane/src/history.rs
+++ b/control-plane/src/history.rs
@@ -27,7 +27,7 @@
             for (version, text) in take.iter() {
                 if let Err(error) = History::open(&data).and_then(|store| store.put(version, &text))
                 {
-                    note(
+                    log_event(
                         Event::HistoryFailed,
                         &format!("version {version}: {error:#}"),
                     );
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -8,18 +8,18 @@
 pub struct Ledger;
 
 impl Ledger {
-    pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, Outcome) {
+    pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
         if let Some((version, known)) = Ledger::known(leader, &claim) {
             let own = (known.by, known.request) == (claim.by, claim.request);
             match known.state {
-                OperationState::Running if own => return (version, Outcome::Claimed),
+                OperationState::Running if own => return (version, ChangeOutcome::Claimed),
                 // The request gave up before this claim came through.
-                OperationState::Released if own => return (version, Outcome::Released),
+                OperationState::Released if own => return (version, ChangeOutcome::Released),
                 OperationState::Released => {}
                 state => {
                     return (
                         version,
-                        Outcome::Taken {
+                        ChangeOutcome::AlreadyClaimed {
                             same: known.print == claim.print,
                             state,
                         },
@@ -29,7 +29,7 @@
         }
         (
             Ledger::put(leader, claim, OperationState::Running),
-            Outcome::Claimed,
+            ChangeOutcome::Claimed,
         )
     }
 
@@ -39,12 +39,12 @@
         leader: &mut PartitionLeader,
         claim: Claim,
         state: OperationState,
-    ) -> (u64, Outcome) {
+    ) -> (u64, ChangeOutcome) {
         let release = state == OperationState::Released;
         let told = if release {
-            Outcome::Released
+            ChangeOutcome::Released
         } else {
-            Outcome::Recorded
+            ChangeOutcome::Recorded
         };
         if let Some((version, known)) = Ledger::known(leader, &claim) {
             let own = (known.by, known.request) == (claim.by, claim.request);
@@ -59,7 +59,7 @@
                 return (version, told); // Nothing of this request is held.
             }
             if !own && known.state != OperationState::Released || own && !open {
-                return (version, Outcome::Lost);
+                return (version, ChangeOutcome::Unknown);
             }
         }
         (Ledger::put(leader, claim, state), told)
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -18,8 +18,8 @@
     }))
 }
 
-fn taken(same: bool, state: OperationState) -> Outcome {
-    Outcome::Taken { same, state }
+fn taken(same: bool, state: OperationState) -> ChangeOutcome {
+    ChangeOutcome::AlreadyClaimed { same, state }
 }
 
 #[test]
@@ -27,11 +27,11 @@
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
-        (1, Outcome::Claimed)
+        (1, ChangeOutcome::Claimed)
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
-        (1, Outcome::Claimed),
+        (1, ChangeOutcome::Claimed),
         "said twice"
     );
     assert_eq!(
@@ -44,12 +44,12 @@
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(2, 0), done()).1,
-        Outcome::Lost,
+        ChangeOutcome::Unknown,
         "it never held it"
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), done()),
-        (2, Outcome::Recorded)
+        (2, ChangeOutcome::Recorded)
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)),
@@ -57,7 +57,7 @@
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
-        Outcome::Lost,
+        ChangeOutcome::Unknown,
         "it ran"
     );
 }
@@ -67,17 +67,20 @@
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
-        Outcome::Released
+        ChangeOutcome::Released
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)).1,
-        Outcome::Released,
+        ChangeOutcome::Released,
         "the late claim of who gave up"
     );
-    assert_eq!(Ledger::claim(&mut leader, claim(2, 0)).1, Outcome::Claimed);
+    assert_eq!(
+        Ledger::claim(&mut leader, claim(2, 0)).1,
+        ChangeOutcome::Claimed
+    );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
-        Outcome::Released
+        ChangeOutcome::Released
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(3, 0)).1,
@@ -102,7 +105,7 @@
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), done()).1,
-        Outcome::Recorded
+        ChangeOutcome::Recorded
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -4,7 +4,7 @@
 mod control_node;
 mod history;
 mod ledger;
-mod operator_face;
+mod operator_api;
 mod partition_leader;
 pub mod prelude;
 mod replica;
--- a/control-plane/src/operator_face.rs
+++ b/control-plane/src/operator_api.rs
@@ -33,10 +33,10 @@
         ("GET", "duties") => list(port, ASSIGNMENTS, &show_assignments),
         ("GET", "state") => match port.ask(PATIENCE, &|id| Input::Operator {
             id,
-            ask: OperatorAsk::State,
+            ask: OperatorRequest::State,
         }) {
-            Some(Output::OperatorAnswer {
-                answer: OperatorAnswer::State(state),
+            Some(Output::OperatorResponse {
+                answer: OperatorResponse::State(state),
                 ..
             }) => json(200, &state),
             _ => refuse(&lost()),
@@ -75,7 +75,7 @@
         _ => bail!("no such path"),
     });
     told.unwrap_or_else(|error| {
-        refuse(&Refusal::not_run(
+        refuse(&Rejection::not_run(
             404,
             "not_in_history",
             &format!("{error:#}"),
@@ -87,8 +87,8 @@
     done.unwrap_or_else(|refused| refused)
 }
 
-fn lost() -> Refusal {
-    Refusal::unknown(
+fn lost() -> Rejection {
+    Rejection::unknown(
         503,
         "outcome_unknown",
         "no answer came from the owner in time; read back before trying again",
@@ -97,9 +97,9 @@
 
 /// The node that was asked is cut off: it neither did anything nor can it tell
 /// what is in force.
-fn no_majority() -> Refusal {
+fn no_majority() -> Rejection {
     let text = "this node is not in contact with a majority; ask another one";
-    Refusal::not_run(503, "no_majority", text).back(NO_MAJORITY_RETRY)
+    Rejection::not_run(503, "no_majority", text).back(NO_MAJORITY_RETRY)
 }
 
 fn text_of(request: &rouille::Request) -> Result<String, rouille::Response> {
@@ -112,44 +112,46 @@
     json(422, &body)
 }
 
-fn ask(port: &Port, partition: u8, change: &Change) -> Outcome {
+fn ask(port: &Port, partition: u8, change: &Change) -> ChangeOutcome {
     match port.ask(PATIENCE, &|id| Input::Operator {
         id,
-        ask: OperatorAsk::Change {
+        ask: OperatorRequest::Change {
             partition,
             change: change.clone(),
         },
     }) {
-        Some(Output::OperatorAnswer {
-            answer: OperatorAnswer::Outcome(outcome),
+        Some(Output::OperatorResponse {
+            answer: OperatorResponse::ChangeOutcome(outcome),
             ..
         }) => outcome,
-        _ => Outcome::Lost,
+        _ => ChangeOutcome::Unknown,
     }
 }
 
 /// What is said where no answer came.
-fn unanswered(outcome: &Outcome) -> rouille::Response {
+fn unanswered(outcome: &ChangeOutcome) -> rouille::Response {
     match outcome {
-        Outcome::NoMajority => refuse(&no_majority()),
+        ChangeOutcome::NoMajority => refuse(&no_majority()),
         _ => refuse(&lost()),
     }
 }
 
-fn acknowledged(outcome: Outcome) -> rouille::Response {
+fn acknowledged(outcome: ChangeOutcome) -> rouille::Response {
     match outcome {
-        Outcome::Settled { version } => json(200, &serde_json::json!({ "version": version }))
-            .with_additional_header("ETag", format!("\"{version}\"")),
-        Outcome::Raced { version, .. } => {
+        ChangeOutcome::Acknowledged { version } => {
+            json(200, &serde_json::json!({ "version": version }))
+                .with_additional_header("ETag", format!("\"{version}\""))
+        }
+        ChangeOutcome::VersionConflict { version, .. } => {
             let text = "another change came first";
             json(
                 409,
                 &serde_json::json!({ "code": "raced", "outcome": "not_run", "text": text, "version": version }),
             )
         }
-        Outcome::Findings(found) => invalid(&found),
-        Outcome::Conflict(found) => conflict(&found),
-        Outcome::RevisionForgotten(found) => revision_forgotten(&found),
+        ChangeOutcome::Findings(found) => invalid(&found),
+        ChangeOutcome::RevisionConflict(found) => conflict(&found),
+        ChangeOutcome::RevisionForgotten(found) => revision_forgotten(&found),
         other => unanswered(&other),
     }
 }
@@ -174,12 +176,12 @@
 
 fn get_configuration(port: &Port) -> rouille::Response {
     match ask(port, CONFIGURATION, &Change::GetConfiguration) {
-        Outcome::Configuration { version: 0, .. } => refuse(&Refusal::not_run(
+        ChangeOutcome::Configuration { version: 0, .. } => refuse(&Rejection::not_run(
             404,
             "no_configuration",
             "none was put yet",
         )),
-        Outcome::Configuration { version, text } => {
+        ChangeOutcome::Configuration { version, text } => {
             rouille::Response::from_data("application/json", text.as_bytes())
                 .with_additional_header("ETag", format!("\"{version}\""))
         }
@@ -212,7 +214,7 @@
 fn expected(request: &rouille::Request) -> Result<Option<u64>, rouille::Response> {
     let read = |tag: &str| tag.trim_matches('"').parse();
     let malformed = |_| {
-        refuse(&Refusal::not_run(
+        refuse(&Rejection::not_run(
             400,
             "if_match_malformed",
             "If-Match must be a version as given in ETag",
@@ -389,7 +391,7 @@
 /// ours, what was read from them.
 fn get_items(port: &Port) -> rouille::Response {
     #[derive(Serialize)]
-    struct Shown {
+    struct PublishedState {
         kind: ItemKind,
         name: String,
         revision: u64,
@@ -398,10 +400,10 @@
     #[derive(Serialize)]
     struct Standing {
         version: u64,
-        items: Vec<Shown>,
+        items: Vec<PublishedState>,
     }
     let (version, rows) = match ask(port, CONFIGURATION, &Change::List) {
-        Outcome::Rows { version, rows } => (version, rows),
+        ChangeOutcome::Rows { version, rows } => (version, rows),
         other => return unanswered(&other),
     };
     let shown = |(_, row): (String, Row)| match row.value {
@@ -411,18 +413,21 @@
             revision,
             text: Some(text),
             ..
-        }) => Some(RawValue::from_string(text.to_string()).map(|value| Shown {
-            kind,
-            name,
-            revision,
-            value,
-        })),
+        }) => Some(
+            RawValue::from_string(text.to_string()).map(|value| PublishedState {
+                kind,
+                name,
+                revision,
+                value,
+            }),
+        ),
         _ => None,
     };
-    let items: serde_json::Result<Vec<Shown>> = rows.into_iter().filter_map(shown).collect();
+    let items: serde_json::Result<Vec<PublishedState>> =
+        rows.into_iter().filter_map(shown).collect();
     match items {
         Ok(items) => json(200, &Standing { version, items }),
-        Err(error) => refuse(&Refusal::not_run(500, "not_shown", &error.to_string())),
+        Err(error) => refuse(&Rejection::not_run(500, "not_shown", &error.to_string())),
     }
 }
 
@@ -445,8 +450,13 @@
 }
 
 fn new_change_id() -> Result<u64, rouille::Response> {
-    new_incarnation()
-        .map_err(|error| refuse(&Refusal::not_run(500, "no_randomness", &error.to_string())))
+    new_incarnation().map_err(|error| {
+        refuse(&Rejection::not_run(
+            500,
+            "no_randomness",
+            &error.to_string(),
+        ))
+    })
 }
 
 fn list(
@@ -455,7 +465,7 @@
     show: &dyn Fn(u64, Vec<(String, Row)>) -> serde_json::Value,
 ) -> rouille::Response {
     match ask(port, partition, &Change::List) {
-        Outcome::Rows { version, rows } => json(200, &show(version, rows)),
+        ChangeOutcome::Rows { version, rows } => json(200, &show(version, rows)),
         other => unanswered(&other),
     }
 }
--- a/control-plane/src/operator_face/tests.rs
+++ b/control-plane/src/operator_api/tests.rs
@@ -45,13 +45,15 @@
             serde_json::from_str::<serde_json::Value>(&text).unwrap(),
         )
     };
-    let (status, body) = body_of(crate::prelude::Outcome::Conflict(found.clone()));
+    let (status, body) = body_of(crate::prelude::ChangeOutcome::RevisionConflict(
+        found.clone(),
+    ));
     assert_eq!(
         (status, &body["code"], &body["outcome"]),
         (409, &"revision_conflict".into(), &"not_run".into())
     );
     assert_eq!(body["findings"][0]["place"], "/0/revision");
-    let (status, body) = body_of(crate::prelude::Outcome::RevisionForgotten(found));
+    let (status, body) = body_of(crate::prelude::ChangeOutcome::RevisionForgotten(found));
     assert_eq!(
         (status, &body["code"], &body["outcome"]),
         (410, &"revision_forgotten".into(), &"unknown".into())
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -27,7 +27,7 @@
     asked: Option<Duration>,
     /// When the last round of a tick began.
     rounded: Duration,
-    promises: BTreeMap<u8, PromisedState>,
+    promises: BTreeMap<u8, PreparedState>,
     /// What our own disk held when the epoch was begun.
     own: PartitionState,
     /// The state that was adopted.
@@ -108,7 +108,7 @@
     }
 
     /// A slot promised the epoch and told what it holds.
-    pub fn raised(&mut self, now: Duration, slot: u8, state: PromisedState) {
+    pub fn raised(&mut self, now: Duration, slot: u8, state: PreparedState) {
         self.bases.insert(slot, state.id());
         if self.active_since.is_some() {
             return;
@@ -124,14 +124,14 @@
     /// newer than that.
     fn adopt(&mut self, now: Duration) {
         let promises = std::mem::take(&mut self.promises);
-        let published = promises.values().map(PromisedState::published).max();
+        let published = promises.values().map(PreparedState::published).max();
         self.published = published.unwrap_or(0);
         let own = std::mem::take(&mut self.own);
         let newer = promises
             .into_values()
             .filter_map(|promised| match promised {
-                PromisedState::Newer(state) => Some(state),
-                PromisedState::NotNewer { .. } => None,
+                PreparedState::Newer(state) => Some(state),
+                PreparedState::NotNewer { .. } => None,
             });
         let best = newer
             .chain([own])
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -5,8 +5,8 @@
 
 fn active() -> PartitionLeader {
     let mut leader = PartitionLeader::new(PURGES, 3, 3, 0);
-    leader.raised(ZERO, 0, PromisedState::Newer(PartitionState::default()));
-    leader.raised(ZERO, 1, PromisedState::Newer(PartitionState::default()));
+    leader.raised(ZERO, 0, PreparedState::Newer(PartitionState::default()));
+    leader.raised(ZERO, 1, PreparedState::Newer(PartitionState::default()));
     leader
 }
 
@@ -50,9 +50,9 @@
         }
     };
     let mut leader = PartitionLeader::new(PURGES, 9, 3, 0);
-    leader.raised(ZERO, 2, PromisedState::Newer(image(5, 4)));
+    leader.raised(ZERO, 2, PreparedState::Newer(image(5, 4)));
     assert!(leader.active_since.is_none(), "one promise is no majority");
-    leader.raised(ZERO, 0, PromisedState::Newer(image(6, 2)));
+    leader.raised(ZERO, 0, PreparedState::Newer(image(6, 2)));
     assert_eq!(leader.rows["k"].value, value(6));
     assert!(!leader.ready(), "the image is not rewritten yet");
 }
@@ -137,7 +137,7 @@
         let mut leader = PartitionLeader::new(PURGES, 3, slots, 0);
         for slot in 0..most {
             assert!(leader.active_since.is_none(), "{slot} of {slots} promised");
-            leader.raised(ZERO, slot, PromisedState::Newer(PartitionState::default()));
+            leader.raised(ZERO, slot, PreparedState::Newer(PartitionState::default()));
         }
         assert!(leader.active_since.is_some());
         let version = leader.put("k".into(), value(1));
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -261,13 +261,13 @@
 
     /// What is told with a promise to one who holds `held`. States of the ledger
     /// are large and mostly the same at all replicas.
-    pub fn promised_state(&self, partition: u8, held: StateId) -> PromisedState {
+    pub fn promised_state(&self, partition: u8, held: StateId) -> PreparedState {
         let id = self.image.id();
         if partition >= PUBLISHED_PARTITIONS && id <= held {
             let published = self.image.published;
-            PromisedState::NotNewer { id, published }
+            PreparedState::NotNewer { id, published }
         } else {
-            PromisedState::Newer(self.image.clone())
+            PreparedState::Newer(self.image.clone())
         }
     }
 
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -37,7 +37,7 @@
 pub struct Call {
     pub node: usize,
     pub asked: Duration,
-    pub answer: Option<(Duration, Outcome)>,
+    pub answer: Option<(Duration, ChangeOutcome)>,
 }
 
 /// A fleet of control nodes whose seeds are the membership table.
@@ -107,7 +107,7 @@
         let at = self.ask(0, ASSIGNMENTS, Change::OpenLedger { generation });
         self.run(Duration::from_secs(2));
         let answer = &self.calls[at].answer;
-        let opened = matches!(answer, Some((_, Outcome::Settled { .. })));
+        let opened = matches!(answer, Some((_, ChangeOutcome::Acknowledged { .. })));
         assert!(opened, "{answer:?}");
     }
 
@@ -175,7 +175,7 @@
         let now = self.now;
         for call in &mut self.calls {
             if call.node == node && call.answer.is_none() {
-                call.answer = Some((now, Outcome::Lost));
+                call.answer = Some((now, ChangeOutcome::Unknown));
             }
         }
         self.schedule(Duration::ZERO, node, Happening::Tick);
@@ -219,7 +219,7 @@
                 self.schedule(lease::CONTROL_TICK, node, Happening::Tick);
                 Input::Tick
             }
-            Happening::Deliver { from, message } => Input::Heard {
+            Happening::Deliver { from, message } => Input::MessageReceived {
                 from,
                 message: *message,
             },
@@ -236,18 +236,18 @@
         let from = self.nodes[node].part.me();
         for output in self.nodes[node].part.step(self.now, input) {
             match output {
-                Output::Tell { to, message } => self.deliver(node, from, to, message),
-                Output::Store { .. } | Output::StoreImage { .. } if self.nodes[node].full => {
+                Output::Send { to, message } => self.deliver(node, from, to, message),
+                Output::Store { .. } | Output::StoreSnapshot { .. } if self.nodes[node].full => {
                     self.schedule(SYNC, node, Happening::StoreFailed);
                 }
-                Output::Store { serial, record } | Output::StoreImage { serial, record } => {
+                Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                     self.schedule(SYNC, node, Happening::Synced { serial, record });
                 }
-                Output::OperatorAnswer {
+                Output::OperatorResponse {
                     id,
-                    answer: OperatorAnswer::Outcome(outcome),
+                    answer: OperatorResponse::ChangeOutcome(outcome),
                 } => self.calls[id as usize - 1].answer = Some((self.now, outcome)),
-                Output::Note {
+                Output::Log {
                     event: Event::PartitionAcquired,
                     ..
                 } => self.takeovers += 1,
@@ -278,14 +278,19 @@
             answer: None,
         });
         let id = self.calls.len() as u64;
-        let ask = OperatorAsk::Change { partition, change };
+        let ask = OperatorRequest::Change { partition, change };
         self.step(node, Input::Operator { id, ask });
         self.calls.len() - 1
     }
 
     /// The same, and the answer with how long it took, waited for at the most
     /// as long as the span.
-    pub fn answer(&mut self, node: usize, change: Change, span: Duration) -> (Duration, Outcome) {
+    pub fn answer(
+        &mut self,
+        node: usize,
+        change: Change,
+        span: Duration,
+    ) -> (Duration, ChangeOutcome) {
         let at = self.ask(node, CONFIGURATION, change);
         let answered = self.run_while_not(span, |cluster| cluster.calls[at].answer.is_some());
         assert!(answered, "no answer at node {node} within {span:?}");
@@ -295,13 +300,13 @@
 
     /// What a node tells of itself.
     pub fn state(&mut self, node: usize) -> serde_json::Value {
-        let ask = OperatorAsk::State;
+        let ask = OperatorRequest::State;
         let outputs = self.nodes[node]
             .part
             .step(self.now, Input::Operator { id: 0, ask });
         let told = outputs.into_iter().find_map(|output| match output {
-            Output::OperatorAnswer {
-                answer: OperatorAnswer::State(state),
+            Output::OperatorResponse {
+                answer: OperatorResponse::State(state),
                 ..
             } => Some(state),
             _ => None,
@@ -359,8 +364,8 @@
 }
 
 /// The revision of an item in an answer to `Change::List`, if it is there.
-pub fn revision_of(outcome: &Outcome, name: &str) -> Option<u64> {
-    let Outcome::Rows { rows, .. } = outcome else {
+pub fn revision_of(outcome: &ChangeOutcome, name: &str) -> Option<u64> {
+    let ChangeOutcome::Rows { rows, .. } = outcome else {
         return None;
     };
     rows.iter().find_map(|(_, row)| match &row.value {
--- a/control-plane/tests/faults/cut_off.rs
+++ b/control-plane/tests/faults/cut_off.rs
@@ -12,8 +12,8 @@
 const TAKEOVER: Duration = Duration::from_millis(1_500);
 const PATIENCE: Duration = Duration::from_secs(13);
 
-fn settled(outcome: &Outcome) -> bool {
-    matches!(outcome, Outcome::Settled { .. })
+fn settled(outcome: &ChangeOutcome) -> bool {
+    matches!(outcome, ChangeOutcome::Acknowledged { .. })
 }
 
 /// All that operators may ask.
@@ -37,7 +37,11 @@
             cluster.run(NOTICED);
             for change in asks(1) {
                 let (took, outcome) = cluster.answer(node, change.clone(), PATIENCE);
-                assert_eq!(outcome, Outcome::NoMajority, "{size} nodes: {change:?}");
+                assert_eq!(
+                    outcome,
+                    ChangeOutcome::NoMajority,
+                    "{size} nodes: {change:?}"
+                );
                 assert_eq!(took, AT_ONCE, "{size} nodes: {change:?}");
             }
             cluster.heal();
@@ -58,7 +62,7 @@
             for change in asks(1) {
                 cluster.isolate(node);
                 let (took, outcome) = cluster.answer(node, change.clone(), PATIENCE);
-                let known = matches!(outcome, Outcome::NoMajority | Outcome::Lost);
+                let known = matches!(outcome, ChangeOutcome::NoMajority | ChangeOutcome::Unknown);
                 assert!(known, "{size} nodes, {change:?}: {outcome:?}");
                 assert!(took <= NOTICED, "{size} nodes, {change:?}: {took:?}");
                 cluster.heal();
@@ -131,7 +135,11 @@
             assert!(took <= TAKEOVER, "{size} nodes, deaf {deaf}: {took:?}");
             cluster.run(NOTICED);
             let (took, outcome) = cluster.answer(leader, put_group("s", 2), PATIENCE);
-            assert_eq!(outcome, Outcome::NoMajority, "{size} nodes, deaf {deaf}");
+            assert_eq!(
+                outcome,
+                ChangeOutcome::NoMajority,
+                "{size} nodes, deaf {deaf}"
+            );
             assert_eq!(took, AT_ONCE);
         }
     }
@@ -174,7 +182,7 @@
         }
         cluster.run(Duration::from_secs(3));
         let (_, outcome) = cluster.answer(leader, Change::List, PATIENCE);
-        assert_eq!(outcome, Outcome::NoMajority);
+        assert_eq!(outcome, ChangeOutcome::NoMajority);
         let (_, outcome) = cluster.answer(others[0], put_group("s", 2), PATIENCE);
         assert!(settled(&outcome), "{outcome:?}");
         cluster.heal();
--- a/control-plane/tests/faults/disk_failure.rs
+++ b/control-plane/tests/faults/disk_failure.rs
@@ -18,7 +18,7 @@
             let other = cluster.others(node)[0];
             let order = put_group("s", round as u64);
             let (_, outcome) = cluster.answer(other, order, PATIENCE);
-            let settled = matches!(outcome, Outcome::Settled { .. });
+            let settled = matches!(outcome, ChangeOutcome::Acknowledged { .. });
             assert!(settled, "{size} nodes, round {round}: {outcome:?}");
             cluster.set_disk_full(node, false);
             cluster.run(RESTORED);
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -14,7 +14,7 @@
 }
 
 fn heartbeat() -> Input {
-    let everybody: SlotSet = (0..SLOTS_MOST as u8).collect();
+    let everybody: SlotSet = (0..MAX_SLOTS as u8).collect();
     let heartbeat = Heartbeat {
         hears: everybody,
         contacts: everybody,
@@ -28,7 +28,7 @@
         got: 0,
         seen: None,
     };
-    Input::Heard {
+    Input::MessageReceived {
         from: Peer::new(address(1), 11),
         message: heartbeat.into(),
     }
@@ -37,7 +37,7 @@
 /// Partition and epoch of each request for a promise that goes to another node.
 fn requests(outputs: &[Output]) -> BTreeSet<(u8, u64)> {
     let request = |output: &Output| match output {
-        Output::Tell {
+        Output::Send {
             to,
             message: Message::PrepareRequest(request),
         } if *to != address(0) => Some((request.partition, request.epoch)),
--- a/control-plane/tests/recovery_answers.rs
+++ b/control-plane/tests/recovery_answers.rs
@@ -16,7 +16,7 @@
     let mut all = Vec::new();
     while let Some(input) = inputs.pop_front() {
         for output in part.step(Duration::from_millis(ms), input) {
-            if let Output::Store { serial, .. } | Output::StoreImage { serial, .. } = &output {
+            if let Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } = &output {
                 inputs.push_back(Input::Stored { serial: *serial });
             }
             all.push(output);
@@ -38,14 +38,14 @@
             membership_version: 0,
             held: Replica::blank(1).copy_out(),
         };
-        let input = Input::Heard {
+        let input = Input::MessageReceived {
             from: Peer::new(address(slot), 50 + u64::from(slot)),
             message: reply.into(),
         };
         refilled |= step(part, ms, input).iter().any(|output| {
             matches!(
                 output,
-                Output::Note {
+                Output::Log {
                     event: Event::DiskRefilled,
                     ..
                 }
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -277,7 +277,7 @@
     pub fn elect(&mut self, partition: u8) -> Vec<Envelope> {
         let slot = self.slot().expect("a member");
         let highest = self.replica.held(partition).promised;
-        let epoch = (highest / SLOTS_MOST as u64 + 1) * SLOTS_MOST as u64 + u64::from(slot);
+        let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(slot);
         if self.keeps(Safeguard::OwnPromiseFirst) {
             self.store(&Record::Promise {
                 partition: partition,
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -93,7 +93,7 @@
 
 fn heard(from: u16, message: Message) -> Input {
     let from = Peer::new(address(from.into()), u64::from(from) + 1);
-    Input::Heard { from, message }
+    Input::MessageReceived { from, message }
 }
 
 /// One step after which everything is synced at once.
@@ -103,7 +103,7 @@
     while let Some(input) = inputs.pop_front() {
         for output in part.step(Duration::from_secs(1), input) {
             match output {
-                Output::Tell { message, .. } => told.push(message),
+                Output::Send { message, .. } => told.push(message),
                 Output::Store { serial, .. } => inputs.push_back(Input::Stored { serial }),
                 _ => {}
             }
@@ -220,7 +220,7 @@
             states: BTreeMap::new(),
         };
         for slot in 0..2 {
-            let nothing = PromisedState::Newer(PartitionState::default());
+            let nothing = PreparedState::Newer(PartitionState::default());
             lane.leader.raised(lane.now, slot, nothing);
         }
         lane.flush(true);
@@ -340,7 +340,7 @@
             }
             let Some(serial) = last else { continue };
             for output in part.step(Duration::from_secs(1), Input::Stored { serial }) {
-                if let Output::Tell { message, .. } = output {
+                if let Output::Send { message, .. } = output {
                     prop_assert!(holds(&replica, &message), "{message:?}");
                 }
             }
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -437,9 +437,12 @@
         wait: &Wait,
         ahead: usize,
         capacity: f64,
-    ) -> Option<(AwayReason, Duration)> {
+    ) -> Option<(PermitRefusalReason, Duration)> {
         if now < wait.until && !self.may_try(now, wait) {
-            return Some((AwayReason::Budget, Duration::from_secs(1)));
+            return Some((
+                PermitRefusalReason::RetryBudgetExhausted,
+                Duration::from_secs(1),
+            ));
         }
         let tried = |at: &OriginAt| at.fails > 0 && at.aside > now;
         if self.origins.values().all(tried)
@@ -450,7 +453,10 @@
                 .values()
                 .map(|at| at.aside.saturating_sub(now))
                 .min();
-            return Some((AwayReason::NoOrigin, soonest.unwrap_or(ASIDE)));
+            return Some((
+                PermitRefusalReason::NoHealthyOrigin,
+                soonest.unwrap_or(ASIDE),
+            ));
         }
         // What is left for this rank once the higher ones have theirs.
         let higher = self.higher(wait.rank);
@@ -466,7 +472,7 @@
         let late = !due.is_zero() && now.saturating_add(due) >= wait.until;
         (late || now >= wait.until).then(|| {
             (
-                AwayReason::Busy,
+                PermitRefusalReason::Overloaded,
                 due.clamp(Duration::from_secs(1), Duration::from_secs(30)),
             )
         })
@@ -585,7 +591,7 @@
             return;
         };
         match done.result {
-            CallResult::Good => {
+            CallResult::Success => {
                 if let Some(at) = self.origins.get_mut(&call.origin) {
                     at.took = at.took * 0.9 + done.took.as_secs_f64().max(0.001) * 0.1;
                 }
@@ -605,12 +611,12 @@
                     self.proven(since, call.origin);
                 }
             }
-            CallResult::Bad => self.failed(now, call.origin, ASIDE),
-            CallResult::Refused => self.failed(now, call.origin, ASIDE),
+            CallResult::Failure => self.failed(now, call.origin, ASIDE),
+            CallResult::Unreachable => self.failed(now, call.origin, ASIDE),
             // Full, or about to leave: others first for a moment.
-            CallResult::NotRun => self.failed(now, call.origin, FULL),
+            CallResult::NotExecuted => self.failed(now, call.origin, FULL),
             // Its place is another's: only the list can bring it back.
-            CallResult::Stranger => self.failed(now, call.origin, GONE),
+            CallResult::WrongInstance => self.failed(now, call.origin, GONE),
             // Its place is another's once the origin has seen the end.
             CallResult::Cancelled => {
                 let until = call.until.min(now + CANCEL_SEEN);
@@ -730,13 +736,13 @@
     }
 
     /// How each origin stands, for operators.
-    pub fn found(&self, now: Duration) -> Vec<OriginFound> {
+    pub fn found(&self, now: Duration) -> Vec<OriginHealth> {
         let condition = |at: &OriginAt| match at.proof {
-            _ if at.aside > now => OriginCondition::Aside,
+            _ if at.aside > now => OriginCondition::Ejected,
             _ if self.shown(now, at) => OriginCondition::Proven,
             _ => OriginCondition::Unproven,
         };
-        let one = |at: &OriginAt| OriginFound {
+        let one = |at: &OriginAt| OriginHealth {
             address: at.origin.address,
             service: at.origin.service.clone(),
             instance: at.origin.instance.clone(),
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -134,7 +134,7 @@
                     service: "s".into(),
                     epoch: 0,
                     serial: 0,
-                    result: CallResult::Good,
+                    result: CallResult::Success,
                     took: at(5),
                 },
             );
@@ -148,7 +148,7 @@
                         service: "s".into(),
                         epoch: 1,
                         serial: permit.serial,
-                        result: CallResult::Good,
+                        result: CallResult::Success,
                         took: at(5),
                     },
                 );
@@ -163,7 +163,7 @@
     admission: AdmissionController,
     now: u64,
     given: Vec<(u64, u64)>,
-    away: Vec<(u64, u64, AwayReason)>,
+    away: Vec<(u64, u64, PermitRefusalReason)>,
     calls: Vec<u64>,
 }
 
@@ -205,7 +205,7 @@
                         service: "s".into(),
                         epoch: permit.epoch,
                         serial: permit.serial,
-                        result: CallResult::Good,
+                        result: CallResult::Success,
                         took: at(took),
                     };
                     ends.push((self.now + took, done));
@@ -400,7 +400,7 @@
     assert!(
         run.away
             .iter()
-            .any(|(_, _, reason)| *reason == AwayReason::Budget)
+            .any(|(_, _, reason)| *reason == PermitRefusalReason::RetryBudgetExhausted)
     );
     assert!(run.admission.extras.len() > 50);
 }
@@ -480,7 +480,7 @@
         [(
             _,
             Message::PermitRefused(PermitRefused {
-                reason: AwayReason::NoOrigin,
+                reason: PermitRefusalReason::NoHealthyOrigin,
                 ..
             })
         )]
@@ -533,7 +533,7 @@
             service: "s".into(),
             epoch: 3,
             serial: 2,
-            result: CallResult::Good,
+            result: CallResult::Success,
             took: at(600),
         },
     );
@@ -585,7 +585,7 @@
     admission.withdraw(at(1010), origin(8).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
-    admission.done(at(1100), ended(&given[0], CallResult::Good));
+    admission.done(at(1100), ended(&given[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
@@ -615,7 +615,7 @@
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [3]);
     let found = admission.found(at(1141));
     assert_eq!(found[0].calls, 2, "counted once more, not twice");
-    assert_ne!(found[0].condition, OriginCondition::Aside);
+    assert_ne!(found[0].condition, OriginCondition::Ejected);
 }
 
 /// However many give up, no more calls reach the origins than their rate allows:
@@ -657,7 +657,7 @@
     }
     let given = permits(&mut admission);
     admission.forget_askers(at(1010), &HashSet::from([origin(9).address]));
-    admission.done(at(1100), ended(&given[0], CallResult::Good));
+    admission.done(at(1100), ended(&given[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
--- a/data-plane/src/cache_owner.rs
+++ b/data-plane/src/cache_owner.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    fn name<'a>(&'a self, reply: &'a Reply) -> CopyName<'a> {
-        CopyName {
+    fn name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
+        CacheEntryName {
             entry: &self.entry,
             host: &self.host,
             url: &self.url,
@@ -138,8 +138,8 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn get(&mut self, now: Duration, from: SocketAddr, get: Get, epoch: u64, purged: u64) {
-        let Get {
+    pub fn get(&mut self, now: Duration, from: SocketAddr, get: CacheGet, epoch: u64, purged: u64) {
+        let CacheGet {
             id,
             key,
             entry,
@@ -156,10 +156,10 @@
         slot.keep = keep;
         slot.used = now;
         if self.answered.contains_key(&(from, id)) {
-            return self.out.push((from, GetQueued { id }.into()));
+            return self.out.push((from, CacheGetQueued { id }.into()));
         }
         if now < slot.private {
-            return self.out.push((from, NoCopy { id, key }.into()));
+            return self.out.push((from, CacheUnavailable { id, key }.into()));
         }
         if slot.held.as_ref().is_some_and(|held| now >= held.major) {
             self.bytes -= slot.empty();
@@ -183,7 +183,7 @@
             }
             held.minor = now + delta;
         } else if spare {
-            return self.out.push((from, NoCopy { id, key }.into()));
+            return self.out.push((from, CacheUnavailable { id, key }.into()));
         } else if busy {
             let until = now + wait;
             match slot
@@ -193,7 +193,7 @@
             {
                 Some(known) => {
                     known.until = until;
-                    self.out.push((from, GetQueued { id }.into()));
+                    self.out.push((from, CacheGetQueued { id }.into()));
                 }
                 None => slot.waits.push(Wait {
                     from,
@@ -206,7 +206,7 @@
         }
         self.serial += 1;
         let token = CacheOwner::issue(now, slot, self.serial, epoch, purged, stall);
-        self.out.push((from, Miss { id, key, token }.into()));
+        self.out.push((from, CacheMiss { id, key, token }.into()));
     }
 
     /// Who asked does not wait for the copy any more.
@@ -230,11 +230,11 @@
         epoch: u64,
         purged: u64,
         stall: Duration,
-    ) -> Token {
+    ) -> FillToken {
         slot.refresher = Some((serial, now + stall));
         slot.tokens.retain(|(_, began)| now < *began + TOKEN);
         slot.tokens.push((serial, now));
-        Token {
+        FillToken {
             serial,
             epoch,
             purged,
@@ -244,7 +244,7 @@
     fn copy(now: Duration, asker: &Wait, key: CacheKey, held: &Held, purged: u64) -> Message {
         // What is held here was checked against every purge known here.
         let purged = purged.max(held.purged);
-        let copy = CopyOut {
+        let copy = CachedResponse {
             reply: held.reply.clone(),
             purged,
             age: now - held.began,
@@ -252,7 +252,7 @@
             left: held.major - now,
             held: now - asker.since,
         };
-        Copy {
+        CacheCopy {
             id: asker.id,
             key,
             wait: asker.until.saturating_sub(now),
@@ -263,8 +263,8 @@
 
     /// False if the put came too late: under another epoch of the assignment, after
     /// a purge that reaches it, or older than what is held.
-    pub fn put(&mut self, now: Duration, put: Put, epoch: u64, book: &PurgeBook) -> bool {
-        let Put { key, token, reply } = put;
+    pub fn put(&mut self, now: Duration, put: CachePut, epoch: u64, book: &PurgeBook) -> bool {
+        let CachePut { key, token, reply } = put;
         let Some(slot) = self.keys.get_mut(&key) else {
             return false;
         };
@@ -315,7 +315,7 @@
         &mut self,
         now: Duration,
         key: CacheKey,
-        token: Token,
+        token: FillToken,
         epoch: u64,
         purged: u64,
         private: bool,
@@ -330,7 +330,7 @@
             slot.private = now + slot.delta();
             for wait in slot.waits.drain(..) {
                 self.out
-                    .push((wait.from, NoCopy { id: wait.id, key }.into()));
+                    .push((wait.from, CacheUnavailable { id: wait.id, key }.into()));
             }
         }
         if slot
@@ -356,7 +356,7 @@
         let token = CacheOwner::issue(now, slot, self.serial, epoch, purged, stall);
         self.out.push((
             wait.from,
-            Miss {
+            CacheMiss {
                 id: wait.id,
                 key,
                 token,
@@ -427,7 +427,7 @@
     }
 
     /// What was set aside of a partition, latest asked for first.
-    pub fn hand(&mut self, now: Duration, partition: u16) -> Vec<Carried> {
+    pub fn hand(&mut self, now: Duration, partition: u16) -> Vec<HandedOverResponse> {
         let Some((_, mut list)) = self.aside.remove(&partition) else {
             return Vec::new();
         };
@@ -439,7 +439,7 @@
         };
         let carried = list.iter().take_while(fits).filter_map(|(key, slot)| {
             let held = slot.held.as_ref()?;
-            Some(Carried {
+            Some(HandedOverResponse {
                 key: *key,
                 entry: slot.entry.clone(),
                 host: slot.host.clone(),
@@ -461,7 +461,7 @@
         &mut self,
         now: Duration,
         way: Duration,
-        copies: Vec<Carried>,
+        copies: Vec<HandedOverResponse>,
         book: &PurgeBook,
     ) -> usize {
         let mut taken = 0;
@@ -470,7 +470,7 @@
                 .keys
                 .get(&copy.key)
                 .is_some_and(|slot| slot.held.is_some());
-            let name = CopyName {
+            let name = CacheEntryName {
                 entry: &copy.entry,
                 host: &copy.host,
                 url: &copy.url,
@@ -480,7 +480,7 @@
                 continue;
             }
             taken += 1;
-            let Carried {
+            let HandedOverResponse {
                 key,
                 entry,
                 host,
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -11,8 +11,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn get(id: u64) -> Get {
-    Get {
+fn get(id: u64) -> CacheGet {
+    CacheGet {
         id,
         key: KEY,
         entry: "e".into(),
@@ -33,15 +33,15 @@
 }
 
 /// What the owner says to one get: "copy TEXT", "miss", "wait".
-fn ask(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<Token>) {
+fn ask(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
     owner.get(at(now), from(1), get(id), 7, 0);
     match owner.take_out().pop() {
         None => ("wait".into(), None),
-        Some((_, Message::Copy(copy))) => (
+        Some((_, Message::CacheCopy(copy))) => (
             format!("copy {}", String::from_utf8_lossy(&copy.copy.reply.body)),
             None,
         ),
-        Some((_, Message::Miss(miss))) => ("miss".into(), Some(miss.token)),
+        Some((_, Message::CacheMiss(miss))) => ("miss".into(), Some(miss.token)),
         Some((_, other)) => (other.name().into(), None),
     }
 }
@@ -51,7 +51,7 @@
     let token = ask(&mut owner, now, 1).1.unwrap();
     assert!(owner.put(
         at(now),
-        Put {
+        CachePut {
             key: KEY,
             token,
             reply: reply("a")
@@ -72,7 +72,7 @@
     }
     owner.put(
         at(5100),
-        Put {
+        CachePut {
             key: KEY,
             token,
             reply: reply("b"),
@@ -90,7 +90,7 @@
     let token = ask(&mut owner, 0, 1).1.unwrap();
     owner.put(
         at(1500),
-        Put {
+        CachePut {
             key: KEY,
             token,
             reply: reply("a"),
@@ -114,19 +114,22 @@
     owner.give_up(at(100), KEY, first, 7, 0, false);
     let out = owner.take_out();
     assert!(
-        matches!(out.as_slice(), [(_, Message::Miss(Miss { id: 2, .. }))]),
+        matches!(
+            out.as_slice(),
+            [(_, Message::CacheMiss(CacheMiss { id: 2, .. }))]
+        ),
         "{out:?}"
     );
     owner.tick(at(2099), &|_| 7, 0);
     assert!(owner.take_out().is_empty());
     owner.tick(at(2100), &|_| 7, 0);
     let out = owner.take_out();
-    let [(_, Message::Miss(Miss { id: 3, token, .. }))] = out.as_slice() else {
+    let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = out.as_slice() else {
         panic!("{out:?}")
     };
     owner.put(
         at(2200),
-        Put {
+        CachePut {
             key: KEY,
             token: *token,
             reply: reply("c"),
@@ -167,7 +170,7 @@
     owner.purge(&purge);
     assert!(!owner.put(
         at(5100),
-        Put {
+        CachePut {
             key: KEY,
             token,
             reply: reply("old")
@@ -185,7 +188,7 @@
     let token = ask(&mut owner, 5000, 2).1.unwrap();
     assert!(!owner.put(
         at(5100),
-        Put {
+        CachePut {
             key: KEY,
             token,
             reply: reply("old")
@@ -200,7 +203,7 @@
     let quick = ask(&mut owner, 10_000, 3).1.unwrap();
     owner.put(
         at(10_100),
-        Put {
+        CachePut {
             key: KEY,
             token: quick,
             reply: reply("new"),
@@ -210,7 +213,7 @@
     );
     assert!(!owner.put(
         at(10_200),
-        Put {
+        CachePut {
             key: KEY,
             token: slow,
             reply: reply("old")
@@ -229,9 +232,9 @@
     owner.give_up(at(10), KEY, token, 7, 0, true);
     assert!(matches!(
         owner.take_out().as_slice(),
-        [(_, Message::NoCopy(NoCopy { id: 2, .. }))]
+        [(_, Message::CacheUnavailable(CacheUnavailable { id: 2, .. }))]
     ));
-    assert_eq!(ask(&mut owner, 11, 3).0, "NoCopy");
+    assert_eq!(ask(&mut owner, 11, 3).0, "CacheUnavailable");
     assert_eq!(ask(&mut owner, 5010, 4).0, "miss");
 }
 
@@ -240,13 +243,13 @@
     let mut owner = CacheOwner::new(20_000);
     for round in 0..100u8 {
         let key = [round; 32];
-        owner.get(at(round.into()), from(1), Get { key, ..get(1) }, 7, 0);
-        let Some((_, Message::Miss(miss))) = owner.take_out().pop() else {
+        owner.get(at(round.into()), from(1), CacheGet { key, ..get(1) }, 7, 0);
+        let Some((_, Message::CacheMiss(miss))) = owner.take_out().pop() else {
             panic!()
         };
         owner.put(
             at(round.into()),
-            Put {
+            CachePut {
                 key,
                 token: miss.token,
                 reply: reply(&"x".repeat(488)),
@@ -337,7 +340,7 @@
         if fails {
             owner.give_up(at(20), KEY, token, 7, 0, false);
         } else {
-            let put = Put {
+            let put = CachePut {
                 key: KEY,
                 token,
                 reply: reply("a"),
@@ -345,8 +348,8 @@
             assert!(owner.put(at(20), put, 7, &book));
         }
         let answered = |(_, message)| match message {
-            Message::Copy(copy) => copy.id,
-            Message::Miss(miss) => miss.id,
+            Message::CacheCopy(copy) => copy.id,
+            Message::CacheMiss(miss) => miss.id,
             other => panic!("{other:?}"),
         };
         let told: Vec<u64> = owner.take_out().into_iter().map(answered).collect();
--- a/data-plane/src/call_result.rs
+++ b/data-plane/src/call_result.rs
@@ -4,23 +4,23 @@
 /// Judges how a call ended. Two endings alone prove that the request did not
 /// run: no byte of it was written, or the answer to this very call says so.
 /// Anything else that is not the origin's whole answer proves nothing.
-pub fn judge_call(dialect: &dyn Dialect, call: &Call, came: Came) -> CallBack {
+pub fn judge_call(protocol: &dyn ProtocolAdapter, call: &Call, came: Came) -> CallOutcome {
     match came {
-        Came::Unsent(_) => CallBack::Refused,
-        Came::Lost { why, .. } => CallBack::Bad(why),
+        Came::Unsent(_) => CallOutcome::Unreachable,
+        Came::Lost { why, .. } => CallOutcome::Failure(why),
         Came::Reply {
             status,
             headers,
             body,
             sized,
-        } => match dialect.judge(call, status, &headers, &body) {
-            Judged::NotRun => CallBack::NotRun,
-            Judged::Stranger => CallBack::Stranger,
-            Judged::Bad(why) => CallBack::Bad(why),
-            Judged::Own { .. } if !whole(call, sized) => {
-                CallBack::Bad("the body may have been cut off".into())
+        } => match protocol.judge(call, status, &headers, &body) {
+            OriginVerdict::NotExecuted => CallOutcome::NotExecuted,
+            OriginVerdict::WrongInstance => CallOutcome::WrongInstance,
+            OriginVerdict::Rejected(why) => CallOutcome::Failure(why),
+            OriginVerdict::Accepted { .. } if !whole(call, sized) => {
+                CallOutcome::Failure("the body may have been cut off".into())
             }
-            Judged::Own { headers, tags } => CallBack::Good(Reply {
+            OriginVerdict::Accepted { headers, tags } => CallOutcome::Success(Reply {
                 status,
                 headers,
                 body: Arc::new(body),
--- a/data-plane/src/own_words.rs
+++ b/data-plane/src/default_protocol.rs
@@ -2,7 +2,7 @@
 
 /// otterslip's own words: `otterslip-*` headers towards origins, whose answers
 /// are sealed, and refusals as JSON towards callers.
-pub struct OwnWords;
+pub struct DefaultProtocol;
 
 /// Headers of an answer that go on to the caller; all else stays here.
 const PASSED: [&str; 8] = [
@@ -22,7 +22,7 @@
 /// Of an origin's answer that it did not run the request.
 const NOT_RUN: &str = "otterslip-not-run";
 
-impl Dialect for OwnWords {
+impl ProtocolAdapter for DefaultProtocol {
     fn patience(&self, _: &[(String, String)]) -> Option<Duration> {
         None
     }
@@ -35,7 +35,7 @@
         None
     }
 
-    fn call(&self, call: &Call) -> CallWords {
+    fn call(&self, call: &Call) -> CallHeaders {
         let mut headers = vec![
             ("Host".to_string(), call.origin.address.to_string()),
             ("otterslip-service".into(), call.origin.service.clone()),
@@ -49,27 +49,33 @@
                 .map(|key| ("operation-key".to_string(), key.clone())),
         );
         headers.extend(call.headers.iter().cloned());
-        CallWords {
+        CallHeaders {
             headers,
             echo: None,
         }
     }
 
-    fn judge(&self, call: &Call, status: u16, headers: &[(String, String)], body: &[u8]) -> Judged {
+    fn judge(
+        &self,
+        call: &Call,
+        status: u16,
+        headers: &[(String, String)],
+        body: &[u8],
+    ) -> OriginVerdict {
         let request = call.request.to_string();
         match call.proof {
             Proof::Named => {
                 // Before all else: an answer to another call proves nothing of
                 // this one.
                 if header(headers, ERRAND) != Some(request.as_str()) {
-                    return Judged::Bad("the answer is to another request".into());
+                    return OriginVerdict::Rejected("the answer is to another request".into());
                 }
                 if status == MISDIRECTED {
-                    return Judged::Stranger;
+                    return OriginVerdict::WrongInstance;
                 }
                 // Without the refusal, another instance may have run it.
                 if header(headers, INSTANCE) != Some(call.origin.instance.as_str()) {
-                    return Judged::Bad("the answer of another instance".into());
+                    return OriginVerdict::Rejected("the answer of another instance".into());
                 }
             }
             Proof::Seal => {
@@ -84,12 +90,12 @@
                     body,
                 };
                 if let Err(error) = seal.check(headers, &call.key) {
-                    return Judged::Bad(format!("{error:#}"));
+                    return OriginVerdict::Rejected(format!("{error:#}"));
                 }
             }
         }
         if header(headers, NOT_RUN).is_some() {
-            return Judged::NotRun;
+            return OriginVerdict::NotExecuted;
         }
         let tags = header(headers, "otterslip-tags").map(|text| {
             text.split(' ')
@@ -100,24 +106,24 @@
         let passed = |(name, _): &&(String, String)| {
             PASSED.iter().any(|known| name.eq_ignore_ascii_case(known))
         };
-        Judged::Own {
+        OriginVerdict::Accepted {
             headers: headers.iter().filter(passed).cloned().collect(),
             tags: tags.unwrap_or_default(),
         }
     }
 
-    fn tell(&self, _: &[(String, String)], answer: &Answer) -> TellWords {
+    fn tell(&self, _: &[(String, String)], answer: &ClientResponse) -> HttpResponse {
         match answer {
-            Answer::Reply { reply, age } => {
+            ClientResponse::Reply { reply, age } => {
                 let mut headers = reply.headers.clone();
                 headers.extend(age.map(|age| ("Age".to_string(), age.as_secs().to_string())));
-                TellWords {
+                HttpResponse {
                     status: reply.status,
                     headers,
                     body: reply.body.clone(),
                 }
             }
-            Answer::Refusal(refusal) => {
+            ClientResponse::Rejection(refusal) => {
                 let mut headers =
                     vec![("Content-Type".to_string(), "application/json".to_string())];
                 let back = refusal.retry_after_s.map(|span| span.ceil().max(1.0));
@@ -125,7 +131,7 @@
                     back.map(|span| ("Retry-After".to_string(), (span as u64).to_string())),
                 );
                 let body = serde_json::to_vec(refusal).unwrap_or_default();
-                TellWords {
+                HttpResponse {
                     status: refusal.status,
                     headers,
                     body: Arc::new(body),
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -68,10 +68,11 @@
             .map(|partition| cache_assignment(&self.locality.ring, *partition))
             .chain(admissions)
             .collect();
-        self.out.push(Output::Show(Shown::Assignments(list)));
+        self.out
+            .push(Output::Publish(PublishedState::Assignments(list)));
     }
 
-    pub(super) fn sync_admissions(&mut self, now: Duration, table: &EntryTable) {
+    pub(super) fn sync_admissions(&mut self, now: Duration, table: &RouteTable) {
         let wanted: Vec<(&Group, u64)> = table
             .document
             .groups
@@ -192,7 +193,7 @@
     }
 
     /// New admission controller holders hear of our calls under way by earlier permits.
-    pub(super) fn tell_underway(&mut self, now: Duration, table: &EntryTable) {
+    pub(super) fn tell_underway(&mut self, now: Duration, table: &RouteTable) {
         for group in &table.document.groups {
             let Some(Assignment {
                 holder: Some(holder),
@@ -243,20 +244,20 @@
         }
         let purged = self.book.applied;
         match message {
-            Message::Get(get) => {
+            Message::CacheGet(get) => {
                 match self.partitions.get(&cache_partition(&get.key)) {
                     Some(epoch) => self.cache.get(now, from.address, get, *epoch, purged),
                     // Between two owners: whoever asks fetches for itself.
                     None => self.tell(
                         from.address,
-                        NoCopy {
+                        CacheUnavailable {
                             id: get.id,
                             key: get.key,
                         },
                     ),
                 }
             }
-            Message::Put(put) => {
+            Message::CachePut(put) => {
                 if let Some(epoch) = self.partitions.get(&cache_partition(&put.key)) {
                     let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
                     if !self.cache.put(now, put, *epoch, &self.book) {
@@ -264,7 +265,7 @@
                     }
                 }
             }
-            Message::Fail(Fail {
+            Message::CacheFillFailed(CacheFillFailed {
                 key,
                 token,
                 private,
@@ -279,7 +280,7 @@
                     from.address,
                     PermitRefused {
                         id: request.id,
-                        reason: AwayReason::NotHere,
+                        reason: PermitRefusalReason::NotOwner,
                         back: AGAIN,
                     },
                 ),
@@ -289,7 +290,7 @@
                     admission.withdraw(now, from.address, withdrawn.id);
                 }
             }
-            Message::GetWithdrawn(withdrawn) => {
+            Message::CacheGetWithdrawn(withdrawn) => {
                 self.cache
                     .withdraw(from.address, &withdrawn.key, withdrawn.id);
             }
@@ -323,8 +324,11 @@
                 calls.push((origin, group.key.clone()));
             }
         }
-        self.out
-            .extend(watches.into_iter().map(|address| Output::Watch { address }));
+        self.out.extend(
+            watches
+                .into_iter()
+                .map(|address| Output::WatchConnection { address }),
+        );
         for (origin, key) in calls {
             let id = self.draw_id();
             self.probes.insert(id, origin.clone());
@@ -348,16 +352,20 @@
         }
     }
 
-    pub(super) fn probed(&mut self, now: Duration, id: u64, result: CallBack) {
+    pub(super) fn probed(&mut self, now: Duration, id: u64, result: CallOutcome) {
         let Some(origin) = self.probes.remove(&id) else {
             return;
         };
         let (good, why) = match result {
-            CallBack::Good(reply) => (reply.status == 200, format!("status {}", reply.status)),
-            CallBack::Refused => (false, "refused".into()),
-            CallBack::Withheld => (false, "withheld".into()),
-            CallBack::NotRun | CallBack::Stranger => (false, "another, or not willing".into()),
-            CallBack::Bad(why) => (false, why),
+            CallOutcome::Success(reply) => {
+                (reply.status == 200, format!("status {}", reply.status))
+            }
+            CallOutcome::Unreachable => (false, "refused".into()),
+            CallOutcome::NotSent => (false, "withheld".into()),
+            CallOutcome::NotExecuted | CallOutcome::WrongInstance => {
+                (false, "another, or not willing".into())
+            }
+            CallOutcome::Failure(why) => (false, why),
         };
         let changed = self
             .admissions
@@ -372,7 +380,7 @@
                 if good {
                     Event::OriginProven
                 } else {
-                    Event::OriginAside
+                    Event::OriginEjected
                 },
                 text,
             );
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -26,13 +26,13 @@
 impl EdgeNode {
     /// The near copy that this request is served at once, if there is one: a
     /// fresh one, or any while another request asks the owner for it.
-    pub(super) fn near_answer(&mut self, now: Duration, job: &Job) -> Option<Answer> {
+    pub(super) fn near_answer(&mut self, now: Duration, job: &Job) -> Option<ClientResponse> {
         let key = job.key?;
         let keep = job.request.entry().keep();
         match self.near.look_up(now, &key, keep) {
-            NearLookup::Fresh { reply, age } => Some(Answer::copy(reply, age)),
+            NearLookup::Fresh { reply, age } => Some(ClientResponse::copy(reply, age)),
             NearLookup::Stale { reply, age } if self.coalescer.is_led(&key) => {
-                Some(Answer::copy(reply, age))
+                Some(ClientResponse::copy(reply, age))
             }
             _ => None,
         }
@@ -40,14 +40,14 @@
 
     /// Any near copy that may still be served, for a request whose owner or
     /// origin does not answer.
-    pub(super) fn last_resort(&mut self, now: Duration, id: u64) -> Option<Answer> {
+    pub(super) fn last_resort(&mut self, now: Duration, id: u64) -> Option<ClientResponse> {
         let job = self.jobs.get(&id)?;
         match self
             .near
             .look_up(now, &job.key?, job.request.entry().keep())
         {
             NearLookup::Fresh { reply, age } | NearLookup::Stale { reply, age } => {
-                Some(Answer::copy(reply, age))
+                Some(ClientResponse::copy(reply, age))
             }
             NearLookup::Missing => None,
         }
@@ -87,7 +87,7 @@
         now: Duration,
         id: u64,
         key: &CacheKey,
-        answer: &Answer,
+        answer: &ClientResponse,
     ) {
         for follower in self.coalescer.dissolve(key, id) {
             self.end(now, follower, answer.clone());
@@ -96,9 +96,15 @@
 
     /// The request has ended: who follows it is refused as it was, if it was
     /// turned away unsent and in time; else the next one asks.
-    pub(super) fn leave_group(&mut self, now: Duration, id: u64, job: &Job, answer: &Answer) {
+    pub(super) fn leave_group(
+        &mut self,
+        now: Duration,
+        id: u64,
+        job: &Job,
+        answer: &ClientResponse,
+    ) {
         let Some(key) = job.key else { return };
-        let turned_away = matches!(answer, Answer::Refusal(_)) && job.calls == 0;
+        let turned_away = matches!(answer, ClientResponse::Rejection(_)) && job.calls == 0;
         if turned_away && now < job.deadline && self.coalescer.leads(&key, id) {
             self.answer_followers(now, id, &key, answer);
         } else if let Some(next) = self.coalescer.leave(&key, id) {
@@ -141,9 +147,9 @@
         if let Some((owner, token)) = owner {
             let result: Message = if shared {
                 let reply = reply.clone();
-                Put { key, token, reply }.into()
+                CachePut { key, token, reply }.into()
             } else {
-                Fail {
+                CacheFillFailed {
                     key,
                     token,
                     private,
@@ -160,7 +166,7 @@
             return self.lead_group(now, id);
         }
         let age = now.saturating_sub(fetch.began);
-        let answer = Answer::copy(reply.clone(), age);
+        let answer = ClientResponse::copy(reply.clone(), age);
         if shared && reached.is_none() {
             let major = fetch.began + keep;
             let kept = KeptCopy {
@@ -181,7 +187,7 @@
         self.end(now, id, answer);
     }
 
-    pub(super) fn get_queued(&mut self, now: Duration, queued: GetQueued) {
+    pub(super) fn get_queued(&mut self, now: Duration, queued: CacheGetQueued) {
         let asker = self.asker(queued.id);
         if let Some(job) = asker.and_then(|id| self.jobs.get_mut(&id)) {
             job.heard = now;
@@ -200,8 +206,8 @@
         }
     }
 
-    pub(super) fn copy(&mut self, now: Duration, copy: Copy) {
-        let Copy {
+    pub(super) fn copy(&mut self, now: Duration, copy: CacheCopy) {
+        let CacheCopy {
             id: question,
             key,
             copy,
@@ -226,13 +232,13 @@
             major: now + copy.left - way,
         };
         self.near.put(now, key, kept);
-        let answer = Answer::copy(copy.reply, copy.age + way);
+        let answer = ClientResponse::copy(copy.reply, copy.age + way);
         self.answer_followers(now, id, &key, &answer);
         self.end(now, id, answer);
     }
 
-    pub(super) fn miss(&mut self, now: Duration, from: Peer, miss: Miss) {
-        let Miss {
+    pub(super) fn miss(&mut self, now: Duration, from: Peer, miss: CacheMiss) {
+        let CacheMiss {
             id: question,
             key,
             token,
@@ -247,7 +253,7 @@
         let Some(id) = waiting else {
             return self.tell(
                 from.address,
-                Fail {
+                CacheFillFailed {
                     key,
                     token,
                     private: false,
@@ -258,7 +264,7 @@
         self.set_stage(now, id, Stage::AwaitingPermit);
     }
 
-    pub(super) fn no_copy(&mut self, now: Duration, no_copy: NoCopy) {
+    pub(super) fn no_copy(&mut self, now: Duration, no_copy: CacheUnavailable) {
         let Some(id) = self.answered(no_copy.id) else {
             return;
         };
@@ -275,7 +281,7 @@
     pub(super) fn end_spare(&mut self, now: Duration, id: u64) {
         let refusal = self.jobs.get_mut(&id).and_then(|job| job.refusal.take());
         let refusal =
-            refusal.unwrap_or_else(|| Refusal::not_run(503, "no_copy", "no copy came in time"));
-        self.end(now, id, Answer::Refusal(refusal));
+            refusal.unwrap_or_else(|| Rejection::not_run(503, "no_copy", "no copy came in time"));
+        self.end(now, id, ClientResponse::Rejection(refusal));
     }
 }
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -134,17 +134,17 @@
         if !matches!(job.stage, Stage::AwaitingPermit) {
             return;
         }
-        if away.reason == AwayReason::NotHere {
+        if away.reason == PermitRefusalReason::NotOwner {
             // Between two holders.
             return self.call_without_permit(now, id);
         }
         let refusal = match away.reason {
-            AwayReason::Busy => job.refuse(
+            PermitRefusalReason::Overloaded => job.refuse(
                 429,
                 "over_capacity",
                 "more is asked of the service than it may be called",
             ),
-            AwayReason::Budget => job.refuse(
+            PermitRefusalReason::RetryBudgetExhausted => job.refuse(
                 503,
                 "no_more_tries",
                 "the call failed and the budget for further tries is spent",
@@ -158,7 +158,7 @@
         self.give_up(now, id, refusal.back(away.back));
     }
 
-    pub(super) fn called(&mut self, now: Duration, id: u64, result: CallBack) {
+    pub(super) fn called(&mut self, now: Duration, id: u64, result: CallOutcome) {
         if self.probes.contains_key(&id) {
             return self.probed(now, id, result);
         }
@@ -168,7 +168,7 @@
     }
 
     /// The call that a job waits for has ended.
-    pub(super) fn call_ended(&mut self, now: Duration, id: u64, result: CallBack) {
+    pub(super) fn call_ended(&mut self, now: Duration, id: u64, result: CallOutcome) {
         let Some(Job {
             stage: Stage::Calling { permit, since },
             ..
@@ -177,7 +177,7 @@
             return;
         };
         let (permit, took) = (permit.clone(), now - *since);
-        let judged = !matches!(result, CallBack::Good(_) | CallBack::Withheld);
+        let judged = !matches!(result, CallOutcome::Success(_) | CallOutcome::NotSent);
         if permit.epoch == 0 && judged {
             self.shares
                 .entry(permit.service.clone())
@@ -185,24 +185,24 @@
                 .failed(now, permit.origin.address);
         }
         let told = match &result {
-            CallBack::Good(_) => CallResult::Good,
-            CallBack::Withheld => CallResult::Unused,
-            CallBack::Refused => CallResult::Refused,
-            CallBack::NotRun => CallResult::NotRun,
-            CallBack::Stranger => CallResult::Stranger,
-            CallBack::Bad(_) => CallResult::Bad,
+            CallOutcome::Success(_) => CallResult::Success,
+            CallOutcome::NotSent => CallResult::Unused,
+            CallOutcome::Unreachable => CallResult::Unreachable,
+            CallOutcome::NotExecuted => CallResult::NotExecuted,
+            CallOutcome::WrongInstance => CallResult::WrongInstance,
+            CallOutcome::Failure(_) => CallResult::Failure,
         };
         self.tell_call_done(&permit, told, took);
         match result {
-            CallBack::Good(reply) if reply.status >= 500 && self.may_repeat(now, id) => {
+            CallOutcome::Success(reply) if reply.status >= 500 && self.may_repeat(now, id) => {
                 let job = self.jobs.get_mut(&id).expect("just seen");
                 job.ran = true;
                 job.failed.push(permit.origin.address);
                 job.failure = Some(reply);
                 self.set_stage(now, id, Stage::AwaitingPermit);
             }
-            CallBack::Good(reply) => self.good(now, id, reply),
-            CallBack::Withheld => {
+            CallOutcome::Success(reply) => self.good(now, id, reply),
+            CallOutcome::NotSent => {
                 let job = self.jobs.get_mut(&id).expect("just seen");
                 job.sent = job.ran;
                 // It was no try.
@@ -210,7 +210,7 @@
                 let why = "the call was withheld";
                 self.try_again(now, id, true, 503, "no_origin", why);
             }
-            CallBack::Refused | CallBack::NotRun | CallBack::Stranger => {
+            CallOutcome::Unreachable | CallOutcome::NotExecuted | CallOutcome::WrongInstance => {
                 let job = self.jobs.get_mut(&id).expect("just seen");
                 // It did not run this time; an earlier call may have.
                 job.sent = job.ran;
@@ -224,9 +224,9 @@
                     "the origin did not take it",
                 );
             }
-            CallBack::Bad(why) => {
+            CallOutcome::Failure(why) => {
                 self.note(
-                    Event::AnswerRefused,
+                    Event::ResponseRejected,
                     format!("{}: {why}", permit.origin.address),
                 );
                 let job = self.jobs.get_mut(&id).expect("just seen");
@@ -286,7 +286,7 @@
     pub(super) fn good(&mut self, now: Duration, id: u64, reply: Reply) {
         let job = self.jobs.get_mut(&id).expect("just seen");
         if job.claim.is_some() {
-            let answer = Answer::Reply {
+            let answer = ClientResponse::Reply {
                 reply: reply.clone(),
                 age: None,
             };
@@ -301,7 +301,7 @@
         }
         match job.key {
             Some(key) => self.fetched(now, id, key, reply),
-            None => self.end(now, id, Answer::Reply { reply, age: None }),
+            None => self.end(now, id, ClientResponse::Reply { reply, age: None }),
         }
     }
 }
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -17,7 +17,7 @@
         let text = format!("request {id} {} {}", job.request.service, job.stage.name());
         self.usage.left += 1;
         self.abandoned_work.caller_left(now, id);
-        self.note(Event::CallerLeft, text);
+        self.note(Event::ClientDisconnected, text);
         self.stop_if_abandoned(now, id);
     }
 
@@ -69,7 +69,7 @@
         if job.claim.is_some() {
             self.give_up(now, id, refusal);
         } else {
-            self.end(now, id, Answer::Refusal(refusal));
+            self.end(now, id, ClientResponse::Rejection(refusal));
         }
     }
 
@@ -90,7 +90,9 @@
                 let service = job.request.service.clone();
                 self.tell(holder, PermitWithdrawn { service, id });
             }
-            (Stage::AwaitingCopy { .. }, Some(key)) => self.tell(holder, GetWithdrawn { key, id }),
+            (Stage::AwaitingCopy { .. }, Some(key)) => {
+                self.tell(holder, CacheGetWithdrawn { key, id })
+            }
             _ => {}
         }
     }
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -39,7 +39,7 @@
     link_delay: LinkDelay,
     next_renew: Duration,
     live: bool,
-    table: Option<Arc<EntryTable>>,
+    table: Option<Arc<RouteTable>>,
     /// The parts of the configuration the table was made of.
     items: Items,
     origins: Arc<Vec<Origin>>,
@@ -211,11 +211,11 @@
     }
 
     fn note(&mut self, event: Event, text: String) {
-        self.out.push(Output::Note { event, text });
+        self.out.push(Output::Log { event, text });
     }
 
     fn tell(&mut self, to: SocketAddr, message: impl Into<Message>) {
-        self.out.push(Output::Tell {
+        self.out.push(Output::Send {
             to,
             message: message.into(),
         });
@@ -285,7 +285,7 @@
                 self.tell(seed, SessionClose {});
             }
             self.check_live(now);
-            self.out.push(Output::Ended);
+            self.out.push(Output::ShutdownComplete);
         }
     }
 
@@ -301,10 +301,10 @@
             Message::HandoverReply(handed) => self.handed(now, handed),
             Message::RecallRequest(recall) => self.recall(from, recall.partition),
             Message::ChangeReply(told) => self.told(now, told),
-            Message::Copy(copy) => self.copy(now, copy),
-            Message::Miss(miss) => self.miss(now, from, miss),
-            Message::GetQueued(queued) => self.get_queued(now, queued),
-            Message::NoCopy(no_copy) => self.no_copy(now, no_copy),
+            Message::CacheCopy(copy) => self.copy(now, copy),
+            Message::CacheMiss(miss) => self.miss(now, from, miss),
+            Message::CacheGetQueued(queued) => self.get_queued(now, queued),
+            Message::CacheUnavailable(no_copy) => self.no_copy(now, no_copy),
             Message::Permit(permit) => self.permit(now, from, permit),
             Message::PermitRefused(away) => self.permit_refused(now, away),
             Message::PermitQueued(line) => self.permit_queued(now, line.id),
@@ -317,14 +317,14 @@
     fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
-            Input::Heard { from, message } => self.heard(now, from, message),
+            Input::MessageReceived { from, message } => self.heard(now, from, message),
             Input::ClientRequest { id, request } => self.begin(now, id, request),
-            Input::CallerLeft { id } => self.caller_left(now, id),
-            Input::Called { id, result } => {
+            Input::ClientDisconnected { id } => self.caller_left(now, id),
+            Input::CallCompleted { id, result } => {
                 self.abandoned_work.call_ended(id);
                 self.called(now, id, result);
             }
-            Input::Watched { address, open } => {
+            Input::ConnectionChanged { address, open } => {
                 self.admissions
                     .values_mut()
                     .for_each(|admission| admission.watched(now, address, open));
@@ -338,8 +338,8 @@
                 self.renew(now);
             }
             Input::Operator { id, .. } => {
-                let answer = OperatorAnswer::Outcome(Outcome::Lost);
-                self.out.push(Output::OperatorAnswer { id, answer });
+                let answer = OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown);
+                self.out.push(Output::OperatorResponse { id, answer });
             }
             Input::Stored { .. } | Input::StoreFailed => {}
         }
--- a/data-plane/src/edge_node/operations.rs
+++ b/data-plane/src/edge_node/operations.rs
@@ -44,7 +44,10 @@
 
     pub(super) fn told(&mut self, now: Duration, told: ChangeReply) {
         let ChangeReply { id: question, told } = told;
-        if matches!(told, Outcome::Released | Outcome::Recorded | Outcome::Lost) {
+        if matches!(
+            told,
+            ChangeOutcome::Released | ChangeOutcome::Recorded | ChangeOutcome::Unknown
+        ) {
             self.loose.remove(&question);
         }
         let Some(id) = self.asker(question) else {
@@ -52,20 +55,20 @@
         };
         let job = &self.jobs[&id];
         match (&job.stage, told) {
-            (Stage::AwaitingClaim, Outcome::Claimed) => {
+            (Stage::AwaitingClaim, ChangeOutcome::Claimed) => {
                 self.set_stage(now, id, Stage::AwaitingPermit)
             }
-            (Stage::AwaitingClaim, Outcome::Taken { same: false, .. }) => {
-                let refusal = Refusal::not_run(
+            (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { same: false, .. }) => {
+                let refusal = Rejection::not_run(
                     422,
                     "operation_key_reused",
                     "this operation key came with another request or caller",
                 );
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             (
                 Stage::AwaitingClaim,
-                Outcome::Taken {
+                ChangeOutcome::AlreadyClaimed {
                     state: OperationState::Done(reply),
                     ..
                 },
@@ -73,7 +76,7 @@
                 self.end(
                     now,
                     id,
-                    Answer::Reply {
+                    ClientResponse::Reply {
                         reply: (*reply).clone(),
                         age: None,
                     },
@@ -81,47 +84,47 @@
             }
             (
                 Stage::AwaitingClaim,
-                Outcome::Taken {
+                ChangeOutcome::AlreadyClaimed {
                     state: OperationState::Unknown,
                     ..
                 },
             ) => {
-                let mut refusal = Refusal::unknown(
+                let mut refusal = Rejection::unknown(
                     409,
                     "outcome_unknown",
                     "this operation was sent and its outcome is not known; it is not run again",
                 )
                 .idle();
                 refusal.retry_after_s = None;
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
-            (Stage::AwaitingClaim, Outcome::Closed { left }) => {
-                let refusal = Refusal::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").idle();
-                self.end(now, id, Answer::Refusal(refusal.back(left)));
+            (Stage::AwaitingClaim, ChangeOutcome::LedgerClosed { left }) => {
+                let refusal = Rejection::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").idle();
+                self.end(now, id, ClientResponse::Rejection(refusal.back(left)));
             }
             // Who was asked is cut off: the next is asked at once, each once.
             (
                 Stage::AwaitingClaim | Stage::Recording { .. } | Stage::Releasing { .. },
-                Outcome::NoMajority,
+                ChangeOutcome::NoMajority,
             ) if job.round < self.seeds.len() => self.send_question(now, id),
             // Runs elsewhere: nobody is left to be told of it.
-            (Stage::AwaitingClaim, Outcome::Taken { .. }) if job.caller_left => {
+            (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { .. }) if job.caller_left => {
                 self.overdue(now, id)
             }
             // Runs elsewhere: asked again in a moment, until the deadline.
-            (Stage::AwaitingClaim, Outcome::Taken { .. }) => {}
-            (Stage::Recording { answer, .. }, Outcome::Recorded) => {
+            (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { .. }) => {}
+            (Stage::Recording { answer, .. }, ChangeOutcome::Recorded) => {
                 let answer = answer.clone();
                 self.end(now, id, answer);
             }
-            (Stage::Recording { .. } | Stage::Releasing { .. }, Outcome::Lost) => {
+            (Stage::Recording { .. } | Stage::Releasing { .. }, ChangeOutcome::Unknown) => {
                 let refusal =
-                    Refusal::unknown(502, "outcome_unknown", "the outcome could not be recorded");
-                self.end(now, id, Answer::Refusal(refusal));
+                    Rejection::unknown(502, "outcome_unknown", "the outcome could not be recorded");
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
-            (Stage::Releasing { refusal }, Outcome::Released) => {
+            (Stage::Releasing { refusal }, ChangeOutcome::Released) => {
                 let refusal = refusal.clone();
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             _ => {}
         }
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -83,7 +83,8 @@
             let delay =
                 self.link_delay
                     .measured(now, from.address, now.saturating_sub(renewed.sent));
-            self.out.push(Output::Show(Shown::LinkDelay(delay)));
+            self.out
+                .push(Output::Publish(PublishedState::LinkDelay(delay)));
         }
         self.renewal_tokens
             .insert(from.address, renewed.renewal_token);
@@ -211,10 +212,11 @@
     /// together; updates shows whole versions only.
     pub(super) fn take_configuration(&mut self, version: u64) {
         if let Ok((document, bounds)) = self.items.merged() {
-            let table = Arc::new(EntryTable::new(version, document).within(bounds));
+            let table = Arc::new(RouteTable::new(version, document).within(bounds));
             self.table = Some(table.clone());
             self.note(Event::ConfigurationTaken, format!("version {version}"));
-            self.out.push(Output::Show(Shown::Configuration(table)));
+            self.out
+                .push(Output::Publish(PublishedState::Configuration(table)));
         }
     }
 
@@ -256,7 +258,7 @@
             );
         }
         let ready = self.warned.is_none() && self.table.is_some();
-        self.out.push(Output::Show(Shown::Fence {
+        self.out.push(Output::Publish(PublishedState::Fence {
             until: if self.left { Duration::ZERO } else { until },
             ready,
         }));
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -8,12 +8,12 @@
         self.usage.errands += 1;
         let mut job = Job::new(now, request);
         if !self.is_live(now) {
-            let refusal = Refusal::fenced(job.untried_outcome());
-            return self.answer(now, id, &job, Answer::Refusal(refusal));
+            let refusal = Rejection::fenced(job.untried_outcome());
+            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
         }
         if self.hands_back(now) {
-            let refusal = Refusal::ending(job.untried_outcome());
-            return self.answer(now, id, &job, Answer::Refusal(refusal));
+            let refusal = Rejection::ending(job.untried_outcome());
+            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
         }
         let entry = job.request.entry();
         if entry.kind == Kind::Cached && !job.request.personal() && job.request.method == "GET" {
@@ -24,7 +24,7 @@
             }
         }
         if let Some(refusal) = self.crowded(now, &job) {
-            return self.answer(now, id, &job, Answer::Refusal(refusal));
+            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
         }
         match (job.request.entry().kind, job.key) {
             (_, Some(key)) => job.stage = self.join_group(now, id, key),
@@ -42,7 +42,7 @@
     /// Each pending request holds a thread of the HTTP side: a slow service must
     /// not take them all. Over its bound, the lowest rank goes first: this
     /// request, or one that waits for a permit and is told so at once.
-    pub(super) fn crowded(&mut self, now: Duration, job: &Job) -> Option<Refusal> {
+    pub(super) fn crowded(&mut self, now: Duration, job: &Job) -> Option<Rejection> {
         let service = &job.request.service;
         let peers = self
             .jobs
@@ -71,7 +71,7 @@
         }
         let outcome = job.untried_outcome();
         Some(
-            Refusal::new(
+            Rejection::new(
                 429,
                 "over_capacity",
                 outcome,
@@ -113,7 +113,7 @@
             Stage::AwaitingCopy { spare, .. } => {
                 let key = job.key.expect("cached");
                 let entry = job.request.entry();
-                let get = Get {
+                let get = CacheGet {
                     id: question,
                     key,
                     entry: entry.name.clone(),
@@ -196,26 +196,29 @@
         }
     }
 
-    pub(super) fn answer(&mut self, now: Duration, id: u64, job: &Job, answer: Answer) {
-        let copy = matches!(answer, Answer::Reply { age: Some(_), .. }) && job.claim.is_none();
+    pub(super) fn answer(&mut self, now: Duration, id: u64, job: &Job, answer: ClientResponse) {
+        let copy =
+            matches!(answer, ClientResponse::Reply { age: Some(_), .. }) && job.claim.is_none();
         let answer = if copy && !self.is_live(now) {
-            Answer::Refusal(Refusal::fenced(job.outcome()))
+            ClientResponse::Rejection(Rejection::fenced(job.outcome()))
         } else {
             answer
         };
         match &answer {
-            Answer::Reply { .. } => self.usage.answered += 1,
-            Answer::Refusal(_) => self.usage.refused += 1,
+            ClientResponse::Reply { .. } => self.usage.answered += 1,
+            ClientResponse::Rejection(_) => self.usage.refused += 1,
         }
-        self.out.push(Output::Answer { id, answer });
+        self.out.push(Output::ClientResponse { id, answer });
     }
 
-    pub(super) fn end(&mut self, now: Duration, id: u64, answer: Answer) {
+    pub(super) fn end(&mut self, now: Duration, id: u64, answer: ClientResponse) {
         self.withdraw_question(now, id);
         if let Some(mut job) = self.jobs.remove(&id) {
             self.questions.remove(&job.question);
             let answer = match (answer, job.failure.take()) {
-                (Answer::Refusal(_), Some(reply)) => Answer::Reply { reply, age: None },
+                (ClientResponse::Rejection(_), Some(reply)) => {
+                    ClientResponse::Reply { reply, age: None }
+                }
                 (answer, _) => answer,
             };
             self.leave_group(now, id, &job, &answer);
@@ -225,7 +228,7 @@
 
     /// The request is given up. What was claimed is released or recorded
     /// first; a refresher looks for a spare copy first.
-    pub(super) fn give_up(&mut self, now: Duration, id: u64, refusal: Refusal) {
+    pub(super) fn give_up(&mut self, now: Duration, id: u64, refusal: Rejection) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -234,7 +237,7 @@
             job.refusal = Some(refusal);
             self.tell(
                 owner,
-                Fail {
+                CacheFillFailed {
                     key,
                     token,
                     private: false,
@@ -254,12 +257,16 @@
         }
         if job.claim.is_none() {
             let answer = self.last_resort(now, id);
-            return self.end(now, id, answer.unwrap_or(Answer::Refusal(refusal)));
+            return self.end(
+                now,
+                id,
+                answer.unwrap_or(ClientResponse::Rejection(refusal)),
+            );
         }
         let stage = if job.sent {
             Stage::Recording {
                 reply: None,
-                answer: Answer::Refusal(refusal),
+                answer: ClientResponse::Rejection(refusal),
             }
         } else {
             Stage::Releasing { refusal }
@@ -277,21 +284,21 @@
                 let running = job.round > 1;
                 let change = Change::Release(job.claim.clone().expect("keyed"));
                 let refusal = if running {
-                    Refusal::unknown(
+                    Rejection::unknown(
                         409,
                         "in_progress",
                         "this operation is being run, or its ledger cannot be reached; ask again",
                     )
                 } else {
-                    Refusal::unknown(503, "no_ledger", "the ledger could not be reached").idle()
+                    Rejection::unknown(503, "no_ledger", "the ledger could not be reached").idle()
                 };
                 self.tell_later(now, change);
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             Stage::AwaitingCopy { spare: true, .. } => self.end_spare(now, id),
             Stage::AwaitingCopy { .. } | Stage::Following => {
                 let refusal = job.refuse(503, "no_copy", "no copy came in time");
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             Stage::AwaitingPermit => {
                 let refusal = job.refuse(
@@ -307,23 +314,24 @@
                 }
             }
             Stage::Calling { .. } if late => {
-                self.call_ended(now, id, CallBack::Bad("no answer in time".into()))
+                self.call_ended(now, id, CallOutcome::Failure("no answer in time".into()))
             }
             Stage::Recording { reply, .. } if late => {
                 let change = Change::Record(job.claim.clone().expect("keyed"), reply.clone());
                 self.tell_later(now, change);
-                let refusal = Refusal::unknown(
+                let refusal = Rejection::unknown(
                     503,
                     "outcome_unrecorded",
                     "the outcome could not be recorded in time",
                 );
-                self.end(now, id, Answer::Refusal(refusal));
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             Stage::Releasing { .. } if late => {
                 let change = Change::Release(job.claim.clone().expect("keyed"));
                 self.tell_later(now, change);
-                let refusal = Refusal::unknown(503, "no_ledger", "the ledger could not be reached");
-                self.end(now, id, Answer::Refusal(refusal));
+                let refusal =
+                    Rejection::unknown(503, "no_ledger", "the ledger could not be reached");
+                self.end(now, id, ClientResponse::Rejection(refusal));
             }
             _ => {}
         }
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -18,7 +18,7 @@
     /// What the caller calls its request, if it does.
     pub name: Option<String>,
     pub live: bool,
-    pub image: Option<Arc<EntryTable>>,
+    pub image: Option<Arc<RouteTable>>,
     /// Set by the filter that matches.
     pub entry: Option<usize>,
 }
@@ -29,7 +29,7 @@
     }
 }
 
-pub type Filtered = Option<Refusal>;
+pub type Filtered = Option<Rejection>;
 
 /// One link of the chain; any may answer, and then the rest is not asked.
 pub trait Filter: Sync {
@@ -73,7 +73,7 @@
             .map(|(name, value)| name.len() + value.len())
             .sum();
         if arrival.url.len() > URL_BYTES {
-            return Some(Refusal::not_run(
+            return Some(Rejection::not_run(
                 414,
                 "url_too_long",
                 "the URL is longer than 2048 bytes",
@@ -81,7 +81,7 @@
         }
         if !arrival.url.starts_with('/') || !arrival.url.bytes().all(|byte| byte.is_ascii_graphic())
         {
-            return Some(Refusal::not_run(
+            return Some(Rejection::not_run(
                 400,
                 "url_malformed",
                 "the target must be a path of printable ASCII",
@@ -93,7 +93,7 @@
             .and_then(|image| image.bounds.as_ref())
             .map_or(HEADER_BYTES, |bounds| bounds.head_bytes as usize);
         (bytes > most)
-            .then(|| Refusal::not_run(431, "headers_too_large", "headers are over the limit"))
+            .then(|| Rejection::not_run(431, "headers_too_large", "headers are over the limit"))
     }
 }
 
@@ -108,7 +108,7 @@
     fn pass(&self, arrival: &mut Arrival) -> Filtered {
         let none = arrival.image.is_none();
         none.then(|| {
-            Refusal::unknown(503, "not_ready", "this node has no configuration yet").idle()
+            Rejection::unknown(503, "not_ready", "this node has no configuration yet").idle()
         })
     }
 }
@@ -128,7 +128,7 @@
         } else {
             RunState::NotRun
         };
-        (!arrival.live).then(|| Refusal::fenced(outcome))
+        (!arrival.live).then(|| Rejection::fenced(outcome))
     }
 }
 
@@ -145,7 +145,7 @@
         arrival
             .entry
             .is_none()
-            .then(|| Refusal::not_run(404, "no_entry", "no entry matches host, path and method"))
+            .then(|| Rejection::not_run(404, "no_entry", "no entry matches host, path and method"))
     }
 }
 
@@ -161,7 +161,7 @@
             return None;
         }
         match arrival.operation.as_deref() {
-            None => Some(Refusal::not_run(
+            None => Some(Rejection::not_run(
                 400,
                 "operation_key_missing",
                 "this entry needs an Operation-Key header",
@@ -171,7 +171,7 @@
                     || key.len() > OPERATION_KEY_BYTES
                     || !key.bytes().all(|byte| byte.is_ascii_graphic()) =>
             {
-                Some(Refusal::not_run(
+                Some(Rejection::not_run(
                     400,
                     "operation_key_malformed",
                     "an operation key is 1 to 128 printable ASCII characters",
--- a/data-plane/src/filter/tests.rs
+++ b/data-plane/src/filter/tests.rs
@@ -8,7 +8,7 @@
             {{"name":"p","path":"/p","group":"s","rank":1,"kind":"plain"}},
             {{"name":"k","path":"/k","methods":["POST"],"group":"s","rank":1,"kind":"keyed"}}]}}"#
     );
-    let image = Arc::new(EntryTable::new(1, Configuration::read(&text).unwrap()));
+    let image = Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()));
     let headers: Vec<(String, String)> = headers
         .iter()
         .map(|(name, value)| (name.to_string(), value.to_string()))
--- a/data-plane/src/line_face.rs
+++ b/data-plane/src/http_frontend.rs
@@ -3,16 +3,16 @@
 /// The face of an edge: callers come in and calls to origins go out over one
 /// HTTP line, in the words of one dialect. Invariant: every request read is
 /// answered once, unless its session ended before.
-pub struct LineFace {
+pub struct HttpFrontend {
     program: &'static str,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn ProtocolAdapter>,
     taker: Option<Arc<LineTaker>>,
 }
 
 /// What the line's thread hands on.
 struct LineTaker {
     port: Arc<Port>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn ProtocolAdapter>,
     plug_ins: Vec<&'static PlugIn>,
     line: OnceLock<HttpLine>,
     calls: Mutex<HashMap<u64, Call>>,
@@ -45,11 +45,11 @@
 /// Only the platform calls the second face, to ask whether callers may come.
 const READY_FACE: usize = 1;
 
-impl LineFace {
-    pub fn new(program: &'static str, dialect: Arc<dyn Dialect>) -> LineFace {
-        LineFace {
+impl HttpFrontend {
+    pub fn new(program: &'static str, protocol: Arc<dyn ProtocolAdapter>) -> HttpFrontend {
+        HttpFrontend {
             program,
-            dialect,
+            protocol,
             taker: None,
         }
     }
@@ -59,7 +59,7 @@
     }
 }
 
-impl Face for LineFace {
+impl Frontend for HttpFrontend {
     fn open(&mut self, port: &Arc<Port>) -> Result<()> {
         if !port.startup.shield {
             port.startup.http.context("http address")?;
@@ -77,7 +77,7 @@
         let taker = Arc::new_cyclic(|me| LineTaker {
             me: me.clone(),
             port: port.clone(),
-            dialect: self.dialect.clone(),
+            protocol: self.protocol.clone(),
             plug_ins: PlugIn::of(self.program),
             line: OnceLock::new(),
             calls: Mutex::default(),
@@ -103,13 +103,13 @@
         // The process may have stood still since the part decided: what it
         // knew holds only while the lease does.
         if !taker.port.live() || taker.is_unwanted(&call) {
-            let _ = taker.port.give.send(Input::Called {
+            let _ = taker.port.give.send(Input::CallCompleted {
                 id,
-                result: CallBack::Withheld,
+                result: CallOutcome::NotSent,
             });
             return;
         }
-        let CallWords { headers, echo } = self.dialect.call(&call);
+        let CallHeaders { headers, echo } = self.protocol.call(&call);
         let out = http_line::Call {
             id,
             to: call.origin.address,
@@ -168,8 +168,8 @@
 }
 
 impl LineTaker {
-    fn tell(&self, line: u64, words: TellWords) {
-        let TellWords {
+    fn tell(&self, line: u64, words: HttpResponse) {
+        let HttpResponse {
             status,
             headers,
             body,
@@ -200,7 +200,7 @@
         let _ = body.read_to_end(&mut bytes);
         self.tell(
             line,
-            TellWords {
+            HttpResponse {
                 status: answer.status_code,
                 headers,
                 body: Arc::new(bytes),
@@ -208,7 +208,7 @@
         );
     }
 
-    fn apply_bounds(&self, image: &Option<Arc<EntryTable>>) {
+    fn apply_bounds(&self, image: &Option<Arc<RouteTable>>) {
         let Some(bounds) = image.as_ref().and_then(|image| image.bounds.clone()) else {
             return;
         };
@@ -228,14 +228,14 @@
     /// Turns a request for a large answer away at once if the answers before it
     /// take the link for longer than it can wait: other edges may be free. Small
     /// ones are written before large ones, so the link is never full for them.
-    fn link_full(&self, request: &ClientRequest) -> Option<Refusal> {
+    fn link_full(&self, request: &ClientRequest) -> Option<Rejection> {
         let entry = request.entry();
         let aim = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
         let large = self.answer_sizes.expected(&entry.name) > LARGE_ANSWER;
         let full = large && self.line.wait().backlog() > aim;
         full.then(|| {
             let why = "the link of this edge is full";
-            Refusal::not_run(429, "link_full", why).back(LINK_FULL)
+            Rejection::not_run(429, "link_full", why).back(LINK_FULL)
         })
     }
 
@@ -249,7 +249,7 @@
     /// The request at this place is answered.
     fn answered(&self, line: u64, output: &Output) {
         self.request_at(line);
-        if let Output::Answer { id, .. } = output {
+        if let Output::ClientResponse { id, .. } = output {
             self.departed.lock().expect("no holder panics").remove(id);
         }
     }
@@ -269,9 +269,9 @@
                 .unwrap_or_default()
                 .to_string(),
             url: asked.target,
-            operation: self.dialect.operation(&asked.headers).map(Into::into),
-            patience: self.dialect.patience(&asked.headers),
-            name: self.dialect.name(&asked.headers).map(Into::into),
+            operation: self.protocol.operation(&asked.headers).map(Into::into),
+            patience: self.protocol.patience(&asked.headers),
+            name: self.protocol.name(&asked.headers).map(Into::into),
             headers: asked.headers,
             body: Arc::new(asked.body),
             live: self.port.live(),
@@ -281,16 +281,16 @@
         if let Some(refusal) = chain(&mut arrival) {
             return self.tell(
                 line,
-                self.dialect
-                    .tell(&arrival.headers, &Answer::Refusal(refusal)),
+                self.protocol
+                    .tell(&arrival.headers, &ClientResponse::Rejection(refusal)),
             );
         }
         let Some(request) = client_request_of(arrival) else {
             return;
         };
         if let Some(refusal) = self.link_full(&request) {
-            let answer = Answer::Refusal(refusal);
-            return self.tell(line, self.dialect.tell(&request.headers, &answer));
+            let answer = ClientResponse::Rejection(refusal);
+            return self.tell(line, self.protocol.tell(&request.headers, &answer));
         }
         let keyed = request.entry().kind == Kind::Keyed;
         let route = request.entry().name.clone();
@@ -302,17 +302,17 @@
             let answer = match output {
                 // The process may have stood still since the part answered: a
                 // copy is only as good as the lease.
-                Output::Answer {
-                    answer: Answer::Reply { age: Some(_), .. },
+                Output::ClientResponse {
+                    answer: ClientResponse::Reply { age: Some(_), .. },
                     ..
                 } if !keyed && !taker.port.live() => {
-                    Answer::Refusal(Refusal::fenced(RunState::NotRun))
+                    ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
                 }
-                Output::Answer { answer, .. } => answer,
+                Output::ClientResponse { answer, .. } => answer,
                 _ => return,
             };
-            let words = taker.dialect.tell(&headers, &answer);
-            if matches!(answer, Answer::Reply { .. }) {
+            let words = taker.protocol.tell(&headers, &answer);
+            if matches!(answer, ClientResponse::Reply { .. }) {
                 taker.answer_sizes.saw(&route, words.body.len());
             }
             taker.tell(line, words);
@@ -335,14 +335,14 @@
 
 /// The line's own end of the taker: it is called on the line's thread.
 impl Taker for LineTaker {
-    fn asked(&self, line: u64, face: usize, asked: Asked) {
-        if face == READY_FACE {
+    fn asked(&self, line: u64, frontend: usize, asked: Asked) {
+        if frontend == READY_FACE {
             let status = if self.port.ready() { 200 } else { 503 };
             return self.tell(
                 line,
-                TellWords {
+                HttpResponse {
                     status,
-                    ..TellWords::default()
+                    ..HttpResponse::default()
                 },
             );
         }
@@ -359,14 +359,14 @@
         let Some(call) = self.calls.lock().expect("no holder panics").remove(&id) else {
             return;
         };
-        let result = judge_call(self.dialect.as_ref(), &call, came);
-        let _ = self.port.give.send(Input::Called { id, result });
+        let result = judge_call(self.protocol.as_ref(), &call, came);
+        let _ = self.port.give.send(Input::CallCompleted { id, result });
     }
 
     fn gone(&self, line: u64) {
         if let Some(id) = self.request_at(line) {
             self.departed.lock().expect("no holder panics").insert(id);
-            let _ = self.port.give.send(Input::CallerLeft { id });
+            let _ = self.port.give.send(Input::ClientDisconnected { id });
         }
     }
 
@@ -377,9 +377,10 @@
             431 => "head_too_large",
             _ => "request_malformed",
         };
-        let words = self
-            .dialect
-            .tell(&[], &Answer::Refusal(Refusal::not_run(status, code, why)));
+        let words = self.protocol.tell(
+            &[],
+            &ClientResponse::Rejection(Rejection::not_run(status, code, why)),
+        );
         http_line::Told {
             status: words.status,
             headers: words.headers,
--- a/data-plane/src/job.rs
+++ b/data-plane/src/job.rs
@@ -35,11 +35,11 @@
     pub failed: Vec<SocketAddr>,
     pub claim: Option<Claim>,
     pub key: Option<CacheKey>,
-    pub token: Option<(SocketAddr, Token)>,
+    pub token: Option<(SocketAddr, FillToken)>,
     /// The fetch of an answer that others may be served, begun last.
     pub fetch: Option<Fetch>,
     /// What it ends with if a spare copy is not to be had either.
-    pub refusal: Option<Refusal>,
+    pub refusal: Option<Rejection>,
 }
 
 /// Sessions with one origin from here, if its group does not say.
@@ -72,10 +72,10 @@
     /// The outcome goes to the ledger, then the answer to the caller.
     Recording {
         reply: Option<Arc<Reply>>,
-        answer: Answer,
+        answer: ClientResponse,
     },
     Releasing {
-        refusal: Refusal,
+        refusal: Rejection,
     },
 }
 
@@ -178,10 +178,10 @@
         }
     }
 
-    pub fn refuse(&self, status: u16, code: &str, text: &str) -> Refusal {
-        Refusal {
+    pub fn refuse(&self, status: u16, code: &str, text: &str) -> Rejection {
+        Rejection {
             idle: !self.sent,
-            ..Refusal::new(status, code, self.outcome(), text)
+            ..Rejection::new(status, code, self.outcome(), text)
         }
     }
 
@@ -195,8 +195,8 @@
         ])
     }
 
-    pub fn copy_name<'a>(&'a self, reply: &'a Reply) -> CopyName<'a> {
-        CopyName {
+    pub fn copy_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
+        CacheEntryName {
             entry: &self.request.entry().name,
             host: self.request.home(),
             url: &self.request.url,
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -34,7 +34,7 @@
 
 /// A copy to be kept, with its expiries on this edge's clock.
 pub struct KeptCopy<'a> {
-    pub name: CopyName<'a>,
+    pub name: CacheEntryName<'a>,
     pub reply: &'a Reply,
     pub began: Duration,
     pub minor: Duration,
@@ -66,8 +66,8 @@
         (self.reply.bytes() + names) as u64 + COPY_BYTES
     }
 
-    fn name(&self) -> CopyName<'_> {
-        CopyName {
+    fn name(&self) -> CacheEntryName<'_> {
+        CacheEntryName {
             entry: &self.entry,
             host: &self.host,
             url: &self.url,
--- a/data-plane/src/purge_book.rs
+++ b/data-plane/src/purge_book.rs
@@ -33,23 +33,23 @@
             }
         }
         self.applied = version.max(before);
-        let missed = version.saturating_sub(before) > PURGES_KEPT;
+        let missed = version.saturating_sub(before) > MAX_RETAINED_PURGES;
         if missed {
-            self.floor = version - PURGES_KEPT;
+            self.floor = version - MAX_RETAINED_PURGES;
         }
-        while self.list.len() as u64 > PURGES_KEPT {
+        while self.list.len() as u64 > MAX_RETAINED_PURGES {
             self.floor = self.floor.max(self.list.pop_first().expect("not empty").0);
         }
         (fresh, missed)
     }
 
     /// Whether a copy known clear up to `purged` is still clear.
-    pub fn clear(&self, purged: u64, copy: CopyName) -> bool {
+    pub fn clear(&self, purged: u64, copy: CacheEntryName) -> bool {
         self.reached(purged, copy).is_none()
     }
 
     /// When the first purge was learned that reaches such a copy.
-    pub fn reached(&self, purged: u64, copy: CopyName) -> Option<Duration> {
+    pub fn reached(&self, purged: u64, copy: CacheEntryName) -> Option<Duration> {
         if purged < self.floor {
             return Some(Duration::ZERO);
         }
--- a/data-plane/src/purge_book/tests.rs
+++ b/data-plane/src/purge_book/tests.rs
@@ -18,8 +18,8 @@
     )
 }
 
-fn name(url: &str) -> CopyName<'_> {
-    CopyName {
+fn name(url: &str) -> CacheEntryName<'_> {
+    CacheEntryName {
         entry: "e",
         host: "h",
         url,
@@ -43,8 +43,8 @@
     assert!(!book.learn(Duration::ZERO, 1, &[row(1, "/a")]).1);
     let (_, missed) = book.learn(
         Duration::ZERO,
-        PURGES_KEPT + 5,
-        &[row(PURGES_KEPT + 5, "/z")],
+        MAX_RETAINED_PURGES + 5,
+        &[row(MAX_RETAINED_PURGES + 5, "/z")],
     );
     assert!(missed);
     assert!(!book.clear(4, name("/other")));
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -13,8 +13,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn get(id: u64) -> Get {
-    Get {
+fn get(id: u64) -> CacheGet {
+    CacheGet {
         id,
         key: KEY,
         entry: "e".into(),
@@ -26,9 +26,9 @@
     }
 }
 
-fn token(out: &[(SocketAddr, Message)]) -> Option<Token> {
+fn token(out: &[(SocketAddr, Message)]) -> Option<FillToken> {
     out.iter().find_map(|(_, message)| match message {
-        Message::Miss(miss) => Some(miss.token),
+        Message::CacheMiss(miss) => Some(miss.token),
         _ => None,
     })
 }
@@ -43,7 +43,7 @@
     let current = token(&owner.take_out()).expect("the first is told to fetch");
     owner.get(at(1), asker(2), get(2), EPOCH, 0);
     assert_eq!(token(&owner.take_out()), None, "the second waits");
-    let earlier = Token {
+    let earlier = FillToken {
         epoch: EPOCH - 1,
         ..current
     };
@@ -58,7 +58,7 @@
 
 fn copies(out: &[(SocketAddr, Message)]) -> usize {
     out.iter()
-        .filter(|(_, message)| matches!(message, Message::Copy(_)))
+        .filter(|(_, message)| matches!(message, Message::CacheCopy(_)))
         .count()
 }
 
@@ -80,7 +80,7 @@
         ..Reply::default()
     };
     let key = KEY;
-    let put = Put { key, token, reply };
+    let put = CachePut { key, token, reply };
     assert!(owner.put(at(100), put, 7, &PurgeBook::default()));
     assert_eq!(copies(&owner.take_out()), 1);
     let mut sent = 0;
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -56,8 +56,8 @@
     ("otterslip-not-run", "1"),
 ];
 
-fn judged(came: Came) -> CallBack {
-    judge_call(&OwnWords, &call(Proof::Named), came)
+fn judged(came: Came) -> CallOutcome {
+    judge_call(&DefaultProtocol, &call(Proof::Named), came)
 }
 
 #[test]
@@ -72,7 +72,7 @@
         assert!(
             matches!(
                 judged(came),
-                CallBack::Refused | CallBack::NotRun | CallBack::Stranger
+                CallOutcome::Unreachable | CallOutcome::NotExecuted | CallOutcome::WrongInstance
             ),
             "{text}"
         );
@@ -92,7 +92,7 @@
     ];
     for came in no_proofs {
         let text = format!("{came:?}");
-        assert!(matches!(judged(came), CallBack::Bad(_)), "{text}");
+        assert!(matches!(judged(came), CallOutcome::Failure(_)), "{text}");
     }
 }
 
@@ -100,7 +100,7 @@
 fn a_body_of_unknown_end_passes_only_under_a_seal() {
     assert!(matches!(
         judged(reply(200, &OWN, true)),
-        CallBack::Good(Reply { status: 200, .. })
+        CallOutcome::Success(Reply { status: 200, .. })
     ));
     let key = SigningKey::from_bytes(&[7; 32]);
     let sealed = Call {
@@ -124,11 +124,11 @@
         sized: false,
     };
     assert!(matches!(
-        judge_call(&OwnWords, &sealed, came(b"x")),
-        CallBack::Good(_)
+        judge_call(&DefaultProtocol, &sealed, came(b"x")),
+        CallOutcome::Success(_)
     ));
     assert!(matches!(
-        judge_call(&OwnWords, &sealed, came(b"")),
-        CallBack::Bad(_)
+        judge_call(&DefaultProtocol, &sealed, came(b"")),
+        CallOutcome::Failure(_)
     ));
 }
--- a/data-plane/tests/crossed_answers.rs
+++ b/data-plane/tests/crossed_answers.rs
@@ -15,8 +15,8 @@
     )
 }
 
-fn called(edge: &mut EdgeNode, now: u64, id: u64, result: CallBack) -> Vec<Output> {
-    edge.step(at(now), Input::Called { id, result })
+fn called(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
+    edge.step(at(now), Input::CallCompleted { id, result })
 }
 
 fn calls(out: &[Output]) -> usize {
@@ -25,8 +25,8 @@
         .count()
 }
 
-fn good(text: &str) -> CallBack {
-    CallBack::Good(Reply {
+fn good(text: &str) -> CallOutcome {
+    CallOutcome::Success(Reply {
         status: 200,
         body: Arc::new(text.as_bytes().to_vec()),
         ..Reply::default()
@@ -35,8 +35,8 @@
 
 fn body(out: &[Output]) -> Option<String> {
     out.iter().find_map(|output| match output {
-        Output::Answer {
-            answer: Answer::Reply { reply, .. },
+        Output::ClientResponse {
+            answer: ClientResponse::Reply { reply, .. },
             ..
         } => Some(String::from_utf8_lossy(&reply.body).into_owned()),
         _ => None,
@@ -56,7 +56,7 @@
         permit(first, listed.clone(), 1005),
     );
     assert_eq!(calls(&out), 1);
-    let out = called(&mut edge, 1020, question(&out), CallBack::NotRun);
+    let out = called(&mut edge, 1020, question(&out), CallOutcome::NotExecuted);
     let second = question(&out);
     assert_ne!(first, second);
     // The admission controller was asked twice for the first try: it counted both as such.
@@ -68,7 +68,7 @@
     );
     assert_eq!(calls(&out), 0);
     let unused = |output: &Output| {
-        matches!(output, Output::Tell { message: Message::CallDone(done), .. }
+        matches!(output, Output::Send { message: Message::CallDone(done), .. }
             if done.result == CallResult::Unused)
     };
     assert!(out.iter().any(unused), "it is given back");
@@ -89,7 +89,7 @@
         permit(asked_for, listed.clone(), 1005),
     );
     let first = question(&out);
-    let out = called(&mut edge, 1020, first, CallBack::NotRun);
+    let out = called(&mut edge, 1020, first, CallOutcome::NotExecuted);
     let out = heard(
         &mut edge,
         1030,
@@ -97,7 +97,11 @@
         permit(question(&out), listed, 1025),
     );
     let second = question(&out);
-    for result in [CallBack::NotRun, CallBack::Stranger, good("first")] {
+    for result in [
+        CallOutcome::NotExecuted,
+        CallOutcome::WrongInstance,
+        good("first"),
+    ] {
         let out = called(&mut edge, 1040, first, result);
         assert!(calls(&out) == 0 && body(&out).is_none() && answers(out).is_empty());
     }
@@ -111,11 +115,11 @@
     updates(&mut edge, 1000, &[], true);
     let first = question(&begin(&mut edge, 1000, 1, "/copy", "GET"));
     let key = Job::cache_key(&client_request("/copy", "GET"));
-    let copy = |id, left| Copy {
+    let copy = |id, left| CacheCopy {
         id,
         key,
         wait: at(1000),
-        copy: CopyOut {
+        copy: CachedResponse {
             reply: Reply::default(),
             purged: 0,
             age: at(0),
--- a/data-plane/tests/own_words.rs
+++ b/data-plane/tests/default_protocol.rs
@@ -40,7 +40,7 @@
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect();
-        OwnWords.judge(&call(Proof::Named), status, &headers, b"x")
+        DefaultProtocol.judge(&call(Proof::Named), status, &headers, b"x")
     };
     let good = [
         ("otterslip-instance", "i1"),
@@ -51,14 +51,14 @@
     ];
     assert_eq!(
         told(&good, 200),
-        Judged::Own {
+        OriginVerdict::Accepted {
             headers: vec![("etag".into(), "1".into())],
             tags: vec!["a".into(), "b".into()]
         }
     );
     let other = [("otterslip-instance", "i2"), ("otterslip-errand", "9")];
-    assert_eq!(told(&good, 421), Judged::Stranger);
-    assert_eq!(told(&other, 421), Judged::Stranger);
+    assert_eq!(told(&good, 421), OriginVerdict::WrongInstance);
+    assert_eq!(told(&other, 421), OriginVerdict::WrongInstance);
     for (headers, status, why) in [
         (
             &other[..],
@@ -75,14 +75,17 @@
             "the refusal of another request",
         ),
     ] {
-        assert!(matches!(told(headers, status), Judged::Bad(_)), "{why}");
+        assert!(
+            matches!(told(headers, status), OriginVerdict::Rejected(_)),
+            "{why}"
+        );
     }
     assert!(matches!(
         told(
             &[("otterslip-instance", "i1"), ("otterslip-errand", "8")],
             200
         ),
-        Judged::Bad(_)
+        OriginVerdict::Rejected(_)
     ));
     assert_eq!(
         told(
@@ -93,12 +96,12 @@
             ],
             503
         ),
-        Judged::NotRun
+        OriginVerdict::NotExecuted
     );
     assert!(
         matches!(
-            OwnWords.judge(&call(Proof::Seal), 200, &[], b"x"),
-            Judged::Bad(_)
+            DefaultProtocol.judge(&call(Proof::Seal), 200, &[], b"x"),
+            OriginVerdict::Rejected(_)
         ),
         "unsealed"
     );
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -163,7 +163,7 @@
                     return Ok(());
                 };
                 self.requests.get_mut(&id).unwrap().left = true;
-                self.edge.step(at(now), Input::CallerLeft { id })
+                self.edge.step(at(now), Input::ClientDisconnected { id })
             }
             Step::Permit(which) => match take(&mut self.permits, which) {
                 Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
@@ -173,7 +173,7 @@
                 Some(id) => {
                     let refused = PermitRefused {
                         id,
-                        reason: AwayReason::Busy,
+                        reason: PermitRefusalReason::Overloaded,
                         back: at(100),
                     };
                     heard(&mut self.edge, now, ADMISSION, refused)
@@ -183,25 +183,25 @@
             Step::Called(which, end) => match take(&mut self.calls, which) {
                 Some((id, _)) => {
                     let result = match end {
-                        End::Good => CallBack::Good(reply(200)),
-                        End::Failure => CallBack::Good(reply(500)),
-                        End::NotRun => CallBack::NotRun,
-                        End::Lost => CallBack::Bad("reset".into()),
+                        End::Good => CallOutcome::Success(reply(200)),
+                        End::Failure => CallOutcome::Success(reply(500)),
+                        End::NotRun => CallOutcome::NotExecuted,
+                        End::Lost => CallOutcome::Failure("reset".into()),
                     };
-                    self.edge.step(at(now), Input::Called { id, result })
+                    self.edge.step(at(now), Input::CallCompleted { id, result })
                 }
                 None => return Ok(()),
             },
             Step::Ledger(which, word) => match take(&mut self.ledger, which) {
                 Some(id) => {
                     let outcome = match word {
-                        Word::Claimed => Outcome::Claimed,
-                        Word::Running => Outcome::Taken {
+                        Word::Claimed => ChangeOutcome::Claimed,
+                        Word::Running => ChangeOutcome::AlreadyClaimed {
                             same: true,
                             state: OperationState::Running,
                         },
-                        Word::Released => Outcome::Released,
-                        Word::Recorded => Outcome::Recorded,
+                        Word::Released => ChangeOutcome::Released,
+                        Word::Recorded => ChangeOutcome::Recorded,
                     };
                     told(&mut self.edge, now, id, outcome)
                 }
@@ -228,7 +228,7 @@
         let key = Job::cache_key(&client_request("/copy", "GET"));
         let message: Message = match kept {
             Kept::Copy => {
-                let copy = CopyOut {
+                let copy = CachedResponse {
                     reply: reply(200),
                     purged: 0,
                     age: at(0),
@@ -237,7 +237,7 @@
                     held: at(0),
                 };
                 let wait = at(1000);
-                Copy {
+                CacheCopy {
                     id,
                     key,
                     wait,
@@ -247,14 +247,14 @@
             }
             Kept::Miss => {
                 self.tokens += 1;
-                let token = Token {
+                let token = FillToken {
                     serial: self.tokens,
                     epoch: 1,
                     purged: 0,
                 };
-                Miss { id, key, token }.into()
+                CacheMiss { id, key, token }.into()
             }
-            Kept::NoCopy => NoCopy { id, key }.into(),
+            Kept::NoCopy => CacheUnavailable { id, key }.into(),
         };
         heard(&mut self.edge, self.now, OWNER, message)
     }
@@ -262,10 +262,10 @@
     fn judge(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
         for output in out {
             match output {
-                Output::Tell { message, .. } => match message {
+                Output::Send { message, .. } => match message {
                     Message::PermitRequest(ask) => self.permits.push(ask.id),
                     Message::ChangeRequest(ask) => self.ledger.push(ask.id),
-                    Message::Get(get) => self.gets.push(get.id),
+                    Message::CacheGet(get) => self.gets.push(get.id),
                     _ => {}
                 },
                 Output::Call { id, call } => {
@@ -286,12 +286,12 @@
                     );
                     self.calls.retain(|(call, _)| *call != id);
                 }
-                Output::Answer { id, .. } => {
+                Output::ClientResponse { id, .. } => {
                     let request = self.requests.get_mut(&id).unwrap();
                     prop_assert!(!request.answered, "answered twice");
                     request.answered = true;
                 }
-                Output::Note {
+                Output::Log {
                     event: Event::AbandonedWork,
                     text,
                 } => return Err(TestCaseError::fail(text)),
@@ -364,9 +364,9 @@
 
 fn withdrawn(out: &[Output]) -> Vec<u64> {
     let one = |output: &Output| match output {
-        Output::Tell { message, .. } => match message {
+        Output::Send { message, .. } => match message {
             Message::PermitWithdrawn(withdrawn) => Some(withdrawn.id),
-            Message::GetWithdrawn(withdrawn) => Some(withdrawn.id),
+            Message::CacheGetWithdrawn(withdrawn) => Some(withdrawn.id),
             _ => None,
         },
         _ => None,
@@ -398,7 +398,7 @@
 
 fn call_results(out: &[Output]) -> Vec<CallResult> {
     let one = |output: &Output| match output {
-        Output::Tell {
+        Output::Send {
             message: Message::CallDone(done),
             ..
         } => Some(done.result),
@@ -419,7 +419,7 @@
 fn a_wait_for_a_permit_is_taken_back_and_a_permit_on_its_way_is_given_back() {
     let mut edge = ready_edge();
     let asked = question(&begin(&mut edge, 1, "/low", "GET"));
-    let out = edge.step(at(1300), Input::CallerLeft { id: 1 });
+    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(withdrawn(&out), [asked]);
     let left = (1, 503, "caller_left".to_string(), RunState::NotRun);
     assert_eq!(answers(out), [left]);
@@ -432,13 +432,13 @@
     let mut edge = ready_edge();
     let begun = begin(&mut edge, 1, "/low", "GET");
     let call = called(&mut edge, &begun);
-    let out = edge.step(at(1300), Input::CallerLeft { id: 1 });
+    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(cancelled(&out), [call]);
     assert_eq!(call_results(&out), [CallResult::Cancelled]);
     // It may have run: a caller that still reads is not told that it did not.
     let left = (1, 503, "caller_left".to_string(), RunState::Unknown);
     assert_eq!(answers(out), [left]);
-    let again = edge.step(at(1310), Input::CallerLeft { id: 1 });
+    let again = edge.step(at(1310), Input::ClientDisconnected { id: 1 });
     assert!(again.is_empty(), "{again:?}");
 }
 
@@ -447,12 +447,12 @@
 fn an_operation_that_may_have_run_goes_on_until_it_is_recorded() {
     let mut edge = ready_edge();
     let claim = question(&begin(&mut edge, 1, "/k", "POST"));
-    let claimed = told(&mut edge, 1005, claim, Outcome::Claimed);
+    let claimed = told(&mut edge, 1005, claim, ChangeOutcome::Claimed);
     let call = called(&mut edge, &claimed);
-    let out = edge.step(at(1300), Input::CallerLeft { id: 1 });
+    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&out).is_empty() && answers(out).is_empty());
-    let result = CallBack::Good(reply(200));
-    let out = edge.step(at(1400), Input::Called { id: call, result });
+    let result = CallOutcome::Success(reply(200));
+    let out = edge.step(at(1400), Input::CallCompleted { id: call, result });
     assert!(matches!(asked(&out)[..], [Change::Record(_, Some(_))]));
 }
 
@@ -464,11 +464,11 @@
         let claim = question(&begin(&mut edge, 1, "/k", "POST"));
         let mut out = Vec::new();
         if !claimed_before {
-            out.extend(edge.step(at(1002), Input::CallerLeft { id: 1 }));
+            out.extend(edge.step(at(1002), Input::ClientDisconnected { id: 1 }));
         }
-        out.extend(told(&mut edge, 1005, claim, Outcome::Claimed));
+        out.extend(told(&mut edge, 1005, claim, ChangeOutcome::Claimed));
         if claimed_before {
-            out.extend(edge.step(at(1010), Input::CallerLeft { id: 1 }));
+            out.extend(edge.step(at(1010), Input::ClientDisconnected { id: 1 }));
         }
         let released = |change: &Change| matches!(change, Change::Release(_));
         assert_eq!(asked(&out).iter().filter(|one| released(one)).count(), 1);
@@ -483,12 +483,12 @@
     let mut edge = ready_edge();
     let begun = begin(&mut edge, 1, "/once", "POST");
     let call = called(&mut edge, &begun);
-    let out = edge.step(at(1300), Input::CallerLeft { id: 1 });
+    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&out).is_empty() && answers(out).is_empty());
-    let result = CallBack::NotRun;
-    let out = edge.step(at(1400), Input::Called { id: call, result });
+    let result = CallOutcome::NotExecuted;
+    let out = edge.step(at(1400), Input::CallCompleted { id: call, result });
     let asks = |output: &Output| {
-        let Output::Tell { message, .. } = output else {
+        let Output::Send { message, .. } = output else {
             return false;
         };
         matches!(message, Message::PermitRequest(_))
@@ -507,10 +507,10 @@
         begin(&mut edge, id, "/copy", "GET");
     }
     for (id, ms) in [(1, 1100), (3, 1110)] {
-        let out = edge.step(at(ms), Input::CallerLeft { id });
+        let out = edge.step(at(ms), Input::ClientDisconnected { id });
         assert!(withdrawn(&out).is_empty(), "request 2 waits for the copy");
     }
-    let out = edge.step(at(1120), Input::CallerLeft { id: 2 });
+    let out = edge.step(at(1120), Input::ClientDisconnected { id: 2 });
     assert_eq!(withdrawn(&out), [get]);
     let mut ended: Vec<u64> = answers(out).into_iter().map(|(id, ..)| id).collect();
     ended.sort_unstable();
@@ -522,7 +522,7 @@
 fn the_refresher_of_a_cache_owner_goes_on() {
     let mut edge = ready_edge();
     let get = question(&begin(&mut edge, 1, "/copy", "GET"));
-    let token = Token {
+    let token = FillToken {
         serial: 1,
         epoch: 1,
         purged: 0,
@@ -532,24 +532,24 @@
         &mut edge,
         1005,
         OWNER,
-        Miss {
+        CacheMiss {
             id: get,
             key,
             token,
         },
     );
     let asked = question(&out);
-    let out = edge.step(at(1050), Input::CallerLeft { id: 1 });
+    let out = edge.step(at(1050), Input::ClientDisconnected { id: 1 });
     assert!(withdrawn(&out).is_empty());
     let out = heard(&mut edge, 1060, ADMISSION, permit(asked, origin(50), 1059));
     let call = question(&out);
-    let result = CallBack::Good(reply(200));
-    let out = edge.step(at(1100), Input::Called { id: call, result });
+    let result = CallOutcome::Success(reply(200));
+    let out = edge.step(at(1100), Input::CallCompleted { id: call, result });
     let puts = |output: &Output| {
-        let Output::Tell { message, .. } = output else {
+        let Output::Send { message, .. } = output else {
             return false;
         };
-        matches!(message, Message::Put(_))
+        matches!(message, Message::CachePut(_))
     };
     assert!(out.iter().any(puts));
 }
@@ -699,7 +699,7 @@
         told.extend(edge.step(at(now), Input::Tick));
     }
     let to_dead =
-        |output: &&Output| matches!(output, Output::Tell { to, .. } if *to == address(GONE));
+        |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(GONE));
     assert_eq!(
         told.iter().find(to_dead).map(|one| format!("{one:?}")),
         None
@@ -714,15 +714,15 @@
     let mut asked = begin(&mut edge, 1, "/low", "GET");
     for _ in 0..5 {
         let call = called(&mut edge, &asked);
-        let result = CallBack::Withheld;
-        asked = edge.step(at(1020), Input::Called { id: call, result });
+        let result = CallOutcome::NotSent;
+        asked = edge.step(at(1020), Input::CallCompleted { id: call, result });
         assert_eq!(call_results(&asked), [CallResult::Unused]);
     }
     let begun = begin(&mut edge, 2, "/once", "POST");
     let call = called(&mut edge, &begun);
-    edge.step(at(1015), Input::CallerLeft { id: 2 });
-    let result = CallBack::Withheld;
-    let out = edge.step(at(1020), Input::Called { id: call, result });
+    edge.step(at(1015), Input::ClientDisconnected { id: 2 });
+    let result = CallOutcome::NotSent;
+    let out = edge.step(at(1020), Input::CallCompleted { id: call, result });
     assert_eq!(call_results(&out), [CallResult::Unused]);
     let left = (2, 503, "caller_left".to_string(), RunState::NotRun);
     assert_eq!(answers(out), [left]);
@@ -733,8 +733,8 @@
 fn a_claim_that_another_holds_is_not_asked_for_on() {
     let mut edge = ready_edge();
     let claim = question(&begin(&mut edge, 1, "/k", "POST"));
-    edge.step(at(1002), Input::CallerLeft { id: 1 });
-    let running = Outcome::Taken {
+    edge.step(at(1002), Input::ClientDisconnected { id: 1 });
+    let running = ChangeOutcome::AlreadyClaimed {
         same: true,
         state: OperationState::Running,
     };
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -11,7 +11,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub fn table() -> Arc<EntryTable> {
+pub fn table() -> Arc<RouteTable> {
     let key = BASE64.encode([1; 32]);
     let group =
         |name: &str| format!(r#"{{"service":"{name}","rate":9,"concurrency":9,"key":"{key}"}}"#);
@@ -28,7 +28,7 @@
         group("slow"),
         group("quick")
     );
-    Arc::new(EntryTable::new(1, Configuration::read(&text).unwrap()))
+    Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
 /// An edge with two renewals at `now`, whose peers are played by the test.
@@ -58,7 +58,7 @@
         };
         edge.step(
             at(now),
-            Input::Heard {
+            Input::MessageReceived {
                 from: Peer::new(address(seed), 1),
                 message: renewed.into(),
             },
@@ -104,9 +104,9 @@
 
 pub fn answers(out: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
     let one = |output| match output {
-        Output::Answer {
+        Output::ClientResponse {
             id,
-            answer: Answer::Refusal(refusal),
+            answer: ClientResponse::Rejection(refusal),
         } => Some((id, refusal.status, refusal.code, refusal.outcome)),
         _ => None,
     };
@@ -116,7 +116,7 @@
 /// Plays the ledger: what the edge asks, and an answer to it.
 pub fn asked(out: &[Output]) -> Vec<Change> {
     let one = |output: &Output| match output {
-        Output::Tell {
+        Output::Send {
             message: Message::ChangeRequest(ask),
             ..
         } => Some(ask.ask.clone()),
@@ -128,10 +128,10 @@
 /// The id of the last question among the outputs, or of the last call.
 pub fn question(out: &[Output]) -> u64 {
     let one = |output: &Output| match output {
-        Output::Tell { message, .. } => match message {
+        Output::Send { message, .. } => match message {
             Message::ChangeRequest(ask) => Some(ask.id),
             Message::PermitRequest(ask) => Some(ask.id),
-            Message::Get(get) => Some(get.id),
+            Message::CacheGet(get) => Some(get.id),
             _ => None,
         },
         Output::Call { id, .. } => Some(*id),
@@ -140,10 +140,10 @@
     out.iter().rev().find_map(one).expect("a question")
 }
 
-pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: Outcome) -> Vec<Output> {
+pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: ChangeOutcome) -> Vec<Output> {
     edge.step(
         at(now),
-        Input::Heard {
+        Input::MessageReceived {
             from: Peer::new(address(1), 1),
             message: ChangeReply { id, told }.into(),
         },
@@ -208,7 +208,7 @@
 pub fn heard(edge: &mut EdgeNode, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
-    edge.step(at(now), Input::Heard { from, message })
+    edge.step(at(now), Input::MessageReceived { from, message })
 }
 
 pub fn origin(port: u16) -> Origin {
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -91,7 +91,7 @@
         for _ in 0..2 {
             edge.step(
                 at(1500),
-                Input::Heard {
+                Input::MessageReceived {
                     from: Peer::new(address(seed), 1),
                     message: renewed.clone().into(),
                 },
@@ -115,14 +115,14 @@
     let said = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
         let out = edge.step(
             at(1010),
-            Input::Heard {
+            Input::MessageReceived {
                 from: Peer::new(address(seed), 1),
                 message,
             },
         );
         out.iter()
             .filter_map(|one| match one {
-                Output::Tell {
+                Output::Send {
                     to,
                     message: Message::RenewRequest(_),
                 } => Some(*to),
@@ -217,7 +217,7 @@
     };
     edge.step(
         at(1100),
-        Input::Heard {
+        Input::MessageReceived {
             from: Peer::new(address(2), 1),
             message: renewed(1100, updates.into()).into(),
         },
@@ -232,7 +232,7 @@
     assert_eq!(told.len(), 1, "one renewal of the new three is no majority");
     edge.step(
         at(1300),
-        Input::Heard {
+        Input::MessageReceived {
             from: Peer::new(address(4), 8),
             message: renewed(1300, SharedUpdates::default()).into(),
         },
@@ -261,15 +261,15 @@
         },
     );
     assert!(matches!(asked(&out).as_slice(), [Change::Claim(_)]));
-    let out = told(&mut edge, 1010, question(&out), Outcome::Claimed);
+    let out = told(&mut edge, 1010, question(&out), ChangeOutcome::Claimed);
     let away = PermitRefused {
         id: question(&out),
-        reason: AwayReason::Busy,
+        reason: PermitRefusalReason::Overloaded,
         back: at(2000),
     };
     let out = edge.step(
         at(1020),
-        Input::Heard {
+        Input::MessageReceived {
             from: Peer::new(address(8), 1),
             message: away.into(),
         },
@@ -277,7 +277,7 @@
     assert!(matches!(asked(&out).as_slice(), [Change::Release(_)]));
     let release = question(&out);
     assert!(answers(out).is_empty());
-    let out = told(&mut edge, 1030, release, Outcome::Released);
+    let out = told(&mut edge, 1030, release, ChangeOutcome::Released);
     assert_eq!(
         answers(out),
         [(1, 429, "over_capacity".to_string(), RunState::NotRun)]
@@ -296,7 +296,7 @@
             request: client_request("/k", "POST"),
         },
     );
-    let out = told(&mut edge, 1010, question(&out), Outcome::Claimed);
+    let out = told(&mut edge, 1010, question(&out), ChangeOutcome::Claimed);
     let asked_for = question(&out);
     let permitted = |edge: &mut EdgeNode, permit: Permit| heard(edge, 1300, ADMISSION, permit);
     let called = |out: &[Output]| {
@@ -322,15 +322,15 @@
     assert!(called(&out));
     let out = edge.step(
         at(1400),
-        Input::Called {
+        Input::CallCompleted {
             id: question(&out),
-            result: CallBack::Bad("cut off".into()),
+            result: CallOutcome::Failure("cut off".into()),
         },
     );
     assert!(matches!(asked(&out).as_slice(), [Change::Record(_, None)]));
     let record = question(&out);
     assert!(answers(out).is_empty());
-    let out = told(&mut edge, 1410, record, Outcome::Recorded);
+    let out = told(&mut edge, 1410, record, ChangeOutcome::Recorded);
     assert_eq!(
         answers(out),
         [(1, 502, "bad_origin_answer".to_string(), RunState::Unknown)]
--- a/data-plane/tests/ending.rs
+++ b/data-plane/tests/ending.rs
@@ -65,13 +65,13 @@
     let request = client_request("/low", "GET");
     let told = answers(edge.step(at(late), Input::ClientRequest { id: 2, request }));
     assert_eq!(told, [(2, 503, "ending".to_string(), RunState::NotRun)]);
-    let result = CallBack::Good(Reply::default());
-    let out = edge.step(at(late + 10), Input::Called { id: call, result });
+    let result = CallOutcome::Success(Reply::default());
+    let out = edge.step(at(late + 10), Input::CallCompleted { id: call, result });
     assert!(out.iter().any(|output| matches!(
         output,
-        Output::Answer {
+        Output::ClientResponse {
             id: 1,
-            answer: Answer::Reply { .. }
+            answer: ClientResponse::Reply { .. }
         }
     )));
 }
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -26,16 +26,16 @@
     address(1000 + at as u16)
 }
 
-fn route_table() -> Arc<EntryTable> {
+fn route_table() -> Arc<RouteTable> {
     let key = BASE64.encode([1; 32]);
     let text = format!(
         r#"{{"groups":[{{"service":"slow","rate":9,"concurrency":9,"key":"{key}"}}],
         "entries":[{{"name":"copy","path":"/","group":"slow","rank":9,"kind":"cached","cache_ttl_s":40}}]}}"#
     );
-    Arc::new(EntryTable::new(1, Configuration::read(&text).unwrap()))
+    Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
-fn client_request(image: &Arc<EntryTable>, key: u64) -> ClientRequest {
+fn client_request(image: &Arc<RouteTable>, key: u64) -> ClientRequest {
     let url = format!("/{key}");
     let entry = image.find("h", &url, "GET").unwrap();
     ClientRequest {
@@ -104,11 +104,11 @@
         self.queue.insert((at, self.serial), event);
     }
 
-    fn answered(&mut self, now: u64, edge: usize, id: u64, answer: &Answer) {
+    fn answered(&mut self, now: u64, edge: usize, id: u64, answer: &ClientResponse) {
         let Some(began) = self.began.remove(&id) else {
             return;
         };
-        let Answer::Reply { reply, .. } = answer else {
+        let ClientResponse::Reply { reply, .. } = answer else {
             return;
         };
         let done = self.links[edge].carry(now as f64, reply.body.len());
@@ -119,7 +119,7 @@
     fn tell(&mut self, now: u64, edge: usize, to: SocketAddr, message: Message) {
         let from = Peer::new(edge_address(edge), edge as u64 + 1);
         let bytes = bincode::serialized_size(&message).unwrap() as usize;
-        if edge == 0 && matches!(message, Message::Copy(_)) {
+        if edge == 0 && matches!(message, Message::CacheCopy(_)) {
             self.owner_bytes += bytes;
         }
         let left = self.links[edge].carry(now as f64, bytes) as u64 + WAY_MS;
@@ -172,14 +172,14 @@
     fn take(&mut self, now: u64, edge: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Tell { to, message } => self.tell(now, edge, to, message),
-                Output::Answer { id, answer } => self.answered(now, edge, id, &answer),
+                Output::Send { to, message } => self.tell(now, edge, to, message),
+                Output::ClientResponse { id, answer } => self.answered(now, edge, id, &answer),
                 Output::Call { id, .. } => {
                     let came = (now + ORIGIN_MS) as f64;
                     let came = self.links[edge].carry(came, OBJECT_BYTES) as u64;
                     self.push(came, Happening::Called(edge, id));
                 }
-                Output::Note {
+                Output::Log {
                     event: Event::Fenced,
                     ..
                 } => self.fencings += 1,
@@ -284,7 +284,7 @@
                 }
                 Happening::Heard(index, from, message) => {
                     let message = *message;
-                    (index, Input::Heard { from, message })
+                    (index, Input::MessageReceived { from, message })
                 }
                 Happening::Called(index, id) => {
                     let reply = Reply {
@@ -292,8 +292,8 @@
                         body: Arc::new(vec![1; OBJECT_BYTES]),
                         ..Reply::default()
                     };
-                    let result = CallBack::Good(reply);
-                    (index, Input::Called { id, result })
+                    let result = CallOutcome::Success(reply);
+                    (index, Input::CallCompleted { id, result })
                 }
             };
             let out = fleet.edges[index].step(at(now), input);
--- a/data-plane/tests/line_face.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -1,6 +1,6 @@
 //! The face of an edge over 127.0.0.1: the test plays the part behind it.
 mod edge;
-use data_plane::LineFace;
+use data_plane::HttpFrontend;
 use data_plane::prelude::*;
 use edge::table;
 use std::net::TcpListener;
@@ -12,7 +12,7 @@
 const LEASE: Duration = Duration::from_secs(60);
 
 struct Rig {
-    face: LineFace,
+    frontend: HttpFrontend,
     inputs: flume::Receiver<Input>,
     http: SocketAddr,
 }
@@ -30,9 +30,13 @@
         let port = Arc::new(Port::new(give, startup).unwrap());
         port.image.store(Arc::new(Some(table())));
         port.set_fence(port.now() + LEASE, true);
-        let mut face = LineFace::new("test", Arc::new(OwnWords));
-        face.open(&port).unwrap();
-        Rig { face, inputs, http }
+        let mut frontend = HttpFrontend::new("test", Arc::new(DefaultProtocol));
+        frontend.open(&port).unwrap();
+        Rig {
+            frontend,
+            inputs,
+            http,
+        }
     }
 
     /// A caller whose request the part was given.
@@ -50,7 +54,7 @@
     fn leaves(&self, caller: TcpStream, id: u64) {
         drop(caller);
         match self.inputs.recv_timeout(WAIT) {
-            Ok(Input::CallerLeft { id: left }) => assert_eq!(left, id),
+            Ok(Input::ClientDisconnected { id: left }) => assert_eq!(left, id),
             other => panic!("{other:?}"),
         }
     }
@@ -75,10 +79,10 @@
     for purpose in [CallPurpose::Caller, CallPurpose::RunOnce] {
         let (caller, id, request) = rig.asks();
         rig.leaves(caller, id);
-        rig.face.call(7, call(id, &request, at, purpose));
+        rig.frontend.call(7, call(id, &request, at, purpose));
         match rig.inputs.recv_timeout(WAIT) {
-            Ok(Input::Called { id: 7, result }) => {
-                assert!(matches!(result, CallBack::Withheld), "{result:?}")
+            Ok(Input::CallCompleted { id: 7, result }) => {
+                assert!(matches!(result, CallOutcome::NotSent), "{result:?}")
             }
             other => panic!("{other:?}"),
         }
@@ -97,11 +101,11 @@
     let at = origin.local_addr().unwrap();
     let (caller, id, request) = rig.asks();
     rig.leaves(caller, id);
-    rig.face
+    rig.frontend
         .call(7, call(id, &request, at, CallPurpose::SharedCopy));
     let _shared = origin.accept().unwrap();
     let (_caller, id, request) = rig.asks();
-    rig.face
+    rig.frontend
         .call(8, call(id, &request, at, CallPurpose::Caller));
     origin.accept().unwrap();
 }
@@ -112,12 +116,12 @@
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let at = origin.local_addr().unwrap();
     let (_caller, id, request) = rig.asks();
-    rig.face
+    rig.frontend
         .call(7, call(id, &request, at, CallPurpose::Caller));
     let mut session = origin.accept().unwrap().0;
     session.set_read_timeout(Some(WAIT)).unwrap();
     session.read_exact(&mut [0; 4]).unwrap();
-    rig.face.cancel_call(7);
+    rig.frontend.cancel_call(7);
     // Far before the call's own limit.
     session.set_read_timeout(Some(QUIET * 2)).unwrap();
     let mut rest = Vec::new();
--- a/data-plane/tests/near_copies.rs
+++ b/data-plane/tests/near_copies.rs
@@ -27,12 +27,12 @@
 }
 
 /// A copy as the owner hands it out, its fetch just begun.
-fn copy(id: u64, text: &str, age: u64) -> Copy {
-    Copy {
+fn copy(id: u64, text: &str, age: u64) -> CacheCopy {
+    CacheCopy {
         id,
         key: key(),
         wait: at(1000),
-        copy: CopyOut {
+        copy: CachedResponse {
             reply: reply(text),
             purged: 0,
             age: at(age),
@@ -45,8 +45,8 @@
 
 fn gets(out: &[Output]) -> Vec<u64> {
     let one = |output: &Output| match output {
-        Output::Tell {
-            message: Message::Get(get),
+        Output::Send {
+            message: Message::CacheGet(get),
             ..
         } => Some(get.id),
         _ => None,
@@ -58,7 +58,7 @@
     let one = |output: &&Output| {
         matches!(
             output,
-            Output::Tell {
+            Output::Send {
                 message: Message::PermitRequest(_),
                 ..
             }
@@ -70,9 +70,9 @@
 /// Whom the outputs answer, and with what body.
 fn served(out: &[Output]) -> BTreeMap<u64, String> {
     let one = |output: &Output| match output {
-        Output::Answer {
+        Output::ClientResponse {
             id,
-            answer: Answer::Reply { reply, .. },
+            answer: ClientResponse::Reply { reply, .. },
         } => Some((*id, String::from_utf8_lossy(&reply.body).into_owned())),
         _ => None,
     };
@@ -206,7 +206,7 @@
         let out = edge.step(at(now), Input::Tick);
         repeats += gets(&out).len();
         assert_eq!(permits_asked(&out), 0, "at {now}");
-        heard(&mut edge, now, OWNER, GetQueued { id: asked });
+        heard(&mut edge, now, OWNER, CacheGetQueued { id: asked });
     }
     assert!(repeats <= 4, "{repeats} repeats in 1.2 s");
 }
@@ -231,14 +231,14 @@
         &mut edge,
         1010,
         OWNER,
-        NoCopy {
+        CacheUnavailable {
             id: asked,
             key: key(),
         },
     );
     let refused = PermitRefused {
         id: question(&out),
-        reason: AwayReason::Busy,
+        reason: PermitRefusalReason::Overloaded,
         back: at(100),
     };
     let told = answers(heard(&mut edge, 1020, ADMISSION, refused));
@@ -251,12 +251,12 @@
     let mut edge = ready();
     let asked = question(&begin(&mut edge, 1000, 1));
     begin(&mut edge, 1000, 2);
-    let token = Token {
+    let token = FillToken {
         serial: 1,
         epoch: 1,
         purged: 0,
     };
-    let miss = Miss {
+    let miss = CacheMiss {
         id: asked,
         key: key(),
         token,
@@ -276,8 +276,8 @@
         out.extend(edge.step(at(now), Input::Tick));
     }
     assert_eq!(gets(&out).len().min(1), 1, "the second asks");
-    let result = CallBack::Good(reply("late"));
-    let out = edge.step(at(3100), Input::Called { id: call, result });
+    let result = CallOutcome::Success(reply("late"));
+    let out = edge.step(at(3100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&out)[&1], "late");
 }
 
@@ -310,12 +310,12 @@
     for id in 2..10 {
         begin(&mut edge, 1000, id);
     }
-    let token = Token {
+    let token = FillToken {
         serial: 1,
         epoch: 1,
         purged: 0,
     };
-    let miss = Miss {
+    let miss = CacheMiss {
         id: asked,
         key: key(),
         token,
@@ -323,14 +323,14 @@
     let out = heard(&mut edge, 1010, OWNER, miss);
     let ask = permit(question(&out), origin(50), 1015);
     let call = question(&heard(&mut edge, 1020, ADMISSION, ask));
-    let result = CallBack::Good(reply("x"));
-    let out = edge.step(at(1100), Input::Called { id: call, result });
+    let result = CallOutcome::Success(reply("x"));
+    let out = edge.step(at(1100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&out).len(), 9);
     let puts = out.iter().filter(|output| {
         matches!(
             output,
-            Output::Tell {
-                message: Message::Put(_),
+            Output::Send {
+                message: Message::CachePut(_),
                 ..
             }
         )
@@ -417,17 +417,17 @@
             }
             for output in out {
                 match output {
-                    Output::Tell {
-                        message: Message::Get(get),
+                    Output::Send {
+                        message: Message::CacheGet(get),
                         ..
                     } if dice.below(5) > 0 => {
                         let mut answer = copy(get.id, &version.to_string(), 0);
                         answer.copy.purged = purges;
                         coming.push((now + dice.below(600), answer.into()));
                     }
-                    Output::Answer { id, answer } => {
+                    Output::ClientResponse { id, answer } => {
                         let began = waiting.remove(&id).expect("answered once");
-                        if let Answer::Reply { reply, .. } = answer {
+                        if let ClientResponse::Reply { reply, .. } = answer {
                             let body = String::from_utf8_lossy(&reply.body).into_owned();
                             let served: u64 = body.parse().unwrap();
                             let what = format!("seed {seed}, at {now}");
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -44,7 +44,7 @@
     /// The process is asked to end.
     Shutdown,
     /// The caller closes its connection.
-    CallerLeft,
+    ClientDisconnected,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -93,7 +93,7 @@
         2 => prop_oneof![Just(50u64), Just(250), Just(5_000)].prop_map(Step::Wait),
         1 => prop_oneof![Just(250u64), Just(700)].prop_map(Step::Silence),
         1 => Just(Step::Shutdown),
-        1 => Just(Step::CallerLeft),
+        1 => Just(Step::ClientDisconnected),
     ]
 }
 
@@ -184,9 +184,9 @@
             Step::Refused { back, busy } => match earlier(&self.permits, back) {
                 Some(id) => {
                     let reason = if busy {
-                        AwayReason::Busy
+                        PermitRefusalReason::Overloaded
                     } else {
-                        AwayReason::Budget
+                        PermitRefusalReason::RetryBudgetExhausted
                     };
                     let back = at(1000);
                     heard(
@@ -210,9 +210,10 @@
                 self.now += ms;
                 self.edge.step(at(self.now), Input::Tick)
             }
-            Step::CallerLeft => {
+            Step::ClientDisconnected => {
                 self.left = true;
-                self.edge.step(at(now), Input::CallerLeft { id: REQUEST })
+                self.edge
+                    .step(at(now), Input::ClientDisconnected { id: REQUEST })
             }
             Step::Shutdown => self.edge.step(at(now), Input::ShutdownRequested),
             Step::Wait(ms) => {
@@ -228,7 +229,7 @@
         let made = &mut self.calls[call];
         made.ended.get_or_insert(end);
         let reply = |status| {
-            CallBack::Good(Reply {
+            CallOutcome::Success(Reply {
                 status,
                 body: Arc::new(format!("call {}", made.id).into_bytes()),
                 ..Reply::default()
@@ -237,23 +238,24 @@
         let result = match end {
             End::Good => reply(200),
             End::Failure => reply(500),
-            End::Unsent => CallBack::Refused,
-            End::Withheld => CallBack::Withheld,
-            End::NotRun => CallBack::NotRun,
-            End::Stranger => CallBack::Stranger,
-            End::Lost => CallBack::Bad("reset".into()),
+            End::Unsent => CallOutcome::Unreachable,
+            End::Withheld => CallOutcome::NotSent,
+            End::NotRun => CallOutcome::NotExecuted,
+            End::Stranger => CallOutcome::WrongInstance,
+            End::Lost => CallOutcome::Failure("reset".into()),
         };
         let id = made.id;
-        self.edge.step(at(self.now), Input::Called { id, result })
+        self.edge
+            .step(at(self.now), Input::CallCompleted { id, result })
     }
 
     fn ledger_says(&mut self, id: u64, word: Word) -> Vec<Output> {
         let outcome = match word {
-            Word::Claimed => Outcome::Claimed,
-            Word::Released => Outcome::Released,
-            Word::Recorded => Outcome::Recorded,
-            Word::Lost => Outcome::Lost,
-            Word::Running => Outcome::Taken {
+            Word::Claimed => ChangeOutcome::Claimed,
+            Word::Released => ChangeOutcome::Released,
+            Word::Recorded => ChangeOutcome::Recorded,
+            Word::Lost => ChangeOutcome::Unknown,
+            Word::Running => ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Running,
             },
@@ -264,7 +266,7 @@
     fn judge(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
         for output in out {
             match output {
-                Output::Tell { message, .. } => match message {
+                Output::Send { message, .. } => match message {
                     Message::PermitRequest(ask) => self.permits.push(ask.id),
                     Message::ChangeRequest(ask) => {
                         if matches!(ask.ask, Change::Release(_)) {
@@ -281,10 +283,10 @@
                 Output::CancelCall { .. } => {
                     prop_assert!(self.left && self.sort == Sort::Repeatable);
                 }
-                Output::Note { event, text } => {
+                Output::Log { event, text } => {
                     prop_assert!(event != Event::AbandonedWork, "{}", text);
                 }
-                Output::Answer { id, answer } => {
+                Output::ClientResponse { id, answer } => {
                     prop_assert_eq!(id, REQUEST);
                     self.answer(answer)?;
                 }
@@ -312,11 +314,11 @@
         Ok(())
     }
 
-    fn answer(&mut self, answer: Answer) -> Result<(), TestCaseError> {
+    fn answer(&mut self, answer: ClientResponse) -> Result<(), TestCaseError> {
         prop_assert!(!self.answered, "answered twice");
         self.answered = true;
         match answer {
-            Answer::Reply { reply, .. } => {
+            ClientResponse::Reply { reply, .. } => {
                 let text = String::from_utf8_lossy(&reply.body).into_owned();
                 let own = self
                     .calls
@@ -328,7 +330,7 @@
                     prop_assert_eq!(Some(own.id), self.calls.last().map(|call| call.id));
                 }
             }
-            Answer::Refusal(refusal) => {
+            ClientResponse::Rejection(refusal) => {
                 let promised = refusal.idle || refusal.outcome == RunState::NotRun;
                 if promised {
                     prop_assert!(
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -35,7 +35,7 @@
     RowsRecalled = 219, Warn;
     SessionOpened = 220, Info;
     SessionLapsed = 221, Warn;
-    SessionLeft = 222, Info;
+    SessionClosed = 222, Info;
     DiskRestored = 223, Info;
     LogRefused = 224, Error;
     AssignmentRevoked = 230, Info;
@@ -52,14 +52,14 @@
     AssignmentDropped = 311, Info;
     PutDropped = 320, Info;
     OriginProven = 330, Info;
-    OriginAside = 331, Warn;
-    AnswerRefused = 340, Warn;
-    CallerLeft = 341, Debug;
+    OriginEjected = 331, Warn;
+    ResponseRejected = 340, Warn;
+    ClientDisconnected = 341, Debug;
     AbandonedWork = 342, Error;
 }
 
 /// Writes one event to the log.
-pub fn note(event: Event, text: &str) {
+pub fn log_event(event: Event, text: &str) {
     log::log!(event.level(), "E{:03} {:?} {text}", event as u32, event);
 }
 
--- a/kernel/src/finding.rs
+++ b/kernel/src/finding.rs
@@ -18,7 +18,7 @@
 }
 
 /// Tells everything that is wrong and ends the program with code 2.
-pub fn refuse_findings(program: &str, found: &[Finding]) -> ! {
+pub fn exit_with_findings(program: &str, found: &[Finding]) -> ! {
     for finding in found {
         eprintln!("{program}: {finding}");
     }
--- a/kernel/src/face.rs
+++ b/kernel/src/frontend.rs
@@ -2,14 +2,14 @@
 
 /// Where a process meets callers, operators, the platform and origins: it puts
 /// inputs to its part through the port and carries the part's calls out.
-pub trait Face: Send {
+pub trait Frontend: Send {
     /// Listens and serves until the port says that the process ends.
     fn open(&mut self, port: &Arc<Port>) -> Result<()>;
 
-    /// Makes a call; `Input::Called` follows.
+    /// Makes a call; `Input::CallCompleted` follows.
     fn call(&self, id: u64, call: Call);
 
-    /// Ends the call, if it is under way; no `Input::Called` follows.
+    /// Ends the call, if it is under way; no `Input::CallCompleted` follows.
     fn cancel_call(&self, _id: u64) {}
 
     /// The call under way gets this much time from now.
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -10,7 +10,7 @@
     began: Instant,
     serial: AtomicU64,
     waits: Mutex<HashMap<u64, Then>>,
-    pub image: ArcSwap<Option<Arc<EntryTable>>>,
+    pub image: ArcSwap<Option<Arc<RouteTable>>>,
     fence: AtomicU64,
     ready: AtomicBool,
     pub ending: AtomicBool,
@@ -107,13 +107,13 @@
 }
 
 /// Drives one part: sockets, disk, ticks and calls sit out here.
-pub struct Host {
+pub struct NodeHost {
     pub me: Peer,
     pub program: &'static str,
     pub startup: Startup,
     pub tick: Duration,
     pub store: Option<Box<dyn Store>>,
-    pub face: Box<dyn Face>,
+    pub frontend: Box<dyn Frontend>,
     /// Where acknowledged configurations go; never waited for.
     pub history: Option<Sender<(u64, Arc<str>)>>,
 }
@@ -125,7 +125,7 @@
 /// latest, together.
 const FLUSH_STEPS: u32 = 32;
 
-impl Host {
+impl NodeHost {
     pub fn run(mut self, mut part: Box<dyn StateMachine>) -> Result<()> {
         let (give, take) = flume::unbounded::<Input>();
         let mesh = self.startup.mesh.context("mesh address")?;
@@ -133,7 +133,7 @@
             TcpListener::bind(mesh).with_context(|| format!("cannot listen on {mesh}"))?;
         let links = Links::open(self.me, listener, give.clone())?;
         let port = Arc::new(Port::new(give.clone(), self.startup.clone())?);
-        self.face.open(&port)?;
+        self.frontend.open(&port)?;
         for source in
             inventory::iter::<SourcePlugIn>().filter(|source| source.program == self.program)
         {
@@ -144,9 +144,9 @@
             .store
             .take()
             .map(|store| store::keep(store, give.clone()));
-        Host::watch_signal(&give, self.startup.grace())?;
+        NodeHost::watch_signal(&give, self.startup.grace())?;
         let tick = self.tick;
-        note(
+        log_event(
             Event::Started,
             &format!(
                 "{} {} mesh {mesh} http {:?}",
@@ -156,7 +156,7 @@
         let mut next = port.now();
         let mut unflushed = 0;
         // After the end, calls that were already read are still answered.
-        while !(port.ending.load(Ordering::Acquire) && self.face.done()) {
+        while !(port.ending.load(Ordering::Acquire) && self.frontend.done()) {
             let now = port.now();
             let input = if now >= next {
                 next = now + tick;
@@ -167,15 +167,16 @@
                     Err(_) => continue,
                 }
             };
-            let from_peer = matches!(&input, Input::Heard { from, .. } if *from != self.me);
+            let from_peer =
+                matches!(&input, Input::MessageReceived { from, .. } if *from != self.me);
             if matches!(input, Input::ShutdownRequested) {
-                self.face.warn();
+                self.frontend.warn();
             }
             for output in part.step(port.now(), input) {
                 match output {
-                    Output::Tell { to, message } => {
+                    Output::Send { to, message } => {
                         if to == mesh {
-                            let _ = give.send(Input::Heard {
+                            let _ = give.send(Input::MessageReceived {
                                 from: self.me,
                                 message,
                             });
@@ -184,40 +185,42 @@
                         }
                     }
                     Output::Store { serial, record } => {
-                        self.put(&store, Unstored::Append(serial, record))
+                        self.put(&store, PendingWrite::Append(serial, record))
                     }
-                    Output::StoreImage { serial, record } => {
-                        self.put(&store, Unstored::Image(serial, record))
+                    Output::StoreSnapshot { serial, record } => {
+                        self.put(&store, PendingWrite::Image(serial, record))
                     }
-                    Output::Answer { id, .. } | Output::OperatorAnswer { id, .. } => {
+                    Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
                         port.complete(id, output)
                     }
-                    Output::Call { id, call } => self.face.call(id, call),
-                    Output::CancelCall { id } => self.face.cancel_call(id),
-                    Output::ExtendCall { id, limit } => self.face.extend_call(id, limit),
-                    Output::Watch { address } => {
+                    Output::Call { id, call } => self.frontend.call(id, call),
+                    Output::CancelCall { id } => self.frontend.cancel_call(id),
+                    Output::ExtendCall { id, limit } => self.frontend.extend_call(id, limit),
+                    Output::WatchConnection { address } => {
                         let give = give.clone();
-                        thread::spawn(move || Host::watch(address, &give));
+                        thread::spawn(move || NodeHost::watch(address, &give));
                     }
-                    Output::Note { event, text } => note(event, &text),
-                    Output::Show(Shown::Fence { until, ready }) => {
+                    Output::Log { event, text } => log_event(event, &text),
+                    Output::Publish(PublishedState::Fence { until, ready }) => {
                         port.set_fence(until, ready);
                     }
-                    Output::Show(Shown::Assignments(list)) => {
+                    Output::Publish(PublishedState::Assignments(list)) => {
                         port.assignments.store(Arc::new(list))
                     }
-                    Output::Show(Shown::LinkDelay(delay)) => self.face.link_delay(delay),
-                    Output::Show(Shown::Acknowledged { version, text }) => {
+                    Output::Publish(PublishedState::LinkDelay(delay)) => {
+                        self.frontend.link_delay(delay)
+                    }
+                    Output::Publish(PublishedState::CommittedConfiguration { version, text }) => {
                         if let Some(history) = &self.history {
                             let _ = history.try_send((version, text));
                         }
                     }
-                    Output::Show(Shown::Configuration(table)) => {
+                    Output::Publish(PublishedState::Configuration(table)) => {
                         port.image.store(Arc::new(Some(table)))
                     }
-                    Output::Ended => {
+                    Output::ShutdownComplete => {
                         // What is read from here on, nobody would answer.
-                        self.face.stop();
+                        self.frontend.stop();
                         port.ending.store(true, Ordering::Release);
                     }
                 }
@@ -232,7 +235,7 @@
             }
         }
         links.drain(LAST_WORDS);
-        note(Event::Ended, "nothing is left to do");
+        log_event(Event::Ended, "nothing is left to do");
         Ok(())
     }
 
@@ -240,19 +243,19 @@
     /// took it, or of its patience: either way it must show again who it is.
     fn watch(address: SocketAddr, give: &Sender<Input>) {
         if let Ok(mut stream) = TcpStream::connect_timeout(&address, WATCH) {
-            let _ = give.send(Input::Watched {
+            let _ = give.send(Input::ConnectionChanged {
                 address,
                 open: true,
             });
             while matches!(stream.read(&mut [0; 64]), Ok(size) if size > 0) {}
         }
-        let _ = give.send(Input::Watched {
+        let _ = give.send(Input::ConnectionChanged {
             address,
             open: false,
         });
     }
 
-    fn put(&self, store: &Option<Sender<Unstored>>, what: Unstored) {
+    fn put(&self, store: &Option<Sender<PendingWrite>>, what: PendingWrite) {
         if let Some(store) = store {
             let _ = store.send(what);
         }
@@ -274,13 +277,13 @@
                 .forever()
                 .any(|signal| signal != signal_hook::consts::SIGHUP)
             {
-                note(
+                log_event(
                     Event::ShutdownRequested,
                     &format!("ending within {grace:?}"),
                 );
                 let _ = give.send(Input::ShutdownRequested);
                 thread::sleep(grace);
-                note(Event::Ended, "grace time is over");
+                log_event(Event::Ended, "grace time is over");
                 std::process::exit(1);
             }
         });
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -239,12 +239,14 @@
         }
         if *peer.get_or_insert(from) != from {
             let text = format!("{from} on a session of another");
-            note(Event::FrameRefused, &text);
+            log_event(Event::FrameRefused, &text);
             self.shared.counters.refused_frames.add(1);
             return false;
         }
         self.shared.backlog.received(bytes);
-        self.take.send(Input::Heard { from, message }).is_ok()
+        self.take
+            .send(Input::MessageReceived { from, message })
+            .is_ok()
     }
 
     /// Of the sessions that an address opened, the latest counts: its process
@@ -272,11 +274,11 @@
                 true
             }
             Reading::Ended(error) => {
-                note(Event::LinkBroken, &error.to_string());
+                log_event(Event::LinkBroken, &error.to_string());
                 false
             }
             Reading::Refused(error) => {
-                note(Event::FrameRefused, &error.to_string());
+                log_event(Event::FrameRefused, &error.to_string());
                 self.shared.counters.refused_frames.add(1);
                 false
             }
@@ -390,7 +392,7 @@
 
     /// The session ended; whoever still has something waiting is met anew.
     fn broken(&mut self, to: SocketAddr, error: &io::Error) {
-        note(Event::LinkBroken, &format!("{to}: {error}"));
+        log_event(Event::LinkBroken, &format!("{to}: {error}"));
         self.close_outbound(to);
         let mut outbox = self.shared.lock_outbox();
         outbox.drop_begun(to);
@@ -490,5 +492,5 @@
         Some(peer) => peer.to_string(),
         None => "a stranger".into(),
     };
-    note(Event::MessageRefused, &format!("from {from}: {error}"));
+    log_event(Event::MessageRefused, &format!("from {from}: {error}"));
 }
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -187,7 +187,7 @@
                 counters.dropped_urgent.get(),
                 counters.dropped_bulk.get()
             );
-            note(Event::QueueFull, &text);
+            log_event(Event::QueueFull, &text);
         }
     }
 }
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -41,8 +41,8 @@
             | Message::PrepareReply(_)
             | Message::AppendRequest(_)
             | Message::RecallReply(_)
-            | Message::Copy(_)
-            | Message::Put(_)
+            | Message::CacheCopy(_)
+            | Message::CachePut(_)
             | Message::HandoverReply(_) => Priority::Bulk,
             Message::ChangeRequest(request) => Priority::of_change(&request.ask),
             Message::ChangeReply(reply) => Priority::of_outcome(&reply.told),
@@ -59,9 +59,9 @@
         }
     }
 
-    fn of_outcome(outcome: &Outcome) -> Priority {
+    fn of_outcome(outcome: &ChangeOutcome) -> Priority {
         match outcome {
-            Outcome::Rows { .. } | Outcome::Configuration { .. } => Priority::Bulk,
+            ChangeOutcome::Rows { .. } | ChangeOutcome::Configuration { .. } => Priority::Bulk,
             _ => Priority::Urgent,
         }
     }
