--- a/kernel/src/message.rs
+++ b/kernel/src/message.rs
@@ -46,7 +46,7 @@
     /// need not send it.
     PrepareRequest { partition: u8, epoch: u64, membership_version: u64, held: StateId }
     /// `retired`: lives of slots that count for nothing any more.
-    PrepareReply { partition: u8, epoch: u64, lost: u64, retired: Vec<u64>, state: PromisedState }
+    PrepareReply { partition: u8, epoch: u64, lost: u64, retired: Vec<u64>, state: PreparedState }
     /// Rows after `from` up to `to`; with `whole`, all there is; with `base`, from
     /// a state that the replica holds under an earlier epoch. An empty one
     /// is a round: it collects the sessions and confirms the owner.
@@ -62,7 +62,7 @@
     /// A change on its way to the leader of its partition; answered to
     /// `asker`. `hops`: how many control nodes passed it on.
     ChangeRequest { asker: SocketAddr, id: u64, partition: u8, hops: u8, ask: Change }
-    ChangeReply { id: u64, told: Outcome }
+    ChangeReply { id: u64, told: ChangeOutcome }
 
     /// An empty control node without a slot asks for one that is lost, or
     /// (`founding`) for one of its own.
@@ -72,7 +72,7 @@
     /// the founding table; there is one, made by the first seed.
     MembershipTable { version: u64, members: Vec<Peer> }
     /// To a leaving member that offered its slot.
-    SlotOfferReply { answer: SlotOfferAnswer }
+    SlotOfferReply { answer: SlotOfferOutcome }
     /// All that the disk of a removed member ever acknowledged, to its direct
     /// successor in this slot by the table `version`: it acknowledges nothing any
     /// more.
@@ -83,7 +83,7 @@
     // Between edges and control nodes.
     /// `recalled`: in this generation, nothing of an earlier one is left to tell.
     /// `heard`: the last mark of this control node, none before the first.
-    RenewRequest { sent: Duration, heard: Option<RenewalToken>, generation: u64, recalled: bool, vector: Vec<u64>, zone: String, ring: String, strength: u32, draining: bool, usage: Usage, found: Vec<OriginFound> }
+    RenewRequest { sent: Duration, heard: Option<RenewalToken>, generation: u64, recalled: bool, vector: Vec<u64>, zone: String, ring: String, strength: u32, draining: bool, usage: Usage, found: Vec<OriginHealth> }
     /// To the life that sent the renewal, with its own time of sending.
     /// `recall`: acknowledged operations may be lost; tell those you know. `updates` stands
     /// last: it is encoded once for all who are told the same.
@@ -101,22 +101,22 @@
 
     // Between edges: the cache.
     /// `spare`: the asker's own refill failed; it wants any copy in time.
-    Get { id: u64, key: CacheKey, entry: String, host: String, url: String, keep: Duration, wait: Duration, spare: bool }
+    CacheGet { id: u64, key: CacheKey, entry: String, host: String, url: String, keep: Duration, wait: Duration, spare: bool }
     /// `wait`: for so long the asker waits for it; later it need not be sent.
-    Copy { id: u64, key: CacheKey, wait: Duration, copy: CopyOut }
+    CacheCopy { id: u64, key: CacheKey, wait: Duration, copy: CachedResponse }
     /// Asked again: it waits for the refresher, or its copy is on the way.
-    GetQueued { id: u64 }
+    CacheGetQueued { id: u64 }
     /// Refill it: you are the refresher, under this token.
-    Miss { id: u64, key: CacheKey, token: Token }
+    CacheMiss { id: u64, key: CacheKey, token: FillToken }
     /// Not to be had here: fetch it yourself, for yourself.
-    NoCopy { id: u64, key: CacheKey }
-    Put { key: CacheKey, token: Token, reply: Reply }
+    CacheUnavailable { id: u64, key: CacheKey }
+    CachePut { key: CacheKey, token: FillToken, reply: Reply }
     /// The refresher gave up, or (`private`) the answer may not be shared.
-    Fail { key: CacheKey, token: Token, private: bool }
+    CacheFillFailed { key: CacheKey, token: FillToken, private: bool }
 
     /// The new holder of a cache partition asks the last one for its copies.
     HandoverRequest { partition: u16, epoch: u64, sent: Duration }
-    HandoverReply { partition: u16, epoch: u64, sent: Duration, copies: Vec<Carried> }
+    HandoverReply { partition: u16, epoch: u64, sent: Duration, copies: Vec<HandedOverResponse> }
 
     // Between edges: the admission controller.
     PermitRequest { service: String, id: u64, rank: u32, wait: Duration, sent: Duration, extra: bool, call: Duration, aim: Duration, zone: String, region: String, avoid: Vec<SocketAddr> }
@@ -124,7 +124,7 @@
     /// Heard, and stands in line.
     PermitQueued { id: u64 }
     /// Turned away; come back after this.
-    PermitRefused { id: u64, reason: AwayReason, back: Duration }
+    PermitRefused { id: u64, reason: PermitRefusalReason, back: Duration }
     /// Told to a new holder: calls still under way by earlier permits.
     CallsInProgress { service: String, calls: Vec<(u64, u64, SocketAddr, Duration)> }
     CallDone { service: String, epoch: u64, serial: u64, result: CallResult, took: Duration }
@@ -132,7 +132,7 @@
     /// To the admission controller: nobody waits for this permit any more.
     PermitWithdrawn { service: String, id: u64 }
     /// To the cache owner: nobody waits for this copy any more.
-    GetWithdrawn { key: CacheKey, id: u64 }
+    CacheGetWithdrawn { key: CacheKey, id: u64 }
 }
 
 impl Message {
@@ -140,7 +140,7 @@
     /// whenever it comes.
     pub fn awaited(&self) -> Option<Duration> {
         match self {
-            Message::Copy(copy) => Some(copy.wait),
+            Message::CacheCopy(copy) => Some(copy.wait),
             _ => None,
         }
     }
@@ -148,7 +148,7 @@
 
 /// What becomes of the slot that a leaving member offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SlotOfferAnswer {
+pub enum SlotOfferOutcome {
     /// No empty node waits for a slot.
     NoNewcomer,
     /// One waits; another change of the table must be over first.
@@ -228,7 +228,7 @@
 
 /// What a replica tells of its state with its promise.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum PromisedState {
+pub enum PreparedState {
     /// Nothing newer than the asker holds.
     NotNewer {
         id: StateId,
@@ -237,18 +237,18 @@
     Newer(PartitionState),
 }
 
-impl PromisedState {
+impl PreparedState {
     pub fn id(&self) -> StateId {
         match self {
-            PromisedState::NotNewer { id, .. } => *id,
-            PromisedState::Newer(state) => state.id(),
+            PreparedState::NotNewer { id, .. } => *id,
+            PreparedState::Newer(state) => state.id(),
         }
     }
 
     pub fn published(&self) -> u64 {
         match self {
-            PromisedState::NotNewer { published, .. } => *published,
-            PromisedState::Newer(state) => state.published,
+            PreparedState::NotNewer { published, .. } => *published,
+            PreparedState::Newer(state) => state.published,
         }
     }
 }
@@ -276,7 +276,7 @@
     pub recalled: bool,
     pub vector: Vec<u64>,
     pub usage: Usage,
-    pub found: Vec<OriginFound>,
+    pub found: Vec<OriginHealth>,
 }
 
 /// What a control node tells with each renewal: its run and a number that
@@ -326,7 +326,7 @@
 
 /// How an origin stands with the admission controller of its group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OriginFound {
+pub struct OriginHealth {
     pub address: SocketAddr,
     pub service: String,
     pub instance: String,
@@ -343,7 +343,8 @@
     /// Has not shown it yet, or not lately.
     Unproven,
     /// Failed, and is left alone for a moment.
-    Aside,
+    #[serde(rename = "aside")]
+    Ejected,
 }
 
 /// What an edge has served, by outcome, since its start.
@@ -446,15 +447,15 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// In force everywhere, under this version.
-    Settled {
+    Acknowledged {
         version: u64,
     },
     /// Another change came first; this version is in force. Whether a change
     /// made to replace a version below `complete_after` was applied earlier is
     /// not known any more.
-    Raced {
+    VersionConflict {
         version: u64,
         complete_after: u64,
     },
@@ -469,24 +470,24 @@
     Findings(Vec<Finding>),
     Claimed,
     /// The key is taken; `same` if by a request like this one.
-    Taken {
+    AlreadyClaimed {
         same: bool,
         state: OperationState,
     },
     Released,
     Recorded,
     /// No owner could be asked in time: it may or may not have happened.
-    Lost,
+    Unknown,
     /// The node that was asked is not in contact with a majority: nothing was
     /// done, and nothing can be said.
     NoMajority,
     /// What was acknowledged may be lost: unknown keys are not run for so long.
-    Closed {
+    LedgerClosed {
         left: Duration,
     },
     /// A revision was accepted before with another content. Nothing of the
     /// call took effect; the findings name the items.
-    Conflict(Vec<Finding>),
+    RevisionConflict(Vec<Finding>),
     /// A revision is so old that it is not known any more whether it was
     /// accepted. The call has no effect now; the findings name the items.
     RevisionForgotten(Vec<Finding>),
@@ -494,7 +495,7 @@
 
 /// Ties a put to what the owner knew when it said MISS.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Token {
+pub struct FillToken {
     pub serial: u64,
     /// Epoch of the cache assignment: a put to a later owner is dropped.
     pub epoch: u64,
@@ -504,7 +505,7 @@
 
 /// A copy as the owner hands it out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CopyOut {
+pub struct CachedResponse {
     pub reply: Reply,
     /// Purges this copy is known to be clear of.
     pub purged: u64,
@@ -521,7 +522,7 @@
 
 /// A copy on its way to a new owner, with its expiries as spans from now.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Carried {
+pub struct HandedOverResponse {
     pub key: CacheKey,
     pub entry: String,
     pub host: String,
@@ -535,29 +536,29 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AwayReason {
+pub enum PermitRefusalReason {
     /// More is asked than the origins may be called.
-    Busy,
+    Overloaded,
     /// The budget for extra tries is spent.
-    Budget,
+    RetryBudgetExhausted,
     /// No origin can be called now.
-    NoOrigin,
+    NoHealthyOrigin,
     /// Not the holder of this admission controller.
-    NotHere,
+    NotOwner,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallResult {
     /// Whole answer, signature verified.
-    Good,
+    Success,
     /// Answered, but not acceptable, or no answer.
-    Bad,
+    Failure,
     /// Nothing was sent: the session was refused.
-    Refused,
+    Unreachable,
     /// It says that it did not run it.
-    NotRun,
+    NotExecuted,
     /// Another instance listens there.
-    Stranger,
+    WrongInstance,
     /// The permit was not used.
     Unused,
     /// Sent, and broken off by the edge: nobody waited for it any more. It says
--- a/kernel/src/operator_server.rs
+++ b/kernel/src/operator_server.rs
@@ -16,13 +16,13 @@
     }
 }
 
-impl Face for OperatorServer {
+impl Frontend for OperatorServer {
     fn open(&mut self, port: &Arc<Port>) -> Result<()> {
         let address = port.startup.http.context("http address")?;
         let plug_ins = PlugIn::of(self.program);
-        let face = port.clone();
+        let frontend = port.clone();
         let server = rouille::Server::new(address, move |request| {
-            serve_plug_ins(&plug_ins, &face, request)
+            serve_plug_ins(&plug_ins, &frontend, request)
         })
         .map_err(|error| anyhow!("cannot listen on {address}: {error}"))?;
         let port = port.clone();
--- a/kernel/src/plug_in.rs
+++ b/kernel/src/plug_in.rs
@@ -42,7 +42,7 @@
         "/.otterslip/v1/ready" if port.ready() => {
             Some(json(200, &serde_json::json!({ "ready": true })))
         }
-        "/.otterslip/v1/ready" => Some(refuse(&Refusal::not_run(
+        "/.otterslip/v1/ready" => Some(refuse(&Rejection::not_run(
             503,
             "not_ready",
             "do not send callers here now",
@@ -72,7 +72,7 @@
         .iter()
         .find_map(|one| (one.serve)(port, request))
         .unwrap_or_else(|| {
-            refuse(&Refusal::not_run(
+            refuse(&Rejection::not_run(
                 404,
                 "no_such_path",
                 "nothing is served here",
@@ -89,7 +89,7 @@
 }
 
 /// The one error shape as an HTTP answer.
-pub fn refuse(refusal: &Refusal) -> rouille::Response {
+pub fn refuse(refusal: &Rejection) -> rouille::Response {
     let answer = json(refusal.status, refusal);
     match refusal.retry_after_s {
         // Whole seconds, rounded up: no one comes back too early.
@@ -101,7 +101,7 @@
 }
 
 /// Reads a body whole, or refuses it when over `limit`.
-pub fn read_body(request: &rouille::Request, limit: usize) -> Result<Vec<u8>, Refusal> {
+pub fn read_body(request: &rouille::Request, limit: usize) -> Result<Vec<u8>, Rejection> {
     let mut body = Vec::new();
     let Some(stream) = request.data() else {
         return Ok(body);
@@ -115,21 +115,21 @@
             .read_to_end(&mut body)
             .is_err()
     {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             413,
             "body_unreadable",
             "the body is too large or was cut off",
         ));
     }
     if body.len() > limit {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             413,
             "body_unreadable",
             "the body is too large",
         ));
     }
     if announced.is_some_and(|size| size != body.len()) {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             400,
             "body_short",
             "the body ended before its announced length",
--- a/kernel/src/entry_table.rs
+++ b/kernel/src/route_table.rs
@@ -3,7 +3,7 @@
 /// A configuration with an index over its entries; never changed, only
 /// replaced whole.
 #[derive(Debug, PartialEq)]
-pub struct EntryTable {
+pub struct RouteTable {
     pub version: u64,
     pub document: Configuration,
     /// What callers may send, if operators said so.
@@ -11,13 +11,13 @@
     by_path: HashMap<String, Vec<usize>>,
 }
 
-impl EntryTable {
-    pub fn new(version: u64, document: Configuration) -> EntryTable {
+impl RouteTable {
+    pub fn new(version: u64, document: Configuration) -> RouteTable {
         let mut by_path: HashMap<String, Vec<usize>> = HashMap::new();
         for (at, entry) in document.entries.iter().enumerate() {
             by_path.entry(entry.path.clone()).or_default().push(at);
         }
-        EntryTable {
+        RouteTable {
             version,
             document,
             bounds: None,
@@ -26,8 +26,8 @@
     }
 
     /// The same, with the callers' bounds.
-    pub fn within(self, bounds: Option<Arc<Bounds>>) -> EntryTable {
-        EntryTable { bounds, ..self }
+    pub fn within(self, bounds: Option<Arc<Bounds>>) -> RouteTable {
+        RouteTable { bounds, ..self }
     }
 
     /// The entry with the longest path that is the request's path or a whole
@@ -92,7 +92,7 @@
             entry("ours", Some("a.example"), "/list"),
             entry("tiles", None, "/t/"),
         ];
-        let table = EntryTable::new(
+        let table = RouteTable::new(
             1,
             Configuration {
                 groups: vec![],
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -12,12 +12,12 @@
 pub const LEDGERS: u8 = 16;
 pub const PARTITIONS: u8 = PUBLISHED_PARTITIONS + LEDGERS;
 /// Slots of the control plane at most; epochs are told apart by it.
-pub const SLOTS_MOST: usize = 16;
+pub const MAX_SLOTS: usize = 16;
 /// Cached content is cut into this many partitions on the ring.
 pub const CACHE_PARTITIONS: u16 = 256;
 /// This many purges are kept as rows, one over the other; an edge further
 /// behind than that drops its whole cache.
-pub const PURGES_KEPT: u64 = 1024;
+pub const MAX_RETAINED_PURGES: u64 = 1024;
 
 /// The partition that holds an operation key of a service.
 pub fn ledger_partition(operation: &str) -> u8 {
@@ -60,7 +60,7 @@
 }
 
 /// Of the control node that owns the list of origins.
-pub const LISTS: &str = "slice/origins";
+pub const ORIGIN_LIST_ASSIGNMENT: &str = "slice/origins";
 
 pub fn admission_assignment(service: &str) -> String {
     format!("gate/{service}")
@@ -92,7 +92,7 @@
         change: u64,
     },
     Assignment(Assignment),
-    /// Who holds the slots of the control plane, 1 to `SLOTS_MOST` of them;
+    /// Who holds the slots of the control plane, 1 to `MAX_SLOTS` of them;
     /// life 0: whoever listens there.
     Members(Vec<Peer>),
     /// Edges that have a session, and those gone for less than
@@ -229,7 +229,7 @@
 /// What a copy is known by when a purge is held against it. `host` is empty for
 /// a copy that serves any host. `tags` are none while the answer is not there yet: then every tag reaches it.
 #[derive(Debug, Clone, Copy)]
-pub struct CopyName<'a> {
+pub struct CacheEntryName<'a> {
     pub entry: &'a str,
     pub host: &'a str,
     pub url: &'a str,
@@ -237,7 +237,7 @@
 }
 
 impl Purge {
-    pub fn reaches(&self, copy: CopyName) -> bool {
+    pub fn reaches(&self, copy: CacheEntryName) -> bool {
         self.entry.as_deref().is_none_or(|name| name == copy.entry)
             && self
                 .host
--- a/kernel/src/slot_set.rs
+++ b/kernel/src/slot_set.rs
@@ -7,10 +7,10 @@
 pub struct SlotSet(u16);
 
 // One bit for each slot there may be.
-const _: () = assert!(SLOTS_MOST <= u16::BITS as usize);
+const _: () = assert!(MAX_SLOTS <= u16::BITS as usize);
 
 impl SlotSet {
-    /// Adds a slot; one beyond `SLOTS_MOST` is no slot and changes nothing.
+    /// Adds a slot; one beyond `MAX_SLOTS` is no slot and changes nothing.
     pub fn insert(&mut self, slot: u8) {
         self.0 |= SlotSet::bit(slot);
     }
@@ -32,7 +32,7 @@
 
     /// The slots in rising order.
     pub fn iter(self) -> impl Iterator<Item = u8> {
-        (0..SLOTS_MOST as u8).filter(move |slot| self.contains(*slot))
+        (0..MAX_SLOTS as u8).filter(move |slot| self.contains(*slot))
     }
 
     /// Slots that are in one of the two.
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -75,7 +75,7 @@
     pub fn gather(program: &str, about: &str, disk: bool) -> Startup {
         let mut flags = pico_args::Arguments::from_env();
         help_or_version(program, &mut flags, &Startup::help(program, about, disk));
-        Startup::read(flags, disk).unwrap_or_else(|found| refuse_findings(program, &found))
+        Startup::read(flags, disk).unwrap_or_else(|found| exit_with_findings(program, &found))
     }
 
     fn help(program: &str, about: &str, disk: bool) -> String {
--- a/kernel/src/state_machine.rs
+++ b/kernel/src/state_machine.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub enum Input {
     Tick,
-    Heard {
+    MessageReceived {
         from: Peer,
         message: Message,
     },
@@ -25,20 +25,20 @@
     },
     /// The caller of this request has closed its connection: nobody waits for
     /// the answer any more.
-    CallerLeft {
+    ClientDisconnected {
         id: u64,
     },
-    Called {
+    CallCompleted {
         id: u64,
-        result: CallBack,
+        result: CallOutcome,
     },
     Operator {
         id: u64,
-        ask: OperatorAsk,
+        ask: OperatorRequest,
     },
     /// An open connection to an origin stands, or has ended: then the process
     /// that listens there may be another.
-    Watched {
+    ConnectionChanged {
         address: SocketAddr,
         open: bool,
     },
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Clone)]
 pub enum Output {
-    Tell {
+    Send {
         to: SocketAddr,
         message: Message,
     },
@@ -58,32 +58,32 @@
         record: Vec<u8>,
     },
     /// Everything up to now, in place of all earlier records.
-    StoreImage {
+    StoreSnapshot {
         serial: u64,
         record: Vec<u8>,
     },
-    Answer {
+    ClientResponse {
         id: u64,
-        answer: Answer,
+        answer: ClientResponse,
     },
     Call {
         id: u64,
         call: Call,
     },
-    OperatorAnswer {
+    OperatorResponse {
         id: u64,
-        answer: OperatorAnswer,
+        answer: OperatorResponse,
     },
     /// Open a connection to this origin and tell when it ends.
-    Watch {
+    WatchConnection {
         address: SocketAddr,
     },
-    Note {
+    Log {
         event: Event,
         text: String,
     },
     /// What threads beside the part may read.
-    Show(Shown),
+    Publish(PublishedState),
     /// Nobody waits for this call any more: its connection is ended.
     CancelCall {
         id: u64,
@@ -94,18 +94,18 @@
         limit: Duration,
     },
     /// Nothing is left to do after a warning.
-    Ended,
+    ShutdownComplete,
 }
 
 #[derive(Debug, Clone)]
-pub enum Shown {
+pub enum PublishedState {
     Fence {
         until: Duration,
         ready: bool,
     },
-    Configuration(Arc<EntryTable>),
+    Configuration(Arc<RouteTable>),
     /// A configuration in force, for those who keep a history.
-    Acknowledged {
+    CommittedConfiguration {
         version: u64,
         text: Arc<str>,
     },
@@ -126,7 +126,7 @@
     pub body: Arc<Vec<u8>>,
     pub caller: String,
     /// The image this request keeps for its life.
-    pub image: Arc<EntryTable>,
+    pub image: Arc<RouteTable>,
     /// Index of the matched entry in the image.
     pub entry: usize,
     /// The key under which it runs once, if it came with one.
@@ -215,32 +215,32 @@
 
 /// What came of a call, after the signature was checked.
 #[derive(Debug, Clone)]
-pub enum CallBack {
-    Good(Reply),
+pub enum CallOutcome {
+    Success(Reply),
     /// Nothing was sent, by our own decision: the lease is over, or the caller has
     /// left. It says nothing of the origin.
-    Withheld,
+    NotSent,
     /// Nothing was sent: the origin could not be reached.
-    Refused,
+    Unreachable,
     /// The origin says that it did not run it (it is full, or leaves).
-    NotRun,
+    NotExecuted,
     /// Another instance listens there; it did not run it.
-    Stranger,
+    WrongInstance,
     /// Sent, but no acceptable answer came; why.
-    Bad(String),
+    Failure(String),
 }
 
 /// What a request ends with.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum ClientResponse {
     Reply { reply: Reply, age: Option<Duration> },
-    Refusal(Refusal),
+    Rejection(Rejection),
 }
 
-impl Answer {
+impl ClientResponse {
     /// A reply that others are served, too: at most so old.
-    pub fn copy(reply: Reply, age: Duration) -> Answer {
-        Answer::Reply {
+    pub fn copy(reply: Reply, age: Duration) -> ClientResponse {
+        ClientResponse::Reply {
             reply,
             age: Some(age),
         }
@@ -249,7 +249,7 @@
 
 /// The one shape of errors towards callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Rejection {
     #[serde(skip)]
     pub status: u16,
     pub code: String,
@@ -285,10 +285,10 @@
     Unknown,
 }
 
-impl Refusal {
-    pub fn new(status: u16, code: &str, outcome: RunState, text: &str) -> Refusal {
+impl Rejection {
+    pub fn new(status: u16, code: &str, outcome: RunState, text: &str) -> Rejection {
         let retry_after_s = matches!(status, 409 | 429 | 503).then_some(1.0);
-        Refusal {
+        Rejection {
             status,
             code: code.into(),
             outcome,
@@ -298,22 +298,22 @@
         }
     }
 
-    pub fn not_run(status: u16, code: &str, text: &str) -> Refusal {
-        Refusal::new(status, code, RunState::NotRun, text)
+    pub fn not_run(status: u16, code: &str, text: &str) -> Rejection {
+        Rejection::new(status, code, RunState::NotRun, text)
     }
 
-    pub fn unknown(status: u16, code: &str, text: &str) -> Refusal {
-        Refusal::new(status, code, RunState::Unknown, text)
+    pub fn unknown(status: u16, code: &str, text: &str) -> Rejection {
+        Rejection::new(status, code, RunState::Unknown, text)
     }
 
     /// The same, of a request for which nothing was sent.
-    pub fn idle(self) -> Refusal {
-        Refusal { idle: true, ..self }
+    pub fn idle(self) -> Rejection {
+        Rejection { idle: true, ..self }
     }
 
     /// From a node without its lease.
-    pub fn fenced(outcome: RunState) -> Refusal {
-        let refusal = Refusal::new(
+    pub fn fenced(outcome: RunState) -> Rejection {
+        let refusal = Rejection::new(
             503,
             "fenced",
             outcome,
@@ -323,27 +323,27 @@
     }
 
     /// The process ends: another node serves it at once.
-    pub fn ending(outcome: RunState) -> Refusal {
+    pub fn ending(outcome: RunState) -> Rejection {
         let why = "this node ends; another serves";
-        let refusal = Refusal::new(503, "ending", outcome, why);
+        let refusal = Rejection::new(503, "ending", outcome, why);
         refusal.idle().back(ENDING)
     }
 
     /// When to come back; each dialect rounds up, so no one comes too early.
-    pub fn back(mut self, after: Duration) -> Refusal {
+    pub fn back(mut self, after: Duration) -> Rejection {
         self.retry_after_s = Some(after.as_secs_f64());
         self
     }
 }
 
 #[derive(Debug, Clone)]
-pub enum OperatorAsk {
+pub enum OperatorRequest {
     Change { partition: u8, change: Change },
     State,
 }
 
 #[derive(Debug, Clone)]
-pub enum OperatorAnswer {
-    Outcome(Outcome),
+pub enum OperatorResponse {
+    ChangeOutcome(ChangeOutcome),
     State(serde_json::Value),
 }
--- a/kernel/src/store.rs
+++ b/kernel/src/store.rs
@@ -13,22 +13,22 @@
 }
 
 /// A record with its serial number, on its way to the disk.
-pub enum Unstored {
+pub enum PendingWrite {
     Append(u64, Vec<u8>),
     Image(u64, Vec<u8>),
 }
 
-impl Unstored {
+impl PendingWrite {
     fn serial(&self) -> u64 {
         match self {
-            Unstored::Append(serial, _) | Unstored::Image(serial, _) => *serial,
+            PendingWrite::Append(serial, _) | PendingWrite::Image(serial, _) => *serial,
         }
     }
 
     fn write(&self, store: &mut dyn Store) -> Result<()> {
         match self {
-            Unstored::Append(_, record) => store.append(record),
-            Unstored::Image(_, record) => store.image(record),
+            PendingWrite::Append(_, record) => store.append(record),
+            PendingWrite::Image(_, record) => store.image(record),
         }
     }
 }
@@ -36,12 +36,12 @@
 /// Writes records in a thread of its own. One sync serves all that waited for
 /// the one before. After a write that failed only an image, which holds all
 /// that was lost, is tried.
-pub fn keep(mut store: Box<dyn Store>, give: Sender<Input>) -> Sender<Unstored> {
-    let (put, take) = flume::unbounded::<Unstored>();
+pub fn keep(mut store: Box<dyn Store>, give: Sender<Input>) -> Sender<PendingWrite> {
+    let (put, take) = flume::unbounded::<PendingWrite>();
     thread::spawn(move || {
         let mut failed = false;
         while let Ok(first) = take.recv() {
-            let records: Vec<Unstored> = std::iter::once(first).chain(take.drain()).collect();
+            let records: Vec<PendingWrite> = std::iter::once(first).chain(take.drain()).collect();
             let Some(stored) = write_all(&mut *store, &records, failed) else {
                 continue;
             };
@@ -60,8 +60,8 @@
 
 /// The serial of the last record, once all are synced; none if nothing was to
 /// be written.
-fn write_all(store: &mut dyn Store, records: &[Unstored], failed: bool) -> Option<Result<u64>> {
-    let is_image = |record: &Unstored| matches!(record, Unstored::Image(..));
+fn write_all(store: &mut dyn Store, records: &[PendingWrite], failed: bool) -> Option<Result<u64>> {
+    let is_image = |record: &PendingWrite| matches!(record, PendingWrite::Image(..));
     let first = if failed {
         records.iter().rposition(is_image)?
     } else {
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -45,7 +45,7 @@
         let input = self.take.recv_timeout(SOON).expect("something is heard");
         self.links.processed();
         match input {
-            Input::Heard { from, message } => (from, message),
+            Input::MessageReceived { from, message } => (from, message),
             other => panic!("{other:?}"),
         }
     }
@@ -70,9 +70,9 @@
 
 /// Bulk of so many bytes and a few more.
 fn bulk(id: u64, bytes: usize) -> Message {
-    Put {
+    CachePut {
         key: [0; 32],
-        token: Token {
+        token: FillToken {
             serial: id,
             epoch: 0,
             purged: 0,
@@ -289,13 +289,15 @@
     // It reads again, within the time after which it would be met anew.
     let last = urgent(2);
     let found = read_messages(&mut stream, |found| found.contains(&last));
-    let bulk_before = found.iter().filter(|one| matches!(one, Message::Put(_)));
+    let bulk_before = found
+        .iter()
+        .filter(|one| matches!(one, Message::CachePut(_)));
     let waiting = 40 - dropped;
     let before = bulk_before.count();
     assert!(before < waiting, "{before} of {waiting} were ahead");
     let small: Vec<&Message> = found
         .iter()
-        .filter(|one| !matches!(one, Message::Put(_)))
+        .filter(|one| !matches!(one, Message::CachePut(_)))
         .collect();
     assert_eq!(small, [&urgent(0), &urgent(1), &urgent(2)]);
 }
@@ -414,7 +416,7 @@
     assert!(other.links.backlog_bytes() <= most);
     for id in 0..COUNT {
         let (_, message) = other.hear();
-        assert!(matches!(message, Message::Put(put) if put.token.serial == id));
+        assert!(matches!(message, Message::CachePut(put) if put.token.serial == id));
     }
 }
 
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -49,19 +49,19 @@
     let (give, take) = flume::unbounded();
     let put = store::keep(Box::new(memory.clone()), give);
     let next = || take.recv_timeout(PATIENCE).expect("an answer");
-    put.send(Unstored::Append(1, vec![1])).unwrap();
+    put.send(PendingWrite::Append(1, vec![1])).unwrap();
     assert!(matches!(next(), Input::Stored { serial: 1 }));
     memory.full.store(true, Ordering::Release);
-    put.send(Unstored::Append(2, vec![2])).unwrap();
+    put.send(PendingWrite::Append(2, vec![2])).unwrap();
     assert!(matches!(next(), Input::StoreFailed));
-    put.send(Unstored::Image(3, vec![1, 2])).unwrap();
+    put.send(PendingWrite::Image(3, vec![1, 2])).unwrap();
     assert!(matches!(next(), Input::StoreFailed), "it is still full");
     memory.full.store(false, Ordering::Release);
     // Alone it would follow a record that is missing.
-    put.send(Unstored::Append(4, vec![4])).unwrap();
-    put.send(Unstored::Image(5, vec![1, 2, 4])).unwrap();
+    put.send(PendingWrite::Append(4, vec![4])).unwrap();
+    put.send(PendingWrite::Image(5, vec![1, 2, 4])).unwrap();
     assert!(matches!(next(), Input::Stored { serial: 5 }));
-    put.send(Unstored::Append(6, vec![6])).unwrap();
+    put.send(PendingWrite::Append(6, vec![6])).unwrap();
     assert!(matches!(next(), Input::Stored { serial: 6 }));
     let records = memory.records.lock().unwrap().clone();
     assert_eq!(records, [vec![1, 2, 4], vec![6]]);
--- a/kernel/tests/wire_format/main.rs
+++ b/kernel/tests/wire_format/main.rs
@@ -79,7 +79,7 @@
         serde_json::to_string(&usage).unwrap(),
         r#"{"errands":1,"near":2,"answered":3,"refused":4,"copies":5,"calls":6,"extra":7,"pending":8,"left":9,"abandoned":10}"#
     );
-    let health = |condition| OriginFound {
+    let health = |condition| OriginHealth {
         address: "127.0.0.1:80".parse().unwrap(),
         service: "s".into(),
         instance: "i".into(),
@@ -89,7 +89,7 @@
     for (condition, name) in [
         (OriginCondition::Proven, "proven"),
         (OriginCondition::Unproven, "unproven"),
-        (OriginCondition::Aside, "aside"),
+        (OriginCondition::Ejected, "aside"),
     ] {
         assert_eq!(
             serde_json::to_string(&health(condition)).unwrap(),
--- a/kernel/tests/wire_format/messages.rs
+++ b/kernel/tests/wire_format/messages.rs
@@ -45,25 +45,25 @@
                             abandoned: 38,
                         },
                         found: vec![
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
                                 condition: OriginCondition::Proven,
                                 calls: 42,
                             },
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
                                 condition: OriginCondition::Unproven,
                                 calls: 42,
                             },
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
-                                condition: OriginCondition::Aside,
+                                condition: OriginCondition::Ejected,
                                 calls: 42,
                             },
                         ],
@@ -93,25 +93,25 @@
                             abandoned: 38,
                         },
                         found: vec![
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
                                 condition: OriginCondition::Proven,
                                 calls: 42,
                             },
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
                                 condition: OriginCondition::Unproven,
                                 calls: 42,
                             },
-                            OriginFound {
+                            OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
                                 instance: "text 41".into(),
-                                condition: OriginCondition::Aside,
+                                condition: OriginCondition::Ejected,
                                 calls: 42,
                             },
                         ],
@@ -206,7 +206,7 @@
             epoch: 67,
             lost: 68,
             retired: vec![69],
-            state: PromisedState::NotNewer {
+            state: PreparedState::NotNewer {
                 id: StateId {
                     epoch: 70,
                     version: 71,
@@ -220,7 +220,7 @@
             epoch: 67,
             lost: 68,
             retired: vec![69],
-            state: PromisedState::Newer(PartitionState {
+            state: PreparedState::Newer(PartitionState {
                 epoch: 73,
                 version: 74,
                 published: 75,
@@ -614,12 +614,12 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Settled { version: 152 },
+            told: ChangeOutcome::Acknowledged { version: 152 },
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Raced {
+            told: ChangeOutcome::VersionConflict {
                 version: 153,
                 complete_after: 154,
             },
@@ -627,7 +627,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Configuration {
+            told: ChangeOutcome::Configuration {
                 version: 155,
                 text: "shared text 156".into(),
             },
@@ -635,7 +635,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Rows {
+            told: ChangeOutcome::Rows {
                 version: 157,
                 rows: rows(),
             },
@@ -643,7 +643,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Findings(vec![Finding {
+            told: ChangeOutcome::Findings(vec![Finding {
                 place: "text 158".into(),
                 text: "text 159".into(),
             }]),
@@ -651,12 +651,12 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Claimed,
+            told: ChangeOutcome::Claimed,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Taken {
+            told: ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Running,
             },
@@ -664,7 +664,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Taken {
+            told: ChangeOutcome::AlreadyClaimed {
                 same: false,
                 state: OperationState::Released,
             },
@@ -672,7 +672,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Taken {
+            told: ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Unknown,
             },
@@ -680,7 +680,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Taken {
+            told: ChangeOutcome::AlreadyClaimed {
                 same: false,
                 state: OperationState::Done(Arc::new(Reply {
                     status: 4820,
@@ -693,34 +693,34 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Released,
+            told: ChangeOutcome::Released,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Recorded,
+            told: ChangeOutcome::Recorded,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Lost,
+            told: ChangeOutcome::Unknown,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::NoMajority,
+            told: ChangeOutcome::NoMajority,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Closed {
+            told: ChangeOutcome::LedgerClosed {
                 left: Duration::from_micros(166007),
             },
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::Conflict(vec![Finding {
+            told: ChangeOutcome::RevisionConflict(vec![Finding {
                 place: "text 167".into(),
                 text: "text 168".into(),
             }]),
@@ -728,7 +728,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: Outcome::RevisionForgotten(vec![Finding {
+            told: ChangeOutcome::RevisionForgotten(vec![Finding {
                 place: "text 169".into(),
                 text: "text 170".into(),
             }]),
@@ -745,15 +745,15 @@
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferAnswer::NoNewcomer,
+            answer: SlotOfferOutcome::NoNewcomer,
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferAnswer::Later,
+            answer: SlotOfferOutcome::Later,
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferAnswer::Assigned {
+            answer: SlotOfferOutcome::Assigned {
                 version: 174,
                 successor: Peer {
                     address: address(175),
@@ -807,25 +807,25 @@
                 abandoned: 204,
             },
             found: vec![
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
                     condition: OriginCondition::Proven,
                     calls: 208,
                 },
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
                     condition: OriginCondition::Unproven,
                     calls: 208,
                 },
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
-                    condition: OriginCondition::Aside,
+                    condition: OriginCondition::Ejected,
                     calls: 208,
                 },
             ],
@@ -854,25 +854,25 @@
                 abandoned: 204,
             },
             found: vec![
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
                     condition: OriginCondition::Proven,
                     calls: 208,
                 },
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
                     condition: OriginCondition::Unproven,
                     calls: 208,
                 },
-                OriginFound {
+                OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
                     instance: "text 207".into(),
-                    condition: OriginCondition::Aside,
+                    condition: OriginCondition::Ejected,
                     calls: 208,
                 },
             ],
@@ -931,7 +931,7 @@
         }
         .into(),
         SessionClose {}.into(),
-        Get {
+        CacheGet {
             id: 225,
             key: [226; 32],
             entry: "text 227".into(),
@@ -942,7 +942,7 @@
             spare: true,
         }
         .into(),
-        Get {
+        CacheGet {
             id: 225,
             key: [226; 32],
             entry: "text 227".into(),
@@ -953,11 +953,11 @@
             spare: false,
         }
         .into(),
-        Copy {
+        CacheCopy {
             id: 232,
             key: [233; 32],
             wait: Duration::from_micros(234007),
-            copy: CopyOut {
+            copy: CachedResponse {
                 reply: Reply {
                     status: 4895,
                     headers: vec![("text 236".into(), "text 237".into())],
@@ -972,25 +972,25 @@
             },
         }
         .into(),
-        GetQueued { id: 246 }.into(),
-        Miss {
+        CacheGetQueued { id: 246 }.into(),
+        CacheMiss {
             id: 247,
             key: [248; 32],
-            token: Token {
+            token: FillToken {
                 serial: 249,
                 epoch: 250,
                 purged: 251,
             },
         }
         .into(),
-        NoCopy {
+        CacheUnavailable {
             id: 252,
             key: [3; 32],
         }
         .into(),
-        Put {
+        CachePut {
             key: [4; 32],
-            token: Token {
+            token: FillToken {
                 serial: 255,
                 epoch: 256,
                 purged: 257,
@@ -1003,9 +1003,9 @@
             },
         }
         .into(),
-        Fail {
+        CacheFillFailed {
             key: [14; 32],
-            token: Token {
+            token: FillToken {
                 serial: 265,
                 epoch: 266,
                 purged: 267,
@@ -1013,9 +1013,9 @@
             private: true,
         }
         .into(),
-        Fail {
+        CacheFillFailed {
             key: [14; 32],
-            token: Token {
+            token: FillToken {
                 serial: 265,
                 epoch: 266,
                 purged: 267,
@@ -1033,7 +1033,7 @@
             partition: 4931,
             epoch: 272,
             sent: Duration::from_micros(273007),
-            copies: vec![Carried {
+            copies: vec![HandedOverResponse {
                 key: [24; 32],
                 entry: "text 275".into(),
                 host: "text 276".into(),
@@ -1123,25 +1123,25 @@
         PermitQueued { id: 313 }.into(),
         PermitRefused {
             id: 314,
-            reason: AwayReason::Busy,
+            reason: PermitRefusalReason::Overloaded,
             back: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
-            reason: AwayReason::Budget,
+            reason: PermitRefusalReason::RetryBudgetExhausted,
             back: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
-            reason: AwayReason::NoOrigin,
+            reason: PermitRefusalReason::NoHealthyOrigin,
             back: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
-            reason: AwayReason::NotHere,
+            reason: PermitRefusalReason::NotOwner,
             back: Duration::from_micros(315007),
         }
         .into(),
@@ -1154,7 +1154,7 @@
             service: "text 321".into(),
             epoch: 322,
             serial: 323,
-            result: CallResult::Good,
+            result: CallResult::Success,
             took: Duration::from_micros(324007),
         }
         .into(),
@@ -1162,7 +1162,7 @@
             service: "text 321".into(),
             epoch: 322,
             serial: 323,
-            result: CallResult::Bad,
+            result: CallResult::Failure,
             took: Duration::from_micros(324007),
         }
         .into(),
@@ -1170,7 +1170,7 @@
             service: "text 321".into(),
             epoch: 322,
             serial: 323,
-            result: CallResult::Refused,
+            result: CallResult::Unreachable,
             took: Duration::from_micros(324007),
         }
         .into(),
@@ -1178,7 +1178,7 @@
             service: "text 321".into(),
             epoch: 322,
             serial: 323,
-            result: CallResult::NotRun,
+            result: CallResult::NotExecuted,
             took: Duration::from_micros(324007),
         }
         .into(),
@@ -1186,7 +1186,7 @@
             service: "text 321".into(),
             epoch: 322,
             serial: 323,
-            result: CallResult::Stranger,
+            result: CallResult::WrongInstance,
             took: Duration::from_micros(324007),
         }
         .into(),
@@ -1211,7 +1211,7 @@
             id: 326,
         }
         .into(),
-        GetWithdrawn {
+        CacheGetWithdrawn {
             key: [77; 32],
             id: 328,
         }
--- a/programs/src/bin/edge-node.rs
+++ b/programs/src/bin/edge-node.rs
@@ -5,5 +5,5 @@
 fn main() -> Result<()> {
     let startup = Startup::gather("edge-node", ABOUT, false);
     startup.log()?;
-    run_edge_node(startup, Arc::new(OwnWords))
+    run_edge_node(startup, Arc::new(DefaultProtocol))
 }
--- a/programs/src/bin/operate.rs
+++ b/programs/src/bin/operate.rs
@@ -35,7 +35,7 @@
     help_or_version("operate", &mut flags, HELP);
     std::process::exit(match gather(flags) {
         Ok(ask) => run(ask),
-        Err(found) => refuse_findings("operate", &found),
+        Err(found) => exit_with_findings("operate", &found),
     });
 }
 
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -20,13 +20,13 @@
     )
     .with_log(loaded.log_bytes, loaded.image_bytes);
     let history = Some(History::keep(startup.data.clone().context("data folder")?));
-    let host = Host {
+    let host = NodeHost {
         me: part.me(),
         program: "control-node",
         startup,
         tick: lease::CONTROL_TICK,
         store: Some(Box::new(loaded.log)),
-        face: Box::new(OperatorServer::new("control-node")),
+        frontend: Box::new(OperatorServer::new("control-node")),
         history,
     };
     host.run(Box::new(part))
@@ -58,7 +58,7 @@
         Ok(loaded) => loaded,
         Err(error) if error.refillable() => {
             let aside = SegmentLog::set_aside(folder)?;
-            note(
+            log_event(
                 Event::LogCorrupt,
                 &format!("{error}; set aside as {}", aside.display()),
             );
@@ -67,7 +67,7 @@
         Err(error) => refuse(&error.to_string()),
     };
     if loaded.cut > 0 {
-        note(Event::LogTailCut, &format!("{} bytes", loaded.cut));
+        log_event(Event::LogTailCut, &format!("{} bytes", loaded.cut));
     }
     Ok(loaded)
 }
@@ -80,7 +80,7 @@
 }
 
 fn refuse(why: &str) -> ! {
-    note(Event::LogRefused, why);
+    log_event(Event::LogRefused, why);
     eprintln!("control-node: {why}");
     std::process::exit(2)
 }
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -6,8 +6,8 @@
 const PULSE: Duration = Duration::from_millis(50);
 
 /// Runs an edge until it has left; callers and origins are spoken to in
-/// `dialect`'s words.
-pub fn run_edge_node(startup: Startup, dialect: Arc<dyn Dialect>) -> Result<()> {
+/// `protocol`'s words.
+pub fn run_edge_node(startup: Startup, protocol: Arc<dyn ProtocolAdapter>) -> Result<()> {
     let me = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
     // A quarter of what the process may use goes to copies.
     let bytes = startup
@@ -23,14 +23,14 @@
     )
     .with_extra_tries(startup.extra_tries)
     .with_grace(startup.grace());
-    let face = Box::new(LineFace::new("edge-node", dialect));
-    let host = Host {
+    let frontend = Box::new(HttpFrontend::new("edge-node", protocol));
+    let host = NodeHost {
         me,
         program: "edge-node",
         startup,
         tick: PULSE,
         store: None,
-        face,
+        frontend,
         history: None,
     };
     host.run(Box::new(part))
--- a/programs/src/prelude.rs
+++ b/programs/src/prelude.rs
@@ -1,5 +1,5 @@
 pub use crate::{run_control_node, run_edge_node};
 pub use control_plane::{Bootstrap, ControlNode, History, Record, Replica};
-pub use data_plane::{EdgeNode, LineFace, OwnWords};
+pub use data_plane::{DefaultProtocol, EdgeNode, HttpFrontend};
 pub use kernel::prelude::*;
 pub use segment_log::{Loaded, SegmentLog};
--- a/simulate-fleet/src/bin/simulate-fleet.rs
+++ b/simulate-fleet/src/bin/simulate-fleet.rs
@@ -35,7 +35,7 @@
     let seeds = flags.take("--seeds", Some(1u64)).unwrap_or(1);
     let control = flags.take("--control", Some(0usize)).unwrap_or(0);
     let (controls, control) = (control > 0, if control == 0 { 3 } else { control });
-    if !(1..=SLOTS_MOST).contains(&control) {
+    if !(1..=MAX_SLOTS).contains(&control) {
         flags.found("--control", "1 to 16");
     }
     let edges = flags.take("--edges", Some(0usize)).unwrap_or(0);
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -9,7 +9,7 @@
     queue: BTreeMap<(Duration, u64), Coming>,
     nodes: Vec<Hollow>,
     by_address: HashMap<SocketAddr, usize>,
-    answers: BTreeMap<u64, (Duration, OperatorAnswer)>,
+    answers: BTreeMap<u64, (Duration, OperatorResponse)>,
     tally: Tally,
 }
 
@@ -35,7 +35,7 @@
     Called {
         node: usize,
         id: u64,
-        result: CallBack,
+        result: CallOutcome,
     },
     Watched {
         node: usize,
@@ -191,8 +191,8 @@
 
     fn output(&mut self, node: usize, output: Output) {
         match output {
-            Output::Tell { to, message } => self.send(node, to, message),
-            Output::Store { serial, record } | Output::StoreImage { serial, record } => {
+            Output::Send { to, message } => self.send(node, to, message),
+            Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                 self.tally.records = (
                     self.tally.records.0 + 1,
                     self.tally.records.1 + record.len() as u64,
@@ -206,21 +206,23 @@
                     Coming::Called {
                         node,
                         id,
-                        result: CallBack::Good(Reply::default()),
+                        result: CallOutcome::Success(Reply::default()),
                     },
                 );
             }
-            Output::Watch { address } => self.after(WAY, Coming::Watched { node, address }),
-            Output::OperatorAnswer { id, answer } => {
+            Output::WatchConnection { address } => {
+                self.after(WAY, Coming::Watched { node, address })
+            }
+            Output::OperatorResponse { id, answer } => {
                 self.answers.insert(id, (self.now, answer));
             }
-            Output::Show(Shown::Fence { until, .. }) => self.nodes[node].until = until,
-            Output::Answer { .. }
-            | Output::Note { .. }
-            | Output::Show(_)
+            Output::Publish(PublishedState::Fence { until, .. }) => self.nodes[node].until = until,
+            Output::ClientResponse { .. }
+            | Output::Log { .. }
+            | Output::Publish(_)
             | Output::ExtendCall { .. }
             | Output::CancelCall { .. }
-            | Output::Ended => {}
+            | Output::ShutdownComplete => {}
         }
     }
 
@@ -268,18 +270,18 @@
                 }
                 Coming::Deliver { to, from, message } => {
                     let message = *message;
-                    self.step(to, message.name(), Input::Heard { from, message })
+                    self.step(to, message.name(), Input::MessageReceived { from, message })
                 }
                 Coming::Synced { node, serial } => {
                     self.step(node, "synced", Input::Stored { serial })
                 }
                 Coming::Called { node, id, result } => {
-                    self.step(node, "probe", Input::Called { id, result })
+                    self.step(node, "probe", Input::CallCompleted { id, result })
                 }
                 Coming::Watched { node, address } => self.step(
                     node,
                     "probe",
-                    Input::Watched {
+                    Input::ConnectionChanged {
                         address,
                         open: true,
                     },
@@ -304,7 +306,7 @@
             "operator",
             Input::Operator {
                 id,
-                ask: OperatorAsk::Change { partition, change },
+                ask: OperatorRequest::Change { partition, change },
             },
         );
     }
@@ -322,7 +324,10 @@
         };
         for _ in 0..12 {
             if let Some((at, answer)) = self.answers.get(&id) {
-                if !matches!(answer, OperatorAnswer::Outcome(Outcome::Settled { .. })) {
+                if !matches!(
+                    answer,
+                    OperatorResponse::ChangeOutcome(ChangeOutcome::Acknowledged { .. })
+                ) {
                     bail!("change {id}: {answer:?}");
                 }
                 return Ok((tally, *at - began));
@@ -411,7 +416,7 @@
             let id = 10 + u64::from(partition);
             fleet.ask(id, partition, Change::List);
             fleet.run_to(fleet.now + Duration::from_secs(1));
-            let Some((_, OperatorAnswer::Outcome(Outcome::Rows { rows, .. }))) =
+            let Some((_, OperatorResponse::ChangeOutcome(ChangeOutcome::Rows { rows, .. }))) =
                 fleet.answers.remove(&id)
             else {
                 bail!("slice {partition} was not listed")
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -21,7 +21,7 @@
         let keep = Duration::from_secs(10);
         let address = SocketAddr::from(([10, 0, 0, 1], 1));
         let mut owner = CacheOwner::new(1 << 20);
-        let mut puts: VecDeque<(Duration, Token)> = VecDeque::new();
+        let mut puts: VecDeque<(Duration, FillToken)> = VecDeque::new();
         let mut single_until = Duration::ZERO;
         let mut single_puts: VecDeque<Duration> = VecDeque::new();
         let mut crowd = Crowd {
@@ -40,7 +40,7 @@
                 };
                 owner.put(
                     at,
-                    Put {
+                    CachePut {
                         key: [0; 32],
                         token,
                         reply,
@@ -53,7 +53,7 @@
             owner.get(
                 now,
                 address,
-                Get {
+                CacheGet {
                     id,
                     key: [0; 32],
                     entry: "e".into(),
@@ -67,7 +67,7 @@
                 0,
             );
             for (_, message) in owner.take_out() {
-                if let Message::Miss(miss) = message {
+                if let Message::CacheMiss(miss) = message {
                     crowd.two_phase += 1;
                     puts.push_back((now + fetch, miss.token));
                 }
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -941,7 +941,7 @@
 fn kept_scripts() -> Vec<(usize, PathBuf)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("kept");
     let mut scripts = Vec::new();
-    for control in 1..=SLOTS_MOST {
+    for control in 1..=MAX_SLOTS {
         let folder = match control {
             3 => folder.clone(),
             _ => folder.join(format!("control-{control}")),
--- a/simulate-fleet/src/scenarios_orders.rs
+++ b/simulate-fleet/src/scenarios_orders.rs
@@ -174,8 +174,8 @@
             .entry((order.name.clone(), order.revision))
             .or_default();
         match &record.outcome {
-            Some(Outcome::Settled { .. }) => revision.confirmed.insert(order.content),
-            Some(Outcome::Conflict(_)) => revision.refused.insert(order.content),
+            Some(ChangeOutcome::Acknowledged { .. }) => revision.confirmed.insert(order.content),
+            Some(ChangeOutcome::RevisionConflict(_)) => revision.refused.insert(order.content),
             other => panic!(
                 "{what}: {order:?} ends with {other:?} after {} tries",
                 record.tries
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -67,7 +67,7 @@
     pub disk: Disk,
     pub fence: Duration,
     pub ready: bool,
-    pub image: Option<Arc<EntryTable>>,
+    pub image: Option<Arc<RouteTable>>,
     /// Version of the table it was last seen live with, in this run.
     pub in_force: u64,
     pub ending: bool,
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -68,12 +68,12 @@
         at: f64,
         version: u64,
         dice: &mut Dice,
-    ) -> (Duration, CallBack, Option<OriginRecord>) {
+    ) -> (Duration, CallOutcome, Option<OriginRecord>) {
         let span = |low: u64, high: u64, dice: &mut Dice| {
             Duration::from_millis(low + dice.roll(high - low))
         };
         if self.mood == Mood::Down {
-            return (span(0, 2, dice), CallBack::Refused, None);
+            return (span(0, 2, dice), CallOutcome::Unreachable, None);
         }
         let record = OriginRecord {
             at,
@@ -97,7 +97,7 @@
         if mood == Mood::Mute || took >= call.limit {
             return (
                 call.limit,
-                CallBack::Bad("no answer in time".into()),
+                CallOutcome::Failure("no answer in time".into()),
                 Some(record),
             );
         }
@@ -107,7 +107,7 @@
         {
             return (
                 took,
-                CallBack::Bad("signature does not verify".into()),
+                CallOutcome::Failure("signature does not verify".into()),
                 Some(record),
             );
         }
@@ -123,7 +123,7 @@
             body: Arc::new(body.into_bytes()),
             tags: vec![],
         };
-        (took, CallBack::Good(reply), Some(record))
+        (took, CallOutcome::Success(reply), Some(record))
     }
 
     /// Whether a reply answers this request, and its version of the content.
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -187,13 +187,13 @@
         node: usize,
         run: u64,
         id: u64,
-        result: CallBack,
+        result: CallOutcome,
     },
     AnswerLeaves {
         node: usize,
         run: u64,
         id: u64,
-        answer: Answer,
+        answer: ClientResponse,
     },
     Arrives {
         node: usize,
@@ -525,7 +525,7 @@
             self.happen(serial, what);
         }
         for question in std::mem::take(&mut self.asked).into_values() {
-            self.record_operator(&question, &Outcome::Lost);
+            self.record_operator(&question, &ChangeOutcome::Unknown);
         }
         let (rates, keeps) = (self.plan.deployment.rates(), self.plan.deployment.keeps());
         let log_bytes = self
@@ -596,7 +596,7 @@
             }
             Happening::Deliver { to, from, message } if alive => {
                 self.trace_message(to, from, &message);
-                self.step(to, Input::Heard { from, message })
+                self.step(to, Input::MessageReceived { from, message })
             }
             Happening::Synced { node, serial, .. } if alive => {
                 self.nodes[node].disk.sync(serial);
@@ -622,7 +622,7 @@
                 id,
                 result,
             } if alive && !self.cancelled.remove(&(node, run, id)) => {
-                self.step(node, Input::Called { id, result })
+                self.step(node, Input::CallCompleted { id, result })
             }
             Happening::AnswerLeaves {
                 node, id, answer, ..
@@ -630,14 +630,14 @@
             Happening::Arrives { node, id, .. } if alive => self.arrives(node, id),
             Happening::CloseRead { node, id, .. } if alive => {
                 self.departures.insert(id, self.now);
-                self.step(node, Input::CallerLeft { id })
+                self.step(node, Input::ClientDisconnected { id })
             }
             Happening::Watched {
                 node,
                 address,
                 open,
                 ..
-            } if alive => self.step(node, Input::Watched { address, open }),
+            } if alive => self.step(node, Input::ConnectionChanged { address, open }),
             Happening::PutOrigins => self.put_origins(),
             Happening::CallerComes => self.caller_comes(),
             Happening::CallerAgain(task) => self.caller_calls(task),
@@ -696,10 +696,10 @@
     pub(crate) fn output(&mut self, node: usize, output: Output) {
         let run = self.nodes[node].run;
         match output {
-            Output::Tell { to, message } => self.send(node, to, message),
+            Output::Send { to, message } => self.send(node, to, message),
             Output::Store { serial, record } => self.store(node, serial, false, record),
-            Output::StoreImage { serial, record } => self.store(node, serial, true, record),
-            Output::Answer { id, answer } => {
+            Output::StoreSnapshot { serial, record } => self.store(node, serial, true, record),
+            Output::ClientResponse { id, answer } => {
                 let span = self.micros(50, 500);
                 self.after(
                     span,
@@ -723,8 +723,8 @@
                     },
                 );
             }
-            Output::OperatorAnswer { id, answer } => self.operator_told(id, answer),
-            Output::Watch { address } => {
+            Output::OperatorResponse { id, answer } => self.operator_told(id, answer),
+            Output::WatchConnection { address } => {
                 let at = self.origins.iter().position(|origin| {
                     origin.origin.address == address && origin.mood != Mood::Down
                 });
@@ -739,7 +739,7 @@
                     },
                 );
             }
-            Output::Note { event, text } => {
+            Output::Log { event, text } => {
                 if event == Event::AbandonedWork {
                     self.record("abandoned-work", &text, 0, false);
                 }
@@ -757,17 +757,23 @@
                         .push((self.now, self.nodes[node].place, event));
                 }
             }
-            Output::Show(Shown::Fence { until, ready }) => {
+            Output::Publish(PublishedState::Fence { until, ready }) => {
                 (self.nodes[node].fence, self.nodes[node].ready) = (until, ready)
             }
-            Output::Show(Shown::Acknowledged { .. } | Shown::LinkDelay(_))
+            Output::Publish(
+                PublishedState::CommittedConfiguration { .. } | PublishedState::LinkDelay(_),
+            )
             | Output::ExtendCall { .. } => {}
             Output::CancelCall { id } => {
                 self.cancelled.insert((node, run, id));
             }
-            Output::Show(Shown::Assignments(list)) => self.assignments_shown(node, list),
-            Output::Show(Shown::Configuration(table)) => self.nodes[node].image = Some(table),
-            Output::Ended => {
+            Output::Publish(PublishedState::Assignments(list)) => {
+                self.assignments_shown(node, list)
+            }
+            Output::Publish(PublishedState::Configuration(table)) => {
+                self.nodes[node].image = Some(table)
+            }
+            Output::ShutdownComplete => {
                 if self.nodes[node].retiring {
                     return self.kill(node);
                 }
@@ -856,7 +862,7 @@
 
     pub(crate) fn send(&mut self, node: usize, to: SocketAddr, message: Message) {
         let from = self.nodes[node].peer;
-        if let (Place::Edge(at), Message::Copy(_)) = (self.nodes[node].place, &message) {
+        if let (Place::Edge(at), Message::CacheCopy(_)) = (self.nodes[node].place, &message) {
             self.copies[at] += 1;
         }
         let Some(to) = self.by_address.get(&to).copied() else {
@@ -937,7 +943,7 @@
     pub(crate) fn call(&mut self, node: usize, run: u64, id: u64, call: &Call) {
         self.see_departed(call);
         let (span, result) = if !self.nodes[node].live(self.now) {
-            (Duration::ZERO, CallBack::Withheld)
+            (Duration::ZERO, CallOutcome::NotSent)
         } else {
             let at = self.seconds();
             let origin = self
@@ -946,7 +952,7 @@
                 .find(|origin| origin.origin.address == call.origin.address)
                 .cloned();
             match origin {
-                None => (Duration::from_millis(1), CallBack::Refused),
+                None => (Duration::from_millis(1), CallOutcome::Unreachable),
                 Some(origin) => {
                     let (span, result, record) =
                         origin.take(call, at, self.version, &mut self.dice);
--- a/simulate-fleet/src/world_answers.rs
+++ b/simulate-fleet/src/world_answers.rs
@@ -54,9 +54,9 @@
     }
 
     /// The operator heard nothing: the same order goes to another node.
-    pub(crate) fn send_again(&mut self, question: Question, outcome: &Outcome) {
+    pub(crate) fn send_again(&mut self, question: Question, outcome: &ChangeOutcome) {
         let Question { node, order, .. } = question;
-        let settled = order.settled || matches!(outcome, Outcome::Settled { .. });
+        let settled = order.settled || matches!(outcome, ChangeOutcome::Acknowledged { .. });
         let span = self.micros(100_000, 1_500_000);
         let again = Happening::Ask {
             node: (node + 1) % self.plan.control,
@@ -68,11 +68,11 @@
 
     /// An order that was settled is never refused when it comes again; a node
     /// may say that it cannot know now.
-    pub(crate) fn judge_again(&mut self, order: &Order, outcome: &Outcome) {
-        if !order.settled || matches!(outcome, Outcome::Lost | Outcome::NoMajority) {
+    pub(crate) fn judge_again(&mut self, order: &Order, outcome: &ChangeOutcome) {
+        if !order.settled || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority) {
             return;
         }
-        let good = matches!(outcome, Outcome::Settled { .. });
+        let good = matches!(outcome, ChangeOutcome::Acknowledged { .. });
         let subject = match &order.asked {
             Asked::Configure { .. } => "configuration",
             Asked::Purge { .. } => "purge",
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -84,7 +84,9 @@
         if !alive {
             return self.caller_ends(
                 id,
-                Some(Answer::Refusal(Refusal::not_run(0, "refused", ""))),
+                Some(ClientResponse::Rejection(Rejection::not_run(
+                    0, "refused", "",
+                ))),
             );
         }
         self.after(CALLER_PATIENCE, Happening::CallerGivesUp { id });
@@ -109,7 +111,7 @@
             &task.path,
             task.operation.as_deref(),
         ) {
-            Err(refusal) => self.caller_ends(id, Some(Answer::Refusal(refusal))),
+            Err(refusal) => self.caller_ends(id, Some(ClientResponse::Rejection(refusal))),
             Ok(request) => self.step(node, Input::ClientRequest { id, request }),
         }
     }
@@ -121,7 +123,7 @@
         method: &str,
         path: &str,
         operation: Option<&str>,
-    ) -> Result<ClientRequest, Refusal> {
+    ) -> Result<ClientRequest, Rejection> {
         let node = &self.nodes[node];
         let headers: Vec<(String, String)> = operation
             .iter()
@@ -148,19 +150,19 @@
         match chain(&mut arrival) {
             Some(refusal) => Err(refusal),
             None => client_request_of(arrival)
-                .ok_or_else(|| Refusal::not_run(500, "filters", "an unmatched arrival passed")),
+                .ok_or_else(|| Rejection::not_run(500, "filters", "an unmatched arrival passed")),
         }
     }
 
     /// The face checks the lease once more before a copy goes out.
-    pub(crate) fn answer_leaves(&mut self, node: usize, id: u64, answer: Answer) {
+    pub(crate) fn answer_leaves(&mut self, node: usize, id: u64, answer: ClientResponse) {
         let keyed = self
             .errands
             .get(&id)
             .is_some_and(|request| request.task.operation.is_some());
-        let copy = matches!(answer, Answer::Reply { age: Some(_), .. });
+        let copy = matches!(answer, ClientResponse::Reply { age: Some(_), .. });
         let answer = if copy && !keyed && !self.nodes[node].live(self.now) {
-            Answer::Refusal(Refusal::fenced(RunState::NotRun))
+            ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
         } else {
             answer
         };
@@ -213,7 +215,7 @@
         self.after(wait, Happening::CallerAgain(again));
     }
 
-    pub(crate) fn caller_ends(&mut self, id: u64, answer: Option<Answer>) {
+    pub(crate) fn caller_ends(&mut self, id: u64, answer: Option<ClientResponse>) {
         let Some(Asking {
             node,
             task,
@@ -226,7 +228,7 @@
         record.end = self.seconds();
         match answer {
             None => record.dropped = true,
-            Some(Answer::Refusal(refusal)) => {
+            Some(ClientResponse::Rejection(refusal)) => {
                 (record.status, record.code) = (refusal.status, refusal.code);
                 if refusal.status != 0 {
                     record.outcome = if refusal.outcome == RunState::NotRun {
@@ -237,7 +239,7 @@
                     .into();
                 }
             }
-            Some(Answer::Reply { reply, .. }) => {
+            Some(ClientResponse::Reply { reply, .. }) => {
                 record.status = reply.status;
                 (record.fits, record.version) = SimOrigin::read(
                     &reply,
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -88,9 +88,9 @@
             .filter(|(_, question)| question.node == node)
             .map(|(id, _)| *id)
             .collect();
-        asked
-            .into_iter()
-            .for_each(|id| self.operator_told(id, OperatorAnswer::Outcome(Outcome::Lost)));
+        asked.into_iter().for_each(|id| {
+            self.operator_told(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown))
+        });
     }
 
     /// What has ended for good stays ended.
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -116,7 +116,7 @@
                     node,
                     Input::Operator {
                         id: self.serial,
-                        ask: OperatorAsk::State,
+                        ask: OperatorRequest::State,
                     },
                 );
             }
@@ -136,7 +136,7 @@
             node,
             Input::Operator {
                 id,
-                ask: OperatorAsk::Change { partition, change },
+                ask: OperatorRequest::Change { partition, change },
             },
         );
     }
@@ -150,22 +150,22 @@
     }
 
     /// Notes a call on the document with what came of it, for its history.
-    pub(crate) fn record_operator(&mut self, question: &Question, outcome: &Outcome) {
+    pub(crate) fn record_operator(&mut self, question: &Question, outcome: &ChangeOutcome) {
         let (operation, known) = match (&question.order.asked, outcome) {
-            (Asked::Configure { .. }, Outcome::Findings(_)) => return,
-            (Asked::Configure { .. }, Outcome::Raced { version, .. }) => {
+            (Asked::Configure { .. }, ChangeOutcome::Findings(_)) => return,
+            (Asked::Configure { .. }, ChangeOutcome::VersionConflict { version, .. }) => {
                 (DocumentOperation::Raced { version: *version }, true)
             }
             (Asked::Configure { text, .. }, outcome) => {
                 let version = match outcome {
-                    Outcome::Settled { version } => Some(*version),
+                    ChangeOutcome::Acknowledged { version } => Some(*version),
                     _ => None,
                 };
                 let content = document_digest(text);
                 let put = DocumentOperation::Put { version, content };
                 (put, version.is_some())
             }
-            (Asked::ReadBack { .. }, Outcome::Configuration { version, text }) => {
+            (Asked::ReadBack { .. }, ChangeOutcome::Configuration { version, text }) => {
                 let content = document_digest(text);
                 let version = *version;
                 (DocumentOperation::Read { version, content }, true)
@@ -180,13 +180,13 @@
         });
     }
 
-    pub(crate) fn operator_told(&mut self, id: u64, answer: OperatorAnswer) {
+    pub(crate) fn operator_told(&mut self, id: u64, answer: OperatorResponse) {
         let Some(question) = self.asked.remove(&id) else {
             return;
         };
         let outcome = match answer {
-            OperatorAnswer::Outcome(outcome) => outcome,
-            OperatorAnswer::State(state) => {
+            OperatorResponse::ChangeOutcome(outcome) => outcome,
+            OperatorResponse::State(state) => {
                 let generation = state["ledger"]["realm"]
                     .as_str()
                     .and_then(|text| u64::from_str_radix(text, 16).ok())
@@ -209,10 +209,11 @@
         let order = question.order;
         self.judge_again(&order, &outcome);
         let asked = order.asked;
-        let settled = matches!(outcome, Outcome::Settled { .. });
+        let settled = matches!(outcome, ChangeOutcome::Acknowledged { .. });
         if let (
             Asked::Origins { .. },
-            Outcome::Settled { version } | Outcome::Raced { version, .. },
+            ChangeOutcome::Acknowledged { version }
+            | ChangeOutcome::VersionConflict { version, .. },
         ) = (&asked, &outcome)
         {
             self.origins_at = *version;
@@ -253,7 +254,7 @@
             Asked::ReadBack {
                 expect: (version, text),
             } => {
-                if let Outcome::Configuration {
+                if let ChangeOutcome::Configuration {
                     version: known,
                     text: told,
                 } = outcome
@@ -286,14 +287,14 @@
 
     fn configured(
         &mut self,
-        outcome: Outcome,
+        outcome: ChangeOutcome,
         marker: u64,
         text: String,
         race: bool,
         without: Vec<u64>,
     ) {
         match outcome {
-            Outcome::Settled { version } => {
+            ChangeOutcome::Acknowledged { version } => {
                 self.record("configured", "", marker, true);
                 without
                     .into_iter()
@@ -312,15 +313,15 @@
                     self.acknowledged = Some((version, text));
                 }
             }
-            Outcome::Findings(_) => self.record("invalid-refused", "", marker, marker == 999),
+            ChangeOutcome::Findings(_) => self.record("invalid-refused", "", marker, marker == 999),
             // Unknown: the marker may be in force, so it stays in later documents.
-            Outcome::Lost => self.record("configure-unknown", "", marker, true),
+            ChangeOutcome::Unknown => self.record("configure-unknown", "", marker, true),
             // Nothing was done, and so nothing comes into force.
-            Outcome::NoMajority => {
+            ChangeOutcome::NoMajority => {
                 self.markers.retain(|known| *known != marker);
                 self.record("no-majority", "", marker, true);
             }
-            Outcome::Raced { .. } => {
+            ChangeOutcome::VersionConflict { .. } => {
                 self.markers.retain(|known| *known != marker);
                 self.record("raced", "", marker, race);
             }
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_orders.rs
@@ -23,7 +23,7 @@
     pub order: ItemOrder,
     pub tries: u32,
     /// The answer that ended it; none if it was sent until the end.
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<ChangeOutcome>,
     pub ended: Duration,
 }
 
@@ -64,9 +64,11 @@
         } = &self.order;
         let (revision, content) = (*revision, Some(content.to_string()));
         let (operation, known) = match &self.outcome {
-            Some(Outcome::Conflict(_)) => (RevisedOperation::Conflict { revision, content }, true),
+            Some(ChangeOutcome::RevisionConflict(_)) => {
+                (RevisedOperation::Conflict { revision, content }, true)
+            }
             outcome => {
-                let settled = matches!(outcome, Some(Outcome::Settled { .. }));
+                let settled = matches!(outcome, Some(ChangeOutcome::Acknowledged { .. }));
                 (RevisedOperation::Put { revision, content }, settled)
             }
         };
@@ -117,25 +119,25 @@
         self.note_question(node, Asked::Order { order });
         self.after(PATIENCE, Happening::OrderUnanswered { id });
         let partition = CONFIGURATION;
-        let ask = OperatorAsk::Change { partition, change };
+        let ask = OperatorRequest::Change { partition, change };
         self.step(node, Input::Operator { id, ask });
     }
 
     /// The operator gives this try up and goes to the next node.
     pub(crate) fn order_unanswered(&mut self, id: u64) {
         if self.asked.contains_key(&id) {
-            self.operator_told(id, OperatorAnswer::Outcome(Outcome::Lost));
+            self.operator_told(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown));
         }
     }
 
-    pub(crate) fn order_told(&mut self, order: usize, outcome: Outcome) {
+    pub(crate) fn order_told(&mut self, order: usize, outcome: ChangeOutcome) {
         let now = self.now;
         let record = &mut self.orders[order];
         let lost = record.order.answers_lost > 0;
         if lost {
             record.order.answers_lost -= 1;
         }
-        if lost || matches!(outcome, Outcome::Lost | Outcome::NoMajority) {
+        if lost || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority) {
             return self.after(AGAIN, Happening::SendOrder { order });
         }
         record.outcome = Some(outcome);
--- a/stand-ins/src/flags.rs
+++ b/stand-ins/src/flags.rs
@@ -63,7 +63,7 @@
                 .push(Finding::new(rest.to_string_lossy(), "unknown flag"));
         }
         if !self.found.is_empty() {
-            refuse_findings(self.program, &self.found);
+            exit_with_findings(self.program, &self.found);
         }
     }
 }
