--- a/control-plane/src/assignment_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -32,7 +32,7 @@
         let mut moves = self
             .rows
             .values()
-            .filter(|row| matches!(&row.value, Value::Assignment(assignment) if assignment.holder.is_none()))
+            .filter(|row| matches!(&row.value, Value::Assignment(assignment) if assignment.owner.is_none()))
             .count();
         let mut out = Vec::new();
         for name in assignments {
@@ -42,8 +42,8 @@
                 Some((
                     version,
                     Value::Assignment(Assignment {
-                        holder: None,
-                        last,
+                        owner: None,
+                        previous_owner: last,
                         epoch,
                     }),
                 )) => {
@@ -51,8 +51,8 @@
                         out.push((
                             name.clone(),
                             Assignment {
-                                holder: want,
-                                last: *last,
+                                owner: want,
+                                previous_owner: *last,
                                 epoch: epoch + 1,
                             },
                         ));
@@ -61,7 +61,7 @@
                 Some((
                     _,
                     Value::Assignment(Assignment {
-                        holder: Some(holder),
+                        owner: Some(holder),
                         epoch,
                         ..
                     }),
@@ -70,8 +70,8 @@
                         out.push((
                             name.clone(),
                             Assignment {
-                                holder: want,
-                                last: None,
+                                owner: want,
+                                previous_owner: None,
                                 epoch: epoch + 1,
                             },
                         ));
@@ -94,8 +94,8 @@
                         out.push((
                             name.clone(),
                             Assignment {
-                                holder: None,
-                                last,
+                                owner: None,
+                                previous_owner: last,
                                 epoch: epoch + 1,
                             },
                         ));
@@ -106,8 +106,8 @@
                         out.push((
                             name.clone(),
                             Assignment {
-                                holder: want,
-                                last: None,
+                                owner: want,
+                                previous_owner: None,
                                 epoch: 1,
                             },
                         ));
@@ -126,9 +126,9 @@
         // is one node's work: the strong ones have it, beside a control node
         // only where others are much weaker.
         let strength = |seen: &SessionInfo| match assignment_ring(name) {
-            Some(_) => seen.strength.saturating_pow(2),
-            None if (self.beside)(seen) => (seen.strength / APART).max(1).saturating_pow(3),
-            None => seen.strength.saturating_pow(3),
+            Some(_) => seen.weight.saturating_pow(2),
+            None if (self.beside)(seen) => (seen.weight / APART).max(1).saturating_pow(3),
+            None => seen.weight.saturating_pow(3),
         };
         let far = |seen: &SessionInfo| seen.peer.distance(name, strength(seen));
         able.min_by(|one, other| {
--- a/control-plane/src/assignment_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -7,13 +7,13 @@
         peer,
         zone: "z".into(),
         ring: String::new(),
-        strength: 1,
+        weight: 1,
         draining,
         generation: 0,
-        recalled: true,
-        vector: vec![],
+        recall_complete: true,
+        version_vector: vec![],
         usage: Usage::default(),
-        found: vec![],
+        origin_health: vec![],
     }
 }
 
@@ -66,7 +66,7 @@
     .next(&names());
     assert!(
         out.iter()
-            .all(|(_, assignment)| assignment.holder.is_none() && assignment.epoch == 2)
+            .all(|(_, assignment)| assignment.owner.is_none() && assignment.epoch == 2)
     );
     assert_eq!(apply(&mut rows, out, 2), usize::from(CACHE_PARTITIONS));
     assert!(
@@ -94,7 +94,7 @@
     .next(&names());
     assert!(
         out.iter()
-            .all(|(_, assignment)| assignment.holder == Some(two[0].peer) && assignment.epoch == 3)
+            .all(|(_, assignment)| assignment.owner == Some(two[0].peer) && assignment.epoch == 3)
     );
     assert_eq!(out.len(), usize::from(CACHE_PARTITIONS));
 }
@@ -138,7 +138,7 @@
     );
     assert!(
         out.iter()
-            .all(|(_, assignment)| assignment.holder == Some(again.peer) && assignment.epoch == 2)
+            .all(|(_, assignment)| assignment.owner == Some(again.peer) && assignment.epoch == 2)
     );
 }
 
@@ -185,7 +185,7 @@
         .next(&names());
         assert!(
             out.iter()
-                .all(|(_, assignment)| assignment.holder == Some(live[7].peer))
+                .all(|(_, assignment)| assignment.owner == Some(live[7].peer))
         );
         apply(&mut rows, out, version + 1);
     }
@@ -198,7 +198,7 @@
 #[test]
 fn assignments_go_by_strength() {
     let strong = |port, strength| SessionInfo {
-        strength,
+        weight: strength,
         ..seen(port, false)
     };
     let live: Vec<SessionInfo> = (1..=4)
@@ -220,7 +220,7 @@
         .iter()
         .filter(|(_, assignment)| {
             assignment
-                .holder
+                .owner
                 .is_some_and(|peer| peer.address.port() <= 4)
         })
         .count();
@@ -241,7 +241,7 @@
     let held = |other: u32| {
         let live: Vec<SessionInfo> = (1..=14)
             .map(|port| SessionInfo {
-                strength: if port <= 4 { 35 } else { other },
+                weight: if port <= 4 { 35 } else { other },
                 ..seen(port, false)
             })
             .collect();
@@ -258,7 +258,7 @@
         out.iter()
             .filter(|(_, assignment)| {
                 assignment
-                    .holder
+                    .owner
                     .is_some_and(|peer| peer.address.port() <= 4)
             })
             .count()
@@ -295,7 +295,7 @@
     let held = |ring: &str| -> BTreeSet<Option<Peer>> {
         out.iter()
             .filter(|(name, _)| assignment_ring(name) == Some(ring))
-            .map(|(_, assignment)| assignment.holder)
+            .map(|(_, assignment)| assignment.owner)
             .collect()
     };
     assert_eq!(held("a"), [Some(live[0].peer), Some(live[1].peer)].into());
@@ -312,8 +312,8 @@
             Row {
                 version: 1,
                 value: Value::Assignment(Assignment {
-                    holder: Some(peer),
-                    last: None,
+                    owner: Some(peer),
+                    previous_owner: None,
                     epoch: 4,
                 }),
             },
--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -18,7 +18,7 @@
     pub(super) fn show_lists(&mut self, now: Duration) {
         let leads = self
             .leaders
-            .get(&ORIGINS)
+            .get(&ORIGINS_PARTITION)
             .is_some_and(|leader| leader.ready() && leader.wary.is_none());
         // Cut off, what is read could not be put.
         let lists = leads && self.reaches_majority(now);
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn plan_assignments(&mut self, now: Duration) {
-        let Some(leader) = self.leaders.get(&ASSIGNMENTS) else {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
             return;
         };
         // A new owner pending_replies until sessions have had time to show.
@@ -52,11 +52,11 @@
             self.plan_edge_registry(now);
         }
         self.read_services();
-        let Some(leader) = self.leaders.get(&ASSIGNMENTS) else {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
             return;
         };
         let holders = leader.rows.values().filter_map(|row| match &row.value {
-            Value::Assignment(assignment) => assignment.holder,
+            Value::Assignment(assignment) => assignment.owner,
             _ => None,
         });
         let over: BTreeSet<Peer> = holders
@@ -121,12 +121,15 @@
         if !out.is_empty() {
             self.granted = self.sessions.renewal_tokens();
         }
-        let leader = self.leaders.get_mut(&ASSIGNMENTS).expect("just seen");
+        let leader = self
+            .leaders
+            .get_mut(&ASSIGNMENTS_PARTITION)
+            .expect("just seen");
         for (key, assignment) in &out {
             leader.put(key.clone(), Value::Assignment(assignment.clone()));
         }
         for (key, assignment) in out {
-            match assignment.holder {
+            match assignment.owner {
                 Some(peer) => self.note(
                     Event::AssignmentGranted,
                     format!("{key} epoch {} to {peer}", assignment.epoch),
@@ -141,7 +144,7 @@
 
     /// The services of the configuration in force, as shown here.
     pub(super) fn read_services(&mut self) {
-        let held = self.replica.held(CONFIGURATION);
+        let held = self.replica.held(CONFIGURATION_PARTITION);
         if held.image.published == self.read {
             return;
         }
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -29,7 +29,7 @@
     fn new(request: &ChangeRequest) -> PendingReply {
         PendingReply {
             partition: request.partition,
-            asker: request.asker,
+            asker: request.requester,
             id: request.id,
             commit: 0,
             settle: 0,
@@ -194,7 +194,10 @@
 
     pub(super) fn answer_operator(&mut self, id: u64, outcome: ChangeOutcome) {
         let answer = OperatorResponse::ChangeOutcome(outcome);
-        self.out.push(Output::OperatorResponse { id, answer });
+        self.out.push(Output::OperatorResponse {
+            id,
+            response: answer,
+        });
     }
 
     /// Answers all operators' calls with what is known of them by now.
@@ -238,11 +241,11 @@
         call.sent_to = leader;
         call.tries += 1;
         let request = ChangeRequest {
-            asker,
+            requester: asker,
             id,
             partition: call.partition,
             hops: 0,
-            ask: call.change.clone(),
+            change: call.change.clone(),
         };
         self.tell(self.address(next_hop), request);
     }
@@ -256,13 +259,13 @@
         if !self.leads(request.partition) {
             return self.pass_on(now, from, request);
         }
-        if let Change::Claim(claim) = &request.ask
-            && !self.replica.enrolled(&claim.by)
+        if let Change::Claim(claim) = &request.change
+            && !self.replica.enrolled(&claim.claimant)
         {
             return; // It asks again; by then it is on the roll.
         }
         self.pending_replies
-            .retain(|known| (known.asker, known.id) != (request.asker, request.id));
+            .retain(|known| (known.asker, known.id) != (request.requester, request.id));
         let partition = request.partition;
         let before = self.leaders[&partition].version;
         let mut reply = self.change(now, request);
@@ -291,7 +294,7 @@
         if self.is_cut_off(now) {
             let reply = ChangeReply {
                 id: request.id,
-                told: ChangeOutcome::NoMajority,
+                outcome: ChangeOutcome::NoMajority,
             };
             return self.tell(from.address, reply);
         }
@@ -305,9 +308,9 @@
         }
         request.hops += 1;
         let from_member = self.members.iter().any(|peer| peer.names(&from));
-        if from_member && request.asker == from.address {
-            request.id = self.relay_id(now, request.asker, request.id);
-            request.asker = self.address;
+        if from_member && request.requester == from.address {
+            request.id = self.relay_id(now, request.requester, request.id);
+            request.requester = self.address;
         }
         self.tell(self.address(next_hop), request);
     }
@@ -331,7 +334,11 @@
     /// Makes a change as the partition's owner; the answer pending_replies for the disks.
     pub(super) fn change(&mut self, now: Duration, ask: ChangeRequest) -> PendingReply {
         let mut wait = PendingReply::new(&ask);
-        let ChangeRequest { partition, ask, .. } = ask;
+        let ChangeRequest {
+            partition,
+            change: ask,
+            ..
+        } = ask;
         let left = self.closed.saturating_sub(now);
         let leader = self.leaders.get_mut(&partition).expect("owner");
         match ask {
@@ -453,14 +460,14 @@
         if let Some(relay) = self.relays.remove(&reply.id) {
             let passed_back = ChangeReply {
                 id: relay.id,
-                told: reply.told,
+                outcome: reply.outcome,
             };
             return self.tell(relay.asker, passed_back);
         }
         let Some(call) = self.operator_calls.get_mut(&reply.id) else {
             return;
         };
-        let outcome = match reply.told {
+        let outcome = match reply.outcome {
             // Who was to pass it on is cut off: another way may be found.
             ChangeOutcome::NoMajority => {
                 call.next = Duration::ZERO;
@@ -497,7 +504,10 @@
             }
             OperatorRequest::State => {
                 let answer = OperatorResponse::State(self.state(now));
-                self.out.push(Output::OperatorResponse { id, answer });
+                self.out.push(Output::OperatorResponse {
+                    id,
+                    response: answer,
+                });
             }
         }
     }
@@ -519,7 +529,7 @@
             .map(|seen| {
                 serde_json::json!({
                     "address": seen.peer.address, "life": format!("{:016x}", seen.peer.incarnation), "zone": seen.zone,
-                    "draining": seen.draining, "vector": seen.vector, "usage": seen.usage,
+                    "draining": seen.draining, "vector": seen.version_vector, "usage": seen.usage,
                 })
             })
             .collect();
@@ -527,7 +537,7 @@
             .sessions
             .live(now, self.quorum())
             .into_iter()
-            .flat_map(|seen| seen.found)
+            .flat_map(|seen| seen.origin_health)
             .collect();
         let partitions: Vec<_> = self
             .leaders
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -64,7 +64,10 @@
         };
         (0..SLOTS).for_each(|slot| cluster.start(slot));
         cluster.run_for(FOUNDED);
-        assert!(cluster.leader(CONFIGURATION).is_some(), "nobody leads");
+        assert!(
+            cluster.leader(CONFIGURATION_PARTITION).is_some(),
+            "nobody leads"
+        );
         cluster
     }
 
@@ -108,16 +111,16 @@
         while self.now < until {
             let renew = RenewRequest {
                 sent: self.now,
-                heard: None,
+                last_token: None,
                 generation: 0,
-                recalled: true,
-                vector: vec![0; PUBLISHED_PARTITIONS.into()],
+                recall_complete: true,
+                version_vector: vec![0; PUBLISHED_PARTITIONS.into()],
                 zone: "z".into(),
                 ring: "z".into(),
-                strength: 1,
+                weight: 1,
                 draining: false,
                 usage: Usage::default(),
-                found: vec![],
+                origin_health: vec![],
             };
             for slot in 0..SLOTS {
                 let message = renew.clone().into();
@@ -147,7 +150,7 @@
     /// Asks a node; the answer comes under this id.
     pub fn ask(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
         let ask = OperatorRequest::Change { partition, change };
-        self.step(slot, Input::Operator { id, ask });
+        self.step(slot, Input::Operator { id, request: ask });
     }
 
     /// Asks a node and waits for the answer.
@@ -214,7 +217,7 @@
         let Some(part) = &mut self.nodes[slot].part else {
             return;
         };
-        let outputs = part.step(now, input);
+        let outputs = part.handle(now, input);
         let from = part.me();
         let run = self.nodes[slot].run;
         for output in outputs {
@@ -226,7 +229,7 @@
                 }
                 Output::OperatorResponse {
                     id,
-                    answer: OperatorResponse::ChangeOutcome(outcome),
+                    response: OperatorResponse::ChangeOutcome(outcome),
                 } => {
                     self.answers.insert(id, outcome);
                 }
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -36,7 +36,7 @@
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         service: "s".into(),
         instance: instance.into(),
-        leaving: false,
+        draining: false,
         zone: String::new(),
         region: String::new(),
         capacity: 0,
@@ -76,8 +76,18 @@
     for first in 0..3 {
         let mut cluster = Cluster::new();
         let second = cluster.other(first);
-        cluster.ask(first, 1, CONFIGURATION, items(vec![group("s", 7, 1)]));
-        cluster.ask(second, 2, CONFIGURATION, items(vec![group("s", 7, 2)]));
+        cluster.ask(
+            first,
+            1,
+            CONFIGURATION_PARTITION,
+            items(vec![group("s", 7, 1)]),
+        );
+        cluster.ask(
+            second,
+            2,
+            CONFIGURATION_PARTITION,
+            items(vec![group("s", 7, 2)]),
+        );
         cluster.run_for(PATIENT);
         let told: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.answers[id]).collect();
         let settled = told
@@ -96,8 +106,13 @@
     let mut cluster = Cluster::new();
     for slot in 0..3 {
         let id = slot as u64;
-        cluster.ask(slot, id, CONFIGURATION, items(vec![group("s", 7, 1)]));
-        cluster.ask(slot, 10 + id, ORIGINS, origins("o", Some(0), 5));
+        cluster.ask(
+            slot,
+            id,
+            CONFIGURATION_PARTITION,
+            items(vec![group("s", 7, 1)]),
+        );
+        cluster.ask(slot, 10 + id, ORIGINS_PARTITION, origins("o", Some(0), 5));
     }
     cluster.run_for(PATIENT);
     for (id, outcome) in &cluster.answers {
@@ -112,13 +127,13 @@
     let order = |at: u64| items(vec![group(&format!("s{at}"), 1, 1), group("s", at + 1, 1)]);
     cluster.replies_lost = true;
     for at in 0..8 {
-        cluster.ask(at as usize % 3, at, CONFIGURATION, order(at));
+        cluster.ask(at as usize % 3, at, CONFIGURATION_PARTITION, order(at));
     }
     cluster.run_for(Duration::from_millis(300));
     assert!(cluster.answers.is_empty());
     cluster.replies_lost = false;
     for at in 0..8 {
-        let told = cluster.outcome((at as usize + 1) % 3, CONFIGURATION, order(at));
+        let told = cluster.outcome((at as usize + 1) % 3, CONFIGURATION_PARTITION, order(at));
         assert_settled(&told, &format!("order {at}"));
     }
 }
@@ -131,10 +146,15 @@
         for lost_at in 0..16 {
             let what = format!("wiped: {wiped}, lost after {lost_at} ms");
             let mut cluster = Cluster::new();
-            let leader = cluster.leader(CONFIGURATION).unwrap();
+            let leader = cluster.leader(CONFIGURATION_PARTITION).unwrap();
             let asked = cluster.other(leader);
             cluster.replies_lost = true;
-            cluster.ask(asked, 1, CONFIGURATION, items(vec![group("s", 7, 1)]));
+            cluster.ask(
+                asked,
+                1,
+                CONFIGURATION_PARTITION,
+                items(vec![group("s", 7, 1)]),
+            );
             cluster.run_for(Duration::from_millis(lost_at));
             if wiped {
                 cluster.wipe(leader);
@@ -144,13 +164,22 @@
             cluster.replies_lost = false;
             let next = cluster.other(asked);
             let next = if next == leader { asked } else { next };
-            let told = cluster.outcome(next, CONFIGURATION, items(vec![group("s", 7, 1)]));
+            let told =
+                cluster.outcome(next, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)]));
             assert_settled(&told, &what);
             cluster.start(leader);
             cluster.run_for(PATIENT);
-            let told = cluster.outcome(leader, CONFIGURATION, items(vec![group("s", 7, 1)]));
+            let told = cluster.outcome(
+                leader,
+                CONFIGURATION_PARTITION,
+                items(vec![group("s", 7, 1)]),
+            );
             assert_settled(&told, &what);
-            let told = cluster.outcome(leader, CONFIGURATION, items(vec![group("s", 7, 2)]));
+            let told = cluster.outcome(
+                leader,
+                CONFIGURATION_PARTITION,
+                items(vec![group("s", 7, 2)]),
+            );
             assert_conflict(&told, &what);
         }
     }
@@ -162,7 +191,7 @@
     for revision in 1..=3 {
         let told = cluster.outcome(
             0,
-            CONFIGURATION,
+            CONFIGURATION_PARTITION,
             items(vec![group("s", revision, revision as u32)]),
         );
         assert_settled(&told, "put");
@@ -171,10 +200,10 @@
         for revision in 1..=3 {
             for slot in 0..3 {
                 let again = items(vec![group("s", revision, revision as u32)]);
-                assert_settled(&cluster.outcome(slot, CONFIGURATION, again), what);
+                assert_settled(&cluster.outcome(slot, CONFIGURATION_PARTITION, again), what);
             }
             let other = items(vec![group("s", revision, 99)]);
-            assert_conflict(&cluster.outcome(0, CONFIGURATION, other), what);
+            assert_conflict(&cluster.outcome(0, CONFIGURATION_PARTITION, other), what);
         }
     };
     check(&mut cluster, "at once");
@@ -196,10 +225,13 @@
 fn a_document_or_list_sent_again_after_a_takeover_is_acknowledged_under_its_first_version() {
     for (partition, make) in [
         (
-            CONFIGURATION,
+            CONFIGURATION_PARTITION,
             document as fn(&str, Option<u64>, u64) -> Change,
         ),
-        (ORIGINS, origins as fn(&str, Option<u64>, u64) -> Change),
+        (
+            ORIGINS_PARTITION,
+            origins as fn(&str, Option<u64>, u64) -> Change,
+        ),
     ] {
         for newer in [false, true] {
             let what = format!("slice {partition}, newer: {newer}");
@@ -232,11 +264,11 @@
 fn a_change_that_lost_a_race_is_told_so_also_when_it_had_to_be_sent_again() {
     let mut cluster = Cluster::new();
     assert_settled(
-        &cluster.outcome(0, CONFIGURATION, document("/a/", Some(0), 5)),
+        &cluster.outcome(0, CONFIGURATION_PARTITION, document("/a/", Some(0), 5)),
         "first",
     );
     cluster.replies_lost = true;
-    cluster.ask(1, 1, CONFIGURATION, document("/b/", Some(0), 6));
+    cluster.ask(1, 1, CONFIGURATION_PARTITION, document("/b/", Some(0), 6));
     cluster.run_for(Duration::from_millis(600));
     cluster.replies_lost = false;
     cluster.run_for(PATIENT);
@@ -252,13 +284,23 @@
 fn a_leader_that_is_cut_off_refuses_nothing() {
     let mut cluster = Cluster::new();
     assert_settled(
-        &cluster.outcome(0, CONFIGURATION, items(vec![group("s", 7, 1)])),
+        &cluster.outcome(0, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)])),
         "first",
     );
-    let old = cluster.leader(CONFIGURATION).unwrap();
+    let old = cluster.leader(CONFIGURATION_PARTITION).unwrap();
     cluster.isolated.insert(old);
-    cluster.ask(old, 1, CONFIGURATION, items(vec![group("s", 7, 2)]));
-    cluster.ask(old, 2, CONFIGURATION, document("/a/", Some(99), 5));
+    cluster.ask(
+        old,
+        1,
+        CONFIGURATION_PARTITION,
+        items(vec![group("s", 7, 2)]),
+    );
+    cluster.ask(
+        old,
+        2,
+        CONFIGURATION_PARTITION,
+        document("/a/", Some(99), 5),
+    );
     let orphan = Item {
         kind: ItemKind::Entry,
         name: "e".into(),
@@ -271,7 +313,7 @@
         source: text,
         ..orphan
     };
-    cluster.ask(old, 3, CONFIGURATION, items(vec![orphan]));
+    cluster.ask(old, 3, CONFIGURATION_PARTITION, items(vec![orphan]));
     cluster.run_for(Duration::from_secs(14));
     for id in [1, 2, 3] {
         assert_eq!(cluster.answers[&id], ChangeOutcome::Unknown, "call {id}");
@@ -319,7 +361,7 @@
             change,
             acknowledge,
         };
-        cluster.ask(0, 1, ORIGINS, put);
+        cluster.ask(0, 1, ORIGINS_PARTITION, put);
         cluster.renew_without_applying(SLOW);
         assert_eq!(
             cluster.answers.contains_key(&1),
--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -10,7 +10,8 @@
 
 /// A member vouches only for those it heard within this span: by the time that
 /// we take a member for gone ourselves, nobody vouches for it any more.
-const VOUCH: Duration = lease::CONTROL_PEER.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
+const VOUCH: Duration =
+    lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
 impl ControlNode {
     /// Slots whose heartbeats came within the span, our own among them.
@@ -24,7 +25,7 @@
 
     /// Slots that we hear and that hear us, our own among them.
     pub(super) fn contacts(&self, now: Duration) -> SlotSet {
-        let hears = self.hears(now, lease::CONTROL_PEER);
+        let hears = self.hears(now, lease::CONTROL_PEER_TIMEOUT);
         let both_ways = hears.iter().filter(|slot| {
             let hears_us = |peer: &PeerStatus| peer.hears.contains(self.slot);
             *slot == self.slot || self.peers.get(slot).is_some_and(hears_us)
@@ -93,7 +94,7 @@
             .map(|peer| peer.vouched)
             .fold(SlotSet::default(), SlotSet::union);
         let elsewhere = vouched.without(contacts);
-        self.eligible_contacts(now, lease::CONTROL_PEER)
+        self.eligible_contacts(now, lease::CONTROL_PEER_TIMEOUT)
             .union(elsewhere)
     }
 
--- a/control-plane/src/control_node/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -15,7 +15,7 @@
         let mine = self.replica.generation();
         // An edge of another generation takes everything anew.
         let known: &[u64] = if renew.generation == mine || mine == 0 {
-            &renew.vector
+            &renew.version_vector
         } else {
             &[]
         };
@@ -24,16 +24,16 @@
         let founded = renew.generation == 0 || mine != 0;
         let RenewRequest {
             sent,
-            heard,
+            last_token: heard,
             generation,
-            recalled,
-            vector,
+            recall_complete: recalled,
+            version_vector: vector,
             zone,
             ring,
-            strength,
+            weight: strength,
             draining,
             usage,
-            found,
+            origin_health: found,
         } = renew;
         if self.sessions.renew(
             now,
@@ -41,13 +41,13 @@
                 peer: from,
                 zone,
                 ring,
-                strength,
+                weight: strength,
                 draining,
                 generation,
-                recalled,
-                vector,
+                recall_complete: recalled,
+                version_vector: vector,
                 usage,
-                found,
+                origin_health: found,
             },
             heard,
         ) {
@@ -71,7 +71,7 @@
                 renewal_token,
                 sent,
                 generation: mine,
-                recall,
+                recall_requested: recall,
                 updates,
             },
         );
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -21,7 +21,7 @@
                     continue;
                 };
                 if operation.state == OperationState::Running {
-                    if self.sessions.gone(now, operation.by, quorum) {
+                    if self.sessions.gone(now, operation.claimant, quorum) {
                         lost.push((key.clone(), operation.clone()));
                     }
                     continue;
@@ -32,12 +32,12 @@
                 if since.0 != row.version {
                     *since = (row.version, now);
                 }
-                if now >= since.1 + lease::OPERATION {
+                if now >= since.1 + lease::OPERATION_RETENTION {
                     old.push(key.clone());
                 }
             }
             for (key, operation) in lost {
-                notes.push(format!("{key} by {}", operation.by));
+                notes.push(format!("{key} by {}", operation.claimant));
                 leader.put(
                     key,
                     Value::Operation(Operation {
@@ -60,10 +60,13 @@
         if now >= self.closed {
             self.note(
                 Event::MajorityLost,
-                format!("unknown operations are not run for {:?}", lease::CLOSED),
+                format!(
+                    "unknown operations are not run for {:?}",
+                    lease::LEDGER_CLOSED_AFTER_LOSS
+                ),
             );
         }
-        self.closed = now + lease::CLOSED;
+        self.closed = now + lease::LEDGER_CLOSED_AFTER_LOSS;
     }
 
     /// Whether the ledger of this generation is known to be complete.
@@ -101,7 +104,7 @@
                 // An owner that lost nothing itself knows the roll as it was.
                 let owner = self
                     .leaders
-                    .get(&ASSIGNMENTS)
+                    .get(&ASSIGNMENTS_PARTITION)
                     .filter(|leader| leader.ready() && leader.wary.is_none());
                 self.before = owner
                     .and_then(PartitionLeader::edge_registry)
@@ -114,11 +117,11 @@
         }
         if let Some(after) = self.refound {
             let ask = ChangeRequest {
-                asker: self.address,
+                requester: self.address,
                 id: changes::NOBODY_WAITS,
                 hops: 0,
-                partition: CONFIGURATION,
-                ask: Change::Refound { after },
+                partition: CONFIGURATION_PARTITION,
+                change: Change::Refound { after },
             };
             self.tell(self.address, ask);
         }
@@ -155,7 +158,7 @@
                 leader.wary = None;
                 before = leader.edge_registry().or(before);
                 leader.put("founded".into(), Value::Founded { generation });
-                if *partition == CONFIGURATION {
+                if *partition == CONFIGURATION_PARTITION {
                     notes.push(format!("realm {generation:016x}"));
                 }
             }
@@ -195,12 +198,12 @@
     pub(super) fn plan_edge_registry(&mut self, now: Duration) {
         let mut notes = Vec::new();
         let quorum = self.quorum();
-        let Some(leader) = self.leaders.get_mut(&ASSIGNMENTS) else {
+        let Some(leader) = self.leaders.get_mut(&ASSIGNMENTS_PARTITION) else {
             return;
         };
         let told = |peer: &Peer| {
             self.sessions.all().iter().any(|seen| {
-                seen.peer == *peer && seen.generation == self.generation && seen.recalled
+                seen.peer == *peer && seen.generation == self.generation && seen.recall_complete
             })
         };
         if let Some((members, gone, true)) = &self.before
@@ -233,7 +236,10 @@
             notes.push("the fleet is new");
         }
         // All that could come again has come.
-        let over = now >= self.closed.max(self.entered + lease::CLOSED);
+        let over = now
+            >= self
+                .closed
+                .max(self.entered + lease::LEDGER_CLOSED_AFTER_LOSS);
         if self.generation != 0
             && self.replica.opened() != self.generation
             && over
@@ -266,7 +272,9 @@
             self.departed.entry(*peer).or_insert(now);
         }
         // Who is back in the same life has kept what it knows.
-        gone.retain(|peer| !members.contains(peer) && now < self.departed[peer] + lease::CLOSED);
+        gone.retain(|peer| {
+            !members.contains(peer) && now < self.departed[peer] + lease::LEDGER_CLOSED_AFTER_LOSS
+        });
         let members: Vec<Peer> = members.into_iter().collect();
         // Until the new generation has its name, the roll is the lost one's.
         let complete = if self.generation == 0 {
@@ -276,7 +284,7 @@
         };
         let value = Value::EdgeRegistry {
             members: members.clone(),
-            gone,
+            departed: gone,
             complete,
         };
         if leader.rows.get("roll").is_none_or(|row| row.value != value) {
@@ -305,7 +313,7 @@
     /// Names the next generation, unless that was done since it was asked for.
     pub(super) fn refound(&mut self, after: u64) {
         let generation = Generation::after(self.replica.generation(), self.replica.incarnation);
-        let Some(leader) = self.leaders.get_mut(&CONFIGURATION) else {
+        let Some(leader) = self.leaders.get_mut(&CONFIGURATION_PARTITION) else {
             return;
         };
         if leader
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -31,7 +31,7 @@
     /// Whether the last tick was as lately as it should be.
     fn unbroken(&self, now: Duration) -> bool {
         self.ticked
-            .is_some_and(|ticked| now < ticked + lease::CONTROL_PEER)
+            .is_some_and(|ticked| now < ticked + lease::CONTROL_PEER_TIMEOUT)
     }
 
     /// Whether one last heard of at this time has been silent for long enough.
@@ -95,7 +95,7 @@
                 self.tell(
                     from.address,
                     RecallRequest {
-                        partition: MEMBERSHIP,
+                        partition: MEMBERSHIP_PARTITION,
                     },
                 );
             }
@@ -152,15 +152,15 @@
             full: heartbeat.full,
             blank: heartbeat.blank,
             heard: now,
-            hears: heartbeat.hears,
-            contacts: heartbeat.contacts,
-            vouched: heartbeat.vouched,
-            got: heartbeat.got,
+            hears: heartbeat.heard_slots,
+            contacts: heartbeat.mutual_contacts,
+            vouched: heartbeat.leader_candidates,
+            got: heartbeat.acknowledged_sessions,
         };
         self.peers.insert(slot, status);
-        self.extend_closing(now, heartbeat.closed);
-        self.note_loss(now, heartbeat.lost);
-        if let Some(sessions) = heartbeat.seen {
+        self.extend_closing(now, heartbeat.ledger_closed_for);
+        self.note_loss(now, heartbeat.lost_generation);
+        if let Some(sessions) = heartbeat.sessions {
             self.sessions.told(now, slot, sessions);
         }
     }
@@ -403,11 +403,11 @@
         }
         // To the owner, through our own door; nobody pending_replies for it.
         let ask = ChangeRequest {
-            asker: self.address,
+            requester: self.address,
             id: changes::NOBODY_WAITS,
             hops: 0,
-            partition: MEMBERSHIP,
-            ask: Change::JoinRequest {
+            partition: MEMBERSHIP_PARTITION,
+            change: Change::JoinRequest {
                 peer: from,
                 founding,
             },
@@ -425,7 +425,7 @@
     /// An edge told who holds the slots, which nobody else knows here.
     pub(super) fn learn_table(&mut self, now: Duration, recalled: &RecallReply) {
         let table = recalled.rows.iter().find_map(|(_, row)| match &row.value {
-            Value::Members(members) if recalled.partition == MEMBERSHIP => {
+            Value::Members(members) if recalled.partition == MEMBERSHIP_PARTITION => {
                 Some((row.version, members.clone()))
             }
             _ => None,
@@ -440,7 +440,7 @@
     pub(super) fn write_table(&mut self) {
         let Some(leader) = self
             .leaders
-            .get_mut(&MEMBERSHIP)
+            .get_mut(&MEMBERSHIP_PARTITION)
             .filter(|leader| leader.ready() && leader.wary.is_none())
         else {
             return;
@@ -482,7 +482,7 @@
     pub(super) fn table_has_settled(&self) -> bool {
         let Some(leader) = self
             .leaders
-            .get(&MEMBERSHIP)
+            .get(&MEMBERSHIP_PARTITION)
             .filter(|leader| leader.settled() >= leader.version)
         else {
             return false;
@@ -551,7 +551,7 @@
 
     /// Writes a table to follow the one that is in force. Its version.
     pub(super) fn put_table(&mut self, members: Vec<Peer>) -> Option<u64> {
-        let leader = self.leaders.get_mut(&MEMBERSHIP)?;
+        let leader = self.leaders.get_mut(&MEMBERSHIP_PARTITION)?;
         Some(leader.put("places".into(), Value::Members(members)))
     }
 }
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -150,7 +150,7 @@
     }
 
     fn near(&self, now: Duration) -> bool {
-        self.heard_within(now, lease::CONTROL_PEER)
+        self.heard_within(now, lease::CONTROL_PEER_TIMEOUT)
     }
 }
 
@@ -411,13 +411,13 @@
             full: self.able() && self.warned.is_none(),
             blank: !self.replica.full || self.failed.is_some(),
             membership_version: self.membership_version,
-            closed: self.closed.saturating_sub(now),
-            lost: self.lost(),
-            hears: self.hears(now, lease::CONTROL_PEER),
-            contacts: self.contacts(now),
-            vouched: self.vouched(now),
-            got: self.sessions.got(to),
-            seen,
+            ledger_closed_for: self.closed.saturating_sub(now),
+            lost_generation: self.lost(),
+            heard_slots: self.hears(now, lease::CONTROL_PEER_TIMEOUT),
+            mutual_contacts: self.contacts(now),
+            leader_candidates: self.vouched(now),
+            acknowledged_sessions: self.sessions.got(to),
+            sessions: seen,
         }
     }
 
@@ -478,7 +478,7 @@
 }
 
 impl StateMachine for ControlNode {
-    fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
+    fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         let mut tick = false;
         match input {
             Input::Tick => {
@@ -486,7 +486,7 @@
                 self.tick(now);
                 let ready = self.able() && self.warned.is_none() && self.reaches_majority(now);
                 self.out.push(Output::Publish(PublishedState::Fence {
-                    until: now + lease::CONTROL,
+                    until: now + lease::SESSION_LEASE,
                     ready,
                 }));
                 if self.may_end(now) {
@@ -507,7 +507,7 @@
                 }
             }
             Input::StoreFailed => self.handle_store_failure(now),
-            Input::Operator { id, ask } => self.operator(now, id, ask),
+            Input::Operator { id, request: ask } => self.operator(now, id, ask),
             Input::ShutdownRequested => {
                 self.warned.get_or_insert(now);
                 self.offer_slot(now);
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -9,9 +9,9 @@
 /// a whole state that comes late must not take those away.
 fn without_rows(request: AppendRequest) -> AppendRequest {
     AppendRequest {
-        whole: false,
+        full_state: false,
         rows: vec![],
-        drops: vec![],
+        removed_keys: vec![],
         base: None,
         ..request
     }
@@ -60,7 +60,7 @@
         let PrepareRequest {
             partition,
             epoch,
-            held,
+            requester_state: held,
             ..
         } = request;
         let promised = self.replica.held(partition).promised;
@@ -83,8 +83,8 @@
             PrepareReply {
                 partition,
                 epoch,
-                lost: self.lost(),
-                retired: self.retired_incarnations(),
+                lost_generation: self.lost(),
+                retired_incarnations: self.retired_incarnations(),
                 state,
             },
         );
@@ -95,7 +95,7 @@
             partition,
             epoch,
             round,
-            to,
+            to_version: to,
             ..
         } = keep;
         let held = self.replica.held(partition);
@@ -144,9 +144,9 @@
                 partition,
                 epoch,
                 round,
-                to,
-                clear,
-                retired: self.retired_incarnations(),
+                synced_version: to,
+                sessions_confirmed: clear,
+                retired_incarnations: self.retired_incarnations(),
             },
         );
         if version > published && partition < PUBLISHED_PARTITIONS {
@@ -221,7 +221,7 @@
                         wait.asker,
                         ChangeReply {
                             id: wait.id,
-                            told: wait.told.clone(),
+                            outcome: wait.told.clone(),
                         }
                         .into(),
                     ));
@@ -249,7 +249,7 @@
         let full = self.replica.full || self.replica.founding;
         // After a loss of everything no table is shown by anybody, and no edge
         // is renewed that might go by another.
-        let none_shown = self.replica.held(MEMBERSHIP).image.version == 0;
+        let none_shown = self.replica.held(MEMBERSHIP_PARTITION).image.version == 0;
         let membership_version = if none_shown {
             self.membership_version
         } else {
@@ -257,18 +257,18 @@
         };
         let reply = SnapshotReply {
             slot: self.slot,
-            asker: from.incarnation,
+            requester_incarnation: from.incarnation,
             round: request.round,
             full,
-            lost: self.lost(),
+            lost_generation: self.lost(),
             membership_version,
-            held,
+            partitions: held,
         };
         self.tell_synced(from.address, reply);
     }
 
     pub(super) fn handle_snapshot_reply(&mut self, now: Duration, reply: SnapshotReply) {
-        if reply.asker != self.replica.incarnation {
+        if reply.requester_incarnation != self.replica.incarnation {
             return; // To an earlier disk of this slot, which acknowledged since.
         }
         let merged = self.recovery.as_mut().and_then(|one| one.heard(reply));
@@ -303,8 +303,8 @@
     }
 
     pub(super) fn handle_prepare_reply(&mut self, now: Duration, slot: u8, reply: PrepareReply) {
-        self.note_loss(now, reply.lost);
-        self.note_retired(&reply.retired);
+        self.note_loss(now, reply.lost_generation);
+        self.note_retired(&reply.retired_incarnations);
         let Some(leader) = self.leader_of(reply.partition, reply.epoch) else {
             return;
         };
@@ -324,8 +324,12 @@
         // Also one whose founding another began and did not end.
         if closed || !leader.rows.contains_key("founded") {
             // The generation is named last, when all have listened.
-            let rounds = if partition == CONFIGURATION { 2 } else { 1 };
-            leader.wary = Some(now + lease::RECOLLECT * rounds);
+            let rounds = if partition == CONFIGURATION_PARTITION {
+                2
+            } else {
+                1
+            };
+            leader.wary = Some(now + lease::RECALL_PERIOD * rounds);
         }
         let text = format!(
             "slice {partition} epoch {} version {}",
@@ -334,14 +338,14 @@
         self.granted = self.sessions.renewal_tokens();
         self.finished_since.remove(&partition);
         self.note(Event::PartitionAcquired, text);
-        if partition == ASSIGNMENTS {
+        if partition == ASSIGNMENTS_PARTITION {
             // Which of the holders are still there?
             self.ask_all();
         }
     }
 
     pub(super) fn handle_append_reply(&mut self, slot: u8, reply: &AppendReply) {
-        self.note_retired(&reply.retired);
+        self.note_retired(&reply.retired_incarnations);
         if let Some(leader) = self.leader_of(reply.partition, reply.epoch) {
             leader.kept(slot, reply);
         }
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -62,15 +62,15 @@
         if answered || calls_first || !self.able() {
             return;
         }
-        let Some(slot) = self.chosen(now, MEMBERSHIP) else {
+        let Some(slot) = self.chosen(now, MEMBERSHIP_PARTITION) else {
             return;
         };
         let offer = ChangeRequest {
             hops: 0,
-            asker: self.address,
+            requester: self.address,
             id: 0,
-            partition: MEMBERSHIP,
-            ask: Change::OfferSlot { member: self.me() },
+            partition: MEMBERSHIP_PARTITION,
+            change: Change::OfferSlot { member: self.me() },
         };
         self.tell(self.address(slot), offer);
     }
@@ -99,14 +99,14 @@
                 SlotOfferOutcome::Assigned { version, successor }
             }
         };
-        self.tell(member.address, SlotOfferReply { answer });
+        self.tell(member.address, SlotOfferReply { outcome: answer });
     }
 
     /// Whether a newcomer that waits may not have asked this leader yet.
     fn may_lack_newcomers(&self, now: Duration) -> bool {
         let since = self
             .leaders
-            .get(&MEMBERSHIP)
+            .get(&MEMBERSHIP_PARTITION)
             .and_then(|leader| leader.active_since);
         since.is_none_or(|since| now < since + NEWCOMER_HEARD)
     }
@@ -119,7 +119,7 @@
             return;
         }
         let assigned = matches!(self.handover, Handover::Assigned { .. });
-        self.handover = match reply.answer {
+        self.handover = match reply.outcome {
             SlotOfferOutcome::NoNewcomer => Handover::Kept,
             // To an offer made again while the table was on its way.
             SlotOfferOutcome::Later if assigned => return,
@@ -162,9 +162,9 @@
         let state = SlotState {
             version,
             slot: self.slot,
-            lost: self.lost(),
-            retired: self.retired_incarnations(),
-            held: self.replica.copy_out(),
+            lost_generation: self.lost(),
+            retired_incarnations: self.retired_incarnations(),
+            partitions: self.replica.copy_out(),
         };
         self.tell_synced(successor.address, self.known_table());
         self.tell_synced(successor.address, state);
@@ -178,12 +178,12 @@
         let version = state.version;
         let direct = self.membership_version == version && self.slot == state.slot;
         if self.recovery.is_some() && direct {
-            for incarnation in &state.retired {
+            for incarnation in &state.retired_incarnations {
                 self.retire(*incarnation);
             }
             let merged = Merged {
-                held: state.held,
-                lost: state.lost != 0,
+                held: state.partitions,
+                lost: state.lost_generation != 0,
             };
             self.finish_recovery(now, merged);
         }
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -34,7 +34,7 @@
         let mut inputs = VecDeque::from([input]);
         let mut told = Vec::new();
         while let Some(input) = inputs.pop_front() {
-            for output in self.part.step(now, input) {
+            for output in self.part.handle(now, input) {
                 match output {
                     Output::Send { to, message } if to == address(0) => {
                         inputs.push_back(Input::MessageReceived {
@@ -76,17 +76,17 @@
             1,
             incarnation,
             Heartbeat {
-                hears: everybody(),
-                contacts: everybody(),
-                vouched: SlotSet::default(),
+                heard_slots: everybody(),
+                mutual_contacts: everybody(),
+                leader_candidates: SlotSet::default(),
                 slot: 1,
                 full: true,
                 blank: false,
                 membership_version: 0,
-                closed: Duration::ZERO,
-                lost: 0,
-                got: 0,
-                seen: Some(SessionsDelta::default()),
+                ledger_closed_for: Duration::ZERO,
+                lost_generation: 0,
+                acknowledged_sessions: 0,
+                sessions: Some(SessionsDelta::default()),
             },
         )
     }
@@ -104,7 +104,7 @@
                 Message::PrepareRequest(PrepareRequest {
                     partition, epoch, ..
                 }) if to == address(1) => {
-                    if [PURGES, ORIGINS].contains(&partition) {
+                    if [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition) {
                         owned = Some((partition, epoch));
                     }
                     said.extend(script.hear(
@@ -114,8 +114,8 @@
                         PrepareReply {
                             partition,
                             epoch,
-                            lost: 0,
-                            retired: vec![],
+                            lost_generation: 0,
+                            retired_incarnations: vec![],
                             state: PreparedState::Newer(PartitionState::default()),
                         },
                     ));
@@ -124,7 +124,7 @@
                     partition,
                     epoch,
                     round,
-                    to: version,
+                    to_version: version,
                     ..
                 }) if to == address(1) => {
                     said.extend(script.hear(
@@ -135,9 +135,9 @@
                             partition,
                             epoch,
                             round,
-                            to: version,
-                            clear: Some(0),
-                            retired: vec![],
+                            synced_version: version,
+                            sessions_confirmed: Some(0),
+                            retired_incarnations: vec![],
                         },
                     ));
                 }
@@ -147,7 +147,7 @@
     }
     let (partition, epoch) = owned.expect("one of the two is ours by weight");
     let ask = match partition {
-        PURGES => Change::AddPurge {
+        PURGES_PARTITION => Change::AddPurge {
             purge: Purge {
                 entry: Some("e".into()),
                 ..Purge::default()
@@ -167,14 +167,14 @@
         11,
         ChangeRequest {
             hops: 0,
-            asker: address(1),
+            requester: address(1),
             id: 7,
             partition,
-            ask,
+            change: ask,
         },
     );
     let version = told.iter().find_map(|(_, message)| match message {
-        Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to),
+        Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
         _ => None,
     });
     let version = version.expect("it is written at once");
@@ -184,9 +184,9 @@
         partition,
         epoch,
         round: 100,
-        to: version,
-        clear: Some(version),
-        retired: vec![],
+        synced_version: version,
+        sessions_confirmed: Some(version),
+        retired_incarnations: vec![],
     };
     let answered = |told: &[(SocketAddr, Message)]| {
         told.iter()
@@ -205,138 +205,139 @@
 /// now, refilled without it, and says so with its acknowledgement.
 #[test]
 fn an_acknowledgement_of_a_retired_incarnation_that_another_reports_is_not_counted() {
-    let owned =
-        |retired: Vec<u64>| {
-            let replica = Replica {
-                full: true,
-                ..Replica::blank(1)
-            };
-            let mut script = Script {
-                part: ControlNode::new(
-                    address(0),
-                    (0..5).map(address).collect(),
-                    replica,
-                    false,
-                    None,
-                    1,
-                ),
-            };
-            let mut owned = None;
-            for ms in (0..2_500).step_by(100) {
-                let mut said = VecDeque::new();
-                for slot in 1..5 {
-                    let beat = Heartbeat {
-                        hears: everybody(),
-                        contacts: everybody(),
-                        vouched: SlotSet::default(),
-                        slot: slot as u8,
-                        full: true,
-                        blank: false,
-                        membership_version: 0,
-                        closed: Duration::ZERO,
-                        lost: 0,
-                        got: 0,
-                        seen: Some(SessionsDelta::default()),
-                    };
-                    said.extend(script.hear(ms, slot, 10 + u64::from(slot), beat));
-                }
-                said.extend(script.step(ms + 1, Input::Tick));
-                while let Some((to, message)) = said.pop_front() {
-                    let slot = to.port() - 100;
-                    let incarnation = 10 + u64::from(slot);
-                    match message {
-                        Message::PrepareRequest(PrepareRequest {
-                            partition, epoch, ..
-                        }) => {
-                            owned = Some((partition, epoch))
-                                .filter(|_| [PURGES, ORIGINS].contains(&partition))
-                                .or(owned);
-                            said.extend(script.hear(
-                                ms + 2,
-                                slot,
-                                incarnation,
-                                PrepareReply {
-                                    partition,
-                                    epoch,
-                                    lost: 0,
-                                    retired: vec![],
-                                    state: PreparedState::Newer(PartitionState::default()),
-                                },
-                            ));
-                        }
-                        Message::AppendRequest(AppendRequest {
-                            partition,
-                            epoch,
-                            round,
-                            to: version,
-                            ..
-                        }) => {
-                            said.extend(script.hear(
-                                ms + 3,
-                                slot,
-                                incarnation,
-                                AppendReply {
-                                    partition,
-                                    epoch,
-                                    round,
-                                    to: version,
-                                    clear: Some(0),
-                                    retired: vec![],
-                                },
-                            ));
-                        }
-                        _ => {}
+    let owned = |retired: Vec<u64>| {
+        let replica = Replica {
+            full: true,
+            ..Replica::blank(1)
+        };
+        let mut script = Script {
+            part: ControlNode::new(
+                address(0),
+                (0..5).map(address).collect(),
+                replica,
+                false,
+                None,
+                1,
+            ),
+        };
+        let mut owned = None;
+        for ms in (0..2_500).step_by(100) {
+            let mut said = VecDeque::new();
+            for slot in 1..5 {
+                let beat = Heartbeat {
+                    heard_slots: everybody(),
+                    mutual_contacts: everybody(),
+                    leader_candidates: SlotSet::default(),
+                    slot: slot as u8,
+                    full: true,
+                    blank: false,
+                    membership_version: 0,
+                    ledger_closed_for: Duration::ZERO,
+                    lost_generation: 0,
+                    acknowledged_sessions: 0,
+                    sessions: Some(SessionsDelta::default()),
+                };
+                said.extend(script.hear(ms, slot, 10 + u64::from(slot), beat));
+            }
+            said.extend(script.step(ms + 1, Input::Tick));
+            while let Some((to, message)) = said.pop_front() {
+                let slot = to.port() - 100;
+                let incarnation = 10 + u64::from(slot);
+                match message {
+                    Message::PrepareRequest(PrepareRequest {
+                        partition, epoch, ..
+                    }) => {
+                        owned = Some((partition, epoch))
+                            .filter(|_| [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition))
+                            .or(owned);
+                        said.extend(script.hear(
+                            ms + 2,
+                            slot,
+                            incarnation,
+                            PrepareReply {
+                                partition,
+                                epoch,
+                                lost_generation: 0,
+                                retired_incarnations: vec![],
+                                state: PreparedState::Newer(PartitionState::default()),
+                            },
+                        ));
                     }
+                    Message::AppendRequest(AppendRequest {
+                        partition,
+                        epoch,
+                        round,
+                        to_version: version,
+                        ..
+                    }) => {
+                        said.extend(script.hear(
+                            ms + 3,
+                            slot,
+                            incarnation,
+                            AppendReply {
+                                partition,
+                                epoch,
+                                round,
+                                synced_version: version,
+                                sessions_confirmed: Some(0),
+                                retired_incarnations: vec![],
+                            },
+                        ));
+                    }
+                    _ => {}
                 }
             }
-            let (partition, epoch) = owned?;
-            let ask = match partition {
-                PURGES => Change::AddPurge {
-                    purge: Purge {
-                        entry: Some("e".into()),
-                        ..Purge::default()
-                    },
-                    change: 5,
-                },
-                _ => Change::PutOrigins {
-                    list: Arc::default(),
-                    expect: None,
-                    change: 5,
-                    acknowledge: Acknowledge::Settled,
-                },
-            };
-            let told = script.hear(
-                2_600,
-                1,
-                11,
-                ChangeRequest {
-                    hops: 0,
-                    asker: address(1),
-                    id: 7,
-                    partition,
-                    ask,
+        }
+        let (partition, epoch) = owned?;
+        let ask = match partition {
+            PURGES_PARTITION => Change::AddPurge {
+                purge: Purge {
+                    entry: Some("e".into()),
+                    ..Purge::default()
                 },
-            );
-            let version = told.iter().find_map(|(_, message)| match message {
-                Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to),
-                _ => None,
-            })?;
-            let kept = |retired| AppendReply {
+                change: 5,
+            },
+            _ => Change::PutOrigins {
+                list: Arc::default(),
+                expect: None,
+                change: 5,
+                acknowledge: Acknowledge::Settled,
+            },
+        };
+        let told = script.hear(
+            2_600,
+            1,
+            11,
+            ChangeRequest {
+                hops: 0,
+                requester: address(1),
+                id: 7,
                 partition,
-                epoch,
-                round: 1_000,
-                to: version,
-                clear: Some(version),
-                retired,
-            };
-            let mut told = script.hear(2_610, 1, 11, kept(vec![]));
-            told.extend(script.hear(2_611, 2, 12, kept(retired)));
-            told.extend(script.step(2_701, Input::Tick));
-            told.extend(script.step(2_801, Input::Tick));
-            Some(told.iter().any(|(_, message)| {
-                matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. }))
-            }))
+                change: ask,
+            },
+        );
+        let version = told.iter().find_map(|(_, message)| match message {
+            Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
+            _ => None,
+        })?;
+        let kept = |retired| AppendReply {
+            partition,
+            epoch,
+            round: 1_000,
+            synced_version: version,
+            sessions_confirmed: Some(version),
+            retired_incarnations: retired,
         };
+        let mut told = script.hear(2_610, 1, 11, kept(vec![]));
+        told.extend(script.hear(2_611, 2, 12, kept(retired)));
+        told.extend(script.step(2_701, Input::Tick));
+        told.extend(script.step(2_801, Input::Tick));
+        Some(
+            told.iter().any(|(_, message)| {
+                matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. }))
+            }),
+        )
+    };
     assert_eq!(owned(vec![]), Some(true), "three of five hold it");
     assert_eq!(owned(vec![11]), Some(false), "only two of them do");
 }
@@ -372,7 +373,7 @@
     /// What it says; what it stores pending_replies to be synced.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let mut told = Vec::new();
-        for output in self.part.step(Duration::from_millis(ms), input) {
+        for output in self.part.handle(Duration::from_millis(ms), input) {
             match output {
                 Output::Send { to, message } => told.push((to, message)),
                 Output::Store { serial, record } => self.unsynced.push((serial, record)),
@@ -502,17 +503,17 @@
         100,
         2,
         Heartbeat {
-            hears: everybody(),
-            contacts: everybody(),
-            vouched: SlotSet::default(),
+            heard_slots: everybody(),
+            mutual_contacts: everybody(),
+            leader_candidates: SlotSet::default(),
             slot: 2,
             full: true,
             blank: false,
             membership_version: 4,
-            closed: Duration::ZERO,
-            lost: 0,
-            got: 0,
-            seen: None,
+            ledger_closed_for: Duration::ZERO,
+            lost_generation: 0,
+            acknowledged_sessions: 0,
+            sessions: None,
         },
     );
     late.step(900, Input::Tick);
@@ -537,34 +538,34 @@
     let mut script = Script::new();
     script.beat(10, 11);
     let whole = AppendRequest {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 17,
         membership_version: 0,
         round: 1,
-        whole: true,
-        from: 0,
-        to: 1,
+        full_state: true,
+        after_version: 0,
+        to_version: 1,
         rows: purge_rows(1..=1),
-        drops: vec![],
+        removed_keys: vec![],
         published: 0,
         base: None,
     };
     script.hear(20, 1, 11, whole.clone());
     let next = AppendRequest {
-        whole: false,
+        full_state: false,
         round: 2,
-        from: 1,
-        to: 2,
+        after_version: 1,
+        to_version: 2,
         rows: purge_rows(2..=2),
         ..whole.clone()
     };
     script.hear(30, 1, 11, next);
     script.hear(40, 1, 11, whole);
     let prepare = PrepareRequest {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 34,
         membership_version: 0,
-        held: StateId::default(),
+        requester_state: StateId::default(),
     };
     let held = script
         .hear(50, 1, 11, prepare)
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -49,7 +49,7 @@
         let mut inputs = VecDeque::from([input]);
         let (mut told, mut ended) = (Vec::new(), false);
         while let Some(input) = inputs.pop_front() {
-            for output in self.part.step(Duration::from_millis(ms), input) {
+            for output in self.part.handle(Duration::from_millis(ms), input) {
                 match output {
                     Output::Send { to, message } => told.push((to, message)),
                     Output::Store { serial, record } => {
@@ -75,17 +75,17 @@
 
     fn beat(&mut self, ms: u64, slot: u16) {
         let beat = Heartbeat {
-            hears: everybody(),
-            contacts: everybody(),
-            vouched: SlotSet::default(),
+            heard_slots: everybody(),
+            mutual_contacts: everybody(),
+            leader_candidates: SlotSet::default(),
             slot: slot as u8,
             full: true,
             blank: false,
             membership_version: 0,
-            closed: Duration::ZERO,
-            lost: 0,
-            got: 0,
-            seen: None,
+            ledger_closed_for: Duration::ZERO,
+            lost_generation: 0,
+            acknowledged_sessions: 0,
+            sessions: None,
         };
         self.hear(ms, slot, beat);
     }
@@ -96,7 +96,7 @@
         self.beat(10, 1);
         self.beat(10, 2);
         self.step(100, Input::ShutdownRequested);
-        self.hear(110, 1, SlotOfferReply { answer });
+        self.hear(110, 1, SlotOfferReply { outcome: answer });
     }
 }
 
@@ -123,10 +123,10 @@
     let (told, ended) = node.step(300, Input::Tick);
     assert_eq!((states(&told), ended), (1, false));
     let prepare = PrepareRequest {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 99,
         membership_version: VERSION,
-        held: StateId::default(),
+        requester_state: StateId::default(),
     };
     assert!(node.hear(310, 1, prepare).is_empty(), "it promises nothing");
     let again = Replica::replay(
@@ -167,7 +167,7 @@
     let mut node = Node::start(0, true);
     node.leave(assigned());
     let later = SlotOfferReply {
-        answer: SlotOfferOutcome::Later,
+        outcome: SlotOfferOutcome::Later,
     };
     node.hear(120, 1, later);
     assert!(
@@ -178,13 +178,13 @@
 
 fn state(version: u64, slot: u8) -> SlotState {
     let mut replica = Replica::blank(incarnation(0));
-    replica.partitions[usize::from(PURGES)].promised = 7;
+    replica.partitions[usize::from(PURGES_PARTITION)].promised = 7;
     SlotState {
         version,
         slot,
-        lost: 0,
-        retired: vec![77],
-        held: replica.copy_out(),
+        lost_generation: 0,
+        retired_incarnations: vec![77],
+        partitions: replica.copy_out(),
     }
 }
 
@@ -206,7 +206,7 @@
     let told = node.hear(100, 0, state(VERSION, 0));
     assert!(node.part.replica.full);
     assert!(matches!(told.as_slice(), [Message::SlotStateReceived(_)]));
-    assert_eq!(node.part.replica.held(PURGES).promised, 7);
+    assert_eq!(node.part.replica.held(PURGES_PARTITION).promised, 7);
     assert_eq!(
         node.part.replica.retired,
         [77],
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -10,7 +10,7 @@
 impl Ledger {
     pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
         if let Some((version, known)) = Ledger::known(leader, &claim) {
-            let own = (known.by, known.request) == (claim.by, claim.request);
+            let own = (known.claimant, known.request) == (claim.claimant, claim.request);
             match known.state {
                 OperationState::Running if own => return (version, ChangeOutcome::Claimed),
                 // The request gave up before this claim came through.
@@ -20,7 +20,7 @@
                     return (
                         version,
                         ChangeOutcome::AlreadyClaimed {
-                            same: known.print == claim.print,
+                            same: known.fingerprint == claim.fingerprint,
                             state,
                         },
                     );
@@ -47,7 +47,7 @@
             ChangeOutcome::Recorded
         };
         if let Some((version, known)) = Ledger::known(leader, &claim) {
-            let own = (known.by, known.request) == (claim.by, claim.request);
+            let own = (known.claimant, known.request) == (claim.claimant, claim.request);
             let open = matches!(
                 known.state,
                 OperationState::Running | OperationState::Unknown
@@ -85,15 +85,15 @@
     fn put(leader: &mut PartitionLeader, claim: Claim, state: OperationState) -> u64 {
         let Claim {
             operation,
-            print,
-            by,
+            fingerprint: print,
+            claimant: by,
             request,
         } = claim;
         leader.put(
             operation,
             Value::Operation(Operation {
-                print,
-                by,
+                fingerprint: print,
+                claimant: by,
                 request,
                 state,
             }),
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -5,8 +5,8 @@
     let by = Peer::new(SocketAddr::from(([127, 0, 0, 1], 1)), 1);
     Claim {
         operation: "s/k".into(),
-        print: [print; 32],
-        by,
+        fingerprint: [print; 32],
+        claimant: by,
         request,
     }
 }
--- a/control-plane/src/operator_api.rs
+++ b/control-plane/src/operator_api.rs
@@ -26,17 +26,17 @@
         ("POST", "configuration/check") => answer_of(check_configuration(request)),
         ("POST", "purges") => answer_of(add_purge(port, request)),
         ("POST", "ledger/open") => answer_of(open_ledger(port, request)),
-        ("GET", "origins") => list(port, ORIGINS, &show_origins),
+        ("GET", "origins") => list(port, ORIGINS_PARTITION, &show_origins),
         ("PUT", "origins") => answer_of(put_origins(port, request)),
         ("GET", "items") => get_items(port),
         ("PATCH", "items") => answer_of(put_items(port, request)),
-        ("GET", "duties") => list(port, ASSIGNMENTS, &show_assignments),
+        ("GET", "duties") => list(port, ASSIGNMENTS_PARTITION, &show_assignments),
         ("GET", "state") => match port.ask(PATIENCE, &|id| Input::Operator {
             id,
-            ask: OperatorRequest::State,
+            request: OperatorRequest::State,
         }) {
             Some(Output::OperatorResponse {
-                answer: OperatorResponse::State(state),
+                response: OperatorResponse::State(state),
                 ..
             }) => json(200, &state),
             _ => refuse(&lost()),
@@ -99,7 +99,7 @@
 /// what is in force.
 fn no_majority() -> Rejection {
     let text = "this node is not in contact with a majority; ask another one";
-    Rejection::not_run(503, "no_majority", text).back(NO_MAJORITY_RETRY)
+    Rejection::not_run(503, "no_majority", text).with_retry_after(NO_MAJORITY_RETRY)
 }
 
 fn text_of(request: &rouille::Request) -> Result<String, rouille::Response> {
@@ -115,13 +115,13 @@
 fn ask(port: &Port, partition: u8, change: &Change) -> ChangeOutcome {
     match port.ask(PATIENCE, &|id| Input::Operator {
         id,
-        ask: OperatorRequest::Change {
+        request: OperatorRequest::Change {
             partition,
             change: change.clone(),
         },
     }) {
         Some(Output::OperatorResponse {
-            answer: OperatorResponse::ChangeOutcome(outcome),
+            response: OperatorResponse::ChangeOutcome(outcome),
             ..
         }) => outcome,
         _ => ChangeOutcome::Unknown,
@@ -175,7 +175,7 @@
 }
 
 fn get_configuration(port: &Port) -> rouille::Response {
-    match ask(port, CONFIGURATION, &Change::GetConfiguration) {
+    match ask(port, CONFIGURATION_PARTITION, &Change::GetConfiguration) {
         ChangeOutcome::Configuration { version: 0, .. } => refuse(&Rejection::not_run(
             404,
             "no_configuration",
@@ -207,7 +207,7 @@
         expect,
         change,
     };
-    Ok(acknowledged(ask(port, CONFIGURATION, &change)))
+    Ok(acknowledged(ask(port, CONFIGURATION_PARTITION, &change)))
 }
 
 /// The version that a change is made to replace, if it says so.
@@ -239,7 +239,7 @@
     }
     Ok(acknowledged(ask(
         port,
-        PURGES,
+        PURGES_PARTITION,
         &Change::AddPurge {
             purge,
             change: new_change_id()?,
@@ -270,7 +270,7 @@
     })?;
     Ok(acknowledged(ask(
         port,
-        ASSIGNMENTS,
+        ASSIGNMENTS_PARTITION,
         &Change::OpenLedger { generation },
     )))
 }
@@ -321,7 +321,7 @@
         change,
         acknowledge: Acknowledge::Settled,
     };
-    Ok(acknowledged(ask(port, ORIGINS, &change)))
+    Ok(acknowledged(ask(port, ORIGINS_PARTITION, &change)))
 }
 
 /// An item as operators send it.
@@ -382,7 +382,7 @@
     let items = items_of(&text_of(request)?).map_err(|found| invalid(&found))?;
     Ok(acknowledged(ask(
         port,
-        CONFIGURATION,
+        CONFIGURATION_PARTITION,
         &Change::PutItems { items },
     )))
 }
@@ -402,7 +402,7 @@
         version: u64,
         items: Vec<PublishedState>,
     }
-    let (version, rows) = match ask(port, CONFIGURATION, &Change::List) {
+    let (version, rows) = match ask(port, CONFIGURATION_PARTITION, &Change::List) {
         ChangeOutcome::Rows { version, rows } => (version, rows),
         other => return unanswered(&other),
     };
@@ -483,7 +483,7 @@
         .into_iter()
         .filter_map(|(assignment, row)| match row.value {
             Value::Assignment(known) => {
-                let holder = known.holder.map(|peer| peer.address.to_string());
+                let holder = known.owner.map(|peer| peer.address.to_string());
                 Some(serde_json::json!({ "duty": assignment, "epoch": known.epoch, "holder": holder }))
             }
             _ => None,
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -226,9 +226,9 @@
         if copy.busy.is_some_and(|(round, _)| round == kept.round) {
             copy.busy = None;
         }
-        copy.to = Some(copy.to.unwrap_or(0).max(kept.to));
+        copy.to = Some(copy.to.unwrap_or(0).max(kept.synced_version));
         copy.round = copy.round.max(kept.round);
-        copy.clear = copy.clear.max(kept.clear.unwrap_or(0));
+        copy.clear = copy.clear.max(kept.sessions_confirmed.unwrap_or(0));
         let committed = self.committed();
         self.published = self.published.max(committed);
     }
@@ -307,7 +307,7 @@
                             partition,
                             epoch,
                             membership_version,
-                            held: self.own.id(),
+                            requester_state: self.own.id(),
                         }
                         .into(),
                     )
@@ -346,11 +346,11 @@
                 epoch: self.epoch,
                 membership_version: self.membership_version,
                 round: self.round,
-                whole,
-                from,
-                to: self.version,
+                full_state: whole,
+                after_version: from,
+                to_version: self.version,
                 rows: newer.map(|(key, row)| (key.clone(), row.clone())).collect(),
-                drops: if whole {
+                removed_keys: if whole {
                     vec![]
                 } else {
                     self.drops
@@ -441,7 +441,7 @@
                 value:
                     Value::EdgeRegistry {
                         members,
-                        gone,
+                        departed: gone,
                         complete,
                     },
                 ..
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -4,7 +4,7 @@
 const ZERO: Duration = Duration::ZERO;
 
 fn active() -> PartitionLeader {
-    let mut leader = PartitionLeader::new(PURGES, 3, 3, 0);
+    let mut leader = PartitionLeader::new(PURGES_PARTITION, 3, 3, 0);
     leader.raised(ZERO, 0, PreparedState::Newer(PartitionState::default()));
     leader.raised(ZERO, 1, PreparedState::Newer(PartitionState::default()));
     leader
@@ -22,12 +22,12 @@
 
 fn kept(round: u64, to: u64, clear: u64) -> AppendReply {
     AppendReply {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 3,
         round,
-        to,
-        clear: Some(clear),
-        retired: vec![],
+        synced_version: to,
+        sessions_confirmed: Some(clear),
+        retired_incarnations: vec![],
     }
 }
 
@@ -49,7 +49,7 @@
             rows,
         }
     };
-    let mut leader = PartitionLeader::new(PURGES, 9, 3, 0);
+    let mut leader = PartitionLeader::new(PURGES_PARTITION, 9, 3, 0);
     leader.raised(ZERO, 2, PreparedState::Newer(image(5, 4)));
     assert!(leader.active_since.is_none(), "one promise is no majority");
     leader.raised(ZERO, 0, PreparedState::Newer(image(6, 2)));
@@ -59,7 +59,7 @@
 
 #[test]
 fn promises_are_asked_for_again_only_when_an_image_has_had_time_to_come() {
-    let mut leader = PartitionLeader::new(PURGES, 3, 3, 0);
+    let mut leader = PartitionLeader::new(PURGES_PARTITION, 3, 3, 0);
     let said: Vec<usize> = (0..10)
         .map(|tick| leader.flush(Duration::from_millis(tick * 100), true).len())
         .collect();
@@ -134,7 +134,7 @@
 #[test]
 fn of_four_three_must_hold_it_and_of_eight_five() {
     for (slots, most) in [(4, 3), (5, 3), (8, 5)] {
-        let mut leader = PartitionLeader::new(PURGES, 3, slots, 0);
+        let mut leader = PartitionLeader::new(PURGES_PARTITION, 3, slots, 0);
         for slot in 0..most {
             assert!(leader.active_since.is_none(), "{slot} of {slots} promised");
             leader.raised(ZERO, slot, PreparedState::Newer(PartitionState::default()));
@@ -189,5 +189,8 @@
     let [(0, Message::AppendRequest(keep))] = out.as_slice() else {
         panic!("{out:?}")
     };
-    assert_eq!((keep.rows.len(), keep.from, keep.to), (20, 0, 20));
+    assert_eq!(
+        (keep.rows.len(), keep.after_version, keep.to_version),
+        (20, 0, 20)
+    );
 }
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -143,17 +143,17 @@
                 for one in held {
                     let partition = &mut self.partitions[usize::from(one.partition)];
                     partition.promised = partition.promised.max(one.promised);
-                    partition.image = one.image.clone();
-                    partition.shown = one.shown.clone();
+                    partition.image = one.state.clone();
+                    partition.shown = one.published_rows.clone();
                     partition.tail.clear();
                     if one.partition < PUBLISHED_PARTITIONS {
                         let rows = one
-                            .image
+                            .state
                             .rows
                             .iter()
                             .map(|(key, row)| (key.clone(), row.clone()))
                             .collect();
-                        partition.tail.push_back((one.image.version, rows));
+                        partition.tail.push_back((one.state.version, rows));
                     }
                 }
                 self.lost = if *lost { self.generation() } else { 0 };
@@ -165,8 +165,8 @@
         let one = |(at, held): (usize, &ReplicaPartition)| PartitionSnapshot {
             partition: at as u8,
             promised: held.promised,
-            image: held.image.clone(),
-            shown: held.shown.clone(),
+            state: held.image.clone(),
+            published_rows: held.shown.clone(),
         };
         self.partitions.iter().enumerate().map(one).collect()
     }
@@ -189,7 +189,7 @@
 
     /// The generation, as far as this replica may show it; 0 before the founding.
     pub fn generation(&self) -> u64 {
-        match self.held(CONFIGURATION).shown.get("founded") {
+        match self.held(CONFIGURATION_PARTITION).shown.get("founded") {
             Some(Row {
                 value: Value::Founded { generation },
                 ..
@@ -200,7 +200,7 @@
 
     /// The generation whose ledger was told to be complete.
     pub fn opened(&self) -> u64 {
-        match self.held(ASSIGNMENTS).shown.get("opened") {
+        match self.held(ASSIGNMENTS_PARTITION).shown.get("opened") {
             Some(Row {
                 value: Value::Opened { generation },
                 ..
@@ -211,7 +211,7 @@
 
     /// Whether an edge may claim operations: its loss would be noticed.
     pub fn enrolled(&self, peer: &Peer) -> bool {
-        matches!(self.held(ASSIGNMENTS).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
+        matches!(self.held(ASSIGNMENTS_PARTITION).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
     }
 
     /// Who holds the slots by the newest table known here, if any is.
@@ -227,7 +227,7 @@
 
     /// Who holds the slots as edges are shown it here, if there is such a row.
     pub fn members(&self) -> Option<(u64, Vec<Peer>)> {
-        self.held(MEMBERSHIP)
+        self.held(MEMBERSHIP_PARTITION)
             .shown
             .values()
             .find_map(|row| match &row.value {
@@ -238,7 +238,7 @@
 
     /// The configuration as far as this replica may show it.
     pub fn configuration(&self) -> Option<(u64, Arc<str>)> {
-        self.held(CONFIGURATION)
+        self.held(CONFIGURATION_PARTITION)
             .shown
             .values()
             .find_map(|row| match &row.value {
@@ -251,12 +251,12 @@
 impl ReplicaPartition {
     /// Whether `keep` can be taken as it is; the epoch was checked before.
     pub fn fits(&self, keep: &AppendRequest) -> bool {
-        let same_epoch = self.image.epoch == keep.epoch && self.image.version >= keep.from;
+        let same_epoch = self.image.epoch == keep.epoch && self.image.version >= keep.after_version;
         let base = keep.base.as_ref().map(|base| StateId {
             epoch: base.epoch,
-            version: keep.from,
+            version: keep.after_version,
         });
-        keep.whole || same_epoch || base == Some(self.image.id())
+        keep.full_state || same_epoch || base == Some(self.image.id())
     }
 
     /// What is told with a promise to one who holds `held`. States of the ledger
@@ -273,7 +273,7 @@
 
     fn keep(&mut self, keep: &AppendRequest) {
         self.promised = self.promised.max(keep.epoch);
-        if keep.whole {
+        if keep.full_state {
             self.image.rows.clear();
             self.image.version = 0;
             self.tail.clear();
@@ -289,17 +289,19 @@
                 self.image.rows.insert(key.clone(), row.clone());
             }
         }
-        for key in &keep.drops {
+        for key in &keep.removed_keys {
             self.image.rows.remove(key);
         }
         if let Some(keys) = keep.base.as_ref().and_then(|base| base.keys.as_ref()) {
             let keys: HashSet<&String> = keys.iter().collect();
             self.image.rows.retain(|key, _| keys.contains(key));
         }
-        if keep.partition < PUBLISHED_PARTITIONS && (keep.whole || keep.to > self.image.version) {
-            self.tail.push_back((keep.to, keep.rows.clone()));
+        if keep.partition < PUBLISHED_PARTITIONS
+            && (keep.full_state || keep.to_version > self.image.version)
+        {
+            self.tail.push_back((keep.to_version, keep.rows.clone()));
         }
-        self.image.version = self.image.version.max(keep.to);
+        self.image.version = self.image.version.max(keep.to_version);
         if keep.partition < PUBLISHED_PARTITIONS {
             self.publish(keep.published);
         } else {
@@ -315,7 +317,7 @@
             self.tail.pop_front_if(|(version, _)| *version <= published)
         {
             for (key, row) in rows {
-                if !row.value.for_edges() {
+                if !row.value.visible_to_edges() {
                     continue;
                 }
                 if self
--- a/control-plane/src/replica/tests.rs
+++ b/control-plane/src/replica/tests.rs
@@ -12,15 +12,15 @@
     };
     let rows = vec![("k".to_string(), row)];
     AppendRequest {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 3,
         membership_version: 0,
         round: 1,
-        whole: from == 0,
-        from,
-        to,
+        full_state: from == 0,
+        after_version: from,
+        to_version: to,
         rows,
-        drops: vec![],
+        removed_keys: vec![],
         published,
         base: None,
     }
@@ -71,7 +71,7 @@
     let records = [
         Record::Incarnation { incarnation: 9 },
         Record::Promise {
-            partition: PURGES,
+            partition: PURGES_PARTITION,
             epoch: 3,
         },
         Record::Appended {
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -92,7 +92,7 @@
         if refilled.round != self.round || refilled.slot == self.slot {
             return None;
         }
-        let full = refilled.full && refilled.lost == 0;
+        let full = refilled.full && refilled.lost_generation == 0;
         // Else its edges may still go by the earlier table.
         let whole = full && refilled.membership_version >= self.membership_version;
         self.got.insert(
@@ -100,7 +100,7 @@
             Got {
                 full,
                 whole,
-                held: refilled.held,
+                held: refilled.partitions,
             },
         );
         let enough = self.got.values().filter(|got| got.whole).count() >= self.quorum.rest();
@@ -120,19 +120,19 @@
                 continue;
             }
             for (mine, other) in merged.iter_mut().zip(held) {
-                let published = mine.image.published.max(other.image.published);
+                let published = mine.state.published.max(other.state.published);
                 mine.promised = mine.promised.max(other.promised);
-                if other.image.published > mine.image.published {
-                    mine.shown = other.shown;
+                if other.state.published > mine.state.published {
+                    mine.published_rows = other.published_rows;
                 }
-                if (other.image.epoch, other.image.version) > (mine.image.epoch, mine.image.version)
+                if (other.state.epoch, other.state.version) > (mine.state.epoch, mine.state.version)
                 {
-                    mine.image = other.image;
+                    mine.state = other.state;
                 }
-                mine.image.published = published;
+                mine.state.published = published;
             }
         }
-        let lost = !enough && merged.iter().any(|one| one.image.version > 0);
+        let lost = !enough && merged.iter().any(|one| one.state.version > 0);
         Some(Merged { held: merged, lost })
     }
 }
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -7,13 +7,13 @@
         vec![PartitionSnapshot {
             partition: 0,
             promised,
-            image: PartitionState {
+            state: PartitionState {
                 epoch,
                 version,
                 published: version,
                 rows: BTreeMap::new(),
             },
-            shown: BTreeMap::new(),
+            published_rows: BTreeMap::new(),
         }]
     };
     let mut recovery = ReplicaRecovery::new(1, 3, 0);
@@ -21,12 +21,12 @@
         recovery
             .heard(SnapshotReply {
                 slot: 0,
-                asker: 1,
+                requester_incarnation: 1,
                 round: 0,
                 full: true,
-                lost: 0,
+                lost_generation: 0,
                 membership_version: 0,
-                held: held(1, 1, 90)
+                partitions: held(1, 1, 90)
             })
             .is_none()
     );
@@ -34,12 +34,12 @@
         recovery
             .heard(SnapshotReply {
                 slot: 0,
-                asker: 1,
+                requester_incarnation: 1,
                 round: 0,
                 full: true,
-                lost: 0,
+                lost_generation: 0,
                 membership_version: 0,
-                held: held(1, 1, 90)
+                partitions: held(1, 1, 90)
             })
             .is_none()
     );
@@ -47,12 +47,12 @@
         recovery
             .heard(SnapshotReply {
                 slot: 2,
-                asker: 1,
+                requester_incarnation: 1,
                 round: 0,
                 full: true,
-                lost: 0,
+                lost_generation: 0,
                 membership_version: 0,
-                held: held(1, 1, 90)
+                partitions: held(1, 1, 90)
             })
             .is_none()
     );
@@ -60,12 +60,12 @@
         recovery
             .heard(SnapshotReply {
                 slot: 2,
-                asker: 1,
+                requester_incarnation: 1,
                 round: 0,
                 full: true,
-                lost: 0,
+                lost_generation: 0,
                 membership_version: 0,
-                held: held(1, 1, 90)
+                partitions: held(1, 1, 90)
             })
             .is_none(),
         "late first round"
@@ -74,24 +74,24 @@
         recovery
             .heard(SnapshotReply {
                 slot: 0,
-                asker: 1,
+                requester_incarnation: 1,
                 round: 1,
                 full: true,
-                lost: 0,
+                lost_generation: 0,
                 membership_version: 0,
-                held: held(9, 3, 5)
+                partitions: held(9, 3, 5)
             })
             .is_none()
     );
     let merged = recovery
         .heard(SnapshotReply {
             slot: 2,
-            asker: 1,
+            requester_incarnation: 1,
             round: 1,
             full: true,
-            lost: 0,
+            lost_generation: 0,
             membership_version: 0,
-            held: held(7, 4, 2),
+            partitions: held(7, 4, 2),
         })
         .unwrap();
     assert!(!merged.lost);
@@ -99,8 +99,8 @@
     assert_eq!(
         (
             merged[0].promised,
-            merged[0].image.epoch,
-            merged[0].image.version
+            merged[0].state.epoch,
+            merged[0].state.version
         ),
         (9, 4, 2)
     );
@@ -116,17 +116,17 @@
     let held = vec![PartitionSnapshot {
         partition: 0,
         promised: 1,
-        image,
-        shown: BTreeMap::new(),
+        state: image,
+        published_rows: BTreeMap::new(),
     }];
     SnapshotReply {
         slot,
-        asker: 1,
+        requester_incarnation: 1,
         round,
         full,
-        lost: 0,
+        lost_generation: 0,
         membership_version: 5,
-        held,
+        partitions: held,
     }
 }
 
@@ -160,7 +160,7 @@
     assert!(recovery.heard(told(1, 1, false, 0)).is_none());
     assert!(recovery.heard(told(2, 1, true, 7)).is_none());
     let merged = recovery.heard(told(0, 1, true, 9)).unwrap();
-    assert!(!merged.lost && merged.held[0].image.version == 9);
+    assert!(!merged.lost && merged.held[0].state.version == 9);
 }
 
 #[test]
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -5,7 +5,7 @@
 
 /// The sessions standing at this control node, and those the others told of.
 /// Invariants:
-/// - A session is counted for `lease::CONTROL` after the last renewal was heard;
+/// - A session is counted for `lease::SESSION_LEASE` after the last renewal was heard;
 ///   the edge relied on it for less, counted from sending.
 /// - A table told by another is, in all that decisions hang on, the one that it
 ///   had when it said so: differences are taken only if the sum is its sum. What
@@ -134,7 +134,7 @@
             return true;
         };
         let read = now >= known.changed + READ
-            && (known.seen.usage != seen.usage || known.seen.found != seen.found);
+            && (known.seen.usage != seen.usage || known.seen.origin_health != seen.origin_health);
         if sum != known.sum || read {
             self.at += 1;
             self.sum ^= known.sum ^ sum;
@@ -173,7 +173,7 @@
         let lapsed: Vec<Peer> = self
             .mine
             .iter()
-            .filter(|(_, standing)| now >= standing.heard + lease::CONTROL)
+            .filter(|(_, standing)| now >= standing.heard + lease::SESSION_LEASE)
             .map(|(peer, _)| *peer)
             .collect();
         for peer in &lapsed {
@@ -206,7 +206,7 @@
                 .map(|(peer, one)| {
                     (
                         one.seen
-                            .vector
+                            .version_vector
                             .get(usize::from(partition))
                             .copied()
                             .unwrap_or(0),
@@ -217,10 +217,10 @@
         });
         SessionsDelta {
             from,
-            at: self.at,
-            sum: self.sum,
-            put,
-            gone: went.collect(),
+            to: self.at,
+            checksum: self.sum,
+            upserted: put,
+            removed: went.collect(),
             newest: newest.collect(),
         }
     }
@@ -241,13 +241,13 @@
                 .map_or(0, SessionInfo::sum)
         };
         since
-            .put
+            .upserted
             .iter()
             .for_each(|seen| sum ^= known(&seen.peer) ^ seen.sum());
-        since.gone.iter().for_each(|peer| sum ^= known(peer));
-        if sum != since.sum || since.from > table.at {
+        since.removed.iter().for_each(|peer| sum ^= known(peer));
+        if sum != since.checksum || since.from > table.at {
             // Late, or of another run: what stands is not what it has.
-            if since.at >= table.at || since.from == 0 {
+            if since.to >= table.at || since.from == 0 {
                 table.at = 0;
             }
             return;
@@ -255,28 +255,31 @@
         if since.from == 0 {
             table.seen.clear();
         }
-        since.gone.iter().for_each(|peer| {
+        since.removed.iter().for_each(|peer| {
             table.seen.remove(peer);
         });
         table
             .seen
-            .extend(since.put.into_iter().map(|seen| (seen.peer, seen)));
-        (table.heard, table.at, table.sum, table.newest) = (now, since.at, sum, since.newest);
+            .extend(since.upserted.into_iter().map(|seen| (seen.peer, seen)));
+        (table.heard, table.at, table.sum, table.newest) = (now, since.to, sum, since.newest);
     }
 
     /// After a start, sessions renewed before it may still stand: not known
     /// until they would have lapsed or been renewed.
     pub fn known(&self, now: Duration) -> bool {
         self.began
-            .is_some_and(|began| now >= began + lease::CONTROL)
+            .is_some_and(|began| now >= began + lease::SESSION_LEASE)
     }
 
     /// The version of a partition that every session standing here has confirmed.
     pub fn clear(&self, now: Duration, partition: u8, published: u64) -> Option<u64> {
-        let confirmed = self
-            .mine
-            .values()
-            .filter_map(|standing| standing.seen.vector.get(usize::from(partition)).copied());
+        let confirmed = self.mine.values().filter_map(|standing| {
+            standing
+                .seen
+                .version_vector
+                .get(usize::from(partition))
+                .copied()
+        });
         self.known(now)
             .then(|| confirmed.min().unwrap_or(published).min(published))
     }
@@ -294,7 +297,7 @@
         let has = |seen: &SessionInfo| {
             seen.generation == generation
                 && seen
-                    .vector
+                    .version_vector
                     .get(usize::from(partition))
                     .is_some_and(|known| *known >= version)
         };
@@ -305,14 +308,14 @@
             .collect()
     }
 
-    /// Tables of sessions not older than `lease::CONTROL_PEER`, ours included.
+    /// Tables of sessions not older than `lease::CONTROL_PEER_TIMEOUT`, ours included.
     fn tables(&self, now: Duration) -> Vec<Vec<&SessionInfo>> {
         let mut tables = Vec::new();
         if self.known(now) {
             tables.push(self.mine.values().map(|one| &one.seen).collect());
         }
         for table in self.told.values() {
-            if now < table.heard + lease::CONTROL_PEER {
+            if now < table.heard + lease::CONTROL_PEER_TIMEOUT {
                 tables.push(table.seen.values().collect());
             }
         }
@@ -348,10 +351,9 @@
     /// Who confirmed more of updates partition than this version: here all, of others'
     /// tables the one that confirmed most.
     pub fn beyond(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
-        let mine = self
-            .mine
-            .iter()
-            .filter_map(|(peer, one)| Some((*one.seen.vector.get(usize::from(partition))?, *peer)));
+        let mine = self.mine.iter().filter_map(|(peer, one)| {
+            Some((*one.seen.version_vector.get(usize::from(partition))?, *peer))
+        });
         let told = self
             .told
             .values()
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -7,13 +7,13 @@
         peer,
         zone: "z".into(),
         ring: String::new(),
-        strength: 1,
+        weight: 1,
         draining: false,
         generation: 0,
-        recalled: true,
-        vector: vec![version; 4],
+        recall_complete: true,
+        version_vector: vec![version; 4],
         usage: Usage::default(),
-        found: vec![],
+        origin_health: vec![],
     }
 }
 
@@ -25,15 +25,15 @@
     table.renew(at(1000), seen(1, 5), None);
     table.renew(at(1000), seen(2, 7), None);
     assert_eq!(
-        table.clear(at(700), PURGES, 7),
+        table.clear(at(700), PURGES_PARTITION, 7),
         None,
         "just started: earlier sessions may stand"
     );
-    assert_eq!(table.clear(at(1100), PURGES, 7), Some(5));
+    assert_eq!(table.clear(at(1100), PURGES_PARTITION, 7), Some(5));
     table.renew(at(1400), seen(2, 7), None);
     assert_eq!(table.tick(at(1799)).len(), 0);
     assert_eq!(table.tick(at(1800)), [seen(1, 5).peer]);
-    assert_eq!(table.clear(at(1800), PURGES, 7), Some(7));
+    assert_eq!(table.clear(at(1800), PURGES_PARTITION, 7), Some(7));
 }
 
 #[test]
@@ -86,9 +86,9 @@
 fn whole(put: Vec<SessionInfo>) -> SessionsDelta {
     let sum = put.iter().fold(0, |sum, seen| sum ^ seen.sum());
     SessionsDelta {
-        at: 1,
-        sum,
-        put,
+        to: 1,
+        checksum: sum,
+        upserted: put,
         ..SessionsDelta::default()
     }
 }
@@ -150,7 +150,7 @@
                 .values()
                 .map(|seen| (seen.peer, seen.draining))
                 .collect();
-            assert!(had[&late.sum].contains(&told), "step {step}");
+            assert!(had[&late.checksum].contains(&told), "step {step}");
         }
     }
     assert!(fitted > 3000, "{fitted} beats fitted");
@@ -161,23 +161,26 @@
     let at = Duration::from_millis;
     let mut table = Sessions::default();
     (1..=100).for_each(|port| assert!(table.renew(at(0), seen(port, 1), None)));
-    let got = table.since(0).at;
+    let got = table.since(0).to;
     assert_eq!(
-        (table.since(0).put.len(), table.since(got).put.len()),
+        (
+            table.since(0).upserted.len(),
+            table.since(got).upserted.len()
+        ),
         (100, 0)
     );
     // What was confirmed rises all the time, and who is newest is said.
     table.renew(at(200), seen(7, 2), None);
     let since = table.since(got);
     assert_eq!(
-        (since.put.len(), since.newest[0]),
+        (since.upserted.len(), since.newest[0]),
         (0, (2, seen(7, 2).peer))
     );
     table.renew(
         at(5000),
         SessionInfo {
             usage: Usage {
-                errands: 4,
+                requests: 4,
                 ..Usage::default()
             },
             ..seen(7, 2)
@@ -186,7 +189,10 @@
     );
     table.leave(seen(8, 1).peer);
     let since = table.since(got);
-    assert_eq!((since.put.len(), since.gone), (1, vec![seen(8, 1).peer]));
+    assert_eq!(
+        (since.upserted.len(), since.removed),
+        (1, vec![seen(8, 1).peer])
+    );
 }
 
 #[test]
--- a/control-plane/src/update_replies/tests.rs
+++ b/control-plane/src/update_replies/tests.rs
@@ -10,7 +10,7 @@
 
 /// Publishes so many rows more of the purges.
 fn publish(replica: &mut Replica, count: u64) {
-    let from = replica.held(PURGES).image.version;
+    let from = replica.held(PURGES_PARTITION).image.version;
     let to = from + count;
     let row = |version: u64| {
         let prefix = Some(format!("/{version:0100}"));
@@ -25,15 +25,15 @@
         (format!("purge/{version}"), Row { version, value })
     };
     let keep = AppendRequest {
-        partition: PURGES,
+        partition: PURGES_PARTITION,
         epoch: 1,
         membership_version: 0,
         round: to,
-        whole: from == 0,
-        from,
-        to,
+        full_state: from == 0,
+        after_version: from,
+        to_version: to,
         rows: (from + 1..=to).map(row).collect(),
-        drops: vec![],
+        removed_keys: vec![],
         published: to,
         base: None,
     };
@@ -79,8 +79,10 @@
     told(&mut replies, 0, edge(1), 0, &replica);
     let mut other = Replica::blank(2);
     publish(&mut other, 3);
-    other.partitions[usize::from(PURGES)].image.epoch = 2;
-    other.partitions[usize::from(PURGES)].shown.clear();
+    other.partitions[usize::from(PURGES_PARTITION)].image.epoch = 2;
+    other.partitions[usize::from(PURGES_PARTITION)]
+        .shown
+        .clear();
     told(&mut replies, 0, edge(1), 0, &other);
 }
 
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -104,7 +104,7 @@
         let state = self.state(0);
         let generation = state["ledger"]["realm"].as_str().expect("a text");
         let generation = u64::from_str_radix(generation, 16).expect("a realm");
-        let at = self.ask(0, ASSIGNMENTS, Change::OpenLedger { generation });
+        let at = self.ask(0, ASSIGNMENTS_PARTITION, Change::OpenLedger { generation });
         self.run(Duration::from_secs(2));
         let answer = &self.calls[at].answer;
         let opened = matches!(answer, Some((_, ChangeOutcome::Acknowledged { .. })));
@@ -234,7 +234,7 @@
 
     fn step(&mut self, node: usize, input: Input) {
         let from = self.nodes[node].part.me();
-        for output in self.nodes[node].part.step(self.now, input) {
+        for output in self.nodes[node].part.handle(self.now, input) {
             match output {
                 Output::Send { to, message } => self.deliver(node, from, to, message),
                 Output::Store { .. } | Output::StoreSnapshot { .. } if self.nodes[node].full => {
@@ -245,7 +245,7 @@
                 }
                 Output::OperatorResponse {
                     id,
-                    answer: OperatorResponse::ChangeOutcome(outcome),
+                    response: OperatorResponse::ChangeOutcome(outcome),
                 } => self.calls[id as usize - 1].answer = Some((self.now, outcome)),
                 Output::Log {
                     event: Event::PartitionAcquired,
@@ -279,7 +279,7 @@
         });
         let id = self.calls.len() as u64;
         let ask = OperatorRequest::Change { partition, change };
-        self.step(node, Input::Operator { id, ask });
+        self.step(node, Input::Operator { id, request: ask });
         self.calls.len() - 1
     }
 
@@ -291,7 +291,7 @@
         change: Change,
         span: Duration,
     ) -> (Duration, ChangeOutcome) {
-        let at = self.ask(node, CONFIGURATION, change);
+        let at = self.ask(node, CONFIGURATION_PARTITION, change);
         let answered = self.run_while_not(span, |cluster| cluster.calls[at].answer.is_some());
         assert!(answered, "no answer at node {node} within {span:?}");
         let (when, outcome) = self.calls[at].answer.clone().expect("just seen");
@@ -301,12 +301,16 @@
     /// What a node tells of itself.
     pub fn state(&mut self, node: usize) -> serde_json::Value {
         let ask = OperatorRequest::State;
-        let outputs = self.nodes[node]
-            .part
-            .step(self.now, Input::Operator { id: 0, ask });
+        let outputs = self.nodes[node].part.handle(
+            self.now,
+            Input::Operator {
+                id: 0,
+                request: ask,
+            },
+        );
         let told = outputs.into_iter().find_map(|output| match output {
             Output::OperatorResponse {
-                answer: OperatorResponse::State(state),
+                response: OperatorResponse::State(state),
                 ..
             } => Some(state),
             _ => None,
--- a/control-plane/tests/faults/cut_off.rs
+++ b/control-plane/tests/faults/cut_off.rs
@@ -30,7 +30,7 @@
 fn a_node_that_is_cut_off_answers_at_once_that_it_cannot_know() {
     for size in [3, 4, 5, 8] {
         let mut cluster = Cluster::start(size);
-        let leader = cluster.leader(CONFIGURATION);
+        let leader = cluster.leader(CONFIGURATION_PARTITION);
         let other = cluster.others(leader)[0];
         for node in [leader, other] {
             cluster.isolate(node);
@@ -57,7 +57,7 @@
 fn a_call_that_meets_the_cut_is_neither_confirmed_nor_refused() {
     for size in [3, 5] {
         let mut cluster = Cluster::start(size);
-        let leader = cluster.leader(CONFIGURATION);
+        let leader = cluster.leader(CONFIGURATION_PARTITION);
         for node in [leader, cluster.others(leader)[0]] {
             for change in asks(1) {
                 cluster.isolate(node);
@@ -77,7 +77,7 @@
     for size in [3, 4, 5, 8] {
         let mut cluster = Cluster::start(size);
         for round in 1..=3 {
-            let leader = cluster.leader(CONFIGURATION);
+            let leader = cluster.leader(CONFIGURATION_PARTITION);
             let other = cluster.others(leader)[0];
             cluster.isolate(leader);
             let (took, outcome) = cluster.answer(other, put_group("s", round), PATIENCE);
@@ -103,7 +103,7 @@
 fn an_old_leader_does_not_refuse_for_what_it_missed() {
     for size in [3, 4, 5] {
         let mut cluster = Cluster::start(size);
-        let leader = cluster.leader(CONFIGURATION);
+        let leader = cluster.leader(CONFIGURATION_PARTITION);
         let other = cluster.others(leader)[0];
         cluster.isolate(leader);
         let (_, outcome) = cluster.answer(other, put_group("new", 1), PATIENCE);
@@ -122,7 +122,7 @@
     for size in [3, 4, 5, 8] {
         for deaf in [true, false] {
             let mut cluster = Cluster::start(size);
-            let leader = cluster.leader(CONFIGURATION);
+            let leader = cluster.leader(CONFIGURATION_PARTITION);
             for other in cluster.others(leader) {
                 match deaf {
                     true => cluster.cut(other, leader),
@@ -151,7 +151,7 @@
 fn a_node_cut_from_the_leader_alone_forwards_and_nobody_takes_over() {
     for size in [3, 4, 5, 8] {
         let mut cluster = Cluster::start(size);
-        let leader = cluster.leader(CONFIGURATION);
+        let leader = cluster.leader(CONFIGURATION_PARTITION);
         let other = cluster.others(leader)[0];
         cluster.cut_both_ways(leader, other);
         let takeovers = cluster.takeovers;
@@ -170,7 +170,7 @@
 fn restarts_of_either_side_during_the_cut_change_nothing() {
     for restarted_is_cut_off in [true, false] {
         let mut cluster = Cluster::start(3);
-        let leader = cluster.leader(CONFIGURATION);
+        let leader = cluster.leader(CONFIGURATION_PARTITION);
         let others = cluster.others(leader);
         let (_, outcome) = cluster.answer(leader, put_group("s", 1), PATIENCE);
         assert!(settled(&outcome));
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -16,17 +16,17 @@
 fn heartbeat() -> Input {
     let everybody: SlotSet = (0..MAX_SLOTS as u8).collect();
     let heartbeat = Heartbeat {
-        hears: everybody,
-        contacts: everybody,
-        vouched: SlotSet::default(),
+        heard_slots: everybody,
+        mutual_contacts: everybody,
+        leader_candidates: SlotSet::default(),
         slot: 1,
         full: true,
         blank: false,
         membership_version: 0,
-        closed: Duration::ZERO,
-        lost: 0,
-        got: 0,
-        seen: None,
+        ledger_closed_for: Duration::ZERO,
+        lost_generation: 0,
+        acknowledged_sessions: 0,
+        sessions: None,
     };
     Input::MessageReceived {
         from: Peer::new(address(1), 11),
@@ -54,8 +54,8 @@
         ..Replica::blank(1)
     };
     let mut part = start(full.clone());
-    part.step(now, heartbeat());
-    let outputs = part.step(now, Input::Tick);
+    part.handle(now, heartbeat());
+    let outputs = part.handle(now, Input::Tick);
     assert!(requests(&outputs).is_empty(), "nothing is synced yet");
     let mut replica = full;
     let mut last = 0;
@@ -65,19 +65,19 @@
             replica.apply(&bincode::deserialize::<Record>(&record).unwrap());
         }
     }
-    let asked = requests(&part.step(now, Input::Stored { serial: last }));
+    let asked = requests(&part.handle(now, Input::Stored { serial: last }));
     assert!(!asked.is_empty(), "some partitions are ours by weight");
 
     // The process ends before anybody's answer, and starts on what was synced.
     let mut part = start(replica);
-    part.step(now, heartbeat());
-    let outputs = part.step(now, Input::Tick);
+    part.handle(now, heartbeat());
+    let outputs = part.handle(now, Input::Tick);
     let stored = outputs.iter().filter_map(|output| match output {
         Output::Store { serial, .. } => Some(*serial),
         _ => None,
     });
     let serial = stored.max().expect("promises are stored");
-    let again = requests(&part.step(now, Input::Stored { serial }));
+    let again = requests(&part.handle(now, Input::Stored { serial }));
     for (partition, epoch) in again {
         let earlier = asked.iter().filter(|(other, _)| *other == partition);
         assert!(earlier.map(|(_, epoch)| *epoch).all(|known| known < epoch));
--- a/control-plane/tests/recovery_answers.rs
+++ b/control-plane/tests/recovery_answers.rs
@@ -15,7 +15,7 @@
     let mut inputs = VecDeque::from([input]);
     let mut all = Vec::new();
     while let Some(input) = inputs.pop_front() {
-        for output in part.step(Duration::from_millis(ms), input) {
+        for output in part.handle(Duration::from_millis(ms), input) {
             if let Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } = &output {
                 inputs.push_back(Input::Stored { serial: *serial });
             }
@@ -31,12 +31,12 @@
     for slot in [1, 2] {
         let reply = SnapshotReply {
             slot: slot as u8,
-            asker,
+            requester_incarnation: asker,
             round,
             full: true,
-            lost: 0,
+            lost_generation: 0,
             membership_version: 0,
-            held: Replica::blank(1).copy_out(),
+            partitions: Replica::blank(1).copy_out(),
         };
         let input = Input::MessageReceived {
             from: Peer::new(address(slot), 50 + u64::from(slot)),
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -116,7 +116,7 @@
 fn replacing(without: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, without)
         .acquainted()
-        .established(&[(0, MEMBERSHIP), (1, LEDGER)])
+        .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
         .with(Budget {
             elections: vec![(3, LEDGER)],
             writes: vec![(1, LEDGER)],
@@ -129,7 +129,7 @@
 fn newcomer_leads(without: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, without)
         .acquainted()
-        .established(&[(0, MEMBERSHIP), (1, LEDGER)])
+        .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
         .written(1, LEDGER, &[0])
         .replaced(0, &[1])
         .with(Budget {
@@ -157,7 +157,7 @@
 fn leading_by_an_old_table(without: Option<Safeguard>) -> Cluster {
     Cluster::new(5, without)
         .established(&[(4, LEDGER)])
-        .established_without((0, MEMBERSHIP), 1)
+        .established_without((0, MEMBERSHIP_PARTITION), 1)
         .replaced(0, &[1, 4])
         .cut(&[(4, 2), (4, 3), (4, 5), (1, 0), (1, 2), (1, 3), (1, 5)])
         .with(Budget {
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -253,7 +253,7 @@
             }
         }
         for node in distinct(&budget.replacements) {
-            if self.leads(node, MEMBERSHIP) {
+            if self.leads(node, MEMBERSHIP_PARTITION) {
                 actions.push(Action::Replace { node });
             }
         }
@@ -310,7 +310,11 @@
                 let mut members = self.nodes[node].members.clone();
                 members[REPLACED_SLOT] = self.nodes[self.outsider()].me();
                 self.run(node, |node| {
-                    node.write(MEMBERSHIP, "places".into(), Value::Members(members))
+                    node.write(
+                        MEMBERSHIP_PARTITION,
+                        "places".into(),
+                        Value::Members(members),
+                    )
                 });
             }
             Action::Seat { from } => {
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -279,10 +279,7 @@
         let highest = self.replica.held(partition).promised;
         let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(slot);
         if self.keeps(Safeguard::OwnPromiseFirst) {
-            self.store(&Record::Promise {
-                partition: partition,
-                epoch,
-            });
+            self.store(&Record::Promise { partition, epoch });
         }
         let leader = PartitionLeader::new(
             partition,
@@ -504,7 +501,7 @@
         let PrepareRequest {
             partition,
             epoch,
-            held,
+            requester_state: held,
             ..
         } = request;
         let promised = self.replica.held(partition).promised;
@@ -517,16 +514,20 @@
         let reply = PrepareReply {
             partition,
             epoch,
-            lost: 0,
-            retired: self.retired_incarnations(),
+            lost_generation: 0,
+            retired_incarnations: self.retired_incarnations(),
             state: self.replica.held(partition).promised_state(partition, held),
         };
         vec![self.envelope(from.address, reply)]
     }
 
     fn handle_append(&mut self, from: Peer, request: AppendRequest) -> Vec<Envelope> {
-        let (partition, epoch, round, to) =
-            (request.partition, request.epoch, request.round, request.to);
+        let (partition, epoch, round, to) = (
+            request.partition,
+            request.epoch,
+            request.round,
+            request.to_version,
+        );
         let held = self.replica.held(partition);
         if epoch < held.promised && self.keeps(Safeguard::PromiseCheckedOnAppend) {
             return vec![];
@@ -541,13 +542,13 @@
         }
         let current = held.image.epoch == epoch && held.promised == epoch;
         let is_held = current && held.image.version >= to;
-        if !is_held || request.whole && !self.keeps(Safeguard::OutdatedAppendIgnored) {
+        if !is_held || request.full_state && !self.keeps(Safeguard::OutdatedAppendIgnored) {
             self.store(&Record::Appended { keep: request });
         } else if request.published > held.image.published {
             let keep = AppendRequest {
-                whole: false,
+                full_state: false,
                 rows: vec![],
-                drops: vec![],
+                removed_keys: vec![],
                 base: None,
                 ..request
             };
@@ -557,15 +558,15 @@
             partition,
             epoch,
             round,
-            to,
-            clear: None,
-            retired: self.retired_incarnations(),
+            synced_version: to,
+            sessions_confirmed: None,
+            retired_incarnations: self.retired_incarnations(),
         };
         vec![self.envelope(from.address, reply)]
     }
 
     fn handle_promise(&mut self, slot: u8, reply: PrepareReply) -> Vec<Envelope> {
-        self.note_retired(&reply.retired);
+        self.note_retired(&reply.retired_incarnations);
         if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
@@ -580,7 +581,7 @@
     }
 
     fn handle_appended(&mut self, slot: u8, reply: AppendReply) -> Vec<Envelope> {
-        self.note_retired(&reply.retired);
+        self.note_retired(&reply.retired_incarnations);
         if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
@@ -591,20 +592,20 @@
 
     fn snapshot(&self, from: Peer, request: SnapshotRequest) -> Envelope {
         let counts = request.round > 0 || !self.keeps(Safeguard::SecondRecoveryRound);
-        let founding = self.replica.held(MEMBERSHIP).image.version == 0;
+        let founding = self.replica.held(MEMBERSHIP_PARTITION).image.version == 0;
         let shown = self.replica.members().map_or(0, |(version, _)| version);
         let reply = SnapshotReply {
-            asker: from.incarnation,
+            requester_incarnation: from.incarnation,
             slot: self.slot().expect("a member"),
             round: request.round,
             full: self.replica.full,
-            lost: 0,
+            lost_generation: 0,
             membership_version: if founding {
                 self.membership_version
             } else {
                 shown
             },
-            held: if counts {
+            partitions: if counts {
                 self.replica.copy_out()
             } else {
                 vec![]
@@ -614,7 +615,7 @@
     }
 
     fn handle_snapshot(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
-        if reply.asker != self.replica.incarnation {
+        if reply.requester_incarnation != self.replica.incarnation {
             return vec![];
         }
         if !self.keeps(Safeguard::SecondRecoveryRound) {
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -8,7 +8,7 @@
 use segment_log::SegmentLog;
 
 /// A ledger partition, and one that is shown to edges.
-const PARTITIONS: [u8; 2] = [PUBLISHED_PARTITIONS, PURGES];
+const PARTITIONS: [u8; 2] = [PUBLISHED_PARTITIONS, PURGES_PARTITION];
 
 fn row(version: u64) -> (String, Row) {
     let value = Value::Opened {
@@ -27,7 +27,7 @@
             partition,
             epoch,
             membership_version: 0,
-            held: StateId::default(),
+            requester_state: StateId::default(),
         };
         request.into()
     })
@@ -43,11 +43,11 @@
                 epoch,
                 membership_version: 0,
                 round: to,
-                whole,
-                from,
-                to,
+                full_state: whole,
+                after_version: from,
+                to_version: to,
                 rows: (from + 1..=to).map(row).collect(),
-                drops: vec![],
+                removed_keys: vec![],
                 published: published.min(to),
                 base: None,
             };
@@ -101,7 +101,7 @@
     let mut inputs = VecDeque::from([input]);
     let mut told = Vec::new();
     while let Some(input) = inputs.pop_front() {
-        for output in part.step(Duration::from_secs(1), input) {
+        for output in part.handle(Duration::from_secs(1), input) {
             match output {
                 Output::Send { message, .. } => told.push(message),
                 Output::Store { serial, .. } => inputs.push_back(Input::Stored { serial }),
@@ -117,11 +117,13 @@
     match message {
         Message::StaleEpoch(_) => None,
         Message::AppendReply(mut reply) => {
-            reply.clear = None;
+            reply.sessions_confirmed = None;
             Some(reply.into())
         }
         Message::SnapshotReply(mut reply) => {
-            reply.held.truncate(usize::from(PUBLISHED_PARTITIONS) + 1);
+            reply
+                .partitions
+                .truncate(usize::from(PUBLISHED_PARTITIONS) + 1);
             Some(reply.into())
         }
         other => Some(other),
@@ -134,7 +136,8 @@
         Message::PrepareReply(reply) => replica.held(reply.partition).promised >= reply.epoch,
         Message::AppendReply(reply) => {
             let image = &replica.held(reply.partition).image;
-            (image.epoch, image.version) >= (reply.epoch, reply.to) || image.epoch > reply.epoch
+            (image.epoch, image.version) >= (reply.epoch, reply.synced_version)
+                || image.epoch > reply.epoch
         }
         _ => true,
     }
@@ -323,7 +326,7 @@
         let mut log = vec![bincode::serialize(&start).unwrap()];
         let image_at = image_at.index(requests.len());
         for (at, (from, message)) in requests.into_iter().enumerate() {
-            let outputs = part.step(Duration::from_secs(1), heard(from, message));
+            let outputs = part.handle(Duration::from_secs(1), heard(from, message));
             let mut last = None;
             for output in outputs {
                 if let Output::Store { serial, record } = output {
@@ -339,7 +342,7 @@
                 log = vec![bincode::serialize(&image).unwrap()];
             }
             let Some(serial) = last else { continue };
-            for output in part.step(Duration::from_secs(1), Input::Stored { serial }) {
+            for output in part.handle(Duration::from_secs(1), Input::Stored { serial }) {
                 if let Output::Send { message, .. } = output {
                     prop_assert!(holds(&replica, &message), "{message:?}");
                 }
@@ -357,7 +360,7 @@
         let first = bincode::serialize(&Record::Image(Box::new(full_replica()))).unwrap();
         let mut log = vec![first.clone()];
         for (from, message) in requests {
-            for output in part.step(Duration::from_secs(1), heard(from, message)) {
+            for output in part.handle(Duration::from_secs(1), heard(from, message)) {
                 if let Output::Store { record, .. } = output {
                     log.push(record);
                 }
@@ -404,10 +407,10 @@
             let mut members = members();
             members[1] = Peer::new(address(10 + version as usize), 50 + version);
             let table = MembershipTable { version, members };
-            for output in part.step(Duration::from_secs(1), heard(2, table.into())) {
+            for output in part.handle(Duration::from_secs(1), heard(2, table.into())) {
                 if let Output::Store { serial, record } = output {
                     replica.apply(&bincode::deserialize(&record).unwrap());
-                    part.step(Duration::from_secs(1), Input::Stored { serial });
+                    part.handle(Duration::from_secs(1), Input::Stored { serial });
                 }
             }
             let mut again = member(replica.clone());
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -25,8 +25,8 @@
         ..Reply::default()
     };
     Value::Operation(Operation {
-        print: [0; 32],
-        by: Peer::new(SocketAddr::from(([127, 0, 0, 1], 9)), 1),
+        fingerprint: [0; 32],
+        claimant: Peer::new(SocketAddr::from(([127, 0, 0, 1], 9)), 1),
         request: version,
         state: OperationState::Done(Arc::new(reply)),
     })
@@ -54,13 +54,13 @@
                 replica.apply(&Record::Promise { partition, epoch });
                 let state = replica
                     .held(partition)
-                    .promised_state(partition, request.held);
+                    .promised_state(partition, request.requester_state);
                 bytes += bincode::serialized_size(&state).unwrap() as usize;
                 leader.raised(now, slot, state);
             }
             Message::AppendRequest(keep) => {
                 let (partition, epoch, round, to) =
-                    (keep.partition, keep.epoch, keep.round, keep.to);
+                    (keep.partition, keep.epoch, keep.round, keep.to_version);
                 if !replica.held(partition).fits(&keep) {
                     leader.forget(slot);
                     continue;
@@ -70,9 +70,9 @@
                     partition,
                     epoch,
                     round,
-                    to,
-                    clear: None,
-                    retired: vec![],
+                    synced_version: to,
+                    sessions_confirmed: None,
+                    retired_incarnations: vec![],
                 };
                 leader.kept(slot, &reply);
             }
@@ -211,12 +211,12 @@
     assert!(replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep));
     let image = &mut other[4].partitions[usize::from(PUBLISHED_PARTITIONS)].image;
     image.epoch += 1;
-    image.version = keep.from;
+    image.version = keep.after_version;
     assert!(
         !other[4].held(PUBLISHED_PARTITIONS).fits(&keep),
         "another epoch"
     );
-    image_version(&mut replicas[4], keep.from + 1);
+    image_version(&mut replicas[4], keep.after_version + 1);
     assert!(
         !replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep),
         "another version"
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -167,7 +167,7 @@
             .for_each(|at| at.room.rate = group.rate);
         let wanted: Vec<&Origin> = origins
             .iter()
-            .filter(|origin| origin.service == self.service && !origin.leaving)
+            .filter(|origin| origin.service == self.service && !origin.draining)
             .collect();
         self.origins
             .retain(|_, known| wanted.contains(&&known.origin));
@@ -189,7 +189,10 @@
 
     /// Whether an origin has shown who it is, where it must before it is called.
     fn shown(&self, now: Duration, at: &OriginAt) -> bool {
-        self.proof == Proof::Named || at.proof.is_some_and(|proof| now < proof + lease::PROOF)
+        self.proof == Proof::Named
+            || at
+                .proof
+                .is_some_and(|proof| now < proof + lease::ORIGIN_PROOF_VALIDITY)
     }
 
     fn under(&self, address: SocketAddr) -> usize {
@@ -270,14 +273,14 @@
         let PermitRequest {
             id,
             rank,
-            wait,
+            max_wait: wait,
             sent,
-            extra,
-            call,
-            aim,
+            is_retry: extra,
+            call_timeout: call,
+            latency_target: aim,
             zone,
             region,
-            avoid,
+            excluded_origins: avoid,
             ..
         } = request;
         if let Some(known) = self
@@ -399,8 +402,8 @@
 
     fn forget_old(&mut self, now: Duration) {
         for (list, span) in [
-            (&mut self.firsts, WINDOW - lease::PERMIT),
-            (&mut self.extras, WINDOW + lease::PERMIT),
+            (&mut self.firsts, WINDOW - lease::PERMIT_VALIDITY),
+            (&mut self.extras, WINDOW + lease::PERMIT_VALIDITY),
         ] {
             while list.front().is_some_and(|at| now >= *at + span) {
                 list.pop_front();
@@ -704,8 +707,10 @@
         for at in self.origins.values_mut() {
             let fresh = at
                 .proof
-                .is_some_and(|proof| now < proof + lease::PROOF_RENEW);
-            let busy = at.probing.is_some_and(|since| now < since + lease::PROOF);
+                .is_some_and(|proof| now < proof + lease::ORIGIN_PROOF_REFRESH);
+            let busy = at
+                .probing
+                .is_some_and(|since| now < since + lease::ORIGIN_PROOF_VALIDITY);
             if !fresh && !busy && at.aside <= now && at.room.has() && at.watch == Watch::Open {
                 at.room.take(now);
                 at.probing = Some(now);
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -10,7 +10,7 @@
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         service: "s".into(),
         instance: format!("i{port}"),
-        leaving: false,
+        draining: false,
         zone: String::new(),
         region: String::new(),
         capacity: 0,
@@ -37,14 +37,14 @@
         service: "s".into(),
         id,
         rank,
-        wait: at(wait),
+        max_wait: at(wait),
         sent: at(0),
-        extra,
-        call: at(2000),
-        aim: at(wait),
+        is_retry: extra,
+        call_timeout: at(2000),
+        latency_target: at(wait),
         zone: String::new(),
         region: String::new(),
-        avoid: vec![],
+        excluded_origins: vec![],
     }
 }
 
@@ -91,7 +91,7 @@
                 at(run.now),
                 origin(9).address,
                 PermitRequest {
-                    aim,
+                    latency_target: aim,
                     ..permit_request(id, u32::from(id % 25 == 0) * 8 + 1, 2000, false)
                 },
             );
@@ -491,7 +491,7 @@
         at(1001),
         &group(100.0, 9),
         &[Origin {
-            leaving: true,
+            draining: true,
             ..origin(1)
         }],
     );
--- a/data-plane/src/cache_owner.rs
+++ b/data-plane/src/cache_owner.rs
@@ -145,9 +145,9 @@
             entry,
             host,
             url,
-            keep,
-            wait,
-            spare,
+            ttl: keep,
+            max_wait: wait,
+            accepts_any_age: spare,
         } = get;
         let slot = self
             .keys
@@ -237,7 +237,7 @@
         FillToken {
             serial,
             epoch,
-            purged,
+            purge_version: purged,
         }
     }
 
@@ -246,17 +246,17 @@
         let purged = purged.max(held.purged);
         let copy = CachedResponse {
             reply: held.reply.clone(),
-            purged,
+            purge_version: purged,
             age: now - held.began,
-            fresh: held.minor.saturating_sub(now),
-            left: held.major - now,
-            held: now - asker.since,
+            fresh_for: held.minor.saturating_sub(now),
+            remaining_ttl: held.major - now,
+            owner_delay: now - asker.since,
         };
         CacheCopy {
             id: asker.id,
             key,
-            wait: asker.until.saturating_sub(now),
-            copy,
+            max_wait: asker.until.saturating_sub(now),
+            response: copy,
         }
         .into()
     }
@@ -277,7 +277,8 @@
             .held
             .as_ref()
             .is_none_or(|held| held.serial < token.serial);
-        let good = token.epoch == epoch && newer && book.clear(token.purged, slot.name(&reply));
+        let good =
+            token.epoch == epoch && newer && book.clear(token.purge_version, slot.name(&reply));
         let Some(began) = began.filter(|began| good && now < *began + slot.keep) else {
             self.give_up(now, key, token, epoch, book.applied, false);
             return false;
@@ -391,7 +392,7 @@
             if slot
                 .held
                 .as_ref()
-                .is_some_and(|held| purge.reaches(slot.name(&held.reply)))
+                .is_some_and(|held| purge.matches(slot.name(&held.reply)))
             {
                 self.bytes -= slot.empty();
             }
@@ -444,12 +445,12 @@
                 entry: slot.entry.clone(),
                 host: slot.host.clone(),
                 url: slot.url.clone(),
-                keep: slot.keep,
+                ttl: slot.keep,
                 reply: held.reply.clone(),
-                purged: held.purged,
+                purge_version: held.purged,
                 age: now - held.began,
-                minor: held.minor.saturating_sub(now),
-                major: held.major - now,
+                minor_expiry: held.minor.saturating_sub(now),
+                major_expiry: held.major - now,
             })
         });
         carried.collect()
@@ -476,7 +477,7 @@
                 url: &copy.url,
                 tags: Some(&copy.reply.tags),
             };
-            if held || copy.major <= way || !book.clear(copy.purged, name) {
+            if held || copy.major_expiry <= way || !book.clear(copy.purge_version, name) {
                 continue;
             }
             taken += 1;
@@ -485,11 +486,11 @@
                 entry,
                 host,
                 url,
-                keep,
+                ttl: keep,
                 reply,
                 age,
-                minor,
-                major,
+                minor_expiry: minor,
+                major_expiry: major,
                 ..
             } = copy;
             let slot = self
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -18,9 +18,9 @@
         entry: "e".into(),
         host: "h".into(),
         url: "/u".into(),
-        keep: at(10_000),
-        wait: at(3000),
-        spare: false,
+        ttl: at(10_000),
+        max_wait: at(3000),
+        accepts_any_age: false,
     }
 }
 
@@ -38,7 +38,10 @@
     match owner.take_out().pop() {
         None => ("wait".into(), None),
         Some((_, Message::CacheCopy(copy))) => (
-            format!("copy {}", String::from_utf8_lossy(&copy.copy.reply.body)),
+            format!(
+                "copy {}",
+                String::from_utf8_lossy(&copy.response.reply.body)
+            ),
             None,
         ),
         Some((_, Message::CacheMiss(miss))) => ("miss".into(), Some(miss.token)),
@@ -274,9 +277,9 @@
         (
             copies.len(),
             copies[0].age,
-            copies[0].minor,
-            copies[0].major,
-            copies[0].purged
+            copies[0].minor_expiry,
+            copies[0].major_expiry,
+            copies[0].purge_version
         ),
         (1, at(2100), at(2900), at(7900), 3)
     );
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -7,7 +7,7 @@
     pub(super) fn granted(&self, assignment: &str) -> Option<u64> {
         self.assignments
             .get(assignment)
-            .filter(|assignment| assignment.holder == Some(self.me))
+            .filter(|assignment| assignment.owner == Some(self.me))
             .map(|assignment| assignment.epoch)
     }
 
@@ -15,7 +15,7 @@
     pub(super) fn holder(&self, assignment: &str) -> Option<SocketAddr> {
         self.assignments
             .get(assignment)
-            .and_then(|assignment| assignment.holder)
+            .and_then(|assignment| assignment.owner)
             .map(|peer| peer.address)
     }
 
@@ -43,7 +43,7 @@
                 let last = self
                     .assignments
                     .get(&cache_assignment(&self.locality.ring, partition))
-                    .and_then(|assignment| assignment.last);
+                    .and_then(|assignment| assignment.previous_owner);
                 if let Some(last) = last.filter(|last| last.address != self.me.address) {
                     self.wants.insert(partition, (last.address, 0));
                 }
@@ -114,9 +114,14 @@
     /// for permits nor waits for copies.
     pub(super) fn forget_gone_askers(&mut self, now: Duration) {
         let Some(Row {
-            value: Value::EdgeRegistry { members, gone, .. },
+            value:
+                Value::EdgeRegistry {
+                    members,
+                    departed: gone,
+                    ..
+                },
             ..
-        }) = self.known[usize::from(ASSIGNMENTS)].get("roll")
+        }) = self.known[usize::from(ASSIGNMENTS_PARTITION)].get("roll")
         else {
             return;
         };
@@ -196,7 +201,7 @@
     pub(super) fn tell_underway(&mut self, now: Duration, table: &RouteTable) {
         for group in &table.document.groups {
             let Some(Assignment {
-                holder: Some(holder),
+                owner: Some(holder),
                 epoch,
                 ..
             }) = self.assignments.get(&admission_assignment(&group.service))
@@ -340,12 +345,12 @@
                 headers: vec![],
                 body: Arc::default(),
                 operation: None,
-                name: None,
+                request_id: None,
                 request: id,
                 key,
                 proof: Proof::Seal,
-                limit: PROBE_LIMIT,
-                sessions: 1,
+                timeout: PROBE_LIMIT,
+                max_connections: 1,
                 purpose: CallPurpose::Probe,
             };
             self.out.push(Output::Call { id, call });
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -210,7 +210,7 @@
         let CacheCopy {
             id: question,
             key,
-            copy,
+            response: copy,
             ..
         } = copy;
         let Some(id) = self.answered(question) else {
@@ -220,16 +220,20 @@
             return;
         };
         let job = &self.jobs[&id];
-        let way = (now - since).saturating_sub(copy.held);
-        if way >= copy.left || !self.book.clear(copy.purged, job.copy_name(&copy.reply)) {
+        let way = (now - since).saturating_sub(copy.owner_delay);
+        if way >= copy.remaining_ttl
+            || !self
+                .book
+                .clear(copy.purge_version, job.copy_name(&copy.reply))
+        {
             return self.set_stage(now, id, Stage::AwaitingCopy { since: now, spare });
         }
         let kept = KeptCopy {
             name: job.copy_name(&copy.reply),
             reply: &copy.reply,
             began: now.saturating_sub(copy.age + way),
-            minor: now + copy.fresh.saturating_sub(way),
-            major: now + copy.left - way,
+            minor: now + copy.fresh_for.saturating_sub(way),
+            major: now + copy.remaining_ttl - way,
         };
         self.near.put(now, key, kept);
         let answer = ClientResponse::copy(copy.reply, copy.age + way);
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -4,12 +4,13 @@
 
 impl EdgeNode {
     pub(super) fn permit(&mut self, now: Duration, from: Peer, permit: Permit) {
-        let fresh = now.saturating_sub(permit.sent).saturating_sub(permit.held) < lease::PERMIT;
+        let fresh =
+            now.saturating_sub(permit.sent).saturating_sub(permit.held) < lease::PERMIT_VALIDITY;
         let live = self.is_live(now);
         let listed = self
             .origins
             .iter()
-            .any(|origin| *origin == permit.origin && !origin.leaving);
+            .any(|origin| *origin == permit.origin && !origin.draining);
         let asker = self.answered(permit.id).filter(|id| {
             let job = &self.jobs[id];
             matches!(job.stage, Stage::AwaitingPermit)
@@ -50,12 +51,12 @@
         if ending {
             // An origin at work is not given up any more: another one may not
             // be reached in time.
-            call.limit = job.left(now);
+            call.timeout = job.left(now);
         }
         job.calls += 1;
         job.sent = true;
         self.usage.calls += 1;
-        self.usage.extra += u64::from(job.calls > 1);
+        self.usage.retries += u64::from(job.calls > 1);
         job.stage = Stage::Calling { permit, since: now };
         self.out.push(Output::Call { id: question, call });
     }
@@ -95,7 +96,7 @@
             let there = |job: &&Job| matches!(&job.stage, Stage::Calling { permit, .. } if permit.origin.address == address);
             self.jobs.values().filter(there).count()
         };
-        let edges = match self.known[usize::from(ASSIGNMENTS)].get("roll") {
+        let edges = match self.known[usize::from(ASSIGNMENTS_PARTITION)].get("roll") {
             Some(Row {
                 value: Value::EdgeRegistry { members, .. },
                 ..
@@ -155,7 +156,7 @@
                 "no origin of the service can be called now",
             ),
         };
-        self.give_up(now, id, refusal.back(away.back));
+        self.give_up(now, id, refusal.with_retry_after(away.back));
     }
 
     pub(super) fn called(&mut self, now: Duration, id: u64, result: CallOutcome) {
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -15,7 +15,7 @@
         };
         job.caller_left = true;
         let text = format!("request {id} {} {}", job.request.service, job.stage.name());
-        self.usage.left += 1;
+        self.usage.client_disconnects += 1;
         self.abandoned_work.caller_left(now, id);
         self.note(Event::ClientDisconnected, text);
         self.stop_if_abandoned(now, id);
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -15,7 +15,7 @@
 /// - Assignments are exercised only while live and only under the epoch the updates
 ///   granted to this very life.
 /// - A call leaves only while live, under a permit younger than
-///   `lease::PERMIT`, to an origin that is listed and not leaving.
+///   `lease::PERMIT_VALIDITY`, to an origin that is listed and not leaving.
 pub struct EdgeNode {
     me: Peer,
     locality: Locality,
@@ -314,7 +314,7 @@
 }
 
 impl StateMachine for EdgeNode {
-    fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
+    fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
             Input::MessageReceived { from, message } => self.heard(now, from, message),
@@ -339,7 +339,10 @@
             }
             Input::Operator { id, .. } => {
                 let answer = OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown);
-                self.out.push(Output::OperatorResponse { id, answer });
+                self.out.push(Output::OperatorResponse {
+                    id,
+                    response: answer,
+                });
             }
             Input::Stored { .. } | Input::StoreFailed => {}
         }
--- a/data-plane/src/edge_node/operations.rs
+++ b/data-plane/src/edge_node/operations.rs
@@ -22,10 +22,10 @@
             seed,
             ChangeRequest {
                 hops: 0,
-                asker: self.me.address,
+                requester: self.me.address,
                 id: question,
                 partition,
-                ask: change,
+                change,
             },
         );
     }
@@ -34,7 +34,7 @@
         while self
             .ended
             .front()
-            .is_some_and(|(at, _, _)| now >= *at + lease::OPERATION)
+            .is_some_and(|(at, _, _)| now >= *at + lease::OPERATION_RETENTION)
             || self.ended.len() >= ENDED
         {
             self.ended.pop_front();
@@ -43,7 +43,10 @@
     }
 
     pub(super) fn told(&mut self, now: Duration, told: ChangeReply) {
-        let ChangeReply { id: question, told } = told;
+        let ChangeReply {
+            id: question,
+            outcome: told,
+        } = told;
         if matches!(
             told,
             ChangeOutcome::Released | ChangeOutcome::Recorded | ChangeOutcome::Unknown
@@ -94,13 +97,17 @@
                     "outcome_unknown",
                     "this operation was sent and its outcome is not known; it is not run again",
                 )
-                .idle();
+                .with_nothing_sent();
                 refusal.retry_after_s = None;
                 self.end(now, id, ClientResponse::Rejection(refusal));
             }
             (Stage::AwaitingClaim, ChangeOutcome::LedgerClosed { left }) => {
-                let refusal = Rejection::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").idle();
-                self.end(now, id, ClientResponse::Rejection(refusal.back(left)));
+                let refusal = Rejection::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").with_nothing_sent();
+                self.end(
+                    now,
+                    id,
+                    ClientResponse::Rejection(refusal.with_retry_after(left)),
+                );
             }
             // Who was asked is cut off: the next is asked at once, each once.
             (
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -13,7 +13,7 @@
 
     pub(super) fn renew_with(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         let usage = Usage {
-            copies: self.cache.given,
+            cache_hits: self.cache.given,
             pending: self.jobs.len() as u64,
             ..self.usage.clone()
         };
@@ -27,23 +27,23 @@
             .collect();
         let renew = RenewRequest {
             sent: now,
-            heard: None,
+            last_token: None,
             generation: self.generation,
-            recalled,
-            vector: self.vector.clone(),
+            recall_complete: recalled,
+            version_vector: self.vector.clone(),
             zone: self.locality.zone.clone(),
             ring: self.locality.ring.clone(),
-            strength: self.locality.strength,
+            weight: self.locality.weight,
             draining: self.warned.is_some(),
             usage,
-            found,
+            origin_health: found,
         };
         for seed in seeds {
             let heard = self.renewal_tokens.get(&seed).copied();
             self.tell(
                 seed,
                 RenewRequest {
-                    heard,
+                    last_token: heard,
                     ..renew.clone()
                 },
             );
@@ -88,8 +88,8 @@
         }
         self.renewal_tokens
             .insert(from.address, renewed.renewal_token);
-        let before = std::mem::replace(&mut self.recalling, renewed.recall);
-        let recall = renewed.recall && !before;
+        let before = std::mem::replace(&mut self.recalling, renewed.recall_requested);
+        let recall = renewed.recall_requested && !before;
         if renewed.generation != 0 && renewed.generation != self.generation {
             self.enter(now, renewed.generation);
         } else if recall {
@@ -173,7 +173,7 @@
             .collect();
         self.known[usize::from(updates.partition)].extend(rows.iter().cloned());
         match updates.partition {
-            PURGES => {
+            PURGES_PARTITION => {
                 let (fresh, missed) = self.book.learn(now, updates.version, &rows);
                 if missed {
                     self.cache.clear();
@@ -184,7 +184,7 @@
                     self.near.purge(purge);
                 }
             }
-            CONFIGURATION => {
+            CONFIGURATION_PARTITION => {
                 let parts = rows.iter().any(|(_, row)| {
                     matches!(row.value, Value::Configuration { .. } | Value::Item(_))
                 });
@@ -200,10 +200,16 @@
         }
         self.vector[usize::from(updates.partition)] = updates.version;
         // What assignments are held and how hangs on these three.
-        if [CONFIGURATION, ORIGINS, ASSIGNMENTS].contains(&updates.partition) {
+        if [
+            CONFIGURATION_PARTITION,
+            ORIGINS_PARTITION,
+            ASSIGNMENTS_PARTITION,
+        ]
+        .contains(&updates.partition)
+        {
             self.sync_assignments(now);
         }
-        if updates.partition == ASSIGNMENTS {
+        if updates.partition == ASSIGNMENTS_PARTITION {
             self.forget_gone_askers(now);
         }
     }
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -5,7 +5,7 @@
 
 impl EdgeNode {
     pub(super) fn begin(&mut self, now: Duration, id: u64, request: ClientRequest) {
-        self.usage.errands += 1;
+        self.usage.requests += 1;
         let mut job = Job::new(now, request);
         if !self.is_live(now) {
             let refusal = Rejection::fenced(job.untried_outcome());
@@ -19,7 +19,7 @@
         if entry.kind == Kind::Cached && !job.request.personal() && job.request.method == "GET" {
             job.key = Some(Job::cache_key(&job.request));
             if let Some(answer) = self.near_answer(now, &job) {
-                self.usage.near += 1;
+                self.usage.near_cache_hits += 1;
                 return self.answer(now, id, &job, answer);
             }
         }
@@ -77,7 +77,7 @@
                 outcome,
                 "too many errands of this service are pending here",
             )
-            .idle(),
+            .with_nothing_sent(),
         )
     }
 
@@ -117,11 +117,11 @@
                     id: question,
                     key,
                     entry: entry.name.clone(),
-                    host: job.request.home().into(),
+                    host: job.request.entry_host().into(),
                     url: job.request.url.clone(),
-                    keep: entry.keep(),
-                    wait: left,
-                    spare: *spare,
+                    ttl: entry.keep(),
+                    max_wait: left,
+                    accepts_any_age: *spare,
                 };
                 let spare = *spare;
                 match self.holder(&cache_assignment(
@@ -147,14 +147,14 @@
                     service,
                     id: question,
                     rank: entry.rank,
-                    wait: left,
+                    max_wait: left,
                     sent: now,
-                    extra,
-                    call,
-                    aim: job.aim.saturating_sub(now),
+                    is_retry: extra,
+                    call_timeout: call,
+                    latency_target: job.aim.saturating_sub(now),
                     zone,
                     region,
-                    avoid: job.failed.clone(),
+                    excluded_origins: job.failed.clone(),
                 };
                 match self.holder(&admission) {
                     Some(holder) => {
@@ -185,7 +185,7 @@
             if job.key.is_some() && matches!(stage, Stage::AwaitingPermit) {
                 let purged = job
                     .token
-                    .map_or(self.book.applied, |(_, token)| token.purged);
+                    .map_or(self.book.applied, |(_, token)| token.purge_version);
                 job.fetch = Some(Fetch { began: now, purged });
             }
             job.stage = stage;
@@ -205,10 +205,13 @@
             answer
         };
         match &answer {
-            ClientResponse::Reply { .. } => self.usage.answered += 1,
-            ClientResponse::Rejection(_) => self.usage.refused += 1,
+            ClientResponse::Reply { .. } => self.usage.completed += 1,
+            ClientResponse::Rejection(_) => self.usage.rejected += 1,
         }
-        self.out.push(Output::ClientResponse { id, answer });
+        self.out.push(Output::ClientResponse {
+            id,
+            response: answer,
+        });
     }
 
     pub(super) fn end(&mut self, now: Duration, id: u64, answer: ClientResponse) {
@@ -290,7 +293,8 @@
                         "this operation is being run, or its ledger cannot be reached; ask again",
                     )
                 } else {
-                    Rejection::unknown(503, "no_ledger", "the ledger could not be reached").idle()
+                    Rejection::unknown(503, "no_ledger", "the ledger could not be reached")
+                        .with_nothing_sent()
                 };
                 self.tell_later(now, change);
                 self.end(now, id, ClientResponse::Rejection(refusal));
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -108,7 +108,8 @@
     fn pass(&self, arrival: &mut Arrival) -> Filtered {
         let none = arrival.image.is_none();
         none.then(|| {
-            Rejection::unknown(503, "not_ready", "this node has no configuration yet").idle()
+            Rejection::unknown(503, "not_ready", "this node has no configuration yet")
+                .with_nothing_sent()
         })
     }
 }
--- a/data-plane/src/http_frontend.rs
+++ b/data-plane/src/http_frontend.rs
@@ -117,10 +117,10 @@
             target: call.url.clone(),
             headers,
             body: call.body.clone(),
-            limit: call.limit,
+            limit: call.timeout,
             request: Some(call.request),
             echo,
-            sessions: call.sessions,
+            sessions: call.max_connections,
         };
         taker
             .calls
@@ -235,7 +235,7 @@
         let full = large && self.line.wait().backlog() > aim;
         full.then(|| {
             let why = "the link of this edge is full";
-            Rejection::not_run(429, "link_full", why).back(LINK_FULL)
+            Rejection::not_run(429, "link_full", why).with_retry_after(LINK_FULL)
         })
     }
 
@@ -303,12 +303,14 @@
                 // The process may have stood still since the part answered: a
                 // copy is only as good as the lease.
                 Output::ClientResponse {
-                    answer: ClientResponse::Reply { age: Some(_), .. },
+                    response: ClientResponse::Reply { age: Some(_), .. },
                     ..
                 } if !keyed && !taker.port.live() => {
                     ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
                 }
-                Output::ClientResponse { answer, .. } => answer,
+                Output::ClientResponse {
+                    response: answer, ..
+                } => answer,
                 _ => return,
             };
             let words = taker.protocol.tell(&headers, &answer);
--- a/data-plane/src/job.rs
+++ b/data-plane/src/job.rs
@@ -108,7 +108,7 @@
         Job {
             began: now,
             deadline: now
-                + request.patience.map_or(request.entry().deadline(), |span| {
+                + request.timeout.map_or(request.entry().deadline(), |span| {
                     span.min(request.entry().deadline())
                 }),
             aim: now
@@ -180,7 +180,7 @@
 
     pub fn refuse(&self, status: u16, code: &str, text: &str) -> Rejection {
         Rejection {
-            idle: !self.sent,
+            nothing_sent: !self.sent,
             ..Rejection::new(status, code, self.outcome(), text)
         }
     }
@@ -189,7 +189,7 @@
     pub fn cache_key(request: &ClientRequest) -> CacheKey {
         hash_of(&[
             request.entry().name.as_bytes(),
-            request.home().as_bytes(),
+            request.entry_host().as_bytes(),
             request.service.as_bytes(),
             request.url.as_bytes(),
         ])
@@ -198,7 +198,7 @@
     pub fn copy_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
         CacheEntryName {
             entry: &self.request.entry().name,
-            host: self.request.home(),
+            host: self.request.entry_host(),
             url: &self.request.url,
             tags: Some(&reply.tags),
         }
@@ -209,20 +209,20 @@
         // operation of a repeat.
         let print = hash_of(&[
             request.caller.as_bytes(),
-            request.home().as_bytes(),
+            request.entry_host().as_bytes(),
             request.method.as_bytes(),
             request.url.as_bytes(),
             &request.body,
         ]);
         let operation = format!(
             "{}/{}",
-            request.home(),
+            request.entry_host(),
             request.operation_key().unwrap_or_default()
         );
         Claim {
             operation,
-            print,
-            by,
+            fingerprint: print,
+            claimant: by,
             request: id,
         }
     }
@@ -283,12 +283,12 @@
                 .claim
                 .as_ref()
                 .and(request.operation_key().map(Into::into)),
-            name: request.name.clone(),
+            request_id: request.request_id.clone(),
             request: id,
             key: request.group().key.clone(),
             proof: request.group().proof,
-            limit: self.call_limit(now, takes),
-            sessions: request
+            timeout: self.call_limit(now, takes),
+            max_connections: request
                 .group()
                 .sessions
                 .map_or(SESSIONS, |most| most as usize),
--- a/data-plane/src/leases.rs
+++ b/data-plane/src/leases.rs
@@ -15,7 +15,7 @@
 impl Leases {
     pub fn renewed(&mut self, seed: SocketAddr, sent: Duration) {
         let until = self.until.entry(seed).or_default();
-        *until = (*until).max(sent + lease::EDGE);
+        *until = (*until).max(sent + lease::EDGE_LEASE);
     }
 
     /// The edge is live before this time, by a table of so many slots; never by
--- a/data-plane/src/leases/tests.rs
+++ b/data-plane/src/leases/tests.rs
@@ -20,5 +20,5 @@
     );
     // It fences itself before a control node counts it lapsed, even if
     // the renewal was heard the moment it was sent.
-    assert!(lease::EDGE < lease::CONTROL);
+    assert!(lease::EDGE_LEASE < lease::SESSION_LEASE);
 }
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -142,7 +142,7 @@
     pub fn purge(&mut self, purge: &Purge) {
         let bytes = &mut self.bytes;
         self.copies.retain(|_, copy| {
-            let reached = purge.reaches(copy.name());
+            let reached = purge.matches(copy.name());
             if reached {
                 *bytes -= copy.bytes();
             }
--- a/data-plane/src/own_share.rs
+++ b/data-plane/src/own_share.rs
@@ -50,7 +50,7 @@
         let places = |origin: &Origin| (origin.capacity.max(1) as usize / edges.max(1)).max(1);
         let usable = origins.iter().filter(|origin| {
             origin.service == group.service
-                && !origin.leaving
+                && !origin.draining
                 && !self.sore.contains_key(&origin.address)
                 && under(origin.address) < places(origin)
         });
--- a/data-plane/src/own_share/tests.rs
+++ b/data-plane/src/own_share/tests.rs
@@ -7,7 +7,7 @@
         address,
         service: "s".into(),
         instance: format!("i{port}"),
-        leaving: false,
+        draining: false,
         zone: zone.into(),
         region: "r".into(),
         capacity: 32,
@@ -35,7 +35,7 @@
         zone: "a".into(),
         region: "r".into(),
         ring: String::new(),
-        strength: 1,
+        weight: 1,
     };
     let origins = [origin(1, "a"), origin(2, "b")];
     let mut share = OwnShare::default();
@@ -77,13 +77,13 @@
         zone: "b".into(),
         region: "r".into(),
         ring: String::new(),
-        strength: 1,
+        weight: 1,
     };
     let origins = [
         origin(1, "a"),
         origin(2, "b"),
         Origin {
-            leaving: true,
+            draining: true,
             ..origin(3, "b")
         },
     ];
--- a/data-plane/src/purge_book.rs
+++ b/data-plane/src/purge_book.rs
@@ -55,7 +55,7 @@
         }
         let mut later = self.list.range(purged + 1..).map(|(_, known)| known);
         later
-            .find(|(_, purge)| purge.reaches(copy))
+            .find(|(_, purge)| purge.matches(copy))
             .map(|(learned, _)| *learned)
     }
 }
--- a/data-plane/src/request_conversion.rs
+++ b/data-plane/src/request_conversion.rs
@@ -20,10 +20,10 @@
         headers: arrival.headers,
         body: arrival.body,
         operation: arrival.operation,
-        patience: arrival.patience,
-        name: arrival.name,
+        timeout: arrival.patience,
+        request_id: arrival.name,
         service,
-        image,
+        routes: image,
         entry,
     })
 }
--- a/data-plane/src/room.rs
+++ b/data-plane/src/room.rs
@@ -40,11 +40,9 @@
         let most = self.burst().max(self.tokens);
         self.tokens = (self.tokens + (now - self.filled).as_secs_f64() * self.rate).min(most);
         self.filled = now;
-        while self
-            .window
-            .front()
-            .is_some_and(|given| now >= *given + Duration::from_secs_f64(RATE_SPAN) + lease::PERMIT)
-        {
+        while self.window.front().is_some_and(|given| {
+            now >= *given + Duration::from_secs_f64(RATE_SPAN) + lease::PERMIT_VALIDITY
+        }) {
             self.window.pop_front();
         }
     }
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -20,9 +20,9 @@
         entry: "e".into(),
         host: String::new(),
         url: "/u".into(),
-        keep: KEEP,
-        wait: at(5000),
-        spare: false,
+        ttl: KEEP,
+        max_wait: at(5000),
+        accepts_any_age: false,
     }
 }
 
--- a/data-plane/tests/crossed_answers.rs
+++ b/data-plane/tests/crossed_answers.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 
 fn begin(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
-    edge.step(
+    edge.handle(
         at(now),
         Input::ClientRequest {
             id,
@@ -16,7 +16,7 @@
 }
 
 fn called(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
-    edge.step(at(now), Input::CallCompleted { id, result })
+    edge.handle(at(now), Input::CallCompleted { id, result })
 }
 
 fn calls(out: &[Output]) -> usize {
@@ -36,7 +36,7 @@
 fn body(out: &[Output]) -> Option<String> {
     out.iter().find_map(|output| match output {
         Output::ClientResponse {
-            answer: ClientResponse::Reply { reply, .. },
+            response: ClientResponse::Reply { reply, .. },
             ..
         } => Some(String::from_utf8_lossy(&reply.body).into_owned()),
         _ => None,
@@ -118,14 +118,14 @@
     let copy = |id, left| CacheCopy {
         id,
         key,
-        wait: at(1000),
-        copy: CachedResponse {
+        max_wait: at(1000),
+        response: CachedResponse {
             reply: Reply::default(),
-            purged: 0,
+            purge_version: 0,
             age: at(0),
-            fresh: at(left),
-            left: at(left),
-            held: at(0),
+            fresh_for: at(left),
+            remaining_ttl: at(left),
+            owner_delay: at(0),
         },
     };
     // It was 300 ms on the way and had less than that left.
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -152,7 +152,7 @@
                 let (url, method) = sort.words();
                 let request = client_request(url, method);
                 self.edge
-                    .step(at(now), Input::ClientRequest { id, request })
+                    .handle(at(now), Input::ClientRequest { id, request })
             }
             Step::Leaves(which) => {
                 let waiting = |(id, request): (&u64, &Request)| {
@@ -163,7 +163,7 @@
                     return Ok(());
                 };
                 self.requests.get_mut(&id).unwrap().left = true;
-                self.edge.step(at(now), Input::ClientDisconnected { id })
+                self.edge.handle(at(now), Input::ClientDisconnected { id })
             }
             Step::Permit(which) => match take(&mut self.permits, which) {
                 Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
@@ -188,7 +188,8 @@
                         End::NotRun => CallOutcome::NotExecuted,
                         End::Lost => CallOutcome::Failure("reset".into()),
                     };
-                    self.edge.step(at(now), Input::CallCompleted { id, result })
+                    self.edge
+                        .handle(at(now), Input::CallCompleted { id, result })
                 }
                 None => return Ok(()),
             },
@@ -214,7 +215,7 @@
             Step::Wait(ms) => {
                 self.now += ms;
                 renew(&mut self.edge, self.now);
-                self.edge.step(at(self.now), Input::Tick)
+                self.edge.handle(at(self.now), Input::Tick)
             }
         };
         self.judge(out)?;
@@ -230,18 +231,18 @@
             Kept::Copy => {
                 let copy = CachedResponse {
                     reply: reply(200),
-                    purged: 0,
+                    purge_version: 0,
                     age: at(0),
-                    fresh: at(10),
-                    left: at(20),
-                    held: at(0),
+                    fresh_for: at(10),
+                    remaining_ttl: at(20),
+                    owner_delay: at(0),
                 };
                 let wait = at(1000);
                 CacheCopy {
                     id,
                     key,
-                    wait,
-                    copy,
+                    max_wait: wait,
+                    response: copy,
                 }
                 .into()
             }
@@ -250,7 +251,7 @@
                 let token = FillToken {
                     serial: self.tokens,
                     epoch: 1,
-                    purged: 0,
+                    purge_version: 0,
                 };
                 CacheMiss { id, key, token }.into()
             }
@@ -376,7 +377,7 @@
 
 fn begin(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
     let request = client_request(url, method);
-    edge.step(at(START_MS), Input::ClientRequest { id, request })
+    edge.handle(at(START_MS), Input::ClientRequest { id, request })
 }
 
 fn ready_edge() -> EdgeNode {
@@ -419,7 +420,7 @@
 fn a_wait_for_a_permit_is_taken_back_and_a_permit_on_its_way_is_given_back() {
     let mut edge = ready_edge();
     let asked = question(&begin(&mut edge, 1, "/low", "GET"));
-    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
+    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(withdrawn(&out), [asked]);
     let left = (1, 503, "caller_left".to_string(), RunState::NotRun);
     assert_eq!(answers(out), [left]);
@@ -432,13 +433,13 @@
     let mut edge = ready_edge();
     let begun = begin(&mut edge, 1, "/low", "GET");
     let call = called(&mut edge, &begun);
-    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
+    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(cancelled(&out), [call]);
     assert_eq!(call_results(&out), [CallResult::Cancelled]);
     // It may have run: a caller that still reads is not told that it did not.
     let left = (1, 503, "caller_left".to_string(), RunState::Unknown);
     assert_eq!(answers(out), [left]);
-    let again = edge.step(at(1310), Input::ClientDisconnected { id: 1 });
+    let again = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
     assert!(again.is_empty(), "{again:?}");
 }
 
@@ -449,10 +450,10 @@
     let claim = question(&begin(&mut edge, 1, "/k", "POST"));
     let claimed = told(&mut edge, 1005, claim, ChangeOutcome::Claimed);
     let call = called(&mut edge, &claimed);
-    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
+    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&out).is_empty() && answers(out).is_empty());
     let result = CallOutcome::Success(reply(200));
-    let out = edge.step(at(1400), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
     assert!(matches!(asked(&out)[..], [Change::Record(_, Some(_))]));
 }
 
@@ -464,11 +465,11 @@
         let claim = question(&begin(&mut edge, 1, "/k", "POST"));
         let mut out = Vec::new();
         if !claimed_before {
-            out.extend(edge.step(at(1002), Input::ClientDisconnected { id: 1 }));
+            out.extend(edge.handle(at(1002), Input::ClientDisconnected { id: 1 }));
         }
         out.extend(told(&mut edge, 1005, claim, ChangeOutcome::Claimed));
         if claimed_before {
-            out.extend(edge.step(at(1010), Input::ClientDisconnected { id: 1 }));
+            out.extend(edge.handle(at(1010), Input::ClientDisconnected { id: 1 }));
         }
         let released = |change: &Change| matches!(change, Change::Release(_));
         assert_eq!(asked(&out).iter().filter(|one| released(one)).count(), 1);
@@ -483,10 +484,10 @@
     let mut edge = ready_edge();
     let begun = begin(&mut edge, 1, "/once", "POST");
     let call = called(&mut edge, &begun);
-    let out = edge.step(at(1300), Input::ClientDisconnected { id: 1 });
+    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&out).is_empty() && answers(out).is_empty());
     let result = CallOutcome::NotExecuted;
-    let out = edge.step(at(1400), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
     let asks = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
@@ -507,10 +508,10 @@
         begin(&mut edge, id, "/copy", "GET");
     }
     for (id, ms) in [(1, 1100), (3, 1110)] {
-        let out = edge.step(at(ms), Input::ClientDisconnected { id });
+        let out = edge.handle(at(ms), Input::ClientDisconnected { id });
         assert!(withdrawn(&out).is_empty(), "request 2 waits for the copy");
     }
-    let out = edge.step(at(1120), Input::ClientDisconnected { id: 2 });
+    let out = edge.handle(at(1120), Input::ClientDisconnected { id: 2 });
     assert_eq!(withdrawn(&out), [get]);
     let mut ended: Vec<u64> = answers(out).into_iter().map(|(id, ..)| id).collect();
     ended.sort_unstable();
@@ -525,7 +526,7 @@
     let token = FillToken {
         serial: 1,
         epoch: 1,
-        purged: 0,
+        purge_version: 0,
     };
     let key = Job::cache_key(&client_request("/copy", "GET"));
     let out = heard(
@@ -539,12 +540,12 @@
         },
     );
     let asked = question(&out);
-    let out = edge.step(at(1050), Input::ClientDisconnected { id: 1 });
+    let out = edge.handle(at(1050), Input::ClientDisconnected { id: 1 });
     assert!(withdrawn(&out).is_empty());
     let out = heard(&mut edge, 1060, ADMISSION, permit(asked, origin(50), 1059));
     let call = question(&out);
     let result = CallOutcome::Success(reply(200));
-    let out = edge.step(at(1100), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
     let puts = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
@@ -563,7 +564,7 @@
     let mut taken_back = Vec::new();
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        taken_back.extend(withdrawn(&edge.step(at(now), Input::Tick)));
+        taken_back.extend(withdrawn(&edge.handle(at(now), Input::Tick)));
         if !taken_back.is_empty() {
             break;
         }
@@ -615,13 +616,13 @@
     let me = Peer::new(address(9), 5);
     let assignment = Assignment {
         epoch: 1,
-        holder: Some(me),
-        last: None,
+        owner: Some(me),
+        previous_owner: None,
     };
     let list = Arc::new(Vec::new());
     let roll = |members: Vec<Peer>, gone| Value::EdgeRegistry {
         members,
-        gone,
+        departed: gone,
         complete: true,
     };
     let dead = Peer::new(address(GONE), 1);
@@ -636,7 +637,7 @@
             renewal_token: RenewalToken::default(),
             sent: at(START_MS),
             generation: 0,
-            recall: false,
+            recall_requested: false,
             updates: vec![updates].into(),
         };
         heard(edge, START_MS, 1, renewed);
@@ -651,13 +652,13 @@
         &mut edge,
         1,
         vec![("configuration".into(), row(configuration))],
-        CONFIGURATION,
+        CONFIGURATION_PARTITION,
     );
     learn(
         &mut edge,
         1,
         vec![("origins".into(), row(origins))],
-        ORIGINS,
+        ORIGINS_PARTITION,
     );
     let assignments = vec![
         (
@@ -666,19 +667,19 @@
         ),
         ("roll".into(), row(roll(vec![me, dead], vec![]))),
     ];
-    learn(&mut edge, 1, assignments, ASSIGNMENTS);
+    learn(&mut edge, 1, assignments, ASSIGNMENTS_PARTITION);
     let ask = PermitRequest {
         service: "slow".into(),
         id: 1,
         rank: 1,
-        wait: at(5000),
+        max_wait: at(5000),
         sent: at(START_MS),
-        extra: false,
-        call: at(1000),
-        aim: at(1000),
+        is_retry: false,
+        call_timeout: at(1000),
+        latency_target: at(1000),
         zone: String::new(),
         region: String::new(),
-        avoid: vec![],
+        excluded_origins: vec![],
     };
     heard(&mut edge, START_MS, GONE, ask);
     learn(
@@ -691,12 +692,12 @@
                 value: roll(vec![me], vec![dead]),
             },
         )],
-        ASSIGNMENTS,
+        ASSIGNMENTS_PARTITION,
     );
     let mut told = Vec::new();
     for now in (START_MS + 50..START_MS + 3000).step_by(50) {
         renew(&mut edge, now);
-        told.extend(edge.step(at(now), Input::Tick));
+        told.extend(edge.handle(at(now), Input::Tick));
     }
     let to_dead =
         |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(GONE));
@@ -715,14 +716,14 @@
     for _ in 0..5 {
         let call = called(&mut edge, &asked);
         let result = CallOutcome::NotSent;
-        asked = edge.step(at(1020), Input::CallCompleted { id: call, result });
+        asked = edge.handle(at(1020), Input::CallCompleted { id: call, result });
         assert_eq!(call_results(&asked), [CallResult::Unused]);
     }
     let begun = begin(&mut edge, 2, "/once", "POST");
     let call = called(&mut edge, &begun);
-    edge.step(at(1015), Input::ClientDisconnected { id: 2 });
+    edge.handle(at(1015), Input::ClientDisconnected { id: 2 });
     let result = CallOutcome::NotSent;
-    let out = edge.step(at(1020), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(1020), Input::CallCompleted { id: call, result });
     assert_eq!(call_results(&out), [CallResult::Unused]);
     let left = (2, 503, "caller_left".to_string(), RunState::NotRun);
     assert_eq!(answers(out), [left]);
@@ -733,7 +734,7 @@
 fn a_claim_that_another_holds_is_not_asked_for_on() {
     let mut edge = ready_edge();
     let claim = question(&begin(&mut edge, 1, "/k", "POST"));
-    edge.step(at(1002), Input::ClientDisconnected { id: 1 });
+    edge.handle(at(1002), Input::ClientDisconnected { id: 1 });
     let running = ChangeOutcome::AlreadyClaimed {
         same: true,
         state: OperationState::Running,
@@ -741,7 +742,7 @@
     let mut out = told(&mut edge, 1005, claim, running);
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        out.extend(edge.step(at(now), Input::Tick));
+        out.extend(edge.handle(at(now), Input::Tick));
     }
     let claims = |change: &Change| matches!(change, Change::Claim(_));
     assert!(!asked(&out).iter().any(claims));
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -46,17 +46,17 @@
         false,
         1 << 20,
     );
-    edge.step(at(now), Input::Tick);
+    edge.handle(at(now), Input::Tick);
     for seed in [1, 2] {
         let renewed = RenewReply {
             incarnation,
             renewal_token: RenewalToken::default(),
             sent: at(now),
             generation: 0,
-            recall: false,
+            recall_requested: false,
             updates: SharedUpdates::default(),
         };
-        edge.step(
+        edge.handle(
             at(now),
             Input::MessageReceived {
                 from: Peer::new(address(seed), 1),
@@ -75,7 +75,7 @@
             renewal_token: RenewalToken::default(),
             sent: at(now),
             generation: 0,
-            recall: false,
+            recall_requested: false,
             updates: SharedUpdates::default(),
         };
         heard(edge, now, seed, renewed);
@@ -94,10 +94,10 @@
         body: Arc::default(),
         caller: String::new(),
         operation: Some("key".into()),
-        patience: None,
-        name: None,
+        timeout: None,
+        request_id: None,
         service: image.document.entries[entry].group.clone(),
-        image,
+        routes: image,
         entry,
     }
 }
@@ -106,7 +106,7 @@
     let one = |output| match output {
         Output::ClientResponse {
             id,
-            answer: ClientResponse::Rejection(refusal),
+            response: ClientResponse::Rejection(refusal),
         } => Some((id, refusal.status, refusal.code, refusal.outcome)),
         _ => None,
     };
@@ -119,7 +119,7 @@
         Output::Send {
             message: Message::ChangeRequest(ask),
             ..
-        } => Some(ask.ask.clone()),
+        } => Some(ask.change.clone()),
         _ => None,
     };
     out.iter().filter_map(one).collect()
@@ -141,11 +141,11 @@
 }
 
 pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: ChangeOutcome) -> Vec<Output> {
-    edge.step(
+    edge.handle(
         at(now),
         Input::MessageReceived {
             from: Peer::new(address(1), 1),
-            message: ChangeReply { id, told }.into(),
+            message: ChangeReply { id, outcome: told }.into(),
         },
     )
 }
@@ -168,8 +168,8 @@
     let assignment = |holder: u16| {
         row(Value::Assignment(Assignment {
             epoch: 1,
-            holder: Some(Peer::new(address(holder), 1)),
-            last: None,
+            owner: Some(Peer::new(address(holder), 1)),
+            previous_owner: None,
         }))
     };
     let mut assignments = vec![(admission_assignment("slow"), assignment(ADMISSION))];
@@ -191,10 +191,10 @@
         renewal_token: RenewalToken::default(),
         sent: at(now),
         generation: 0,
-        recall: false,
+        recall_requested: false,
         updates: vec![
-            updates(ORIGINS, vec![("origins".into(), origins)]),
-            updates(ASSIGNMENTS, assignments),
+            updates(ORIGINS_PARTITION, vec![("origins".into(), origins)]),
+            updates(ASSIGNMENTS_PARTITION, assignments),
         ]
         .into(),
     };
@@ -208,7 +208,7 @@
 pub fn heard(edge: &mut EdgeNode, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
-    edge.step(at(now), Input::MessageReceived { from, message })
+    edge.handle(at(now), Input::MessageReceived { from, message })
 }
 
 pub fn origin(port: u16) -> Origin {
@@ -216,7 +216,7 @@
         address: address(port),
         service: "slow".into(),
         instance: format!("i{port}"),
-        leaving: false,
+        draining: false,
         zone: String::new(),
         region: String::new(),
         capacity: 0,
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -8,7 +8,7 @@
     let mut edge = live(1000);
     for id in 0..256 {
         assert!(
-            answers(edge.step(
+            answers(edge.handle(
                 at(1100),
                 Input::ClientRequest {
                     id,
@@ -18,7 +18,7 @@
             .is_empty()
         );
     }
-    let told = answers(edge.step(
+    let told = answers(edge.handle(
         at(1100),
         Input::ClientRequest {
             id: 300,
@@ -29,7 +29,7 @@
         told,
         [(300, 429, "over_capacity".to_string(), RunState::NotRun)]
     );
-    let told = answers(edge.step(
+    let told = answers(edge.handle(
         at(1100),
         Input::ClientRequest {
             id: 301,
@@ -42,7 +42,7 @@
         "the last of the lowest makes room"
     );
     assert!(
-        answers(edge.step(
+        answers(edge.handle(
             at(1100),
             Input::ClientRequest {
                 id: 302,
@@ -57,7 +57,7 @@
 fn without_two_renewals_nothing_is_begun_and_of_a_keyed_errand_nothing_is_said() {
     let mut edge = live(1000);
     let told = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
-        answers(edge.step(
+        answers(edge.handle(
             at(now),
             Input::ClientRequest {
                 id,
@@ -85,11 +85,11 @@
             renewal_token: RenewalToken::default(),
             sent: at(5000),
             generation: 0,
-            recall: false,
+            recall_requested: false,
             updates: SharedUpdates::default(),
         };
         for _ in 0..2 {
-            edge.step(
+            edge.handle(
                 at(1500),
                 Input::MessageReceived {
                     from: Peer::new(address(seed), 1),
@@ -97,7 +97,7 @@
                 },
             );
         }
-        let told = answers(edge.step(
+        let told = answers(edge.handle(
             at(2500),
             Input::ClientRequest {
                 id: 1,
@@ -113,7 +113,7 @@
 fn what_is_known_already_is_not_renewed_for_and_a_nudge_asks_the_nudger_alone() {
     let mut edge = live(1000);
     let said = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
-        let out = edge.step(
+        let out = edge.handle(
             at(1010),
             Input::MessageReceived {
                 from: Peer::new(address(seed), 1),
@@ -135,9 +135,9 @@
         renewal_token: RenewalToken::default(),
         sent: at(1010),
         generation: 0,
-        recall: false,
+        recall_requested: false,
         updates: vec![PartitionUpdate {
-            partition: PURGES,
+            partition: PURGES_PARTITION,
             version: 4,
             rows: vec![],
         }]
@@ -148,7 +148,7 @@
             &mut edge,
             2,
             UpdateNotice {
-                partition: PURGES,
+                partition: PURGES_PARTITION,
                 version: 4,
                 renewal_token: RenewalToken::default()
             }
@@ -167,7 +167,7 @@
             &mut edge,
             3,
             UpdateNotice {
-                partition: PURGES,
+                partition: PURGES_PARTITION,
                 version: 4,
                 renewal_token: RenewalToken::default()
             }
@@ -180,7 +180,7 @@
             &mut edge,
             3,
             UpdateNotice {
-                partition: PURGES,
+                partition: PURGES_PARTITION,
                 version: 5,
                 renewal_token: RenewalToken::default()
             }
@@ -203,7 +203,7 @@
         value: Value::Members(places.to_vec()),
     };
     let updates = vec![PartitionUpdate {
-        partition: MEMBERSHIP,
+        partition: MEMBERSHIP_PARTITION,
         version: 1,
         rows: vec![("places".into(), row)],
     }];
@@ -212,17 +212,17 @@
         renewal_token: RenewalToken::default(),
         sent: at(sent),
         generation: 0,
-        recall: false,
+        recall_requested: false,
         updates,
     };
-    edge.step(
+    edge.handle(
         at(1100),
         Input::MessageReceived {
             from: Peer::new(address(2), 1),
             message: renewed(1100, updates.into()).into(),
         },
     );
-    let told = answers(edge.step(
+    let told = answers(edge.handle(
         at(1200),
         Input::ClientRequest {
             id: 1,
@@ -230,7 +230,7 @@
         },
     ));
     assert_eq!(told.len(), 1, "one renewal of the new three is no majority");
-    edge.step(
+    edge.handle(
         at(1300),
         Input::MessageReceived {
             from: Peer::new(address(4), 8),
@@ -238,7 +238,7 @@
         },
     );
     assert!(
-        answers(edge.step(
+        answers(edge.handle(
             at(1400),
             Input::ClientRequest {
                 id: 2,
@@ -253,7 +253,7 @@
 fn not_run_is_said_of_a_keyed_errand_only_once_its_release_is_recorded() {
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], false);
-    let out = edge.step(
+    let out = edge.handle(
         at(1000),
         Input::ClientRequest {
             id: 1,
@@ -267,7 +267,7 @@
         reason: PermitRefusalReason::Overloaded,
         back: at(2000),
     };
-    let out = edge.step(
+    let out = edge.handle(
         at(1020),
         Input::MessageReceived {
             from: Peer::new(address(8), 1),
@@ -289,7 +289,7 @@
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let out = edge.step(
+    let out = edge.handle(
         at(1000),
         Input::ClientRequest {
             id: 1,
@@ -320,7 +320,7 @@
     );
     let out = permitted(&mut edge, permit(asked_for, listed, 1290));
     assert!(called(&out));
-    let out = edge.step(
+    let out = edge.handle(
         at(1400),
         Input::CallCompleted {
             id: question(&out),
--- a/data-plane/tests/ending.rs
+++ b/data-plane/tests/ending.rs
@@ -16,15 +16,15 @@
     for id in 0..30u64 {
         let (url, method) = urls[id as usize % 3];
         let mut request = client_request(url, method);
-        request.patience = Some(at(12_000));
-        edge.step(at(1000), Input::ClientRequest { id, request });
+        request.timeout = Some(at(12_000));
+        edge.handle(at(1000), Input::ClientRequest { id, request });
     }
-    edge.step(at(1100), Input::ShutdownRequested);
+    edge.handle(at(1100), Input::ShutdownRequested);
     let mut told = Vec::new();
     let mut last = 0;
     for now in (1150..1100 + GRACE_MS).step_by(50) {
         renew(&mut edge, now);
-        let out = answers(edge.step(at(now), Input::Tick));
+        let out = answers(edge.handle(at(now), Input::Tick));
         if !out.is_empty() {
             last = now;
         }
@@ -41,7 +41,7 @@
     let mut edge = live(1000).with_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let once = client_request("/once", "POST");
-    let begun = edge.step(
+    let begun = edge.handle(
         at(1000),
         Input::ClientRequest {
             id: 1,
@@ -55,23 +55,23 @@
         permit(question(&begun), origin(50), 1005),
     );
     let call = question(&out);
-    edge.step(at(1100), Input::ShutdownRequested);
+    edge.handle(at(1100), Input::ShutdownRequested);
     let late = 1100 + GRACE_MS / 2 + 100;
     for now in (1150..=late).step_by(50) {
         renew(&mut edge, now);
-        let told = answers(edge.step(at(now), Input::Tick));
+        let told = answers(edge.handle(at(now), Input::Tick));
         assert!(told.is_empty(), "its origin is at work: {told:?}");
     }
     let request = client_request("/low", "GET");
-    let told = answers(edge.step(at(late), Input::ClientRequest { id: 2, request }));
+    let told = answers(edge.handle(at(late), Input::ClientRequest { id: 2, request }));
     assert_eq!(told, [(2, 503, "ending".to_string(), RunState::NotRun)]);
     let result = CallOutcome::Success(Reply::default());
-    let out = edge.step(at(late + 10), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
     assert!(out.iter().any(|output| matches!(
         output,
         Output::ClientResponse {
             id: 1,
-            answer: ClientResponse::Reply { .. }
+            response: ClientResponse::Reply { .. }
         }
     )));
 }
@@ -85,15 +85,15 @@
         let mut edge = live(1000).with_grace(at(GRACE_MS));
         updates(&mut edge, 1000, &[origin(50)], false);
         if warned {
-            edge.step(at(1000), Input::ShutdownRequested);
+            edge.handle(at(1000), Input::ShutdownRequested);
         }
         let mut request = client_request("/low", "GET");
-        request.patience = Some(at(PATIENCE_MS));
-        let begun = edge.step(at(1000), Input::ClientRequest { id: 1, request });
+        request.timeout = Some(at(PATIENCE_MS));
+        let begun = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
         let permit = permit(question(&begun), origin(50), 1005);
         let out = heard(&mut edge, 1010, ADMISSION, permit);
         let limit = out.iter().find_map(|output| match output {
-            Output::Call { call, .. } => Some(call.limit),
+            Output::Call { call, .. } => Some(call.timeout),
             _ => None,
         });
         let left = at(PATIENCE_MS - 10);
@@ -109,11 +109,11 @@
     let mut edge = live(1000).with_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let mut request = client_request("/low", "GET");
-    request.patience = Some(at(PATIENCE_MS));
-    let begun = edge.step(at(1000), Input::ClientRequest { id: 1, request });
+    request.timeout = Some(at(PATIENCE_MS));
+    let begun = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
     let permit = permit(question(&begun), origin(50), 1005);
     let call = question(&heard(&mut edge, 1010, ADMISSION, permit));
-    let out = edge.step(at(1500), Input::ShutdownRequested);
+    let out = edge.handle(at(1500), Input::ShutdownRequested);
     let extended = out.iter().find_map(|output| match output {
         Output::ExtendCall { id, limit } => Some((*id, *limit)),
         _ => None,
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -46,10 +46,10 @@
         body: Arc::default(),
         caller: String::new(),
         operation: None,
-        patience: Some(at(PATIENCE_MS)),
-        name: None,
+        timeout: Some(at(PATIENCE_MS)),
+        request_id: None,
         service: image.document.entries[entry].group.clone(),
-        image: image.clone(),
+        routes: image.clone(),
         entry,
     }
 }
@@ -130,7 +130,7 @@
                     renewal_token: RenewalToken::default(),
                     sent: renew.sent,
                     generation: 0,
-                    recall: false,
+                    recall_requested: false,
                     updates: SharedUpdates::default(),
                 };
                 let came = self.links[edge].carry(left as f64, 200) as u64 + WAY_MS;
@@ -173,7 +173,10 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.tell(now, edge, to, message),
-                Output::ClientResponse { id, answer } => self.answered(now, edge, id, &answer),
+                Output::ClientResponse {
+                    id,
+                    response: answer,
+                } => self.answered(now, edge, id, &answer),
                 Output::Call { id, .. } => {
                     let came = (now + ORIGIN_MS) as f64;
                     let came = self.links[edge].carry(came, OBJECT_BYTES) as u64;
@@ -194,8 +197,8 @@
             let holder = Some(peer);
             let assignment = Assignment {
                 epoch: 1,
-                holder,
-                last: None,
+                owner: holder,
+                previous_owner: None,
             };
             let value = Value::Assignment(assignment);
             (name, Row { version: 1, value })
@@ -222,10 +225,10 @@
             renewal_token: RenewalToken::default(),
             sent: at(0),
             generation: 0,
-            recall: false,
+            recall_requested: false,
             updates: vec![
-                updates(ORIGINS, vec![origins]),
-                updates(ASSIGNMENTS, assignments),
+                updates(ORIGINS_PARTITION, vec![origins]),
+                updates(ASSIGNMENTS_PARTITION, assignments),
             ]
             .into(),
         }
@@ -296,7 +299,7 @@
                     (index, Input::CallCompleted { id, result })
                 }
             };
-            let out = fleet.edges[index].step(at(now), input);
+            let out = fleet.edges[index].handle(at(now), input);
             fleet.take(now, index, out);
         }
         fleet
