--- a/data-plane/tests/near_copies.rs
+++ b/data-plane/tests/near_copies.rs
@@ -14,8 +14,8 @@
 
 fn begin(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
     let mut request = client_request("/copy", "GET");
-    request.patience = Some(at(PATIENCE_MS));
-    edge.step(at(now), Input::ClientRequest { id, request })
+    request.timeout = Some(at(PATIENCE_MS));
+    edge.handle(at(now), Input::ClientRequest { id, request })
 }
 
 fn reply(text: &str) -> Reply {
@@ -31,14 +31,14 @@
     CacheCopy {
         id,
         key: key(),
-        wait: at(1000),
-        copy: CachedResponse {
+        max_wait: at(1000),
+        response: CachedResponse {
             reply: reply(text),
-            purged: 0,
+            purge_version: 0,
             age: at(age),
-            fresh: at((KEEP_MS / 2).saturating_sub(age)),
-            left: at(KEEP_MS - age),
-            held: at(0),
+            fresh_for: at((KEEP_MS / 2).saturating_sub(age)),
+            remaining_ttl: at(KEEP_MS - age),
+            owner_delay: at(0),
         },
     }
 }
@@ -72,7 +72,7 @@
     let one = |output: &Output| match output {
         Output::ClientResponse {
             id,
-            answer: ClientResponse::Reply { reply, .. },
+            response: ClientResponse::Reply { reply, .. },
         } => Some((*id, String::from_utf8_lossy(&reply.body).into_owned())),
         _ => None,
     };
@@ -84,7 +84,7 @@
     let mut out = Vec::new();
     for now in (from..=to).step_by(50) {
         renew(edge, now);
-        out.extend(edge.step(at(now), Input::Tick));
+        out.extend(edge.handle(at(now), Input::Tick));
     }
     out
 }
@@ -156,9 +156,9 @@
         renewal_token: RenewalToken::default(),
         sent: at(1100),
         generation: 0,
-        recall: false,
+        recall_requested: false,
         updates: vec![PartitionUpdate {
-            partition: PURGES,
+            partition: PURGES_PARTITION,
             version: 2,
             rows: vec![("p".into(), row)],
         }]
@@ -203,7 +203,7 @@
     let mut repeats = 0;
     for now in (1050..2200).step_by(50) {
         renew(&mut edge, now);
-        let out = edge.step(at(now), Input::Tick);
+        let out = edge.handle(at(now), Input::Tick);
         repeats += gets(&out).len();
         assert_eq!(permits_asked(&out), 0, "at {now}");
         heard(&mut edge, now, OWNER, CacheGetQueued { id: asked });
@@ -254,7 +254,7 @@
     let token = FillToken {
         serial: 1,
         epoch: 1,
-        purged: 0,
+        purge_version: 0,
     };
     let miss = CacheMiss {
         id: asked,
@@ -273,11 +273,11 @@
     let mut out = Vec::new();
     for now in (1050..3100).step_by(50) {
         renew(&mut edge, now);
-        out.extend(edge.step(at(now), Input::Tick));
+        out.extend(edge.handle(at(now), Input::Tick));
     }
     assert_eq!(gets(&out).len().min(1), 1, "the second asks");
     let result = CallOutcome::Success(reply("late"));
-    let out = edge.step(at(3100), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(3100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&out)[&1], "late");
 }
 
@@ -289,8 +289,8 @@
     let mut edge = ready();
     let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, patience: u64| {
         let mut request = client_request(url, "GET");
-        request.patience = Some(at(patience));
-        edge.step(at(now), Input::ClientRequest { id, request })
+        request.timeout = Some(at(patience));
+        edge.handle(at(now), Input::ClientRequest { id, request })
     };
     request(&mut edge, 1000, 0, "/copy-low", 500);
     request(&mut edge, 1000, 1, "/copy-low", 5000);
@@ -313,7 +313,7 @@
     let token = FillToken {
         serial: 1,
         epoch: 1,
-        purged: 0,
+        purge_version: 0,
     };
     let miss = CacheMiss {
         id: asked,
@@ -324,7 +324,7 @@
     let ask = permit(question(&out), origin(50), 1015);
     let call = question(&heard(&mut edge, 1020, ADMISSION, ask));
     let result = CallOutcome::Success(reply("x"));
-    let out = edge.step(at(1100), Input::CallCompleted { id: call, result });
+    let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&out).len(), 9);
     let puts = out.iter().filter(|output| {
         matches!(
@@ -367,7 +367,7 @@
             let mut out = Vec::new();
             if now % 50 == 0 {
                 renew(&mut edge, now);
-                out.extend(edge.step(at(now), Input::Tick));
+                out.extend(edge.handle(at(now), Input::Tick));
             }
             if dice.below(200) == 0 {
                 replaced.insert(version, now);
@@ -391,9 +391,9 @@
                     renewal_token: RenewalToken::default(),
                     sent: at(now),
                     generation: 0,
-                    recall: false,
+                    recall_requested: false,
                     updates: vec![PartitionUpdate {
-                        partition: PURGES,
+                        partition: PURGES_PARTITION,
                         version: purges,
                         rows: vec![(format!("p{purges}"), row)],
                     }]
@@ -422,10 +422,13 @@
                         ..
                     } if dice.below(5) > 0 => {
                         let mut answer = copy(get.id, &version.to_string(), 0);
-                        answer.copy.purged = purges;
+                        answer.response.purge_version = purges;
                         coming.push((now + dice.below(600), answer.into()));
                     }
-                    Output::ClientResponse { id, answer } => {
+                    Output::ClientResponse {
+                        id,
+                        response: answer,
+                    } => {
                         let began = waiting.remove(&id).expect("answered once");
                         if let ClientResponse::Reply { reply, .. } = answer {
                             let body = String::from_utf8_lossy(&reply.body).into_owned();
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -149,7 +149,7 @@
             Sort::Keyed => ("/k", "POST"),
         };
         let request = client_request(url, method);
-        let out = model.edge.step(
+        let out = model.edge.handle(
             at(1000),
             Input::ClientRequest {
                 id: REQUEST,
@@ -167,7 +167,7 @@
                 renewal_token: RenewalToken::default(),
                 sent: at(self.now),
                 generation: 0,
-                recall: false,
+                recall_requested: false,
                 updates: SharedUpdates::default(),
             };
             heard(&mut self.edge, self.now, seed, renewed);
@@ -208,18 +208,18 @@
             },
             Step::Silence(ms) => {
                 self.now += ms;
-                self.edge.step(at(self.now), Input::Tick)
+                self.edge.handle(at(self.now), Input::Tick)
             }
             Step::ClientDisconnected => {
                 self.left = true;
                 self.edge
-                    .step(at(now), Input::ClientDisconnected { id: REQUEST })
+                    .handle(at(now), Input::ClientDisconnected { id: REQUEST })
             }
-            Step::Shutdown => self.edge.step(at(now), Input::ShutdownRequested),
+            Step::Shutdown => self.edge.handle(at(now), Input::ShutdownRequested),
             Step::Wait(ms) => {
                 self.now += ms;
                 self.renew();
-                self.edge.step(at(self.now), Input::Tick)
+                self.edge.handle(at(self.now), Input::Tick)
             }
         };
         self.judge(out)
@@ -246,7 +246,7 @@
         };
         let id = made.id;
         self.edge
-            .step(at(self.now), Input::CallCompleted { id, result })
+            .handle(at(self.now), Input::CallCompleted { id, result })
     }
 
     fn ledger_says(&mut self, id: u64, word: Word) -> Vec<Output> {
@@ -269,7 +269,7 @@
                 Output::Send { message, .. } => match message {
                     Message::PermitRequest(ask) => self.permits.push(ask.id),
                     Message::ChangeRequest(ask) => {
-                        if matches!(ask.ask, Change::Release(_)) {
+                        if matches!(ask.change, Change::Release(_)) {
                             prop_assert!(
                                 !self.calls.iter().any(CallMade::may_have_run),
                                 "a key is released whose operation may have run"
@@ -286,7 +286,10 @@
                 Output::Log { event, text } => {
                     prop_assert!(event != Event::AbandonedWork, "{}", text);
                 }
-                Output::ClientResponse { id, answer } => {
+                Output::ClientResponse {
+                    id,
+                    response: answer,
+                } => {
                     prop_assert_eq!(id, REQUEST);
                     self.answer(answer)?;
                 }
@@ -331,7 +334,7 @@
                 }
             }
             ClientResponse::Rejection(refusal) => {
-                let promised = refusal.idle || refusal.outcome == RunState::NotRun;
+                let promised = refusal.nothing_sent || refusal.outcome == RunState::NotRun;
                 if promised {
                     prop_assert!(
                         !self.calls.iter().any(CallMade::may_have_run),
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -172,7 +172,7 @@
             if matches!(input, Input::ShutdownRequested) {
                 self.frontend.warn();
             }
-            for output in part.step(port.now(), input) {
+            for output in part.handle(port.now(), input) {
                 match output {
                     Output::Send { to, message } => {
                         if to == mesh {
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -44,8 +44,8 @@
             | Message::CacheCopy(_)
             | Message::CachePut(_)
             | Message::HandoverReply(_) => Priority::Bulk,
-            Message::ChangeRequest(request) => Priority::of_change(&request.ask),
-            Message::ChangeReply(reply) => Priority::of_outcome(&reply.told),
+            Message::ChangeRequest(request) => Priority::of_change(&request.change),
+            Message::ChangeReply(reply) => Priority::of_outcome(&reply.outcome),
             _ => Priority::Urgent,
         }
     }
--- a/kernel/src/message.rs
+++ b/kernel/src/message.rs
@@ -30,7 +30,7 @@
     /// `blank`: the disk was not refilled yet. `hears`: slots whose heartbeats
     /// come here; `contacts`: those of them that hear us too; `vouched`: those
     /// of them that may lead partitions.
-    Heartbeat { slot: u8, full: bool, blank: bool, membership_version: u64, closed: Duration, lost: u64, hears: SlotSet, contacts: SlotSet, vouched: SlotSet, got: u64, seen: Option<SessionsDelta> }
+    Heartbeat { slot: u8, full: bool, blank: bool, membership_version: u64, ledger_closed_for: Duration, lost_generation: u64, heard_slots: SlotSet, mutual_contacts: SlotSet, leader_candidates: SlotSet, acknowledged_sessions: u64, sessions: Option<SessionsDelta> }
     /// A blank disk asks for all another holds. The first round only makes
     /// the others forget the earlier disk's acknowledgements; what the
     /// second brings counts. `membership_version`: the table the sender goes by; who goes
@@ -40,29 +40,29 @@
     /// table that edges are shown here.
     /// `asker`: the life of the disk that asked; a later disk of its slot starts
     /// again with round 0, and what was told to the earlier one counts for nothing.
-    SnapshotReply { slot: u8, asker: u64, round: u8, full: bool, lost: u64, membership_version: u64, held: Vec<PartitionSnapshot> }
+    SnapshotReply { slot: u8, requester_incarnation: u64, round: u8, full: bool, lost_generation: u64, membership_version: u64, partitions: Vec<PartitionSnapshot> }
     /// Take a partition: promise to heed no lower epoch.
     /// `held`: what the asker's own disk holds of it: whoever holds nothing newer
     /// need not send it.
-    PrepareRequest { partition: u8, epoch: u64, membership_version: u64, held: StateId }
+    PrepareRequest { partition: u8, epoch: u64, membership_version: u64, requester_state: StateId }
     /// `retired`: lives of slots that count for nothing any more.
-    PrepareReply { partition: u8, epoch: u64, lost: u64, retired: Vec<u64>, state: PreparedState }
+    PrepareReply { partition: u8, epoch: u64, lost_generation: u64, retired_incarnations: Vec<u64>, state: PreparedState }
     /// Rows after `from` up to `to`; with `whole`, all there is; with `base`, from
     /// a state that the replica holds under an earlier epoch. An empty one
     /// is a round: it collects the sessions and confirms the owner.
-    AppendRequest { partition: u8, epoch: u64, membership_version: u64, round: u64, whole: bool, from: u64, to: u64, rows: Vec<(String, Row)>, drops: Vec<String>, published: u64, base: Option<EarlierState> }
+    AppendRequest { partition: u8, epoch: u64, membership_version: u64, round: u64, full_state: bool, after_version: u64, to_version: u64, rows: Vec<(String, Row)>, removed_keys: Vec<String>, published: u64, base: Option<EarlierState> }
     /// Kept and synced up to `to`. `clear`: every session standing here has
     /// confirmed this version; none while the sessions are not known yet.
     /// `retired` as in Raised: heeded before anything is counted.
-    AppendReply { partition: u8, epoch: u64, round: u64, to: u64, clear: Option<u64>, retired: Vec<u64> }
+    AppendReply { partition: u8, epoch: u64, round: u64, synced_version: u64, sessions_confirmed: Option<u64>, retired_incarnations: Vec<u64> }
     /// Rows before `from` are missing here.
     AppendGap { partition: u8, epoch: u64, round: u64 }
     /// A higher epoch was promised.
     StaleEpoch { partition: u8, epoch: u64, promised: u64 }
     /// A change on its way to the leader of its partition; answered to
     /// `asker`. `hops`: how many control nodes passed it on.
-    ChangeRequest { asker: SocketAddr, id: u64, partition: u8, hops: u8, ask: Change }
-    ChangeReply { id: u64, told: ChangeOutcome }
+    ChangeRequest { requester: SocketAddr, id: u64, partition: u8, hops: u8, change: Change }
+    ChangeReply { id: u64, outcome: ChangeOutcome }
 
     /// An empty control node without a slot asks for one that is lost, or
     /// (`founding`) for one of its own.
@@ -72,22 +72,22 @@
     /// the founding table; there is one, made by the first seed.
     MembershipTable { version: u64, members: Vec<Peer> }
     /// To a leaving member that offered its slot.
-    SlotOfferReply { answer: SlotOfferOutcome }
+    SlotOfferReply { outcome: SlotOfferOutcome }
     /// All that the disk of a removed member ever acknowledged, to its direct
     /// successor in this slot by the table `version`: it acknowledges nothing any
     /// more.
-    SlotState { version: u64, slot: u8, lost: u64, retired: Vec<u64>, held: Vec<PartitionSnapshot> }
+    SlotState { version: u64, slot: u8, lost_generation: u64, retired_incarnations: Vec<u64>, partitions: Vec<PartitionSnapshot> }
     /// The successor's disk is full.
     SlotStateReceived { version: u64 }
 
     // Between edges and control nodes.
     /// `recalled`: in this generation, nothing of an earlier one is left to tell.
     /// `heard`: the last mark of this control node, none before the first.
-    RenewRequest { sent: Duration, heard: Option<RenewalToken>, generation: u64, recalled: bool, vector: Vec<u64>, zone: String, ring: String, strength: u32, draining: bool, usage: Usage, found: Vec<OriginHealth> }
+    RenewRequest { sent: Duration, last_token: Option<RenewalToken>, generation: u64, recall_complete: bool, version_vector: Vec<u64>, zone: String, ring: String, weight: u32, draining: bool, usage: Usage, origin_health: Vec<OriginHealth> }
     /// To the life that sent the renewal, with its own time of sending.
     /// `recall`: acknowledged operations may be lost; tell those you know. `updates` stands
     /// last: it is encoded once for all who are told the same.
-    RenewReply { incarnation: u64, renewal_token: RenewalToken, sent: Duration, generation: u64, recall: bool, updates: SharedUpdates }
+    RenewReply { incarnation: u64, renewal_token: RenewalToken, sent: Duration, generation: u64, recall_requested: bool, updates: SharedUpdates }
     /// Tell all rows you know of this partition: more than its owner does.
     RecallRequest { partition: u8 }
     RecallReply { partition: u8, version: u64, rows: Vec<(String, Row)> }
@@ -101,9 +101,9 @@
 
     // Between edges: the cache.
     /// `spare`: the asker's own refill failed; it wants any copy in time.
-    CacheGet { id: u64, key: CacheKey, entry: String, host: String, url: String, keep: Duration, wait: Duration, spare: bool }
+    CacheGet { id: u64, key: CacheKey, entry: String, host: String, url: String, ttl: Duration, max_wait: Duration, accepts_any_age: bool }
     /// `wait`: for so long the asker waits for it; later it need not be sent.
-    CacheCopy { id: u64, key: CacheKey, wait: Duration, copy: CachedResponse }
+    CacheCopy { id: u64, key: CacheKey, max_wait: Duration, response: CachedResponse }
     /// Asked again: it waits for the refresher, or its copy is on the way.
     CacheGetQueued { id: u64 }
     /// Refill it: you are the refresher, under this token.
@@ -119,7 +119,7 @@
     HandoverReply { partition: u16, epoch: u64, sent: Duration, copies: Vec<HandedOverResponse> }
 
     // Between edges: the admission controller.
-    PermitRequest { service: String, id: u64, rank: u32, wait: Duration, sent: Duration, extra: bool, call: Duration, aim: Duration, zone: String, region: String, avoid: Vec<SocketAddr> }
+    PermitRequest { service: String, id: u64, rank: u32, max_wait: Duration, sent: Duration, is_retry: bool, call_timeout: Duration, latency_target: Duration, zone: String, region: String, excluded_origins: Vec<SocketAddr> }
     Permit { id: u64, service: String, epoch: u64, serial: u64, origin: Origin, sent: Duration, held: Duration, takes: Duration }
     /// Heard, and stands in line.
     PermitQueued { id: u64 }
@@ -140,7 +140,7 @@
     /// whenever it comes.
     pub fn awaited(&self) -> Option<Duration> {
         match self {
-            Message::CacheCopy(copy) => Some(copy.wait),
+            Message::CacheCopy(copy) => Some(copy.max_wait),
             _ => None,
         }
     }
@@ -189,9 +189,9 @@
 pub struct PartitionSnapshot {
     pub partition: u8,
     pub promised: u64,
-    pub image: PartitionState,
+    pub state: PartitionState,
     /// An updates partition's rows as they were at `image.published`.
-    pub shown: BTreeMap<String, Row>,
+    pub published_rows: BTreeMap<String, Row>,
 }
 
 /// A partition at one replica. Within an epoch an image is complete up to
@@ -270,13 +270,13 @@
     /// The ring of cache partitions it takes part in.
     pub ring: String,
     /// What it can carry beside others (1: the least).
-    pub strength: u32,
+    pub weight: u32,
     pub draining: bool,
     pub generation: u64,
-    pub recalled: bool,
-    pub vector: Vec<u64>,
+    pub recall_complete: bool,
+    pub version_vector: Vec<u64>,
     pub usage: Usage,
-    pub found: Vec<OriginHealth>,
+    pub origin_health: Vec<OriginHealth>,
 }
 
 /// What a control node tells with each renewal: its run and a number that
@@ -293,10 +293,10 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct SessionsDelta {
     pub from: u64,
-    pub at: u64,
-    pub sum: u64,
-    pub put: Vec<SessionInfo>,
-    pub gone: Vec<Peer>,
+    pub to: u64,
+    pub checksum: u64,
+    pub upserted: Vec<SessionInfo>,
+    pub removed: Vec<Peer>,
     /// For each updates partition the highest version confirmed here right now, and by
     /// whom: vectors rise with each change and are not told as differences.
     pub newest: Vec<(u64, Peer)>,
@@ -310,10 +310,10 @@
             self.peer,
             &self.zone,
             &self.ring,
-            self.strength,
+            self.weight,
             self.draining,
             self.generation,
-            self.recalled,
+            self.recall_complete,
         )
     }
 
@@ -350,17 +350,24 @@
 /// What an edge has served, by outcome, since its start.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Usage {
-    pub errands: u64,
+    #[serde(rename = "errands")]
+    pub requests: u64,
     /// Answered with a near copy, without asking its owner.
-    pub near: u64,
-    pub answered: u64,
-    pub refused: u64,
-    pub copies: u64,
+    #[serde(rename = "near")]
+    pub near_cache_hits: u64,
+    #[serde(rename = "answered")]
+    pub completed: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    #[serde(rename = "copies")]
+    pub cache_hits: u64,
     pub calls: u64,
-    pub extra: u64,
+    #[serde(rename = "extra")]
+    pub retries: u64,
     pub pending: u64,
     /// Callers that left before their answer.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub client_disconnects: u64,
     /// Calls begun, or kept under way, for callers that had left; must stay 0.
     pub abandoned: u64,
 }
@@ -441,8 +448,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
     pub operation: String,
-    pub print: CacheKey,
-    pub by: Peer,
+    pub fingerprint: CacheKey,
+    pub claimant: Peer,
     pub request: u64,
 }
 
@@ -500,7 +507,7 @@
     /// Epoch of the cache assignment: a put to a later owner is dropped.
     pub epoch: u64,
     /// Purges the owner knew: a later one that reaches the key drops the put.
-    pub purged: u64,
+    pub purge_version: u64,
 }
 
 /// A copy as the owner hands it out.
@@ -508,16 +515,16 @@
 pub struct CachedResponse {
     pub reply: Reply,
     /// Purges this copy is known to be clear of.
-    pub purged: u64,
+    pub purge_version: u64,
     /// Since the start of its fetch.
     pub age: Duration,
     /// Until its minor expiry: for so long it is served without asking again.
-    pub fresh: Duration,
+    pub fresh_for: Duration,
     /// Until its major expiry.
-    pub left: Duration,
+    pub remaining_ttl: Duration,
     /// How long the owner held the asking back: the rest of the time until
     /// the copy arrives was spent on the way and counts against `left`.
-    pub held: Duration,
+    pub owner_delay: Duration,
 }
 
 /// A copy on its way to a new owner, with its expiries as spans from now.
@@ -527,12 +534,12 @@
     pub entry: String,
     pub host: String,
     pub url: String,
-    pub keep: Duration,
+    pub ttl: Duration,
     pub reply: Reply,
-    pub purged: u64,
+    pub purge_version: u64,
     pub age: Duration,
-    pub minor: Duration,
-    pub major: Duration,
+    pub minor_expiry: Duration,
+    pub major_expiry: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -3,14 +3,14 @@
 /// The control state is cut into partitions; a partition has one owner at a time.
 /// The first `PUBLISHED_PARTITIONS` partitions are carried to the edges as updates, one version each;
 /// the others hold operations (the ledger).
-pub const CONFIGURATION: u8 = 0;
-pub const PURGES: u8 = 1;
-pub const ORIGINS: u8 = 2;
-pub const ASSIGNMENTS: u8 = 3;
-pub const MEMBERSHIP: u8 = 4;
+pub const CONFIGURATION_PARTITION: u8 = 0;
+pub const PURGES_PARTITION: u8 = 1;
+pub const ORIGINS_PARTITION: u8 = 2;
+pub const ASSIGNMENTS_PARTITION: u8 = 3;
+pub const MEMBERSHIP_PARTITION: u8 = 4;
 pub const PUBLISHED_PARTITIONS: u8 = 5;
-pub const LEDGERS: u8 = 16;
-pub const PARTITIONS: u8 = PUBLISHED_PARTITIONS + LEDGERS;
+pub const LEDGER_PARTITIONS: u8 = 16;
+pub const PARTITIONS: u8 = PUBLISHED_PARTITIONS + LEDGER_PARTITIONS;
 /// Slots of the control plane at most; epochs are told apart by it.
 pub const MAX_SLOTS: usize = 16;
 /// Cached content is cut into this many partitions on the ring.
@@ -21,7 +21,7 @@
 
 /// The partition that holds an operation key of a service.
 pub fn ledger_partition(operation: &str) -> u8 {
-    PUBLISHED_PARTITIONS + Sha256::digest(operation.as_bytes())[0] % LEDGERS
+    PUBLISHED_PARTITIONS + Sha256::digest(operation.as_bytes())[0] % LEDGER_PARTITIONS
 }
 
 /// The cache partition of a hashed cache key.
@@ -56,7 +56,7 @@
     pub region: String,
     pub ring: String,
     /// What this machine can carry beside others; 0 counts as 1.
-    pub strength: u32,
+    pub weight: u32,
 }
 
 /// Of the control node that owns the list of origins.
@@ -96,11 +96,11 @@
     /// life 0: whoever listens there.
     Members(Vec<Peer>),
     /// Edges that have a session, and those gone for less than
-    /// `lease::CLOSED`: all whose operations may be asked for again. Only if
+    /// `lease::LEDGER_CLOSED_AFTER_LOSS`: all whose operations may be asked for again. Only if
     /// the ledger was `complete` by then, all of them together know of all.
     EdgeRegistry {
         members: Vec<Peer>,
-        gone: Vec<Peer>,
+        departed: Vec<Peer>,
         complete: bool,
     },
     /// Those of the roll whose being on it had settled: they may claim
@@ -128,7 +128,7 @@
 impl Value {
     /// Whether edges are told rows of this kind; the others only serve to
     /// judge changes.
-    pub fn for_edges(&self) -> bool {
+    pub fn visible_to_edges(&self) -> bool {
         !matches!(self, Value::Accepted(_) | Value::Applied(_))
     }
 }
@@ -158,18 +158,18 @@
 /// settled row without a holder; `epoch` rises with every row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    pub holder: Option<Peer>,
+    pub owner: Option<Peer>,
     /// Who held it before: a new holder asks it for what it left.
-    pub last: Option<Peer>,
+    pub previous_owner: Option<Peer>,
     pub epoch: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Operation {
     /// Hash over caller, entry, method, target and body.
-    pub print: CacheKey,
+    pub fingerprint: CacheKey,
     /// The edge and its request that hold the claim.
-    pub by: Peer,
+    pub claimant: Peer,
     pub request: u64,
     pub state: OperationState,
 }
@@ -237,7 +237,7 @@
 }
 
 impl Purge {
-    pub fn reaches(&self, copy: CacheEntryName) -> bool {
+    pub fn matches(&self, copy: CacheEntryName) -> bool {
         self.entry.as_deref().is_none_or(|name| name == copy.entry)
             && self
                 .host
@@ -286,8 +286,8 @@
     pub service: String,
     #[validate(length(min = 1, max = 64))]
     pub instance: String,
-    #[serde(default)]
-    pub leaving: bool,
+    #[serde(default, rename = "leaving")]
+    pub draining: bool,
     #[serde(default)]
     pub zone: String,
     #[serde(default)]
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -241,7 +241,7 @@
             zone: self.zone.clone(),
             region: self.region.clone(),
             ring,
-            strength: self.strength.unwrap_or(1),
+            weight: self.strength.unwrap_or(1),
         }
     }
 
--- a/kernel/src/state_machine.rs
+++ b/kernel/src/state_machine.rs
@@ -3,7 +3,7 @@
 /// A state machine without I/O. It is told the time (a span since some start,
 /// monotonic) with each input and says what shall be done.
 pub trait StateMachine: Send {
-    fn step(&mut self, now: Duration, input: Input) -> Vec<Output>;
+    fn handle(&mut self, now: Duration, input: Input) -> Vec<Output>;
 }
 
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
     },
     Operator {
         id: u64,
-        ask: OperatorRequest,
+        request: OperatorRequest,
     },
     /// An open connection to an origin stands, or has ended: then the process
     /// that listens there may be another.
@@ -64,7 +64,7 @@
     },
     ClientResponse {
         id: u64,
-        answer: ClientResponse,
+        response: ClientResponse,
     },
     Call {
         id: u64,
@@ -72,7 +72,7 @@
     },
     OperatorResponse {
         id: u64,
-        answer: OperatorResponse,
+        response: OperatorResponse,
     },
     /// Open a connection to this origin and tell when it ends.
     WatchConnection {
@@ -126,32 +126,32 @@
     pub body: Arc<Vec<u8>>,
     pub caller: String,
     /// The image this request keeps for its life.
-    pub image: Arc<RouteTable>,
+    pub routes: Arc<RouteTable>,
     /// Index of the matched entry in the image.
     pub entry: usize,
     /// The key under which it runs once, if it came with one.
     pub operation: Option<String>,
     /// How long the caller waits, if it said so.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// What the caller calls it, for the origin to give back.
-    pub name: Option<String>,
+    pub request_id: Option<String>,
     /// The group it goes to.
     pub service: String,
 }
 
 impl ClientRequest {
     pub fn entry(&self) -> &Entry {
-        &self.image.document.entries[self.entry]
+        &self.routes.document.entries[self.entry]
     }
 
     /// The host that the entry is for; empty if it is for any: what is held or
     /// run once is then the same under every name.
-    pub fn home(&self) -> &str {
+    pub fn entry_host(&self) -> &str {
         self.entry().host.as_deref().unwrap_or_default()
     }
 
     pub fn group(&self) -> &Group {
-        self.image
+        self.routes
             .document
             .group(&self.service)
             .expect("checked on reading")
@@ -187,14 +187,14 @@
     pub headers: Vec<(String, String)>,
     pub body: Arc<Vec<u8>>,
     pub operation: Option<String>,
-    pub name: Option<String>,
+    pub request_id: Option<String>,
     /// Binds the answer to this one call.
     pub request: u64,
     pub key: String,
     pub proof: Proof,
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Sessions this process may have with that origin.
-    pub sessions: usize,
+    pub max_connections: usize,
     pub purpose: CallPurpose,
 }
 
@@ -257,7 +257,7 @@
     /// Nothing was sent for this very request and nothing will be, whatever
     /// became of others with its key.
     #[serde(skip)]
-    pub idle: bool,
+    pub nothing_sent: bool,
     pub text: String,
     /// Written in whole seconds, rounded up: no one comes back too early.
     #[serde(
@@ -292,7 +292,7 @@
             status,
             code: code.into(),
             outcome,
-            idle: outcome == RunState::NotRun,
+            nothing_sent: outcome == RunState::NotRun,
             text: text.into(),
             retry_after_s,
         }
@@ -307,8 +307,11 @@
     }
 
     /// The same, of a request for which nothing was sent.
-    pub fn idle(self) -> Rejection {
-        Rejection { idle: true, ..self }
+    pub fn with_nothing_sent(self) -> Rejection {
+        Rejection {
+            nothing_sent: true,
+            ..self
+        }
     }
 
     /// From a node without its lease.
@@ -319,18 +322,18 @@
             outcome,
             "this node is cut off from a majority; another may serve",
         );
-        refusal.idle().back(FENCED)
+        refusal.with_nothing_sent().with_retry_after(FENCED)
     }
 
     /// The process ends: another node serves it at once.
     pub fn ending(outcome: RunState) -> Rejection {
         let why = "this node ends; another serves";
         let refusal = Rejection::new(503, "ending", outcome, why);
-        refusal.idle().back(ENDING)
+        refusal.with_nothing_sent().with_retry_after(ENDING)
     }
 
     /// When to come back; each dialect rounds up, so no one comes too early.
-    pub fn back(mut self, after: Duration) -> Rejection {
+    pub fn with_retry_after(mut self, after: Duration) -> Rejection {
         self.retry_after_s = Some(after.as_secs_f64());
         self
     }
--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -10,17 +10,17 @@
 
 fn heartbeat() -> Message {
     Heartbeat {
-        hears: SlotSet::default(),
-        contacts: SlotSet::default(),
-        vouched: SlotSet::default(),
+        heard_slots: SlotSet::default(),
+        mutual_contacts: SlotSet::default(),
+        leader_candidates: SlotSet::default(),
         slot: 2,
         full: true,
         blank: false,
         membership_version: 0,
-        closed: Duration::ZERO,
-        lost: 0,
-        got: 0,
-        seen: None,
+        ledger_closed_for: Duration::ZERO,
+        lost_generation: 0,
+        acknowledged_sessions: 0,
+        sessions: None,
     }
     .into()
 }
@@ -150,7 +150,7 @@
             renewal_token: RenewalToken::default(),
             sent: Duration::from_millis(incarnation),
             generation: 5,
-            recall: false,
+            recall_requested: false,
             updates: updates.clone(),
         })
     };
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -75,7 +75,7 @@
         token: FillToken {
             serial: id,
             epoch: 0,
-            purged: 0,
+            purge_version: 0,
         },
         reply: Reply {
             body: Arc::new(vec![7; bytes]),
--- a/kernel/tests/samples/mod.rs
+++ b/kernel/tests/samples/mod.rs
@@ -84,7 +84,7 @@
                     address: address(313),
                     service: "text 314".into(),
                     instance: "text 315".into(),
-                    leaving: true,
+                    draining: true,
                     zone: "text 316".into(),
                     region: "text 317".into(),
                     capacity: 318,
@@ -94,7 +94,7 @@
                     address: address(313),
                     service: "text 314".into(),
                     instance: "text 315".into(),
-                    leaving: false,
+                    draining: false,
                     zone: "text 316".into(),
                     region: "text 317".into(),
                     capacity: 318,
@@ -104,19 +104,19 @@
             change: 320,
         },
         Value::Assignment(Assignment {
-            holder: Some(Peer {
+            owner: Some(Peer {
                 address: address(321),
                 incarnation: 322,
             }),
-            last: Some(Peer {
+            previous_owner: Some(Peer {
                 address: address(323),
                 incarnation: 324,
             }),
             epoch: 325,
         }),
         Value::Assignment(Assignment {
-            holder: None,
-            last: None,
+            owner: None,
+            previous_owner: None,
             epoch: 325,
         }),
         Value::Members(vec![Peer {
@@ -128,7 +128,7 @@
                 address: address(328),
                 incarnation: 329,
             }],
-            gone: vec![Peer {
+            departed: vec![Peer {
                 address: address(330),
                 incarnation: 331,
             }],
@@ -139,7 +139,7 @@
                 address: address(328),
                 incarnation: 329,
             }],
-            gone: vec![Peer {
+            departed: vec![Peer {
                 address: address(330),
                 incarnation: 331,
             }],
@@ -154,8 +154,8 @@
         Value::Opened { generation: 334 },
         Value::Founded { generation: 335 },
         Value::Operation(Operation {
-            print: [86; 32],
-            by: Peer {
+            fingerprint: [86; 32],
+            claimant: Peer {
                 address: address(337),
                 incarnation: 338,
             },
@@ -163,8 +163,8 @@
             state: OperationState::Running,
         }),
         Value::Operation(Operation {
-            print: [86; 32],
-            by: Peer {
+            fingerprint: [86; 32],
+            claimant: Peer {
                 address: address(337),
                 incarnation: 338,
             },
@@ -172,8 +172,8 @@
             state: OperationState::Released,
         }),
         Value::Operation(Operation {
-            print: [86; 32],
-            by: Peer {
+            fingerprint: [86; 32],
+            claimant: Peer {
                 address: address(337),
                 incarnation: 338,
             },
@@ -181,8 +181,8 @@
             state: OperationState::Unknown,
         }),
         Value::Operation(Operation {
-            print: [86; 32],
-            by: Peer {
+            fingerprint: [86; 32],
+            claimant: Peer {
                 address: address(337),
                 incarnation: 338,
             },
--- a/kernel/tests/wire_format/main.rs
+++ b/kernel/tests/wire_format/main.rs
@@ -64,15 +64,15 @@
 #[test]
 fn usage_and_origin_health_keep_their_json_names() {
     let usage = Usage {
-        errands: 1,
-        near: 2,
-        answered: 3,
-        refused: 4,
-        copies: 5,
+        requests: 1,
+        near_cache_hits: 2,
+        completed: 3,
+        rejected: 4,
+        cache_hits: 5,
         calls: 6,
-        extra: 7,
+        retries: 7,
         pending: 8,
-        left: 9,
+        client_disconnects: 9,
         abandoned: 10,
     };
     assert_eq!(
--- a/kernel/tests/wire_format/messages.rs
+++ b/kernel/tests/wire_format/messages.rs
@@ -9,17 +9,17 @@
             full: true,
             blank: false,
             membership_version: 12,
-            closed: Duration::from_micros(13007),
-            lost: 14,
-            hears: [15, 4].into_iter().collect(),
-            contacts: [0, 6].into_iter().collect(),
-            vouched: [1, 7].into_iter().collect(),
-            got: 18,
-            seen: Some(SessionsDelta {
+            ledger_closed_for: Duration::from_micros(13007),
+            lost_generation: 14,
+            heard_slots: [15, 4].into_iter().collect(),
+            mutual_contacts: [0, 6].into_iter().collect(),
+            leader_candidates: [1, 7].into_iter().collect(),
+            acknowledged_sessions: 18,
+            sessions: Some(SessionsDelta {
                 from: 19,
-                at: 20,
-                sum: 21,
-                put: vec![
+                to: 20,
+                checksum: 21,
+                upserted: vec![
                     SessionInfo {
                         peer: Peer {
                             address: address(22),
@@ -27,24 +27,24 @@
                         },
                         zone: "text 24".into(),
                         ring: "text 25".into(),
-                        strength: 26,
+                        weight: 26,
                         draining: true,
                         generation: 27,
-                        recalled: false,
-                        vector: vec![28],
+                        recall_complete: false,
+                        version_vector: vec![28],
                         usage: Usage {
-                            errands: 29,
-                            near: 30,
-                            answered: 31,
-                            refused: 32,
-                            copies: 33,
+                            requests: 29,
+                            near_cache_hits: 30,
+                            completed: 31,
+                            rejected: 32,
+                            cache_hits: 33,
                             calls: 34,
-                            extra: 35,
+                            retries: 35,
                             pending: 36,
-                            left: 37,
+                            client_disconnects: 37,
                             abandoned: 38,
                         },
-                        found: vec![
+                        origin_health: vec![
                             OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
@@ -75,24 +75,24 @@
                         },
                         zone: "text 24".into(),
                         ring: "text 25".into(),
-                        strength: 26,
+                        weight: 26,
                         draining: false,
                         generation: 27,
-                        recalled: true,
-                        vector: vec![28],
+                        recall_complete: true,
+                        version_vector: vec![28],
                         usage: Usage {
-                            errands: 29,
-                            near: 30,
-                            answered: 31,
-                            refused: 32,
-                            copies: 33,
+                            requests: 29,
+                            near_cache_hits: 30,
+                            completed: 31,
+                            rejected: 32,
+                            cache_hits: 33,
                             calls: 34,
-                            extra: 35,
+                            retries: 35,
                             pending: 36,
-                            left: 37,
+                            client_disconnects: 37,
                             abandoned: 38,
                         },
-                        found: vec![
+                        origin_health: vec![
                             OriginHealth {
                                 address: address(39),
                                 service: "text 40".into(),
@@ -117,7 +117,7 @@
                         ],
                     },
                 ],
-                gone: vec![Peer {
+                removed: vec![Peer {
                     address: address(43),
                     incarnation: 44,
                 }],
@@ -136,13 +136,13 @@
             full: false,
             blank: true,
             membership_version: 12,
-            closed: Duration::from_micros(13007),
-            lost: 14,
-            hears: [15, 4].into_iter().collect(),
-            contacts: [0, 6].into_iter().collect(),
-            vouched: [1, 7].into_iter().collect(),
-            got: 18,
-            seen: None,
+            ledger_closed_for: Duration::from_micros(13007),
+            lost_generation: 14,
+            heard_slots: [15, 4].into_iter().collect(),
+            mutual_contacts: [0, 6].into_iter().collect(),
+            leader_candidates: [1, 7].into_iter().collect(),
+            acknowledged_sessions: 18,
+            sessions: None,
         }
         .into(),
         SnapshotRequest {
@@ -153,41 +153,41 @@
         .into(),
         SnapshotReply {
             slot: 52,
-            asker: 52,
+            requester_incarnation: 52,
             round: 54,
             full: true,
-            lost: 54,
+            lost_generation: 54,
             membership_version: 55,
-            held: vec![PartitionSnapshot {
+            partitions: vec![PartitionSnapshot {
                 partition: 14,
                 promised: 57,
-                image: PartitionState {
+                state: PartitionState {
                     epoch: 58,
                     version: 59,
                     published: 60,
                     rows: rows().into_iter().collect(),
                 },
-                shown: rows().into_iter().collect(),
+                published_rows: rows().into_iter().collect(),
             }],
         }
         .into(),
         SnapshotReply {
             slot: 52,
-            asker: 52,
+            requester_incarnation: 52,
             round: 54,
             full: false,
-            lost: 54,
+            lost_generation: 54,
             membership_version: 55,
-            held: vec![PartitionSnapshot {
+            partitions: vec![PartitionSnapshot {
                 partition: 14,
                 promised: 57,
-                image: PartitionState {
+                state: PartitionState {
                     epoch: 58,
                     version: 59,
                     published: 60,
                     rows: rows().into_iter().collect(),
                 },
-                shown: rows().into_iter().collect(),
+                published_rows: rows().into_iter().collect(),
             }],
         }
         .into(),
@@ -195,7 +195,7 @@
             partition: 19,
             epoch: 62,
             membership_version: 63,
-            held: StateId {
+            requester_state: StateId {
                 epoch: 64,
                 version: 65,
             },
@@ -204,8 +204,8 @@
         PrepareReply {
             partition: 3,
             epoch: 67,
-            lost: 68,
-            retired: vec![69],
+            lost_generation: 68,
+            retired_incarnations: vec![69],
             state: PreparedState::NotNewer {
                 id: StateId {
                     epoch: 70,
@@ -218,8 +218,8 @@
         PrepareReply {
             partition: 3,
             epoch: 67,
-            lost: 68,
-            retired: vec![69],
+            lost_generation: 68,
+            retired_incarnations: vec![69],
             state: PreparedState::Newer(PartitionState {
                 epoch: 73,
                 version: 74,
@@ -233,11 +233,11 @@
             epoch: 77,
             membership_version: 78,
             round: 79,
-            whole: true,
-            from: 80,
-            to: 81,
+            full_state: true,
+            after_version: 80,
+            to_version: 81,
             rows: rows(),
-            drops: vec!["text 82".into()],
+            removed_keys: vec!["text 82".into()],
             published: 83,
             base: Some(EarlierState {
                 epoch: 84,
@@ -250,11 +250,11 @@
             epoch: 77,
             membership_version: 78,
             round: 79,
-            whole: false,
-            from: 80,
-            to: 81,
+            full_state: false,
+            after_version: 80,
+            to_version: 81,
             rows: rows(),
-            drops: vec!["text 82".into()],
+            removed_keys: vec!["text 82".into()],
             published: 83,
             base: Some(EarlierState {
                 epoch: 84,
@@ -267,11 +267,11 @@
             epoch: 77,
             membership_version: 78,
             round: 79,
-            whole: true,
-            from: 80,
-            to: 81,
+            full_state: true,
+            after_version: 80,
+            to_version: 81,
             rows: rows(),
-            drops: vec!["text 82".into()],
+            removed_keys: vec!["text 82".into()],
             published: 83,
             base: None,
         }
@@ -280,18 +280,18 @@
             partition: 2,
             epoch: 87,
             round: 88,
-            to: 89,
-            clear: Some(90),
-            retired: vec![91],
+            synced_version: 89,
+            sessions_confirmed: Some(90),
+            retired_incarnations: vec![91],
         }
         .into(),
         AppendReply {
             partition: 2,
             epoch: 87,
             round: 88,
-            to: 89,
-            clear: None,
-            retired: vec![91],
+            synced_version: 89,
+            sessions_confirmed: None,
+            retired_incarnations: vec![91],
         }
         .into(),
         AppendGap {
@@ -307,11 +307,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::PutConfiguration {
+            change: Change::PutConfiguration {
                 text: "shared text 102".into(),
                 expect: Some(103),
                 change: 104,
@@ -319,11 +319,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::PutConfiguration {
+            change: Change::PutConfiguration {
                 text: "shared text 102".into(),
                 expect: None,
                 change: 104,
@@ -331,19 +331,19 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::GetConfiguration,
+            change: Change::GetConfiguration,
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::PutItems {
+            change: Change::PutItems {
                 items: vec![
                     Item {
                         kind: ItemKind::Group,
@@ -371,11 +371,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::AddPurge {
+            change: Change::AddPurge {
                 purge: Purge {
                     entry: Some("text 109".into()),
                     url: Some("text 110".into()),
@@ -388,11 +388,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::AddPurge {
+            change: Change::AddPurge {
                 purge: Purge {
                     entry: None,
                     url: None,
@@ -405,17 +405,17 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::PutOrigins {
+            change: Change::PutOrigins {
                 list: Arc::new(vec![
                     Origin {
                         address: address(115),
                         service: "text 116".into(),
                         instance: "text 117".into(),
-                        leaving: true,
+                        draining: true,
                         zone: "text 118".into(),
                         region: "text 119".into(),
                         capacity: 120,
@@ -425,7 +425,7 @@
                         address: address(115),
                         service: "text 116".into(),
                         instance: "text 117".into(),
-                        leaving: false,
+                        draining: false,
                         zone: "text 118".into(),
                         region: "text 119".into(),
                         capacity: 120,
@@ -439,17 +439,17 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::PutOrigins {
+            change: Change::PutOrigins {
                 list: Arc::new(vec![
                     Origin {
                         address: address(115),
                         service: "text 116".into(),
                         instance: "text 117".into(),
-                        leaving: true,
+                        draining: true,
                         zone: "text 118".into(),
                         region: "text 119".into(),
                         capacity: 120,
@@ -459,7 +459,7 @@
                         address: address(115),
                         service: "text 116".into(),
                         instance: "text 117".into(),
-                        leaving: false,
+                        draining: false,
                         zone: "text 118".into(),
                         region: "text 119".into(),
                         capacity: 120,
@@ -473,27 +473,27 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::List,
+            change: Change::List,
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::OpenLedger { generation: 124 },
+            change: Change::OpenLedger { generation: 124 },
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::JoinRequest {
+            change: Change::JoinRequest {
                 peer: Peer {
                     address: address(125),
                     incarnation: 126,
@@ -503,11 +503,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::JoinRequest {
+            change: Change::JoinRequest {
                 peer: Peer {
                     address: address(125),
                     incarnation: 126,
@@ -517,11 +517,11 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::OfferSlot {
+            change: Change::OfferSlot {
                 member: Peer {
                     address: address(127),
                     incarnation: 128,
@@ -530,22 +530,22 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::Refound { after: 129 },
+            change: Change::Refound { after: 129 },
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::Claim(Claim {
+            change: Change::Claim(Claim {
                 operation: "text 130".into(),
-                print: [131; 32],
-                by: Peer {
+                fingerprint: [131; 32],
+                claimant: Peer {
                     address: address(132),
                     incarnation: 133,
                 },
@@ -554,14 +554,14 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::Release(Claim {
+            change: Change::Release(Claim {
                 operation: "text 135".into(),
-                print: [136; 32],
-                by: Peer {
+                fingerprint: [136; 32],
+                claimant: Peer {
                     address: address(137),
                     incarnation: 138,
                 },
@@ -570,15 +570,15 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::Record(
+            change: Change::Record(
                 Claim {
                     operation: "text 140".into(),
-                    print: [141; 32],
-                    by: Peer {
+                    fingerprint: [141; 32],
+                    claimant: Peer {
                         address: address(142),
                         incarnation: 143,
                     },
@@ -594,15 +594,15 @@
         }
         .into(),
         ChangeRequest {
-            asker: address(98),
+            requester: address(98),
             id: 99,
             partition: 16,
             hops: 102,
-            ask: Change::Record(
+            change: Change::Record(
                 Claim {
                     operation: "text 140".into(),
-                    print: [141; 32],
-                    by: Peer {
+                    fingerprint: [141; 32],
+                    claimant: Peer {
                         address: address(142),
                         incarnation: 143,
                     },
@@ -614,12 +614,12 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Acknowledged { version: 152 },
+            outcome: ChangeOutcome::Acknowledged { version: 152 },
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::VersionConflict {
+            outcome: ChangeOutcome::VersionConflict {
                 version: 153,
                 complete_after: 154,
             },
@@ -627,7 +627,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Configuration {
+            outcome: ChangeOutcome::Configuration {
                 version: 155,
                 text: "shared text 156".into(),
             },
@@ -635,7 +635,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Rows {
+            outcome: ChangeOutcome::Rows {
                 version: 157,
                 rows: rows(),
             },
@@ -643,7 +643,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Findings(vec![Finding {
+            outcome: ChangeOutcome::Findings(vec![Finding {
                 place: "text 158".into(),
                 text: "text 159".into(),
             }]),
@@ -651,12 +651,12 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Claimed,
+            outcome: ChangeOutcome::Claimed,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::AlreadyClaimed {
+            outcome: ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Running,
             },
@@ -664,7 +664,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::AlreadyClaimed {
+            outcome: ChangeOutcome::AlreadyClaimed {
                 same: false,
                 state: OperationState::Released,
             },
@@ -672,7 +672,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::AlreadyClaimed {
+            outcome: ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Unknown,
             },
@@ -680,7 +680,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::AlreadyClaimed {
+            outcome: ChangeOutcome::AlreadyClaimed {
                 same: false,
                 state: OperationState::Done(Arc::new(Reply {
                     status: 4820,
@@ -693,34 +693,34 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Released,
+            outcome: ChangeOutcome::Released,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Recorded,
+            outcome: ChangeOutcome::Recorded,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::Unknown,
+            outcome: ChangeOutcome::Unknown,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::NoMajority,
+            outcome: ChangeOutcome::NoMajority,
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::LedgerClosed {
+            outcome: ChangeOutcome::LedgerClosed {
                 left: Duration::from_micros(166007),
             },
         }
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::RevisionConflict(vec![Finding {
+            outcome: ChangeOutcome::RevisionConflict(vec![Finding {
                 place: "text 167".into(),
                 text: "text 168".into(),
             }]),
@@ -728,7 +728,7 @@
         .into(),
         ChangeReply {
             id: 151,
-            told: ChangeOutcome::RevisionForgotten(vec![Finding {
+            outcome: ChangeOutcome::RevisionForgotten(vec![Finding {
                 place: "text 169".into(),
                 text: "text 170".into(),
             }]),
@@ -745,15 +745,15 @@
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferOutcome::NoNewcomer,
+            outcome: SlotOfferOutcome::NoNewcomer,
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferOutcome::Later,
+            outcome: SlotOfferOutcome::Later,
         }
         .into(),
         SlotOfferReply {
-            answer: SlotOfferOutcome::Assigned {
+            outcome: SlotOfferOutcome::Assigned {
                 version: 174,
                 successor: Peer {
                     address: address(175),
@@ -765,48 +765,48 @@
         SlotState {
             version: 177,
             slot: 179,
-            lost: 179,
-            retired: vec![180],
-            held: vec![PartitionSnapshot {
+            lost_generation: 179,
+            retired_incarnations: vec![180],
+            partitions: vec![PartitionSnapshot {
                 partition: 13,
                 promised: 182,
-                image: PartitionState {
+                state: PartitionState {
                     epoch: 183,
                     version: 184,
                     published: 185,
                     rows: rows().into_iter().collect(),
                 },
-                shown: rows().into_iter().collect(),
+                published_rows: rows().into_iter().collect(),
             }],
         }
         .into(),
         SlotStateReceived { version: 186 }.into(),
         RenewRequest {
             sent: Duration::from_micros(187007),
-            heard: Some(RenewalToken {
+            last_token: Some(RenewalToken {
                 run: 188,
                 count: 189,
             }),
             generation: 190,
-            recalled: true,
-            vector: vec![191],
+            recall_complete: true,
+            version_vector: vec![191],
             zone: "text 192".into(),
             ring: "text 193".into(),
-            strength: 194,
+            weight: 194,
             draining: false,
             usage: Usage {
-                errands: 195,
-                near: 196,
-                answered: 197,
-                refused: 198,
-                copies: 199,
+                requests: 195,
+                near_cache_hits: 196,
+                completed: 197,
+                rejected: 198,
+                cache_hits: 199,
                 calls: 200,
-                extra: 201,
+                retries: 201,
                 pending: 202,
-                left: 203,
+                client_disconnects: 203,
                 abandoned: 204,
             },
-            found: vec![
+            origin_health: vec![
                 OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
@@ -833,27 +833,27 @@
         .into(),
         RenewRequest {
             sent: Duration::from_micros(187007),
-            heard: None,
+            last_token: None,
             generation: 190,
-            recalled: false,
-            vector: vec![191],
+            recall_complete: false,
+            version_vector: vec![191],
             zone: "text 192".into(),
             ring: "text 193".into(),
-            strength: 194,
+            weight: 194,
             draining: true,
             usage: Usage {
-                errands: 195,
-                near: 196,
-                answered: 197,
-                refused: 198,
-                copies: 199,
+                requests: 195,
+                near_cache_hits: 196,
+                completed: 197,
+                rejected: 198,
+                cache_hits: 199,
                 calls: 200,
-                extra: 201,
+                retries: 201,
                 pending: 202,
-                left: 203,
+                client_disconnects: 203,
                 abandoned: 204,
             },
-            found: vec![
+            origin_health: vec![
                 OriginHealth {
                     address: address(205),
                     service: "text 206".into(),
@@ -886,7 +886,7 @@
             },
             sent: Duration::from_micros(212007),
             generation: 213,
-            recall: true,
+            recall_requested: true,
             updates: vec![PartitionUpdate {
                 partition: 4,
                 version: 215,
@@ -903,7 +903,7 @@
             },
             sent: Duration::from_micros(212007),
             generation: 213,
-            recall: false,
+            recall_requested: false,
             updates: SharedUpdates::default(),
         }
         .into(),
@@ -937,9 +937,9 @@
             entry: "text 227".into(),
             host: "text 228".into(),
             url: "text 229".into(),
-            keep: Duration::from_micros(230007),
-            wait: Duration::from_micros(231007),
-            spare: true,
+            ttl: Duration::from_micros(230007),
+            max_wait: Duration::from_micros(231007),
+            accepts_any_age: true,
         }
         .into(),
         CacheGet {
@@ -948,27 +948,27 @@
             entry: "text 227".into(),
             host: "text 228".into(),
             url: "text 229".into(),
-            keep: Duration::from_micros(230007),
-            wait: Duration::from_micros(231007),
-            spare: false,
+            ttl: Duration::from_micros(230007),
+            max_wait: Duration::from_micros(231007),
+            accepts_any_age: false,
         }
         .into(),
         CacheCopy {
             id: 232,
             key: [233; 32],
-            wait: Duration::from_micros(234007),
-            copy: CachedResponse {
+            max_wait: Duration::from_micros(234007),
+            response: CachedResponse {
                 reply: Reply {
                     status: 4895,
                     headers: vec![("text 236".into(), "text 237".into())],
                     body: Arc::new(vec![238, 239]),
                     tags: vec!["text 240".into()],
                 },
-                purged: 241,
+                purge_version: 241,
                 age: Duration::from_micros(242007),
-                fresh: Duration::from_micros(243007),
-                left: Duration::from_micros(244007),
-                held: Duration::from_micros(245007),
+                fresh_for: Duration::from_micros(243007),
+                remaining_ttl: Duration::from_micros(244007),
+                owner_delay: Duration::from_micros(245007),
             },
         }
         .into(),
@@ -979,7 +979,7 @@
             token: FillToken {
                 serial: 249,
                 epoch: 250,
-                purged: 251,
+                purge_version: 251,
             },
         }
         .into(),
@@ -993,7 +993,7 @@
             token: FillToken {
                 serial: 255,
                 epoch: 256,
-                purged: 257,
+                purge_version: 257,
             },
             reply: Reply {
                 status: 4918,
@@ -1008,7 +1008,7 @@
             token: FillToken {
                 serial: 265,
                 epoch: 266,
-                purged: 267,
+                purge_version: 267,
             },
             private: true,
         }
@@ -1018,7 +1018,7 @@
             token: FillToken {
                 serial: 265,
                 epoch: 266,
-                purged: 267,
+                purge_version: 267,
             },
             private: false,
         }
@@ -1038,17 +1038,17 @@
                 entry: "text 275".into(),
                 host: "text 276".into(),
                 url: "text 277".into(),
-                keep: Duration::from_micros(278007),
+                ttl: Duration::from_micros(278007),
                 reply: Reply {
                     status: 4939,
                     headers: vec![("text 280".into(), "text 281".into())],
                     body: Arc::new(vec![32, 33]),
                     tags: vec!["text 284".into()],
                 },
-                purged: 285,
+                purge_version: 285,
                 age: Duration::from_micros(286007),
-                minor: Duration::from_micros(287007),
-                major: Duration::from_micros(288007),
+                minor_expiry: Duration::from_micros(287007),
+                major_expiry: Duration::from_micros(288007),
             }],
         }
         .into(),
@@ -1056,28 +1056,28 @@
             service: "text 289".into(),
             id: 290,
             rank: 291,
-            wait: Duration::from_micros(292007),
+            max_wait: Duration::from_micros(292007),
             sent: Duration::from_micros(293007),
-            extra: true,
-            call: Duration::from_micros(294007),
-            aim: Duration::from_micros(295007),
+            is_retry: true,
+            call_timeout: Duration::from_micros(294007),
+            latency_target: Duration::from_micros(295007),
             zone: "text 296".into(),
             region: "text 297".into(),
-            avoid: vec![address(298)],
+            excluded_origins: vec![address(298)],
         }
         .into(),
         PermitRequest {
             service: "text 289".into(),
             id: 290,
             rank: 291,
-            wait: Duration::from_micros(292007),
+            max_wait: Duration::from_micros(292007),
             sent: Duration::from_micros(293007),
-            extra: false,
-            call: Duration::from_micros(294007),
-            aim: Duration::from_micros(295007),
+            is_retry: false,
+            call_timeout: Duration::from_micros(294007),
+            latency_target: Duration::from_micros(295007),
             zone: "text 296".into(),
             region: "text 297".into(),
-            avoid: vec![address(298)],
+            excluded_origins: vec![address(298)],
         }
         .into(),
         Permit {
@@ -1089,7 +1089,7 @@
                 address: address(303),
                 service: "text 304".into(),
                 instance: "text 305".into(),
-                leaving: true,
+                draining: true,
                 zone: "text 306".into(),
                 region: "text 307".into(),
                 capacity: 308,
@@ -1109,7 +1109,7 @@
                 address: address(303),
                 service: "text 304".into(),
                 instance: "text 305".into(),
-                leaving: false,
+                draining: false,
                 zone: "text 306".into(),
                 region: "text 307".into(),
                 capacity: 308,
--- a/programs/examples/session_storm.rs
+++ b/programs/examples/session_storm.rs
@@ -48,16 +48,16 @@
         drop(renewal_tokens);
         RenewRequest {
             sent: self.began.elapsed(),
-            heard,
+            last_token: heard,
             generation: self.generation.load(Ordering::Relaxed),
-            recalled: true,
-            vector: self.vector.lock().expect("no holder panics").clone(),
+            recall_complete: true,
+            version_vector: self.vector.lock().expect("no holder panics").clone(),
             zone: "zone".into(),
             ring,
-            strength: 1,
+            weight: 1,
             draining: false,
             usage: Usage::default(),
-            found: vec![],
+            origin_health: vec![],
         }
     }
 
@@ -244,7 +244,7 @@
         .fold(Footprint::default(), Footprint::most);
     let fresh = |edge: &&Arc<EdgeState>| {
         let last = Duration::from_millis(edge.last_reply.load(Ordering::Relaxed));
-        !last.is_zero() && edge.began.elapsed() < last + lease::EDGE
+        !last.is_zero() && edge.began.elapsed() < last + lease::EDGE_LEASE
     };
     println!(
         "{stage}: rss {} kB, peak {} kB, {} threads, {} descriptors, {} ms of processor, \
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -134,7 +134,7 @@
                     zone,
                     ring: region.clone(),
                     region,
-                    strength: 1,
+                    weight: 1,
                 },
                 seeds.clone(),
                 true,
@@ -180,7 +180,7 @@
             return;
         };
         let began = Instant::now();
-        let out = part.step(now, input);
+        let out = part.handle(now, input);
         let took = began.elapsed();
         let known = self.tally.steps.entry((role, name)).or_default();
         *known = (known.0 + 1, known.1 + took, known.2.max(took));
@@ -213,7 +213,10 @@
             Output::WatchConnection { address } => {
                 self.after(WAY, Coming::Watched { node, address })
             }
-            Output::OperatorResponse { id, answer } => {
+            Output::OperatorResponse {
+                id,
+                response: answer,
+            } => {
                 self.answers.insert(id, (self.now, answer));
             }
             Output::Publish(PublishedState::Fence { until, .. }) => self.nodes[node].until = until,
@@ -306,7 +309,7 @@
             "operator",
             Input::Operator {
                 id,
-                ask: OperatorRequest::Change { partition, change },
+                request: OperatorRequest::Change { partition, change },
             },
         );
     }
@@ -351,7 +354,7 @@
                 address,
                 service: service.into(),
                 instance: format!("{service}-{at}"),
-                leaving: false,
+                draining: false,
                 zone: String::new(),
                 region: String::new(),
                 capacity: 0,
@@ -375,7 +378,7 @@
         let change = 1;
         fleet.change(
             1,
-            CONFIGURATION,
+            CONFIGURATION_PARTITION,
             Change::PutConfiguration {
                 text: Capacity::document(1),
                 expect: None,
@@ -384,7 +387,7 @@
         )?;
         fleet.change(
             2,
-            ORIGINS,
+            ORIGINS_PARTITION,
             Change::PutOrigins {
                 list: Arc::new(Capacity::origins()),
                 expect: None,
@@ -399,11 +402,11 @@
             prefix: Some("/listing/".into()),
             ..Purge::default()
         };
-        let purge = fleet.change(3, PURGES, Change::AddPurge { purge, change: 2 })?;
+        let purge = fleet.change(3, PURGES_PARTITION, Change::AddPurge { purge, change: 2 })?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
         let configuration = fleet.change(
             4,
-            CONFIGURATION,
+            CONFIGURATION_PARTITION,
             Change::PutConfiguration {
                 text: Capacity::document(2),
                 expect: None,
@@ -565,27 +568,27 @@
             ("an edge lost: bytes more, all nodes", loss.1),
             (
                 "news rows: configuration",
-                self.state[usize::from(CONFIGURATION)].0 as f64,
+                self.state[usize::from(CONFIGURATION_PARTITION)].0 as f64,
             ),
             (
                 "news bytes: configuration",
-                self.state[usize::from(CONFIGURATION)].1 as f64,
+                self.state[usize::from(CONFIGURATION_PARTITION)].1 as f64,
             ),
             (
                 "news bytes: origins",
-                self.state[usize::from(ORIGINS)].1 as f64,
+                self.state[usize::from(ORIGINS_PARTITION)].1 as f64,
             ),
             (
                 "news rows: duties",
-                self.state[usize::from(ASSIGNMENTS)].0 as f64,
+                self.state[usize::from(ASSIGNMENTS_PARTITION)].0 as f64,
             ),
             (
                 "news bytes: duties",
-                self.state[usize::from(ASSIGNMENTS)].1 as f64,
+                self.state[usize::from(ASSIGNMENTS_PARTITION)].1 as f64,
             ),
             (
                 "news bytes: places",
-                self.state[usize::from(MEMBERSHIP)].1 as f64,
+                self.state[usize::from(MEMBERSHIP_PARTITION)].1 as f64,
             ),
         ]
     }
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -94,9 +94,9 @@
             Mood::VerySlow => span(120, 720, dice),
             _ => span(2, 12, dice),
         };
-        if mood == Mood::Mute || took >= call.limit {
+        if mood == Mood::Mute || took >= call.timeout {
             return (
-                call.limit,
+                call.timeout,
                 CallOutcome::Failure("no answer in time".into()),
                 Some(record),
             );
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -425,7 +425,7 @@
                     address: address(3, self.origins.len()),
                     service: name.clone(),
                     instance: instance.clone(),
-                    leaving: false,
+                    draining: false,
                     zone: String::new(),
                     region: String::new(),
                     capacity: 0,
@@ -673,7 +673,7 @@
         let Some(part) = self.nodes[node].part.as_mut() else {
             return;
         };
-        let outputs = part.step(clock, input);
+        let outputs = part.handle(clock, input);
         for output in outputs {
             self.output(node, output);
         }
@@ -699,7 +699,10 @@
             Output::Send { to, message } => self.send(node, to, message),
             Output::Store { serial, record } => self.store(node, serial, false, record),
             Output::StoreSnapshot { serial, record } => self.store(node, serial, true, record),
-            Output::ClientResponse { id, answer } => {
+            Output::ClientResponse {
+                id,
+                response: answer,
+            } => {
                 let span = self.micros(50, 500);
                 self.after(
                     span,
@@ -723,7 +726,10 @@
                     },
                 );
             }
-            Output::OperatorResponse { id, answer } => self.operator_told(id, answer),
+            Output::OperatorResponse {
+                id,
+                response: answer,
+            } => self.operator_told(id, answer),
             Output::WatchConnection { address } => {
                 let at = self.origins.iter().position(|origin| {
                     origin.origin.address == address && origin.mood != Mood::Down
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -95,7 +95,7 @@
 
     /// What has ended for good stays ended.
     fn set_mood(&mut self, at: usize, mood: Mood) {
-        if self.origins[at].mood == Mood::Down && self.origins[at].origin.leaving {
+        if self.origins[at].mood == Mood::Down && self.origins[at].origin.draining {
             return;
         }
         self.origins[at].mood = mood;
@@ -311,7 +311,7 @@
                 list.into_iter().for_each(|at| self.set_mood(at, mood));
             }
             Fault::Leave(at) => {
-                self.origins[at].origin.leaving = true;
+                self.origins[at].origin.draining = true;
                 self.put_origins();
             }
             Fault::Usurp(at) => {
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -28,7 +28,7 @@
             .rev()
             .any(|one| one.what == "fault" && !one.good && one.at > read - 5.0);
         let at = if disturbed { self.seconds() } else { read };
-        for origin in list.iter().filter(|origin| settled && origin.leaving) {
+        for origin in list.iter().filter(|origin| settled && origin.draining) {
             if !self
                 .fleet
                 .iter()
@@ -80,7 +80,7 @@
         let change = *order.change.get_or_insert(drawn);
         let (partition, change) = match &order.asked {
             Asked::Configure { text, expect, .. } => (
-                CONFIGURATION,
+                CONFIGURATION_PARTITION,
                 Change::PutConfiguration {
                     text: text.as_str().into(),
                     expect: *expect,
@@ -92,10 +92,10 @@
                     prefix: Some(prefix.clone()),
                     ..Purge::default()
                 };
-                (PURGES, Change::AddPurge { purge, change })
+                (PURGES_PARTITION, Change::AddPurge { purge, change })
             }
             Asked::Origins { list, .. } => (
-                ORIGINS,
+                ORIGINS_PARTITION,
                 Change::PutOrigins {
                     list: Arc::new(list.clone()),
                     expect: Some(self.origins_at),
@@ -103,10 +103,10 @@
                     acknowledge: Acknowledge::Settled,
                 },
             ),
-            Asked::ReadBack { .. } => (CONFIGURATION, Change::GetConfiguration),
+            Asked::ReadBack { .. } => (CONFIGURATION_PARTITION, Change::GetConfiguration),
             Asked::PutItem { item } => {
                 let items = vec![item.clone()];
-                (CONFIGURATION, Change::PutItems { items })
+                (CONFIGURATION_PARTITION, Change::PutItems { items })
             }
             Asked::Order { order } => return self.send_order(*order),
             Asked::OpenLedger { generation: None } => {
@@ -116,14 +116,14 @@
                     node,
                     Input::Operator {
                         id: self.serial,
-                        ask: OperatorRequest::State,
+                        request: OperatorRequest::State,
                     },
                 );
             }
             Asked::OpenLedger {
                 generation: Some(generation),
             } => (
-                ASSIGNMENTS,
+                ASSIGNMENTS_PARTITION,
                 Change::OpenLedger {
                     generation: *generation,
                 },
@@ -136,7 +136,7 @@
             node,
             Input::Operator {
                 id,
-                ask: OperatorRequest::Change { partition, change },
+                request: OperatorRequest::Change { partition, change },
             },
         );
     }
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_orders.rs
@@ -118,9 +118,9 @@
         let id = self.serial;
         self.note_question(node, Asked::Order { order });
         self.after(PATIENCE, Happening::OrderUnanswered { id });
-        let partition = CONFIGURATION;
+        let partition = CONFIGURATION_PARTITION;
         let ask = OperatorRequest::Change { partition, change };
-        self.step(node, Input::Operator { id, ask });
+        self.step(node, Input::Operator { id, request: ask });
     }
 
     /// The operator gives this try up and goes to the next node.
