--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -1,3 +1,7 @@
+//! The numbered events of the log.
+#[cfg(test)]
+mod tests;
+
 /// Declares the numbered events of the log; docs/events.md lists them all and
 /// a test holds the two against each other.
 macro_rules! events {
@@ -62,35 +66,3 @@
 pub fn log_event(event: Event, text: &str) {
     log::log!(event.level(), "E{:03} {:?} {text}", event as u32, event);
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn the_catalogue_lists_exactly_the_events_of_the_code() {
-        let page = std::fs::read_to_string("../docs/events.md").unwrap();
-        let listed: Vec<String> = page
-            .lines()
-            .filter_map(|line| line.strip_prefix("| E"))
-            .map(|rest| {
-                rest.split('|')
-                    .take(3)
-                    .map(str::trim)
-                    .collect::<Vec<_>>()
-                    .join(" ")
-            })
-            .collect();
-        let known: Vec<String> = Event::ALL
-            .iter()
-            .map(|event| {
-                format!(
-                    "{:03} {event:?} {}",
-                    *event as u32,
-                    event.level().to_string().to_lowercase()
-                )
-            })
-            .collect();
-        assert_eq!(listed, known);
-    }
-}
--- /dev/null
+++ b/kernel/src/event/tests.rs
@@ -0,0 +1,29 @@
+//! Tests of `event`.
+use crate::prelude::*;
+
+#[test]
+fn the_catalogue_lists_exactly_the_events_of_the_code() {
+    let page = std::fs::read_to_string("../docs/events.md").unwrap();
+    let listed: Vec<String> = page
+        .lines()
+        .filter_map(|line| line.strip_prefix("| E"))
+        .map(|rest| {
+            rest.split('|')
+                .take(3)
+                .map(str::trim)
+                .collect::<Vec<_>>()
+                .join(" ")
+        })
+        .collect();
+    let known: Vec<String> = Event::ALL
+        .iter()
+        .map(|event| {
+            format!(
+                "{:03} {event:?} {}",
+                *event as u32,
+                event.level().to_string().to_lowercase()
+            )
+        })
+        .collect();
+    assert_eq!(listed, known);
+}
--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -21,26 +21,34 @@
 const LENGTH: u32 = PIECE - 1;
 
 /// Why a session's bytes are no frames of ours.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A body of so many bytes is announced, or gathered from pieces.
+    /// A body of so many bytes is announced, or gathered from chunks.
+    #[error("frame of {0} bytes")]
     TooLarge(usize),
+    /// The body is not the one that was sent.
+    #[error("frame does not match its checksum")]
     ChecksumMismatch,
     /// The flags are none that we write.
+    #[error("frame with unknown flags")]
     UnknownFlags,
 }
 
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::TooLarge(bytes) => write!(f, "frame of {bytes} bytes"),
-            FrameError::ChecksumMismatch => write!(f, "frame does not match its checksum"),
-            FrameError::UnknownFlags => write!(f, "frame with unknown flags"),
-        }
-    }
+/// Why a message cannot be sent.
+#[derive(Debug, thiserror::Error)]
+pub enum EncodeError {
+    /// It is larger than a frame may be.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// It has no encoding.
+    #[error(transparent)]
+    Encoding(#[from] bincode::Error),
 }
 
-impl std::error::Error for FrameError {}
+/// The body of a frame is no message of ours.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct DecodeError(#[from] bincode::Error);
 
 /// A message as it is sent: bytes of its own, and after them those that it
 /// shares with messages to others.
@@ -53,7 +61,7 @@
 }
 
 impl EncodedMessage {
-    pub fn new(from: Peer, message: &Message) -> Result<EncodedMessage> {
+    pub fn new(from: Peer, message: &Message) -> Result<EncodedMessage, EncodeError> {
         let encoded = match message {
             Message::RenewReply(reply) if !reply.updates.is_empty() => {
                 EncodedMessage::sharing_updates(from, reply)?
@@ -65,13 +73,13 @@
             },
         };
         if encoded.len() > FRAME_BYTES {
-            bail!(FrameError::TooLarge(encoded.len()));
+            return Err(FrameError::TooLarge(encoded.len()).into());
         }
         Ok(encoded)
     }
 
     /// Updates is the last field of a reply, so it stands at the end.
-    fn sharing_updates(from: Peer, reply: &RenewReply) -> Result<EncodedMessage> {
+    fn sharing_updates(from: Peer, reply: &RenewReply) -> Result<EncodedMessage, EncodeError> {
         let without = RenewReply {
             updates: SharedUpdates::default(),
             ..reply.clone()
@@ -141,14 +149,14 @@
 }
 
 /// A message as one frame.
-pub fn write(from: Peer, message: &Message) -> Result<Vec<u8>> {
+pub fn write(from: Peer, message: &Message) -> Result<Vec<u8>, EncodeError> {
     let mut frame = Vec::new();
     EncodedMessage::new(from, message)?.write_whole(&mut frame);
     Ok(frame)
 }
 
 /// Reads a whole message back; nothing may be left over.
-pub fn decode(body: &[u8]) -> Result<(Peer, Message)> {
+pub fn decode(body: &[u8]) -> Result<(Peer, Message), DecodeError> {
     let options = bincode::options()
         .with_fixint_encoding()
         .with_limit(FRAME_BYTES as u64);
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -1,299 +1,263 @@
+//! The host of a node's state machine: sockets, disk, ticks and signals.
 use crate::prelude::*;
 
-/// What is done with the part's answer.
-type Then = Box<dyn FnOnce(Output) + Send>;
-
-/// What HTTP threads share with the part's thread: they put inputs in and
-/// read what it shows; the tables are swapped whole.
-pub struct Port {
-    pub give: Sender<Input>,
-    began: Instant,
-    serial: AtomicU64,
-    waits: Mutex<HashMap<u64, Then>>,
-    pub image: ArcSwap<Option<Arc<RouteTable>>>,
-    fence: AtomicU64,
-    ready: AtomicBool,
-    pub ending: AtomicBool,
-    /// The assignments held now, by name.
-    pub assignments: ArcSwap<Vec<String>>,
-    pub startup: Startup,
-}
-
-impl Port {
-    /// Inputs for the part go to `give`. Not live until a fence is set.
-    pub fn new(give: Sender<Input>, startup: Startup) -> Result<Port> {
-        Ok(Port {
-            give,
-            began: Instant::now(),
-            // Not where an earlier run began: its late answers fit no call of ours.
-            serial: AtomicU64::new(new_incarnation()? >> 1),
-            waits: Mutex::default(),
-            image: ArcSwap::from_pointee(None),
-            fence: AtomicU64::new(0),
-            ready: AtomicBool::new(false),
-            ending: AtomicBool::new(false),
-            assignments: ArcSwap::default(),
-            startup,
-        })
-    }
-
-    /// The lease stands until then; `ready`: callers may come.
-    pub fn set_fence(&self, until: Duration, ready: bool) {
-        self.ready.store(ready, Ordering::Release);
-        self.fence.store(until.as_nanos() as u64, Ordering::Release);
-    }
-
-    pub fn now(&self) -> Duration {
-        self.began.elapsed()
-    }
-
-    /// Hands `make(id)` to the part; `then` runs on the part's thread with what
-    /// comes of it, and must not wait.
-    pub fn begin(&self, make: &dyn Fn(u64) -> Input, then: Then) -> u64 {
-        let id = self.serial.fetch_add(1, Ordering::Relaxed);
-        self.waits
-            .lock()
-            .expect("no holder panics")
-            .insert(id, then);
-        if self.give.send(make(id)).is_err() {
-            self.forget(id);
-        }
-        id
-    }
-
-    /// Nobody waits for this answer any more.
-    pub fn forget(&self, id: u64) {
-        self.waits.lock().expect("no holder panics").remove(&id);
-    }
-
-    /// Hands `make(id)` to the part and waits for what comes of it.
-    pub fn ask(&self, limit: Duration, make: &dyn Fn(u64) -> Input) -> Option<Output> {
-        let (give, take) = flume::bounded(1);
-        let id = self.begin(
-            make,
-            Box::new(move |output| {
-                let _ = give.send(output);
-            }),
-        );
-        let output = take.recv_timeout(limit).ok();
-        self.forget(id);
-        output
-    }
-
-    /// Hands an output to whoever waits for it under this id, if anyone does.
-    pub fn complete(&self, id: u64, output: Output) {
-        let then = self.waits.lock().expect("no holder panics").remove(&id);
-        if let Some(then) = then {
-            then(output);
-        }
-    }
-
-    /// Whether this process holds an assignment now, as far as it knows.
-    pub fn holds(&self, assignment: &str) -> bool {
-        self.assignments
-            .load()
-            .iter()
-            .any(|known| known == assignment)
-    }
-
-    /// True while the lease stands; read anew right before an answer is sent.
-    pub fn live(&self) -> bool {
-        self.now() < Duration::from_nanos(self.fence.load(Ordering::Acquire))
-    }
+/// How long a watched connection may take to open.
+const WATCH_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The last messages have this long to leave before the process ends.
+const FINAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
+/// While more inputs wait, messages leave after so many of them at the latest,
+/// together.
+const MAX_INPUTS_PER_FLUSH: u32 = 32;
 
-    pub fn ready(&self) -> bool {
-        self.live() && self.ready.load(Ordering::Acquire)
-    }
+/// Why a process could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum HostError {
+    /// A setting is missing that this program needs.
+    #[error("{0} is not set")]
+    MissingSetting(&'static str),
+    /// An address is taken or is not this machine's.
+    #[error("cannot listen on {address}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system said.
+        source: std::io::Error,
+    },
+    /// The links between processes could not be set up.
+    #[error("cannot open the links to peers")]
+    Links(#[source] std::io::Error),
+    /// The system has no randomness.
+    #[error(transparent)]
+    Randomness(#[from] RandomnessError),
+    /// The frontend could not be opened.
+    #[error("cannot open the frontend")]
+    Frontend(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// Signals cannot be received.
+    #[error("cannot receive signals")]
+    Signals(#[source] std::io::Error),
 }
 
-/// Drives one part: sockets, disk, ticks and calls sit out here.
+/// Drives one state machine: sockets, disk, ticks and calls are out here.
 pub struct NodeHost {
+    /// This process.
     pub me: Peer,
+    /// The program's name, by which plug-ins register.
     pub program: &'static str,
+    /// The process's settings.
     pub startup: Startup,
+    /// The span between two ticks.
     pub tick: Duration,
+    /// Where records go; none for a node without a disk.
     pub store: Option<Box<dyn Store>>,
+    /// Where clients, operators and origins are met.
     pub frontend: Box<dyn Frontend>,
-    /// Where acknowledged configurations go; never waited for.
+    /// Where committed configurations go; never waited for.
     pub history: Option<Sender<(u64, Arc<str>)>>,
 }
 
-const WATCH: Duration = Duration::from_secs(1);
-/// The last messages have this long to leave before the process ends.
-const LAST_WORDS: Duration = Duration::from_millis(200);
-/// While more inputs wait, what is told leaves after so many of them at the
-/// latest, together.
-const FLUSH_STEPS: u32 = 32;
+/// What the thread of the state machine works with while it runs.
+struct Running {
+    host: NodeHost,
+    mesh: SocketAddr,
+    inputs: Receiver<Input>,
+    give: Sender<Input>,
+    links: Links,
+    port: Arc<Port>,
+    store: Option<Sender<PendingWrite>>,
+    /// Inputs handled since messages last left.
+    unflushed: u32,
+}
 
 impl NodeHost {
-    pub fn run(mut self, mut part: Box<dyn StateMachine>) -> Result<()> {
-        let (give, take) = flume::unbounded::<Input>();
-        let mesh = self.startup.mesh.context("mesh address")?;
-        let listener =
-            TcpListener::bind(mesh).with_context(|| format!("cannot listen on {mesh}"))?;
-        let links = Links::open(self.me, listener, give.clone())?;
+    /// Runs the state machine until it has shut down.
+    pub fn run(self, state_machine: Box<dyn StateMachine>) -> Result<(), HostError> {
+        let mut running = self.start()?;
+        running.drive(state_machine);
+        running.links.drain(FINAL_DRAIN_TIMEOUT);
+        log_event(Event::Ended, "nothing is left to do");
+        Ok(())
+    }
+
+    /// Opens sockets, the frontend, the disk's writer and the signal handler.
+    fn start(mut self) -> Result<Running, HostError> {
+        let (give, inputs) = flume::unbounded::<Input>();
+        let mesh = self
+            .startup
+            .mesh
+            .ok_or(HostError::MissingSetting("mesh address"))?;
+        let listener = TcpListener::bind(mesh).map_err(|source| HostError::Listen {
+            address: mesh,
+            source,
+        })?;
+        let links = Links::open(self.me, listener, give.clone()).map_err(HostError::Links)?;
         let port = Arc::new(Port::new(give.clone(), self.startup.clone())?);
-        self.frontend.open(&port)?;
-        for source in
-            inventory::iter::<SourcePlugIn>().filter(|source| source.program == self.program)
-        {
-            let port = port.clone();
-            thread::spawn(move || (source.run)(&port));
-        }
+        self.frontend
+            .open(&port)
+            .map_err(|error| HostError::Frontend(error.into()))?;
+        self.start_sources(&port);
         let store = self
             .store
             .take()
             .map(|store| store::keep(store, give.clone()));
-        NodeHost::watch_signal(&give, self.startup.grace())?;
-        let tick = self.tick;
-        log_event(
-            Event::Started,
-            &format!(
-                "{} {} mesh {mesh} http {:?}",
-                self.program, self.me, self.startup.http
-            ),
+        watch_signals(&give, self.startup.grace()).map_err(HostError::Signals)?;
+        let text = format!(
+            "{} {} mesh {mesh} http {:?}",
+            self.program, self.me, self.startup.http
         );
-        let mut next = port.now();
-        let mut unflushed = 0;
+        log_event(Event::Started, &text);
+        Ok(Running {
+            host: self,
+            mesh,
+            inputs,
+            give,
+            links,
+            port,
+            store,
+            unflushed: 0,
+        })
+    }
+
+    /// Starts what registered itself to run beside this program.
+    fn start_sources(&self, port: &Arc<Port>) {
+        let registered = inventory::iter::<SourcePlugIn>();
+        for source in registered.filter(|source| source.program == self.program) {
+            let port = port.clone();
+            thread::spawn(move || (source.run)(&port));
+        }
+    }
+}
+
+impl Running {
+    fn drive(&mut self, mut state_machine: Box<dyn StateMachine>) {
+        let mut next_tick = self.port.now();
         // After the end, calls that were already read are still answered.
-        while !(port.ending.load(Ordering::Acquire) && self.frontend.done()) {
-            let now = port.now();
-            let input = if now >= next {
-                next = now + tick;
-                Input::Tick
-            } else {
-                match take.recv_timeout(next - now) {
-                    Ok(input) => input,
-                    Err(_) => continue,
-                }
+        while !(self.port.ending.load(Ordering::Acquire) && self.host.frontend.done()) {
+            let Some(input) = self.next_input(&mut next_tick) else {
+                continue;
             };
             let from_peer =
-                matches!(&input, Input::MessageReceived { from, .. } if *from != self.me);
+                matches!(&input, Input::MessageReceived { from, .. } if *from != self.host.me);
             if matches!(input, Input::ShutdownRequested) {
-                self.frontend.warn();
+                self.host.frontend.warn();
             }
-            for output in part.handle(port.now(), input) {
-                match output {
-                    Output::Send { to, message } => {
-                        if to == mesh {
-                            let _ = give.send(Input::MessageReceived {
-                                from: self.me,
-                                message,
-                            });
-                        } else {
-                            links.tell(to, &message);
-                        }
-                    }
-                    Output::Store { serial, record } => {
-                        self.put(&store, PendingWrite::Append(serial, record))
-                    }
-                    Output::StoreSnapshot { serial, record } => {
-                        self.put(&store, PendingWrite::Image(serial, record))
-                    }
-                    Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
-                        port.complete(id, output)
-                    }
-                    Output::Call { id, call } => self.frontend.call(id, call),
-                    Output::CancelCall { id } => self.frontend.cancel_call(id),
-                    Output::ExtendCall { id, limit } => self.frontend.extend_call(id, limit),
-                    Output::WatchConnection { address } => {
-                        let give = give.clone();
-                        thread::spawn(move || NodeHost::watch(address, &give));
-                    }
-                    Output::Log { event, text } => log_event(event, &text),
-                    Output::Publish(PublishedState::Fence { until, ready }) => {
-                        port.set_fence(until, ready);
-                    }
-                    Output::Publish(PublishedState::Assignments(list)) => {
-                        port.assignments.store(Arc::new(list))
-                    }
-                    Output::Publish(PublishedState::LinkDelay(delay)) => {
-                        self.frontend.link_delay(delay)
-                    }
-                    Output::Publish(PublishedState::CommittedConfiguration { version, text }) => {
-                        if let Some(history) = &self.history {
-                            let _ = history.try_send((version, text));
-                        }
-                    }
-                    Output::Publish(PublishedState::Configuration(table)) => {
-                        port.image.store(Arc::new(Some(table)))
-                    }
-                    Output::ShutdownComplete => {
-                        // What is read from here on, nobody would answer.
-                        self.frontend.stop();
-                        port.ending.store(true, Ordering::Release);
-                    }
-                }
+            for output in state_machine.handle(self.port.now(), input) {
+                self.perform(output);
             }
             if from_peer {
-                links.processed();
+                self.links.processed();
             }
-            unflushed += 1;
-            if take.is_empty() || unflushed >= FLUSH_STEPS {
-                links.flush();
-                unflushed = 0;
+            self.flush_if_due();
+        }
+    }
+
+    /// A tick if one is due, else the next input that arrives before it.
+    fn next_input(&self, next_tick: &mut Duration) -> Option<Input> {
+        let now = self.port.now();
+        if now >= *next_tick {
+            *next_tick = now + self.host.tick;
+            return Some(Input::Tick);
+        }
+        self.inputs.recv_timeout(*next_tick - now).ok()
+    }
+
+    fn flush_if_due(&mut self) {
+        self.unflushed += 1;
+        if self.inputs.is_empty() || self.unflushed >= MAX_INPUTS_PER_FLUSH {
+            self.links.flush();
+            self.unflushed = 0;
+        }
+    }
+
+    fn perform(&mut self, output: Output) {
+        match output {
+            Output::Send { to, message } => self.send(to, message),
+            Output::Store { serial, record } => self.put(PendingWrite::Append(serial, record)),
+            Output::StoreSnapshot { serial, record } => {
+                self.put(PendingWrite::Image(serial, record))
+            }
+            Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
+                self.port.complete(id, output)
+            }
+            Output::Call { id, call } => self.host.frontend.call(id, call),
+            Output::CancelCall { id } => self.host.frontend.cancel_call(id),
+            Output::ExtendCall { id, limit } => self.host.frontend.extend_call(id, limit),
+            Output::WatchConnection { address } => {
+                let give = self.give.clone();
+                thread::spawn(move || watch_connection(address, &give));
+            }
+            Output::Log { event, text } => log_event(event, &text),
+            Output::Publish(state) => self.publish(state),
+            Output::ShutdownComplete => {
+                // What is read from here on, nobody would answer.
+                self.host.frontend.stop();
+                self.port.ending.store(true, Ordering::Release);
             }
         }
-        links.drain(LAST_WORDS);
-        log_event(Event::Ended, "nothing is left to do");
-        Ok(())
     }
 
-    /// Says nothing on the connection; its end is the end of the process that
-    /// took it, or of its patience: either way it must show again who it is.
-    fn watch(address: SocketAddr, give: &Sender<Input>) {
-        if let Ok(mut stream) = TcpStream::connect_timeout(&address, WATCH) {
-            let _ = give.send(Input::ConnectionChanged {
-                address,
-                open: true,
-            });
-            while matches!(stream.read(&mut [0; 64]), Ok(size) if size > 0) {}
+    fn send(&self, to: SocketAddr, message: Message) {
+        if to == self.mesh {
+            let from = self.host.me;
+            let _ = self.give.send(Input::MessageReceived { from, message });
+        } else {
+            self.links.tell(to, &message);
         }
-        let _ = give.send(Input::ConnectionChanged {
-            address,
-            open: false,
-        });
     }
 
-    fn put(&self, store: &Option<Sender<PendingWrite>>, what: PendingWrite) {
-        if let Some(store) = store {
-            let _ = store.send(what);
+    fn put(&self, write: PendingWrite) {
+        if let Some(store) = &self.store {
+            let _ = store.send(write);
         }
     }
 
-    /// The first warning goes to the part; after the grace time the process
-    /// ends regardless.
-    fn watch_signal(give: &Sender<Input>, grace: Duration) -> Result<()> {
-        let mut signals = signal_hook::iterator::Signals::new([
-            signal_hook::consts::SIGTERM,
-            signal_hook::consts::SIGINT,
-            signal_hook::consts::SIGHUP,
-        ])?;
-        let give = give.clone();
-        thread::spawn(move || {
-            // A hang-up asks to read the startup anew: what hangs on it is
-            // learned from the peers all the time.
-            if signals
-                .forever()
-                .any(|signal| signal != signal_hook::consts::SIGHUP)
-            {
-                log_event(
-                    Event::ShutdownRequested,
-                    &format!("ending within {grace:?}"),
-                );
-                let _ = give.send(Input::ShutdownRequested);
-                thread::sleep(grace);
-                log_event(Event::Ended, "grace time is over");
-                std::process::exit(1);
+    fn publish(&self, state: PublishedState) {
+        match state {
+            PublishedState::Fence { until, ready } => self.port.set_fence(until, ready),
+            PublishedState::Assignments(names) => self.port.assignments.store(Arc::new(names)),
+            PublishedState::LinkDelay(delay) => self.host.frontend.link_delay(delay),
+            PublishedState::CommittedConfiguration { version, text } => {
+                if let Some(history) = &self.host.history {
+                    let _ = history.try_send((version, text));
+                }
             }
-        });
-        Ok(())
+            PublishedState::Configuration(routes) => self.port.image.store(Arc::new(Some(routes))),
+        }
     }
 }
 
-/// A number no other run has.
-pub fn new_incarnation() -> Result<u64> {
-    let mut bytes = [0u8; 8];
-    getrandom::fill(&mut bytes).map_err(|error| anyhow!("no randomness: {error}"))?;
-    Ok(u64::from_be_bytes(bytes).max(1))
+/// Sends nothing on the connection; its end is the end of the process that
+/// accepted it, or of its idle limit: either way it must prove its identity
+/// again.
+fn watch_connection(address: SocketAddr, give: &Sender<Input>) {
+    let change = |open| Input::ConnectionChanged { address, open };
+    if let Ok(mut stream) = TcpStream::connect_timeout(&address, WATCH_CONNECT_TIMEOUT) {
+        let _ = give.send(change(true));
+        while matches!(stream.read(&mut [0; 64]), Ok(size) if size > 0) {}
+    }
+    let _ = give.send(change(false));
+}
+
+/// The first signal goes to the state machine; after the grace time the process
+/// ends regardless.
+fn watch_signals(give: &Sender<Input>, grace: Duration) -> std::io::Result<()> {
+    let mut signals = signal_hook::iterator::Signals::new([
+        signal_hook::consts::SIGTERM,
+        signal_hook::consts::SIGINT,
+        signal_hook::consts::SIGHUP,
+    ])?;
+    let give = give.clone();
+    thread::spawn(move || {
+        // SIGHUP asks to read the settings anew: what depends on them is learned
+        // from the peers all the time.
+        let ends = |signal| signal != signal_hook::consts::SIGHUP;
+        if signals.forever().any(ends) {
+            let text = format!("ending within {grace:?}");
+            log_event(Event::ShutdownRequested, &text);
+            let _ = give.send(Input::ShutdownRequested);
+            thread::sleep(grace);
+            log_event(Event::Ended, "grace time is over");
+            std::process::exit(1);
+        }
+    });
+    Ok(())
 }
--- a/kernel/src/lease.rs
+++ b/kernel/src/lease.rs
@@ -13,6 +13,9 @@
 //! two syncs stays below 2 s, under the brief's 2 to 2.5 s, and the
 //! acknowledgement comes after it, so "in force everywhere" is already true
 //! when an operator reads the answer.
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
 /// How often an edge renews with each control node.
@@ -44,42 +47,3 @@
 /// repeat of a lost one may come ("within about a minute": 70 s, and some more
 /// for what was under way when the disks went).
 pub const LEDGER_CLOSED_AFTER_LOSS: Duration = Duration::from_secs(75);
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    /// Clocks jump: nothing the product decides may hang on one that can.
-    #[test]
-    fn no_wall_clock_is_read_by_the_product() {
-        let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
-        let mut folders: Vec<PathBuf> = [
-            "kernel",
-            "segment-log",
-            "control-plane",
-            "data-plane",
-            "programs",
-        ]
-        .map(|name| root.join(name).join("src"))
-        .into();
-        let mut read = 0;
-        while let Some(folder) = folders.pop() {
-            for file in std::fs::read_dir(folder).unwrap() {
-                let path = file.unwrap().path();
-                if path.is_dir() {
-                    folders.push(path);
-                } else {
-                    read += 1;
-                    let text = std::fs::read_to_string(&path).unwrap();
-                    let word = ["System", "Time"].concat();
-                    assert!(
-                        !text.contains(&word),
-                        "{} reads a wall clock",
-                        path.display()
-                    );
-                }
-            }
-        }
-        assert!(read > 30);
-    }
-}
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -2,6 +2,8 @@
 //! ticks, events and the host that drives a part.
 pub mod accepted;
 pub mod applied;
+pub mod call;
+pub mod client;
 pub mod configuration;
 pub mod event;
 pub mod finding;
@@ -14,10 +16,14 @@
 pub mod link;
 pub mod message;
 pub mod operator_server;
+pub mod origin;
+pub mod partition;
 pub mod peer;
 pub mod plug_in;
+pub mod port;
 pub mod prelude;
 pub mod protocol;
+pub mod purge;
 pub mod quorum;
 pub mod route_table;
 pub mod row;
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -487,7 +487,7 @@
 }
 
 /// One line for what was read together; the count has them all.
-fn note_undecodable(session: &Inbound, error: &anyhow::Error) {
+fn note_undecodable(session: &Inbound, error: &frame::DecodeError) {
     let from = match session.peer {
         Some(peer) => peer.to_string(),
         None => "a stranger".into(),
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -95,7 +95,7 @@
 
 impl Links {
     /// Listens for peers and hands what they say to `take`.
-    pub fn open(me: Peer, listener: TcpListener, take: Sender<Input>) -> Result<Links> {
+    pub fn open(me: Peer, listener: TcpListener, take: Sender<Input>) -> std::io::Result<Links> {
         Links::open_with(me, listener, take, QueueLimits::default())
     }
 
@@ -104,7 +104,7 @@
         listener: TcpListener,
         take: Sender<Input>,
         limits: QueueLimits,
-    ) -> Result<Links> {
+    ) -> std::io::Result<Links> {
         let poll = mio::Poll::new()?;
         let waker = mio::Waker::new(poll.registry(), WAKER)?;
         let shared = Arc::new(Shared {
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -1,5 +1,18 @@
+//! Processes of the fleet, and how work is spread over them.
 use crate::prelude::*;
 
+/// The system has no randomness.
+#[derive(Debug, Clone, Copy, thiserror::Error)]
+#[error("no randomness: {0}")]
+pub struct RandomnessError(getrandom::Error);
+
+/// A number that no other process, disk or change has; never 0.
+pub fn new_incarnation() -> Result<u64, RandomnessError> {
+    let mut bytes = [0u8; 8];
+    getrandom::fill(&mut bytes).map_err(RandomnessError)?;
+    Ok(u64::from_be_bytes(bytes).max(1))
+}
+
 /// Another process of the fleet. `address` is where it listens for peers and
 /// is its name; `incarnation` tells one run (edge) or one disk (control) at that
 /// address from the next, so nothing said by an earlier life is laid to a later.
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -1,3 +1,4 @@
+//! Settings of a process: from a file and flags, all findings at once.
 #[cfg(test)]
 mod tests;
 
@@ -57,6 +58,40 @@
     pub log: Option<String>,
 }
 
+/// The flags that set one field each, in the order in which they are read.
+const FLAGS: [&str; 12] = [
+    "--mesh",
+    "--http",
+    "--zone",
+    "--seeds",
+    "--gather-ms",
+    "--founding",
+    "--refounding",
+    "--data",
+    "--shield",
+    "--grace-ms",
+    "--cache-bytes",
+    "--log",
+];
+/// The longest time from a warning to the end, if the settings give none.
+const DEFAULT_GRACE_MS: u64 = 20_000;
+
+/// Why nothing can be logged.
+#[derive(Debug, thiserror::Error)]
+pub enum LoggerError {
+    /// The settings name a level that does not exist.
+    #[error("no such log level")]
+    Level(#[from] log::ParseLevelError),
+    /// The process logs already.
+    #[error("the process logs already")]
+    AlreadySet(#[from] log::SetLoggerError),
+}
+
+fn read_json(path: &Path) -> Result<Startup, String> {
+    let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
+    serde_json::from_str(&text).map_err(|error| error.to_string())
+}
+
 /// Prints help or version where that is asked for, and ends the program.
 pub fn help_or_version(program: &str, flags: &mut pico_args::Arguments, help: &str) {
     if flags.contains(["-h", "--help"]) {
@@ -104,81 +139,17 @@
 
     fn read(mut flags: pico_args::Arguments, disk: bool) -> Result<Startup, Vec<Finding>> {
         let mut found = Vec::new();
-        let mut startup = Startup::default();
-        match flags.opt_value_from_str::<_, PathBuf>("--startup") {
-            Ok(None) => {}
-            Ok(Some(path)) => match std::fs::read_to_string(&path)
-                .map_err(|error| error.to_string())
-                .and_then(|text| serde_json::from_str(&text).map_err(|error| error.to_string()))
-            {
-                Ok(read) => startup = read,
-                Err(error) => found.push(Finding::new(path.display().to_string(), error)),
-            },
-            Err(error) => found.push(Finding::new("--startup", error.to_string())),
+        let mut startup = Startup::from_file(&mut flags, &mut found);
+        for flag in FLAGS {
+            let set = match flags.opt_value_from_str::<_, String>(flag) {
+                Ok(None) => Ok(()),
+                Ok(Some(text)) => startup
+                    .set(flag, &text)
+                    .map_err(|error| format!("{text}: {error}")),
+                Err(error) => Err(error.to_string()),
+            };
+            found.extend(set.err().map(|error| Finding::new(flag, error)));
         }
-        let mut take = |name: &'static str, put: &mut dyn FnMut(&str) -> Result<()>| match flags
-            .opt_value_from_str::<_, String>(
-            name,
-        ) {
-            Ok(None) => {}
-            Ok(Some(text)) => {
-                if let Err(error) = put(&text) {
-                    found.push(Finding::new(name, format!("{text}: {error}")));
-                }
-            }
-            Err(error) => found.push(Finding::new(name, error.to_string())),
-        };
-        take("--mesh", &mut |text| {
-            startup.mesh = Some(text.parse()?);
-            Ok(())
-        });
-        take("--http", &mut |text| {
-            startup.http = Some(text.parse()?);
-            Ok(())
-        });
-        take("--zone", &mut |text| {
-            startup.zone = text.into();
-            Ok(())
-        });
-        take("--seeds", &mut |text| {
-            startup.seeds = text
-                .split(',')
-                .map(|one| one.parse())
-                .collect::<Result<_, _>>()?;
-            Ok(())
-        });
-        take("--gather-ms", &mut |text| {
-            startup.gather_ms = Some(text.parse()?);
-            Ok(())
-        });
-        take("--founding", &mut |text| {
-            startup.founding = text.parse()?;
-            Ok(())
-        });
-        take("--refounding", &mut |text| {
-            startup.refounding = text.parse()?;
-            Ok(())
-        });
-        take("--data", &mut |text| {
-            startup.data = Some(text.into());
-            Ok(())
-        });
-        take("--shield", &mut |text| {
-            startup.shield = text.parse()?;
-            Ok(())
-        });
-        take("--grace-ms", &mut |text| {
-            startup.grace_ms = Some(text.parse()?);
-            Ok(())
-        });
-        take("--cache-bytes", &mut |text| {
-            startup.cache_bytes = Some(text.parse()?);
-            Ok(())
-        });
-        take("--log", &mut |text| {
-            startup.log = Some(text.into());
-            Ok(())
-        });
         for rest in flags.finish() {
             found.push(Finding::new(rest.to_string_lossy(), "unknown flag"));
         }
@@ -190,6 +161,44 @@
         }
     }
 
+    /// The settings of the file that `--startup` names, or none.
+    fn from_file(flags: &mut pico_args::Arguments, found: &mut Vec<Finding>) -> Startup {
+        let read = match flags.opt_value_from_str::<_, PathBuf>("--startup") {
+            Ok(None) => return Startup::default(),
+            Ok(Some(path)) => {
+                read_json(&path).map_err(|error| Finding::new(path.display().to_string(), error))
+            }
+            Err(error) => Err(Finding::new("--startup", error.to_string())),
+        };
+        read.unwrap_or_else(|finding| {
+            found.push(finding);
+            Startup::default()
+        })
+    }
+
+    /// Sets what one of [`FLAGS`] stands for.
+    fn set(&mut self, flag: &str, text: &str) -> Result<(), Box<dyn std::error::Error>> {
+        match flag {
+            "--mesh" => self.mesh = Some(text.parse()?),
+            "--http" => self.http = Some(text.parse()?),
+            "--zone" => self.zone = text.into(),
+            "--seeds" => {
+                let seeds = text.split(',').map(str::parse);
+                self.seeds = seeds.collect::<Result<_, _>>()?;
+            }
+            "--gather-ms" => self.gather_ms = Some(text.parse()?),
+            "--founding" => self.founding = text.parse()?,
+            "--refounding" => self.refounding = text.parse()?,
+            "--data" => self.data = Some(text.into()),
+            "--shield" => self.shield = text.parse()?,
+            "--grace-ms" => self.grace_ms = Some(text.parse()?),
+            "--cache-bytes" => self.cache_bytes = Some(text.parse()?),
+            "--log" => self.log = Some(text.into()),
+            unknown => unreachable!("{unknown} is not among the flags"),
+        }
+        Ok(())
+    }
+
     fn findings(&self, disk: bool) -> Vec<Finding> {
         let mut found = Vec::new();
         let mut need = |bad: bool, place: &str, text: &str| {
@@ -235,6 +244,7 @@
         self.gather_ms.map(Duration::from_millis)
     }
 
+    /// Where this process runs.
     pub fn locality(&self) -> Locality {
         let ring = self.ring.clone().unwrap_or_else(|| self.region.clone());
         Locality {
@@ -245,12 +255,13 @@
         }
     }
 
+    /// The longest time from a warning to the end.
     pub fn grace(&self) -> Duration {
-        Duration::from_millis(self.grace_ms.unwrap_or(20_000))
+        Duration::from_millis(self.grace_ms.unwrap_or(DEFAULT_GRACE_MS))
     }
 
     /// Logs to standard error, one event a line.
-    pub fn log(&self) -> Result<()> {
+    pub fn log(&self) -> Result<(), LoggerError> {
         let level = self
             .log
             .as_deref()
--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -56,7 +56,7 @@
 fn read(
     decoder: &mut FrameDecoder,
     bytes: &[u8],
-) -> Result<Vec<Result<(Peer, Message)>>, FrameError> {
+) -> Result<Vec<Result<(Peer, Message), frame::DecodeError>>, FrameError> {
     let mut messages = Vec::new();
     decoder.feed(bytes, &mut |body| messages.push(frame::decode(body)))?;
     Ok(messages)
