--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -119,11 +119,11 @@
     }
 }
 
-fn outcome_of(refusal: ItemsRefusal) -> ChangeOutcome {
+fn outcome_of(refusal: ItemsRejection) -> ChangeOutcome {
     match refusal {
-        ItemsRefusal::Invalid(found) => ChangeOutcome::Findings(found),
-        ItemsRefusal::Conflict(found) => ChangeOutcome::RevisionConflict(found),
-        ItemsRefusal::Forgotten(found) => ChangeOutcome::RevisionForgotten(found),
+        ItemsRejection::Invalid(found) => ChangeOutcome::Findings(found),
+        ItemsRejection::Conflict(found) => ChangeOutcome::RevisionConflict(found),
+        ItemsRejection::Forgotten(found) => ChangeOutcome::RevisionForgotten(found),
     }
 }
 
--- a/kernel/src/accepted.rs
+++ b/kernel/src/accepted.rs
@@ -17,6 +17,7 @@
 pub struct ContentDigest([u8; DIGEST_BYTES]);
 
 impl ContentDigest {
+    /// The digest of an item's source text, or of its removal.
     pub fn of(item: &Item) -> ContentDigest {
         const SET: [u8; 1] = [0];
         const REMOVED: [u8; 1] = [1];
@@ -37,11 +38,14 @@
 /// A revision of an item and the content it was accepted with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedRevision {
+    /// The revision.
     pub revision: u64,
+    /// What it was accepted with.
     pub digest: ContentDigest,
 }
 
 impl AcceptedRevision {
+    /// The revision of an item as it was sent.
     pub fn of(item: &Item) -> AcceptedRevision {
         AcceptedRevision {
             revision: item.revision,
--- a/kernel/src/applied.rs
+++ b/kernel/src/applied.rs
@@ -10,7 +10,9 @@
 /// A change and the version under which it was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
+    /// Names the change.
     pub change: u64,
+    /// The version under which it was applied.
     pub version: u64,
 }
 
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -1,16 +1,25 @@
+//! The operators' configuration: groups of origins and the entries that route to them.
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
+/// The largest document that is read.
 pub const CONFIGURATION_BYTES: usize = 4 * 1024 * 1024;
-pub const ENTRIES: u64 = 10_000;
-pub const GROUPS: u64 = 64;
+/// Entries that a document may have.
+pub const MAX_ENTRIES: u64 = 10_000;
+/// Groups that a document may have.
+pub const MAX_GROUPS: u64 = 64;
 
-/// The operators' document, whole. Unknown fields are findings; nothing of a
+/// The operators' complete document. Unknown fields are findings; nothing of a
 /// document with a finding takes effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Configuration {
-    #[validate(length(max = "GROUPS"), nested)]
+    /// Groups of origins, one a service.
+    #[validate(length(max = "MAX_GROUPS"), nested)]
     pub groups: Vec<Group>,
-    #[validate(length(max = "ENTRIES"), nested)]
+    /// Entries: which requests go to which group.
+    #[validate(length(max = "MAX_ENTRIES"), nested)]
     pub entries: Vec<Entry>,
 }
 
@@ -18,6 +27,7 @@
 /// group, so budgets and rates of a service have one admission controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Group {
+    /// The service, by which origins are listed.
     #[validate(length(min = 1, max = 64))]
     pub service: String,
     /// Calls a second to one origin.
@@ -29,34 +39,36 @@
     /// ed25519 public key, base64; none if origins are `Named`.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub key: String,
+    /// How an origin's response is known to be its own.
     #[serde(default, skip_serializing_if = "Proof::usual")]
     pub proof: Proof,
     /// Calls a second to all its origins together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 0.1, max = 1000000.0))]
     pub total_rate: Option<f64>,
-    /// Sessions that one origin takes from all edges together.
+    /// Connections that one origin accepts from all edges together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 100000))]
     pub sessions: Option<u32>,
-    /// Path that tells an origin's condition.
+    /// Path of the health check.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(length(min = 1, max = 1024))]
     pub probe: Option<String>,
-    /// The service itself runs a key once, however often it is called.
+    /// The service itself executes an operation key once, however often it is
+    /// called.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub keeps_keys: bool,
 }
 
-/// How an origin's answer is known to be its own.
+/// How an origin's response is known to be its own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Proof {
-    /// It signs each answer with the group's key.
+    /// It signs each response with the group's key.
     #[default]
     Seal,
     /// Each call names the instance it is meant for; another one refuses it,
-    /// and the answer names the request.
+    /// and the response names the request.
     Named,
 }
 
@@ -66,74 +78,87 @@
     }
 }
 
-/// A part of an entry's errands that goes to another group.
+/// A weighted part of an entry's requests that goes to another group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
+    /// The other group.
     #[validate(length(min = 1, max = 64))]
     pub group: String,
-    /// Parts of the whole sum of weights.
+    /// Its part of the sum of all weights.
     #[validate(range(min = 0.0, max = 1000000.0))]
     pub weight: f64,
 }
 
-/// What callers may send and how long they may take.
+/// What clients may send and how long they may take.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
+    /// The largest request head, in bytes.
     #[validate(range(min = 256, max = 1048576))]
     pub head_bytes: u64,
+    /// The largest request body, in bytes.
     #[validate(range(min = 0, max = 1073741824))]
     pub body_bytes: u64,
-    /// From the first byte of a head to its last.
+    /// From the first byte of a head to its last, in milliseconds.
     #[validate(range(min = 10, max = 600000))]
     pub head_ms: u64,
-    /// Between two requests on one session.
+    /// Between two requests on one connection, in milliseconds.
     #[validate(range(min = 10, max = 3600000))]
     pub idle_ms: u64,
 }
 
+/// How often a request may be executed, and whether its response is shared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Shared copies on the ring.
+    /// Its response is shared through the cache.
     Cached,
-    /// Carries an operation key; runs at most once.
+    /// Carries an operation key; executed at most once.
     Keyed,
-    /// May run more than once.
+    /// Idempotent: may be executed more than once.
     Repeatable,
-    /// Runs at most once, without a key; only GET and HEAD are tried again.
+    /// Executed at most once, without a key; only GET and HEAD are retried.
     Plain,
-    /// Runs at most once, without a key and whatever its method.
+    /// Executed at most once, without a key and whatever its method.
     Once,
 }
 
-/// Errands that match go to `group` with `rank`; a higher rank is worth more.
+/// A route: requests that match go to `group` with `rank`; a higher rank has
+/// priority.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Entry {
+    /// Its name.
     #[validate(length(min = 1, max = 64))]
     pub name: String,
+    /// The host it is for; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(length(min = 1, max = 255))]
     pub host: Option<String>,
+    /// Requests for this path and below it match.
     #[validate(length(min = 1, max = 1024))]
     pub path: String,
     /// In items, none means all; the document lists them.
     #[serde(default = "Entry::usual_methods")]
     #[validate(length(max = 8))]
     pub methods: Vec<String>,
+    /// The group that serves it.
     #[validate(length(min = 1, max = 64))]
     pub group: String,
+    /// Its priority: higher is served first.
     #[validate(range(min = 0, max = 1000))]
     pub rank: u32,
+    /// How often it may be executed, and whether its response is shared.
     pub kind: Kind,
+    /// How long a cached response is kept, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 0.1, max = 86400.0))]
     pub cache_ttl_s: Option<f64>,
+    /// How long a request may take, in milliseconds, unless the client says so.
     #[serde(default = "Entry::usual_deadline")]
     #[validate(range(min = 1, max = 600000))]
     pub deadline_ms: u64,
-    /// Where errands go instead of all to `group`, by weight.
+    /// Where requests go instead of all to `group`, by weight.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[validate(nested)]
     pub split: Vec<Share>,
@@ -141,7 +166,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 100))]
     pub attempts: Option<u32>,
-    /// An answer in this time is worth most.
+    /// The latency target in milliseconds: a response in this time is worth
+    /// most.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 600000))]
     pub aim_ms: Option<u64>,
@@ -162,7 +188,7 @@
     }
 
     /// The group of one request: by weight, and alike for one key, so that an
-    /// object has one source and a repeat meets the same service.
+    /// object has one source and a retry meets the same service.
     pub fn aim_at(&self, key: &[u8]) -> &str {
         let whole: f64 = self.split.iter().map(|share| share.weight).sum();
         let mut left = f64::from(crc32fast::hash(key)) / f64::from(u32::MAX) * whole;
@@ -175,11 +201,13 @@
         &self.group
     }
 
+    /// How long a request may take unless the client says so.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Keep time; the major expiry is counted from it and the minor is half.
+    /// How long a cached response is kept: the major expiry; the minor one is
+    /// half.
     pub fn keep(&self) -> Duration {
         Duration::from_secs_f64(self.cache_ttl_s.unwrap_or(10.0))
     }
@@ -188,6 +216,7 @@
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"];
 
 impl Configuration {
+    /// The group of a service.
     pub fn group(&self, service: &str) -> Option<&Group> {
         self.groups.iter().find(|group| group.service == service)
     }
@@ -203,11 +232,11 @@
             &groups,
             &mut found,
         );
-        if self.entries.len() as u64 > ENTRIES {
-            found.push(Finding::new("/entries", format!("more than {ENTRIES}")));
+        if self.entries.len() as u64 > MAX_ENTRIES {
+            found.push(Finding::new("/entries", format!("more than {MAX_ENTRIES}")));
         }
-        if self.groups.len() as u64 > GROUPS {
-            found.push(Finding::new("/groups", format!("more than {GROUPS}")));
+        if self.groups.len() as u64 > MAX_GROUPS {
+            found.push(Finding::new("/groups", format!("more than {MAX_GROUPS}")));
         }
         found
     }
@@ -465,55 +494,3 @@
     }
     found
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn all_findings_come_together_with_their_pointers() {
-        let text = r#"{"groups":[{"service":"book","rate":0,"concurrency":2,"key":"xx"},
-            {"service":"book","rate":5,"concurrency":0,"key":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=","colour":1}],
-            "entries":[{"name":"a","path":"x","group":"none","rank":1,"kind":"cached"},
-            {"name":"a","path":"/k","rank":"high"}],"more":1}"#;
-        let found = Configuration::read(text).unwrap_err();
-        let shown: Vec<String> = found.iter().map(|finding| finding.to_string()).collect();
-        expect_test::expect![[r#"
-            /entries/0/cache_ttl_s: goes with kind cached, and only with it
-            /entries/0/group: no such group
-            /entries/0/path: must start with /
-            /entries/1: invalid type: string "high", expected u32
-            /groups/0/key: must be 32 bytes in base64
-            /groups/0/rate: range out of bounds (min 0.5, max 10000.0)
-            /groups/1/colour: unknown field
-            /groups/1/concurrency: range out of bounds (min 1, max 1000)
-            /groups/1/service: service has a group already
-            /more: unknown field"#]]
-        .assert_eq(&shown.join("\n"));
-    }
-
-    #[test]
-    fn thousands_of_entries_are_read_and_one_too_many_is_a_finding() {
-        let text = |count: usize| {
-            let entries: Vec<String> = (0..count)
-                .map(|at| {
-                    format!(
-                        r#"{{"name":"e{at}","path":"/p/{at}","group":"s","rank":1,"kind":"plain"}}"#
-                    )
-                })
-                .collect();
-            let key = BASE64.encode([7u8; 32]);
-            format!(
-                r#"{{"groups":[{{"service":"s","rate":5,"concurrency":2,"key":"{key}"}}],"entries":[{}]}}"#,
-                entries.join(",")
-            )
-        };
-        assert_eq!(
-            Configuration::read(&text(5000)).unwrap().entries.len(),
-            5000
-        );
-        let found = Configuration::read(&text(ENTRIES as usize + 1)).unwrap_err();
-        assert_eq!(found.len(), 1);
-        assert_eq!(found[0].place, "/entries");
-    }
-}
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -6,10 +6,18 @@
 /// a test holds the two against each other.
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident;)*) => {
+        /// A numbered event of the log.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Event { $($name = $number),* }
+        pub enum Event {
+            $(
+                #[doc = concat!("E", stringify!($number), " in docs/events.md, written as ", stringify!($level), ".")]
+                $name = $number,
+            )*
+        }
         impl Event {
+            /// All events.
             pub const ALL: &[Event] = &[$(Event::$name),*];
+            /// The level at which it is written.
             pub fn level(self) -> log::Level {
                 match self { $(Event::$name => log::Level::$level),* }
             }
--- a/kernel/src/event/tests.rs
+++ b/kernel/src/event/tests.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 #[test]
-fn the_catalogue_lists_exactly_the_events_of_the_code() {
+fn event_catalogue_matches_the_code() {
     let page = std::fs::read_to_string("../docs/events.md").unwrap();
     let listed: Vec<String> = page
         .lines()
--- a/kernel/src/finding.rs
+++ b/kernel/src/finding.rs
@@ -1,14 +1,18 @@
+//! Findings: what is wrong with settings and documents, reported together.
 use crate::prelude::*;
 
-/// One thing wrong with a document, with its place as a JSON pointer (or the
-/// flag's name). Findings are collected and reported together.
+/// One thing wrong with a document or a setting. Findings are collected and
+/// reported together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
+    /// Where: a JSON pointer, or the flag's name.
     pub place: String,
+    /// What is wrong.
     pub text: String,
 }
 
 impl Finding {
+    /// A finding at `place`.
     pub fn new(place: impl Into<String>, text: impl Into<String>) -> Finding {
         Finding {
             place: place.into(),
@@ -17,7 +21,7 @@
     }
 }
 
-/// Tells everything that is wrong and ends the program with code 2.
+/// Prints everything that is wrong and ends the program with code 2.
 pub fn exit_with_findings(program: &str, found: &[Finding]) -> ! {
     for finding in found {
         eprintln!("{program}: {finding}");
--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -1,24 +1,24 @@
 //! Frames between our processes. A frame is a header of eight bytes and a
 //! body: the body's length with two flags, a checksum over that word and the
 //! body, then the body. A message is one frame, or, if it is large, several
-//! pieces: other frames may go between them, so that a large message holds up
+//! chunks: other frames may go between them, so that a large message holds up
 //! no small one. A frame that does not check out ends its session and nothing
 //! else.
 use crate::prelude::*;
 use bincode::Options;
 
-/// Larger than any whole partition image we send.
+/// Larger than any whole partition snapshot we send.
 pub const FRAME_BYTES: usize = 64 * 1024 * 1024;
-/// A larger message that need not hurry goes in pieces of this size.
-pub const PIECE_BYTES: usize = 16 * 1024;
+/// A larger message that need not hurry goes in chunks of this size.
+pub const CHUNK_BYTES: usize = 16 * 1024;
 /// What an empty list is encoded as: its length.
 const EMPTY_LIST_BYTES: usize = 8;
 const HEADER_BYTES: usize = 8;
-/// The body is a piece of a message.
-const PIECE: u32 = 1 << 30;
-/// Further pieces of the message follow.
-const MORE: u32 = 1 << 31;
-const LENGTH: u32 = PIECE - 1;
+/// The body is a chunk of a message.
+const CHUNK: u32 = 1 << 30;
+/// Further chunks of the message follow.
+const MORE_CHUNKS: u32 = 1 << 31;
+const LENGTH: u32 = CHUNK - 1;
 
 /// Why a session's bytes are no frames of ours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -61,6 +61,7 @@
 }
 
 impl EncodedMessage {
+    /// Encodes a message from a peer.
     pub fn new(from: Peer, message: &Message) -> Result<EncodedMessage, EncodeError> {
         let encoded = match message {
             Message::RenewReply(reply) if !reply.updates.is_empty() => {
@@ -98,10 +99,12 @@
         self.expires.is_some_and(|end| Instant::now() >= end)
     }
 
+    /// Bytes of the complete message.
     pub fn len(&self) -> usize {
         self.own.len() + self.shared().map_or(0, |shared| shared.len())
     }
 
+    /// Whether it has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -111,6 +114,7 @@
         self.own.len()
     }
 
+    /// Bytes that other messages have, too.
     pub fn shared(&self) -> Option<&Arc<[u8]>> {
         self.shared.as_ref()
     }
@@ -120,14 +124,14 @@
         self.write_frame(0, self.len(), 0, out);
     }
 
-    /// Appends the piece that begins at `from`, and returns where it ends. A
-    /// message that fits into one piece is one frame.
-    pub fn write_piece(&self, from: usize, out: &mut Vec<u8>) -> usize {
-        let to = self.len().min(from + PIECE_BYTES);
+    /// Appends the chunk that begins at `from`, and returns where it ends. A
+    /// message that fits into one chunk is one frame.
+    pub fn write_chunk(&self, from: usize, out: &mut Vec<u8>) -> usize {
+        let to = self.len().min(from + CHUNK_BYTES);
         let flags = match (from, to == self.len()) {
             (0, true) => 0,
-            (_, true) => PIECE,
-            (_, false) => PIECE | MORE,
+            (_, true) => CHUNK,
+            (_, false) => CHUNK | MORE_CHUNKS,
         };
         self.write_frame(from, to, flags, out);
         to
@@ -239,14 +243,14 @@
     ) -> Result<(), FrameError> {
         match flags {
             0 => take(body),
-            MORE => return Err(FrameError::UnknownFlags),
+            MORE_CHUNKS => return Err(FrameError::UnknownFlags),
             _ => {
                 let bytes = self.gathered.len() + body.len();
                 if bytes > FRAME_BYTES {
                     return Err(FrameError::TooLarge(bytes));
                 }
                 self.gathered.extend(body);
-                if flags & MORE == 0 {
+                if flags & MORE_CHUNKS == 0 {
                     take(&std::mem::take(&mut self.gathered));
                 }
             }
--- a/kernel/src/frontend.rs
+++ b/kernel/src/frontend.rs
@@ -1,7 +1,8 @@
+//! The frontend of a process: where it meets clients, operators and origins.
 use crate::prelude::*;
 
 /// Where a process meets callers, operators, the platform and origins: it puts
-/// inputs to its part through the port and carries the part's calls out.
+/// inputs to its part through the port and carries the state machine's calls out.
 pub trait Frontend: Send {
     /// Listens and serves until the port says that the process ends.
     fn open(&mut self, port: &Arc<Port>) -> Result<()>;
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -1,3 +1,4 @@
+//! Named items of the configuration, merged into one document.
 use crate::prelude::*;
 
 /// The named parts of the configuration, read once each. Invariants:
@@ -63,9 +64,9 @@
             return Ok(ItemContent::Removed);
         };
         let part = match item.kind {
-            ItemKind::Group => ItemContent::Group(Arc::new(read_part(text)?)),
-            ItemKind::Entry => ItemContent::Entry(Arc::new(read_part(text)?)),
-            ItemKind::Bounds => ItemContent::Bounds(Arc::new(read_part(text)?)),
+            ItemKind::Group => ItemContent::Group(Arc::new(read_content(text)?)),
+            ItemKind::Entry => ItemContent::Entry(Arc::new(read_content(text)?)),
+            ItemKind::Bounds => ItemContent::Bounds(Arc::new(read_content(text)?)),
         };
         let own = match &part {
             ItemContent::Group(group) => group.service.as_str(),
@@ -145,13 +146,13 @@
     }
 
     /// Takes a part that no row holds yet, to see whether all fits together.
-    pub(crate) fn try_part(&mut self, key: String, part: ItemContent) {
+    pub(crate) fn insert_unstored(&mut self, key: String, part: ItemContent) {
         self.parts.insert(key, (0, part));
     }
 }
 
 /// One part from its JSON, with all that is wrong in it by itself.
-fn read_part<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
+fn read_content<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
     let part: T =
         serde_json::from_str(text).map_err(|error| vec![Finding::new("", error.to_string())])?;
     let found = findings_of(part.validate());
--- a/kernel/src/items_change.rs
+++ b/kernel/src/items_change.rs
@@ -19,7 +19,7 @@
 /// Why nothing of a call takes effect. The place of a finding begins with the
 /// item's in the call, or with the row key of an item that stands.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ItemsRefusal {
+pub enum ItemsRejection {
     /// Something is wrong in an item, or with all that would stand.
     Invalid(Vec<Finding>),
     /// A revision was accepted before with another content.
@@ -33,7 +33,7 @@
     pub fn judge(
         rows: &BTreeMap<String, Row>,
         items: Vec<Item>,
-    ) -> Result<ItemsChange, ItemsRefusal> {
+    ) -> Result<ItemsChange, ItemsRejection> {
         let mut judgement = Judgement::new(rows);
         for (at, item) in items.into_iter().enumerate() {
             judgement.add(at, item);
@@ -43,7 +43,7 @@
 }
 
 /// An item of the call: what stands under its name and what is remembered, as
-/// they would be after the part of the call judged so far.
+/// they would be after the state machine of the call judged so far.
 struct Subject {
     standing: Option<AcceptedRevision>,
     /// The item to put, with its place in the call.
@@ -159,7 +159,7 @@
                     .as_ref()
                     .is_some_and(|(fresh, _)| *fresh == at)
                 {
-                    self.known.try_part(key, part);
+                    self.known.insert_unstored(key, part);
                 }
             }
             Acceptance::Conflict => self.conflicts.push(Finding::new(
@@ -173,18 +173,18 @@
         }
     }
 
-    fn conclude(self) -> Result<ItemsChange, ItemsRefusal> {
+    fn conclude(self) -> Result<ItemsChange, ItemsRejection> {
         if !self.invalid.is_empty() {
-            return Err(ItemsRefusal::Invalid(self.invalid));
+            return Err(ItemsRejection::Invalid(self.invalid));
         }
         if !self.conflicts.is_empty() {
-            return Err(ItemsRefusal::Conflict(self.conflicts));
+            return Err(ItemsRejection::Conflict(self.conflicts));
         }
         if !self.forgotten.is_empty() {
-            return Err(ItemsRefusal::Forgotten(self.forgotten));
+            return Err(ItemsRejection::Forgotten(self.forgotten));
         }
         if let Err(found) = self.known.joined() {
-            return Err(ItemsRefusal::Invalid(self.placed_in_call(found)));
+            return Err(ItemsRejection::Invalid(self.placed_in_call(found)));
         }
         Ok(self.change())
     }
--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -43,7 +43,7 @@
     }
 
     /// The number of items put, or why the call was refused.
-    fn put(&mut self, items: Vec<Item>) -> Result<usize, ItemsRefusal> {
+    fn put(&mut self, items: Vec<Item>) -> Result<usize, ItemsRejection> {
         let change = ItemsChange::judge(&self.rows, items)?;
         let is_item = |(_, value): &&(String, Value)| matches!(value, Value::Item(_));
         let count = change.rows.iter().filter(is_item).count();
@@ -58,14 +58,14 @@
     /// What the call is refused for, as one text.
     fn invalid(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
-            Err(ItemsRefusal::Invalid(found)) => joined(&found),
+            Err(ItemsRejection::Invalid(found)) => joined(&found),
             other => panic!("{other:?}"),
         }
     }
 
     fn conflict(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
-            Err(ItemsRefusal::Conflict(found)) => joined(&found),
+            Err(ItemsRejection::Conflict(found)) => joined(&found),
             other => panic!("{other:?}"),
         }
     }
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn per_name_the_highest_revision_holds_also_of_removals_and_a_call_is_whole_or_nothing() {
+fn highest_revision_wins_and_call_is_atomic() {
     let mut partition = Partition::default();
     assert_eq!(
         partition.put(vec![group("s", 7), entry("a", 7, "/a/", "s")]),
@@ -132,7 +132,7 @@
 /// Once, the second of two operators under one revision was acknowledged,
 /// while the first one's content stood.
 #[test]
-fn a_revision_with_another_content_is_a_conflict_and_nothing_of_the_call_takes_effect() {
+fn revision_with_other_content_conflicts_and_call_has_no_effect() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 7, "/a/", "s")]), Ok(1));
     let before = partition.rows.clone();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_call_that_contradicts_itself_is_a_conflict_and_its_highest_revision_holds() {
+fn contradictory_call_conflicts_and_highest_revision_wins() {
     let mut partition = Partition::with_group();
     partition.conflict(vec![entry("a", 7, "/a/", "s"), entry("a", 7, "/b/", "s")]);
     assert_eq!(
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_was_accepted_is_known_after_newer_revisions_have_passed_it() {
+fn accepted_revision_is_recognized_after_newer_ones() {
     let mut partition = Partition::with_group();
     for revision in [3, 5, 9] {
         let path = format!("/{revision}/");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_older_revision_that_was_never_accepted_has_no_effect_and_takes_its_number() {
+fn unaccepted_older_revision_has_no_effect_but_is_recorded() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 9, "/9/", "s")]), Ok(1));
     assert_eq!(partition.put(vec![entry("a", 7, "/7/", "s")]), Ok(0));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_removal_is_the_same_in_whatever_words_it_was_sent() {
+fn removals_compare_equal_in_any_layout() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![removal("a", 4)]), Ok(1));
     let in_other_words = Item {
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_acknowledgement_waits_for_all_rows_that_speak_of_the_calls_items() {
+fn acknowledgement_waits_for_all_rows_of_the_items() {
     let mut partition = Partition::with_group();
     partition.put(vec![entry("a", 7, "/a/", "s")]).unwrap();
     partition.put(vec![entry("b", 7, "/b/", "s")]).unwrap();
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_what_was_dropped_is_neither_confirmed_nor_refused() {
+fn revision_memory_is_bounded_and_forgotten_is_reported() {
     let mut partition = Partition::with_group();
     let newest = 2 * ACCEPTED_REVISIONS as u64;
     let at = |revision: u64| entry("a", revision, &format!("/{revision}/"), "s");
@@ -235,7 +235,7 @@
     for content in ["/1/", "/other/"] {
         let told = partition.put(vec![entry("a", 1, content, "s")]);
         assert!(
-            matches!(told, Err(ItemsRefusal::Forgotten(_))),
+            matches!(told, Err(ItemsRejection::Forgotten(_))),
             "{content}: {told:?}"
         );
     }
--- a/kernel/src/lease/tests.rs
+++ b/kernel/src/lease/tests.rs
@@ -3,7 +3,7 @@
 
 /// Clocks jump: nothing the product decides may hang on one that can.
 #[test]
-fn no_wall_clock_is_read_by_the_product() {
+fn product_reads_no_wall_clock() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut folders: Vec<PathBuf> = [
         "kernel",
--- a/kernel/src/link/backlog.rs
+++ b/kernel/src/link/backlog.rs
@@ -10,14 +10,15 @@
 /// Counts received bytes from the event loop to the thread that processes
 /// them, in order.
 #[derive(Debug, Default)]
-pub struct Backlog {
+pub(super) struct Backlog {
     sizes: Mutex<VecDeque<usize>>,
     bytes: AtomicUsize,
     paused: AtomicBool,
 }
 
 impl Backlog {
-    pub fn received(&self, bytes: usize) {
+    /// Counts a message that was read.
+    pub(super) fn received(&self, bytes: usize) {
         self.sizes
             .lock()
             .expect("no holder panics")
@@ -27,7 +28,7 @@
 
     /// The earliest message received was processed. True if the event loop is
     /// to be woken, since it may read again.
-    pub fn processed(&self) -> bool {
+    pub(super) fn processed(&self) -> bool {
         let Some(bytes) = self.sizes.lock().expect("no holder panics").pop_front() else {
             return false;
         };
@@ -36,7 +37,7 @@
     }
 
     /// Whether reading must wait. Who is told so is woken by `processed`.
-    pub fn full(&self) -> bool {
+    pub(super) fn full(&self) -> bool {
         if self.bytes.load(Ordering::SeqCst) < PAUSE_BYTES {
             return false;
         }
@@ -46,7 +47,8 @@
         !(low && self.paused.swap(false, Ordering::SeqCst))
     }
 
-    pub fn bytes(&self) -> usize {
+    /// Bytes that are not processed yet.
+    pub(super) fn bytes(&self) -> usize {
         self.bytes.load(Ordering::SeqCst)
     }
 }
--- a/kernel/src/link/counters.rs
+++ b/kernel/src/link/counters.rs
@@ -6,6 +6,7 @@
 pub struct Counter(AtomicUsize);
 
 impl Counter {
+    /// The number now.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -22,15 +23,17 @@
 /// What a process's links have come to.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Sessions that stand, opened by peers and by us.
+    /// Sessions that are open, opened by peers.
     pub inbound: Counter,
+    /// Sessions that are open, opened by this process.
     pub outbound: Counter,
     /// Sessions ended for their bytes.
     pub refused_frames: Counter,
     /// Messages that could not be decoded.
     pub undecodable: Counter,
-    /// Messages for which a queue had no room.
+    /// Urgent messages for which a queue had no capacity.
     pub dropped_urgent: Counter,
+    /// Bulk messages for which a queue had no capacity.
     pub dropped_bulk: Counter,
 }
 
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -35,7 +35,7 @@
 ///   remember them until the socket has said that there is no more.
 /// - Of the sessions that one address opened only the latest is read, so what
 ///   a peer says is processed in the order in which it was said.
-pub struct EventLoop {
+pub(super) struct EventLoop {
     poll: Poll,
     listener: TcpListener,
     shared: Arc<Shared>,
@@ -60,7 +60,7 @@
 }
 
 impl EventLoop {
-    pub fn new(
+    pub(super) fn new(
         poll: Poll,
         listener: std::net::TcpListener,
         shared: Arc<Shared>,
@@ -92,7 +92,7 @@
     }
 
     /// Ends once the links are dropped.
-    pub fn run(mut self) {
+    pub(super) fn run(mut self) {
         let mut events = Events::with_capacity(EVENTS);
         while !self.shared.closing.load(Ordering::SeqCst) {
             let polled = self.poll.poll(&mut events, self.timeout());
@@ -203,7 +203,7 @@
             if keep {
                 match frame::decode(body) {
                     Ok((from, message)) => {
-                        keep = self.heard(token, &mut peer, from, message, body.len());
+                        keep = self.on_message(token, &mut peer, from, message, body.len());
                     }
                     Err(error) => {
                         self.shared.counters.undecodable.add(1);
@@ -215,9 +215,9 @@
         self.scratch = scratch;
         session.peer = peer;
         if let Some(error) = undecodable {
-            note_undecodable(&session, &error);
+            log_undecodable(&session, &error);
         }
-        if keep && self.goes_on(token, &reading) {
+        if keep && self.continues_after(token, &reading) {
             self.inbound.insert(token, session);
         } else {
             self.end_inbound(token, &session);
@@ -226,7 +226,7 @@
     }
 
     /// False if the session is not to go on.
-    fn heard(
+    fn on_message(
         &mut self,
         token: Token,
         peer: &mut Option<Peer>,
@@ -234,7 +234,7 @@
         message: Message,
         bytes: usize,
     ) -> bool {
-        if peer.is_none() && !self.speaks_first(token, from) {
+        if peer.is_none() && !self.accept_first_message(token, from) {
             return false;
         }
         if *peer.get_or_insert(from) != from {
@@ -251,7 +251,7 @@
 
     /// Of the sessions that an address opened, the latest counts: its process
     /// has given up the others, or has ended.
-    fn speaks_first(&mut self, token: Token, from: Peer) -> bool {
+    fn accept_first_message(&mut self, token: Token, from: Peer) -> bool {
         if from == self.shared.me {
             return false;
         }
@@ -266,7 +266,7 @@
         true
     }
 
-    fn goes_on(&mut self, token: Token, reading: &Reading) -> bool {
+    fn continues_after(&mut self, token: Token, reading: &Reading) -> bool {
         match reading {
             Reading::Drained => true,
             Reading::Interrupted => {
@@ -487,7 +487,7 @@
 }
 
 /// One line for what was read together; the count has them all.
-fn note_undecodable(session: &Inbound, error: &frame::DecodeError) {
+fn log_undecodable(session: &Inbound, error: &frame::DecodeError) {
     let from = match session.peer {
         Some(peer) => peer.to_string(),
         None => "a stranger".into(),
--- a/kernel/src/link/inbound.rs
+++ b/kernel/src/link/inbound.rs
@@ -6,7 +6,7 @@
 /// Reads in a row before others have their turn.
 const ROUNDS: usize = 4;
 
-pub struct Inbound {
+pub(super) struct Inbound {
     pub stream: TcpStream,
     /// Who speaks here, once known.
     pub peer: Option<Peer>,
@@ -19,7 +19,7 @@
 
 /// What reading has come to.
 #[derive(Debug)]
-pub enum Reading {
+pub(super) enum Reading {
     /// All there was.
     Drained,
     /// Others have their turn first.
@@ -29,7 +29,7 @@
 }
 
 impl Inbound {
-    pub fn new(stream: TcpStream) -> Inbound {
+    pub(super) fn new(stream: TcpStream) -> Inbound {
         Inbound {
             stream,
             peer: None,
@@ -40,7 +40,7 @@
     }
 
     /// Hands the body of each message that is complete to `take`.
-    pub fn read(&mut self, scratch: &mut [u8], take: &mut dyn FnMut(&[u8])) -> Reading {
+    pub(super) fn read(&mut self, scratch: &mut [u8], take: &mut dyn FnMut(&[u8])) -> Reading {
         for _ in 0..ROUNDS {
             match self.stream.read(scratch) {
                 Ok(0) => {
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Queues are bounded in bytes, for each peer and for the process
 //! ([`QueueLimits`]). What is urgent (heartbeats, renewals, agreements, permits)
-//! goes ahead of bulk (snapshots, updates, rows, copies), and bulk goes in pieces,
+//! goes ahead of bulk (snapshots, updates, rows, copies), and bulk goes in chunks,
 //! so a heartbeat waits for no snapshot. When there is no room, bulk is dropped
 //! first.
 //!
@@ -61,12 +61,12 @@
 /// Between looks at what is left to be sent before the process ends.
 const DRAIN_STEP: Duration = Duration::from_millis(5);
 /// Dropped messages are noted at most this often.
-const NOTE_DROPPED: Duration = Duration::from_secs(1);
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The sessions of this process.
 pub struct Links {
     shared: Arc<Shared>,
-    dropped_noted: Mutex<Option<Instant>>,
+    last_drop_logged: Mutex<Option<Instant>>,
 }
 
 /// What the event loop shares with those who send and process.
@@ -94,11 +94,12 @@
 }
 
 impl Links {
-    /// Listens for peers and hands what they say to `take`.
+    /// Listens for peers and hands their messages to `take`.
     pub fn open(me: Peer, listener: TcpListener, take: Sender<Input>) -> std::io::Result<Links> {
         Links::open_with(me, listener, take, QueueLimits::default())
     }
 
+    /// The same with other bounds of the queues.
     pub fn open_with(
         me: Peer,
         listener: TcpListener,
@@ -122,7 +123,7 @@
             .spawn(move || event_loop.run())?;
         Ok(Links {
             shared,
-            dropped_noted: Mutex::default(),
+            last_drop_logged: Mutex::default(),
         })
     }
 
@@ -135,7 +136,7 @@
         let taken = self.shared.lock_outbox().push(to, priority, encoded);
         if !taken {
             self.shared.counters.dropped(priority).add(1);
-            self.note_dropped(to);
+            self.log_dropped(to);
         }
     }
 
@@ -163,6 +164,7 @@
         }
     }
 
+    /// Counts for operators and tests.
     pub fn counters(&self) -> &LinkCounters {
         &self.shared.counters
     }
@@ -177,9 +179,9 @@
         self.shared.backlog.bytes()
     }
 
-    fn note_dropped(&self, to: SocketAddr) {
-        let mut noted = self.dropped_noted.lock().expect("no holder panics");
-        if noted.is_none_or(|at| at.elapsed() >= NOTE_DROPPED) {
+    fn log_dropped(&self, to: SocketAddr) {
+        let mut noted = self.last_drop_logged.lock().expect("no holder panics");
+        if noted.is_none_or(|at| at.elapsed() >= DROP_LOG_INTERVAL) {
             *noted = Some(Instant::now());
             let counters = &self.shared.counters;
             let text = format!(
--- a/kernel/src/link/outbound.rs
+++ b/kernel/src/link/outbound.rs
@@ -14,7 +14,7 @@
 /// behind no more than this.
 const UNSENT_BYTES: u32 = 32 * 1024;
 
-pub struct Outbound {
+pub(super) struct Outbound {
     pub token: Token,
     pub stream: TcpStream,
     pub state: Connection,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Connection {
+pub(super) enum Connection {
     /// Given up at this time.
     Connecting {
         until: Instant,
@@ -40,7 +40,7 @@
 
 /// What writing has come to.
 #[derive(Debug)]
-pub enum Writing {
+pub(super) enum Writing {
     /// Nothing waits.
     Done,
     /// Others have their turn first.
@@ -54,7 +54,7 @@
 
 impl Outbound {
     /// Begins to connect.
-    pub fn connect(
+    pub(super) fn connect(
         token: Token,
         to: SocketAddr,
         until: Instant,
@@ -76,7 +76,7 @@
     }
 
     /// Whether the connection stands now; an error: it came to nothing.
-    pub fn connected(&self) -> io::Result<bool> {
+    pub(super) fn connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn deadline(&self) -> Option<Instant> {
+    pub(super) fn deadline(&self) -> Option<Instant> {
         match self.state {
             Connection::Connecting { until } | Connection::Blocked { until } => Some(until),
             Connection::Open => None,
@@ -99,7 +99,7 @@
     }
 
     /// Writes what waits for this peer, several frames at a time.
-    pub fn write(&mut self, to: SocketAddr, outbox: &Mutex<Outbox>) -> Writing {
+    pub(super) fn write(&mut self, to: SocketAddr, outbox: &Mutex<Outbox>) -> Writing {
         let mut progress = false;
         for _ in 0..ROUNDS {
             if self.rest.is_empty() {
--- a/kernel/src/link/queue.rs
+++ b/kernel/src/link/queue.rs
@@ -7,7 +7,9 @@
 /// one larger than a bound can be sent at all.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueLimits {
+    /// Urgent bytes for one peer.
     pub peer_urgent: usize,
+    /// Bulk bytes for one peer.
     pub peer_bulk: usize,
     /// Of all peers together; what is shared counts once.
     pub process_bulk: usize,
@@ -49,6 +51,7 @@
 }
 
 impl Outbox {
+    /// Empty queues.
     pub fn new(limits: QueueLimits) -> Outbox {
         Outbox {
             limits,
@@ -90,10 +93,12 @@
         ready
     }
 
+    /// Whether a peer was given something since the event loop last looked.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
+    /// Whether nothing waits for this peer.
     pub fn is_empty(&self, to: SocketAddr) -> bool {
         self.peers.get(&to).is_none_or(PeerQueue::is_empty)
     }
@@ -117,7 +122,7 @@
                 return;
             } else if let Some(message) = queue.pop_expired() {
                 self.bytes.remove(&message);
-            } else if let Some(message) = queue.take_piece(out) {
+            } else if let Some(message) = queue.take_chunk(out) {
                 self.bytes.remove(&message);
             }
         }
@@ -184,10 +189,10 @@
         if expired { self.pop_bulk() } else { None }
     }
 
-    /// Appends the next piece of bulk; the message, if that was its last.
-    fn take_piece(&mut self, out: &mut Vec<u8>) -> Option<EncodedMessage> {
+    /// Appends the next chunk of bulk; the message, if that was its last.
+    fn take_chunk(&mut self, out: &mut Vec<u8>) -> Option<EncodedMessage> {
         let message = self.bulk.front()?;
-        self.bulk_taken = message.write_piece(self.bulk_taken, out);
+        self.bulk_taken = message.write_chunk(self.bulk_taken, out);
         if self.bulk_taken < message.len() {
             return None;
         }
--- a/kernel/src/operator_server.rs
+++ b/kernel/src/operator_server.rs
@@ -1,13 +1,17 @@
+//! The frontend of a process that only operators and the platform call.
 use crate::prelude::*;
 
-/// The face of a process that only operators and the platform call: one
-/// thread a request, plug-ins in their order. It makes no calls.
+/// Serves operators and the platform: one thread a request, plug-ins in their
+/// order. It makes no calls.
 pub struct OperatorServer {
+    /// The program whose plug-ins are served.
     pub program: &'static str,
+    /// The thread that accepts connections, once it is open.
     pub server: Option<thread::JoinHandle<()>>,
 }
 
 impl OperatorServer {
+    /// A server that is not open yet.
     pub fn new(program: &'static str) -> OperatorServer {
         OperatorServer {
             program,
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -13,16 +13,18 @@
     Ok(u64::from_be_bytes(bytes).max(1))
 }
 
-/// Another process of the fleet. `address` is where it listens for peers and
-/// is its name; `incarnation` tells one run (edge) or one disk (control) at that
-/// address from the next, so nothing said by an earlier life is laid to a later.
+/// A process of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
+    /// Where it listens for peers; its name.
     pub address: SocketAddr,
+    /// Tells one process (edge) or one disk (control node) at that address from
+    /// the next, so that nothing an earlier one sent is attributed to a later.
     pub incarnation: u64,
 }
 
 impl Peer {
+    /// The peer at an address.
     pub fn new(address: SocketAddr, incarnation: u64) -> Peer {
         Peer {
             address,
@@ -30,15 +32,16 @@
         }
     }
 
-    /// Whether an entry of the table of places (life 0: whoever is there)
-    /// names this peer.
+    /// Whether an entry of the membership table (incarnation 0: whoever is
+    /// there) names this peer.
     pub fn names(&self, peer: &Peer) -> bool {
         self.address == peer.address
             && (self.incarnation == 0 || self.incarnation == peer.incarnation)
     }
 
-    /// Rendezvous weight of this peer for a named assignment: the live peer with the
-    /// highest weight is wanted, so one peer coming or going moves only its own.
+    /// Rendezvous weight of this peer for a named assignment: the live peer
+    /// with the highest weight is wanted, so one peer that comes or goes moves
+    /// only its own.
     pub fn weight(&self, assignment: &str) -> u64 {
         let mut hash = Sha256::new();
         hash.update(assignment.as_bytes());
@@ -48,8 +51,8 @@
 }
 
 impl Peer {
-    /// The same among peers of unlike strength: each is wanted for its part of
-    /// the sum. The peer with the lowest wins.
+    /// The same among peers of unlike weights: each is wanted for its part of
+    /// the sum. The peer with the lowest distance wins.
     pub fn distance(&self, assignment: &str, strength: u32) -> f64 {
         let mut hash = std::hash::DefaultHasher::new();
         std::hash::Hash::hash(&(assignment, self.address), &mut hash);
--- a/kernel/src/plug_in.rs
+++ b/kernel/src/plug_in.rs
@@ -1,23 +1,29 @@
+//! HTTP handlers and background sources that register themselves at link time.
 use crate::prelude::*;
 
-/// A face of a process that registers itself: it serves HTTP calls under its
-/// paths. Collected at link time; the kernel knows none by name.
+/// An HTTP handler of a process that registers itself: it serves calls under
+/// its paths. Collected at link time; the kernel knows none by name.
 pub struct PlugIn {
+    /// Its name, for people.
     pub name: &'static str,
     /// Which program it belongs to; empty: to every one.
     pub program: &'static str,
-    /// Lower is asked first; any may answer.
+    /// Lower is tried first; any may respond.
     pub order: u32,
+    /// Responds to a request, or passes it on.
     pub serve: fn(&Port, &rouille::Request) -> Option<rouille::Response>,
 }
 
 inventory::collect!(PlugIn);
 
-/// Something that runs beside a program's part for its whole life (it feeds
-/// the port from outside) and registers itself.
+/// A background source that runs beside a program's state machine for its whole
+/// incarnation (it feeds the port from outside) and registers itself.
 pub struct SourcePlugIn {
+    /// Its name, for people.
     pub name: &'static str,
+    /// Which program it belongs to.
     pub program: &'static str,
+    /// Runs until the port ends.
     pub run: fn(&Port),
 }
 
@@ -53,6 +59,7 @@
 }
 
 impl PlugIn {
+    /// The plug-ins of a program, in order.
     pub fn of(program: &str) -> Vec<&'static PlugIn> {
         let mut list: Vec<&PlugIn> = inventory::iter::<PlugIn>()
             .filter(|one| one.program.is_empty() || one.program == program)
@@ -62,7 +69,7 @@
     }
 }
 
-/// The first plug-in that answers does.
+/// The response of the first plug-in that has one.
 pub fn serve_plug_ins(
     plug_ins: &[&PlugIn],
     port: &Port,
@@ -80,7 +87,7 @@
         })
 }
 
-/// One JSON answer.
+/// A JSON response.
 pub fn json(status: u16, body: &impl Serialize) -> rouille::Response {
     let text = serde_json::to_string(body).unwrap_or_default();
     let mut answer = rouille::Response::from_data("application/json", text);
@@ -88,7 +95,7 @@
     answer
 }
 
-/// The one error shape as an HTTP answer.
+/// A rejection as an HTTP response.
 pub fn refuse(refusal: &Rejection) -> rouille::Response {
     let answer = json(refusal.status, refusal);
     match refusal.retry_after_s {
@@ -100,7 +107,7 @@
     }
 }
 
-/// Reads a body whole, or refuses it when over `limit`.
+/// Reads a complete body, or rejects it when over `limit` bytes.
 pub fn read_body(request: &rouille::Request, limit: usize) -> Result<Vec<u8>, Rejection> {
     let mut body = Vec::new();
     let Some(stream) = request.data() else {
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -1,3 +1,4 @@
+//! What most files of the product need. The rest is imported by name.
 pub use anyhow::{Context, Result, anyhow, bail};
 pub use arc_swap::ArcSwap;
 pub use base64::Engine as _;
@@ -27,7 +28,7 @@
 pub use crate::frontend::Frontend;
 pub use crate::host::{HostError, NodeHost};
 pub use crate::items::Items;
-pub use crate::items_change::{ItemsChange, ItemsRefusal};
+pub use crate::items_change::{ItemsChange, ItemsRejection};
 pub use crate::lease;
 pub use crate::link::{LinkCounters, Links, Priority, QueueLimits};
 pub use crate::message::*;
--- a/kernel/src/protocol.rs
+++ b/kernel/src/protocol.rs
@@ -1,23 +1,25 @@
+//! The protocol adapter: how clients and origins are spoken to.
 use crate::prelude::*;
 
-/// The words in which callers and origins are spoken to. It only translates:
-/// what a request is worth, where it goes and what is remembered of it is
-/// decided elsewhere.
+/// How clients and origins are spoken to: the headers and statuses of one
+/// platform. It only translates: what a request is worth, where it goes and
+/// what is remembered of it is decided elsewhere.
 pub trait ProtocolAdapter: Send + Sync {
-    /// How long the caller says it will wait.
+    /// How long the client says it will wait.
     fn patience(&self, headers: &[(String, String)]) -> Option<Duration>;
 
-    /// The key under which the caller's operation runs once.
+    /// The key under which the client's operation runs once.
     fn operation<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
-    /// What the caller calls its request, if it does: it goes on to the origin.
+    /// The client's own id of its request, if it has one: it goes on to the
+    /// origin.
     fn name<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
-    /// The headers of a call in order, `NodeHost` among them, and the header that
-    /// its answer must carry, if that is asked of it.
+    /// The headers of a call in order, `Host` among them, and the header that
+    /// its response must carry, if any.
     fn call(&self, call: &Call) -> CallHeaders;
 
-    /// What an answer to `call` is, after it was read whole.
+    /// What a response to `call` is, after it was read completely.
     fn judge(
         &self,
         call: &Call,
@@ -26,36 +28,45 @@
         body: &[u8],
     ) -> OriginVerdict;
 
-    /// What the caller of a request with these headers is told: a reply's own
-    /// headers are in it already, a refusal becomes what callers understand.
+    /// What the client of a request with these headers gets: a reply's own
+    /// headers are in it already, a rejection becomes what clients understand.
     fn tell(&self, asked: &[(String, String)], answer: &ClientResponse) -> HttpResponse;
 }
 
+/// The headers of a call to an origin.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CallHeaders {
+    /// Names and values in order.
     pub headers: Vec<(String, String)>,
+    /// What its response must carry.
     pub echo: Option<(String, String)>,
 }
 
-/// Status, headers beside those of framing, and body.
+/// A response to a client.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HttpResponse {
+    /// The HTTP status.
     pub status: u16,
+    /// Headers beside those of framing.
     pub headers: Vec<(String, String)>,
+    /// The complete body.
     pub body: Arc<Vec<u8>>,
 }
 
+/// What a response of an origin is.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OriginVerdict {
-    /// The origin's own answer: the headers that go on with it, and its tags.
+    /// The origin's own response.
     Accepted {
+        /// The headers that go on with it.
         headers: Vec<(String, String)>,
+        /// What it is tagged with, for purges.
         tags: Vec<String>,
     },
-    /// The origin says that it did not run it.
+    /// The origin states that it did not execute the request.
     NotExecuted,
     /// Another instance listens at that address; it did not run it.
     WrongInstance,
-    /// Nobody's answer that could be passed on; why.
+    /// Nothing that could be passed on; why.
     Rejected(String),
 }
--- a/kernel/src/quorum.rs
+++ b/kernel/src/quorum.rs
@@ -1,3 +1,4 @@
+//! Quorum arithmetic over the slots of the control plane.
 #[cfg(test)]
 mod tests;
 
@@ -10,10 +11,12 @@
 ///   of the others finds all that `most` ever held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quorum {
+    /// Slots of the control plane.
     pub slots: usize,
 }
 
 impl Quorum {
+    /// The quorums of a table with so many slots.
     pub fn new(slots: usize) -> Quorum {
         Quorum { slots }
     }
--- a/kernel/src/quorum/tests.rs
+++ b/kernel/src/quorum/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn most_meets_most_and_rest_meets_most_and_none_is_larger_than_needed() {
+fn majorities_intersect_and_are_minimal() {
     for slots in 1..=8 {
         let quorum = Quorum::new(slots);
         let (most, rest) = (sets(slots, quorum.most()), sets(slots, quorum.rest()));
@@ -37,7 +37,7 @@
 /// from `rest` of the larger one asked somebody of every majority and of
 /// every live edge of the smaller one.
 #[test]
-fn tables_that_differ_by_one_slot_meet() {
+fn quorums_of_adjacent_tables_intersect() {
     for slots in 1..8 {
         let (small, large) = (Quorum::new(slots), Quorum::new(slots + 1));
         assert!(all_meet(
@@ -58,7 +58,7 @@
 /// A blank disk in the place of one of `most` asks `rest` of the others:
 /// one of them is another of that majority.
 #[test]
-fn rest_of_the_others_holds_what_a_majority_with_the_lost_disk_held() {
+fn recovery_quorum_intersects_majorities_of_lost_disk() {
     for slots in 2..=8 {
         let quorum = Quorum::new(slots);
         let others = sets(slots, quorum.rest())
--- a/kernel/src/route_table.rs
+++ b/kernel/src/route_table.rs
@@ -1,10 +1,16 @@
+//! The routing table: a configuration with an index over its entries.
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
-/// A configuration with an index over its entries; never changed, only
-/// replaced whole.
+/// A configuration with an index over its entries; never changed, only replaced
+/// as a whole.
 #[derive(Debug, PartialEq)]
 pub struct RouteTable {
+    /// The configuration's version.
     pub version: u64,
+    /// The configuration.
     pub document: Configuration,
     /// What callers may send, if operators said so.
     pub bounds: Option<Arc<Bounds>>,
@@ -12,6 +18,7 @@
 }
 
 impl RouteTable {
+    /// Indexes a configuration.
     pub fn new(version: u64, document: Configuration) -> RouteTable {
         let mut by_path: HashMap<String, Vec<usize>> = HashMap::new();
         for (at, entry) in document.entries.iter().enumerate() {
@@ -25,7 +32,7 @@
         }
     }
 
-    /// The same, with the callers' bounds.
+    /// The same, with the clients' bounds.
     pub fn within(self, bounds: Option<Arc<Bounds>>) -> RouteTable {
         RouteTable { bounds, ..self }
     }
@@ -65,50 +72,3 @@
         None
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn the_longest_whole_path_wins_then_the_host() {
-        let entry = |name: &str, host: Option<&str>, path: &str| Entry {
-            name: name.into(),
-            host: host.map(Into::into),
-            path: path.into(),
-            methods: vec!["GET".into()],
-            group: "g".into(),
-            rank: 1,
-            kind: Kind::Plain,
-            cache_ttl_s: None,
-            deadline_ms: 100,
-            split: vec![],
-            attempts: None,
-            aim_ms: None,
-        };
-        let entries = vec![
-            entry("root", None, "/"),
-            entry("list", None, "/list"),
-            entry("ours", Some("a.example"), "/list"),
-            entry("tiles", None, "/t/"),
-        ];
-        let table = RouteTable::new(
-            1,
-            Configuration {
-                groups: vec![],
-                entries,
-            },
-        );
-        let find = |host: &str, url: &str| {
-            table
-                .find(host, url, "GET")
-                .map(|at| table.document.entries[at].name.clone())
-        };
-        assert_eq!(find("b.example", "/list/4?x=/t/").as_deref(), Some("list"));
-        assert_eq!(find("A.example:80", "/list").as_deref(), Some("ours"));
-        assert_eq!(find("b.example", "/listing").as_deref(), Some("root"));
-        assert_eq!(find("b.example", "/t/1/2").as_deref(), Some("tiles"));
-        assert_eq!(find("b.example", "/t").as_deref(), Some("root"));
-        assert_eq!(table.find("b.example", "/t", "POST"), None);
-    }
-}
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -4,8 +4,8 @@
 
 use crate::prelude::*;
 
-/// A process's place. From a JSON file (`--startup`) and flags; a flag goes
-/// first. Everything wrong is reported at once.
+/// The settings of a process. From a JSON file (`--startup`) and flags; a flag
+/// goes first. Everything wrong is reported at once.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Startup {
@@ -13,6 +13,7 @@
     pub mesh: Option<SocketAddr>,
     /// Where callers, operators and the platform reach us.
     pub http: Option<SocketAddr>,
+    /// The zone of this machine.
     pub zone: String,
     /// Zones of one region are near each other.
     pub region: String,
@@ -54,7 +55,9 @@
     pub data: Option<PathBuf>,
     /// How long a warned process goes on before it ends regardless.
     pub grace_ms: Option<u64>,
+    /// Edges: memory for cached responses, in bytes.
     pub cache_bytes: Option<u64>,
+    /// The log level: error, warn, info or debug.
     pub log: Option<String>,
 }
 
--- a/kernel/src/startup/tests.rs
+++ b/kernel/src/startup/tests.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 #[test]
-fn every_finding_is_reported_at_once() {
+fn all_findings_are_reported_together() {
     let words = [
         "--mesh",
         "nowhere",
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn fewer_seeds_than_three_do_only_where_the_table_is_asked_for() {
+fn fewer_than_three_seeds_require_gather_ms() {
     let read = |more: &[&str]| {
         let words = [
             &[
--- a/kernel/src/store.rs
+++ b/kernel/src/store.rs
@@ -34,7 +34,7 @@
 }
 
 /// Writes records in a thread of its own. One sync serves all that waited for
-/// the one before. After a write that failed only an image, which holds all
+/// the one before. After a write that failed only an snapshot, which holds all
 /// that was lost, is tried.
 pub fn keep(mut store: Box<dyn Store>, give: Sender<Input>) -> Sender<PendingWrite> {
     let (put, take) = flume::unbounded::<PendingWrite>();
--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -1,9 +1,11 @@
 //! Frames and messages, as they come and as they should not.
-use kernel::frame::{EncodedMessage, FrameDecoder, FrameError, PIECE_BYTES};
+use kernel::frame::{CHUNK_BYTES, EncodedMessage, FrameDecoder, FrameError};
 use kernel::prelude::*;
 use proptest::prelude::{any, prop};
 use proptest::test_runner::Config;
 
+type Decoded = Result<(Peer, Message), frame::DecodeError>;
+
 fn peer() -> Peer {
     Peer::new("127.0.0.1:9".parse().unwrap(), 3)
 }
@@ -25,7 +27,7 @@
     .into()
 }
 
-/// Larger than several pieces, and unlike everywhere.
+/// Larger than several chunks, and unlike everywhere.
 fn large(fill: u32) -> Message {
     let row = |at: u32| {
         let value = Value::Founded {
@@ -36,27 +38,24 @@
     RecallReply {
         partition: 3,
         version: 7,
-        rows: (0..4 * PIECE_BYTES as u32 / 40).map(row).collect(),
+        rows: (0..4 * CHUNK_BYTES as u32 / 40).map(row).collect(),
     }
     .into()
 }
 
-fn in_pieces(message: &Message) -> Vec<Vec<u8>> {
+fn in_chunks(message: &Message) -> Vec<Vec<u8>> {
     let encoded = EncodedMessage::new(peer(), message).unwrap();
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     let mut at = 0;
     while at < encoded.len() {
         let mut piece = Vec::new();
-        at = encoded.write_piece(at, &mut piece);
-        pieces.push(piece);
+        at = encoded.write_chunk(at, &mut piece);
+        chunks.push(piece);
     }
-    pieces
+    chunks
 }
 
-fn read(
-    decoder: &mut FrameDecoder,
-    bytes: &[u8],
-) -> Result<Vec<Result<(Peer, Message), frame::DecodeError>>, FrameError> {
+fn read(decoder: &mut FrameDecoder, bytes: &[u8]) -> Result<Vec<Decoded>, FrameError> {
     let mut messages = Vec::new();
     decoder.feed(bytes, &mut |body| messages.push(frame::decode(body)))?;
     Ok(messages)
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_any_flipped_or_missing_byte_is_an_error() {
+fn flipped_or_missing_byte_of_a_frame_is_an_error() {
     let good = frame::write(peer(), &heartbeat()).unwrap();
     let found = read(&mut FrameDecoder::default(), &good).unwrap();
     assert_eq!(found.len(), 1);
@@ -89,34 +88,34 @@
 }
 
 #[test]
-fn a_large_message_goes_in_pieces_and_others_go_between_them() {
-    let pieces = in_pieces(&large(1));
-    assert!(pieces.len() > 3);
-    assert!(pieces.iter().all(|piece| piece.len() <= PIECE_BYTES + 8));
+fn large_message_is_chunked_and_others_interleave() {
+    let chunks = in_chunks(&large(1));
+    assert!(chunks.len() > 3);
+    assert!(chunks.iter().all(|piece| piece.len() <= CHUNK_BYTES + 8));
     let small = frame::write(peer(), &heartbeat()).unwrap();
     let mut decoder = FrameDecoder::default();
     let mut found = Vec::new();
-    for piece in &pieces {
+    for piece in &chunks {
         found.extend(messages(&mut decoder, piece));
         found.extend(messages(&mut decoder, &small));
     }
-    let expected = vec![heartbeat(); pieces.len() - 1];
-    assert_eq!(found[..pieces.len() - 1], expected);
-    assert_eq!(found[pieces.len() - 1..], [large(1), heartbeat()]);
+    let expected = vec![heartbeat(); chunks.len() - 1];
+    assert_eq!(found[..chunks.len() - 1], expected);
+    assert_eq!(found[chunks.len() - 1..], [large(1), heartbeat()]);
     assert_eq!(decoder.held(), 0, "nothing is held once all is complete");
 }
 
 #[test]
-fn pieces_that_gather_to_more_than_a_frame_are_refused() {
-    let pieces = in_pieces(&large(1));
+fn chunks_beyond_frame_limit_are_rejected() {
+    let chunks = in_chunks(&large(1));
     let mut decoder = FrameDecoder::default();
-    let most = frame::FRAME_BYTES / PIECE_BYTES;
-    let refused = (0..most + 1).find_map(|_| read(&mut decoder, &pieces[0]).err());
+    let most = frame::FRAME_BYTES / CHUNK_BYTES;
+    let refused = (0..most + 1).find_map(|_| read(&mut decoder, &chunks[0]).err());
     assert!(matches!(refused, Some(FrameError::TooLarge(_))));
 }
 
 #[test]
-fn a_length_beyond_the_bound_is_refused_before_its_bytes_come() {
+fn announced_length_beyond_limit_is_rejected_at_once() {
     let mut header = (frame::FRAME_BYTES as u32 + 1).to_be_bytes().to_vec();
     header.extend([0; 4]);
     let refused = read(&mut FrameDecoder::default(), &header);
@@ -127,7 +126,7 @@
 }
 
 #[test]
-fn a_body_with_bytes_left_over_is_no_message() {
+fn trailing_bytes_in_body_are_rejected() {
     let mut body = frame::write(peer(), &heartbeat()).unwrap()[8..].to_vec();
     assert!(frame::decode(&body).is_ok());
     body.push(0);
@@ -135,7 +134,7 @@
 }
 
 #[test]
-fn updates_told_to_many_is_encoded_once_and_read_as_ever() {
+fn shared_updates_are_encoded_once_and_decode_unchanged() {
     let updates = SharedUpdates::from(vec![PartitionUpdate {
         partition: 3,
         version: 7,
@@ -162,8 +161,8 @@
         let whole = bincode::serialize(&(peer(), reply(incarnation))).unwrap();
         let frame = frame::write(peer(), &reply(incarnation)).unwrap();
         assert_eq!(frame[8..], whole);
-        let pieces = in_pieces(&reply(incarnation)).concat();
-        let found = messages(&mut FrameDecoder::default(), &pieces);
+        let chunks = in_chunks(&reply(incarnation)).concat();
+        let found = messages(&mut FrameDecoder::default(), &chunks);
         assert_eq!(found, [reply(incarnation)]);
     }
 }
@@ -172,7 +171,7 @@
     #![proptest_config(Config::with_cases(512))]
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(
+    fn decoder_survives_arbitrary_bytes(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20)
     ) {
         let mut decoder = FrameDecoder::default();
@@ -184,7 +183,7 @@
     }
 
     #[test]
-    fn any_body_is_decoded_or_refused_without_a_panic(
+    fn arbitrary_body_decodes_or_is_rejected(
         body in prop::collection::vec(any::<u8>(), 0..600)
     ) {
         let _ = frame::decode(&body);
@@ -192,7 +191,7 @@
 
     /// Bodies near true ones get further than any bytes do.
     #[test]
-    fn a_true_body_with_changed_bytes_is_decoded_or_refused_without_a_panic(
+    fn corrupted_body_decodes_or_is_rejected(
         kind in 0..2,
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
         cut in any::<prop::sample::Index>(),
@@ -208,16 +207,16 @@
     }
 
     #[test]
-    fn messages_are_found_however_their_bytes_are_cut(
+    fn messages_decode_at_any_read_boundaries(
         cuts in prop::collection::vec(1..30_000usize, 1..40),
         large_first in any::<bool>(),
     ) {
         let small = frame::write(peer(), &heartbeat()).unwrap();
-        let pieces = in_pieces(&large(5)).concat();
+        let chunks = in_chunks(&large(5)).concat();
         let (bytes, expected) = if large_first {
-            ([pieces, small].concat(), [large(5), heartbeat()])
+            ([chunks, small].concat(), [large(5), heartbeat()])
         } else {
-            ([small, pieces].concat(), [heartbeat(), large(5)])
+            ([small, chunks].concat(), [heartbeat(), large(5)])
         };
         let mut decoder = FrameDecoder::default();
         let mut found = Vec::new();
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -1,5 +1,5 @@
 //! The event loop of links over loopback, with peers that behave and others.
-use kernel::frame::{FrameDecoder, PIECE_BYTES};
+use kernel::frame::{CHUNK_BYTES, FrameDecoder};
 use kernel::prelude::*;
 use std::sync::atomic::AtomicU16;
 
@@ -41,7 +41,7 @@
         self.links.flush();
     }
 
-    fn hear(&self) -> (Peer, Message) {
+    fn receive(&self) -> (Peer, Message) {
         let input = self.take.recv_timeout(SOON).expect("something is heard");
         self.links.processed();
         match input {
@@ -51,7 +51,7 @@
     }
 
     /// Tells a number again until it is heard: a link may lose what it is given.
-    fn tell_until_heard(&self, to: &Node, id: u64) {
+    fn send_until_received(&self, to: &Node, id: u64) {
         let until = Instant::now() + SOON;
         while Instant::now() < until {
             self.tell(to.me.address, PermitQueued { id });
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn frames_that_come_byte_by_byte_are_heard_in_order() {
+fn frames_read_byte_by_byte_arrive_in_order() {
     let node = Node::start();
     let from = peer_at(&listen());
     let mut stream = TcpStream::connect(node.me.address).unwrap();
@@ -120,12 +120,12 @@
         }
     }
     for id in 0..3 {
-        assert_eq!(node.hear(), (from, urgent(id)));
+        assert_eq!(node.receive(), (from, urgent(id)));
     }
 }
 
 #[test]
-fn a_reset_in_the_middle_of_a_frame_ends_that_session_only() {
+fn reset_within_a_frame_ends_that_session_only() {
     let node = Node::start();
     let (one, other) = (peer_at(&listen()), peer_at(&listen()));
     let mut broken = TcpStream::connect(node.me.address).unwrap();
@@ -133,7 +133,7 @@
     whole
         .write_all(&frame::write(other, &urgent(1)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (other, urgent(1)));
+    assert_eq!(node.receive(), (other, urgent(1)));
     let frame = frame::write(one, &urgent(2)).unwrap();
     broken.write_all(&frame[..frame.len() - 3]).unwrap();
     until("both are there", || {
@@ -146,21 +146,21 @@
     whole
         .write_all(&frame::write(other, &urgent(3)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (other, urgent(3)));
+    assert_eq!(node.receive(), (other, urgent(3)));
     // The one that was reset comes again, and its half frame is forgotten.
     let mut again = TcpStream::connect(node.me.address).unwrap();
     again.write_all(&frame).unwrap();
-    assert_eq!(node.hear(), (one, urgent(2)));
+    assert_eq!(node.receive(), (one, urgent(2)));
 }
 
 #[test]
-fn foreign_bytes_end_their_session_only() {
+fn foreign_bytes_end_that_session_only() {
     let node = Node::start();
     let from = peer_at(&listen());
     let mut good = TcpStream::connect(node.me.address).unwrap();
     good.write_all(&frame::write(from, &urgent(1)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (from, urgent(1)));
+    assert_eq!(node.receive(), (from, urgent(1)));
     let mut flipped = frame::write(peer_at(&listen()), &urgent(2)).unwrap();
     *flipped.last_mut().unwrap() ^= 1;
     for (at, bytes) in [b"GET / HTTP/1.1\r\n\r\n".to_vec(), flipped]
@@ -178,11 +178,11 @@
     }
     good.write_all(&frame::write(from, &urgent(3)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (from, urgent(3)));
+    assert_eq!(node.receive(), (from, urgent(3)));
 }
 
 #[test]
-fn a_message_that_cannot_be_decoded_is_dropped_and_counted_and_the_session_goes_on() {
+fn undecodable_message_is_counted_and_session_continues() {
     let node = Node::start();
     let from = peer_at(&listen());
     let mut body = bincode::serialize(&(from, urgent(1))).unwrap();
@@ -203,39 +203,39 @@
     ] {
         stream.write_all(&bytes).unwrap();
     }
-    assert_eq!(node.hear(), (from, urgent(2)));
-    assert_eq!(node.hear(), (from, urgent(3)));
+    assert_eq!(node.receive(), (from, urgent(2)));
+    assert_eq!(node.receive(), (from, urgent(3)));
     assert_eq!(node.links.counters().undecodable.get(), 2);
     assert_eq!(node.links.counters().refused_frames.get(), 0);
 }
 
 #[test]
-fn of_two_sessions_of_one_address_the_later_counts() {
+fn later_session_of_an_address_replaces_the_earlier() {
     let node = Node::start();
     let from = peer_at(&listen());
     let mut early = TcpStream::connect(node.me.address).unwrap();
     early
         .write_all(&frame::write(from, &urgent(1)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (from, urgent(1)));
+    assert_eq!(node.receive(), (from, urgent(1)));
     let mut late = TcpStream::connect(node.me.address).unwrap();
     late.write_all(&frame::write(from, &urgent(2)).unwrap())
         .unwrap();
-    assert_eq!(node.hear(), (from, urgent(2)));
+    assert_eq!(node.receive(), (from, urgent(2)));
     early.set_read_timeout(Some(SOON)).unwrap();
     assert!(matches!(early.read(&mut [0; 8]), Ok(0)), "it was closed");
     until("one is left", || node.links.counters().inbound.get() == 1);
 }
 
 #[test]
-fn a_session_is_one_peers() {
+fn session_with_a_second_sender_is_closed() {
     let node = Node::start();
     let (one, other) = (peer_at(&listen()), peer_at(&listen()));
     let mut stream = TcpStream::connect(node.me.address).unwrap();
     for (from, id) in [(one, 1), (other, 2)] {
         let _ = stream.write_all(&frame::write(from, &urgent(id)).unwrap());
     }
-    assert_eq!(node.hear(), (one, urgent(1)));
+    assert_eq!(node.receive(), (one, urgent(1)));
     until("it is refused", || {
         node.links.counters().refused_frames.get() == 1
     });
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn two_peers_that_cross_hear_all_of_each_other_in_order() {
+fn simultaneous_connects_deliver_all_messages_in_order() {
     const COUNT: u64 = 2_000;
     let (one, other) = (Node::start(), Node::start());
     for id in 0..COUNT {
@@ -251,15 +251,15 @@
         other.tell(one.me.address, PermitQueued { id });
     }
     for id in 0..COUNT {
-        assert_eq!(one.hear(), (other.me, urgent(id)));
-        assert_eq!(other.hear(), (one.me, urgent(id)));
+        assert_eq!(one.receive(), (other.me, urgent(id)));
+        assert_eq!(other.receive(), (one.me, urgent(id)));
     }
     assert_eq!(one.links.counters().inbound.get(), 1);
     assert_eq!(one.links.counters().outbound.get(), 1);
 }
 
 #[test]
-fn a_peer_that_does_not_read_bounds_the_queue_and_hears_what_is_urgent_first() {
+fn unread_peer_queue_is_bounded_and_urgent_goes_first() {
     const LARGE: usize = 100_000;
     let limits = QueueLimits {
         peer_bulk: 1_000_000,
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn what_is_sent_to_many_is_bounded_for_the_process_and_urgent_still_fits() {
+fn process_queue_is_bounded_and_urgent_still_fits() {
     let limits = QueueLimits {
         process_bulk: 1_000_000,
         process: 1_100_000,
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_peer_that_is_gone_is_met_again_when_it_is_back_and_not_too_often_before() {
+fn returned_peer_is_reconnected_with_backoff() {
     let node = Node::start();
     let listener = listen();
     let me = peer_at(&listener);
@@ -340,7 +340,7 @@
         links: first,
         take,
     };
-    node.tell_until_heard(&other, 1);
+    node.send_until_received(&other, 1);
     drop(other.links);
     until("the session has ended", || {
         node.tell(me.address, PermitQueued { id: 2 });
@@ -360,12 +360,12 @@
         take,
     };
     let began = Instant::now();
-    node.tell_until_heard(&other, 4);
+    node.send_until_received(&other, 4);
     assert!(began.elapsed() < Duration::from_secs(3));
 }
 
 #[test]
-fn tries_to_reach_a_peer_that_is_not_there_keep_their_distance() {
+fn connect_attempts_to_absent_peer_are_spaced() {
     let node = Node::start();
     let listener = listen();
     let to = listener.local_addr().unwrap();
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn what_is_not_processed_is_not_read_without_bound_and_all_of_it_comes() {
+fn unprocessed_backlog_is_bounded_and_complete() {
     const COUNT: u64 = 100;
     const LARGE: usize = 200_000;
     let limits = QueueLimits {
@@ -415,20 +415,20 @@
     let most = 4 * 1024 * 1024 + 4 * 64 * 1024 + LARGE + 1_000;
     assert!(other.links.backlog_bytes() <= most);
     for id in 0..COUNT {
-        let (_, message) = other.hear();
+        let (_, message) = other.receive();
         assert!(matches!(message, Message::CachePut(put) if put.token.serial == id));
     }
 }
 
 #[test]
-fn large_bulk_goes_in_pieces_with_what_is_urgent_between_them() {
+fn urgent_messages_interleave_with_chunked_bulk() {
     const PIECES: usize = 200;
     let node = Node::start();
     let listener = listen();
     let to = listener.local_addr().unwrap();
     let small = socket2::SockRef::from(&listener);
     small.set_recv_buffer_size(32 * 1024).unwrap();
-    node.tell(to, bulk(0, PIECES * PIECE_BYTES));
+    node.tell(to, bulk(0, PIECES * CHUNK_BYTES));
     let (mut stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(100));
     node.tell(to, urgent(1));
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -44,7 +44,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 #[test]
-fn after_a_failure_only_a_whole_image_counts_and_then_all_goes_on() {
+fn failed_store_recovers_with_a_complete_snapshot() {
     let memory = Memory::default();
     let (give, take) = flume::unbounded();
     let put = store::keep(Box::new(memory.clone()), give);
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -29,7 +29,7 @@
         frontend: Box::new(OperatorServer::new("control-node")),
         history,
     };
-    host.run(Box::new(part))
+    Ok(host.run(Box::new(part))?)
 }
 
 fn bootstrap(startup: &Startup, span: Duration) -> Bootstrap {
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -33,5 +33,5 @@
         frontend,
         history: None,
     };
-    host.run(Box::new(part))
+    Ok(host.run(Box::new(part))?)
 }
--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -8,7 +8,7 @@
 const LEAST_LEFT: usize = 50;
 
 #[test]
-fn no_work_goes_on_for_callers_that_have_left_a_fleet_of_processes() {
+fn disconnected_clients_leave_no_work_in_a_process_fleet() {
     for seed in [1, 2] {
         let name = format!("otterslip-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn the_whole_path_in_processes() {
+fn whole_path_works_across_processes() {
     let mut path = Path::bring_up();
     a_new_ledger_waits_until_it_is_opened(&path);
     copies_are_shared(&path);
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -1,3 +1,6 @@
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
 /// The control traffic of a fleet without callers: real parts and real frames,
@@ -686,36 +689,3 @@
         text
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    /// `simulate-fleet --capacity 16,64` prints the table that the page holds.
-    #[test]
-    fn the_page_holds_the_counts_that_the_command_prints() {
-        let page = include_str!("../../docs/CAPACITY.md");
-        let held = page
-            .split_once("<!-- counts -->\n")
-            .and_then(|(_, rest)| rest.split_once("<!-- end -->"))
-            .expect("markers")
-            .0;
-        let list: Vec<Sized> = [16, 64]
-            .map(|edges| Capacity::measure(edges, CONTROL, &|| None).unwrap())
-            .into();
-        for one in &list {
-            assert_eq!(one.live, one.edges, "all are live");
-        }
-        assert_eq!(held, Sized::table(&list, &Sized::counts));
-    }
-
-    #[test]
-    fn a_line_is_fitted_and_what_is_no_line_is_seen() {
-        let line = crate::capacity::fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]);
-        assert!(
-            (line.0 - 3.0).abs() < 1e-9 && (line.1 - 2.0).abs() < 1e-9 && line.2 < 1e-9,
-            "{line:?}"
-        );
-        assert!(crate::capacity::fit(&[(1.0, 1.0), (2.0, 4.0), (4.0, 16.0), (8.0, 64.0)]).2 > 0.02);
-    }
-}
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -1,3 +1,6 @@
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 use data_plane::prelude::{CacheOwner, PurgeBook};
 
@@ -360,61 +363,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn a_crowd_costs_one_call_a_delta_where_single_expiry_costs_a_burst() {
-        let crowd = Figures::crowd(100, Duration::from_millis(200));
-        assert!(crowd.two_phase <= 13, "{crowd:?}");
-        assert!(crowd.single_expiry > 10 * crowd.two_phase, "{crowd:?}");
-    }
-
-    #[test]
-    fn handing_copies_over_spares_the_origins() {
-        let deployment = Deployment::find("small").unwrap();
-        // One seed's difference is smaller than its chance.
-        let sum = |mute| {
-            (1..=12)
-                .map(|seed| Figures::rolling(&deployment, mute, seed))
-                .collect::<Vec<_>>()
-        };
-        let (with, without) = (sum(""), sum("HandoverRequest"));
-        assert!(
-            with.iter().sum::<usize>() < without.iter().sum(),
-            "{with:?} with, {without:?} without"
-        );
-    }
-
-    #[test]
-    fn no_rank_loses_to_one_below_it_when_applications_are_slow() {
-        let (ranked, flat) = (Figures::slow(false), Figures::slow(true));
-        let shares: Vec<f64> = ranked.values().map(|rank| rank.0).collect();
-        assert!(shares.is_sorted(), "{ranked:?}");
-        assert!(
-            ranked[&9].0 > 0.99 && ranked[&9].0 > flat[&9].0,
-            "{ranked:?} against first come {flat:?}"
-        );
-        assert!(
-            ranked[&9].1 < flat[&9].1,
-            "{ranked:?} against first come {flat:?}"
-        );
-        assert!(ranked[&5].2 < 1.0, "the lowest is told soon: {ranked:?}");
-    }
-
-    #[test]
-    fn acknowledgements_come_within_the_bound_of_the_lease_arithmetic() {
-        let deployment = Deployment::find("small").unwrap();
-        let most = |lapse| {
-            Figures::settle(&deployment, lapse)
-                .into_values()
-                .map(|spans| spans[2])
-                .fold(0.0, f64::max)
-        };
-        assert!(most(false) < 5.0, "{}", most(false));
-        assert!(most(true) < 20.0, "{}", most(true));
-        assert!(most(true) > 5.0, "the cut-off edge was waited for");
-    }
-}
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -32,7 +32,7 @@
 /// The founding with the first seed killed at each moment of it; and a node
 /// that comes late gets a slot of its own.
 #[test]
-fn a_table_is_founded_once_and_grows_by_who_came_late() {
+fn membership_is_founded_once_and_grows_with_late_nodes() {
     for control in [4, 5, 8] {
         for founder in [
             FounderEnd::Incarnations,
@@ -79,7 +79,7 @@
 /// As many disks as may be go the moment something is acknowledged, and all
 /// others lose power with them.
 #[test]
-fn disks_are_wiped_the_moment_something_is_acknowledged_while_all_others_lose_power() {
+fn acknowledged_rows_survive_wipe_and_power_loss() {
     for control in [3, 4, 5, 8] {
         for seed in 1..=9 {
             let moment = Moment::ALL[seed as usize % 3];
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_empty_node_elsewhere_takes_a_lost_slot_of_four_five_and_eight() {
+fn lost_slot_is_replaced_in_tables_of_four_five_and_eight() {
     for control in [4, 5, 8] {
         for slot in [0, control - 1] {
             let (lost, spare) = (Place::Control(slot), Place::Control(control));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn random_schedules_of_four_five_and_eight_break_nothing() {
+fn random_schedules_hold_with_four_five_and_eight_slots() {
     let span = Duration::from_secs(60);
     for control in [4, 5, 8] {
         for seed in 1..=12 {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_quiet_minute_serves_everything() {
+fn quiet_minute_serves_everything() {
     let faults = vec![
         (8_000, Fault::Content),
         (8_100, Fault::Purge("/".into())),
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn random_schedules_break_nothing() {
+fn random_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
     let span = Duration::from_secs(60);
     let mut exercised = BTreeSet::new();
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn the_same_seed_repeats_the_same_run() {
+fn same_seed_reproduces_the_run() {
     let deployment = Deployment::find("small").unwrap();
     let span = Duration::from_secs(40);
     let run = || {
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn power_fails_everywhere_and_all_that_was_acknowledged_is_there() {
+fn acknowledged_rows_survive_total_power_loss() {
     let mut faults = vec![
         (6_000, Fault::Configure),
         (9_000, Fault::Content),
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_control_node_is_replaced_by_an_empty_one_and_then_another_goes() {
+fn replaced_control_node_tolerates_next_loss() {
     for slot in 0..3 {
         let next = Place::Control((slot + 1) % 3);
         let faults = vec![
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn each_control_node_may_be_killed_paused_or_isolated_and_service_goes_on() {
+fn service_survives_loss_of_each_control_node() {
     for place in CONTROL {
         let faults = vec![
             (8_000, Fault::Kill(place)),
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn an_isolated_edge_fences_itself_and_changes_settle_without_it() {
+fn isolated_edge_fences_and_changes_settle() {
     let edge = Place::Edge(2);
     let faults = vec![
         (8_000, Fault::Isolate(edge)),
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn an_edge_paused_with_answers_in_hand_sends_nothing_old() {
+fn paused_edge_sends_no_stale_response() {
     for seed in 1..6 {
         let mut faults = Vec::new();
         for round in 0..5u64 {
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn a_rolling_restart_of_every_machine_drops_nothing_that_was_read() {
+fn rolling_restart_drops_no_request() {
     let mut faults = Vec::new();
     for (at, place) in CONTROL
         .into_iter()
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn origins_fail_in_every_way_and_nothing_runs_twice() {
+fn failing_origins_never_run_a_key_twice() {
     let faults = vec![
         (8_000, Fault::Origin(2, Mood::Mute)),
         (8_000, Fault::Origin(3, Mood::Mute)),
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn an_address_that_went_to_another_service_gets_no_errand() {
+fn reassigned_origin_address_gets_no_request() {
     for seed in 1..8 {
         let faults = vec![
             (9_000, Fault::Origin(3, Mood::Down)),
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn a_full_disk_takes_its_node_out_and_a_restart_with_room_brings_it_back() {
+fn node_with_full_disk_returns_after_restart() {
     let place = Place::Control(1);
     let faults = vec![
         (8_000, Fault::DiskFull(place)),
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn with_origins_capped_at_half_the_demand_the_higher_rank_is_served_and_the_lower_told_at_once() {
+fn overload_serves_high_rank_and_rejects_low_at_once() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 120;
     // Applications get 36 errands a second, of which 18 are of rank 9.
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn power_goes_the_moment_something_is_acknowledged_and_it_is_still_there() {
+fn acknowledged_row_survives_immediate_power_loss() {
     for seed in 1..=30 {
         let moment = [Moment::Configured, Moment::Purged, Moment::Booked][seed as usize % 3];
         let faults = vec![
@@ -555,7 +555,7 @@
 }
 
 #[test]
-fn an_empty_node_elsewhere_takes_a_lost_slot_and_the_old_one_comes_back_fenced() {
+fn replaced_member_returns_fenced() {
     for slot in 0..3 {
         let (lost, next, spare) = (
             Place::Control(slot),
@@ -597,7 +597,7 @@
 }
 
 #[test]
-fn a_slot_that_was_only_cut_off_is_replaced_and_fenced_under_load_and_weather() {
+fn partitioned_member_is_replaced_and_fenced_under_load() {
     for seed in 1..=12 {
         let lost = Place::Control(seed as usize % 3);
         let faults = vec![
@@ -648,7 +648,7 @@
 /// Seed 199 of the random schedules, once: a blank disk went by the seeds,
 /// did not find the slot that had moved, and struck its new holder.
 #[test]
-fn a_blank_disk_learns_where_a_moved_slot_is_and_strikes_nobody() {
+fn blank_disk_learns_moved_slot_and_removes_nobody() {
     let faults = vec![
         (5_000, Fault::Start(Place::Control(3))),
         (6_000, Fault::Kill(Place::Control(2))),
@@ -721,7 +721,7 @@
 }
 
 #[test]
-fn a_wiped_majority_is_rebuilt_from_the_edges_and_nothing_runs_twice() {
+fn wiped_majority_recovers_from_edges() {
     for slots in [&[0, 1, 2][..], &[0, 1], &[1, 2], &[0, 2]] {
         for lost_edge in [false, true] {
             let report = wiped(slots, lost_edge, 3 + slots[0] as u64);
@@ -793,7 +793,7 @@
 }
 
 #[test]
-fn the_core_cut_off_fences_and_comes_back() {
+fn isolated_control_plane_fences_and_recovers() {
     let mut faults: Vec<(u64, Fault)> = CONTROL
         .into_iter()
         .map(|place| (10_000, Fault::Isolate(place)))
@@ -814,7 +814,7 @@
 }
 
 #[test]
-fn half_of_the_edges_die_at_once() {
+fn service_survives_loss_of_half_the_edges() {
     let mut faults: Vec<(u64, Fault)> = [0, 2]
         .into_iter()
         .map(|at| (10_000, Fault::Kill(Place::Edge(at))))
@@ -844,7 +844,7 @@
 }
 
 #[test]
-fn a_zone_is_lost_with_its_control_node() {
+fn service_survives_loss_of_a_zone() {
     // Zone a: control 0, edges 0 and 3.
     let zone = [Place::Control(0), Place::Edge(0), Place::Edge(3)];
     let mut faults: Vec<(u64, Fault)> = zone
@@ -868,7 +868,7 @@
 }
 
 #[test]
-fn two_that_cannot_hear_each_other_do_not_starve_a_partition() {
+fn control_nodes_without_mutual_contact_do_not_starve_a_partition() {
     // Control 0 and 1 both hear 2, and each thinks itself chosen for much.
     let (one, two) = (Place::Control(0), Place::Control(1));
     let mut faults = vec![
@@ -891,7 +891,7 @@
 }
 
 #[test]
-fn a_storm_of_purges_settles_and_one_who_missed_it_serves_nothing_old() {
+fn purge_burst_settles_and_lagging_edge_serves_nothing_stale() {
     let mut faults = vec![(8_000, Fault::Isolate(Place::Edge(1)))];
     for round in 0..1500u64 {
         let at = 9_000 + round * 2;
@@ -918,7 +918,7 @@
 }
 
 #[test]
-fn the_log_on_disk_is_bounded_by_images() {
+fn log_on_disk_is_bounded_by_snapshots() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 200;
     deployment.mix[2].share = 60;
@@ -962,7 +962,7 @@
 /// Schedules that once broke a never, made short by `--shrink`; each with the
 /// seeds that follow, too, since the code they broke has moved since.
 #[test]
-fn schedules_that_once_broke_a_never_break_nothing() {
+fn recorded_failing_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
     let scripts = kept_scripts();
     assert!(scripts.len() >= 9);
@@ -986,7 +986,7 @@
 }
 
 #[test]
-fn everything_is_lost_at_once_and_a_repeat_still_does_not_run_again() {
+fn retry_after_total_loss_does_not_run_again() {
     for seed in 1..=6 {
         let faults = vec![(20_000, Fault::LoseAll)];
         let report = small(seed, 120, faults);
@@ -1012,7 +1012,7 @@
 /// The closing is read from the disk again: control nodes that lose power in
 /// the minute after a loss do not open the ledger by it.
 #[test]
-fn the_ledger_stays_closed_when_control_loses_power_again_after_a_loss() {
+fn ledger_stays_closed_over_power_loss_after_total_loss() {
     for seed in 1..=4 {
         let mut faults = vec![
             (19_900, Fault::Kill(Place::Edge(0))),
@@ -1041,7 +1041,7 @@
 /// An edge that was just enrolled runs operations and is lost together with
 /// every disk: the edges that are left must miss it.
 #[test]
-fn an_edge_lost_with_the_disks_right_after_it_was_enrolled_is_missed() {
+fn edge_lost_right_after_enrollment_is_accounted_for() {
     let mut ran = 0;
     for step in 0..40 {
         let at = 20_150 + step * 20;
@@ -1069,7 +1069,7 @@
 /// Callers' and operators' clocks play no part, and the nodes' own may start
 /// anywhere and run unlike fast: leases are judged at a tenth off.
 #[test]
-fn clocks_a_tenth_off_break_no_lease_and_the_checker_notices_a_third() {
+fn lease_bears_clock_drift_of_a_tenth_but_not_a_third() {
     let run = |drift: u64, seed: u64| {
         let mut faults = Vec::new();
         for round in 0..8u64 {
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -45,7 +45,7 @@
 /// A machine is gone for good and an empty one starts a second later; once
 /// that has had its time, as many more as may be lost go for good.
 #[test]
-fn after_an_unplanned_replacement_the_next_loss_finds_a_majority() {
+fn unplanned_replacement_leaves_majority_for_next_loss() {
     for control in SIZES {
         for lost in 0..3 {
             let start = 9_000;
@@ -71,7 +71,7 @@
 /// Of five and eight, two machines go at the same moment: one after the other
 /// is replaced, and two more may go.
 #[test]
-fn two_lost_at_once_are_replaced_one_after_the_other() {
+fn two_lost_members_are_replaced_in_sequence() {
     for control in [5, 8] {
         for lost in [0, 2] {
             let (start, second) = (9_000, lost + 1);
@@ -104,7 +104,7 @@
 /// Planned: the new machine first, then SIGTERM. The leaving one counts as
 /// lost no longer than until its successor has had its time.
 #[test]
-fn a_leaving_member_hands_its_slot_to_a_waiting_newcomer() {
+fn draining_member_hands_slot_to_newcomer() {
     for control in SIZES {
         for leaving in 0..3 {
             let (start, warned) = (8_000, 10_000);
@@ -137,7 +137,7 @@
 /// never counts as lost, and others are lost (cut off or killed) around that
 /// very moment: what the leaving one holds must not go with it.
 #[test]
-fn a_leaving_member_hands_over_while_as_many_as_may_be_are_lost() {
+fn draining_member_hands_over_at_maximum_loss() {
     for control in SIZES {
         for (seed, shift) in [0, 100, 300, 700, 1_500].into_iter().enumerate() {
             for early in [false, true] {
@@ -187,7 +187,7 @@
 
 /// One that is only restarted keeps its slot, and is back as soon as ever.
 #[test]
-fn a_restarted_member_keeps_its_slot() {
+fn restarted_member_keeps_its_slot() {
     for control in SIZES {
         let faults = (0..control)
             .map(|slot| {
@@ -212,7 +212,7 @@
 
 /// Two machines of the core are replaced one right after the other.
 #[test]
-fn two_planned_replacements_in_a_row_leave_room_for_the_next_loss() {
+fn consecutive_planned_replacements_tolerate_next_loss() {
     for control in SIZES {
         let mut faults = vec![
             (8_000, Fault::Start(spare(control, 0))),
@@ -234,7 +234,7 @@
 
 /// The newcomer is lost at each step of its taking over, and another one comes.
 #[test]
-fn a_newcomer_lost_at_any_step_is_replaced_by_the_next() {
+fn newcomer_lost_at_any_step_is_replaced() {
     for control in SIZES {
         for step in (0..1_500).step_by(150) {
             let leaving = Place::Control((step / 150) as usize % 3);
@@ -267,7 +267,7 @@
 /// and comes back when its slot is another's. It then is an empty node that
 /// waits, and takes the slot of the next that leaves.
 #[test]
-fn a_replaced_member_that_was_only_cut_off_comes_back_as_a_newcomer() {
+fn replaced_partitioned_member_returns_as_newcomer() {
     for control in SIZES {
         for slot in 0..3 {
             let cut = Place::Control(slot);
@@ -303,7 +303,7 @@
 /// Right after an acknowledgement a disk is wiped, at every moment of a
 /// replacement from when the newcomer has had its time: nothing is missing.
 #[test]
-fn a_disk_wiped_right_after_a_replacement_takes_nothing_along() {
+fn disk_wiped_after_replacement_loses_nothing() {
     for control in SIZES {
         for planned in [false, true] {
             for (seed, more) in [0, 200, 600, 1_200].into_iter().enumerate() {
@@ -351,7 +351,7 @@
 type KindOfLoss = (&'static str, Place, u64, u64, [(u64, Fault); 2]);
 
 #[test]
-fn redundancy_is_short_for_less_than_the_time_to_catch_up() {
+fn reduced_redundancy_is_bounded_by_catch_up() {
     let lost = Place::Control(1);
     for control in SIZES {
         let new = spare(control, 0);
--- a/simulate-fleet/src/scenarios_orders.rs
+++ b/simulate-fleet/src/scenarios_orders.rs
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn each_revision_is_confirmed_with_one_content_and_orders_sent_again_are_acknowledged() {
+fn each_revision_has_one_content_and_retried_changes_are_acknowledged() {
     let (mut revisions, mut conflicts) = (0, 0);
     for control in [3, 4, 5] {
         for seed in 1..=8 {
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -1,3 +1,6 @@
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
 /// Makes a schedule that breaks something short: leaves out parts, halves
@@ -67,14 +70,3 @@
             })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn only_what_is_needed_to_break_is_left() {
-        let needed = |list: &[u32]| list.contains(&3) && list.contains(&77);
-        assert_eq!(Shrink::list((0..100).collect(), &needed), [3, 77]);
-    }
-}
--- a/stand-ins/src/checker/tests.rs
+++ b/stand-ins/src/checker/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_did_not_happen_is_not_exercised() {
+fn rule_without_its_case_is_not_exercised() {
     assert!(
         empty()
             .verdicts()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn each_never_is_seen_when_broken() {
+fn checker_detects_each_broken_rule() {
     let mut one = empty();
     one.origins = vec![call(1.0, Some("k")), call(9.0, Some("k"))];
     assert!(broken(&one, 0));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_node_slips_back_if_it_takes_an_older_table_even_over_a_restart() {
+fn membership_table_regression_is_detected_over_restart() {
     let mut one = empty();
     one.fleet = vec![
         event(1.0, "in-force", 5, true),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_probe_is_excused_only_where_an_allowed_origin_was_called_before() {
+fn health_check_is_excused_only_after_an_allowed_call() {
     let mut one = empty();
     let foreign = |address: &str, probe: bool| OriginRecord {
         service: "other".into(),
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn the_bounds_of_tries_and_rates_are_met_exactly() {
+fn retry_and_rate_bounds_are_exact() {
     let tries = |firsts: u32, extras: u32| {
         let mut one = empty();
         let first = |at: u32| OriginRecord {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_refusal_that_only_the_planned_change_explains_is_a_drop() {
+fn rejection_explained_only_by_planned_work_counts_as_dropped() {
     let mut one = empty();
     let refused = |code: &str| CallerRecord {
         code: code.into(),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn service_is_back_when_every_kind_of_entry_is() {
+fn recovery_requires_every_entry_kind() {
     let mut one = empty();
     let other = |start: f64, status: u16, code: &str| CallerRecord {
         entry: "f".into(),
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn faults_are_counted_for_the_nevers_in_whose_cases_they_fell() {
+fn faults_count_for_the_rules_they_exercise() {
     let mut one = empty();
     one.callers = vec![request(1.0, 200, ""), request(8.0, 200, "")];
     one.fleet = vec![
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -1,3 +1,6 @@
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
 /// One process of the fleet, started by the runner.
@@ -460,18 +463,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    /// A fleet once gave an origin and an edge one port: the origin answered
-    /// for both, and operations seemed to run twice.
-    #[test]
-    fn no_address_is_given_out_twice() {
-        let list: BTreeSet<SocketAddr> = (0..500)
-            .map(|_| crate::fleet::free_address().unwrap())
-            .collect();
-        assert_eq!(list.len(), 500);
-    }
-}
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_highest_revision_holds_and_older_and_equal_ones_change_nothing() {
+fn highest_revision_wins_in_item_history() {
     let calls = [
         timed(0.0, 1.0, put(2, "b")),
         timed(2.0, 3.0, put(1, "a")),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn one_revision_with_two_contents_is_never_confirmed_twice() {
+fn revision_with_two_confirmed_contents_is_not_linearizable() {
     let calls = [timed(0.0, 9.0, put(1, "a")), timed(0.0, 9.0, put(1, "b"))];
     assert!(matches!(revised(&calls), Judgement::Violated(_)));
     // Nor once a newer one stands.
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_confirmed_put_is_not_lost_and_a_read_is_not_old() {
+fn lost_put_and_stale_read_are_not_linearizable() {
     let lost = [
         timed(0.0, 1.0, put(1, "a")),
         timed(2.0, 3.0, RevisedOperation::Read(None)),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_conflict_without_a_standing_one_is_seen() {
+fn unjustified_conflict_is_not_linearizable() {
     let calls = [
         timed(0.0, 1.0, put(1, "a")),
         timed(2.0, 3.0, conflict(1, "a")),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_unknown_outcome_may_fall_either_way_but_not_both() {
+fn unknown_outcome_resolves_one_way_only() {
     let late = [
         unknown(0.0, put(2, "b")),
         timed(1.0, 2.0, put(1, "a")),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn versions_of_the_document_rise_and_a_lost_answer_binds_nothing() {
+fn document_versions_rise_and_unknown_outcomes_are_unconstrained() {
     let good = [
         record(0.0, Some(1.0), document(Some(3), "a")),
         record(2.0, None, document(None, "b")),
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_was_confirmed_before_everything_was_lost_is_not_asked_for() {
+fn confirmations_before_total_loss_are_not_required() {
     let calls = [
         record(0.0, Some(1.0), document(Some(3), "a")),
         record(5.0, Some(6.0), document(Some(1), "b")),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_key_runs_once_and_all_hear_of_that_run() {
+fn operation_key_runs_once_with_one_response() {
     let (first, again) = (answer(0.0, 2.0, 5), answer(3.0, 4.0, 5));
     let refused = CallerRecord {
         status: 503,
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn too_many_orders_are_said_to_be_undecided() {
+fn oversized_history_is_reported_undecided() {
     let mut calls: Vec<_> = (0..24).map(|at| unknown(0.0, put(at + 1, "a"))).collect();
     calls.push(timed(1.0, 2.0, read(99, "a")));
     let judged = revised(&calls);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn the_checker_reports_histories_that_are_not_linearizable() {
+fn checker_reports_histories_that_are_not_linearizable() {
     let mut checker = Checker {
         callers: vec![],
         origins: vec![],
