--- a/programs/src/bin/edge-node.rs
+++ b/programs/src/bin/edge-node.rs
@@ -1,3 +1,4 @@
+//! An edge.
 use programs::prelude::*;
 
 const ABOUT: &str = "an edge node of otterslip; serves callers from copies and origins";
--- a/programs/src/bin/operate.rs
+++ b/programs/src/bin/operate.rs
@@ -1,3 +1,4 @@
+//! The operators' command line.
 use programs::prelude::*;
 
 const HELP: &str = "operate: the command line of otterslip
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -1,3 +1,4 @@
+//! Starts a control node: opens its log, and recovers or begins its replica.
 use crate::prelude::*;
 
 /// Runs a control node until it has handed over.
@@ -10,7 +11,7 @@
         None => (Replica::blank(new_incarnation()?), true),
     };
     let mesh = startup.mesh.context("mesh address")?;
-    let part = ControlNode::new(
+    let control = ControlNode::new(
         mesh,
         startup.seeds.clone(),
         replica,
@@ -21,7 +22,7 @@
     .with_log(loaded.log_bytes, loaded.image_bytes);
     let history = Some(History::keep(startup.data.clone().context("data folder")?));
     let host = NodeHost {
-        me: part.me(),
+        me: control.me(),
         program: "control-node",
         startup,
         tick: lease::CONTROL_TICK,
@@ -29,7 +30,7 @@
         frontend: Box::new(OperatorServer::new("control-node")),
         history,
     };
-    Ok(host.run(Box::new(part))?)
+    Ok(host.run(Box::new(control))?)
 }
 
 fn bootstrap(startup: &Startup, span: Duration) -> Bootstrap {
@@ -41,7 +42,7 @@
 }
 
 /// The slot of this disk went to another node while it was away, so what it holds
-/// counts for nothing: it goes on as an empty one, which may be given a slot.
+/// counts for nothing: it continues as an empty one, which may get a slot.
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
     let renewed = removed.renewed(new_incarnation()?);
     let image = Record::Image(Box::new(renewed.clone()));
@@ -64,7 +65,7 @@
             );
             SegmentLog::open(folder)?
         }
-        Err(error) => refuse(&error.to_string()),
+        Err(error) => exit_with_unreadable_log(&error.to_string()),
     };
     if loaded.cut > 0 {
         log_event(Event::LogTailCut, &format!("{} bytes", loaded.cut));
@@ -75,12 +76,13 @@
 /// The replica of this log, if there is one. Records that are whole and do not
 /// read were written by another version.
 fn read_back(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
-    Replica::replay(records)
-        .unwrap_or_else(|error| refuse(&format!("{}: {error:#}", folder.display())))
+    Replica::replay(records).unwrap_or_else(|error| {
+        exit_with_unreadable_log(&format!("{}: {error:#}", folder.display()))
+    })
 }
 
-fn refuse(why: &str) -> ! {
-    log_event(Event::LogRefused, why);
-    eprintln!("control-node: {why}");
+fn exit_with_unreadable_log(reason: &str) -> ! {
+    log_event(Event::LogRefused, reason);
+    eprintln!("control-node: {reason}");
     std::process::exit(2)
 }
--- a/programs/src/lib.rs
+++ b/programs/src/lib.rs
@@ -1,4 +1,5 @@
-//! Shared by the programs of this package, and by adapters to platforms.
+//! Starting nodes: shared by the programs of this package, and by adapters to
+//! platforms.
 mod control_node;
 mod edge_node;
 pub mod prelude;
--- a/programs/src/prelude.rs
+++ b/programs/src/prelude.rs
@@ -1,3 +1,4 @@
+//! What the files of this crate need.
 pub use crate::{run_control_node, run_edge_node};
 pub use control_plane::{Bootstrap, ControlNode, History, Record, Replica};
 pub use data_plane::{DefaultProtocol, EdgeNode, HttpFrontend};
--- a/simulate-fleet/src/bin/simulate-fleet.rs
+++ b/simulate-fleet/src/bin/simulate-fleet.rs
@@ -1,3 +1,4 @@
+//! Answers what-if questions: plays schedules of faults and prints what broke.
 use simulate_fleet::prelude::*;
 
 const HELP: &str = "what-if questions over the real planes, in virtual time
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -1,3 +1,4 @@
+//! Counts messages, bytes and steps by fleet size, and fits their slopes.
 #[cfg(test)]
 mod tests;
 
--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -1,3 +1,4 @@
+//! The kinds of faults that a schedule may have.
 use crate::prelude::*;
 
 /// A node of the simulated fleet.
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -1,3 +1,4 @@
+//! Measurements that docs/figures.md shows.
 #[cfg(test)]
 mod tests;
 
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -1,3 +1,4 @@
+//! What the files of this crate need.
 pub use crate::capacity::{CONTROL, Capacity, Role, SIZES, Sized, Tally};
 pub use crate::fault::{CutScope, Fault, Loss, Moment, Place};
 pub use crate::figures::Figures;
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -1,3 +1,4 @@
+//! Scenarios: scripted faults, and what must hold under them.
 use crate::prelude::*;
 
 /// A fleet of another number of control nodes, whose table is gathered.
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -1,3 +1,4 @@
+//! Draws random schedules of faults from a seed.
 use crate::prelude::*;
 
 /// Draws a schedule of faults from a seed. Invariants:
--- a/simulate-fleet/src/script.rs
+++ b/simulate-fleet/src/script.rs
@@ -1,3 +1,4 @@
+//! Schedules as text: reads and writes them.
 #[cfg(test)]
 mod tests;
 
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -1,3 +1,4 @@
+//! Shrinks a failing schedule to the faults that it needs.
 #[cfg(test)]
 mod tests;
 
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -1,3 +1,4 @@
+//! A simulated process with its disk and clock.
 use crate::prelude::*;
 
 /// A disk that keeps only what was synced when the power goes.
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -1,3 +1,4 @@
+//! A simulated origin.
 use crate::prelude::*;
 
 /// How an origin behaves now.
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -1,3 +1,4 @@
+//! The simulated fleet: events in virtual time, links, nodes and the record of what happened.
 use crate::prelude::*;
 
 /// What shall be simulated.
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -1,3 +1,4 @@
+//! Simulated clients.
 use crate::prelude::*;
 
 /// A repeat of what was answered comes within so many milliseconds: the brief
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -1,3 +1,4 @@
+//! Carries out the faults of a schedule.
 use crate::prelude::*;
 
 /// How long the first seed collects founding control nodes.
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -1,3 +1,4 @@
+//! Simulated operators.
 use crate::prelude::*;
 
 /// Operators, and the platform's list of origins.
--- a/stand-ins/src/bin/run-fleet.rs
+++ b/stand-ins/src/bin/run-fleet.rs
@@ -1,3 +1,4 @@
+//! Runs a fleet of processes with traffic and faults, and judges it.
 use stand_ins::prelude::*;
 
 const HELP: &str = "starts a fleet on loopback, plays its traffic and its faults, and judges
--- a/stand-ins/src/bin/stand-in-caller.rs
+++ b/stand-ins/src/bin/stand-in-caller.rs
@@ -1,3 +1,4 @@
+//! A client for the command line.
 use stand_ins::prelude::*;
 
 const HELP: &str = "stand-ins for callers
--- a/stand-ins/src/bin/stand-in-origin.rs
+++ b/stand-ins/src/bin/stand-in-origin.rs
@@ -1,3 +1,4 @@
+//! An origin for the command line.
 use stand_ins::prelude::*;
 
 const HELP: &str = "a stand-in for one origin
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -1,3 +1,4 @@
+//! A client: sends requests to edges and records what came of them.
 use crate::prelude::*;
 
 /// What the callers shall do, as a file for `stand-in-caller`.
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -1,3 +1,4 @@
+//! Judges a record of a fleet by the rules that must never break.
 #[cfg(test)]
 mod tests;
 
--- a/stand-ins/src/deployment.rs
+++ b/stand-ins/src/deployment.rs
@@ -1,3 +1,4 @@
+//! Deployments: how many nodes, zones and origins a fleet has.
 use crate::prelude::*;
 
 /// A deployment as the users describe it, at its size of today.
--- a/stand-ins/src/dice.rs
+++ b/stand-ins/src/dice.rs
@@ -1,3 +1,4 @@
+//! Seeded pseudo-random numbers.
 /// Repeatable chance, for traffic and schedules.
 pub struct Dice(u64);
 
--- a/stand-ins/src/flags.rs
+++ b/stand-ins/src/flags.rs
@@ -1,3 +1,4 @@
+//! Command-line flags of the test tools.
 use crate::prelude::*;
 
 /// A call of a test tool: never by way of a proxy named in the environment.
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -1,3 +1,4 @@
+//! A fleet of processes on loopback: starts, stops and records them.
 #[cfg(test)]
 mod tests;
 
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -1,3 +1,4 @@
+//! An origin over HTTP, healthy or faulty.
 use crate::prelude::*;
 
 /// A stand-in for one origin: answers any path with a signed body that echoes
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -1,3 +1,4 @@
+//! What the files of this crate need.
 pub use crate::caller::{CallerPlan, Traffic};
 pub use crate::checker::{Checker, JUDGED, Verdict};
 pub use crate::deployment::Deployment;
--- a/stand-ins/src/record.rs
+++ b/stand-ins/src/record.rs
@@ -1,3 +1,4 @@
+//! The record of a run: what the checker reads.
 use crate::prelude::*;
 
 /// One call as an origin saw it.
--- a/stand-ins/src/schema_check.rs
+++ b/stand-ins/src/schema_check.rs
@@ -1,3 +1,4 @@
+//! Checks calls and responses against the schema of remote calls.
 use crate::prelude::*;
 
 /// Holds real requests and answers against the schema file.
