--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -5,7 +5,7 @@
 
 const SPAN: Duration = Duration::from_secs(12);
 /// Below this, too little happened to be a soak.
-const LEAST_LEFT: usize = 50;
+const MIN_REMAINING: usize = 50;
 
 #[test]
 fn disconnected_clients_leave_no_work_in_a_process_fleet() {
@@ -23,7 +23,7 @@
             "seed {seed}: {:#?}",
             verdict.broken
         );
-        assert!(verdict.left > LEAST_LEFT, "seed {seed}: {verdict}");
+        assert!(verdict.left > MIN_REMAINING, "seed {seed}: {verdict}");
         assert!(verdict.sent_before > 0, "seed {seed}: {verdict}");
         let _ = fs::remove_dir_all(folder);
     }
--- a/simulate-fleet/src/bin/simulate-fleet.rs
+++ b/simulate-fleet/src/bin/simulate-fleet.rs
@@ -152,7 +152,7 @@
                 0,
                 (
                     Duration::from_secs(3),
-                    Fault::Weather {
+                    Fault::LossyNetwork {
                         lost,
                         doubled,
                         late,
@@ -162,7 +162,7 @@
         }
         let plan = WorldPlan {
             drift,
-            callers_leave: scripted.is_none() && faults == "random",
+            clients_disconnect: scripted.is_none() && faults == "random",
             ..WorldPlan::new(deployment.clone(), seed, span, list).of(control)
         };
         let began = Instant::now();
--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -3,7 +3,7 @@
 
 /// A node of the simulated fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum NodeId {
     Control(usize),
     Edge(usize),
 }
@@ -11,53 +11,53 @@
 /// Something that is done to the fleet, or asked of it by its operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    Kill(Place),
-    Start(Place),
+    Kill(NodeId),
+    Start(NodeId),
     /// The process stands still; its time goes on.
-    Pause(Place, Duration),
+    Pause(NodeId, Duration),
     /// SIGTERM; the node is started again once it has ended.
-    Restart(Place),
+    Restart(NodeId),
     /// SIGTERM; the node is gone for good once it has ended, or its time is over.
-    Retire(Place),
+    Retire(NodeId),
     /// Killed, and its disk is gone.
-    Wipe(Place),
+    Wipe(NodeId),
     /// The disk refuses writes from now on.
-    DiskFull(Place),
+    DiskFull(NodeId),
     /// All that the process does takes longer.
-    Slow(Place, Duration),
+    Slow(NodeId, Duration),
     /// No sync of its disk ends before the span is over.
-    StallDisk(Place, Duration),
+    StallDisk(NodeId, Duration),
     /// Each sync of its disk takes a good part of a second.
-    SlowDisk(Place, Duration),
+    SlowDisk(NodeId, Duration),
     /// Nothing gets from the first to the second; the other way still does.
-    Cut(Place, Place),
+    DropLink(NodeId, NodeId),
     /// A node is cut off for a span, in silence.
-    CutOff(Place, CutScope, Duration),
+    Partition(NodeId, PartitionScope, Duration),
     /// The connections between two nodes are reset: what is under way is lost.
-    Reset(Place, Place),
+    Reset(NodeId, NodeId),
     /// Nodes that start from now on are told the seeds in another order, and
     /// others among them, as far as they found no table.
-    TurnSeeds,
+    ReorderSeeds,
     /// Many answers to operators are lost for a span; the same order is then
     /// sent again to another node.
-    LoseAnswers(Duration),
+    LoseOperatorResponses(Duration),
     /// Nothing gets to or from this node.
-    Isolate(Place),
+    Isolate(NodeId),
     /// All cuts end.
     Heal,
     /// Of a hundred messages so many are lost, doubled, or late.
-    Weather {
+    LossyNetwork {
         lost: u64,
         doubled: u64,
         late: u64,
     },
-    Origin(usize, Mood),
+    Origin(usize, OriginBehavior),
     /// All origins of one service, by its place in the deployment.
-    Service(usize, Mood),
+    Service(usize, OriginBehavior),
     /// The platform marks it leaving; its process ends after a while.
-    Leave(usize),
+    DrainOrigin(usize),
     /// Another service's origin now listens at this address, unlisted.
-    Usurp(usize),
+    ReuseAddress(usize),
     /// The origin is listed and runs under a new instance name.
     Replace(usize),
     Content,
@@ -72,7 +72,7 @@
     Race(usize),
     ReadBack,
     /// The moment this next comes true, something is lost.
-    Trap(Moment, Loss),
+    LossOnTrigger(Trigger, Loss),
     /// Every process and every disk is gone, and back three seconds later.
     LoseAll,
     /// The operators say that no fleet was there before this one.
@@ -83,7 +83,7 @@
 
 /// What a node that is cut off does not reach, or is not reached by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CutScope {
+pub enum PartitionScope {
     /// Every other node, both ways.
     Everybody,
     /// The control nodes, both ways.
@@ -94,34 +94,34 @@
     ToControlNodes,
 }
 
-impl CutScope {
-    pub const ALL: [CutScope; 4] = [
-        CutScope::Everybody,
-        CutScope::ControlNodes,
-        CutScope::FromControlNodes,
-        CutScope::ToControlNodes,
+impl PartitionScope {
+    pub const ALL: [PartitionScope; 4] = [
+        PartitionScope::Everybody,
+        PartitionScope::ControlNodes,
+        PartitionScope::FromControlNodes,
+        PartitionScope::ToControlNodes,
     ];
 
     /// Its name in scripts.
     pub fn name(self) -> &'static str {
         match self {
-            CutScope::Everybody => "everybody",
-            CutScope::ControlNodes => "control-nodes",
-            CutScope::FromControlNodes => "from-control-nodes",
-            CutScope::ToControlNodes => "to-control-nodes",
+            PartitionScope::Everybody => "everybody",
+            PartitionScope::ControlNodes => "control-nodes",
+            PartitionScope::FromControlNodes => "from-control-nodes",
+            PartitionScope::ToControlNodes => "to-control-nodes",
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
+pub enum Trigger {
     Configured,
     Purged,
     /// A keyed request was answered with success.
     Booked,
 }
 
-/// What goes in a `Moment`.
+/// What goes in a `Trigger`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
     /// The power of all nodes, for three seconds.
@@ -132,11 +132,11 @@
     /// three seconds; and the power of all other nodes.
     Disks(usize, usize),
     /// The room on the disk of a slot, until it is started again.
-    Room(usize),
+    DiskSpace(usize),
 }
 
-impl Moment {
-    pub const ALL: [Moment; 3] = [Moment::Configured, Moment::Purged, Moment::Booked];
+impl Trigger {
+    pub const ALL: [Trigger; 3] = [Trigger::Configured, Trigger::Purged, Trigger::Booked];
 
     pub fn name(self) -> &'static str {
         ["configured", "purged", "booked"][self as usize]
@@ -157,16 +157,16 @@
             Fault::Slow(..) => "slow",
             Fault::StallDisk(..) => "disk-stall",
             Fault::SlowDisk(..) => "disk-slow",
-            Fault::Cut(..) => "cut",
-            Fault::CutOff(..) => "cut-off",
+            Fault::DropLink(..) => "cut",
+            Fault::Partition(..) => "cut-off",
             Fault::Reset(..) => "reset",
-            Fault::TurnSeeds => "turn-seeds",
-            Fault::LoseAnswers(_) => "lose-answers",
+            Fault::ReorderSeeds => "turn-seeds",
+            Fault::LoseOperatorResponses(_) => "lose-answers",
             Fault::Isolate(_) => "isolate",
             Fault::Heal => "heal",
-            Fault::Weather { .. } => "weather",
-            Fault::Origin(_, mood) => mood.name(),
-            Fault::Service(_, mood) => [
+            Fault::LossyNetwork { .. } => "weather",
+            Fault::Origin(_, behavior) => behavior.name(),
+            Fault::Service(_, behavior) => [
                 "service-good",
                 "service-down",
                 "service-mute",
@@ -174,9 +174,9 @@
                 "service-very-slow",
                 "service-wrong",
                 "service-grey",
-            ][*mood as usize],
-            Fault::Leave(_) => "origin-leave",
-            Fault::Usurp(_) => "origin-usurp",
+            ][*behavior as usize],
+            Fault::DrainOrigin(_) => "origin-leave",
+            Fault::ReuseAddress(_) => "origin-usurp",
             Fault::Replace(_) => "origin-replace",
             Fault::Content => "content",
             Fault::Purge(_) => "purge",
@@ -186,10 +186,10 @@
             Fault::Grow(_) => "grow",
             Fault::Race(_) => "race",
             Fault::ReadBack => "read-back",
-            Fault::Trap(_, Loss::Power) => "power-on",
-            Fault::Trap(_, Loss::Disk(_)) => "disk-lost-on",
-            Fault::Trap(_, Loss::Disks(..)) => "disks-lost-on",
-            Fault::Trap(_, Loss::Room(_)) => "disk-full-on",
+            Fault::LossOnTrigger(_, Loss::Power) => "power-on",
+            Fault::LossOnTrigger(_, Loss::Disk(_)) => "disk-lost-on",
+            Fault::LossOnTrigger(_, Loss::Disks(..)) => "disks-lost-on",
+            Fault::LossOnTrigger(_, Loss::DiskSpace(_)) => "disk-full-on",
             Fault::LoseAll => "lose-all",
             Fault::OpenLedger => "open-ledger",
             Fault::Returned => "returned",
@@ -205,14 +205,14 @@
             | Fault::Restart(place)
             | Fault::Retire(place)
             | Fault::Isolate(place) => {
-                let what = if matches!(place, Place::Control(_)) {
+                let what = if matches!(place, NodeId::Control(_)) {
                     "control"
                 } else {
                     "edge"
                 };
                 format!("{} {what}", self.name())
             }
-            Fault::CutOff(_, scope, _) => format!("cut-off {}", scope.name()),
+            Fault::Partition(_, scope, _) => format!("cut-off {}", scope.name()),
             _ => self.name().into(),
         }
     }
@@ -224,26 +224,26 @@
             | Fault::Slow(_, span)
             | Fault::StallDisk(_, span)
             | Fault::SlowDisk(_, span)
-            | Fault::CutOff(_, _, span) => Some(*span),
+            | Fault::Partition(_, _, span) => Some(*span),
             _ => None,
         }
     }
 
     /// Ends something that was broken before; a shortened schedule keeps it.
-    pub fn mends(&self) -> bool {
-        let good = Mood::Good;
+    pub fn repairs(&self) -> bool {
+        let good = OriginBehavior::Good;
         matches!(
             self,
             Fault::Start(_)
                 | Fault::Heal
-                | Fault::Weather {
+                | Fault::LossyNetwork {
                     lost: 0,
                     doubled: 0,
                     late: 0
                 }
                 | Fault::OpenLedger
                 | Fault::Returned
-        ) || matches!(self, Fault::Origin(_, mood) | Fault::Service(_, mood) if *mood == good)
+        ) || matches!(self, Fault::Origin(_, behavior) | Fault::Service(_, behavior) if *behavior == good)
     }
 
     /// What operators and the platform do by intent; the rest breaks or mends.
@@ -253,13 +253,13 @@
             self,
             Restart(_)
                 | Retire(_)
-                | Leave(_)
+                | DrainOrigin(_)
                 | Content
                 | Purge(_)
                 | Configure
                 | ConfigureInvalid
                 | PutItem
-                | TurnSeeds
+                | ReorderSeeds
                 | Grow(_)
                 | Race(_)
                 | ReadBack
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -10,8 +10,8 @@
 
 /// Origin calls of a crowd on one key.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Crowd {
-    pub errands: u64,
+pub struct LoadBurst {
+    pub requests: u64,
     pub two_phase: u64,
     pub single_expiry: u64,
     pub no_cache: u64,
@@ -21,20 +21,20 @@
     /// `rate` errands a second on one key for a minute; a fetch takes `fetch`.
     /// Single expiry is a stand-in with the same δ: once it has passed,
     /// everyone fetches until somebody's answer is there.
-    pub fn crowd(rate: u64, fetch: Duration) -> Crowd {
+    pub fn load_burst(rate: u64, fetch: Duration) -> LoadBurst {
         let keep = Duration::from_secs(10);
         let address = SocketAddr::from(([10, 0, 0, 1], 1));
         let mut owner = CacheOwner::new(1 << 20);
         let mut puts: VecDeque<(Duration, FillToken)> = VecDeque::new();
         let mut single_until = Duration::ZERO;
         let mut single_puts: VecDeque<Duration> = VecDeque::new();
-        let mut crowd = Crowd {
-            errands: rate * 60,
+        let mut load_burst = LoadBurst {
+            requests: rate * 60,
             two_phase: 0,
             single_expiry: 0,
             no_cache: rate * 60,
         };
-        for id in 0..crowd.errands {
+        for id in 0..load_burst.requests {
             let now = Duration::from_micros(id * 1_000_000 / rate);
             while puts.front().is_some_and(|(at, _)| *at <= now) {
                 let (at, token) = puts.pop_front().expect("just seen");
@@ -72,7 +72,7 @@
             );
             for (_, message) in owner.take_out() {
                 if let Message::CacheMiss(miss) = message {
-                    crowd.two_phase += 1;
+                    load_burst.two_phase += 1;
                     puts.push_back((now + fetch, miss.token));
                 }
             }
@@ -80,11 +80,11 @@
                 single_until = single_puts.pop_front().expect("just seen") + keep / 2;
             }
             if now >= single_until {
-                crowd.single_expiry += 1;
+                load_burst.single_expiry += 1;
                 single_puts.push_back(now + fetch);
             }
         }
-        crowd
+        load_burst
     }
 
     /// Time from asking to acknowledgement of changes and of purges, in
@@ -101,12 +101,12 @@
             if lapse {
                 faults.push((
                     at(round) - Duration::from_millis(5),
-                    Fault::Isolate(Place::Edge(round as usize % deployment.edges)),
+                    Fault::Isolate(NodeId::Edge(round as usize % deployment.edges)),
                 ));
                 faults.push((at(round) + Duration::from_millis(1_700), Fault::Heal));
             }
         }
-        let asked: Vec<(f64, &str)> = faults
+        let operator_calls: Vec<(f64, &str)> = faults
             .iter()
             .filter_map(|(at, fault)| match fault {
                 Fault::Configure => Some((at.as_secs_f64(), "configured")),
@@ -131,10 +131,10 @@
                 .map(|one| one.at);
             let mut spans: Vec<f64> = told
                 .filter_map(|at| {
-                    asked
+                    operator_calls
                         .iter()
-                        .filter(|(asked, kind)| *kind == what && *asked <= at)
-                        .map(|(asked, _)| at - asked)
+                        .filter(|(operator_calls, kind)| *kind == what && *operator_calls <= at)
+                        .map(|(operator_calls, _)| at - operator_calls)
                         .reduce(f64::min)
                 })
                 .map(|span| span / lease::CONTROL_TICK.as_secs_f64())
@@ -151,8 +151,8 @@
     /// is asked of it.
     pub fn capped(part: f64) -> BTreeMap<u32, f64> {
         let mut deployment = Deployment::find("mombasa").expect("known");
-        let asked = deployment.rate as f64 * 0.35;
-        deployment.services[1].rate = asked * part / deployment.services[1].origins as f64;
+        let operator_calls = deployment.rate as f64 * 0.35;
+        deployment.services[1].rate = operator_calls * part / deployment.services[1].origins as f64;
         let cached: BTreeSet<String> = deployment
             .mix
             .iter()
@@ -204,8 +204,8 @@
         }
         let at = Duration::from_secs;
         let faults = vec![
-            (at(10), Fault::Service(1, Mood::VerySlow)),
-            (at(40), Fault::Service(1, Mood::Good)),
+            (at(10), Fault::Service(1, OriginBehavior::VerySlow)),
+            (at(40), Fault::Service(1, OriginBehavior::Good)),
         ];
         let report = World::new(WorldPlan::new(deployment, 1, at(60), faults)).run();
         let mut ranks: BTreeMap<u32, (Vec<f64>, Vec<f64>)> = BTreeMap::new();
@@ -269,7 +269,7 @@
             .map(|at| {
                 (
                     Duration::from_millis(8_000 + at as u64 * 2_500),
-                    Fault::Restart(Place::Edge(at)),
+                    Fault::Restart(NodeId::Edge(at)),
                 )
             })
             .collect();
@@ -309,8 +309,8 @@
 
     pub fn print() {
         for (rate, fetch) in [(100, 200), (20, 200), (100, 1000)] {
-            let crowd = Figures::crowd(rate, Duration::from_millis(fetch));
-            println!("crowd of {rate}/s, fetch {fetch} ms, 60 s: {crowd:?}");
+            let load_burst = Figures::load_burst(rate, Duration::from_millis(fetch));
+            println!("crowd of {rate}/s, fetch {fetch} ms, 60 s: {load_burst:?}");
         }
         for name in ["mombasa", "trasa"] {
             let deployment = Deployment::find(name).expect("known");
--- a/simulate-fleet/src/figures/tests.rs
+++ b/simulate-fleet/src/figures/tests.rs
@@ -3,9 +3,12 @@
 
 #[test]
 fn two_expiries_cost_one_call_per_delta_under_load_burst() {
-    let crowd = Figures::crowd(100, Duration::from_millis(200));
-    assert!(crowd.two_phase <= 13, "{crowd:?}");
-    assert!(crowd.single_expiry > 10 * crowd.two_phase, "{crowd:?}");
+    let load_burst = Figures::load_burst(100, Duration::from_millis(200));
+    assert!(load_burst.two_phase <= 13, "{load_burst:?}");
+    assert!(
+        load_burst.single_expiry > 10 * load_burst.two_phase,
+        "{load_burst:?}"
+    );
 }
 
 #[test]
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -1,13 +1,15 @@
 //! What the files of this crate need.
 pub use crate::capacity::{CONTROL, Capacity, Role, SIZES, Sized, Tally};
-pub use crate::fault::{CutScope, Fault, Loss, Moment, Place};
+pub use crate::fault::{Fault, Loss, NodeId, PartitionScope, Trigger};
 pub use crate::figures::Figures;
 pub use crate::schedule::Schedule;
 pub use crate::script::Script;
 pub use crate::shrink::Shrink;
 pub use crate::sim_node::{Disk, Founding, SimNode};
-pub use crate::sim_origin::{Mood, SimOrigin};
-pub(crate) use crate::world::{Asked, Asking, CALLER_PATIENCE, Happening, Order, Question, Task};
+pub use crate::sim_origin::{OriginBehavior, SimOrigin};
+pub(crate) use crate::world::{
+    CLIENT_TIMEOUT, OperatorCall, Order, PendingOperatorCall, Question, SimEvent, Task,
+};
 pub use crate::world::{FounderEnd, Report, World, WorldPlan};
 pub use crate::world_orders::{ItemOrder, OrderRecord};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -83,12 +83,12 @@
 fn acknowledged_rows_survive_wipe_and_power_loss() {
     for control in [3, 4, 5, 8] {
         for seed in 1..=9 {
-            let moment = Moment::ALL[seed as usize % 3];
+            let trigger = Trigger::ALL[seed as usize % 3];
             let slot = (seed as usize / 3 * 2) % control;
             let faults = vec![
                 (
                     10_000,
-                    Fault::Trap(moment, Loss::Disks(slot, Schedule::borne(control))),
+                    Fault::LossOnTrigger(trigger, Loss::Disks(slot, Schedule::borne(control))),
                 ),
                 (10_010 + seed * 7, Fault::Configure),
                 (10_015 + seed * 7, Fault::Content),
@@ -120,8 +120,8 @@
 fn lost_slot_is_replaced_in_tables_of_four_five_and_eight() {
     for control in [4, 5, 8] {
         for slot in [0, control - 1] {
-            let (lost, spare) = (Place::Control(slot), Place::Control(control));
-            let next = Place::Control((slot + 1) % control);
+            let (lost, spare) = (NodeId::Control(slot), NodeId::Control(control));
+            let next = NodeId::Control((slot + 1) % control);
             let faults = vec![
                 (8_000, Fault::Start(spare)),
                 (9_000, Fault::Kill(lost)),
@@ -130,8 +130,8 @@
                 (21_000, Fault::Start(next)),
                 (24_000, Fault::Start(lost)),
                 (26_000, Fault::Configure),
-                (28_000, Fault::Kill(Place::Edge(1))),
-                (29_000, Fault::Start(Place::Edge(1))),
+                (28_000, Fault::Kill(NodeId::Edge(1))),
+                (29_000, Fault::Start(NodeId::Edge(1))),
                 (30_000, Fault::ReadBack),
             ];
             let report = run(of(control, slot as u64 + 1, 45, faults));
@@ -159,7 +159,7 @@
             let deployment = Deployment::find("small").unwrap();
             let faults = Schedule::random(&deployment, control, seed, span);
             let plan = WorldPlan {
-                callers_leave: true,
+                clients_disconnect: true,
                 ..WorldPlan::new(deployment, seed, span, faults).of(control)
             };
             let report = World::new(plan).run();
@@ -235,7 +235,7 @@
     assert!(served(&report) > 0.999, "{}", served(&report));
 }
 
-const CONTROL: [Place; 3] = [Place::Control(0), Place::Control(1), Place::Control(2)];
+const CONTROL: [NodeId; 3] = [NodeId::Control(0), NodeId::Control(1), NodeId::Control(2)];
 
 /// Share of errands that began within a span (in seconds) and were served.
 pub(crate) fn served_within(report: &Report, from: f64, to: f64) -> f64 {
@@ -256,7 +256,7 @@
     for seed in 1..=60 {
         let faults = Schedule::random(&deployment, 3, seed, span);
         let plan = WorldPlan {
-            callers_leave: true,
+            clients_disconnect: true,
             ..WorldPlan::new(deployment.clone(), seed, span, faults)
         };
         let report = World::new(plan).run();
@@ -296,7 +296,7 @@
         (9_000, Fault::Content),
         (9_001, Fault::Purge("/".into())),
     ];
-    for place in CONTROL.into_iter().chain((0..4).map(Place::Edge)) {
+    for place in CONTROL.into_iter().chain((0..4).map(NodeId::Edge)) {
         faults.extend([(15_000, Fault::Kill(place)), (18_000, Fault::Start(place))]);
     }
     faults.extend([(18_000, Fault::Returned), (20_000, Fault::ReadBack)]);
@@ -312,11 +312,11 @@
 #[test]
 fn replaced_control_node_tolerates_next_loss() {
     for slot in 0..3 {
-        let next = Place::Control((slot + 1) % 3);
+        let next = NodeId::Control((slot + 1) % 3);
         let faults = vec![
             (6_000, Fault::Configure),
-            (10_000, Fault::Wipe(Place::Control(slot))),
-            (14_000, Fault::Start(Place::Control(slot))),
+            (10_000, Fault::Wipe(NodeId::Control(slot))),
+            (14_000, Fault::Start(NodeId::Control(slot))),
             (20_000, Fault::Kill(next)),
             (22_000, Fault::Configure),
             (24_000, Fault::ReadBack),
@@ -356,7 +356,7 @@
 
 #[test]
 fn isolated_edge_fences_and_changes_settle() {
-    let edge = Place::Edge(2);
+    let edge = NodeId::Edge(2);
     let faults = vec![
         (8_000, Fault::Isolate(edge)),
         (8_100, Fault::Configure),
@@ -397,7 +397,7 @@
             faults.push((
                 at,
                 Fault::Pause(
-                    Place::Edge(round as usize % 4),
+                    NodeId::Edge(round as usize % 4),
                     Duration::from_millis(3_800),
                 ),
             ));
@@ -413,7 +413,7 @@
     let mut faults = Vec::new();
     for (at, place) in CONTROL
         .into_iter()
-        .chain((0..4).map(Place::Edge))
+        .chain((0..4).map(NodeId::Edge))
         .enumerate()
     {
         faults.push((8_000 + at as u64 * 5_000, Fault::Restart(place)));
@@ -427,19 +427,19 @@
 #[test]
 fn failing_origins_never_run_a_key_twice() {
     let faults = vec![
-        (8_000, Fault::Origin(2, Mood::Mute)),
-        (8_000, Fault::Origin(3, Mood::Mute)),
-        (8_700, Fault::Origin(3, Mood::Good)),
-        (13_000, Fault::Origin(2, Mood::Good)),
-        (14_000, Fault::Origin(3, Mood::WrongBytes)),
-        (18_000, Fault::Origin(3, Mood::Good)),
-        (19_000, Fault::Origin(2, Mood::Down)),
-        (23_000, Fault::Origin(2, Mood::Good)),
-        (24_000, Fault::Origin(0, Mood::Slow)),
-        (28_000, Fault::Origin(0, Mood::Good)),
+        (8_000, Fault::Origin(2, OriginBehavior::Mute)),
+        (8_000, Fault::Origin(3, OriginBehavior::Mute)),
+        (8_700, Fault::Origin(3, OriginBehavior::Good)),
+        (13_000, Fault::Origin(2, OriginBehavior::Good)),
+        (14_000, Fault::Origin(3, OriginBehavior::WrongBytes)),
+        (18_000, Fault::Origin(3, OriginBehavior::Good)),
+        (19_000, Fault::Origin(2, OriginBehavior::Down)),
+        (23_000, Fault::Origin(2, OriginBehavior::Good)),
+        (24_000, Fault::Origin(0, OriginBehavior::Slow)),
+        (28_000, Fault::Origin(0, OriginBehavior::Good)),
         (30_000, Fault::Replace(2)),
-        (34_000, Fault::Leave(3)),
-        (38_000, Fault::Origin(3, Mood::Down)),
+        (34_000, Fault::DrainOrigin(3)),
+        (38_000, Fault::Origin(3, OriginBehavior::Down)),
     ];
     let report = small(7, 55, faults);
     judge(&report, &[1, 3, 8]);
@@ -457,9 +457,9 @@
 fn reassigned_origin_address_gets_no_request() {
     for seed in 1..8 {
         let faults = vec![
-            (9_000, Fault::Origin(3, Mood::Down)),
-            (9_400, Fault::Usurp(3)),
-            (9_401, Fault::Origin(3, Mood::Good)),
+            (9_000, Fault::Origin(3, OriginBehavior::Down)),
+            (9_400, Fault::ReuseAddress(3)),
+            (9_401, Fault::Origin(3, OriginBehavior::Good)),
         ];
         judge(&small(seed, 30, faults), &[3]);
     }
@@ -467,13 +467,13 @@
 
 #[test]
 fn node_with_full_disk_returns_after_restart() {
-    let place = Place::Control(1);
+    let place = NodeId::Control(1);
     let faults = vec![
         (8_000, Fault::DiskFull(place)),
         (10_000, Fault::Configure),
         (15_000, Fault::Kill(place)),
         (16_000, Fault::Start(place)),
-        (22_000, Fault::Kill(Place::Control(0))),
+        (22_000, Fault::Kill(NodeId::Control(0))),
         (24_000, Fault::Configure),
         (26_000, Fault::ReadBack),
     ];
@@ -541,9 +541,9 @@
 #[test]
 fn acknowledged_row_survives_immediate_power_loss() {
     for seed in 1..=30 {
-        let moment = [Moment::Configured, Moment::Purged, Moment::Booked][seed as usize % 3];
+        let trigger = [Trigger::Configured, Trigger::Purged, Trigger::Booked][seed as usize % 3];
         let faults = vec![
-            (8_000, Fault::Trap(moment, Loss::Power)),
+            (8_000, Fault::LossOnTrigger(trigger, Loss::Power)),
             (8_010 + seed * 7, Fault::Configure),
             (8_015 + seed * 7, Fault::Content),
             (8_016 + seed * 7, Fault::Purge("/".into())),
@@ -559,9 +559,9 @@
 fn replaced_member_returns_fenced() {
     for slot in 0..3 {
         let (lost, next, spare) = (
-            Place::Control(slot),
-            Place::Control((slot + 1) % 3),
-            Place::Control(3),
+            NodeId::Control(slot),
+            NodeId::Control((slot + 1) % 3),
+            NodeId::Control(3),
         );
         let faults = vec![
             (6_000, Fault::Start(spare)),
@@ -572,8 +572,8 @@
             (24_000, Fault::Start(lost)),
             (26_000, Fault::Content),
             (26_001, Fault::Purge("/".into())),
-            (28_000, Fault::Kill(Place::Edge(1))),
-            (29_000, Fault::Start(Place::Edge(1))),
+            (28_000, Fault::Kill(NodeId::Edge(1))),
+            (29_000, Fault::Start(NodeId::Edge(1))),
             (30_000, Fault::ReadBack),
         ];
         let report = small(slot as u64 + 1, 45, faults);
@@ -600,12 +600,12 @@
 #[test]
 fn partitioned_member_is_replaced_and_fenced_under_load() {
     for seed in 1..=12 {
-        let lost = Place::Control(seed as usize % 3);
+        let lost = NodeId::Control(seed as usize % 3);
         let faults = vec![
-            (5_000, Fault::Start(Place::Control(3))),
+            (5_000, Fault::Start(NodeId::Control(3))),
             (
                 6_000,
-                Fault::Weather {
+                Fault::LossyNetwork {
                     lost: 5,
                     doubled: 5,
                     late: 20,
@@ -614,11 +614,11 @@
             // Edges still hear it; the other control nodes do not.
             (
                 8_000,
-                Fault::Cut(lost, Place::Control((seed as usize + 1) % 3)),
+                Fault::DropLink(lost, NodeId::Control((seed as usize + 1) % 3)),
             ),
             (
                 8_000,
-                Fault::Cut(lost, Place::Control((seed as usize + 2) % 3)),
+                Fault::DropLink(lost, NodeId::Control((seed as usize + 2) % 3)),
             ),
             (12_000, Fault::Content),
             (12_001, Fault::Purge("/".into())),
@@ -629,7 +629,7 @@
             (24_000, Fault::Configure),
             (
                 26_000,
-                Fault::Weather {
+                Fault::LossyNetwork {
                     lost: 0,
                     doubled: 0,
                     late: 0,
@@ -651,12 +651,12 @@
 #[test]
 fn blank_disk_learns_moved_slot_and_removes_nobody() {
     let faults = vec![
-        (5_000, Fault::Start(Place::Control(3))),
-        (6_000, Fault::Kill(Place::Control(2))),
-        (13_000, Fault::Start(Place::Control(2))),
-        (17_800, Fault::Wipe(Place::Control(1))),
-        (19_400, Fault::Start(Place::Control(1))),
-        (23_000, Fault::Kill(Place::Control(0))),
+        (5_000, Fault::Start(NodeId::Control(3))),
+        (6_000, Fault::Kill(NodeId::Control(2))),
+        (13_000, Fault::Start(NodeId::Control(2))),
+        (17_800, Fault::Wipe(NodeId::Control(1))),
+        (19_400, Fault::Start(NodeId::Control(1))),
+        (23_000, Fault::Kill(NodeId::Control(0))),
         (25_000, Fault::Configure),
         (28_000, Fault::ReadBack),
     ];
@@ -683,23 +683,23 @@
         (6_000, Fault::Configure),
         (8_000, Fault::Content),
         (8_001, Fault::Purge("/".into())),
-        (9_000, Fault::Leave(3)),
+        (9_000, Fault::DrainOrigin(3)),
     ];
     for slot in slots {
         faults.extend([
-            (15_000, Fault::Wipe(Place::Control(*slot))),
-            (17_000, Fault::Start(Place::Control(*slot))),
+            (15_000, Fault::Wipe(NodeId::Control(*slot))),
+            (17_000, Fault::Start(NodeId::Control(*slot))),
         ]);
     }
     // One that was away for a while and came back in the same life knows all.
     faults.push((
         10_000,
-        Fault::Pause(Place::Edge(1), Duration::from_millis(2_500)),
+        Fault::Pause(NodeId::Edge(1), Duration::from_millis(2_500)),
     ));
     if lost_edge {
         faults.extend([
-            (14_900, Fault::Kill(Place::Edge(0))),
-            (17_000, Fault::Start(Place::Edge(0))),
+            (14_900, Fault::Kill(NodeId::Edge(0))),
+            (17_000, Fault::Start(NodeId::Edge(0))),
         ]);
     }
     faults.extend([
@@ -818,7 +818,7 @@
 fn service_survives_loss_of_half_the_edges() {
     let mut faults: Vec<(u64, Fault)> = [0, 2]
         .into_iter()
-        .map(|at| (10_000, Fault::Kill(Place::Edge(at))))
+        .map(|at| (10_000, Fault::Kill(NodeId::Edge(at))))
         .collect();
     faults.extend([
         (10_100, Fault::Configure),
@@ -847,7 +847,7 @@
 #[test]
 fn service_survives_loss_of_a_zone() {
     // Zone a: control 0, edges 0 and 3.
-    let zone = [Place::Control(0), Place::Edge(0), Place::Edge(3)];
+    let zone = [NodeId::Control(0), NodeId::Edge(0), NodeId::Edge(3)];
     let mut faults: Vec<(u64, Fault)> = zone
         .into_iter()
         .map(|place| (10_000, Fault::Isolate(place)))
@@ -871,10 +871,10 @@
 #[test]
 fn control_nodes_without_mutual_contact_do_not_starve_a_partition() {
     // Control 0 and 1 both hear 2, and each thinks itself chosen for much.
-    let (one, two) = (Place::Control(0), Place::Control(1));
+    let (one, two) = (NodeId::Control(0), NodeId::Control(1));
     let mut faults = vec![
-        (8_000, Fault::Cut(one, two)),
-        (8_000, Fault::Cut(two, one)),
+        (8_000, Fault::DropLink(one, two)),
+        (8_000, Fault::DropLink(two, one)),
         (28_000, Fault::Heal),
     ];
     faults.extend((0..6).map(|round| (10_000 + round * 3_000, Fault::Configure)));
@@ -893,7 +893,7 @@
 
 #[test]
 fn purge_burst_settles_and_lagging_edge_serves_nothing_stale() {
-    let mut faults = vec![(8_000, Fault::Isolate(Place::Edge(1)))];
+    let mut faults = vec![(8_000, Fault::Isolate(NodeId::Edge(1)))];
     for round in 0..1500u64 {
         let at = 9_000 + round * 2;
         if round % 100 == 0 {
@@ -1016,8 +1016,8 @@
 fn ledger_stays_closed_over_power_loss_after_total_loss() {
     for seed in 1..=4 {
         let mut faults = vec![
-            (19_900, Fault::Kill(Place::Edge(0))),
-            (21_000, Fault::Start(Place::Edge(0))),
+            (19_900, Fault::Kill(NodeId::Edge(0))),
+            (21_000, Fault::Start(NodeId::Edge(0))),
         ];
         for place in CONTROL {
             faults.extend([
@@ -1047,9 +1047,9 @@
     for step in 0..40 {
         let at = 20_150 + step * 20;
         let mut faults = vec![
-            (15_000, Fault::Kill(Place::Edge(0))),
-            (20_000, Fault::Start(Place::Edge(0))),
-            (at, Fault::Kill(Place::Edge(0))),
+            (15_000, Fault::Kill(NodeId::Edge(0))),
+            (20_000, Fault::Start(NodeId::Edge(0))),
+            (at, Fault::Kill(NodeId::Edge(0))),
         ];
         for place in CONTROL {
             faults.extend([(at, Fault::Wipe(place)), (at + 1_000, Fault::Start(place))]);
@@ -1075,7 +1075,7 @@
         let mut faults = Vec::new();
         for round in 0..8u64 {
             let at = 8_000 + round * 4_000;
-            faults.push((at, Fault::Isolate(Place::Edge(round as usize % 4))));
+            faults.push((at, Fault::Isolate(NodeId::Edge(round as usize % 4))));
             faults.push((at + 20, Fault::Configure));
             faults.push((at + 30, Fault::Content));
             faults.push((at + 31, Fault::Purge("/".into())));
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -14,8 +14,8 @@
     if control < 5 { 1 } else { 2 }
 }
 
-fn spare(control: usize, number: usize) -> Place {
-    Place::Control(control + number)
+fn spare(control: usize, number: usize) -> NodeId {
+    NodeId::Control(control + number)
 }
 
 fn fleet(control: usize, seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> WorldPlan {
@@ -26,7 +26,7 @@
 }
 
 /// When a node's disk first counted after this moment, in milliseconds.
-fn refilled(report: &Report, place: Place, after: u64) -> Option<u64> {
+fn refilled(report: &Report, place: NodeId, after: u64) -> Option<u64> {
     let first = report.membership.iter().find(|(at, who, event)| {
         *event == Event::DiskRefilled && *who == place && at.as_millis() as u64 >= after
     });
@@ -51,13 +51,13 @@
             let start = 9_000;
             let next = start + CATCH_UP;
             let mut faults = vec![
-                (8_000, Fault::Kill(Place::Control(lost))),
+                (8_000, Fault::Kill(NodeId::Control(lost))),
                 (start, Fault::Start(spare(control, 0))),
                 (14_000, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
             for more in 1..=tolerated(control) {
-                faults.push((next, Fault::Kill(Place::Control((lost + more) % control))));
+                faults.push((next, Fault::Kill(NodeId::Control((lost + more) % control))));
             }
             let report = run(fleet(control, lost as u64 + 1, 30, faults));
             let what = format!("{control} slots, {lost} lost");
@@ -81,12 +81,12 @@
                 lost as u64 + 1,
                 30,
                 vec![
-                    (8_000, Fault::Kill(Place::Control(lost))),
-                    (8_000, Fault::Kill(Place::Control(second))),
+                    (8_000, Fault::Kill(NodeId::Control(lost))),
+                    (8_000, Fault::Kill(NodeId::Control(second))),
                     (start, Fault::Start(spare(control, 0))),
                     (start, Fault::Start(spare(control, 1))),
-                    (next, Fault::Kill(Place::Control((lost + 2) % control))),
-                    (next, Fault::Kill(Place::Control((lost + 3) % control))),
+                    (next, Fault::Kill(NodeId::Control((lost + 2) % control))),
+                    (next, Fault::Kill(NodeId::Control((lost + 3) % control))),
                     (14_000, Fault::Configure),
                     (22_000, Fault::ReadBack),
                 ],
@@ -111,14 +111,14 @@
             let next = start + CATCH_UP;
             let mut faults = vec![
                 (start, Fault::Start(spare(control, 0))),
-                (warned, Fault::Retire(Place::Control(leaving))),
+                (warned, Fault::Retire(NodeId::Control(leaving))),
                 (13_500, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
             for more in 1..=tolerated(control) {
                 faults.push((
                     next,
-                    Fault::Kill(Place::Control((leaving + more) % control)),
+                    Fault::Kill(NodeId::Control((leaving + more) % control)),
                 ));
             }
             let report = run(fleet(control, leaving as u64 + 1, 30, faults));
@@ -152,14 +152,14 @@
                     let mut faults = vec![
                         (start, Fault::Start(spare(control, 0))),
                         (warned - 20, Fault::Configure),
-                        (warned, Fault::Retire(Place::Control(leaving))),
+                        (warned, Fault::Retire(NodeId::Control(leaving))),
                         // Callers were served before it; operators ask any node.
                         (18_200, Fault::Heal),
                         (18_500, Fault::Configure),
                         (24_000, Fault::ReadBack),
                     ];
                     for more in 1..=tolerated(control) {
-                        let other = Place::Control((leaving + more) % control);
+                        let other = NodeId::Control((leaving + more) % control);
                         let loss = if cut {
                             Fault::Isolate(other)
                         } else {
@@ -192,7 +192,7 @@
         let faults = (0..control)
             .map(|slot| {
                 let at = 8_000 + slot as u64 * 3_000;
-                (at, Fault::Restart(Place::Control(slot)))
+                (at, Fault::Restart(NodeId::Control(slot)))
             })
             .chain([(34_000, Fault::Configure), (37_000, Fault::ReadBack)])
             .collect();
@@ -216,16 +216,16 @@
     for control in SIZES {
         let mut faults = vec![
             (8_000, Fault::Start(spare(control, 0))),
-            (9_000, Fault::Retire(Place::Control(0))),
+            (9_000, Fault::Retire(NodeId::Control(0))),
             (9_500, Fault::Configure),
             (12_000, Fault::Start(spare(control, 1))),
-            (13_000, Fault::Retire(Place::Control(1))),
+            (13_000, Fault::Retire(NodeId::Control(1))),
             (13_200, Fault::Configure),
             (18_500, Fault::Configure),
             (22_000, Fault::ReadBack),
         ];
         for more in 0..tolerated(control) {
-            faults.push((16_000, Fault::Kill(Place::Control(control - 1 - more))));
+            faults.push((16_000, Fault::Kill(NodeId::Control(control - 1 - more))));
         }
         let report = run(fleet(control, 3, 30, faults));
         judge_after(&report, &control.to_string(), 20.0, 29.0, 4);
@@ -237,7 +237,7 @@
 fn newcomer_lost_at_any_step_is_replaced() {
     for control in SIZES {
         for step in (0..1_500).step_by(150) {
-            let leaving = Place::Control((step / 150) as usize % 3);
+            let leaving = NodeId::Control((step / 150) as usize % 3);
             let report = run(fleet(
                 control,
                 step + 1,
@@ -270,8 +270,8 @@
 fn replaced_partitioned_member_returns_as_newcomer() {
     for control in SIZES {
         for slot in 0..3 {
-            let cut = Place::Control(slot);
-            let leaving = Place::Control((slot + 1) % 3);
+            let cut = NodeId::Control(slot);
+            let leaving = NodeId::Control((slot + 1) % 3);
             let report = run(fleet(
                 control,
                 slot as u64 + 1,
@@ -282,7 +282,7 @@
                     (15_000, Fault::Heal),
                     (16_000, Fault::Configure),
                     (18_000, Fault::Retire(leaving)),
-                    (21_000, Fault::Kill(Place::Control((slot + 2) % 3))),
+                    (21_000, Fault::Kill(NodeId::Control((slot + 2) % 3))),
                     (23_000, Fault::Configure),
                     (27_000, Fault::ReadBack),
                 ],
@@ -309,9 +309,9 @@
             for (seed, more) in [0, 200, 600, 1_200].into_iter().enumerate() {
                 let leaving = seed % 3;
                 let end = if planned {
-                    Fault::Retire(Place::Control(leaving))
+                    Fault::Retire(NodeId::Control(leaving))
                 } else {
-                    Fault::Kill(Place::Control(leaving))
+                    Fault::Kill(NodeId::Control(leaving))
                 };
                 let first = (leaving + 1) % control;
                 let report = run(fleet(
@@ -323,7 +323,10 @@
                         (9_000, end),
                         (
                             8_000 + CATCH_UP + more,
-                            Fault::Trap(Moment::Configured, Loss::Disks(first, tolerated(control))),
+                            Fault::LossOnTrigger(
+                                Trigger::Configured,
+                                Loss::Disks(first, tolerated(control)),
+                            ),
                         ),
                         (8_010 + CATCH_UP + more, Fault::Configure),
                         (24_000, Fault::ReadBack),
@@ -348,11 +351,11 @@
 /// `--nocapture` the lines of the table in docs/figures.md.
 /// Its name, whose disk is to be full again, when it is lost and when what
 /// replaces it starts (both in ms), and what happens.
-type KindOfLoss = (&'static str, Place, u64, u64, [(u64, Fault); 2]);
+type KindOfLoss = (&'static str, NodeId, u64, u64, [(u64, Fault); 2]);
 
 #[test]
 fn reduced_redundancy_is_bounded_by_catch_up() {
-    let lost = Place::Control(1);
+    let lost = NodeId::Control(1);
     for control in SIZES {
         let new = spare(control, 0);
         let kinds: [KindOfLoss; 5] = [
--- a/simulate-fleet/src/scenarios_orders.rs
+++ b/simulate-fleet/src/scenarios_orders.rs
@@ -7,7 +7,7 @@
 /// Nothing is broken any more from here on.
 const MENDED: Duration = Duration::from_secs(40);
 /// All orders are sent once more from here on.
-const AGAIN: Duration = Duration::from_secs(50);
+const RETRY_INTERVAL: Duration = Duration::from_secs(50);
 const ITEMS: u64 = 3;
 /// A blank disk is refilled by then, and another may go.
 const REFILLED: u64 = 14_000;
@@ -21,7 +21,7 @@
 /// Bursts of up to eight orders at once, mostly two operators to a revision,
 /// and losses 1 to 400 ms after a burst.
 struct Plan {
-    dice: Dice,
+    random: SeededRandom,
     control: usize,
     orders: Vec<ItemOrder>,
     faults: Vec<(Duration, Fault)>,
@@ -34,7 +34,7 @@
 impl Plan {
     fn random(control: usize, seed: u64) -> WorldPlan {
         let mut plan = Plan {
-            dice: Dice::new(seed ^ 0x0D3E),
+            random: SeededRandom::new(seed ^ 0x0D3E),
             control,
             orders: Vec::new(),
             faults: Vec::new(),
@@ -49,7 +49,7 @@
         while at(time) < MENDED {
             plan.burst(time, &mut revision);
             plan.lose(time);
-            time += 3_000 + plan.dice.roll(3_000);
+            time += 3_000 + plan.random.below(3_000);
         }
         plan.mend();
         plan.repeat();
@@ -63,23 +63,23 @@
     }
 
     fn burst(&mut self, time: u64, revision: &mut u64) {
-        for _ in 0..=self.dice.roll(3) {
-            let name = format!("item-{}", self.dice.roll(ITEMS));
+        for _ in 0..=self.random.below(3) {
+            let name = format!("item-{}", self.random.below(ITEMS));
             // At times an older one comes after a newer.
-            let number = if self.dice.chance(20) {
+            let number = if self.random.chance(20) {
                 revision.saturating_sub(2).max(1)
             } else {
                 *revision
             };
-            *revision += 1 + self.dice.roll(2);
+            *revision += 1 + self.random.below(2);
             for operator in 0..2 {
                 let order = ItemOrder {
-                    at: at(time + self.dice.roll(5)),
-                    node: self.dice.roll(self.control as u64) as usize,
+                    at: at(time + self.random.below(5)),
+                    node: self.random.below(self.control as u64) as usize,
                     name: name.clone(),
                     revision: number,
-                    content: (number * 10) as u32 + operator * self.dice.roll(2) as u32,
-                    answers_lost: self.dice.roll(3) as u32,
+                    content: (number * 10) as u32 + operator * self.random.below(2) as u32,
+                    operator_responses_lost: self.random.below(3) as u32,
                 };
                 self.orders.push(order);
             }
@@ -87,12 +87,12 @@
     }
 
     fn lose(&mut self, time: u64) {
-        let lost = at(time + 1 + self.dice.roll(400));
-        let back = lost + at(500 + self.dice.roll(1_500));
+        let lost = at(time + 1 + self.random.below(400));
+        let back = lost + at(500 + self.random.below(1_500));
         let nodes = self.nodes_that_stay();
-        let place = nodes[self.dice.roll(nodes.len() as u64) as usize];
+        let place = nodes[self.random.below(nodes.len() as u64) as usize];
         let disk = time >= self.disks && self.replaced.is_none();
-        match self.dice.roll(6) {
+        match self.random.below(6) {
             0 => {
                 self.faults.push((lost, Fault::Kill(place)));
                 self.faults.push((back, Fault::Start(place)));
@@ -120,17 +120,17 @@
     /// One node is lost for good while orders are under way; an empty one that
     /// stands by takes its slot.
     fn replace(&mut self) {
-        let lost = self.dice.roll(self.control as u64) as usize;
-        let standby = Place::Control(self.control);
+        let lost = self.random.below(self.control as u64) as usize;
+        let standby = NodeId::Control(self.control);
         self.faults.push((at(8_000), Fault::Start(standby)));
         self.faults
-            .push((at(REPLACED), Fault::Kill(Place::Control(lost))));
+            .push((at(REPLACED), Fault::Kill(NodeId::Control(lost))));
         self.replaced = Some(lost);
     }
 
-    fn nodes_that_stay(&self) -> Vec<Place> {
+    fn nodes_that_stay(&self) -> Vec<NodeId> {
         let slots = (0..self.control).filter(|slot| Some(*slot) != self.replaced);
-        slots.map(Place::Control).collect()
+        slots.map(NodeId::Control).collect()
     }
 
     fn mend(&mut self) {
@@ -144,9 +144,9 @@
     fn repeat(&mut self) {
         for order in self.orders.clone() {
             self.orders.push(ItemOrder {
-                at: AGAIN,
+                at: RETRY_INTERVAL,
                 node: order.node + 1,
-                answers_lost: 0,
+                operator_responses_lost: 0,
                 ..order
             });
         }
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -12,7 +12,7 @@
 /// - Every fifth seed holds nothing but what operators and the platform do by
 ///   intent.
 pub struct Schedule {
-    pub(super) dice: Dice,
+    pub(super) random: SeededRandom,
     list: Vec<(Duration, Fault)>,
     pub(super) control: u64,
     pub(super) edges: u64,
@@ -31,7 +31,7 @@
 /// A blank disk is refilled in much less, once both others are there.
 pub(super) const REFILL: u64 = 14_000;
 /// Of a hundred troubles so many are those of `schedule_core`.
-const CORE_TROUBLE: u64 = 40;
+const CORE_FAULTS: u64 = 40;
 /// From the mending to the end.
 const QUIET: u64 = 26_000;
 
@@ -44,7 +44,7 @@
         span: Duration,
     ) -> Vec<(Duration, Fault)> {
         let mut schedule = Schedule {
-            dice: Dice::new(seed ^ 0x5EED),
+            random: SeededRandom::new(seed ^ 0x5EED),
             list: Vec::new(),
             control: control as u64,
             edges: deployment.edges as u64,
@@ -62,15 +62,15 @@
         };
         let planned = seed.is_multiple_of(5);
         // In some runs an empty node stands by for a lost slot.
-        schedule.standby = !planned && schedule.dice.chance(40);
-        let core_troubles = !schedule.standby || schedule.dice.chance(50);
+        schedule.standby = !planned && schedule.random.chance(40);
+        let core_troubles = !schedule.standby || schedule.random.chance(50);
         if schedule.standby && core_troubles {
             schedule.disks = u64::MAX;
         }
         if schedule.standby {
-            schedule.put(5_000, Fault::Start(Place::Control(control)));
+            schedule.put(5_000, Fault::Start(NodeId::Control(control)));
         }
-        if !planned && schedule.dice.chance(12) {
+        if !planned && schedule.random.chance(12) {
             schedule.lose_disks();
         }
         // A founding that is gathered takes longer.
@@ -78,12 +78,12 @@
         while at < schedule.end - 1_000 {
             if planned {
                 schedule.plan(at)
-            } else if core_troubles && schedule.dice.chance(CORE_TROUBLE) {
-                schedule.core_trouble(at)
+            } else if core_troubles && schedule.random.chance(CORE_FAULTS) {
+                schedule.core_faults(at)
             } else {
-                schedule.hurt(at)
+                schedule.draw_fault(at)
             }
-            at += 300 + schedule.dice.roll(2_500);
+            at += 300 + schedule.random.below(2_500);
         }
         schedule.mend();
         let mut list = schedule.list;
@@ -108,19 +108,19 @@
     }
 
     pub(super) fn later(&mut self, at: u64) -> u64 {
-        (at + 500 + self.dice.roll(5_000)).min(self.end)
+        (at + 500 + self.random.below(5_000)).min(self.end)
     }
 
-    pub(super) fn edge(&mut self) -> Place {
-        Place::Edge(self.dice.roll(self.edges) as usize)
+    pub(super) fn edge(&mut self) -> NodeId {
+        NodeId::Edge(self.random.below(self.edges) as usize)
     }
 
-    pub(super) fn control(&mut self) -> Place {
-        Place::Control(self.dice.roll(self.control) as usize)
+    pub(super) fn control(&mut self) -> NodeId {
+        NodeId::Control(self.random.below(self.control) as usize)
     }
 
-    pub(super) fn place(&mut self) -> Place {
-        if self.dice.chance(50) {
+    pub(super) fn place(&mut self) -> NodeId {
+        if self.random.chance(50) {
             self.edge()
         } else {
             self.control()
@@ -129,7 +129,7 @@
 
     /// What operators and the platform do by intent.
     fn plan(&mut self, at: u64) {
-        match self.dice.roll(11) {
+        match self.random.below(11) {
             0 | 1 => {
                 // One machine at a time.
                 let place = self.place();
@@ -143,7 +143,7 @@
                 self.put(at, Fault::Content);
                 self.put(at + 1, Fault::Purge("/".into()));
             }
-            4 => (0..3 + self.dice.roll(60)).for_each(|more| {
+            4 => (0..3 + self.random.below(60)).for_each(|more| {
                 self.put(
                     at + more * 15,
                     Fault::Purge(format!("/listing/{}", more % 20)),
@@ -151,52 +151,52 @@
             }),
             5 => self.put(at, Fault::Configure),
             // In quick succession.
-            6 => (0..2 + self.dice.roll(6))
+            6 => (0..2 + self.random.below(6))
                 .for_each(|more| self.put(at + more * 40, Fault::Configure)),
             7 => self.both(at, Fault::ConfigureInvalid, Fault::ReadBack),
             8 => {
-                let operators = 2 + self.dice.roll(4) as usize;
+                let operators = 2 + self.random.below(4) as usize;
                 self.both(at, Fault::Race(operators), Fault::ReadBack);
             }
             9 => {
-                let entries = 200 + self.dice.roll(1_500) as usize;
+                let entries = 200 + self.random.below(1_500) as usize;
                 self.both(at, Fault::Grow(entries), Fault::ReadBack);
             }
             _ => {
-                let origin = self.dice.roll(self.origins) as usize;
+                let origin = self.random.below(self.origins) as usize;
                 // At least one of each service stays.
                 if self.left.is_empty() && self.left.insert(origin) {
-                    self.put(at, Fault::Leave(origin));
-                    self.put(at + 4_000, Fault::Origin(origin, Mood::Down));
+                    self.put(at, Fault::DrainOrigin(origin));
+                    self.put(at + 4_000, Fault::Origin(origin, OriginBehavior::Down));
                 }
             }
         }
     }
 
-    fn hurt(&mut self, at: u64) {
+    fn draw_fault(&mut self, at: u64) {
         let (edge, control, place) = (self.edge(), self.control(), self.place());
-        let origin = self.dice.roll(self.origins) as usize;
-        let service = self.dice.roll(self.services) as usize;
-        match self.dice.roll(if self.control == 3 { 31 } else { 35 }) {
+        let origin = self.random.below(self.origins) as usize;
+        let service = self.random.below(self.services) as usize;
+        match self.random.below(if self.control == 3 { 31 } else { 35 }) {
             0 | 1 => self.both(at, Fault::Kill(place), Fault::Start(place)),
             2 | 3 => {
-                let span = Duration::from_millis(200 + self.dice.roll(4_000));
+                let span = Duration::from_millis(200 + self.random.below(4_000));
                 self.put(at, Fault::Pause(place, span));
             }
             4 => self.put(at, Fault::Restart(place)),
-            5 => self.both(at, Fault::Cut(place, control), Fault::Heal),
-            6 => self.both(at, Fault::Cut(control, place), Fault::Heal),
+            5 => self.both(at, Fault::DropLink(place, control), Fault::Heal),
+            6 => self.both(at, Fault::DropLink(control, place), Fault::Heal),
             7 => self.both(at, Fault::Isolate(place), Fault::Heal),
             8 => {
-                let weather = Fault::Weather {
-                    lost: self.dice.roll(20),
-                    doubled: self.dice.roll(20),
-                    late: self.dice.roll(30),
+                let weather = Fault::LossyNetwork {
+                    lost: self.random.below(20),
+                    doubled: self.random.below(20),
+                    late: self.random.below(30),
                 };
                 self.both(
                     at,
                     weather,
-                    Fault::Weather {
+                    Fault::LossyNetwork {
                         lost: 0,
                         doubled: 0,
                         late: 0,
@@ -204,21 +204,29 @@
                 );
             }
             9..=12 => {
-                let mood = [Mood::Down, Mood::Mute, Mood::VerySlow, Mood::WrongBytes]
-                    [self.dice.roll(4) as usize];
+                let behavior = [
+                    OriginBehavior::Down,
+                    OriginBehavior::Mute,
+                    OriginBehavior::VerySlow,
+                    OriginBehavior::WrongBytes,
+                ][self.random.below(4) as usize];
                 self.both(
                     at,
-                    Fault::Origin(origin, mood),
-                    Fault::Origin(origin, Mood::Good),
+                    Fault::Origin(origin, behavior),
+                    Fault::Origin(origin, OriginBehavior::Good),
                 );
             }
             13 => {
-                let mood = [Mood::Slow, Mood::VerySlow, Mood::Mute, Mood::WrongBytes]
-                    [self.dice.roll(4) as usize];
+                let behavior = [
+                    OriginBehavior::Slow,
+                    OriginBehavior::VerySlow,
+                    OriginBehavior::Mute,
+                    OriginBehavior::WrongBytes,
+                ][self.random.below(4) as usize];
                 self.both(
                     at,
-                    Fault::Service(service, mood),
-                    Fault::Service(service, Mood::Good),
+                    Fault::Service(service, behavior),
+                    Fault::Service(service, OriginBehavior::Good),
                 );
             }
             14 => self.put(at, Fault::Replace(origin)),
@@ -229,28 +237,28 @@
                 // The process there ends and another service's takes the address.
                 if self.left.is_empty() {
                     self.left.insert(origin);
-                    self.put(at, Fault::Origin(origin, Mood::Down));
-                    self.put(at + 300, Fault::Usurp(origin));
-                    self.put(at + 301, Fault::Origin(origin, Mood::Good));
+                    self.put(at, Fault::Origin(origin, OriginBehavior::Down));
+                    self.put(at + 300, Fault::ReuseAddress(origin));
+                    self.put(at + 301, Fault::Origin(origin, OriginBehavior::Good));
                 }
             }
             17 => {
                 // Power fails for a group of nodes at once.
                 let later = self.later(at);
-                let share = [30, 60, 100][self.dice.roll(3) as usize];
+                let share = [30, 60, 100][self.random.below(3) as usize];
                 for place in (0..self.control as usize)
-                    .map(Place::Control)
-                    .chain((0..self.edges as usize).map(Place::Edge))
+                    .map(NodeId::Control)
+                    .chain((0..self.edges as usize).map(NodeId::Edge))
                 {
-                    if self.dice.chance(share) {
+                    if self.random.chance(share) {
                         self.put(at, Fault::Kill(place));
                         self.put(later, Fault::Start(place));
                     }
                 }
                 self.put(later, Fault::Heal);
                 // One goes again while the others recover.
-                if self.dice.chance(50) {
-                    let again = later + 300 + self.dice.roll(2_000);
+                if self.random.chance(50) {
+                    let again = later + 300 + self.random.below(2_000);
                     self.both(again, Fault::Kill(control), Fault::Start(control));
                 }
             }
@@ -263,20 +271,29 @@
                 let other = self.control();
                 let later = self.later(at);
                 self.put(at, Fault::Isolate(control));
-                self.put(at, Fault::Cut(place, other));
+                self.put(at, Fault::DropLink(place, other));
                 self.put(later, Fault::Heal);
             }
             20 => {
                 // Each half of the edges keeps one side of the core.
-                let (one, later) = (self.dice.roll(self.control) as usize, self.later(at));
+                let (one, later) = (self.random.below(self.control) as usize, self.later(at));
                 for other in (0..self.control as usize).filter(|other| *other != one) {
-                    self.put(at, Fault::Cut(Place::Control(one), Place::Control(other)));
-                    self.put(at, Fault::Cut(Place::Control(other), Place::Control(one)));
+                    self.put(
+                        at,
+                        Fault::DropLink(NodeId::Control(one), NodeId::Control(other)),
+                    );
+                    self.put(
+                        at,
+                        Fault::DropLink(NodeId::Control(other), NodeId::Control(one)),
+                    );
                 }
                 for edge in 0..self.edges as usize {
                     for slot in 0..self.control as usize {
                         if (slot == one) == (edge % 2 == 0) {
-                            self.put(at, Fault::Cut(Place::Edge(edge), Place::Control(slot)));
+                            self.put(
+                                at,
+                                Fault::DropLink(NodeId::Edge(edge), NodeId::Control(slot)),
+                            );
                         }
                     }
                 }
@@ -290,47 +307,47 @@
                 self.put(later + 500, Fault::Start(control));
             }
             22 | 23 => {
-                let moment = Moment::ALL[self.dice.roll(3) as usize];
-                let slot = self.dice.roll(self.control) as usize;
-                let mut loss =
-                    [Loss::Power, Loss::Disk(slot), Loss::Room(slot)][self.dice.roll(3) as usize];
+                let trigger = Trigger::ALL[self.random.below(3) as usize];
+                let slot = self.random.below(self.control) as usize;
+                let mut loss = [Loss::Power, Loss::Disk(slot), Loss::DiskSpace(slot)]
+                    [self.random.below(3) as usize];
                 if at < self.disks {
                     loss = Loss::Power;
                 }
                 if loss != Loss::Power {
                     self.disks = at + REFILL;
                 }
-                self.put(at, Fault::Trap(moment, loss));
+                self.put(at, Fault::LossOnTrigger(trigger, loss));
                 self.put(
                     at + 5,
-                    if moment == Moment::Purged {
+                    if trigger == Trigger::Purged {
                         Fault::Purge("/".into())
                     } else {
                         Fault::Configure
                     },
                 );
-                if let Loss::Room(slot) = loss {
-                    self.put(at + 4_000, Fault::Kill(Place::Control(slot)));
-                    self.put(at + 4_500, Fault::Start(Place::Control(slot)));
+                if let Loss::DiskSpace(slot) = loss {
+                    self.put(at + 4_000, Fault::Kill(NodeId::Control(slot)));
+                    self.put(at + 4_500, Fault::Start(NodeId::Control(slot)));
                 }
             }
             // As many disks as may be lost at once, while all lose power.
             31..=33 if at >= self.disks => {
                 self.disks = at + REFILL;
-                let (moment, slot) = (
-                    Moment::ALL[self.dice.roll(3) as usize],
-                    self.dice.roll(self.control) as usize,
+                let (trigger, slot) = (
+                    Trigger::ALL[self.random.below(3) as usize],
+                    self.random.below(self.control) as usize,
                 );
                 self.put(
                     at,
-                    Fault::Trap(
-                        moment,
+                    Fault::LossOnTrigger(
+                        trigger,
                         Loss::Disks(slot, Schedule::borne(self.control as usize)),
                     ),
                 );
                 self.put(
                     at + 5,
-                    if moment == Moment::Purged {
+                    if trigger == Trigger::Purged {
                         Fault::Purge("/".into())
                     } else {
                         Fault::Configure
@@ -339,7 +356,7 @@
             }
             // A slot is gone for longer than it takes an empty node to get it.
             34 => {
-                self.put(at, Fault::Start(Place::Control(self.control as usize)));
+                self.put(at, Fault::Start(NodeId::Control(self.control as usize)));
                 self.put(at, Fault::Kill(control));
                 self.put(at + 9_000, Fault::Start(control));
             }
@@ -351,15 +368,15 @@
     /// Two or three disks at once, sometimes with an edge: everything is back
     /// before anything else happens to a disk.
     fn lose_disks(&mut self) {
-        let at = 8_000 + self.dice.roll((self.end - 8_000) / 2);
-        let spared = self.dice.roll(6) as usize;
+        let at = 8_000 + self.random.below((self.end - 8_000) / 2);
+        let spared = self.random.below(6) as usize;
         for slot in (0..self.control as usize).filter(|slot| *slot != spared) {
-            self.put(at, Fault::Wipe(Place::Control(slot)));
-            self.put(at + 2_000, Fault::Start(Place::Control(slot)));
+            self.put(at, Fault::Wipe(NodeId::Control(slot)));
+            self.put(at + 2_000, Fault::Start(NodeId::Control(slot)));
         }
-        if self.dice.chance(40) {
+        if self.random.chance(40) {
             let edge = self.edge();
-            let before = self.dice.roll(300);
+            let before = self.random.below(300);
             self.put(at - before, Fault::Kill(edge));
             self.put(at + 2_000, Fault::Start(edge));
         }
@@ -374,22 +391,22 @@
         self.put(at, Fault::Heal);
         self.put(
             at,
-            Fault::Weather {
+            Fault::LossyNetwork {
                 lost: 0,
                 doubled: 0,
                 late: 0,
             },
         );
         for origin in 0..self.origins as usize {
-            self.put(at, Fault::Origin(origin, Mood::Good));
+            self.put(at, Fault::Origin(origin, OriginBehavior::Good));
         }
         // A disk that is full refuses until its node is started with room.
-        let full: Vec<Place> = self
+        let full: Vec<NodeId> = self
             .list
             .iter()
             .filter_map(|(_, fault)| match fault {
                 Fault::DiskFull(place) => Some(*place),
-                Fault::Trap(_, Loss::Room(slot)) => Some(Place::Control(*slot)),
+                Fault::LossOnTrigger(_, Loss::DiskSpace(slot)) => Some(NodeId::Control(*slot)),
                 _ => None,
             })
             .collect();
@@ -397,10 +414,10 @@
             .for_each(|place| self.put(at, Fault::Kill(place)));
         let spare = self
             .standby
-            .then_some(Place::Control(self.control as usize));
+            .then_some(NodeId::Control(self.control as usize));
         for place in (0..self.control as usize)
-            .map(Place::Control)
-            .chain((0..self.edges as usize).map(Place::Edge))
+            .map(NodeId::Control)
+            .chain((0..self.edges as usize).map(NodeId::Edge))
             .chain(spare)
         {
             self.put(at + 100, Fault::Start(place));
--- a/simulate-fleet/src/schedule_core.rs
+++ b/simulate-fleet/src/schedule_core.rs
@@ -11,14 +11,14 @@
 const CATCH_UP: u64 = 4_500;
 
 impl Schedule {
-    pub(super) fn core_trouble(&mut self, at: u64) {
-        match self.dice.roll(15) {
+    pub(super) fn core_faults(&mut self, at: u64) {
+        match self.random.below(15) {
             0..=2 => self.member_cut_off(at),
             3 => self.member_frozen(at),
             4 => self.process_slow(at),
             5 | 6 => self.disk_hangs(at),
-            7 => self.answers_lost(at),
-            8 => self.seeds_turned(at),
+            7 => self.operator_responses_lost(at),
+            8 => self.seeds_rotation(at),
             9 => self.order_then_loss(at),
             10 => self.connections_reset(at),
             11 => self.member_replaced(at),
@@ -29,7 +29,7 @@
     }
 
     fn between(&mut self, (low, high): (u64, u64)) -> u64 {
-        low + self.dice.roll(high - low)
+        low + self.random.below(high - low)
     }
 
     /// A span that ends before the mending.
@@ -38,13 +38,13 @@
         Duration::from_millis(self.between((low, high)).min(most))
     }
 
-    fn slot(&mut self) -> Place {
+    fn slot(&mut self) -> NodeId {
         self.control()
     }
 
     /// One order of an operator, of any kind.
     fn order(&mut self, at: u64) {
-        match self.dice.roll(4) {
+        match self.random.below(4) {
             0 => self.put(at, Fault::Configure),
             1 => self.put(at, Fault::Purge("/".into())),
             2 => self.put(at, Fault::Race(3)),
@@ -54,7 +54,7 @@
 
     fn orders(&mut self, from: u64, span: u64, count: u64) {
         for _ in 0..count {
-            let at = from + self.dice.roll(span);
+            let at = from + self.random.below(span);
             self.order(at);
         }
         self.put(from + span, Fault::ReadBack);
@@ -64,34 +64,34 @@
     /// another, maybe with a restart of either side.
     fn member_cut_off(&mut self, at: u64) {
         let place = self.slot();
-        let scope = CutScope::ALL[self.dice.roll(4) as usize];
+        let scope = PartitionScope::ALL[self.random.below(4) as usize];
         let span = self.span(at, 500, LONG);
         let length = span.as_millis() as u64;
-        self.put(at, Fault::CutOff(place, scope, span));
+        self.put(at, Fault::Partition(place, scope, span));
         self.orders(at + 100, length, 4);
-        if self.dice.chance(40) {
-            let other = if self.dice.chance(50) {
+        if self.random.chance(40) {
+            let other = if self.random.chance(50) {
                 place
             } else {
                 self.slot()
             };
-            let restart = at + self.dice.roll(length);
-            if self.dice.chance(50) {
+            let restart = at + self.random.below(length);
+            if self.random.chance(50) {
                 self.put(restart, Fault::Restart(other));
             } else {
                 self.both(restart, Fault::Kill(other), Fault::Start(other));
             }
         }
-        if self.dice.chance(25) {
-            let (other, begin) = (self.slot(), at + self.dice.roll(2_000));
-            let scope = CutScope::ALL[self.dice.roll(4) as usize];
+        if self.random.chance(25) {
+            let (other, begin) = (self.slot(), at + self.random.below(2_000));
+            let scope = PartitionScope::ALL[self.random.below(4) as usize];
             let span = self.span(begin, 500, LONG);
-            self.put(begin, Fault::CutOff(other, scope, span));
+            self.put(begin, Fault::Partition(other, scope, span));
         }
-        if self.dice.chance(30) {
-            let again = at + length + self.dice.roll(2_000);
+        if self.random.chance(30) {
+            let again = at + length + self.random.below(2_000);
             let span = self.span(again, 500, LONG);
-            self.put(again, Fault::CutOff(place, scope, span));
+            self.put(again, Fault::Partition(place, scope, span));
         }
     }
 
@@ -113,7 +113,7 @@
     fn disk_hangs(&mut self, at: u64) {
         let place = self.slot();
         let span = self.span(at, 500, 10_000);
-        let fault = if self.dice.chance(50) {
+        let fault = if self.random.chance(50) {
             Fault::StallDisk(place, span)
         } else {
             Fault::SlowDisk(place, span)
@@ -121,29 +121,29 @@
         self.put(at, fault);
         let length = span.as_millis() as u64;
         self.orders(at + 5, length, 3);
-        if self.dice.chance(40) {
-            let killed = at + self.dice.roll(length);
+        if self.random.chance(40) {
+            let killed = at + self.random.below(length);
             self.both(killed, Fault::Kill(place), Fault::Start(place));
         }
     }
 
     /// Answers to orders are lost, and members come and go meanwhile.
-    fn answers_lost(&mut self, at: u64) {
+    fn operator_responses_lost(&mut self, at: u64) {
         let span = self.span(at, 2_000, 8_000);
         let length = span.as_millis() as u64;
-        self.put(at, Fault::LoseAnswers(span));
+        self.put(at, Fault::LoseOperatorResponses(span));
         self.orders(at + 5, length, 4);
         let place = self.slot();
         let lost = at + self.between(AFTER_ORDER);
-        match self.dice.roll(3) {
+        match self.random.below(3) {
             0 => self.both(lost, Fault::Kill(place), Fault::Start(place)),
             1 => self.put(lost, Fault::Restart(place)),
             _ => {}
         }
     }
 
-    fn seeds_turned(&mut self, at: u64) {
-        self.put(at, Fault::TurnSeeds);
+    fn seeds_rotation(&mut self, at: u64) {
+        self.put(at, Fault::ReorderSeeds);
         let place = self.place();
         self.both(at + 10, Fault::Kill(place), Fault::Start(place));
     }
@@ -153,7 +153,7 @@
         self.order(at);
         let lost = at + self.between(AFTER_ORDER);
         let place = self.slot();
-        match self.dice.roll(4) {
+        match self.random.below(4) {
             0 => self.both(lost, Fault::Kill(place), Fault::Start(place)),
             1 if at >= self.disks => {
                 self.disks = at + REFILL;
@@ -168,9 +168,9 @@
 
     /// The first control nodes and edges are killed and back within seconds.
     fn processes_killed(&mut self, at: u64, control: u64, edges: u64) {
-        let back = at + 300 + self.dice.roll(3_000);
-        let control = (0..control as usize).map(Place::Control);
-        let edges = (0..edges as usize).map(Place::Edge);
+        let back = at + 300 + self.random.below(3_000);
+        let control = (0..control as usize).map(NodeId::Control);
+        let edges = (0..edges as usize).map(NodeId::Edge);
         for place in control.chain(edges) {
             self.put(at, Fault::Kill(place));
             self.put(back, Fault::Start(place));
@@ -183,7 +183,7 @@
             return;
         }
         self.order(at);
-        for more in 0..1 + self.dice.roll(6) {
+        for more in 0..1 + self.random.below(6) {
             self.put(at + more * 7, Fault::Reset(one, other));
         }
     }
@@ -195,10 +195,10 @@
             return;
         }
         self.disks = u64::MAX;
-        let (old, new) = (self.slot(), Place::Control(self.control as usize));
+        let (old, new) = (self.slot(), NodeId::Control(self.control as usize));
         self.standby = true;
-        let later = at + 500 + self.dice.roll(6_000);
-        if self.dice.chance(50) {
+        let later = at + 500 + self.random.below(6_000);
+        if self.random.chance(50) {
             self.put(at, Fault::Start(new));
             self.put(later, Fault::Retire(old));
         } else {
@@ -206,8 +206,8 @@
             self.put(later, Fault::Start(new));
         }
         self.orders(at + 10, later - at + 6_000, 4);
-        if self.dice.chance(50) {
-            let back = later + 1_000 + self.dice.roll(15_000);
+        if self.random.chance(50) {
+            let back = later + 1_000 + self.random.below(15_000);
             self.put(back, Fault::Start(old));
         }
     }
@@ -222,25 +222,25 @@
 
     /// Grey for a while, or gone and back again and again.
     fn origin_grey(&mut self, at: u64) {
-        let origin = self.dice.roll(self.origins) as usize;
-        let service = self.dice.roll(self.services) as usize;
-        match self.dice.roll(3) {
+        let origin = self.random.below(self.origins) as usize;
+        let service = self.random.below(self.services) as usize;
+        match self.random.below(3) {
             0 => self.both(
                 at,
-                Fault::Origin(origin, Mood::Grey),
-                Fault::Origin(origin, Mood::Good),
+                Fault::Origin(origin, OriginBehavior::Grey),
+                Fault::Origin(origin, OriginBehavior::Good),
             ),
             1 => self.both(
                 at,
-                Fault::Service(service, Mood::Grey),
-                Fault::Service(service, Mood::Good),
+                Fault::Service(service, OriginBehavior::Grey),
+                Fault::Service(service, OriginBehavior::Good),
             ),
             _ => {
-                let step = 150 + self.dice.roll(700);
-                for round in 0..3 + self.dice.roll(6) {
+                let step = 150 + self.random.below(700);
+                for round in 0..3 + self.random.below(6) {
                     let down = at + 2 * round * step;
-                    self.put(down, Fault::Origin(origin, Mood::Down));
-                    self.put(down + step, Fault::Origin(origin, Mood::Good));
+                    self.put(down, Fault::Origin(origin, OriginBehavior::Down));
+                    self.put(down + step, Fault::Origin(origin, OriginBehavior::Good));
                 }
             }
         }
@@ -254,7 +254,7 @@
         }
         self.disks = at + REFILL;
         let (first, second) = (self.slot(), self.slot());
-        let started = at + 200 + self.dice.roll(1_000);
+        let started = at + 200 + self.random.below(1_000);
         self.put(at, Fault::Wipe(first));
         self.put(started, Fault::Start(first));
         let lost = started + CATCH_UP;
--- a/simulate-fleet/src/script.rs
+++ b/simulate-fleet/src/script.rs
@@ -27,8 +27,8 @@
     /// Operators in a race, entries of a growth.
     #[serde(default)]
     count: Option<usize>,
-    #[serde(default)]
-    moment: Option<String>,
+    #[serde(default, rename = "moment")]
+    trigger: Option<String>,
     /// What a node that is cut off does not reach.
     #[serde(default)]
     scope: Option<String>,
@@ -81,9 +81,9 @@
 
     /// The script that says the same, a line each.
     pub fn write(list: &[(Duration, Fault)], deployment: &Deployment) -> String {
-        let node = |place: &Place| match place {
-            Place::Control(slot) => format!("control-{slot}"),
-            Place::Edge(at) => format!("edge-{at}"),
+        let node = |place: &NodeId| match place {
+            NodeId::Control(slot) => format!("control-{slot}"),
+            NodeId::Edge(at) => format!("edge-{at}"),
         };
         let lines: Vec<String> = list
             .iter()
@@ -105,17 +105,17 @@
                         set("to", node(to).into());
                         set("seconds", span.as_secs_f64().into());
                     }
-                    Fault::CutOff(to, scope, span) => {
+                    Fault::Partition(to, scope, span) => {
                         set("to", node(to).into());
                         set("scope", scope.name().into());
                         set("seconds", span.as_secs_f64().into());
                     }
-                    Fault::LoseAnswers(span) => set("seconds", span.as_secs_f64().into()),
-                    Fault::Cut(to, other) | Fault::Reset(to, other) => {
+                    Fault::LoseOperatorResponses(span) => set("seconds", span.as_secs_f64().into()),
+                    Fault::DropLink(to, other) | Fault::Reset(to, other) => {
                         set("to", node(to).into());
                         set("other", node(other).into());
                     }
-                    Fault::Weather {
+                    Fault::LossyNetwork {
                         lost,
                         doubled,
                         late,
@@ -123,16 +123,18 @@
                         .into_iter()
                         .for_each(|(name, share)| set(name, (*share).into())),
                     Fault::Origin(to, _)
-                    | Fault::Leave(to)
-                    | Fault::Usurp(to)
+                    | Fault::DrainOrigin(to)
+                    | Fault::ReuseAddress(to)
                     | Fault::Replace(to) => set("to", format!("origin-{to}").into()),
                     Fault::Service(to, _) => set("to", deployment.services[*to].name.into()),
                     Fault::Purge(prefix) => set("prefix", prefix.as_str().into()),
                     Fault::Grow(count) | Fault::Race(count) => set("count", (*count).into()),
-                    Fault::Trap(moment, loss) => {
-                        set("moment", moment.name().into());
-                        if let Loss::Disk(slot) | Loss::Room(slot) | Loss::Disks(slot, _) = loss {
-                            set("to", node(&Place::Control(*slot)).into());
+                    Fault::LossOnTrigger(trigger, loss) => {
+                        set("moment", trigger.name().into());
+                        if let Loss::Disk(slot) | Loss::DiskSpace(slot) | Loss::Disks(slot, _) =
+                            loss
+                        {
+                            set("to", node(&NodeId::Control(*slot)).into());
                         }
                         if let Loss::Disks(_, count) = loss {
                             set("count", (*count).into());
@@ -153,12 +155,17 @@
         })
     }
 
-    fn scope(line: &Line, say: &mut dyn FnMut(&str, &str)) -> CutScope {
-        let name = line.scope.as_deref().unwrap_or(CutScope::Everybody.name());
-        let known = CutScope::ALL.into_iter().find(|scope| scope.name() == name);
+    fn scope(line: &Line, say: &mut dyn FnMut(&str, &str)) -> PartitionScope {
+        let name = line
+            .scope
+            .as_deref()
+            .unwrap_or(PartitionScope::Everybody.name());
+        let known = PartitionScope::ALL
+            .into_iter()
+            .find(|scope| scope.name() == name);
         known.unwrap_or_else(|| {
             say("scope", "no such scope; see docs/simulator.md");
-            CutScope::Everybody
+            PartitionScope::Everybody
         })
     }
 
@@ -176,10 +183,10 @@
             let name = name.as_deref().unwrap_or("");
             let node = number(name, "control-")
                 .filter(|at| *at <= control)
-                .map(Place::Control);
+                .map(NodeId::Control);
             node.or(number(name, "edge-")
                 .filter(|at| *at < deployment.edges)
-                .map(Place::Edge))
+                .map(NodeId::Edge))
         };
         let origins: usize = deployment
             .services
@@ -192,7 +199,7 @@
             .as_deref()
             .and_then(|name| number(name, "origin-"))
             .filter(|at| *at < origins);
-        let node = |make: &dyn Fn(Place) -> Fault, say: &mut dyn FnMut(&str, &str)| {
+        let node = |make: &dyn Fn(NodeId) -> Fault, say: &mut dyn FnMut(&str, &str)| {
             if to.is_none() {
                 say(
                     "to",
@@ -234,40 +241,45 @@
             "cut-off" => {
                 let span = Script::span(line, say);
                 let scope = Script::scope(line, say);
-                node(&|place| Fault::CutOff(place, scope, span), say)
+                node(&|place| Fault::Partition(place, scope, span), say)
             }
-            "lose-answers" => Some(Fault::LoseAnswers(Script::span(line, say))),
+            "lose-answers" => Some(Fault::LoseOperatorResponses(Script::span(line, say))),
             "reset" => {
                 if other.is_none() {
                     say("other", "must be a node: the other end");
                 }
                 node(&|place| Fault::Reset(place, other.unwrap_or(place)), say)
             }
-            "turn-seeds" => Some(Fault::TurnSeeds),
+            "turn-seeds" => Some(Fault::ReorderSeeds),
             "put-item" => Some(Fault::PutItem),
             "cut" => {
                 if other.is_none() {
                     say("other", "must be a node: nothing gets to it any more");
                 }
-                node(&|place| Fault::Cut(place, other.unwrap_or(place)), say)
+                node(&|place| Fault::DropLink(place, other.unwrap_or(place)), say)
             }
             "heal" => Some(Fault::Heal),
-            "weather" => Some(Fault::Weather {
+            "weather" => Some(Fault::LossyNetwork {
                 lost: line.lost.unwrap_or(0),
                 doubled: line.doubled.unwrap_or(0),
                 late: line.late.unwrap_or(0),
             }),
-            "origin-leave" => back(&Fault::Leave, say),
+            "origin-leave" => back(&Fault::DrainOrigin, say),
             "origin-replace" => back(&Fault::Replace, say),
-            "origin-usurp" => back(&Fault::Usurp, say),
-            name if Mood::ALL.iter().any(|mood| mood.name() == name) => {
-                let mood = Mood::ALL.into_iter().find(|mood| mood.name() == name)?;
-                back(&|at| Fault::Origin(at, mood), say)
+            "origin-usurp" => back(&Fault::ReuseAddress, say),
+            name if OriginBehavior::ALL
+                .iter()
+                .any(|behavior| behavior.name() == name) =>
+            {
+                let behavior = OriginBehavior::ALL
+                    .into_iter()
+                    .find(|behavior| behavior.name() == name)?;
+                back(&|at| Fault::Origin(at, behavior), say)
             }
             name if name.starts_with("service-") => {
-                let mood = Mood::ALL
-                    .into_iter()
-                    .find(|mood| mood.name()["origin-".len()..] == name["service-".len()..]);
+                let behavior = OriginBehavior::ALL.into_iter().find(|behavior| {
+                    behavior.name()["origin-".len()..] == name["service-".len()..]
+                });
                 let service = deployment
                     .services
                     .iter()
@@ -275,20 +287,20 @@
                 if service.is_none() {
                     say("to", "must be a service of the deployment");
                 }
-                if mood.is_none() {
+                if behavior.is_none() {
                     say("do", "no such fault or change; see docs/simulator.md");
                 }
-                Some(Fault::Service(service?, mood?))
+                Some(Fault::Service(service?, behavior?))
             }
             "power-on" | "disk-lost-on" | "disks-lost-on" | "disk-full-on" => {
-                let moment = Moment::ALL
+                let trigger = Trigger::ALL
                     .into_iter()
-                    .find(|moment| Some(moment.name()) == line.moment.as_deref());
-                if moment.is_none() {
+                    .find(|trigger| Some(trigger.name()) == line.trigger.as_deref());
+                if trigger.is_none() {
                     say("moment", "must be configured, purged or booked");
                 }
                 let slot = match to {
-                    Some(Place::Control(slot)) => slot,
+                    Some(NodeId::Control(slot)) => slot,
                     _ if line.what == "power-on" => 0,
                     _ => {
                         say("to", "must be a control node");
@@ -299,9 +311,9 @@
                     "power-on" => Loss::Power,
                     "disk-lost-on" => Loss::Disk(slot),
                     "disks-lost-on" => Loss::Disks(slot, line.count.unwrap_or(1)),
-                    _ => Loss::Room(slot),
+                    _ => Loss::DiskSpace(slot),
                 };
-                Some(Fault::Trap(moment?, loss))
+                Some(Fault::LossOnTrigger(trigger?, loss))
             }
             "content" => Some(Fault::Content),
             "purge" => Some(Fault::Purge(
--- a/simulate-fleet/src/script/tests.rs
+++ b/simulate-fleet/src/script/tests.rs
@@ -23,7 +23,7 @@
         list[1],
         (
             Duration::from_millis(9500),
-            Fault::Cut(Place::Control(0), Place::Edge(3))
+            Fault::DropLink(NodeId::Control(0), NodeId::Edge(3))
         )
     );
     let bad = r#"[{"at":-1,"do":"kill","to":"edge-9"},{"at":1,"do":"explode"},{"at":1,"do":"pause","to":"edge-0"},
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -42,13 +42,13 @@
                 .collect()
         };
         let first = broken(&plan.faults).first().copied();
-        let (mends, hurts): (Vec<_>, Vec<_>) = plan
+        let (repairs, hurts): (Vec<_>, Vec<_>) = plan
             .faults
             .iter()
             .cloned()
-            .partition(|(_, fault)| fault.mends());
+            .partition(|(_, fault)| fault.repairs());
         let whole = |hurts: &[(Duration, Fault)]| {
-            let mut list = [mends.as_slice(), hurts].concat();
+            let mut list = [repairs.as_slice(), hurts].concat();
             list.sort_by_key(|(at, _)| *at);
             list
         };
@@ -57,7 +57,7 @@
         let hurts = Shrink::list(hurts.clone(), &|hurts| breaks(&whole(hurts)));
         // Then those mends that mend nothing any more: all of one kind at once.
         let all = whole(&hurts);
-        let kinds: BTreeSet<String> = mends.iter().map(|(_, fault)| fault.kind()).collect();
+        let kinds: BTreeSet<String> = repairs.iter().map(|(_, fault)| fault.kind()).collect();
         kinds
             .into_iter()
             .filter(|kind| kind != "start")
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -49,7 +49,7 @@
 
 /// A process in the simulation: a part and what its host would hold.
 pub struct SimNode {
-    pub place: Place,
+    pub place: NodeId,
     pub peer: Peer,
     pub zone: String,
     pub part: Option<Box<dyn StateMachine>>,
@@ -101,7 +101,7 @@
 }
 
 impl SimNode {
-    pub fn new(place: Place, address: SocketAddr, zone: &str) -> SimNode {
+    pub fn new(place: NodeId, address: SocketAddr, zone: &str) -> SimNode {
         SimNode {
             place,
             peer: Peer::new(address, 0),
@@ -154,7 +154,7 @@
         self.retiring = false;
         (self.fence, self.ready, self.image, self.ending) = (Duration::ZERO, false, None, false);
         self.part = Some(match self.place {
-            Place::Control(_) => {
+            NodeId::Control(_) => {
                 let known = Replica::replay(&self.disk.synced).expect("synced records read back");
                 let known = known.map(|replica| self.disk.renew_if_removed(replica, incarnation));
                 let blank = known
@@ -172,7 +172,7 @@
                 self.peer = part.me();
                 Box::new(part)
             }
-            Place::Edge(_) => {
+            NodeId::Edge(_) => {
                 self.peer.incarnation = incarnation;
                 Box::new(EdgeNode::new(
                     self.peer,
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -3,7 +3,7 @@
 
 /// How an origin behaves now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
+pub enum OriginBehavior {
     Good,
     Down,
     /// Answers nothing; whether it ran is anybody's guess (it did).
@@ -16,15 +16,15 @@
     Grey,
 }
 
-impl Mood {
-    pub const ALL: [Mood; 7] = [
-        Mood::Good,
-        Mood::Down,
-        Mood::Mute,
-        Mood::Slow,
-        Mood::VerySlow,
-        Mood::WrongBytes,
-        Mood::Grey,
+impl OriginBehavior {
+    pub const ALL: [OriginBehavior; 7] = [
+        OriginBehavior::Good,
+        OriginBehavior::Down,
+        OriginBehavior::Mute,
+        OriginBehavior::Slow,
+        OriginBehavior::VerySlow,
+        OriginBehavior::WrongBytes,
+        OriginBehavior::Grey,
     ];
 
     pub fn name(self) -> &'static str {
@@ -41,13 +41,13 @@
 }
 
 /// How a grey origin takes its calls, each as likely as the others.
-const GREY: [Mood; 6] = [
-    Mood::Good,
-    Mood::Good,
-    Mood::Good,
-    Mood::Slow,
-    Mood::Mute,
-    Mood::WrongBytes,
+const GREY: [OriginBehavior; 6] = [
+    OriginBehavior::Good,
+    OriginBehavior::Good,
+    OriginBehavior::Good,
+    OriginBehavior::Slow,
+    OriginBehavior::Mute,
+    OriginBehavior::WrongBytes,
 ];
 
 /// An origin as the simulated network shows it.
@@ -57,7 +57,7 @@
     /// Who really listens there.
     pub service: String,
     pub instance: String,
-    pub mood: Mood,
+    pub behavior: OriginBehavior,
 }
 
 impl SimOrigin {
@@ -68,13 +68,13 @@
         call: &Call,
         at: f64,
         version: u64,
-        dice: &mut Dice,
+        random: &mut SeededRandom,
     ) -> (Duration, CallOutcome, Option<OriginRecord>) {
-        let span = |low: u64, high: u64, dice: &mut Dice| {
-            Duration::from_millis(low + dice.roll(high - low))
+        let span = |low: u64, high: u64, random: &mut SeededRandom| {
+            Duration::from_millis(low + random.below(high - low))
         };
-        if self.mood == Mood::Down {
-            return (span(0, 2, dice), CallOutcome::Unreachable, None);
+        if self.behavior == OriginBehavior::Down {
+            return (span(0, 2, random), CallOutcome::Unreachable, None);
         }
         let record = OriginRecord {
             at,
@@ -86,16 +86,16 @@
             operation: call.operation.clone(),
             probe: call.url.starts_with("/.well-known/"),
         };
-        let mood = match self.mood {
-            Mood::Grey => GREY[dice.roll(GREY.len() as u64) as usize],
-            mood => mood,
+        let behavior = match self.behavior {
+            OriginBehavior::Grey => GREY[random.below(GREY.len() as u64) as usize],
+            behavior => behavior,
         };
-        let took = match mood {
-            Mood::Slow => span(20, 120, dice),
-            Mood::VerySlow => span(120, 720, dice),
-            _ => span(2, 12, dice),
+        let took = match behavior {
+            OriginBehavior::Slow => span(20, 120, random),
+            OriginBehavior::VerySlow => span(120, 720, random),
+            _ => span(2, 12, random),
         };
-        if mood == Mood::Mute || took >= call.timeout {
+        if behavior == OriginBehavior::Mute || took >= call.timeout {
             return (
                 call.timeout,
                 CallOutcome::Failure("no answer in time".into()),
@@ -103,7 +103,7 @@
             );
         }
         // The seal would not verify: that is tested where it is checked.
-        if mood == Mood::WrongBytes
+        if behavior == OriginBehavior::WrongBytes
             || (&self.service, &self.instance) != (&call.origin.service, &call.origin.instance)
         {
             return (
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -25,7 +25,7 @@
     /// Empty control nodes at addresses of their own, not started by themselves.
     pub spares: usize,
     /// Some callers leave before their answer.
-    pub callers_leave: bool,
+    pub clients_disconnect: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,7 +60,7 @@
             founder: FounderEnd::Incarnations,
             orders: Vec::new(),
             spares: 1,
-            callers_leave: false,
+            clients_disconnect: false,
         }
     }
 }
@@ -97,7 +97,7 @@
     pub notes: BTreeMap<Event, usize>,
     pub log_bytes: usize,
     /// When which control node told of a change of its membership or disk.
-    pub membership: Vec<(Duration, Place, Event)>,
+    pub membership: Vec<(Duration, NodeId, Event)>,
     /// Copies handed out, by edge.
     pub copies: Vec<u64>,
     pub orders: Vec<OrderRecord>,
@@ -109,19 +109,19 @@
     pub(crate) plan: WorldPlan,
     pub(crate) now: Duration,
     pub(crate) serial: u64,
-    pub(crate) queue: BTreeMap<(Duration, u64), Happening>,
-    pub(crate) dice: Dice,
+    pub(crate) queue: BTreeMap<(Duration, u64), SimEvent>,
+    pub(crate) random: SeededRandom,
     pub(crate) nodes: Vec<SimNode>,
     pub(crate) by_address: HashMap<SocketAddr, usize>,
     pub(crate) origins: Vec<SimOrigin>,
     /// From whom nothing gets to whom, and until when.
     pub(crate) cuts: BTreeMap<(usize, usize), Duration>,
     /// Until then answers to operators are lost.
-    pub(crate) answers_lost_until: Duration,
+    pub(crate) operator_responses_lost_until: Duration,
     /// Revision of the item that operators set.
     pub(crate) item_revision: u64,
     /// By how many places the seeds that nodes are told have turned.
-    pub(crate) seeds_turned: usize,
+    pub(crate) seeds_rotation: usize,
     pub(crate) weather: (u64, u64, u64),
     /// Calls that their edges broke off: by node, run and id.
     pub(crate) cancelled: HashSet<(usize, u64, u64)>,
@@ -141,14 +141,14 @@
     pub(crate) origins_due: Option<bool>,
     /// The version of the list that the platform knows to stand.
     pub(crate) origins_at: u64,
-    pub(crate) trap: Option<(Moment, Loss)>,
+    pub(crate) armed_loss: Option<(Trigger, Loss)>,
     /// The first seed's end at the founding came.
     pub(crate) founder_ended: bool,
     /// Connections that stand: node, run, origin.
     pub(crate) watches: BTreeSet<(usize, u64, usize)>,
     /// Operators' calls under way.
-    pub(crate) asked: BTreeMap<u64, Question>,
-    pub(crate) errands: BTreeMap<u64, Asking>,
+    pub(crate) operator_calls: BTreeMap<u64, Question>,
+    pub(crate) requests: BTreeMap<u64, PendingOperatorCall>,
     pub(crate) callers: Vec<CallerRecord>,
     pub(crate) calls: Vec<OriginRecord>,
     pub(crate) fleet: Vec<FleetRecord>,
@@ -157,13 +157,13 @@
     pub(crate) copies: Vec<u64>,
     pub(crate) orders: Vec<OrderRecord>,
     pub(crate) notes: BTreeMap<Event, usize>,
-    pub(crate) membership: Vec<(Duration, Place, Event)>,
+    pub(crate) membership: Vec<(Duration, NodeId, Event)>,
     pub trace: bool,
     /// Messages between control nodes are printed, too.
     pub trace_messages: bool,
 }
 
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     Tick {
         node: usize,
         run: u64,
@@ -190,7 +190,7 @@
         id: u64,
         result: CallOutcome,
     },
-    AnswerLeaves {
+    ResponseSent {
         node: usize,
         run: u64,
         id: u64,
@@ -208,9 +208,9 @@
         open: bool,
     },
     PutOrigins,
-    CallerComes,
-    CallerAgain(Task),
-    CallerGivesUp {
+    ClientArrives,
+    ClientRetry(Task),
+    ClientTimesOut {
         id: u64,
     },
     /// The node reads that the caller has closed its connection.
@@ -220,7 +220,7 @@
         id: u64,
     },
     /// The caller closes its connection, though its deadline is not over.
-    CallerLeaves {
+    ClientDisconnects {
         id: u64,
     },
     Fault(Fault),
@@ -256,11 +256,11 @@
     pub(crate) operation: Option<String>,
     pub(crate) zone: Option<String>,
     pub(crate) tries: u32,
-    /// When the first try began: repeats end with `REPEAT`.
+    /// When the first try began: repeats end with `CLIENT_RETRY_DELAY`.
     pub(crate) first: Duration,
 }
 
-pub(crate) struct Asking {
+pub(crate) struct PendingOperatorCall {
     pub(crate) node: usize,
     pub(crate) run: u64,
     pub(crate) task: Task,
@@ -270,7 +270,7 @@
 /// An order of an operator, who may send it more than once.
 #[derive(Debug, Clone)]
 pub(crate) struct Order {
-    pub(crate) asked: Asked,
+    pub(crate) operator_calls: OperatorCall,
     /// Names the order; the same each time it is sent.
     pub(crate) change: Option<u64>,
     /// It was settled, but the answer was lost.
@@ -279,10 +279,10 @@
     pub(crate) start: Option<f64>,
 }
 
-impl From<Asked> for Order {
-    fn from(asked: Asked) -> Order {
+impl From<OperatorCall> for Order {
+    fn from(operator_calls: OperatorCall) -> Order {
         Order {
-            asked,
+            operator_calls,
             change: None,
             settled: false,
             start: None,
@@ -301,7 +301,7 @@
 
 /// What an operator waits for.
 #[derive(Debug, Clone)]
-pub(crate) enum Asked {
+pub(crate) enum OperatorCall {
     Configure {
         marker: u64,
         text: String,
@@ -341,7 +341,7 @@
     Event::MemberRemoved,
 ];
 
-pub(crate) const CALLER_PATIENCE: Duration = Duration::from_secs(12);
+pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
 
 impl World {
     pub fn new(plan: WorldPlan) -> World {
@@ -349,14 +349,14 @@
             now: Duration::ZERO,
             serial: 0,
             queue: BTreeMap::new(),
-            dice: Dice::new(plan.seed),
+            random: SeededRandom::new(plan.seed),
             nodes: Vec::new(),
             by_address: HashMap::new(),
             origins: Vec::new(),
             cuts: BTreeMap::new(),
-            answers_lost_until: Duration::ZERO,
+            operator_responses_lost_until: Duration::ZERO,
             item_revision: 0,
-            seeds_turned: 0,
+            seeds_rotation: 0,
             weather: (0, 0, 0),
             cancelled: HashSet::new(),
             departures: HashMap::new(),
@@ -369,11 +369,11 @@
             acknowledged: None,
             origins_due: None,
             origins_at: 0,
-            trap: None,
+            armed_loss: None,
             founder_ended: false,
             watches: BTreeSet::new(),
-            asked: BTreeMap::new(),
-            errands: BTreeMap::new(),
+            operator_calls: BTreeMap::new(),
+            requests: BTreeMap::new(),
             callers: Vec::new(),
             calls: Vec::new(),
             fleet: Vec::new(),
@@ -397,18 +397,18 @@
         let zone = |at: usize| deployment.zones[at % deployment.zones.len()];
         for slot in 0..self.plan.control {
             self.nodes.push(SimNode::new(
-                Place::Control(slot),
+                NodeId::Control(slot),
                 address(1, slot),
                 zone(slot),
             ));
         }
         for at in 0..deployment.edges {
             self.nodes
-                .push(SimNode::new(Place::Edge(at), address(2, at), zone(at)));
+                .push(SimNode::new(NodeId::Edge(at), address(2, at), zone(at)));
         }
         for spare in self.plan.control..self.plan.control + self.plan.spares {
             self.nodes.push(SimNode::new(
-                Place::Control(spare),
+                NodeId::Control(spare),
                 address(1, spare),
                 zone(spare),
             ));
@@ -436,57 +436,57 @@
                     origin,
                     service: name,
                     instance,
-                    mood: Mood::Good,
+                    behavior: OriginBehavior::Good,
                 });
             }
         }
         for node in 0..self.nodes.len() {
             let drift = self.plan.drift;
-            self.nodes[node].drift = self.dice.roll(2 * drift + 1) as i64 - drift as i64;
+            self.nodes[node].drift = self.random.below(2 * drift + 1) as i64 - drift as i64;
         }
         for node in 0..self.first_spare() {
             self.nodes[node].founding = Founding::FirstStart;
             if self.plan.late && node + 1 == self.plan.control {
                 self.push(
                     Duration::from_millis(4_500),
-                    Happening::Fault(Fault::Start(self.nodes[node].place)),
+                    SimEvent::Fault(Fault::Start(self.nodes[node].place)),
                 );
             } else {
                 self.start(node);
             }
         }
         let at = Duration::from_millis;
-        self.push(at(1500), Happening::PutOrigins);
-        self.push(at(1600), Happening::Fault(Fault::Configure));
+        self.push(at(1500), SimEvent::PutOrigins);
+        self.push(at(1600), SimEvent::Fault(Fault::Configure));
         self.push(
             at(1700),
-            Happening::Ask {
+            SimEvent::Ask {
                 node: 0,
-                order: Asked::OpenLedger { generation: None }.into(),
+                order: OperatorCall::OpenLedger { generation: None }.into(),
                 tries: 0,
             },
         );
         self.schedule_orders();
         for (when, fault) in self.plan.faults.clone() {
-            self.push(when, Happening::Fault(fault));
+            self.push(when, SimEvent::Fault(fault));
         }
         // A founding takes a moment more where the table is gathered.
         let begin = if self.plan.gather { 6000 } else { 4000 };
-        self.push(at(begin), Happening::CallerComes);
-        self.push(at(begin), Happening::LookAtMarkers);
+        self.push(at(begin), SimEvent::ClientArrives);
+        self.push(at(begin), SimEvent::LookAtMarkers);
     }
 
-    pub(crate) fn push(&mut self, at: Duration, what: Happening) {
+    pub(crate) fn push(&mut self, at: Duration, what: SimEvent) {
         self.serial += 1;
         self.queue.insert((at.max(self.now), self.serial), what);
     }
 
-    pub(crate) fn after(&mut self, span: Duration, what: Happening) {
+    pub(crate) fn after(&mut self, span: Duration, what: SimEvent) {
         self.push(self.now + span, what);
     }
 
     pub(crate) fn micros(&mut self, low: u64, high: u64) -> Duration {
-        Duration::from_micros(low + self.dice.roll(high - low))
+        Duration::from_micros(low + self.random.below(high - low))
     }
 
     /// The first of the nodes that are not started by themselves.
@@ -523,9 +523,9 @@
                 break;
             }
             self.now = at;
-            self.happen(serial, what);
+            self.handle_event(serial, what);
         }
-        for question in std::mem::take(&mut self.asked).into_values() {
+        for question in std::mem::take(&mut self.operator_calls).into_values() {
             self.record_operator(&question, &ChangeOutcome::Unknown);
         }
         let (rates, keeps) = (self.plan.deployment.rates(), self.plan.deployment.keeps());
@@ -556,24 +556,24 @@
     }
 
     /// The node and run an event is for; none if that run is over.
-    pub(crate) fn owner(&self, what: &Happening) -> Option<usize> {
+    pub(crate) fn owner(&self, what: &SimEvent) -> Option<usize> {
         match what {
-            Happening::Tick { node, run }
-            | Happening::Synced { node, run, .. }
-            | Happening::CallStarts { node, run, .. }
-            | Happening::CallEnds { node, run, .. }
-            | Happening::AnswerLeaves { node, run, .. }
-            | Happening::Arrives { node, run, .. }
-            | Happening::CloseRead { node, run, .. }
-            | Happening::Watched { node, run, .. } => {
+            SimEvent::Tick { node, run }
+            | SimEvent::Synced { node, run, .. }
+            | SimEvent::CallStarts { node, run, .. }
+            | SimEvent::CallEnds { node, run, .. }
+            | SimEvent::ResponseSent { node, run, .. }
+            | SimEvent::Arrives { node, run, .. }
+            | SimEvent::CloseRead { node, run, .. }
+            | SimEvent::Watched { node, run, .. } => {
                 (self.nodes[*node].run == *run).then_some(*node)
             }
-            Happening::Deliver { to, .. } => Some(*to),
+            SimEvent::Deliver { to, .. } => Some(*to),
             _ => None,
         }
     }
 
-    pub(crate) fn happen(&mut self, serial: u64, what: Happening) {
+    pub(crate) fn handle_event(&mut self, serial: u64, what: SimEvent) {
         if let Some(node) = self.owner(&what) {
             let held = self.held_until(node, &what);
             if self.now < held {
@@ -586,20 +586,20 @@
             .owner(&what)
             .is_some_and(|node| self.nodes[node].part.is_some());
         match what {
-            Happening::Tick { node, run } if alive => {
-                let every = if matches!(self.nodes[node].place, Place::Control(_)) {
+            SimEvent::Tick { node, run } if alive => {
+                let every = if matches!(self.nodes[node].place, NodeId::Control(_)) {
                     lease::CONTROL_TICK
                 } else {
                     Duration::from_millis(50)
                 };
-                self.after(every, Happening::Tick { node, run });
+                self.after(every, SimEvent::Tick { node, run });
                 self.step(node, Input::Tick);
             }
-            Happening::Deliver { to, from, message } if alive => {
+            SimEvent::Deliver { to, from, message } if alive => {
                 self.trace_message(to, from, &message);
                 self.step(to, Input::MessageReceived { from, message })
             }
-            Happening::Synced { node, serial, .. } if alive => {
+            SimEvent::Synced { node, serial, .. } if alive => {
                 self.nodes[node].disk.sync(serial);
                 if self.founder_ends(node, FounderEnd::Untold) {
                     return self.kill(node);
@@ -609,7 +609,7 @@
                     self.kill(node);
                 }
             }
-            Happening::CallStarts {
+            SimEvent::CallStarts {
                 node,
                 run,
                 id,
@@ -617,7 +617,7 @@
             } if alive && !self.cancelled.contains(&(node, run, id)) => {
                 self.call(node, run, id, &call)
             }
-            Happening::CallEnds {
+            SimEvent::CallEnds {
                 node,
                 run,
                 id,
@@ -625,33 +625,33 @@
             } if alive && !self.cancelled.remove(&(node, run, id)) => {
                 self.step(node, Input::CallCompleted { id, result })
             }
-            Happening::AnswerLeaves {
+            SimEvent::ResponseSent {
                 node, id, answer, ..
-            } if alive => self.answer_leaves(node, id, answer),
-            Happening::Arrives { node, id, .. } if alive => self.arrives(node, id),
-            Happening::CloseRead { node, id, .. } if alive => {
+            } if alive => self.response_sent(node, id, answer),
+            SimEvent::Arrives { node, id, .. } if alive => self.arrives(node, id),
+            SimEvent::CloseRead { node, id, .. } if alive => {
                 self.departures.insert(id, self.now);
                 self.step(node, Input::ClientDisconnected { id })
             }
-            Happening::Watched {
+            SimEvent::Watched {
                 node,
                 address,
                 open,
                 ..
             } if alive => self.step(node, Input::ConnectionChanged { address, open }),
-            Happening::PutOrigins => self.put_origins(),
-            Happening::CallerComes => self.caller_comes(),
-            Happening::CallerAgain(task) => self.caller_calls(task),
-            Happening::CallerGivesUp { id } => self.caller_ends(id, None),
-            Happening::CallerLeaves { id } => self.caller_leaves(id),
-            Happening::Fault(fault) => self.fault(fault),
-            Happening::FaultGoesOn(kind) => self.record("fault", &kind, 0, false),
-            Happening::LookAtMarkers => self.look_at_markers(),
-            Happening::LookReady { since } => self.look_ready(since),
-            Happening::Restarted { node, run } => self.restarted(node, run),
-            Happening::Ask { node, order, tries } => self.ask(node, order, tries),
-            Happening::SendOrder { order } => self.send_order(order),
-            Happening::OrderUnanswered { id } => self.order_unanswered(id),
+            SimEvent::PutOrigins => self.put_origins(),
+            SimEvent::ClientArrives => self.caller_comes(),
+            SimEvent::ClientRetry(task) => self.caller_calls(task),
+            SimEvent::ClientTimesOut { id } => self.client_finished(id, None),
+            SimEvent::ClientDisconnects { id } => self.caller_leaves(id),
+            SimEvent::Fault(fault) => self.fault(fault),
+            SimEvent::FaultGoesOn(kind) => self.record("fault", &kind, 0, false),
+            SimEvent::LookAtMarkers => self.look_at_markers(),
+            SimEvent::LookReady { since } => self.look_ready(since),
+            SimEvent::Restarted { node, run } => self.restarted(node, run),
+            SimEvent::Ask { node, order, tries } => self.ask(node, order, tries),
+            SimEvent::SendOrder { order } => self.send_order(order),
+            SimEvent::OrderUnanswered { id } => self.order_unanswered(id),
             _ => {}
         }
     }
@@ -661,7 +661,7 @@
         let sender = self.by_address.get(&from.address);
         let from = sender.map(|node| self.nodes[*node].place);
         if self.trace_messages
-            && let (Place::Control(_), Some(Place::Control(_))) = (to, from)
+            && let (NodeId::Control(_), Some(NodeId::Control(_))) = (to, from)
         {
             println!("{:9.4} {from:?} to {to:?}: {message:?}", self.seconds());
         }
@@ -707,7 +707,7 @@
                 let span = self.micros(50, 500);
                 self.after(
                     span,
-                    Happening::AnswerLeaves {
+                    SimEvent::ResponseSent {
                         node,
                         run,
                         id,
@@ -719,7 +719,7 @@
                 let span = self.micros(50, 1000);
                 self.after(
                     span,
-                    Happening::CallStarts {
+                    SimEvent::CallStarts {
                         node,
                         run,
                         id,
@@ -730,15 +730,15 @@
             Output::OperatorResponse {
                 id,
                 response: answer,
-            } => self.operator_told(id, answer),
+            } => self.on_operator_response(id, answer),
             Output::WatchConnection { address } => {
                 let at = self.origins.iter().position(|origin| {
-                    origin.origin.address == address && origin.mood != Mood::Down
+                    origin.origin.address == address && origin.behavior != OriginBehavior::Down
                 });
                 self.watches.extend(at.map(|at| (node, run, at)));
                 self.after(
                     Duration::from_millis(1),
-                    Happening::Watched {
+                    SimEvent::Watched {
                         node,
                         run,
                         address,
@@ -789,7 +789,7 @@
                     // starts it again.
                     self.after(
                         Duration::from_millis(300),
-                        Happening::Restarted { node, run },
+                        SimEvent::Restarted { node, run },
                     );
                 }
             }
@@ -823,8 +823,8 @@
         self.nodes[node].assignments = list;
     }
 
-    pub(crate) fn spring(&mut self, moment: Moment) {
-        let Some((_, loss)) = self.trap.take_if(|(known, _)| *known == moment) else {
+    pub(crate) fn spring(&mut self, trigger: Trigger) {
+        let Some((_, loss)) = self.armed_loss.take_if(|(known, _)| *known == trigger) else {
             return;
         };
         match loss {
@@ -833,16 +833,16 @@
                     self.kill(node);
                     self.after(
                         Duration::from_secs(3),
-                        Happening::Fault(Fault::Start(self.nodes[node].place)),
+                        SimEvent::Fault(Fault::Start(self.nodes[node].place)),
                     );
                 }
-                self.after(Duration::from_secs(3), Happening::Fault(Fault::Returned));
+                self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
             }
             Loss::Disk(slot) => {
-                self.fault(Fault::Wipe(Place::Control(slot)));
+                self.fault(Fault::Wipe(NodeId::Control(slot)));
                 self.after(
                     Duration::from_secs(3),
-                    Happening::Fault(Fault::Start(Place::Control(slot))),
+                    SimEvent::Fault(Fault::Start(NodeId::Control(slot))),
                 );
             }
             Loss::Disks(slot, count) => {
@@ -855,43 +855,40 @@
                         self.kill(node);
                     }
                     if wiped || ran || node < self.first_spare() {
-                        self.after(
-                            Duration::from_secs(3),
-                            Happening::Fault(Fault::Start(place)),
-                        );
+                        self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Start(place)));
                     }
                 }
-                self.after(Duration::from_secs(3), Happening::Fault(Fault::Returned));
+                self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
             }
-            Loss::Room(slot) => self.fault(Fault::DiskFull(Place::Control(slot))),
+            Loss::DiskSpace(slot) => self.fault(Fault::DiskFull(NodeId::Control(slot))),
         }
     }
 
     pub(crate) fn send(&mut self, node: usize, to: SocketAddr, message: Message) {
         let from = self.nodes[node].peer;
-        if let (Place::Edge(at), Message::CacheCopy(_)) = (self.nodes[node].place, &message) {
+        if let (NodeId::Edge(at), Message::CacheCopy(_)) = (self.nodes[node].place, &message) {
             self.copies[at] += 1;
         }
         let Some(to) = self.by_address.get(&to).copied() else {
             return;
         };
         if to == node {
-            return self.after(Duration::ZERO, Happening::Deliver { to, from, message });
+            return self.after(Duration::ZERO, SimEvent::Deliver { to, from, message });
         }
         let (lost, doubled, late) = self.weather;
-        if message.name() == self.plan.mute || self.is_cut(node, to) || self.dice.chance(lost) {
+        if message.name() == self.plan.mute || self.is_cut(node, to) || self.random.chance(lost) {
             return;
         }
-        let copies = if self.dice.chance(doubled) { 2 } else { 1 };
+        let copies = if self.random.chance(doubled) { 2 } else { 1 };
         for _ in 0..copies {
-            let span = if self.dice.chance(late) {
+            let span = if self.random.chance(late) {
                 self.micros(5_000, 400_000)
             } else {
                 self.micros(200, 3_000)
             };
             self.after(
                 span,
-                Happening::Deliver {
+                SimEvent::Deliver {
                     to,
                     from,
                     message: message.clone(),
@@ -914,11 +911,11 @@
         // One sync serves all that came while the one before was running.
         let done = (disk.busy_until.max(self.now) + took).max(disk.stalled_until);
         disk.busy_until = self.now + took;
-        self.push(done, Happening::Synced { node, run, serial });
+        self.push(done, SimEvent::Synced { node, run, serial });
         if unwritten {
             self.after(
                 Duration::ZERO,
-                Happening::Fault(Fault::Kill(Place::Control(0))),
+                SimEvent::Fault(Fault::Kill(NodeId::Control(0))),
             );
         }
     }
@@ -941,7 +938,7 @@
             self.founder_ended = true;
             self.after(
                 Duration::from_secs(1),
-                Happening::Fault(Fault::Start(Place::Control(0))),
+                SimEvent::Fault(Fault::Start(NodeId::Control(0))),
             );
         }
         table
@@ -962,7 +959,7 @@
                 None => (Duration::from_millis(1), CallOutcome::Unreachable),
                 Some(origin) => {
                     let (span, result, record) =
-                        origin.take(call, at, self.version, &mut self.dice);
+                        origin.take(call, at, self.version, &mut self.random);
                     self.calls.extend(record);
                     (span, result)
                 }
@@ -970,7 +967,7 @@
         };
         self.after(
             span,
-            Happening::CallEnds {
+            SimEvent::CallEnds {
                 node,
                 run,
                 id,
--- a/simulate-fleet/src/world_answers.rs
+++ b/simulate-fleet/src/world_answers.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// Of a hundred answers so many are lost while answers are lost at all.
-const ANSWERS_LOST: u64 = 60;
+const OPERATOR_RESPONSES_LOST: u64 = 60;
 const ITEM_NAME: &str = "note";
 
 impl World {
@@ -24,8 +24,8 @@
             source: text.clone(),
             text: Some(text),
         };
-        let node = self.dice.roll(self.plan.control as u64) as usize;
-        self.ask(node, Asked::PutItem { item }, 0);
+        let node = self.random.below(self.plan.control as u64) as usize;
+        self.ask(node, OperatorCall::PutItem { item }, 0);
     }
 
     /// A revision is in force everywhere: every live edge shows it, or a later
@@ -42,15 +42,17 @@
         }
     }
 
-    pub(crate) fn answer_is_lost(&mut self, order: &Order) -> bool {
+    pub(crate) fn operator_response_is_lost(&mut self, order: &Order) -> bool {
         let changes = matches!(
-            order.asked,
-            Asked::Configure { .. }
-                | Asked::Purge { .. }
-                | Asked::Origins { .. }
-                | Asked::PutItem { .. }
+            order.operator_calls,
+            OperatorCall::Configure { .. }
+                | OperatorCall::Purge { .. }
+                | OperatorCall::Origins { .. }
+                | OperatorCall::PutItem { .. }
         );
-        changes && self.now < self.answers_lost_until && self.dice.chance(ANSWERS_LOST)
+        changes
+            && self.now < self.operator_responses_lost_until
+            && self.random.chance(OPERATOR_RESPONSES_LOST)
     }
 
     /// The operator heard nothing: the same order goes to another node.
@@ -58,7 +60,7 @@
         let Question { node, order, .. } = question;
         let settled = order.settled || matches!(outcome, ChangeOutcome::Acknowledged { .. });
         let span = self.micros(100_000, 1_500_000);
-        let again = Happening::Ask {
+        let again = SimEvent::Ask {
             node: (node + 1) % self.plan.control,
             order: Order { settled, ..order },
             tries: 0,
@@ -73,21 +75,26 @@
             return;
         }
         let good = matches!(outcome, ChangeOutcome::Acknowledged { .. });
-        let subject = match &order.asked {
-            Asked::Configure { .. } => "configuration",
-            Asked::Purge { .. } => "purge",
-            Asked::Origins { .. } => "origins",
-            Asked::PutItem { .. } => "item",
-            Asked::Order { .. } | Asked::ReadBack { .. } | Asked::OpenLedger { .. } => return,
+        let subject = match &order.operator_calls {
+            OperatorCall::Configure { .. } => "configuration",
+            OperatorCall::Purge { .. } => "purge",
+            OperatorCall::Origins { .. } => "origins",
+            OperatorCall::PutItem { .. } => "item",
+            OperatorCall::Order { .. }
+            | OperatorCall::ReadBack { .. }
+            | OperatorCall::OpenLedger { .. } => return,
         };
         self.record("order-again", subject, 0, good);
     }
 
     /// Everything was lost: what was settled then is known to nobody.
-    pub(crate) fn forget_settled_orders(&mut self) {
-        let waiting = self.asked.values_mut().map(|question| &mut question.order);
+    pub(crate) fn forget_acknowledged_orders(&mut self) {
+        let waiting = self
+            .operator_calls
+            .values_mut()
+            .map(|question| &mut question.order);
         let queued = self.queue.values_mut().filter_map(|what| match what {
-            Happening::Ask { order, .. } => Some(order),
+            SimEvent::Ask { order, .. } => Some(order),
             _ => None,
         });
         for order in waiting.chain(queued) {
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -3,7 +3,7 @@
 
 /// A repeat of what was answered comes within so many milliseconds: the brief
 /// says "about a minute".
-const REPEAT: u64 = 70_000;
+const CLIENT_RETRY_DELAY: u64 = 70_000;
 const REPEATS: u32 = 30;
 /// One caller in so many leaves early, within this many milliseconds.
 const LEAVES_ONE_IN: u64 = 16;
@@ -15,11 +15,11 @@
 impl World {
     pub(crate) fn caller_comes(&mut self) {
         let gap = 1_000_000 / self.plan.deployment.rate;
-        if self.now + CALLER_PATIENCE / 2 < self.plan.span {
+        if self.now + CLIENT_TIMEOUT / 2 < self.plan.span {
             let span = self.micros(gap / 2, gap + gap / 2);
-            self.after(span, Happening::CallerComes);
+            self.after(span, SimEvent::ClientArrives);
         }
-        let mut roll = self.dice.roll(100);
+        let mut roll = self.random.below(100);
         let list = self.plan.deployment.mix.clone();
         let Some(mix) = list.into_iter().find(|mix| {
             let hit = roll < mix.share;
@@ -28,10 +28,10 @@
         }) else {
             return;
         };
-        let at = if self.dice.chance(70) {
-            self.dice.roll(mix.paths / 10 + 1)
+        let at = if self.random.chance(70) {
+            self.random.below(mix.paths / 10 + 1)
         } else {
-            self.dice.roll(mix.paths)
+            self.random.below(mix.paths)
         };
         self.serial += 1;
         let operation = mix.keyed.then(|| format!("op-{}", self.serial));
@@ -60,7 +60,7 @@
         let list: Vec<usize> = all.iter().filter(ready).copied().collect();
         // With none ready, callers still try somewhere.
         let list = if list.is_empty() { all } else { list };
-        let node = list[self.dice.roll(list.len() as u64) as usize];
+        let node = list[self.random.below(list.len() as u64) as usize];
         let record = CallerRecord {
             start: self.seconds(),
             edge: self.nodes[node].peer.address.to_string(),
@@ -73,9 +73,9 @@
         self.serial += 1;
         let id = self.serial;
         let alive = self.nodes[node].part.is_some();
-        self.errands.insert(
+        self.requests.insert(
             id,
-            Asking {
+            PendingOperatorCall {
                 node,
                 run: self.nodes[node].run,
                 task: task.clone(),
@@ -83,26 +83,26 @@
             },
         );
         if !alive {
-            return self.caller_ends(
+            return self.client_finished(
                 id,
                 Some(ClientResponse::Rejection(Rejection::not_run(
                     0, "refused", "",
                 ))),
             );
         }
-        self.after(CALLER_PATIENCE, Happening::CallerGivesUp { id });
-        if self.plan.callers_leave && id.is_multiple_of(LEAVES_ONE_IN) {
+        self.after(CLIENT_TIMEOUT, SimEvent::ClientTimesOut { id });
+        if self.plan.clients_disconnect && id.is_multiple_of(LEAVES_ONE_IN) {
             let span = Duration::from_millis(1 + id / LEAVES_ONE_IN * 37 % LEAVES_WITHIN_MS);
-            self.after(span, Happening::CallerLeaves { id });
+            self.after(span, SimEvent::ClientDisconnects { id });
         }
         let run = self.nodes[node].run;
         let span = self.micros(50, 500);
-        self.after(span, Happening::Arrives { node, run, id });
+        self.after(span, SimEvent::Arrives { node, run, id });
     }
 
     /// The node reads the request.
     pub(crate) fn arrives(&mut self, node: usize, id: u64) {
-        let Some(Asking { task, .. }) = self.errands.get(&id) else {
+        let Some(PendingOperatorCall { task, .. }) = self.requests.get(&id) else {
             return;
         };
         let task = task.clone();
@@ -112,7 +112,7 @@
             &task.path,
             task.operation.as_deref(),
         ) {
-            Err(refusal) => self.caller_ends(id, Some(ClientResponse::Rejection(refusal))),
+            Err(refusal) => self.client_finished(id, Some(ClientResponse::Rejection(refusal))),
             Ok(request) => self.step(node, Input::ClientRequest { id, request }),
         }
     }
@@ -156,9 +156,9 @@
     }
 
     /// The face checks the lease once more before a copy goes out.
-    pub(crate) fn answer_leaves(&mut self, node: usize, id: u64, answer: ClientResponse) {
+    pub(crate) fn response_sent(&mut self, node: usize, id: u64, answer: ClientResponse) {
         let keyed = self
-            .errands
+            .requests
             .get(&id)
             .is_some_and(|request| request.task.operation.is_some());
         let copy = matches!(answer, ClientResponse::Reply { age: Some(_), .. });
@@ -167,7 +167,7 @@
         } else {
             answer
         };
-        self.caller_ends(id, Some(answer));
+        self.client_finished(id, Some(answer));
     }
 
     /// Nothing leaves for a caller alone after its close was read.
@@ -184,12 +184,12 @@
 
     /// The caller closes its connection; a keyed one asks again elsewhere.
     pub(crate) fn caller_leaves(&mut self, id: u64) {
-        let Some(Asking {
+        let Some(PendingOperatorCall {
             node,
             run,
             task,
             mut record,
-        }) = self.errands.remove(&id)
+        }) = self.requests.remove(&id)
         else {
             return;
         };
@@ -199,30 +199,30 @@
         if alive && self.now >= self.nodes[node].paused {
             self.record("caller-left", "", id, true);
             let span = self.micros(50, 500);
-            self.after(span, Happening::CloseRead { node, run, id });
+            self.after(span, SimEvent::CloseRead { node, run, id });
         }
-        if task.operation.is_some() && self.now + CALLER_PATIENCE < self.plan.span {
-            self.ask_again_elsewhere(node, task, Duration::from_millis(300));
+        if task.operation.is_some() && self.now + CLIENT_TIMEOUT < self.plan.span {
+            self.retry_at_another_node(node, task, Duration::from_millis(300));
         }
     }
 
     /// The same operation comes again, not to the zone of this node.
-    fn ask_again_elsewhere(&mut self, node: usize, task: Task, wait: Duration) {
+    fn retry_at_another_node(&mut self, node: usize, task: Task, wait: Duration) {
         let again = Task {
             zone: Some(self.nodes[node].zone.clone()),
             tries: task.tries + 1,
             ..task
         };
-        self.after(wait, Happening::CallerAgain(again));
+        self.after(wait, SimEvent::ClientRetry(again));
     }
 
-    pub(crate) fn caller_ends(&mut self, id: u64, answer: Option<ClientResponse>) {
-        let Some(Asking {
+    pub(crate) fn client_finished(&mut self, id: u64, answer: Option<ClientResponse>) {
+        let Some(PendingOperatorCall {
             node,
             task,
             mut record,
             ..
-        }) = self.errands.remove(&id)
+        }) = self.requests.remove(&id)
         else {
             return;
         };
@@ -254,14 +254,14 @@
         let mut sprung = false;
         if good && task.operation.is_some() && task.tries == 0 {
             sprung = self
-                .trap
-                .is_some_and(|(moment, _)| moment == Moment::Booked);
-            self.spring(Moment::Booked);
+                .armed_loss
+                .is_some_and(|(trigger, _)| trigger == Trigger::Booked);
+            self.spring(Trigger::Booked);
         }
-        if task.operation.is_some() && self.now + CALLER_PATIENCE < self.plan.span {
+        if task.operation.is_some() && self.now + CLIENT_TIMEOUT < self.plan.span {
             // Some ask again though they were answered; all others until they are.
             let again = if good {
-                task.tries == 0 && (sprung || self.dice.chance(15))
+                task.tries == 0 && (sprung || self.random.chance(15))
             } else {
                 task.tries
                     < if record.code == "outcome_unknown" {
@@ -272,13 +272,13 @@
             };
             // Who was told when to come back may come then, or sooner.
             let spread = if good {
-                REPEAT
+                CLIENT_RETRY_DELAY
             } else {
                 1_500 << (task.tries / 4).min(4)
             };
-            let wait = Duration::from_millis(100 + self.dice.roll(spread));
-            if again && self.now + wait < task.first + Duration::from_millis(REPEAT) {
-                self.ask_again_elsewhere(node, task, wait);
+            let wait = Duration::from_millis(100 + self.random.below(spread));
+            if again && self.now + wait < task.first + Duration::from_millis(CLIENT_RETRY_DELAY) {
+                self.retry_at_another_node(node, task, wait);
             }
         }
         self.callers.push(record);
@@ -313,7 +313,7 @@
     }
 
     pub(crate) fn look_at_markers(&mut self) {
-        self.after(Duration::from_millis(100), Happening::LookAtMarkers);
+        self.after(Duration::from_millis(100), SimEvent::LookAtMarkers);
         let looks = [
             self.last("configured")
                 .map(|marker| ("marker", marker, true)),
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -6,7 +6,7 @@
 /// Who starts later does not start with the whole fleet for the first time.
 const FIRST_START: Duration = Duration::from_secs(5);
 /// A fault that lasts is recorded again at this interval, and at its end.
-const FAULT_GOES_ON: Duration = Duration::from_secs(4);
+const FAULT_RECORD_INTERVAL: Duration = Duration::from_secs(4);
 /// From SIGTERM to the end of a process by its platform.
 const GRACE: Duration = Duration::from_secs(6);
 
@@ -22,7 +22,7 @@
         for (node, run, _) in ended as BTreeSet<(usize, u64, usize)> {
             self.after(
                 Duration::from_millis(1),
-                Happening::Watched {
+                SimEvent::Watched {
                     node,
                     run,
                     address,
@@ -32,13 +32,13 @@
         }
     }
 
-    pub(crate) fn at(&self, place: Place) -> usize {
+    pub(crate) fn at(&self, place: NodeId) -> usize {
         match place {
-            Place::Control(slot) if slot >= self.plan.control => {
+            NodeId::Control(slot) if slot >= self.plan.control => {
                 self.first_spare() + slot - self.plan.control
             }
-            Place::Control(slot) => slot,
-            Place::Edge(at) => self.plan.control + at,
+            NodeId::Control(slot) => slot,
+            NodeId::Edge(at) => self.plan.control + at,
         }
     }
 
@@ -46,7 +46,7 @@
     /// the first ones, and so does a fleet whose seeds are the table.
     fn seeds(&self, node: usize) -> Vec<SocketAddr> {
         let fixed = !self.plan.gather || self.nodes[node].founding != Founding::Never;
-        let turned = if fixed { 0 } else { self.seeds_turned };
+        let turned = if fixed { 0 } else { self.seeds_rotation };
         let control = self.plan.control;
         (0..control.min(3))
             .map(|seed| self.nodes[(seed + turned) % control].peer.address)
@@ -58,13 +58,13 @@
             self.nodes[node].founding = Founding::Never;
         }
         let seeds = self.seeds(node);
-        let incarnation = self.dice.roll(u64::MAX >> 12) + 1;
+        let incarnation = self.random.below(u64::MAX >> 12) + 1;
         self.nodes[node].offset = self.micros(0, 1 << 40);
         let gather = self.plan.gather.then_some(GATHER);
         self.nodes[node].start(self.now, &seeds, gather, incarnation);
         let run = self.nodes[node].run;
         let span = self.micros(0, 100_000);
-        self.after(span, Happening::Tick { node, run });
+        self.after(span, SimEvent::Tick { node, run });
     }
 
     pub(crate) fn kill(&mut self, node: usize) {
@@ -76,31 +76,32 @@
         let subject = self.nodes[node].peer.address.to_string();
         self.record("killed", &subject, 0, true);
         let lost: Vec<u64> = self
-            .errands
+            .requests
             .iter()
             .filter(|(_, request)| request.node == node)
             .map(|(id, _)| *id)
             .collect();
-        lost.into_iter().for_each(|id| self.caller_ends(id, None));
+        lost.into_iter()
+            .for_each(|id| self.client_finished(id, None));
         // Operators see their connection end: the outcome is unknown.
-        let asked: Vec<u64> = self
-            .asked
+        let operator_calls: Vec<u64> = self
+            .operator_calls
             .iter()
             .filter(|(_, question)| question.node == node)
             .map(|(id, _)| *id)
             .collect();
-        asked.into_iter().for_each(|id| {
-            self.operator_told(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown))
+        operator_calls.into_iter().for_each(|id| {
+            self.on_operator_response(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown))
         });
     }
 
     /// What has ended for good stays ended.
-    fn set_mood(&mut self, at: usize, mood: Mood) {
-        if self.origins[at].mood == Mood::Down && self.origins[at].origin.draining {
+    fn set_behavior(&mut self, at: usize, behavior: OriginBehavior) {
+        if self.origins[at].behavior == OriginBehavior::Down && self.origins[at].origin.draining {
             return;
         }
-        self.origins[at].mood = mood;
-        if mood == Mood::Down {
+        self.origins[at].behavior = behavior;
+        if behavior == OriginBehavior::Down {
             self.end_watches(at);
         }
     }
@@ -111,14 +112,14 @@
             return;
         }
         let unanswered: Vec<u64> = self
-            .errands
+            .requests
             .iter()
             .filter(|(_, one)| one.node == node && one.run == run)
             .map(|(id, _)| *id)
             .collect();
         unanswered
             .into_iter()
-            .for_each(|id| self.caller_ends(id, None));
+            .for_each(|id| self.client_finished(id, None));
         self.nodes[node].kill();
         self.lose_unread(node);
         let subject = self.nodes[node].peer.address.to_string();
@@ -133,19 +134,19 @@
             self.nodes[node].founding = Founding::AfterTotalLoss;
             self.after(
                 Duration::from_secs(3),
-                Happening::Fault(Fault::Start(self.nodes[node].place)),
+                SimEvent::Fault(Fault::Start(self.nodes[node].place)),
             );
         }
         self.see_all_lost();
-        self.after(Duration::from_secs(3), Happening::Fault(Fault::Returned));
+        self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
     }
 
     /// If nobody is left who knew anything, operators and the platform tell
     /// the fleet what they want once it is back.
     pub(crate) fn see_all_lost(&mut self) {
         let knows = |node: &SimNode| match node.place {
-            Place::Edge(_) => node.part.is_some() && node.image.is_some(),
-            Place::Control(_) => {
+            NodeId::Edge(_) => node.part.is_some() && node.image.is_some(),
+            NodeId::Control(_) => {
                 matches!(Replica::replay(&node.disk.synced), Ok(Some(replica)) if replica.full)
             }
         };
@@ -154,7 +155,7 @@
         }
         self.record("all-lost", "", 0, true);
         self.forget_read_backs();
-        self.forget_settled_orders();
+        self.forget_acknowledged_orders();
         // The fleet is founded anew.
         let again = if self.plan.gather {
             self.plan.control
@@ -174,16 +175,18 @@
         self.markers.clear();
         self.removed.clear();
         self.origins_due = None;
-        self.after(Duration::from_secs(4), Happening::PutOrigins);
-        self.after(Duration::from_secs(4), Happening::Fault(Fault::Configure));
+        self.after(Duration::from_secs(4), SimEvent::PutOrigins);
+        self.after(Duration::from_secs(4), SimEvent::Fault(Fault::Configure));
     }
 
     /// Operators who still wait to read back what nobody knows any more.
     fn forget_read_backs(&mut self) {
-        let read_back = |order: &Order| matches!(order.asked, Asked::ReadBack { .. });
-        self.asked.retain(|_, question| !read_back(&question.order));
+        let read_back =
+            |order: &Order| matches!(order.operator_calls, OperatorCall::ReadBack { .. });
+        self.operator_calls
+            .retain(|_, question| !read_back(&question.order));
         self.queue
-            .retain(|_, what| !matches!(what, Happening::Ask { order, .. } if read_back(order)));
+            .retain(|_, what| !matches!(what, SimEvent::Ask { order, .. } if read_back(order)));
     }
 
     /// What is asked within the span of a fault is judged as disturbed by it.
@@ -191,13 +194,13 @@
         let Some(span) = fault.span() else {
             return;
         };
-        let mut at = FAULT_GOES_ON;
+        let mut at = FAULT_RECORD_INTERVAL;
         while at < span {
-            self.after(at, Happening::FaultGoesOn(fault.kind()));
-            at += FAULT_GOES_ON;
+            self.after(at, SimEvent::FaultGoesOn(fault.kind()));
+            at += FAULT_RECORD_INTERVAL;
         }
-        if span > FAULT_GOES_ON {
-            self.after(span, Happening::FaultGoesOn(fault.kind()));
+        if span > FAULT_RECORD_INTERVAL {
+            self.after(span, SimEvent::FaultGoesOn(fault.kind()));
         }
     }
 
@@ -210,12 +213,12 @@
         if !self.changing.is_empty()
             && matches!(fault, Fault::Configure | Fault::Race(_) | Fault::Grow(_))
         {
-            return self.after(Duration::from_millis(50), Happening::Fault(fault));
+            return self.after(Duration::from_millis(50), SimEvent::Fault(fault));
         }
         if !matches!(
             fault,
             Fault::Returned
-                | Fault::Weather {
+                | Fault::LossyNetwork {
                     lost: 0,
                     doubled: 0,
                     late: 0
@@ -254,7 +257,7 @@
                 let node = self.at(place);
                 if self.nodes[node].part.is_some() {
                     self.nodes[node].retiring = true;
-                    self.after(GRACE, Happening::Fault(Fault::Kill(place)));
+                    self.after(GRACE, SimEvent::Fault(Fault::Kill(place)));
                     self.step(node, Input::ShutdownRequested);
                 }
             }
@@ -269,7 +272,7 @@
                 let node = self.at(place);
                 self.nodes[node].disk.full = true;
             }
-            Fault::Cut(from, to) => self.cut(self.at(from), self.at(to), Duration::MAX),
+            Fault::DropLink(from, to) => self.cut(self.at(from), self.at(to), Duration::MAX),
             Fault::Isolate(place) => {
                 let node = self.at(place);
                 for other in 0..self.nodes.len() {
@@ -277,7 +280,7 @@
                     self.cut(other, node, Duration::MAX);
                 }
             }
-            Fault::CutOff(place, scope, span) => self.cut_off(self.at(place), scope, span),
+            Fault::Partition(place, scope, span) => self.cut_off(self.at(place), scope, span),
             Fault::Reset(one, other) => self.reset(self.at(one), self.at(other)),
             Fault::Slow(place, span) => {
                 let node = self.at(place);
@@ -294,28 +297,31 @@
                 let node = self.at(place);
                 self.nodes[node].disk.slow_until = self.now + span;
             }
-            Fault::TurnSeeds => self.seeds_turned += 1,
-            Fault::LoseAnswers(span) => self.answers_lost_until = self.now + span,
+            Fault::ReorderSeeds => self.seeds_rotation += 1,
+            Fault::LoseOperatorResponses(span) => {
+                self.operator_responses_lost_until = self.now + span
+            }
             Fault::PutItem => self.put_item(),
             Fault::Heal => self.cuts.clear(),
-            Fault::Weather {
+            Fault::LossyNetwork {
                 lost,
                 doubled,
                 late,
             } => self.weather = (lost, doubled, late),
-            Fault::Origin(at, mood) => self.set_mood(at, mood),
-            Fault::Service(service, mood) => {
+            Fault::Origin(at, behavior) => self.set_behavior(at, behavior),
+            Fault::Service(service, behavior) => {
                 let name = self.plan.deployment.services[service].name;
                 let list: Vec<usize> = (0..self.origins.len())
                     .filter(|at| self.origins[*at].origin.service == name)
                     .collect();
-                list.into_iter().for_each(|at| self.set_mood(at, mood));
+                list.into_iter()
+                    .for_each(|at| self.set_behavior(at, behavior));
             }
-            Fault::Leave(at) => {
+            Fault::DrainOrigin(at) => {
                 self.origins[at].origin.draining = true;
                 self.put_origins();
             }
-            Fault::Usurp(at) => {
+            Fault::ReuseAddress(at) => {
                 self.end_watches(at);
                 self.origins[at].service = "usurper".into();
                 self.origins[at].instance = "usurper-0".into();
@@ -333,7 +339,7 @@
             }
             Fault::Purge(prefix) => self.ask(
                 1,
-                Asked::Purge {
+                OperatorCall::Purge {
                     prefix,
                     version: self.version,
                 },
@@ -357,7 +363,7 @@
                     .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
                 self.ask(
                     2,
-                    Asked::Configure {
+                    OperatorCall::Configure {
                         marker: 999,
                         text,
                         expect: None,
@@ -373,19 +379,19 @@
                 (0..operators)
                     .for_each(|at| self.configure(at % self.plan.control, &base, expect, true));
             }
-            Fault::Trap(moment, loss) => self.trap = Some((moment, loss)),
+            Fault::LossOnTrigger(trigger, loss) => self.armed_loss = Some((trigger, loss)),
             Fault::LoseAll => self.lose_all(),
-            Fault::OpenLedger => self.ask(0, Asked::OpenLedger { generation: None }, 0),
+            Fault::OpenLedger => self.ask(0, OperatorCall::OpenLedger { generation: None }, 0),
             Fault::Returned => {
                 self.record("returned", "all", 0, true);
                 self.after(
                     Duration::from_secs(15),
-                    Happening::LookReady { since: self.now },
+                    SimEvent::LookReady { since: self.now },
                 );
             }
             Fault::ReadBack => {
                 if let Some(expect) = self.acknowledged.clone() {
-                    self.ask(2, Asked::ReadBack { expect }, 0);
+                    self.ask(2, OperatorCall::ReadBack { expect }, 0);
                 }
             }
         }
--- a/simulate-fleet/src/world_network.rs
+++ b/simulate-fleet/src/world_network.rs
@@ -18,17 +18,17 @@
         until.is_some_and(|until| self.now < *until)
     }
 
-    pub(crate) fn cut_off(&mut self, node: usize, scope: CutScope, span: Duration) {
+    pub(crate) fn cut_off(&mut self, node: usize, scope: PartitionScope, span: Duration) {
         let until = self.now + span;
         for other in 0..self.nodes.len() {
-            let control = matches!(self.nodes[other].place, Place::Control(_));
-            if other == node || !control && scope != CutScope::Everybody {
+            let control = matches!(self.nodes[other].place, NodeId::Control(_));
+            if other == node || !control && scope != PartitionScope::Everybody {
                 continue;
             }
-            if scope != CutScope::FromControlNodes {
+            if scope != PartitionScope::FromControlNodes {
                 self.cut(node, other, until);
             }
-            if scope != CutScope::ToControlNodes {
+            if scope != PartitionScope::ToControlNodes {
                 self.cut(other, node, until);
             }
         }
@@ -38,7 +38,7 @@
     pub(crate) fn reset(&mut self, one: usize, other: usize) {
         let addresses = [one, other].map(|node| self.nodes[node].peer.address);
         self.queue.retain(|_, what| match what {
-            Happening::Deliver { to, from, .. } => {
+            SimEvent::Deliver { to, from, .. } => {
                 let between = (*to == one && from.address == addresses[1])
                     || (*to == other && from.address == addresses[0]);
                 !between
@@ -51,12 +51,12 @@
     /// what waited for it while it was paused.
     pub(crate) fn lose_unread(&mut self, node: usize) {
         self.queue
-            .retain(|_, what| !matches!(what, Happening::Deliver { to, .. } if *to == node));
+            .retain(|_, what| !matches!(what, SimEvent::Deliver { to, .. } if *to == node));
     }
 
     /// When a node can take this: not while it is paused or at another step,
     /// and no sync ends while its disk stalls.
-    pub(crate) fn held_until(&self, node: usize, what: &Happening) -> Duration {
+    pub(crate) fn held_until(&self, node: usize, what: &SimEvent) -> Duration {
         let SimNode {
             paused,
             busy_until,
@@ -65,7 +65,7 @@
         } = &self.nodes[node];
         let held = *paused.max(busy_until);
         match what {
-            Happening::Synced { .. } => held.max(disk.stalled_until),
+            SimEvent::Synced { .. } => held.max(disk.stalled_until),
             _ => held,
         }
     }
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -14,14 +14,14 @@
             .iter()
             .map(|origin| origin.origin.clone())
             .collect();
-        let node = self.dice.roll(self.plan.control as u64) as usize;
-        self.ask(node, Asked::Origins { list, at: 0.0 }, 0);
+        let node = self.random.below(self.plan.control as u64) as usize;
+        self.ask(node, OperatorCall::Origins { list, at: 0.0 }, 0);
     }
 
     /// Learned when the call that was acknowledged in the end was read by a
     /// node that could take it. With another fault about, when it was
     /// acknowledged: nobody may have been there to learn it from.
-    pub(crate) fn origins_told(&mut self, list: &[Origin], settled: bool, read: f64) {
+    pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, read: f64) {
         let due = self.origins_due.take().unwrap_or(false);
         let disturbed = self
             .fleet
@@ -47,7 +47,7 @@
         if due || !settled {
             self.after(
                 Duration::from_millis(if due { 0 } else { 500 }),
-                Happening::PutOrigins,
+                SimEvent::PutOrigins,
             );
         }
     }
@@ -63,24 +63,24 @@
             if tries < 20 {
                 self.after(
                     Duration::from_secs(1),
-                    Happening::Ask {
+                    SimEvent::Ask {
                         node,
                         order,
                         tries: tries + 1,
                     },
                 );
-            } else if let Asked::Configure { marker, .. } = order.asked {
+            } else if let OperatorCall::Configure { marker, .. } = order.operator_calls {
                 self.changing.remove(&marker);
             }
             return;
         };
-        if let Asked::Origins { at, .. } = &mut order.asked {
+        if let OperatorCall::Origins { at, .. } = &mut order.operator_calls {
             *at = self.seconds();
         }
-        let drawn = self.dice.roll(u64::MAX >> 12);
+        let drawn = self.random.below(u64::MAX >> 12);
         let change = *order.change.get_or_insert(drawn);
-        let (partition, change) = match &order.asked {
-            Asked::Configure { text, expect, .. } => (
+        let (partition, change) = match &order.operator_calls {
+            OperatorCall::Configure { text, expect, .. } => (
                 CONFIGURATION_PARTITION,
                 Change::PutConfiguration {
                     text: text.as_str().into(),
@@ -88,14 +88,14 @@
                     change,
                 },
             ),
-            Asked::Purge { prefix, .. } => {
+            OperatorCall::Purge { prefix, .. } => {
                 let purge = Purge {
                     prefix: Some(prefix.clone()),
                     ..Purge::default()
                 };
                 (PURGES_PARTITION, Change::AddPurge { purge, change })
             }
-            Asked::Origins { list, .. } => (
+            OperatorCall::Origins { list, .. } => (
                 ORIGINS_PARTITION,
                 Change::PutOrigins {
                     list: Arc::new(list.clone()),
@@ -104,15 +104,15 @@
                     acknowledge: Acknowledge::Settled,
                 },
             ),
-            Asked::ReadBack { .. } => (CONFIGURATION_PARTITION, Change::GetConfiguration),
-            Asked::PutItem { item } => {
+            OperatorCall::ReadBack { .. } => (CONFIGURATION_PARTITION, Change::GetConfiguration),
+            OperatorCall::PutItem { item } => {
                 let items = vec![item.clone()];
                 (CONFIGURATION_PARTITION, Change::PutItems { items })
             }
-            Asked::Order { order } => return self.send_order(*order),
-            Asked::OpenLedger { generation: None } => {
+            OperatorCall::Order { order } => return self.send_order(*order),
+            OperatorCall::OpenLedger { generation: None } => {
                 self.serial += 1;
-                self.note_question(node, order);
+                self.record_operator_call(node, order);
                 return self.step(
                     node,
                     Input::Operator {
@@ -121,7 +121,7 @@
                     },
                 );
             }
-            Asked::OpenLedger {
+            OperatorCall::OpenLedger {
                 generation: Some(generation),
             } => (
                 ASSIGNMENTS_PARTITION,
@@ -132,7 +132,7 @@
         };
         self.serial += 1;
         let id = self.serial;
-        self.note_question(node, order);
+        self.record_operator_call(node, order);
         self.step(
             node,
             Input::Operator {
@@ -142,22 +142,22 @@
         );
     }
 
-    pub(crate) fn note_question(&mut self, node: usize, order: impl Into<Order>) {
+    pub(crate) fn record_operator_call(&mut self, node: usize, order: impl Into<Order>) {
         let mut order = order.into();
         let now = self.seconds();
         let start = *order.start.get_or_insert(now);
         let question = Question { node, order, start };
-        self.asked.insert(self.serial, question);
+        self.operator_calls.insert(self.serial, question);
     }
 
     /// Notes a call on the document with what came of it, for its history.
     pub(crate) fn record_operator(&mut self, question: &Question, outcome: &ChangeOutcome) {
-        let (operation, known) = match (&question.order.asked, outcome) {
-            (Asked::Configure { .. }, ChangeOutcome::Findings(_)) => return,
-            (Asked::Configure { .. }, ChangeOutcome::VersionConflict { version, .. }) => {
+        let (operation, known) = match (&question.order.operator_calls, outcome) {
+            (OperatorCall::Configure { .. }, ChangeOutcome::Findings(_)) => return,
+            (OperatorCall::Configure { .. }, ChangeOutcome::VersionConflict { version, .. }) => {
                 (DocumentOperation::Raced { version: *version }, true)
             }
-            (Asked::Configure { text, .. }, outcome) => {
+            (OperatorCall::Configure { text, .. }, outcome) => {
                 let version = match outcome {
                     ChangeOutcome::Acknowledged { version } => Some(*version),
                     _ => None,
@@ -166,7 +166,7 @@
                 let put = DocumentOperation::Put { version, content };
                 (put, version.is_some())
             }
-            (Asked::ReadBack { .. }, ChangeOutcome::Configuration { version, text }) => {
+            (OperatorCall::ReadBack { .. }, ChangeOutcome::Configuration { version, text }) => {
                 let content = document_digest(text);
                 let version = *version;
                 (DocumentOperation::Read { version, content }, true)
@@ -181,8 +181,8 @@
         });
     }
 
-    pub(crate) fn operator_told(&mut self, id: u64, answer: OperatorResponse) {
-        let Some(question) = self.asked.remove(&id) else {
+    pub(crate) fn on_operator_response(&mut self, id: u64, answer: OperatorResponse) {
+        let Some(question) = self.operator_calls.remove(&id) else {
             return;
         };
         let outcome = match answer {
@@ -192,10 +192,10 @@
                     .as_str()
                     .and_then(|text| u64::from_str_radix(text, 16).ok())
                     .filter(|generation| *generation != 0);
-                let next = Asked::OpenLedger { generation };
+                let next = OperatorCall::OpenLedger { generation };
                 return self.after(
                     Duration::from_millis(50),
-                    Happening::Ask {
+                    SimEvent::Ask {
                         node: 0,
                         order: next.into(),
                         tries: 0,
@@ -203,24 +203,24 @@
                 );
             }
         };
-        if self.answer_is_lost(&question.order) {
+        if self.operator_response_is_lost(&question.order) {
             return self.send_again(question, &outcome);
         }
         self.record_operator(&question, &outcome);
         let order = question.order;
         self.judge_again(&order, &outcome);
-        let asked = order.asked;
+        let operator_calls = order.operator_calls;
         let settled = matches!(outcome, ChangeOutcome::Acknowledged { .. });
         if let (
-            Asked::Origins { .. },
+            OperatorCall::Origins { .. },
             ChangeOutcome::Acknowledged { version }
             | ChangeOutcome::VersionConflict { version, .. },
-        ) = (&asked, &outcome)
+        ) = (&operator_calls, &outcome)
         {
             self.origins_at = *version;
         }
-        match asked {
-            Asked::Configure {
+        match operator_calls {
+            OperatorCall::Configure {
                 marker,
                 text,
                 race,
@@ -230,29 +230,29 @@
                 self.changing.remove(&marker);
                 self.configured(outcome, marker, text, race, without);
             }
-            Asked::Purge { prefix, version } => {
+            OperatorCall::Purge { prefix, version } => {
                 self.record("purged", &prefix, version, settled);
                 if settled {
-                    self.spring(Moment::Purged);
+                    self.spring(Trigger::Purged);
                 }
             }
-            Asked::Origins { list, at } => self.origins_told(&list, settled, at),
-            Asked::OpenLedger { .. } if !settled => self.after(
+            OperatorCall::Origins { list, at } => self.on_origins_outcome(&list, settled, at),
+            OperatorCall::OpenLedger { .. } if !settled => self.after(
                 Duration::from_millis(50),
-                Happening::Ask {
+                SimEvent::Ask {
                     node: 1,
-                    order: Asked::OpenLedger { generation: None }.into(),
+                    order: OperatorCall::OpenLedger { generation: None }.into(),
                     tries: 0,
                 },
             ),
-            Asked::OpenLedger { .. } => {}
-            Asked::PutItem { item } => {
+            OperatorCall::OpenLedger { .. } => {}
+            OperatorCall::PutItem { item } => {
                 if settled {
                     self.item_acknowledged(item.revision);
                 }
             }
-            Asked::Order { order } => self.order_told(order, outcome),
-            Asked::ReadBack {
+            OperatorCall::Order { order } => self.on_order_outcome(order, outcome),
+            OperatorCall::ReadBack {
                 expect: (version, text),
             } => {
                 if let ChangeOutcome::Configuration {
@@ -305,7 +305,7 @@
                 if !self.markers.contains(&marker) {
                     self.markers.push(marker);
                 }
-                self.spring(Moment::Configured);
+                self.spring(Trigger::Configured);
                 if self
                     .acknowledged
                     .as_ref()
@@ -349,7 +349,7 @@
         let without = self.removed.clone();
         self.ask(
             node,
-            Asked::Configure {
+            OperatorCall::Configure {
                 marker,
                 text,
                 expect,
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_orders.rs
@@ -14,7 +14,7 @@
     /// Tells contents apart.
     pub content: u32,
     /// So many answers do not reach the operator.
-    pub answers_lost: u32,
+    pub operator_responses_lost: u32,
 }
 
 /// What became of an order.
@@ -28,7 +28,7 @@
 }
 
 /// An operator without an answer sends again after this.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// An operator waits this long for one node.
 const PATIENCE: Duration = Duration::from_millis(3500);
 
@@ -99,7 +99,7 @@
                 ended: Duration::ZERO,
             };
             self.orders.push(record);
-            self.push(at, Happening::SendOrder { order });
+            self.push(at, SimEvent::SendOrder { order });
         }
     }
 
@@ -112,12 +112,12 @@
         record.tries += 1;
         let change = record.order.change();
         if self.nodes[node].part.is_none() {
-            return self.after(AGAIN, Happening::SendOrder { order });
+            return self.after(RETRY_INTERVAL, SimEvent::SendOrder { order });
         }
         self.serial += 1;
         let id = self.serial;
-        self.note_question(node, Asked::Order { order });
-        self.after(PATIENCE, Happening::OrderUnanswered { id });
+        self.record_operator_call(node, OperatorCall::Order { order });
+        self.after(PATIENCE, SimEvent::OrderUnanswered { id });
         let partition = CONFIGURATION_PARTITION;
         let ask = OperatorRequest::Change { partition, change };
         self.step(node, Input::Operator { id, request: ask });
@@ -125,20 +125,20 @@
 
     /// The operator gives this try up and goes to the next node.
     pub(crate) fn order_unanswered(&mut self, id: u64) {
-        if self.asked.contains_key(&id) {
-            self.operator_told(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown));
+        if self.operator_calls.contains_key(&id) {
+            self.on_operator_response(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown));
         }
     }
 
-    pub(crate) fn order_told(&mut self, order: usize, outcome: ChangeOutcome) {
+    pub(crate) fn on_order_outcome(&mut self, order: usize, outcome: ChangeOutcome) {
         let now = self.now;
         let record = &mut self.orders[order];
-        let lost = record.order.answers_lost > 0;
+        let lost = record.order.operator_responses_lost > 0;
         if lost {
-            record.order.answers_lost -= 1;
+            record.order.operator_responses_lost -= 1;
         }
         if lost || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority) {
-            return self.after(AGAIN, Happening::SendOrder { order });
+            return self.after(RETRY_INTERVAL, SimEvent::SendOrder { order });
         }
         record.outcome = Some(outcome);
         record.ended = now;
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -53,14 +53,14 @@
                 thread::spawn(move || take.iter().for_each(|task| traffic.work(task)))
             })
             .collect();
-        let mut dice = Dice::new(seed);
+        let mut random = SeededRandom::new(seed);
         let began = Instant::now();
         let mut serial = 0u64;
         while began.elapsed() < Duration::from_secs(seconds) {
             let due = (began.elapsed().as_secs_f64() * rate as f64) as u64;
             while serial < due {
                 serial += 1;
-                if let Some(task) = traffic.draw(&mut dice, serial) {
+                if let Some(task) = traffic.draw(&mut random, serial) {
                     let _ = give.send(task);
                 }
             }
@@ -84,20 +84,20 @@
     /// The platform hands clients only to nodes that say they are ready.
     fn watch_ready(&self) {
         while !self.stop.load(Ordering::Acquire) {
-            let asked = self.plan.edges.iter().filter(|(edge, _)| {
+            let candidates = self.plan.edges.iter().filter(|(edge, _)| {
                 let url = format!("http://{edge}/.otterslip/v1/ready");
                 direct("GET", &url)
                     .timeout(Duration::from_millis(300))
                     .send()
                     .is_ok_and(|answer| answer.is_success())
             });
-            let ready: Vec<_> = asked.cloned().collect();
+            let ready: Vec<_> = candidates.cloned().collect();
             *self.ready.lock().expect("no holder panics") = ready;
             thread::sleep(Duration::from_millis(150));
         }
     }
 
-    fn pick(&self, dice: u64, not_zone: Option<&str>) -> Option<SocketAddr> {
+    fn pick(&self, random: u64, not_zone: Option<&str>) -> Option<SocketAddr> {
         let ready = self.ready.lock().expect("no holder panics");
         let list: Vec<_> = ready
             .iter()
@@ -108,29 +108,29 @@
         } else {
             list
         };
-        list.get(dice as usize % list.len().max(1))
+        list.get(random as usize % list.len().max(1))
             .map(|(edge, _)| *edge)
     }
 
-    fn draw(&self, dice: &mut Dice, serial: u64) -> Option<Task> {
-        let mut roll = dice.roll(100);
+    fn draw(&self, random: &mut SeededRandom, serial: u64) -> Option<Task> {
+        let mut roll = random.below(100);
         let mix = self.plan.mix.iter().find(|mix| {
             let hit = roll < mix.share;
             roll = roll.saturating_sub(mix.share);
             hit
         })?;
         // A few objects are asked for most of the time.
-        let at = if dice.chance(70) {
-            dice.roll(mix.paths / 10 + 1)
+        let at = if random.chance(70) {
+            random.below(mix.paths / 10 + 1)
         } else {
-            dice.roll(mix.paths)
+            random.below(mix.paths)
         };
         let operation = mix.keyed.then(|| format!("op-{}-{serial}", self.plan.seed));
         Some(Task {
             mix: mix.clone(),
             path: format!("{}{at}", mix.path),
             operation,
-            edge: self.pick(dice.roll(1 << 20), None)?,
+            edge: self.pick(random.below(1 << 20), None)?,
             tries: 0,
         })
     }
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -163,7 +163,7 @@
             ),
             (
                 "a copy is served 2 s beyond its keep time once replaced",
-                self.served_beyond_keep(),
+                self.served_beyond_ttl(),
             ),
             (
                 "an acknowledged configuration is not in force everywhere in 2.5 s, or a node slips back",
@@ -397,7 +397,7 @@
         cases
     }
 
-    fn served_beyond_keep(&self) -> Cases {
+    fn served_beyond_ttl(&self) -> Cases {
         let mut cases = Cases::default();
         for (at, version) in self.replaced() {
             for call in self
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -231,7 +231,7 @@
     /// An origin ran it.
     Run,
     /// A caller was given its answer, which tells the content's version.
-    Answered(Option<u64>),
+    Responded(Option<u64>),
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -240,7 +240,7 @@
     NotRun,
     /// Nobody heard of it yet.
     Run,
-    Answered(Option<u64>),
+    Responded(Option<u64>),
 }
 
 impl Model for KeyedOperation {
@@ -250,8 +250,10 @@
     fn apply(state: &KeyedState, operation: &KeyedCall) -> Option<KeyedState> {
         match (state, operation) {
             (KeyedState::NotRun, KeyedCall::Run) => Some(KeyedState::Run),
-            (KeyedState::Run, KeyedCall::Answered(version)) => Some(KeyedState::Answered(*version)),
-            (KeyedState::Answered(known), KeyedCall::Answered(version)) if known == version => {
+            (KeyedState::Run, KeyedCall::Responded(version)) => {
+                Some(KeyedState::Responded(*version))
+            }
+            (KeyedState::Responded(known), KeyedCall::Responded(version)) if known == version => {
                 Some(state.clone())
             }
             _ => None,
@@ -349,7 +351,7 @@
         .map(|one| Timed {
             start: one.start,
             end: Some(one.end),
-            operation: KeyedCall::Answered(one.version),
+            operation: KeyedCall::Responded(one.version),
         });
     let calls: Vec<_> = ran.chain(answered).collect();
     judge::<KeyedOperation>(&calls)
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -3,12 +3,12 @@
 pub mod caller;
 pub mod checker;
 pub mod deployment;
-pub mod dice;
 pub mod flags;
 pub mod fleet;
 pub mod history;
 pub mod origin;
 pub mod prelude;
+pub mod random;
 pub mod record;
 pub mod schema_check;
 pub mod soak;
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -2,7 +2,6 @@
 pub use crate::caller::{CallerPlan, Traffic};
 pub use crate::checker::{Checker, JUDGED, Verdict};
 pub use crate::deployment::Deployment;
-pub use crate::dice::Dice;
 pub use crate::flags::{Flags, direct};
 pub use crate::fleet::{Fleet, Node};
 pub use crate::history::{
@@ -10,6 +9,7 @@
     judge_document, judge_items, judge_key,
 };
 pub use crate::origin::StandInOrigin;
+pub use crate::random::SeededRandom;
 pub use crate::record::*;
 pub use crate::schema_check::SchemaCheck;
 pub use data_plane::Seal;
--- a/stand-ins/src/dice.rs
+++ b/stand-ins/src/random.rs
@@ -1,13 +1,13 @@
 //! Seeded pseudo-random numbers.
 /// Repeatable chance, for traffic and schedules.
-pub struct Dice(u64);
+pub struct SeededRandom(u64);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
+impl SeededRandom {
+    pub fn new(seed: u64) -> SeededRandom {
+        SeededRandom(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
     }
 
-    pub fn roll(&mut self, sides: u64) -> u64 {
+    pub fn below(&mut self, sides: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -16,6 +16,6 @@
 
     /// True in `share` of a hundred.
     pub fn chance(&mut self, share: u64) -> bool {
-        self.roll(100) < share
+        self.below(100) < share
     }
 }
--- a/stand-ins/src/soak/leaver.rs
+++ b/stand-ins/src/soak/disconnecting_client.rs
@@ -41,8 +41,8 @@
 }
 
 /// One caller after the other, each with a few requests.
-pub struct Leaver {
-    dice: Dice,
+pub struct DisconnectingClient {
+    random: SeededRandom,
     worker: usize,
     seed: u64,
     serial: u64,
@@ -58,10 +58,10 @@
 /// Cached objects that are asked for.
 const COPIES: u64 = 40;
 
-impl Leaver {
-    pub fn new(seed: u64, worker: usize, edges: Vec<SocketAddr>) -> Leaver {
-        Leaver {
-            dice: Dice::new(seed ^ ((worker as u64 + 1) << 32)),
+impl DisconnectingClient {
+    pub fn new(seed: u64, worker: usize, edges: Vec<SocketAddr>) -> DisconnectingClient {
+        DisconnectingClient {
+            random: SeededRandom::new(seed ^ ((worker as u64 + 1) << 32)),
             worker,
             seed,
             serial: 0,
@@ -90,8 +90,8 @@
             Manner::ShutsWriting,
             Manner::ClosesAfterLast,
             Manner::ClosesPipelined,
-        ][self.dice.roll(6) as usize];
-        let edge = self.edges[self.dice.roll(self.edges.len() as u64) as usize];
+        ][self.random.below(6) as usize];
+        let edge = self.edges[self.random.below(self.edges.len() as u64) as usize];
         let count = if manner == Manner::ClosesPipelined {
             PIPELINED
         } else {
@@ -111,7 +111,9 @@
             list[0].status = status_of(&mut stream);
             return Ok(list);
         }
-        thread::sleep(Duration::from_millis(1 + self.dice.roll(LEAVES_WITHIN_MS)));
+        thread::sleep(Duration::from_millis(
+            1 + self.random.below(LEAVES_WITHIN_MS),
+        ));
         // What was answered meanwhile, nobody left.
         stream.set_nonblocking(true)?;
         let answered = matches!(stream.peek(&mut [0]), Ok(size) if size > 0);
@@ -133,7 +135,7 @@
     fn request(&mut self, edge: SocketAddr, manner: Manner) -> (String, Departure) {
         self.serial += 1;
         let number = format!("{}-{}-{}", self.seed, self.worker, self.serial);
-        let sort = match self.dice.roll(4) {
+        let sort = match self.random.below(4) {
             0 if manner != Manner::ClosesPipelined => RequestSort::Keyed,
             1 => RequestSort::Cached,
             _ => RequestSort::Repeatable,
@@ -141,7 +143,7 @@
         let (method, path) = match sort {
             RequestSort::Repeatable => ("POST", format!("/availability/soak-{number}")),
             RequestSort::Keyed => ("POST", format!("/reservation/soak-{number}")),
-            RequestSort::Cached => ("GET", format!("/listing/{}", self.dice.roll(COPIES))),
+            RequestSort::Cached => ("GET", format!("/listing/{}", self.random.below(COPIES))),
         };
         let mut heads = String::new();
         if sort == RequestSort::Keyed {
--- a/stand-ins/src/soak/troubles.rs
+++ b/stand-ins/src/soak/faults.rs
@@ -5,7 +5,7 @@
 
 /// One thing that goes wrong for a while.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Trouble {
+pub enum SoakFault {
     KillEdge(usize),
     KillControl(usize),
     PauseEdge(usize),
@@ -16,23 +16,23 @@
 
 /// A trouble begins or ends.
 #[derive(Debug, Clone)]
-pub struct TroubleStep {
+pub struct FaultStep {
     pub at: Duration,
-    pub trouble: Trouble,
+    pub fault: SoakFault,
     pub begins: bool,
 }
 
-impl fmt::Display for TroubleStep {
+impl fmt::Display for FaultStep {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         let what = if self.begins { "begins" } else { "ends" };
-        write!(out, "{:?} {what}", self.trouble)
+        write!(out, "{:?} {what}", self.fault)
     }
 }
 
 /// The steps of one run, in order.
 #[derive(Debug, Clone)]
-pub struct TroublePlan {
-    pub steps: Vec<TroubleStep>,
+pub struct FaultPlan {
+    pub steps: Vec<FaultStep>,
 }
 
 /// Troubles at a time.
@@ -43,50 +43,54 @@
 /// The end of a run is free of troubles.
 const CALM_END: Duration = Duration::from_secs(2);
 
-impl TroublePlan {
+impl FaultPlan {
     /// Draws troubles for a fleet; at most one control node is away at a time, and
     /// nothing has two troubles at once.
-    pub fn draw(seed: u64, span: Duration, fleet: &Fleet) -> TroublePlan {
-        let mut dice = Dice::new(seed ^ 0x50AC);
+    pub fn draw(seed: u64, span: Duration, fleet: &Fleet) -> FaultPlan {
+        let mut random = SeededRandom::new(seed ^ 0x50AC);
         let mut steps = Vec::new();
         let end = span.saturating_sub(CALM_END).as_millis() as u64;
         for lane in 0..OVERLAP {
-            let mut at = FIRST_MS + dice.roll(MOST_MS);
+            let mut at = FIRST_MS + random.below(MOST_MS);
             while at + LEAST_MS < end {
-                let until = (at + LEAST_MS + dice.roll(MOST_MS)).min(end);
-                let trouble = TroublePlan::trouble(&mut dice, lane, fleet);
+                let until = (at + LEAST_MS + random.below(MOST_MS)).min(end);
+                let fault = FaultPlan::fault(&mut random, lane, fleet);
                 for (at, begins) in [(at, true), (until, false)] {
-                    steps.push(TroubleStep {
+                    steps.push(FaultStep {
                         at: Duration::from_millis(at),
-                        trouble: trouble.clone(),
+                        fault: fault.clone(),
                         begins,
                     });
                 }
-                at = until + LEAST_MS + dice.roll(MOST_MS / 2);
+                at = until + LEAST_MS + random.below(MOST_MS / 2);
             }
         }
         steps.sort_by_key(|step| (step.at, step.begins));
-        TroublePlan { steps }
+        FaultPlan { steps }
     }
 
     /// Each lane has troubles of its own kind, so that they never meet at one node.
-    fn trouble(dice: &mut Dice, lane: usize, fleet: &Fleet) -> Trouble {
-        let edge = dice.roll(fleet.edges.len() as u64) as usize;
-        let control = dice.roll(fleet.control.len() as u64) as usize;
+    fn fault(random: &mut SeededRandom, lane: usize, fleet: &Fleet) -> SoakFault {
+        let edge = random.below(fleet.edges.len() as u64) as usize;
+        let control = random.below(fleet.control.len() as u64) as usize;
         // The last one is listed for a service that nobody asks for.
-        let origin = dice.roll(fleet.origins.len() as u64 - 1) as usize;
+        let origin = random.below(fleet.origins.len() as u64 - 1) as usize;
         match lane {
-            0 if dice.chance(50) => Trouble::KillEdge(edge),
-            0 => Trouble::PauseEdge(edge),
-            1 if dice.chance(30) => Trouble::KillControl(control),
-            1 if dice.chance(40) => Trouble::PauseControl(control),
-            1 => Trouble::Origin(
+            0 if random.chance(50) => SoakFault::KillEdge(edge),
+            0 => SoakFault::PauseEdge(edge),
+            1 if random.chance(30) => SoakFault::KillControl(control),
+            1 if random.chance(40) => SoakFault::PauseControl(control),
+            1 => SoakFault::Origin(
                 origin,
-                ["slow", "lose-answer", "unsigned", "status-500"][dice.roll(4) as usize],
+                ["slow", "lose-answer", "unsigned", "status-500"][random.below(4) as usize],
             ),
-            _ => Trouble::Relay(
+            _ => SoakFault::Relay(
                 origin,
-                [RelayMode::Cut, RelayMode::LoseAnswers, RelayMode::Reset][dice.roll(3) as usize],
+                [
+                    RelayMode::DropLink,
+                    RelayMode::LoseOperatorResponses,
+                    RelayMode::Reset,
+                ][random.below(3) as usize],
             ),
         }
     }
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -5,16 +5,16 @@
 //! callers run here. Each origin is reached through a `Relay`, which can cut it
 //! off, reset it and lose its answers, and which sees what edges send and when
 //! they give up. Edges and control nodes are killed and stopped for a while.
-mod leaver;
+mod disconnecting_client;
+mod faults;
 mod relay;
-mod troubles;
 mod verdict;
 
 use crate::fleet::free_address;
 use crate::prelude::*;
-pub use leaver::{Departure, Leaver, Manner, RequestSort};
+pub use disconnecting_client::{Departure, DisconnectingClient, Manner, RequestSort};
+pub use faults::{FaultPlan, SoakFault};
 pub use relay::{Passage, Relay, RelayMode};
-pub use troubles::{Trouble, TroublePlan};
 pub use verdict::SoakVerdict;
 
 /// What is to be played.
@@ -116,41 +116,44 @@
         let edges: Vec<SocketAddr> = self.fleet.edges.iter().map(|node| node.http).collect();
         let leavers: Vec<_> = (0..LEAVERS)
             .map(|worker| {
-                let leaver = Leaver::new(self.plan.seed, worker, edges.clone());
+                let disconnecting_client =
+                    DisconnectingClient::new(self.plan.seed, worker, edges.clone());
                 let (stop, span) = (self.stop.clone(), self.plan.span);
-                thread::spawn(move || leaver.run(span, &stop))
+                thread::spawn(move || disconnecting_client.run(span, &stop))
             })
             .collect();
-        let troubles = TroublePlan::draw(self.plan.seed, self.plan.span, &self.fleet);
-        self.trouble(troubles)?;
-        let ended = leavers.into_iter().map(|leaver| leaver.join());
+        let faults = FaultPlan::draw(self.plan.seed, self.plan.span, &self.fleet);
+        self.fault(faults)?;
+        let ended = leavers
+            .into_iter()
+            .map(|disconnecting_client| disconnecting_client.join());
         let lists: std::result::Result<Vec<Vec<Departure>>, _> = ended.collect();
         let lists = lists.map_err(|_| anyhow!("a caller's thread panicked"))?;
         Ok(lists.into_iter().flatten().collect())
     }
 
-    fn trouble(&mut self, plan: TroublePlan) -> Result<()> {
+    fn fault(&mut self, plan: FaultPlan) -> Result<()> {
         let began = Instant::now();
         for step in plan.steps {
             thread::sleep(step.at.saturating_sub(began.elapsed()));
             println!("{:6.2} s  {step}", began.elapsed().as_secs_f64());
-            self.apply(&step.trouble, step.begins)?;
+            self.apply(&step.fault, step.begins)?;
         }
         thread::sleep(self.plan.span.saturating_sub(began.elapsed()));
         Ok(())
     }
 
-    fn apply(&mut self, trouble: &Trouble, begins: bool) -> Result<()> {
-        match trouble {
-            Trouble::KillEdge(at) => self.kill(false, *at, begins)?,
-            Trouble::KillControl(at) => self.kill(true, *at, begins)?,
-            Trouble::PauseEdge(at) => self.pause(false, *at, begins),
-            Trouble::PauseControl(at) => self.pause(true, *at, begins),
-            Trouble::Relay(at, mode) => {
+    fn apply(&mut self, fault: &SoakFault, begins: bool) -> Result<()> {
+        match fault {
+            SoakFault::KillEdge(at) => self.kill(false, *at, begins)?,
+            SoakFault::KillControl(at) => self.kill(true, *at, begins)?,
+            SoakFault::PauseEdge(at) => self.pause(false, *at, begins),
+            SoakFault::PauseControl(at) => self.pause(true, *at, begins),
+            SoakFault::Relay(at, mode) => {
                 let mode = if begins { *mode } else { RelayMode::Pass };
                 self.relays[*at].set_mode(mode);
             }
-            Trouble::Origin(at, fault) => {
+            SoakFault::Origin(at, fault) => {
                 let fault = if begins { fault } else { "" };
                 let mut set = self.origins[*at].fault.lock().expect("no holder panics");
                 *set = fault.into();
--- a/stand-ins/src/soak/relay.rs
+++ b/stand-ins/src/soak/relay.rs
@@ -7,9 +7,9 @@
 pub enum RelayMode {
     Pass,
     /// Nothing passes either way; connections stay and say nothing.
-    Cut,
+    DropLink,
     /// Requests pass, answers do not.
-    LoseAnswers,
+    LoseOperatorResponses,
     /// Connections are reset as soon as anything comes.
     Reset,
 }
@@ -101,7 +101,7 @@
         }
         let mut under_way: Option<usize> = None;
         while !self.stopped() && self.mode() != RelayMode::Reset {
-            let cut = self.mode() == RelayMode::Cut;
+            let cut = self.mode() == RelayMode::DropLink;
             let mut buffer = [0; CHUNK];
             // An edge that gives up is seen also while nothing passes.
             match edge.read(&mut buffer) {
@@ -123,7 +123,7 @@
             }
             match origin.read(&mut buffer) {
                 Ok(0) => break,
-                Ok(_) if self.mode() == RelayMode::LoseAnswers => {}
+                Ok(_) if self.mode() == RelayMode::LoseOperatorResponses => {}
                 Ok(size) => {
                     self.end(under_way.take());
                     if edge.write_all(&buffer[..size]).is_err() {
