--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -143,7 +143,7 @@
         let store = self
             .store
             .take()
-            .map(|store| store::keep(store, give.clone()));
+            .map(|store| store::spawn_writer(store, give.clone()));
         NodeHost::watch_signal(&give, self.startup.grace())?;
         let tick = self.tick;
         log_event(
@@ -188,7 +188,7 @@
                         self.put(&store, PendingWrite::Append(serial, record))
                     }
                     Output::StoreSnapshot { serial, record } => {
-                        self.put(&store, PendingWrite::Image(serial, record))
+                        self.put(&store, PendingWrite::Snapshot(serial, record))
                     }
                     Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
                         port.complete(id, output)
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -40,4 +40,4 @@
 pub use crate::slot_set::SlotSet;
 pub use crate::startup::{Startup, help_or_version};
 pub use crate::state_machine::*;
-pub use crate::store::{self, PendingWrite, Store};
+pub use crate::store::{self, PendingWrite, Store, StoreError};
--- a/kernel/src/store.rs
+++ b/kernel/src/store.rs
@@ -1,79 +1,102 @@
-//! Where a part's records go, and the thread that writes them.
+//! The durable store of a node's records, and the thread that writes to it.
 
 use crate::prelude::*;
 
-/// A log of records. What was appended counts once synced.
+/// Why a store did not do what it was asked. The text is that of the cause.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// A read, write or sync was refused by the file system.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The stored records could not be read again.
+    #[error(transparent)]
+    Reopen(Box<dyn std::error::Error + Send + Sync>),
+}
+
+/// A log of records. A record is durable once a later `sync` has returned.
 pub trait Store: Send {
-    fn append(&mut self, record: &[u8]) -> Result<()>;
-    /// Writes a record that holds all that earlier ones held.
-    fn image(&mut self, record: &[u8]) -> Result<()>;
-    fn sync(&mut self) -> Result<()>;
-    /// Begins anew from what the disk holds, after a write that failed.
-    fn reopen(&mut self) -> Result<()>;
+    /// Adds a record behind all earlier ones.
+    fn append(&mut self, record: &[u8]) -> Result<(), StoreError>;
+    /// Writes a record that replaces all earlier ones.
+    fn write_snapshot(&mut self, record: &[u8]) -> Result<(), StoreError>;
+    /// Makes all earlier writes durable.
+    fn sync(&mut self) -> Result<(), StoreError>;
+    /// Starts again from what the disk holds, after a write that failed.
+    fn reopen(&mut self) -> Result<(), StoreError>;
 }
 
-/// A record with its serial number, on its way to the disk.
+/// A record with its serial number, queued for the writer thread.
 pub enum PendingWrite {
+    /// A record to append.
     Append(u64, Vec<u8>),
-    Image(u64, Vec<u8>),
+    /// A snapshot that replaces all earlier records.
+    Snapshot(u64, Vec<u8>),
 }
 
 impl PendingWrite {
     fn serial(&self) -> u64 {
         match self {
-            PendingWrite::Append(serial, _) | PendingWrite::Image(serial, _) => *serial,
+            PendingWrite::Append(serial, _) | PendingWrite::Snapshot(serial, _) => *serial,
         }
     }
 
-    fn write(&self, store: &mut dyn Store) -> Result<()> {
+    fn is_snapshot(&self) -> bool {
+        matches!(self, PendingWrite::Snapshot(..))
+    }
+
+    fn write(&self, store: &mut dyn Store) -> Result<(), StoreError> {
         match self {
             PendingWrite::Append(_, record) => store.append(record),
-            PendingWrite::Image(_, record) => store.image(record),
+            PendingWrite::Snapshot(_, record) => store.write_snapshot(record),
         }
     }
 }
 
-/// Writes records in a thread of its own. One sync serves all that waited for
-/// the one before. After a write that failed only an image, which holds all
-/// that was lost, is tried.
-pub fn keep(mut store: Box<dyn Store>, give: Sender<Input>) -> Sender<PendingWrite> {
-    let (put, take) = flume::unbounded::<PendingWrite>();
+/// Spawns the thread that writes queued records and reports each batch to
+/// `inputs`. One sync serves all records that queued up during the one before.
+/// After a failed write records are dropped until the next snapshot, which
+/// contains all that was lost. The thread ends with either channel.
+pub fn spawn_writer(mut store: Box<dyn Store>, inputs: Sender<Input>) -> Sender<PendingWrite> {
+    let (queue, queued) = flume::unbounded::<PendingWrite>();
     thread::spawn(move || {
         let mut failed = false;
-        while let Ok(first) = take.recv() {
-            let records: Vec<PendingWrite> = std::iter::once(first).chain(take.drain()).collect();
-            let Some(stored) = write_all(&mut *store, &records, failed) else {
+        while let Ok(first) = queued.recv() {
+            let batch: Vec<PendingWrite> = std::iter::once(first).chain(queued.drain()).collect();
+            let Some(result) = write_batch(&mut *store, &batch, failed) else {
                 continue;
             };
-            failed = stored.is_err();
-            let input = match stored {
+            failed = result.is_err();
+            let input = match result {
                 Ok(serial) => Input::Stored { serial },
                 Err(_) => Input::StoreFailed,
             };
-            if give.send(input).is_err() {
+            if inputs.send(input).is_err() {
                 return;
             }
         }
     });
-    put
+    queue
 }
 
-/// The serial of the last record, once all are synced; none if nothing was to
-/// be written.
-fn write_all(store: &mut dyn Store, records: &[PendingWrite], failed: bool) -> Option<Result<u64>> {
-    let is_image = |record: &PendingWrite| matches!(record, PendingWrite::Image(..));
+/// The serial of the last record, once the batch is durable; none if nothing
+/// was to be written: after a failure only a snapshot and what follows it is.
+fn write_batch(
+    store: &mut dyn Store,
+    batch: &[PendingWrite],
+    failed: bool,
+) -> Option<Result<u64, StoreError>> {
     let first = if failed {
-        records.iter().rposition(is_image)?
+        batch.iter().rposition(PendingWrite::is_snapshot)?
     } else {
         0
     };
-    let records = &records[first..];
-    let serial = records.last()?.serial();
+    let batch = &batch[first..];
+    let serial = batch.last()?.serial();
     let mut write = || {
         if failed {
             store.reopen()?;
         }
-        records.iter().try_for_each(|record| record.write(store))?;
+        batch.iter().try_for_each(|record| record.write(store))?;
         store.sync()?;
         Ok(serial)
     };
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -4,18 +4,18 @@
 
 /// A log in memory that refuses writes while it is full.
 #[derive(Clone, Default)]
-struct Memory {
+struct MemoryStore {
     full: Arc<AtomicBool>,
     records: Arc<Mutex<Vec<Vec<u8>>>>,
 }
 
-impl Memory {
-    fn write(&self, record: &[u8], whole: bool) -> Result<()> {
+impl MemoryStore {
+    fn write(&self, record: &[u8], replaces_all: bool) -> Result<(), StoreError> {
         if self.full.load(Ordering::Acquire) {
-            bail!("no room");
+            return Err(std::io::Error::other("disk full").into());
         }
         let mut records = self.records.lock().unwrap();
-        if whole {
+        if replaces_all {
             records.clear();
         }
         records.push(record.to_vec());
@@ -23,45 +23,47 @@
     }
 }
 
-impl Store for Memory {
-    fn append(&mut self, record: &[u8]) -> Result<()> {
+impl Store for MemoryStore {
+    fn append(&mut self, record: &[u8]) -> Result<(), StoreError> {
         self.write(record, false)
     }
 
-    fn image(&mut self, record: &[u8]) -> Result<()> {
+    fn write_snapshot(&mut self, record: &[u8]) -> Result<(), StoreError> {
         self.write(record, true)
     }
 
-    fn sync(&mut self) -> Result<()> {
+    fn sync(&mut self) -> Result<(), StoreError> {
         Ok(())
     }
 
-    fn reopen(&mut self) -> Result<()> {
+    fn reopen(&mut self) -> Result<(), StoreError> {
         Ok(())
     }
 }
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const RESULT_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
-fn after_a_failure_only_a_whole_image_counts_and_then_all_goes_on() {
-    let memory = Memory::default();
-    let (give, take) = flume::unbounded();
-    let put = store::keep(Box::new(memory.clone()), give);
-    let next = || take.recv_timeout(PATIENCE).expect("an answer");
-    put.send(PendingWrite::Append(1, vec![1])).unwrap();
+fn failed_write_is_recovered_by_the_next_snapshot() {
+    let memory = MemoryStore::default();
+    let (inputs, received) = flume::unbounded();
+    let writer = store::spawn_writer(Box::new(memory.clone()), inputs);
+    let next = || received.recv_timeout(RESULT_TIMEOUT).expect("a result");
+    writer.send(PendingWrite::Append(1, vec![1])).unwrap();
     assert!(matches!(next(), Input::Stored { serial: 1 }));
     memory.full.store(true, Ordering::Release);
-    put.send(PendingWrite::Append(2, vec![2])).unwrap();
+    writer.send(PendingWrite::Append(2, vec![2])).unwrap();
     assert!(matches!(next(), Input::StoreFailed));
-    put.send(PendingWrite::Image(3, vec![1, 2])).unwrap();
+    writer.send(PendingWrite::Snapshot(3, vec![1, 2])).unwrap();
     assert!(matches!(next(), Input::StoreFailed), "it is still full");
     memory.full.store(false, Ordering::Release);
     // Alone it would follow a record that is missing.
-    put.send(PendingWrite::Append(4, vec![4])).unwrap();
-    put.send(PendingWrite::Image(5, vec![1, 2, 4])).unwrap();
+    writer.send(PendingWrite::Append(4, vec![4])).unwrap();
+    writer
+        .send(PendingWrite::Snapshot(5, vec![1, 2, 4]))
+        .unwrap();
     assert!(matches!(next(), Input::Stored { serial: 5 }));
-    put.send(PendingWrite::Append(6, vec![6])).unwrap();
+    writer.send(PendingWrite::Append(6, vec![6])).unwrap();
     assert!(matches!(next(), Input::Stored { serial: 6 }));
     let records = memory.records.lock().unwrap().clone();
     assert_eq!(records, [vec![1, 2, 4], vec![6]]);
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -18,7 +18,7 @@
         startup.gather_span().map(|span| bootstrap(&startup, span)),
         new_incarnation()?,
     )
-    .with_log(loaded.log_bytes, loaded.image_bytes);
+    .with_log(loaded.log_bytes, loaded.snapshot_bytes);
     let history = Some(History::keep(startup.data.clone().context("data folder")?));
     let host = NodeHost {
         me: part.me(),
@@ -45,7 +45,7 @@
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
     let renewed = removed.renewed(new_incarnation()?);
     let image = Record::Image(Box::new(renewed.clone()));
-    log.image(&image.bytes())?;
+    log.write_snapshot(&image.bytes())?;
     log.sync()?;
     Ok(renewed)
 }
@@ -56,8 +56,8 @@
 fn open(folder: &Path) -> Result<Loaded> {
     let loaded = match SegmentLog::open(folder) {
         Ok(loaded) => loaded,
-        Err(error) if error.refillable() => {
-            let aside = SegmentLog::set_aside(folder)?;
+        Err(error) if error.is_recoverable_from_peers() => {
+            let aside = SegmentLog::quarantine(folder)?;
             log_event(
                 Event::LogCorrupt,
                 &format!("{error}; set aside as {}", aside.display()),
@@ -66,8 +66,11 @@
         }
         Err(error) => refuse(&error.to_string()),
     };
-    if loaded.cut > 0 {
-        log_event(Event::LogTailCut, &format!("{} bytes", loaded.cut));
+    if loaded.truncated_bytes > 0 {
+        log_event(
+            Event::LogTailCut,
+            &format!("{} bytes", loaded.truncated_bytes),
+        );
     }
     Ok(loaded)
 }
--- /dev/null
+++ b/segment-log/src/frame.rs
@@ -0,0 +1,103 @@
+//! The bytes of a file: a header, then checksummed frames of records.
+
+/// The last byte is the version of the format. Files of version 0 have no
+/// header, and a record where later ones have a batch; they are still read.
+pub(crate) const HEADER: [u8; 8] = *b"OTSLOG\0\x01";
+/// Length and checksum in front of a frame's content.
+pub(crate) const FRAME_PREFIX_BYTES: usize = 8;
+/// Length in front of a record in a batch.
+const RECORD_PREFIX_BYTES: usize = 4;
+/// A file that does not begin as ours is searched this far for a frame of ours.
+const SEARCHED_BYTES: usize = 64 * 1024;
+
+/// One file as read.
+pub(crate) struct FileContents {
+    pub(crate) records: Vec<Vec<u8>>,
+    /// How many bytes from the start are valid; the rest is torn or corrupt.
+    pub(crate) valid_bytes: usize,
+    pub(crate) total_bytes: usize,
+    /// Whether a valid frame follows the first invalid bytes.
+    pub(crate) valid_frame_follows: bool,
+    /// Whether it holds batches, not single records as before version 1.
+    pub(crate) has_batches: bool,
+}
+
+/// The records of a file; an error says why it is not one of ours.
+pub(crate) fn parse(bytes: &[u8]) -> Result<FileContents, String> {
+    let (magic, version) = HEADER.split_at(HEADER.len() - 1);
+    if bytes.starts_with(&HEADER) {
+        return Ok(read_frames(bytes, HEADER.len(), true));
+    }
+    if bytes.starts_with(magic) {
+        let found = bytes.get(magic.len()).copied().unwrap_or_default();
+        return Err(format!("format {found}, not {}", version[0]));
+    }
+    let searched = &bytes[..bytes.len().min(SEARCHED_BYTES)];
+    if !bytes.is_empty() && frame_at(bytes).is_none() && !valid_frame_follows(searched) {
+        return Err("it does not begin as one".into());
+    }
+    Ok(read_frames(bytes, 0, false))
+}
+
+/// Reads frames from `start` on: batches or, as before version 1, records.
+fn read_frames(bytes: &[u8], start: usize, has_batches: bool) -> FileContents {
+    let mut records = Vec::new();
+    let mut valid_bytes = start;
+    while let Some(content) = frame_at(&bytes[valid_bytes..]) {
+        if has_batches {
+            let Some(mut batch) = decode_batch(content) else {
+                break;
+            };
+            records.append(&mut batch);
+        } else {
+            records.push(content.to_vec());
+        }
+        valid_bytes += content.len() + FRAME_PREFIX_BYTES;
+    }
+    FileContents {
+        records,
+        valid_bytes,
+        total_bytes: bytes.len(),
+        valid_frame_follows: valid_frame_follows(&bytes[valid_bytes..]),
+        has_batches,
+    }
+}
+
+/// The content of a frame that begins here, if it is complete.
+fn frame_at(bytes: &[u8]) -> Option<&[u8]> {
+    let length = u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
+    let checksum = u32::from_be_bytes(bytes.get(4..8)?.try_into().ok()?);
+    let content = bytes.get(FRAME_PREFIX_BYTES..FRAME_PREFIX_BYTES + length)?;
+    (length > 0 && crc32fast::hash(content) == checksum).then_some(content)
+}
+
+/// A torn write has no valid frame behind it; corruption in the middle does.
+fn valid_frame_follows(rest: &[u8]) -> bool {
+    (1..rest.len()).any(|offset| frame_at(&rest[offset..]).is_some())
+}
+
+/// A frame around this content.
+pub(crate) fn encode_frame(content: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(content.len() + FRAME_PREFIX_BYTES);
+    bytes.extend((content.len() as u32).to_be_bytes());
+    bytes.extend(crc32fast::hash(content).to_be_bytes());
+    bytes.extend(content);
+    bytes
+}
+
+/// A record as it stands in a batch.
+pub(crate) fn encode_record(record: &[u8]) -> Vec<u8> {
+    let length = (record.len() as u32).to_be_bytes();
+    [&length[..], record].concat()
+}
+
+fn decode_batch(mut batch: &[u8]) -> Option<Vec<Vec<u8>>> {
+    let mut records = Vec::new();
+    while !batch.is_empty() {
+        let prefix = batch.get(..RECORD_PREFIX_BYTES)?.try_into().ok()?;
+        let end = RECORD_PREFIX_BYTES + u32::from_be_bytes(prefix) as usize;
+        records.push(batch.get(RECORD_PREFIX_BYTES..end)?.to_vec());
+        batch = &batch[end..];
+    }
+    Some(records)
+}
--- a/segment-log/src/lib.rs
+++ b/segment-log/src/lib.rs
@@ -1,7 +1,13 @@
-//! The log on disk: segments of checked records, with an image beside them.
+//! A durable log: segments of checksummed records with a snapshot beside them.
+#![warn(missing_docs, unreachable_pub)]
+mod file_names;
 mod folder;
+mod frame;
 mod open_error;
+#[cfg(test)]
+mod power_loss_tests;
 pub mod prelude;
+mod recovery;
 mod segment_log;
 pub use folder::{DiskFolder, Folder};
 pub use open_error::OpenError;
--- a/segment-log/src/power_loss_tests.rs
+++ b/segment-log/src/power_loss_tests.rs
@@ -1,8 +1,8 @@
-//! The log over a folder that knows what a loss of power may undo: each name
-//! changed since the folder's last sync may be kept or lost by itself, and each
+//! Property tests over a model of what a loss of power may undo: each name
+//! changed since the folder's last sync may persist or be lost by itself, and each
 //! write since its file's last sync may be there, missing, torn or with a hole.
 
-use super::*;
+use crate::prelude::*;
 use proptest::prelude::*;
 
 #[derive(Debug, Clone, Default)]
@@ -54,11 +54,11 @@
 
     /// Each disk that a loss of power may leave.
     fn after_power_loss(&self) -> Vec<Disk> {
-        let mut left = Vec::new();
-        for kept in 0..1u32 << self.changes.len() {
+        let mut survivors = Vec::new();
+        for persisted in 0..1u32 << self.changes.len() {
             let mut names = self.synced_names.clone();
             for (at, change) in self.changes.iter().enumerate() {
-                if kept >> at & 1 == 1 {
+                if persisted >> at & 1 == 1 {
                     Disk::apply(&mut names, change);
                 }
             }
@@ -69,18 +69,18 @@
             }];
             for file in 0..self.files.len() {
                 for write in 0..self.files[file].unsynced.len() {
-                    let one = |disk: Disk| Disk::with_fates(disk, file, write);
+                    let one = |disk: Disk| Disk::with_outcomes(disk, file, write);
                     disks = disks.into_iter().flat_map(one).collect();
                 }
             }
-            left.extend(disks);
+            survivors.extend(disks);
         }
-        left.iter_mut().for_each(Disk::settle);
-        left
+        survivors.iter_mut().for_each(Disk::sync_all);
+        survivors
     }
 
-    /// A disk for each fate of one unsynced write.
-    fn with_fates(disk: Disk, file: usize, write: usize) -> Vec<Disk> {
+    /// A disk for each outcome of one unsynced write.
+    fn with_outcomes(disk: Disk, file: usize, write: usize) -> Vec<Disk> {
         let bytes = disk.files[file].unsynced[write].clone();
         let middle = bytes.len() / 2;
         let torn = bytes[..middle].to_vec();
@@ -88,16 +88,16 @@
         hole[..middle].fill(0);
         let mut late_hole = bytes.clone();
         late_hole[middle..].fill(0);
-        let fates = [bytes, vec![], torn, hole, late_hole];
-        let with = |fate: Vec<u8>| {
+        let outcomes = [bytes, vec![], torn, hole, late_hole];
+        let with = |outcome: Vec<u8>| {
             let mut disk = disk.clone();
-            disk.files[file].unsynced[write] = fate;
+            disk.files[file].unsynced[write] = outcome;
             disk
         };
-        fates.into_iter().map(with).collect()
+        outcomes.into_iter().map(with).collect()
     }
 
-    fn settle(&mut self) {
+    fn sync_all(&mut self) {
         for file in &mut self.files {
             let unsynced = std::mem::take(&mut file.unsynced);
             file.synced.extend(unsynced.concat());
@@ -110,8 +110,8 @@
     disk: Disk,
     /// The disk after each operation.
     history: Vec<Disk>,
-    /// Operations until the disk refuses.
-    room: Option<usize>,
+    /// Operations until the disk is full.
+    free_operations: Option<usize>,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -132,20 +132,20 @@
     /// One operation; one that is refused may have begun.
     fn change(&self, what: impl FnOnce(&mut Disk, bool)) -> io::Result<()> {
         let mut model = self.model();
-        let refused = model.room == Some(0);
-        model.room = model.room.map(|left| left.saturating_sub(1));
+        let refused = model.free_operations == Some(0);
+        model.free_operations = model.free_operations.map(|left| left.saturating_sub(1));
         what(&mut model.disk, refused);
         let disk = model.disk.clone();
         model.history.push(disk);
         if refused {
-            return Err(io::Error::other("no room"));
+            return Err(io::Error::other("disk full"));
         }
         Ok(())
     }
 }
 
 impl Folder for ModelFolder {
-    fn again(&self) -> io::Result<ModelFolder> {
+    fn reopen(&self) -> io::Result<ModelFolder> {
         Ok(self.clone())
     }
 
@@ -185,7 +185,7 @@
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
-        // Kept or lost: the cut bytes are no whole batch either way.
+        // Whether it persists or not: the cut bytes are no complete batch.
         self.change(|disk, refused| {
             let file = disk.names()[name];
             let mut content = disk.content(file);
@@ -247,7 +247,7 @@
 enum Step {
     Append(usize),
     Sync,
-    Image,
+    Snapshot,
     Restart,
 }
 
@@ -255,14 +255,14 @@
     prop_oneof![
         4 => (1usize..60).prop_map(Step::Append),
         3 => Just(Step::Sync),
-        1 => Just(Step::Image),
+        1 => Just(Step::Snapshot),
         1 => Just(Step::Restart),
     ]
 }
 
-/// A log whose records are numbered from one on; an image stands for all
+/// A log whose records are numbered from one on; a snapshot stands for all
 /// records up to its number.
-struct Numbered {
+struct NumberedLog {
     folder: ModelFolder,
     log: SegmentLog<ModelFolder>,
     appended: u32,
@@ -271,27 +271,27 @@
     bounds: Vec<(u32, u32)>,
 }
 
-impl Numbered {
-    fn open(folder: ModelFolder) -> Numbered {
+impl NumberedLog {
+    fn open(folder: ModelFolder) -> NumberedLog {
         let loaded = SegmentLog::open_in(folder.clone()).unwrap();
         let known = read_back(&loaded.records);
-        let mut numbered = Numbered {
+        let mut log = NumberedLog {
             folder,
             log: loaded.log,
             appended: known,
             synced: known,
             bounds: vec![],
         };
-        numbered.mark();
-        numbered
+        log.record_bounds();
+        log
     }
 
-    fn mark(&mut self) {
+    fn record_bounds(&mut self) {
         let done = self.folder.model().history.len();
         self.bounds.resize(done, (self.synced, self.appended));
     }
 
-    fn take(&mut self, step: &Step) -> Result<()> {
+    fn run(&mut self, step: &Step) -> Result<()> {
         match step {
             Step::Append(size) => {
                 self.appended += 1;
@@ -300,13 +300,13 @@
             }
             Step::Sync => {
                 self.log.sync()?;
-                self.mark();
+                self.record_bounds();
                 self.synced = self.appended;
             }
-            Step::Image => {
+            Step::Snapshot => {
                 let number = self.appended.to_be_bytes();
-                self.log.image(&[&b"all "[..], &number].concat())?;
-                self.mark();
+                self.log.write_snapshot(&[&b"all "[..], &number].concat())?;
+                self.record_bounds();
                 self.synced = self.appended;
             }
             Step::Restart => {
@@ -315,7 +315,7 @@
                 assert!(known >= self.synced && known <= self.appended);
                 self.log = loaded.log;
                 (self.appended, self.synced) = (known, known);
-                self.mark();
+                self.record_bounds();
             }
         }
         Ok(())
@@ -328,9 +328,9 @@
     let mut known = 0;
     for record in records {
         match record.strip_prefix(b"all ") {
-            Some(image) => {
-                assert_eq!(known, 0, "an image comes first");
-                known = number(image);
+            Some(snapshot) => {
+                assert_eq!(known, 0, "a snapshot comes first");
+                known = number(snapshot);
             }
             None => {
                 assert_eq!(number(record), known + 1, "no gap");
@@ -360,77 +360,77 @@
 
     /// After each operation, for each subset of what is not synced.
     #[test]
-    fn whatever_a_loss_of_power_leaves_reads_back_to_all_that_was_synced(
+    fn synced_records_survive_power_loss(
         steps in proptest::collection::vec(step(), 1..16),
     ) {
-        let mut log = Numbered::open(ModelFolder::default());
+        let mut log = NumberedLog::open(ModelFolder::default());
         for step in &steps {
-            log.take(step).unwrap();
+            log.run(step).unwrap();
         }
-        log.mark();
+        log.record_bounds();
         let history = log.folder.model().history.clone();
         for (disk, (synced, appended)) in history.iter().zip(&log.bounds) {
-            for left in disk.after_power_loss() {
-                assert_reads(left, *synced, *appended);
+            for survivor in disk.after_power_loss() {
+                assert_reads(survivor, *synced, *appended);
             }
         }
     }
 
     /// The process ends after any operation and is started again: what it reads
-    /// then is answered for, so no later loss of power may take it back.
+    /// then counts as durable, so no later loss of power may take it back.
     #[test]
-    fn what_a_restarted_process_read_survives_a_later_loss_of_power(
+    fn records_read_after_restart_survive_power_loss(
         steps in proptest::collection::vec(step(), 1..12),
     ) {
-        let mut log = Numbered::open(ModelFolder::default());
+        let mut log = NumberedLog::open(ModelFolder::default());
         for step in &steps {
-            log.take(step).unwrap();
+            log.run(step).unwrap();
         }
         let history = log.folder.model().history.clone();
         for disk in history {
-            let again = Numbered::open(ModelFolder::on(disk));
-            let disk = again.folder.model().disk.clone();
-            for left in disk.after_power_loss() {
-                assert_reads(left, again.synced, again.appended);
+            let restarted = NumberedLog::open(ModelFolder::on(disk));
+            let disk = restarted.folder.model().disk.clone();
+            for survivor in disk.after_power_loss() {
+                assert_reads(survivor, restarted.synced, restarted.appended);
             }
         }
     }
 
     /// The disk refuses at any operation; the process ends, with or without a
-    /// loss of power, and has room when it is started again.
+    /// loss of power, and has space when it is started again.
     #[test]
-    fn a_disk_that_is_full_at_any_operation_keeps_what_was_synced(
+    fn synced_records_survive_full_disk(
         steps in proptest::collection::vec(step(), 1..16),
-        room in 0usize..60,
+        free_operations in 0usize..60,
     ) {
-        let mut log = Numbered::open(ModelFolder::default());
-        log.folder.model().room = Some(room);
+        let mut log = NumberedLog::open(ModelFolder::default());
+        log.folder.model().free_operations = Some(free_operations);
         for step in &steps {
-            if log.take(step).is_err() {
+            if log.run(step).is_err() {
                 break;
             }
         }
-        log.folder.model().room = None;
+        log.folder.model().free_operations = None;
         let disk = log.folder.model().disk.clone();
-        for left in disk.after_power_loss() {
-            let mended = assert_reads(left, log.synced, log.appended);
-            let mut again = Numbered::open(ModelFolder::on(mended));
-            again.take(&Step::Append(5)).unwrap();
-            again.take(&Step::Sync).unwrap();
-            again.take(&Step::Restart).unwrap();
+        for survivor in disk.after_power_loss() {
+            let repaired = assert_reads(survivor, log.synced, log.appended);
+            let mut restarted = NumberedLog::open(ModelFolder::on(repaired));
+            restarted.run(&Step::Append(5)).unwrap();
+            restarted.run(&Step::Sync).unwrap();
+            restarted.run(&Step::Restart).unwrap();
         }
         assert_reads(disk, log.synced, log.appended);
     }
 
     /// Restarts alone leave no more files than a running log does.
     #[test]
-    fn a_restart_loop_leaves_at_most_one_image_and_the_segments_after_it(
+    fn restart_loop_leaves_two_files_at_most(
         steps in proptest::collection::vec(step(), 1..16),
     ) {
-        let mut log = Numbered::open(ModelFolder::default());
+        let mut log = NumberedLog::open(ModelFolder::default());
         for step in &steps {
-            log.take(step).unwrap();
-            log.take(&Step::Restart).unwrap();
+            log.run(step).unwrap();
+            log.run(&Step::Restart).unwrap();
         }
         prop_assert!(log.folder.names().unwrap().len() <= 2);
     }
--- a/segment-log/src/prelude.rs
+++ b/segment-log/src/prelude.rs
@@ -1,3 +1,5 @@
+//! Names that the modules of this crate share.
+
 pub use crate::folder::{DiskFolder, Folder};
 pub use crate::open_error::OpenError;
 pub use crate::segment_log::{Loaded, SegmentLog};
--- a/segment-log/src/segment_log_tests.rs
+++ b/segment-log/src/segment_log/tests.rs
@@ -1,12 +1,14 @@
+//! Tests of the log on a real folder.
 use super::*;
+use crate::folder::OpenFile;
 
-fn folder(name: &str) -> PathBuf {
+fn temporary_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("otterslip-log-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
     path
 }
 
-fn filled(path: &Path) {
+fn write_three_records(path: &Path) {
     let mut log = SegmentLog::open(path).unwrap().log;
     for record in [b"one".as_slice(), b"two", b"three"] {
         log.append(record).unwrap();
@@ -15,32 +17,32 @@
 }
 
 /// Bytes of a batch of one record of so many bytes.
-const fn batch(record: usize) -> usize {
+const fn one_record_batch_bytes(record: usize) -> usize {
     8 + 4 + record
 }
 
-/// Where the last batch of a filled log begins, and where it ends.
-const LAST: usize = HEADER.len() + 2 * batch(3);
-const END: usize = LAST + batch(5);
+/// Where the last batch of a write_three_records log begins, and where it ends.
+const LAST_BATCH_START: usize = HEADER.len() + 2 * one_record_batch_bytes(3);
+const LAST_BATCH_END: usize = LAST_BATCH_START + one_record_batch_bytes(5);
 
-/// Once, of two writes since the last sync the earlier was lost and the
-/// later kept: two disks of four counted as blank after a loss of power.
+/// Regression: of two writes since the last sync the earlier was lost and the
+/// later persisted: two disks of four counted as blank after a loss of power.
 #[test]
-fn between_two_syncs_there_is_one_write() {
-    let path = folder("one-write");
+fn sync_writes_one_batch() {
+    let path = temporary_path("one-write");
     let mut log = SegmentLog::open(&path).unwrap().log;
     let size = || fs::metadata(path.join("segment-00000001")).unwrap().len();
     log.append(b"one").unwrap();
     log.sync().unwrap();
     log.append(b"two").unwrap();
     log.append(b"three").unwrap();
-    let one = HEADER.len() + batch(3);
+    let one = HEADER.len() + one_record_batch_bytes(3);
     assert_eq!(size(), one as u64, "nothing is written before the sync");
     log.sync().unwrap();
     let two = 8 + (4 + 3) + (4 + 5);
     assert_eq!(size(), (one + two) as u64);
     log.append(b"four").unwrap();
-    log.image(b"all").unwrap();
+    log.write_snapshot(b"all").unwrap();
     log.append(b"five").unwrap();
     log.sync().unwrap();
     assert_eq!(
@@ -51,35 +53,35 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_at_every_length_and_what_was_before_it_is_kept() {
-    let path = folder("torn");
-    for keep in LAST..END {
+fn torn_tail_of_every_length_is_truncated() {
+    let path = temporary_path("torn");
+    for left in LAST_BATCH_START..LAST_BATCH_END {
         let _ = fs::remove_dir_all(&path);
-        filled(&path);
+        write_three_records(&path);
         let file = path.join("segment-00000001");
         let bytes = fs::read(&file).unwrap();
-        assert_eq!(bytes.len(), END);
-        fs::write(&file, &bytes[..keep]).unwrap();
+        assert_eq!(bytes.len(), LAST_BATCH_END);
+        fs::write(&file, &bytes[..left]).unwrap();
         let loaded = SegmentLog::open(&path).unwrap();
         assert_eq!(loaded.records, [b"one".to_vec(), b"two".to_vec()]);
-        assert_eq!(loaded.cut, (keep - LAST) as u64);
-        assert_eq!(SegmentLog::open(&path).unwrap().cut, 0);
+        assert_eq!(loaded.truncated_bytes, (left - LAST_BATCH_START) as u64);
+        assert_eq!(SegmentLog::open(&path).unwrap().truncated_bytes, 0);
     }
     fs::remove_dir_all(&path).unwrap();
 }
 
 /// The power goes at any byte of what was written since the last sync, in
-/// the middle of a roll or of an image too: all that was synced is read
+/// the middle of a roll or of a snapshot too: all that was synced is read
 /// back, in order, and nothing that was never written.
 #[test]
-fn whatever_part_of_the_unsynced_bytes_is_there_the_synced_records_read_back() {
-    let path = folder("cut");
+fn synced_records_survive_power_loss_at_every_unsynced_byte() {
+    let path = temporary_path("cut");
     let record = |at: u32| at.to_be_bytes().repeat(40);
     let mut log = SegmentLog::open(&path).unwrap().log;
     let mut written = Vec::new();
     for round in 0..6u32 {
         if round == 3 {
-            log.image(&record(1000)).unwrap();
+            log.write_snapshot(&record(1000)).unwrap();
             written = vec![record(1000)];
         }
         for at in 0..5 {
@@ -93,31 +95,31 @@
         // Written by the sync that the loss of power interrupts.
         log.flush().unwrap();
         let bytes = fs::read(&file).unwrap();
-        for keep in synced..=bytes.len() as u64 {
-            let copy = folder("cut-copy");
+        for left in synced..=bytes.len() as u64 {
+            let copy = temporary_path("cut-copy");
             fs::create_dir_all(&copy).unwrap();
-            for one in fs::read_dir(&path).unwrap() {
-                let one = one.unwrap();
-                fs::copy(one.path(), copy.join(one.file_name())).unwrap();
+            for entry in fs::read_dir(&path).unwrap() {
+                let entry = entry.unwrap();
+                fs::copy(entry.path(), copy.join(entry.file_name())).unwrap();
             }
             fs::write(
                 copy.join(file.file_name().unwrap()),
-                &bytes[..keep as usize],
+                &bytes[..left as usize],
             )
             .unwrap();
-            // A draft of an image may lie about, torn; so may the next,
+            // A torn draft of a snapshot may be there; so may the next,
             // empty segment.
-            fs::write(copy.join("draft"), &bytes[..(keep - synced) as usize]).unwrap();
+            fs::write(copy.join("draft"), &bytes[..(left - synced) as usize]).unwrap();
             let read = SegmentLog::open(&copy).unwrap().records;
-            let whole = if keep == bytes.len() as u64 {
+            let expected = if left == bytes.len() as u64 {
                 written.len() + 1
             } else {
                 written.len()
             };
             assert_eq!(
                 read.len(),
-                whole,
-                "round {round}, {keep} of {} bytes",
+                expected,
+                "round {round}, {left} of {} bytes",
                 bytes.len()
             );
             assert!(read.starts_with(&written));
@@ -128,15 +130,15 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// Bytes that are there but garbled, in the unsynced tail: cut, as a torn
-/// record is, as long as nothing whole follows.
+/// Garbled bytes in the unsynced tail are truncated, as a torn record is, as
+/// long as no valid frame follows.
 #[test]
-fn a_garbled_last_record_is_cut() {
-    let path = folder("garbled");
-    filled(&path);
+fn garbled_last_record_is_truncated() {
+    let path = temporary_path("garbled");
+    write_three_records(&path);
     let file = path.join("segment-00000001");
     let good = fs::read(&file).unwrap();
-    for at in LAST..good.len() {
+    for at in LAST_BATCH_START..good.len() {
         let mut bad = good.clone();
         bad[at] ^= 0x55;
         fs::write(&file, &bad).unwrap();
@@ -148,24 +150,27 @@
 }
 
 #[test]
-fn a_write_that_is_refused_is_told() {
-    let path = folder("refused");
+fn failed_write_is_reported_by_sync() {
+    let path = temporary_path("refused");
     let mut log = SegmentLog::open(&path).unwrap().log;
     // A device that is always full, in the segment's place.
     let full = OpenOptions::new().append(true).open("/dev/full").unwrap();
-    log.folder.open = Some(("segment-00000001".into(), full));
+    log.folder.open_file = Some(OpenFile {
+        name: "segment-00000001".into(),
+        file: full,
+    });
     log.append(b"record").unwrap();
     assert!(log.sync().is_err(), "before anything counts as stored");
     fs::remove_dir_all(&path).unwrap();
 }
 
 #[test]
-fn damage_before_the_tail_is_refused() {
-    let path = folder("damage");
-    filled(&path);
+fn damage_before_tail_is_refused() {
+    let path = temporary_path("damage");
+    write_three_records(&path);
     let file = path.join("segment-00000001");
     let good = fs::read(&file).unwrap();
-    for at in 0..LAST {
+    for at in 0..LAST_BATCH_START {
         let mut bad = good.clone();
         bad[at] ^= 1;
         fs::write(&file, &bad).unwrap();
@@ -175,12 +180,12 @@
 }
 
 #[test]
-fn an_image_replaces_what_came_before_it_and_bounds_the_folder() {
-    let path = folder("image");
+fn snapshot_replaces_earlier_records_and_bounds_file_count() {
+    let path = temporary_path("image");
     let mut log = SegmentLog::open(&path).unwrap().log;
     for round in 0..50u8 {
         log.append(&[round; 2000]).unwrap();
-        log.image(&[round + 100; 10]).unwrap();
+        log.write_snapshot(&[round + 100; 10]).unwrap();
         log.append(&[round; 5]).unwrap();
         log.sync().unwrap();
     }
@@ -191,50 +196,50 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// What a file holds that this program did not write, and what stands in its
-/// place afterwards: the same, and nothing beside it.
-fn assert_left_alone(path: &Path, name: &str, content: &[u8]) {
+/// Puts foreign content into a file: the log is refused, the file named, and
+/// the folder left as it was.
+fn assert_refused_unchanged(path: &Path, name: &str, content: &[u8]) {
     let file = path.join(name);
     fs::write(&file, content).unwrap();
-    let before = listing(path);
+    let before = folder_contents(path);
     let Err(error) = SegmentLog::open(path) else {
         panic!("{name} was opened")
     };
-    assert!(!error.refillable(), "{error}");
+    assert!(!error.is_recoverable_from_peers(), "{error}");
     assert!(error.to_string().contains(name), "{error}");
-    assert_eq!(listing(path), before);
+    assert_eq!(folder_contents(path), before);
 }
 
-fn listing(path: &Path) -> BTreeMap<String, Vec<u8>> {
+fn folder_contents(path: &Path) -> BTreeMap<String, Vec<u8>> {
     let read = |name: String| (name.clone(), fs::read(path.join(name)).unwrap());
     let folder = DiskFolder::open(path).unwrap();
     folder.names().unwrap().into_iter().map(read).collect()
 }
 
 #[test]
-fn a_foreign_file_is_named_and_nothing_is_overwritten() {
+fn foreign_file_is_named_and_left_unchanged() {
     for name in ["segment-00000001", "segment-00000002", "image-00000001"] {
-        let path = folder("foreign");
-        filled(&path);
-        assert_left_alone(&path, name, b"SQLite format 3\0 and what follows");
+        let path = temporary_path("foreign");
+        write_three_records(&path);
+        assert_refused_unchanged(&path, name, b"SQLite format 3\0 and what follows");
         fs::remove_dir_all(&path).unwrap();
     }
 }
 
 #[test]
-fn a_file_of_another_format_version_is_named_and_nothing_is_overwritten() {
-    let path = folder("later-version");
-    filled(&path);
+fn unknown_format_version_is_named_and_left_unchanged() {
+    let path = temporary_path("later-version");
+    write_three_records(&path);
     let mut bytes = fs::read(path.join("segment-00000001")).unwrap();
     bytes[HEADER.len() - 1] += 1;
-    assert_left_alone(&path, "segment-00000001", &bytes);
+    assert_refused_unchanged(&path, "segment-00000001", &bytes);
     fs::remove_dir_all(&path).unwrap();
 }
 
 #[test]
-fn damage_of_our_own_files_may_be_set_aside_and_is_kept_there() {
-    let path = folder("aside");
-    filled(&path);
+fn damaged_log_is_quarantined_with_its_bytes() {
+    let path = temporary_path("aside");
+    write_three_records(&path);
     let file = path.join("segment-00000001");
     let mut bytes = fs::read(&file).unwrap();
     bytes[HEADER.len() + 12] ^= 1;
@@ -242,26 +247,29 @@
     let Err(error) = SegmentLog::open(&path) else {
         panic!("a damaged log was opened")
     };
-    assert!(error.refillable(), "{error}");
+    assert!(error.is_recoverable_from_peers(), "{error}");
     assert!(error.to_string().contains("segment-00000001"), "{error}");
-    let aside = SegmentLog::set_aside(&path).unwrap();
-    assert_eq!(fs::read(aside.join("segment-00000001")).unwrap(), bytes);
+    let quarantined = SegmentLog::quarantine(&path).unwrap();
+    assert_eq!(
+        fs::read(quarantined.join("segment-00000001")).unwrap(),
+        bytes
+    );
     assert!(SegmentLog::open(&path).unwrap().records.is_empty());
     fs::remove_dir_all(&path).unwrap();
-    fs::remove_dir_all(&aside).unwrap();
+    fs::remove_dir_all(&quarantined).unwrap();
 }
 
 /// As written before files had a header.
 #[test]
-fn files_without_a_header_are_read_and_not_written_to() {
-    let path = folder("version-0");
+fn headerless_files_are_read_and_not_appended_to() {
+    let path = temporary_path("version-0");
     fs::create_dir_all(&path).unwrap();
-    let old: Vec<u8> = [b"one".as_slice(), b"two"].map(framed).concat();
+    let old: Vec<u8> = [b"one".as_slice(), b"two"].map(encode_frame).concat();
     let file = path.join("segment-00000001");
-    fs::write(&file, [&old[..], &framed(b"torn")[..9]].concat()).unwrap();
+    fs::write(&file, [&old[..], &encode_frame(b"torn")[..9]].concat()).unwrap();
     let mut loaded = SegmentLog::open(&path).unwrap();
     assert_eq!(loaded.records, [b"one".to_vec(), b"two".to_vec()]);
-    assert_eq!(loaded.cut, 9);
+    assert_eq!(loaded.truncated_bytes, 9);
     loaded.log.append(b"three").unwrap();
     loaded.log.sync().unwrap();
     assert_eq!(fs::read(&file).unwrap(), old);
@@ -273,11 +281,11 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// Once, what a full disk had left of an image stayed there, and took the room.
+/// Regression: the draft of a snapshot stayed on a full disk and took its space.
 #[test]
-fn what_an_interrupted_image_left_is_removed_at_the_next_start() {
-    let path = folder("draft");
-    filled(&path);
+fn interrupted_snapshot_draft_is_removed_on_open() {
+    let path = temporary_path("draft");
+    write_three_records(&path);
     fs::write(path.join(DRAFT), [0; 1000]).unwrap();
     assert_eq!(SegmentLog::open(&path).unwrap().records.len(), 3);
     assert!(!path.join(DRAFT).exists());
