--- a/data-plane/src/http_frontend.rs
+++ b/data-plane/src/http_frontend.rs
@@ -14,7 +14,7 @@
     port: Arc<Port>,
     protocol: Arc<dyn ProtocolAdapter>,
     plug_ins: Vec<&'static PlugIn>,
-    line: OnceLock<HttpLine>,
+    line: OnceLock<EventLoopHandle>,
     calls: Mutex<HashMap<u64, Call>>,
     /// Requests that are not answered, by their places on the line.
     requests: Mutex<HashMap<u64, u64>>,
@@ -31,11 +31,11 @@
 const LIMITS: Limits = Limits {
     head_bytes: 32 * 1024,
     body_bytes: 1024 * 1024,
-    head_time: Duration::from_secs(5),
-    idle_time: Duration::from_secs(60),
+    head_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(60),
     pipeline: 16,
-    answer_bytes: 16 * 1024 * 1024,
-    send_bytes_s: None,
+    response_bytes: 16 * 1024 * 1024,
+    link_bytes_per_second: None,
 };
 /// Routes whose answers are larger, as a rule, wait for the link, in bytes.
 const LARGE_ANSWER: f64 = 16.0 * 1024.0;
@@ -54,7 +54,7 @@
         }
     }
 
-    fn line(&self) -> Option<&HttpLine> {
+    fn line(&self) -> Option<&EventLoopHandle> {
         self.taker.as_ref()?.line.get()
     }
 }
@@ -87,10 +87,10 @@
             bounds: Mutex::default(),
         });
         let limits = Limits {
-            send_bytes_s: port.startup.link_mbps.map(|link| link * BYTES_IN_MEGABIT),
+            link_bytes_per_second: port.startup.link_mbps.map(|link| link * BYTES_IN_MEGABIT),
             ..LIMITS
         };
-        let line = HttpLine::open(listeners, limits, taker.clone())?;
+        let line = EventLoopHandle::open(listeners, limits, taker.clone())?;
         let _ = taker.line.set(line);
         self.taker = Some(taker);
         Ok(())
@@ -112,15 +112,15 @@
         let CallHeaders { headers, echo } = self.protocol.call(&call);
         let out = http_line::Call {
             id,
-            to: call.origin.address,
+            address: call.origin.address,
             method: call.method.clone(),
             target: call.url.clone(),
             headers,
             body: call.body.clone(),
-            limit: call.timeout,
+            timeout: call.timeout,
             request: Some(call.request),
             echo,
-            sessions: call.max_connections,
+            max_connections: call.max_connections,
         };
         taker
             .calls
@@ -135,7 +135,7 @@
             return;
         };
         taker.calls.lock().expect("no holder panics").remove(&id);
-        line.drop_call(id);
+        line.cancel_call(id);
     }
 
     fn extend_call(&self, id: u64, limit: Duration) {
@@ -163,7 +163,7 @@
     }
 
     fn done(&self) -> bool {
-        self.line().is_none_or(HttpLine::finished)
+        self.line().is_none_or(EventLoopHandle::is_finished)
     }
 }
 
@@ -174,9 +174,9 @@
             headers,
             body,
         } = words;
-        self.line.wait().tell(
+        self.line.wait().respond(
             line,
-            http_line::Told {
+            http_line::Response {
                 status,
                 headers,
                 body: body.into(),
@@ -186,7 +186,7 @@
     }
 
     /// Operators and the platform, by our own paths.
-    fn plug_in(&self, line: u64, asked: Asked) {
+    fn plug_in(&self, line: u64, asked: Request) {
         let request =
             rouille::Request::fake_http(asked.method, asked.target, asked.headers, asked.body);
         let answer = serve_plug_ins(&self.plug_ins, &self.port, &request);
@@ -217,8 +217,8 @@
             self.line.wait().set_limits(Limits {
                 head_bytes: bounds.head_bytes as usize,
                 body_bytes: bounds.body_bytes as usize,
-                head_time: Duration::from_millis(bounds.head_ms),
-                idle_time: Duration::from_millis(bounds.idle_ms),
+                head_timeout: Duration::from_millis(bounds.head_ms),
+                idle_timeout: Duration::from_millis(bounds.idle_ms),
                 ..LIMITS
             });
             *known = Some(bounds);
@@ -260,7 +260,7 @@
         requests.remove(&line)
     }
 
-    fn client_request(self: &Arc<Self>, line: u64, asked: Asked) {
+    fn client_request(self: &Arc<Self>, line: u64, asked: Request) {
         let image = (**self.port.image.load()).clone();
         self.apply_bounds(&image);
         let mut arrival = Arrival {
@@ -336,8 +336,8 @@
 }
 
 /// The line's own end of the taker: it is called on the line's thread.
-impl Taker for LineTaker {
-    fn asked(&self, line: u64, frontend: usize, asked: Asked) {
+impl Handler for LineTaker {
+    fn on_request(&self, line: u64, frontend: usize, asked: Request) {
         if frontend == READY_FACE {
             let status = if self.port.ready() { 200 } else { 503 };
             return self.tell(
@@ -357,7 +357,7 @@
         }
     }
 
-    fn came(&self, id: u64, came: Came) {
+    fn on_response(&self, id: u64, came: ExchangeOutcome) {
         let Some(call) = self.calls.lock().expect("no holder panics").remove(&id) else {
             return;
         };
@@ -365,14 +365,14 @@
         let _ = self.port.give.send(Input::CallCompleted { id, result });
     }
 
-    fn gone(&self, line: u64) {
+    fn on_disconnect(&self, line: u64) {
         if let Some(id) = self.request_at(line) {
             self.departed.lock().expect("no holder panics").insert(id);
             let _ = self.port.give.send(Input::ClientDisconnected { id });
         }
     }
 
-    fn refused(&self, status: u16, why: &str) -> http_line::Told {
+    fn rejection_response(&self, status: u16, why: &str) -> http_line::Response {
         let code = match status {
             408 => "request_late",
             413 => "body_unreadable",
@@ -383,7 +383,7 @@
             &[],
             &ClientResponse::Rejection(Rejection::not_run(status, code, why)),
         );
-        http_line::Told {
+        http_line::Response {
             status: words.status,
             headers: words.headers,
             body: words.body.into(),
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -17,6 +17,8 @@
 pub use crate::room::Room;
 pub use crate::seal::Seal;
 pub use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
-pub use http_line::{Asked, Came, HttpLine, Limits, Taker};
+pub use http_line::{
+    EventLoopHandle, ExchangeError, ExchangeOutcome, Handler, Limits, ReceivedResponse, Request,
+};
 pub use kernel::prelude::*;
 pub use std::sync::{OnceLock, Weak};
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -32,16 +32,16 @@
     }
 }
 
-fn reply(status: u16, headers: &[(&str, &str)], sized: bool) -> Came {
-    Came::Reply {
+fn reply(status: u16, headers: &[(&str, &str)], sized: bool) -> ExchangeOutcome {
+    Ok(ReceivedResponse {
         status,
         headers: headers
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect(),
         body: b"x".to_vec(),
-        sized,
-    }
+        delimited: sized,
+    })
 }
 
 const OWN: [(&str, &str); 2] = [("otterslip-instance", "i1"), ("otterslip-errand", "9")];
@@ -56,14 +56,14 @@
     ("otterslip-not-run", "1"),
 ];
 
-fn judged(came: Came) -> CallOutcome {
+fn judged(came: ExchangeOutcome) -> CallOutcome {
     judge_call(&DefaultProtocol, &call(Proof::Named), came)
 }
 
 #[test]
 fn only_an_unsent_call_and_the_origins_own_word_prove_that_nothing_ran() {
     let proofs = [
-        Came::Unsent("connect: refused".into()),
+        Err(ExchangeError::NotSent("connect: refused".into())),
         reply(503, &REFUSED, true),
         reply(421, &OWN, true),
     ];
@@ -77,9 +77,11 @@
             "{text}"
         );
     }
-    let lost = |reused| Came::Lost {
-        why: "connection reset".into(),
-        reused,
+    let lost = |reused| {
+        Err(ExchangeError::Interrupted {
+            reason: "connection reset".into(),
+            reused,
+        })
     };
     let no_proofs = [
         lost(false),
@@ -117,11 +119,13 @@
         request: "9",
         body: b"x",
     };
-    let came = |body: &[u8]| Came::Reply {
-        status: 200,
-        headers: seal.sign(&key),
-        body: body.to_vec(),
-        sized: false,
+    let came = |body: &[u8]| {
+        Ok(ReceivedResponse {
+            status: 200,
+            headers: seal.sign(&key),
+            body: body.to_vec(),
+            delimited: false,
+        })
     };
     assert!(matches!(
         judge_call(&DefaultProtocol, &sealed, came(b"x")),
--- a/http-line/src/body.rs
+++ b/http-line/src/body.rs
@@ -1,6 +1,8 @@
+//! The bytes of a body.
+
 use crate::prelude::*;
 
-/// Bytes shared with whoever else holds them; never copied before the socket.
+/// A range of shared bytes; never copied before the socket.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Body {
     bytes: Arc<Vec<u8>>,
@@ -8,8 +10,8 @@
 }
 
 impl Body {
-    /// A part of the bytes; what lies outside of them is cut off.
-    pub fn part(bytes: Arc<Vec<u8>>, range: Range<usize>) -> Body {
+    /// The bytes of this range, clamped to the bytes there are.
+    pub fn slice(bytes: Arc<Vec<u8>>, range: Range<usize>) -> Body {
         let end = range.end.min(bytes.len());
         Body {
             range: range.start.min(end)..end,
@@ -17,14 +19,17 @@
         }
     }
 
+    /// Number of bytes.
     pub fn len(&self) -> usize {
         self.range.len()
     }
 
+    /// Whether there are no bytes.
     pub fn is_empty(&self) -> bool {
         self.range.is_empty()
     }
 
+    /// The bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.range.clone()]
     }
--- /dev/null
+++ b/http-line/src/chunked_decoder.rs
@@ -0,0 +1,113 @@
+//! Decodes a body in chunks.
+
+#[cfg(test)]
+mod tests;
+
+use crate::body_reader::BodyProgress;
+use crate::prelude::*;
+
+/// Decodes chunked bytes, strictly: CRLF only, no space around a size.
+/// Invariant: `overhead_bytes` counts all bytes of extensions and trailers.
+pub(crate) struct ChunkedDecoder {
+    state: State,
+    overhead_bytes: usize,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum State {
+    /// The size so far, and its digits.
+    Size(usize, u8),
+    Extension(usize),
+    SizeLineFeed(usize),
+    /// Bytes of the chunk still to come.
+    Data(usize),
+    DataCarriageReturn,
+    DataLineFeed,
+    TrailerStart,
+    Trailer,
+    TrailerLineFeed,
+    LastLineFeed,
+    Done,
+}
+
+/// Most bytes of extensions and trailers of one body.
+const MAX_OVERHEAD_BYTES: usize = 8 * 1024;
+/// Most hexadecimal digits of a chunk's size.
+const MAX_SIZE_DIGITS: u8 = 8;
+
+impl ChunkedDecoder {
+    pub(crate) fn new() -> ChunkedDecoder {
+        ChunkedDecoder {
+            state: State::Size(0, 0),
+            overhead_bytes: 0,
+        }
+    }
+
+    /// Appends decoded bytes to `body`, up to `limit` bytes in all.
+    pub(crate) fn feed(
+        &mut self,
+        input: &[u8],
+        body: &mut Vec<u8>,
+        limit: usize,
+    ) -> Result<BodyProgress, BodyError> {
+        let mut consumed = 0;
+        while self.state != State::Done && consumed < input.len() {
+            if let State::Data(remaining) = self.state {
+                let size = remaining.min(input.len() - consumed);
+                body.extend_from_slice(&input[consumed..consumed + size]);
+                consumed += size;
+                self.state = if size == remaining {
+                    State::DataCarriageReturn
+                } else {
+                    State::Data(remaining - size)
+                };
+                continue;
+            }
+            self.state = self.next_state(input[consumed])?;
+            consumed += 1;
+            if let State::Data(size) = self.state
+                && size > limit.saturating_sub(body.len())
+            {
+                return Err(BodyError::TooLarge);
+            }
+        }
+        Ok(BodyProgress {
+            consumed,
+            complete: self.state == State::Done,
+        })
+    }
+
+    fn next_state(&mut self, byte: u8) -> Result<State, BodyError> {
+        let is_text = byte == b'\t' || (byte >= b' ' && byte != 0x7f);
+        if matches!(self.state, State::Extension(_) | State::Trailer) {
+            self.overhead_bytes += 1;
+            if self.overhead_bytes > MAX_OVERHEAD_BYTES {
+                return Err(BodyError::Malformed("too much beside the chunks"));
+            }
+        }
+        Ok(match (self.state, byte) {
+            (State::Size(size, digits), _)
+                if byte.is_ascii_hexdigit() && digits < MAX_SIZE_DIGITS =>
+            {
+                let digit = (byte as char).to_digit(16).unwrap_or(0) as usize;
+                State::Size(size << 4 | digit, digits + 1)
+            }
+            (State::Size(size, 1..), b'\r') | (State::Extension(size), b'\r') => {
+                State::SizeLineFeed(size)
+            }
+            (State::Size(size, 1..), b';') => State::Extension(size),
+            (State::Extension(size), _) if is_text => State::Extension(size),
+            (State::SizeLineFeed(0), b'\n') => State::TrailerStart,
+            (State::SizeLineFeed(size), b'\n') => State::Data(size),
+            (State::DataCarriageReturn, b'\r') => State::DataLineFeed,
+            (State::DataLineFeed, b'\n') => State::Size(0, 0),
+            (State::TrailerStart, b'\r') => State::LastLineFeed,
+            (State::TrailerStart, _) if is_text && byte > b' ' => State::Trailer,
+            (State::Trailer, b'\r') => State::TrailerLineFeed,
+            (State::Trailer, _) if is_text => State::Trailer,
+            (State::TrailerLineFeed, b'\n') => State::TrailerStart,
+            (State::LastLineFeed, b'\n') => State::Done,
+            _ => return Err(BodyError::Malformed("bad chunk")),
+        })
+    }
+}
--- /dev/null
+++ b/http-line/src/event_loop/commands.rs
@@ -0,0 +1,91 @@
+//! Commands of the handles.
+
+use super::*;
+use crate::request_id::{sequence_of, token_of};
+
+impl EventLoop {
+    /// Runs all commands there are; false: the loop is to end.
+    pub(super) fn run_commands(&mut self) -> bool {
+        while !self.commands.is_empty() || !self.touched.is_empty() {
+            while let Ok(command) = self.commands.try_recv() {
+                match command {
+                    Command::Respond(request_id, response) => self.respond(request_id, response),
+                    Command::Call(call, started) => self.begin_call(*call, started),
+                    Command::CancelCall(id) => self.cancel_call(id),
+                    Command::ExtendCall(id, deadline) => self.extend_call(id, deadline),
+                    Command::SetLimits(limits) => {
+                        self.limits = limits;
+                        self.touch_servers(|_| {});
+                    }
+                    Command::RecordLinkDelay(delay) => {
+                        self.pacer.record_delay(Instant::now(), delay);
+                    }
+                    Command::Drain => {
+                        self.draining = true;
+                        self.touch_servers(ServerConnection::drain);
+                    }
+                    Command::Stop => {
+                        self.stopped = true;
+                        self.touch_servers(ServerConnection::stop_reading);
+                    }
+                    Command::Close => return false,
+                }
+            }
+            for token in std::mem::take(&mut self.touched) {
+                self.drive(token);
+            }
+        }
+        true
+    }
+
+    /// Changes all connections of clients, which are then driven.
+    fn touch_servers(&mut self, change: impl Fn(&mut ServerConnection)) {
+        for (token, connection) in &mut self.connections {
+            if let Role::Server {
+                connection: server, ..
+            } = &mut connection.role
+            {
+                change(server);
+                self.touched.push(*token);
+            }
+        }
+    }
+
+    fn respond(&mut self, id: u64, response: Response) {
+        let token = token_of(id);
+        let Some(Connection {
+            role: Role::Server {
+                connection: server, ..
+            },
+            ..
+        }) = self.connections.get_mut(&token)
+        else {
+            return;
+        };
+        let dropped = server.respond(sequence_of(id), response, self.now);
+        if self.touched.last() != Some(&token) {
+            self.touched.push(token);
+        }
+        for sequence in dropped {
+            self.handler.on_disconnect(request_id(token, sequence));
+        }
+    }
+
+    fn cancel_call(&mut self, id: u64) {
+        if let Some(token) = self.calls.remove(&id) {
+            if let Some(connection) = self.connections.get(&token) {
+                connection.reset_on_close();
+            }
+            self.close(token);
+        }
+    }
+
+    fn extend_call(&mut self, id: u64, deadline: Instant) {
+        let token = self.calls.get(&id);
+        if let Some(connection) = token.and_then(|token| self.connections.get_mut(token))
+            && let Role::Client(client) = &mut connection.role
+        {
+            client.extend_deadline(deadline);
+        }
+    }
+}
--- /dev/null
+++ b/http-line/src/event_loop/server_io.rs
@@ -0,0 +1,210 @@
+//! Reads and writes of connections of clients.
+
+use super::*;
+
+/// After our shutdown, input is discarded for this time at most.
+const LINGER_TIME: Duration = Duration::from_secs(1);
+const LINGER_BYTES: usize = 2 * 1024 * 1024;
+
+/// What one write of a paced connection did.
+struct TurnProgress {
+    progress: WriteProgress,
+    /// The pacer's allowance was used up, not the socket's.
+    allowance_spent: bool,
+}
+
+impl EventLoop {
+    /// Writes responses and reads requests as far as can be; false if the
+    /// connection is to be closed.
+    pub(super) fn drive_server(&mut self, token: usize, connection: &mut Connection) -> bool {
+        let mut requests = Vec::new();
+        for _ in 0..MAX_STEPS {
+            if self.write_responses(token, connection).is_err()
+                || self.read_requests(connection, &mut requests).is_err()
+            {
+                return false;
+            }
+            self.hand_on(token, connection, requests.drain(..));
+            self.report_disconnect(token, connection);
+            let Role::Server {
+                connection: server, ..
+            } = &connection.role
+            else {
+                return true;
+            };
+            if server.is_finished() {
+                return self.begin_linger(connection);
+            }
+            let reads_on = connection.readable && !self.stopped && server.wants_read(&self.limits);
+            let writes_on =
+                !server.output.is_empty() && !connection.write_blocked && !connection.awaiting_turn;
+            if !reads_on && !writes_on {
+                return true;
+            }
+        }
+        self.ready.push(token);
+        true
+    }
+
+    /// Writes what the pacer allows and the socket takes; an error: the
+    /// connection is broken.
+    fn write_responses(&mut self, token: usize, connection: &mut Connection) -> io::Result<()> {
+        let Role::Server {
+            connection: server, ..
+        } = &mut connection.role
+        else {
+            return Ok(());
+        };
+        if server.output.is_empty() || connection.write_blocked || connection.awaiting_turn {
+            return Ok(());
+        }
+        let allowance = self.pacer.allowance(self.now);
+        let turn = write_turn(&mut server.output, &mut connection.stream, allowance);
+        if turn.progress.written > 0 {
+            server.record_write(self.now);
+            self.pacer.spend(turn.progress.written);
+        }
+        match turn.progress.result {
+            Err(error) if error.kind() == ErrorKind::WouldBlock && turn.allowance_spent => {
+                connection.awaiting_turn = true;
+                self.pacer.enqueue(token, server.output.remaining());
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => connection.write_blocked = true,
+            result => return result,
+        }
+        Ok(())
+    }
+
+    /// Reads once if there may be input; an error: the connection is broken.
+    fn read_requests(
+        &mut self,
+        connection: &mut Connection,
+        requests: &mut Vec<PipelinedRequest>,
+    ) -> io::Result<()> {
+        let Role::Server {
+            connection: server, ..
+        } = &mut connection.role
+        else {
+            return Ok(());
+        };
+        server.resume(&self.limits, self.now, requests);
+        let wants_read = !self.stopped && server.wants_read(&self.limits);
+        if !connection.readable || !wants_read {
+            return Ok(());
+        }
+        match connection.stream.read(&mut self.read_buffer) {
+            Ok(0) => {
+                connection.readable = false;
+                connection.read_closed = true;
+                server.close_read();
+            }
+            Ok(size) => {
+                // A short read has emptied the socket, unless its end is behind.
+                connection.readable = size == self.read_buffer.len() || connection.read_closed;
+                server.feed(&self.read_buffer[..size], &self.limits, self.now, requests);
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => connection.readable = false,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
+        }
+        Ok(())
+    }
+
+    /// Hands complete requests to the handler, once they are counted.
+    fn hand_on(
+        &self,
+        token: usize,
+        connection: &mut Connection,
+        requests: impl ExactSizeIterator<Item = PipelinedRequest>,
+    ) {
+        let Role::Server { listener, .. } = connection.role else {
+            return;
+        };
+        if requests.len() > 0 && !connection.busy {
+            connection.busy = true;
+            self.shared.busy.fetch_add(1, Ordering::SeqCst);
+        }
+        for PipelinedRequest { sequence, request } in requests {
+            let id = request_id(token, sequence);
+            self.handler.on_request(id, listener, request);
+        }
+    }
+
+    /// Reports a closed connection, also one that is not read from.
+    fn report_disconnect(&self, token: usize, connection: &mut Connection) {
+        if !connection.read_closed {
+            return;
+        }
+        if let Role::Server {
+            connection: server, ..
+        } = &mut connection.role
+        {
+            for sequence in server.client_disconnected() {
+                self.handler.on_disconnect(request_id(token, sequence));
+            }
+        }
+    }
+
+    /// Shuts a finished connection down; false if it is to be closed at once.
+    fn begin_linger(&mut self, connection: &mut Connection) -> bool {
+        let is_input_exhausted = match &connection.role {
+            Role::Server {
+                connection: server, ..
+            } => server.is_input_exhausted(),
+            _ => true,
+        };
+        if is_input_exhausted && !connection.readable {
+            return false;
+        }
+        let shutdown = connection.stream.shutdown(std::net::Shutdown::Write);
+        if shutdown.is_err() {
+            return false;
+        }
+        connection.role = Role::Linger {
+            until: self.now + LINGER_TIME,
+            remaining: LINGER_BYTES,
+        };
+        self.discard_input(connection)
+    }
+
+    /// Discards what a client still sends; false if the connection is to be
+    /// closed.
+    pub(super) fn discard_input(&mut self, connection: &mut Connection) -> bool {
+        let Role::Linger { remaining, .. } = &mut connection.role else {
+            return true;
+        };
+        while connection.readable {
+            match connection.stream.read(&mut self.read_buffer) {
+                Ok(0) => return false,
+                Ok(size) if size >= *remaining => return false,
+                Ok(size) => {
+                    *remaining -= size;
+                    connection.readable = size == self.read_buffer.len() || connection.read_closed;
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => connection.readable = false,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return false,
+            }
+        }
+        true
+    }
+}
+
+/// Writes at most `allowance` bytes.
+fn write_turn(output: &mut SendQueue, stream: &mut TcpStream, allowance: usize) -> TurnProgress {
+    if allowance >= output.remaining() {
+        return TurnProgress {
+            progress: output.write(stream),
+            allowance_spent: false,
+        };
+    }
+    let mut limited = LimitedSink {
+        sink: stream,
+        remaining: allowance,
+    };
+    let progress = output.write(&mut limited);
+    TurnProgress {
+        progress,
+        allowance_spent: limited.remaining == 0,
+    }
+}
--- a/http-line/src/head/tests.rs
+++ b/http-line/src/head/tests.rs
@@ -1,13 +1,14 @@
-//! Tests of `head`.
+//! Tests of heads.
+use super::request::RequestRejection;
 use super::*;
 
-fn asked(lines: &str) -> std::result::Result<AskedHead, Refused> {
-    Head::asked(format!("POST /a?b HTTP/1.1\r\nHost: h\r\n{lines}\r\n").as_bytes())
+fn parse_with_headers(lines: &str) -> Result<RequestHead, RequestRejection> {
+    RequestHead::parse(format!("POST /a?b HTTP/1.1\r\nHost: h\r\n{lines}\r\n").as_bytes())
 }
 
 #[test]
-fn reads_a_head() {
-    let head = asked(
+fn head_fields_and_end_are_parsed() {
+    let head = parse_with_headers(
         "Content-Length: 05\r\nX: \t\u{e9} y \r\ncontent-length: 5\r\nConnection: a, Close\r\n",
     )
     .unwrap();
@@ -17,27 +18,27 @@
     );
     assert_eq!((head.framing, head.close), (Framing::Length(5), true));
     let pair = |name: &str, value: &str| (name.to_string(), value.to_string());
-    let want = [
+    let expected = [
         pair("Host", "h"),
         pair("Content-Length", "5"),
         pair("X", "\u{e9} y"),
         pair("Connection", "a, Close"),
     ];
-    assert_eq!(head.headers, want);
-    assert!(Head::asked(b"GET / HTTP/1.0\r\n\r\n").unwrap().close);
+    assert_eq!(head.headers, expected);
+    assert!(RequestHead::parse(b"GET / HTTP/1.0\r\n\r\n").unwrap().close);
     assert!(
-        !Head::asked(b"GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n")
+        !RequestHead::parse(b"GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n")
             .unwrap()
             .close
     );
-    assert_eq!(Head::end(b"a\r\nb\r\n\r\nc", 0), Some(8));
-    assert_eq!(Head::end(b"a\r\nb\r\n\r\nc", 7), Some(8));
-    assert_eq!(Head::end(b"a\r\nb\r\n\r", 0), None);
-    assert_eq!(Head::end(b"a\n\nb", 0), Some(3));
+    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 0), Some(8));
+    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 7), Some(8));
+    assert_eq!(find_end(b"a\r\nb\r\n\r", 0), None);
+    assert_eq!(find_end(b"a\n\nb", 0), Some(3));
 }
 
 #[test]
-fn refuses_what_others_may_read_otherwise() {
+fn ambiguous_request_heads_are_rejected() {
     for lines in [
         "Content-Length: 1\r\nContent-Length: 2\r\n",
         "Content-Length: 1, 1\r\n",
@@ -62,7 +63,13 @@
         "Host: i\r\n",
         "Transfer-Encoding: \u{b}chunked\r\n",
     ] {
-        assert_eq!(asked(lines).err().map(|e| e.0), Some(400), "{lines:?}");
+        assert_eq!(
+            parse_with_headers(lines)
+                .err()
+                .map(|rejection| rejection.status),
+            Some(400),
+            "{lines:?}"
+        );
     }
     for head in [
         "GET /\r\n\r\n",
@@ -74,23 +81,32 @@
         "GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
     ] {
         assert_eq!(
-            Head::asked(head.as_bytes()).err().map(|e| e.0),
+            RequestHead::parse(head.as_bytes())
+                .err()
+                .map(|rejection| rejection.status),
             Some(400),
             "{head:?}"
         );
     }
     assert_eq!(
-        Head::asked(b"GET / HTTP/1.1\r\nA: \xff\r\n\r\n")
+        RequestHead::parse(b"GET / HTTP/1.1\r\nA: \xff\r\n\r\n")
             .err()
-            .map(|e| e.0),
+            .map(|rejection| rejection.status),
         Some(400)
     );
-    assert_eq!(asked(&"A: b\r\n".repeat(101)).err().map(|e| e.0), Some(431));
+    assert_eq!(
+        parse_with_headers(&"A: b\r\n".repeat(101))
+            .err()
+            .map(|rejection| rejection.status),
+        Some(431)
+    );
 }
 
 #[test]
-fn knows_where_an_answer_ends() {
-    let framing = |head: &str, bare| Head::answer(head.as_bytes(), bare).map(|head| head.framing);
+fn response_framing_follows_status_and_headers() {
+    let framing = |head: &str, is_head_request| {
+        ResponseHead::parse(head.as_bytes(), is_head_request).map(|head| head.framing)
+    };
     assert_eq!(
         framing("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", false),
         Ok(Framing::Length(3))
--- a/http-line/src/lib.rs
+++ b/http-line/src/lib.rs
@@ -1,35 +1,41 @@
-//! HTTP/1.1, served and called, in one event-loop thread.
+//! An HTTP/1.1 event loop: one thread that serves requests from clients and
+//! sends requests to origins, over non-blocking sockets.
+//!
+//! [`EventLoopHandle::open`] starts the thread. It hands complete requests and
+//! the outcomes of calls to a [`Handler`]; commands go back through the handle.
 #![forbid(unsafe_code)]
-mod asked;
+#![warn(missing_docs, unreachable_pub)]
 mod body;
+mod body_reader;
 mod call;
-mod called;
-mod came;
-mod chunk;
-mod framing;
+mod chunked_decoder;
+mod client_connection;
+mod connection;
+mod event_loop;
+mod event_loop_handle;
+mod exchange_outcome;
+mod handler;
 mod head;
-mod held;
-mod http_line;
 mod limits;
-mod line;
-mod outgoing;
 mod pacer;
 mod pool;
 pub mod prelude;
-mod served;
-mod taker;
+mod request;
+mod request_id;
+mod response;
+mod send_queue;
+mod server_connection;
 mod timers;
-mod told;
 mod usage;
-pub use asked::Asked;
 pub use body::Body;
-pub use call::Call;
-pub use called::{Called, Ended};
-pub use came::Came;
-pub use http_line::HttpLine;
+pub use call::{Call, InvalidCall};
+pub use client_connection::{ClientConnection, FinishedExchange};
+pub use event_loop_handle::{EventLoopHandle, OpenError};
+pub use exchange_outcome::{ExchangeError, ExchangeOutcome, ReceivedResponse};
+pub use handler::Handler;
 pub use limits::Limits;
-pub use outgoing::Outgoing;
-pub use served::Served;
-pub use taker::Taker;
-pub use told::Told;
+pub use request::Request;
+pub use response::Response;
+pub use send_queue::{SendQueue, WriteProgress};
+pub use server_connection::{PipelinedRequest, ServerConnection};
 pub use usage::Usage;
--- a/http-line/src/limits.rs
+++ b/http-line/src/limits.rs
@@ -1,21 +1,28 @@
+//! Bounds of sizes, times and counts.
+
 use crate::prelude::*;
 
+/// Bounds for all connections of an event loop.
 #[derive(Debug, Clone)]
 pub struct Limits {
+    /// Most bytes of a request's head.
     pub head_bytes: usize,
+    /// Most bytes of a request's decoded body.
     pub body_bytes: usize,
     /// From the first byte of a request to the end of its head.
-    pub head_time: Duration,
-    /// Without a request; also what a body may be late over 1 KB a second,
-    /// and how long an unread answer may stand still.
-    pub idle_time: Duration,
-    /// Most requests of one connection handed out and not answered.
+    pub head_timeout: Duration,
+    /// How long a connection may be without a request. Also how late a body may
+    /// be beyond 1 KB a second, and how long an unread response may make no
+    /// progress.
+    pub idle_timeout: Duration,
+    /// Most requests of one connection in flight.
     pub pipeline: usize,
-    /// Most bytes of a called one's answer.
-    pub answer_bytes: usize,
-    /// The width of the machine's link in bytes a second, from the start of the
-    /// line on: answers are paced to a part of it. None: they are not paced.
-    pub send_bytes_s: Option<f64>,
+    /// Most bytes of a response to a call.
+    pub response_bytes: usize,
+    /// The bandwidth of the machine's link in bytes a second, fixed when the
+    /// event loop is opened: responses are paced to a fraction of it. None: they
+    /// are not paced.
+    pub link_bytes_per_second: Option<f64>,
 }
 
 impl Default for Limits {
@@ -23,11 +30,11 @@
         Limits {
             head_bytes: 16 * 1024,
             body_bytes: 1024 * 1024,
-            head_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(60),
+            head_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
             pipeline: 16,
-            answer_bytes: 64 * 1024 * 1024,
-            send_bytes_s: None,
+            response_bytes: 64 * 1024 * 1024,
+            link_bytes_per_second: None,
         }
     }
 }
--- a/http-line/src/prelude.rs
+++ b/http-line/src/prelude.rs
@@ -1,16 +1,18 @@
-pub(crate) use crate::chunk::Chunk;
-pub(crate) use crate::framing::{Fault, Framing, Reading};
-pub(crate) use crate::head::{AnswerHead, AskedHead, Head};
-pub(crate) use crate::held::{Held, Side};
-pub(crate) use crate::http_line::{Order, Shared};
-pub(crate) use crate::line::Line;
-pub(crate) use crate::pacer::{Limited, Pacer};
+//! Names that the modules of this crate and its tests share.
+
+pub(crate) use crate::body_reader::{BodyError, BodyReader, Framing};
+pub(crate) use crate::chunked_decoder::ChunkedDecoder;
+pub(crate) use crate::connection::{Connection, Role};
+pub(crate) use crate::event_loop_handle::{Command, Shared};
+pub(crate) use crate::head::{RequestHead, ResponseHead};
+pub(crate) use crate::pacer::{LimitedSink, Pacer};
 pub(crate) use crate::pool::Pool;
 pub(crate) use crate::timers::Timers;
 pub use crate::{
-    Asked, Body, Call, Called, Came, Ended, HttpLine, Limits, Outgoing, Served, Taker, Told, Usage,
+    Body, Call, ClientConnection, EventLoopHandle, ExchangeError, ExchangeOutcome,
+    FinishedExchange, Handler, InvalidCall, Limits, PipelinedRequest, ReceivedResponse, Request,
+    Response, SendQueue, ServerConnection, Usage, WriteProgress,
 };
-pub use anyhow::{Context, Result, bail};
 pub use std::cmp::Reverse;
 pub use std::collections::hash_map::DefaultHasher;
 pub use std::collections::{BinaryHeap, HashMap, VecDeque};
--- /dev/null
+++ b/http-line/src/server_connection/tests.rs
@@ -0,0 +1,343 @@
+//! Tests of connections of clients, without sockets.
+use super::*;
+
+struct IgnoringHandler;
+
+impl Handler for IgnoringHandler {
+    fn on_request(&self, _: u64, _: usize, _: Request) {}
+    fn on_response(&self, _: u64, _: ExchangeOutcome) {}
+    fn on_disconnect(&self, _: u64) {}
+}
+
+/// A connection whose client and handler the test plays.
+struct TestServer {
+    connection: ServerConnection,
+    limits: Limits,
+    now: Instant,
+    /// Requests that will get no response.
+    dropped: Vec<u64>,
+}
+
+impl TestServer {
+    fn new() -> TestServer {
+        let now = Instant::now();
+        let limits = Limits {
+            head_bytes: 200,
+            body_bytes: 10,
+            pipeline: 3,
+            ..Limits::default()
+        };
+        TestServer {
+            connection: ServerConnection::new(
+                ([127, 0, 0, 1], 9).into(),
+                Arc::new(IgnoringHandler),
+                now,
+            ),
+            limits,
+            now,
+            dropped: Vec::new(),
+        }
+    }
+
+    fn feed(&mut self, input: &str) -> Vec<String> {
+        let mut requests = Vec::new();
+        self.connection
+            .feed(input.as_bytes(), &self.limits, self.now, &mut requests);
+        TestServer::describe(requests)
+    }
+
+    fn resume(&mut self) -> Vec<String> {
+        let mut requests = Vec::new();
+        self.connection
+            .resume(&self.limits, self.now, &mut requests);
+        TestServer::describe(requests)
+    }
+
+    fn describe(requests: Vec<PipelinedRequest>) -> Vec<String> {
+        let describe = |PipelinedRequest { sequence, request }: &PipelinedRequest| {
+            format!(
+                "{sequence} {} {} {}",
+                request.method,
+                request.target,
+                String::from_utf8_lossy(&request.body)
+            )
+        };
+        requests.iter().map(describe).collect()
+    }
+
+    fn respond(&mut self, sequence: u64, status: u16, body: &str, close: bool) {
+        let response = Response {
+            status,
+            headers: Vec::new(),
+            body: body.as_bytes().to_vec().into(),
+            close,
+        };
+        let dropped = self.connection.respond(sequence, response, self.now);
+        self.dropped.extend(dropped);
+    }
+
+    fn take_written(&mut self) -> String {
+        let mut sink = Vec::new();
+        self.connection.output.write(&mut sink).result.unwrap();
+        String::from_utf8(sink).unwrap()
+    }
+}
+
+const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n";
+
+#[test]
+fn responses_follow_request_order() {
+    let mut server = TestServer::new();
+    let got = server.feed("\r\nGET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiHEAD /c HTTP/1.1\r\n\r\nGET /d HT");
+    assert_eq!(got, ["0 GET /a ", "1 POST /b hi", "2 HEAD /c "]);
+    assert!(!server.connection.wants_read(&server.limits));
+    server.respond(1, 200, "b", false);
+    server.respond(1, 500, "twice", false);
+    server.respond(7, 500, "never", false);
+    assert_eq!(server.take_written(), "");
+    server.respond(0, 200, "a", false);
+    assert_eq!(server.take_written(), format!("{OK}\r\na{OK}\r\nb"));
+    assert_eq!(server.resume(), [""; 0]);
+    server.respond(2, 200, "c", false);
+    assert_eq!(server.take_written(), format!("{OK}\r\n"));
+    assert_eq!(
+        server.feed("TP/1.1\r\nConnection: close\r\n\r\nGET /e HTTP/1.1\r\n\r\n"),
+        ["3 GET /d "]
+    );
+    server.respond(3, 204, "d", false);
+    assert_eq!(
+        server.take_written(),
+        "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
+    );
+    assert!(server.connection.is_finished() && !server.connection.is_input_exhausted());
+}
+
+#[test]
+fn closing_response_drops_later_requests() {
+    let mut server = TestServer::new();
+    server.feed(&"GET / HTTP/1.1\r\n\r\n".repeat(3));
+    server.respond(1, 200, "b", true);
+    assert_eq!(server.dropped, [2]);
+    assert_eq!(server.feed("GET / HTTP/1.1\r\n\r\n"), [""; 0]);
+    server.respond(0, 200, "a", false);
+    assert_eq!(
+        server.take_written(),
+        format!("{OK}\r\na{OK}Connection: close\r\n\r\nb")
+    );
+    assert!(server.connection.is_finished());
+}
+
+#[test]
+fn draining_connection_closes_after_last_request() {
+    let mut server = TestServer::new();
+    server.feed("GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n");
+    server.connection.drain();
+    assert_eq!(server.feed("GET / HTTP/1.1\r\n\r\n"), [""; 0]);
+    server.respond(0, 200, "a", false);
+    server.respond(1, 200, "b", false);
+    assert_eq!(
+        server.take_written(),
+        format!("{OK}\r\na{OK}Connection: close\r\n\r\nb")
+    );
+    assert!(server.connection.is_finished());
+
+    let mut half = TestServer::new();
+    half.feed("GET / HT");
+    half.connection.drain();
+    assert_eq!(half.feed("TP/1.1\r\n\r\n").len(), 1);
+    half.respond(0, 200, "a", false);
+    assert!(half.take_written().contains("Connection: close") && half.connection.is_finished());
+    let mut idle = TestServer::new();
+    idle.connection.drain();
+    assert!(
+        !idle.connection.is_finished(),
+        "a request may be on its way"
+    );
+    assert_eq!(idle.feed("GET / HTTP/1.1\r\n\r\n").len(), 1);
+    idle.respond(0, 200, "a", false);
+    assert!(idle.take_written().contains("Connection: close") && idle.connection.is_finished());
+}
+
+#[test]
+fn rejections_follow_request_order() {
+    for (input, status) in [
+        ("GET / HTTP/1.1\r\nA : b\r\n\r\n", "400"),
+        (
+            "POST / HTTP/1.1\r\nContent-Length: 11\r\nExpect: 100-continue\r\n\r\n",
+            "413",
+        ),
+        (
+            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n",
+            "413",
+        ),
+        (
+            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx",
+            "400",
+        ),
+        ("\u{16}\u{3}\u{1}", "400"),
+        (&format!("GET /{} ", "a".repeat(200)), "431"),
+        (
+            &format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(200)),
+            "431",
+        ),
+    ] {
+        let mut server = TestServer::new();
+        assert_eq!(
+            server
+                .feed(&format!("GET /a HTTP/1.1\r\n\r\n{input}"))
+                .len(),
+            1,
+            "{input:?}"
+        );
+        assert_eq!(server.take_written(), "");
+        server.respond(0, 200, "a", false);
+        let written = server.take_written();
+        assert!(
+            written.starts_with(&format!("{OK}\r\naHTTP/1.1 {status} ")),
+            "{input:?} {written:?}"
+        );
+        assert!(written.contains("\r\nConnection: close\r\n"));
+        assert!(server.connection.is_finished() && !server.connection.is_input_exhausted());
+    }
+}
+
+#[test]
+fn continue_follows_earlier_responses() {
+    let mut server = TestServer::new();
+    server.feed("GET / HTTP/1.1\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 1\r\nExpect: 100-Continue\r\n\r\n");
+    assert_eq!(server.take_written(), "");
+    server.respond(0, 200, "a", false);
+    assert_eq!(
+        server.take_written(),
+        format!("{OK}\r\naHTTP/1.1 100 Continue\r\n\r\n")
+    );
+    assert_eq!(server.feed("b"), ["1 POST / b"]);
+}
+
+#[test]
+fn half_closed_request_is_answered_and_slow_one_times_out() {
+    let mut server = TestServer::new();
+    server.feed("GET / HTTP/1.1\r\n\r\nGET /half");
+    server.connection.close_read();
+    assert!(!server.connection.is_finished());
+    server.respond(0, 200, "a", false);
+    assert_eq!(
+        server.take_written(),
+        format!("{OK}Connection: close\r\n\r\na")
+    );
+    assert!(server.connection.is_finished() && server.connection.is_input_exhausted());
+
+    let mut slow = TestServer::new();
+    assert_eq!(
+        slow.connection.due(&slow.limits),
+        Some(slow.now + slow.limits.idle_timeout)
+    );
+    slow.now += Duration::from_secs(5);
+    slow.feed("GET ");
+    let due = slow.now + slow.limits.head_timeout;
+    slow.now += Duration::from_secs(5);
+    slow.feed("/ HTTP");
+    assert_eq!(slow.connection.due(&slow.limits), Some(due));
+    assert!(!slow.connection.time_out());
+    assert!(slow.take_written().starts_with("HTTP/1.1 408 "));
+    assert!(TestServer::new().connection.time_out());
+}
+
+/// However the bytes are segmented, and whatever is wrong with them, the same
+/// requests are handed out and the same rejected.
+#[test]
+fn segmentation_does_not_change_parsing() {
+    let clean = "\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\n\r\n\
+            PUT /c HTTP/1.1\r\nContent-Length: 4\r\n\r\nGET GET /d HTTP/1.1\r\n\r\n";
+    let mut seed = 1u64;
+    let mut draw = |below: usize| {
+        seed = seed
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
+        (seed >> 33) as usize % below
+    };
+    let mut undamaged = 0;
+    for case in 0..3000 {
+        let mut input = clean.as_bytes().to_vec();
+        for _ in 0..case % 3 {
+            let at = draw(input.len());
+            match draw(3) {
+                0 => input[at] = b"\r\n :;0a\x00\xff"[draw(9)],
+                1 => drop(input.remove(at)),
+                _ => input.insert(at, b"\r\n :;0a9"[draw(8)]),
+            }
+        }
+        let mut run = |max_step: usize| {
+            let mut server = TestServer::new();
+            server.limits.pipeline = 2;
+            let (mut requests, mut written) = (Vec::new(), String::new());
+            let (mut offset, mut next) = (0, 0);
+            loop {
+                server
+                    .connection
+                    .resume(&server.limits, server.now, &mut requests);
+                if offset < input.len() && server.connection.wants_read(&server.limits) {
+                    let size = (draw(max_step) + 1).min(input.len() - offset);
+                    server.connection.feed(
+                        &input[offset..offset + size],
+                        &server.limits,
+                        server.now,
+                        &mut requests,
+                    );
+                    offset += size;
+                } else if next < requests.len() as u64 {
+                    server.respond(next, 200, "a", false);
+                    next += 1;
+                } else {
+                    break;
+                }
+                written += &server.take_written();
+            }
+            (TestServer::describe(requests), written)
+        };
+        let once = run(1000);
+        assert_eq!(run(1), once, "{:?}", String::from_utf8_lossy(&input));
+        assert_eq!(run(9), once);
+        undamaged += (once.0.len() == 4) as usize;
+    }
+    assert!((1000..2900).contains(&undamaged), "{undamaged}");
+}
+
+#[test]
+fn response_headers_cannot_split_response() {
+    let mut server = TestServer::new();
+    server.feed("HEAD / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n");
+    let pair = |name: &str, value: &str| (name.to_string(), value.to_string());
+    let headers = vec![
+        pair("Content-Length", "77"),
+        pair("Transfer-Encoding", "chunked"),
+        pair("A", "b"),
+    ];
+    server.connection.respond(
+        0,
+        Response {
+            status: 200,
+            headers,
+            ..Response::default()
+        },
+        server.now,
+    );
+    assert_eq!(
+        server.take_written(),
+        "HTTP/1.1 200 OK\r\nContent-Length: 77\r\nA: b\r\n\r\n"
+    );
+    let headers = vec![pair("A", "b\r\nC: d")];
+    server.connection.respond(
+        1,
+        Response {
+            status: 200,
+            headers,
+            ..Response::default()
+        },
+        server.now,
+    );
+    assert_eq!(
+        server.take_written(),
+        "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+    );
+}
--- a/http-line/src/timers.rs
+++ b/http-line/src/timers.rs
@@ -1,68 +1,65 @@
+//! The timer queue of the event loop.
+
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
-/// Due times in ticks of 20 ms, rounded up: never early, or the loop would
-/// find an entry due and its owner not, over and over. An entry may be out of date: the
-/// owner of a token says when it is really due, and a later time needs no
-/// entry of its own until the earlier one comes up.
-pub struct Timers {
+/// Due times in ticks, rounded up: never early, or the loop would find an entry
+/// due and its owner not, over and over. An entry may be out of date: the owner
+/// of a token says when it is really due, and a later time needs no entry of its
+/// own until the earlier one comes up.
+pub(crate) struct Timers {
     start: Instant,
     heap: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
+/// One entry of the queue.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Timer {
+    pub(crate) tick: u64,
+    pub(crate) token: usize,
+}
+
 const TICK: Duration = Duration::from_millis(20);
+/// A heap of fewer entries is not shrunk.
+const MIN_SHRINK_CAPACITY: usize = 1024;
 
 impl Timers {
-    pub fn new(start: Instant) -> Timers {
+    pub(crate) fn new(start: Instant) -> Timers {
         Timers {
             start,
             heap: BinaryHeap::new(),
         }
     }
 
-    pub fn tick(&self, at: Instant) -> u64 {
-        at.saturating_duration_since(self.start)
+    /// The first tick that is not before this time.
+    pub(crate) fn tick_of(&self, time: Instant) -> u64 {
+        time.saturating_duration_since(self.start)
             .as_nanos()
             .div_ceil(TICK.as_nanos()) as u64
     }
 
-    pub fn at(&self, tick: u64) -> Instant {
+    pub(crate) fn time_of(&self, tick: u64) -> Instant {
         self.start + Duration::from_nanos(tick * TICK.as_nanos() as u64)
     }
 
-    pub fn push(&mut self, tick: u64, token: usize) {
+    pub(crate) fn push(&mut self, tick: u64, token: usize) {
         self.heap.push(Reverse((tick, token)));
     }
 
-    pub fn first(&self) -> Option<(u64, usize)> {
-        self.heap.peek().map(|entry| entry.0)
+    /// The earliest entry.
+    pub(crate) fn first(&self) -> Option<Timer> {
+        let Reverse((tick, token)) = *self.heap.peek()?;
+        Some(Timer { tick, token })
     }
 
-    pub fn pop(&mut self) {
+    /// Removes the earliest entry.
+    pub(crate) fn pop(&mut self) {
         self.heap.pop();
-        if self.heap.capacity() > 1024 && self.heap.len() * 8 < self.heap.capacity() {
+        let capacity = self.heap.capacity();
+        if capacity > MIN_SHRINK_CAPACITY && self.heap.len() * 8 < capacity {
             self.heap.shrink_to(self.heap.len() * 2);
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn earliest_first_and_never_early() {
-        let start = Instant::now();
-        let mut timers = Timers::new(start);
-        for nanos in [0, 1, 19_999_999, 20_000_000, 20_000_001, 40_300_000] {
-            let due = start + Duration::from_nanos(nanos);
-            let at = timers.at(timers.tick(due));
-            assert!(at >= due && at < due + TICK, "{nanos}");
-        }
-        let tick = timers.tick(start + Duration::from_millis(41));
-        timers.push(tick, 1);
-        timers.push(timers.tick(start + Duration::from_millis(5)), 2);
-        assert_eq!(timers.first(), Some((1, 2)));
-        timers.pop();
-        assert_eq!(timers.first(), Some((3, 1)));
-    }
-}
--- /dev/null
+++ b/http-line/tests/harness/mod.rs
@@ -0,0 +1,180 @@
+//! An event loop over 127.0.0.1 whose clients and origins the test plays.
+#![allow(dead_code)]
+use http_line::prelude::*;
+use std::net::TcpStream;
+use std::sync::OnceLock;
+
+/// What the handler was told.
+pub enum Event {
+    Request(u64, usize, Request),
+    Outcome(u64, ExchangeOutcome),
+    Disconnect(u64),
+}
+
+/// Passes all on; a target that starts with `/now` is responded to at once.
+pub struct ForwardingHandler {
+    events: flume::Sender<Event>,
+    http: OnceLock<EventLoopHandle>,
+}
+
+impl Handler for ForwardingHandler {
+    fn on_request(&self, request_id: u64, listener: usize, request: Request) {
+        let is_immediate = request.target.starts_with("/now");
+        match self.http.get().filter(|_| is_immediate) {
+            Some(http) => http.respond(request_id, response(&request.target)),
+            None => self.send(Event::Request(request_id, listener, request)),
+        }
+    }
+
+    fn on_response(&self, call_id: u64, outcome: ExchangeOutcome) {
+        self.send(Event::Outcome(call_id, outcome));
+    }
+
+    fn on_disconnect(&self, request_id: u64) {
+        self.send(Event::Disconnect(request_id));
+    }
+}
+
+impl ForwardingHandler {
+    fn send(&self, event: Event) {
+        self.events.send(event).unwrap();
+    }
+}
+
+pub struct Harness {
+    pub http: EventLoopHandle,
+    pub events: flume::Receiver<Event>,
+    pub address: SocketAddr,
+}
+
+/// Nothing that must happen takes longer.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
+
+impl Harness {
+    pub fn new(limits: Limits) -> Harness {
+        let (sender, events) = flume::unbounded();
+        let listener = EventLoopHandle::listen(([127, 0, 0, 1], 0).into()).unwrap();
+        let address = listener.local_addr().unwrap();
+        let handler = Arc::new(ForwardingHandler {
+            events: sender,
+            http: OnceLock::new(),
+        });
+        let http = EventLoopHandle::open(vec![listener], limits, handler.clone()).unwrap();
+        assert!(handler.http.set(http.clone()).is_ok());
+        Harness {
+            http,
+            events,
+            address,
+        }
+    }
+
+    /// The id of the next request, and the request.
+    pub fn request(&self) -> (u64, Request) {
+        match self.events.recv_timeout(EVENT_TIMEOUT) {
+            Ok(Event::Request(request_id, 0, request)) => (request_id, request),
+            Ok(Event::Outcome(_, outcome)) => panic!("outcome {outcome:?}"),
+            _ => panic!("no request"),
+        }
+    }
+
+    /// The id of the next call that ends, and its outcome.
+    pub fn outcome(&self) -> (u64, ExchangeOutcome) {
+        match self.events.recv_timeout(EVENT_TIMEOUT) {
+            Ok(Event::Outcome(call_id, outcome)) => (call_id, outcome),
+            Ok(Event::Request(_, _, request)) => panic!("request {request:?}"),
+            _ => panic!("no outcome"),
+        }
+    }
+
+    /// The id of the next request whose client has disconnected.
+    pub fn disconnect(&self) -> u64 {
+        match self.events.recv_timeout(EVENT_TIMEOUT) {
+            Ok(Event::Disconnect(request_id)) => request_id,
+            _ => panic!("no disconnect"),
+        }
+    }
+
+    pub fn call(&self, id: u64, address: SocketAddr, target: &str) {
+        self.http.call(call(id, address, target));
+    }
+
+    pub fn peer(&self) -> TcpStream {
+        let peer = TcpStream::connect(self.address).unwrap();
+        peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+        peer
+    }
+}
+
+impl Drop for Harness {
+    fn drop(&mut self) {
+        self.http.close();
+    }
+}
+
+pub fn response(text: &str) -> Response {
+    Response {
+        status: 200,
+        headers: vec![("X".into(), "y".into())],
+        body: text.as_bytes().to_vec().into(),
+        close: false,
+    }
+}
+
+pub fn call(id: u64, address: SocketAddr, target: &str) -> Call {
+    Call {
+        id,
+        address,
+        method: "GET".into(),
+        target: target.into(),
+        headers: vec![("Host".into(), "h".into())],
+        body: Arc::default(),
+        timeout: Duration::from_secs(5),
+        request: None,
+        echo: None,
+        max_connections: 2,
+    }
+}
+
+/// The id and the body of a call that succeeded.
+pub fn body(outcome: (u64, ExchangeOutcome)) -> (u64, String) {
+    match outcome {
+        (
+            id,
+            Ok(ReceivedResponse {
+                status: 200, body, ..
+            }),
+        ) => (id, String::from_utf8(body).unwrap()),
+        other => panic!("{other:?}"),
+    }
+}
+
+/// All bytes to the end of the connection.
+pub fn read_to_end(peer: &mut TcpStream) -> String {
+    let mut all = Vec::new();
+    peer.read_to_end(&mut all).unwrap();
+    String::from_utf8(all).unwrap()
+}
+
+pub fn assert_reads(peer: &mut TcpStream, expected: &str) {
+    let mut bytes = vec![0; expected.len()];
+    peer.read_exact(&mut bytes).unwrap();
+    assert_eq!(String::from_utf8_lossy(&bytes), expected);
+}
+
+/// Reads to the end of a head.
+pub fn read_head(peer: &mut TcpStream) -> String {
+    peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        peer.read_exact(&mut byte).unwrap();
+        head.push(byte[0]);
+    }
+    String::from_utf8(head).unwrap()
+}
+
+/// Reads a head and writes a response; the connection stays open.
+pub fn serve(peer: &mut TcpStream, response: &str) {
+    read_head(peer);
+    peer.write_all(response.as_bytes()).unwrap();
+}
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -1,27 +1,27 @@
 //! Faults of origins and clients over 127.0.0.1.
-mod rig;
+mod harness;
+use harness::*;
 use http_line::prelude::*;
-use rig::*;
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-/// How long something that must not come is waited for.
-const QUIET: Duration = Duration::from_millis(200);
+/// How long something that must not happen is waited for.
+const QUIET_TIME: Duration = Duration::from_millis(200);
 
-fn listener() -> (TcpListener, SocketAddr) {
-    let listener = HttpLine::listen(([127, 0, 0, 1], 0).into()).unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+fn listen() -> (TcpListener, SocketAddr) {
+    let listener = EventLoopHandle::listen(([127, 0, 0, 1], 0).into()).unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// The next connection; a test that waits for none in vain fails.
+/// The next connection; a test that waits in vain fails.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let since = Instant::now();
-    while since.elapsed() < WAIT {
+    while since.elapsed() < EVENT_TIMEOUT {
         if let Ok((peer, _)) = listener.accept() {
             peer.set_nonblocking(false).unwrap();
-            peer.set_read_timeout(Some(WAIT)).unwrap();
+            peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
             return peer;
         }
         thread::sleep(Duration::from_millis(1));
@@ -29,60 +29,53 @@
     panic!("nobody connects");
 }
 
-fn reset(peer: &TcpStream) {
+fn reset_on_close(peer: &TcpStream) {
     let socket = socket2::SockRef::from(peer);
     socket.set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-fn read_head(peer: &mut TcpStream) -> String {
-    peer.set_read_timeout(Some(WAIT)).unwrap();
-    let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") {
-        let mut byte = [0];
-        peer.read_exact(&mut byte).unwrap();
-        head.push(byte[0]);
-    }
-    String::from_utf8(head).unwrap()
-}
-
-fn answer(id: &str, body: &str) -> String {
+fn origin_response(id: &str, body: &str) -> String {
     let size = body.len();
     format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: {size}\r\n\r\n{body}")
 }
 
-fn named(id: u64, to: SocketAddr, name: &str) -> Call {
+fn echoed_call(id: u64, address: SocketAddr, request_id: &str) -> Call {
     Call {
         method: "POST".into(),
-        echo: Some(("Request-Id".into(), name.into())),
+        echo: Some(("Request-Id".into(), request_id.into())),
         headers: vec![
             ("Host".into(), "h".into()),
-            ("Request-Id".into(), name.into()),
+            ("Request-Id".into(), request_id.into()),
         ],
-        ..call(id, to, "/")
+        ..call(id, address, "/")
     }
 }
 
-fn lost(came: (u64, Came)) -> bool {
-    match came.1 {
-        Came::Lost { reused, .. } => reused,
+/// Whether an interrupted call was sent over a reused connection.
+fn interrupted_on_reuse(outcome: (u64, ExchangeOutcome)) -> bool {
+    match outcome.1 {
+        Err(ExchangeError::Interrupted { reused, .. }) => reused,
         other => panic!("{other:?}"),
     }
 }
 
 /// Nobody connects to the listener any more.
-fn quiet(listener: &TcpListener) {
+fn assert_no_connection(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
-    thread::sleep(QUIET);
+    thread::sleep(QUIET_TIME);
     assert!(listener.accept().is_err(), "the call was sent again");
 }
 
 #[test]
-fn only_a_refused_connection_is_told_as_unsent() {
-    let rig = Rig::new(Limits::default());
-    let (closed, at) = listener();
+fn refused_connection_alone_is_reported_as_not_sent() {
+    let harness = Harness::new(Limits::default());
+    let (closed, address) = listen();
     drop(closed);
-    rig.call(1, at, "/");
-    assert!(matches!(rig.came(), (1, Came::Unsent(_))));
+    harness.call(1, address, "/");
+    assert!(matches!(
+        harness.outcome(),
+        (1, Err(ExchangeError::NotSent(_)))
+    ));
 
     // What the origin reads before it resets the connection, and writes.
     let large = Arc::new(vec![b'x'; 8_000_000]);
@@ -104,77 +97,88 @@
         ),
     ] {
         for resets in [true, false] {
-            let (origin, at) = listener();
-            rig.http.call(Call {
+            let (origin, address) = listen();
+            harness.http.call(Call {
                 method: "POST".into(),
                 body: body.clone(),
-                ..call(2, at, "/")
+                ..call(2, address, "/")
             });
             let mut peer = accept(&origin);
             peer.read_exact(&mut vec![0; reads]).unwrap();
             peer.write_all(writes.as_bytes()).unwrap();
             if resets {
-                reset(&peer);
+                reset_on_close(&peer);
             }
             drop(peer);
-            assert!(!lost(rig.came()), "{reads} {writes:?} {resets}");
-            quiet(&origin);
+            assert!(
+                !interrupted_on_reuse(harness.outcome()),
+                "{reads} {writes:?} {resets}"
+            );
+            assert_no_connection(&origin);
         }
     }
 }
 
 #[test]
-fn a_kept_connection_that_dies_as_a_call_leaves_proves_nothing() {
-    let rig = Rig::new(Limits::default());
+fn reused_connection_lost_during_call_is_interrupted() {
+    let harness = Harness::new(Limits::default());
     for (reads, resets) in [(1, true), (1, false), (40, true), (40, false)] {
-        let (origin, at) = listener();
-        rig.http.call(named(1, at, "r1"));
+        let (origin, address) = listen();
+        harness.http.call(echoed_call(1, address, "r1"));
         let mut peer = accept(&origin);
         read_head(&mut peer);
-        peer.write_all(answer("r1", "one").as_bytes()).unwrap();
-        assert_eq!(body(rig.came()), (1, "one".into()));
-        rig.http.call(named(2, at, "r2"));
+        peer.write_all(origin_response("r1", "one").as_bytes())
+            .unwrap();
+        assert_eq!(body(harness.outcome()), (1, "one".into()));
+        harness.http.call(echoed_call(2, address, "r2"));
         peer.read_exact(&mut vec![0; reads]).unwrap();
         if resets {
-            reset(&peer);
+            reset_on_close(&peer);
         }
         drop(peer);
-        assert!(lost(rig.came()), "over a kept connection, and said so");
-        quiet(&origin);
+        assert!(
+            interrupted_on_reuse(harness.outcome()),
+            "over a reused connection, and reported so"
+        );
+        assert_no_connection(&origin);
     }
 }
 
 #[test]
-fn a_second_answer_is_not_taken_for_that_to_the_next_try() {
-    let rig = Rig::new(Limits::default());
-    let (origin, at) = listener();
-    rig.http.call(named(1, at, "r1"));
+fn duplicate_response_is_not_taken_for_next_attempt() {
+    let harness = Harness::new(Limits::default());
+    let (origin, address) = listen();
+    harness.http.call(echoed_call(1, address, "r1"));
     let mut first = accept(&origin);
     read_head(&mut first);
-    first.write_all(answer("r1", "first").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (1, "first".into()));
-    // The same request, tried again: had it come over the first connection,
-    // this answer would be in the place of its own.
-    rig.http.call(named(2, at, "r1"));
-    let again = thread::spawn(move || {
-        first.set_read_timeout(Some(WAIT)).unwrap();
+    first
+        .write_all(origin_response("r1", "first").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (1, "first".into()));
+    // Another attempt of the same request: had it gone over the first connection,
+    // this response would be taken for its own.
+    harness.http.call(echoed_call(2, address, "r1"));
+    let duplicate = thread::spawn(move || {
+        first.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         if matches!(first.read(&mut [0; 1]), Ok(1)) {
-            let _ = first.write_all(answer("r1", "late").as_bytes());
+            let _ = first.write_all(origin_response("r1", "late").as_bytes());
         }
     });
     let mut second = accept(&origin);
     read_head(&mut second);
-    second.write_all(answer("r1", "second").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (2, "second".into()));
-    drop(rig);
-    again.join().unwrap();
+    second
+        .write_all(origin_response("r1", "second").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (2, "second".into()));
+    drop(harness);
+    duplicate.join().unwrap();
 }
 
 #[test]
-fn crossed_and_doubled_answers_by_single_bytes_reach_nobody_else() {
-    let rig = Rig::new(Limits::default());
-    let (origin, at) = listener();
-    rig.http.call(named(1, at, "r1"));
+fn crossed_and_duplicate_responses_reach_no_other_call() {
+    let harness = Harness::new(Limits::default());
+    let (origin, address) = listen();
+    harness.http.call(echoed_call(1, address, "r1"));
     let mut peer = accept(&origin);
     let mut write = |text: String| {
         peer.set_nodelay(true).unwrap();
@@ -182,164 +186,177 @@
             peer.write_all(&[*byte]).unwrap();
         }
     };
-    write(answer("r0", "another's") + &answer("r1", "one"));
-    assert_eq!(body(rig.came()), (1, "one".into()));
-    // Another's answer came on it: it is not used again.
-    rig.http.call(named(2, at, "r2"));
+    write(origin_response("r0", "another's") + &origin_response("r1", "one"));
+    assert_eq!(body(harness.outcome()), (1, "one".into()));
+    // A foreign response was received on it: it is not reused.
+    harness.http.call(echoed_call(2, address, "r2"));
     let mut second = accept(&origin);
     read_head(&mut second);
-    second.write_all(answer("r2", "two").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (2, "two".into()));
-    rig.http.call(named(3, at, "r3"));
+    second
+        .write_all(origin_response("r2", "two").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (2, "two".into()));
+    harness.http.call(echoed_call(3, address, "r3"));
     read_head(&mut second);
-    let crossed = answer("r2", "two") + &answer("r3", "three") + "more";
+    let crossed = origin_response("r2", "two") + &origin_response("r3", "three") + "more";
     second.write_all(crossed.as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (3, "three".into()));
+    assert_eq!(body(harness.outcome()), (3, "three".into()));
 }
 
 #[test]
-fn a_body_that_answers_a_head_request_is_nobodys() {
-    let rig = Rig::new(Limits::default());
-    let (origin, at) = listener();
-    rig.http.call(Call {
+fn body_in_response_to_head_request_is_discarded() {
+    let harness = Harness::new(Limits::default());
+    let (origin, address) = listen();
+    harness.http.call(Call {
         method: "HEAD".into(),
-        ..named(1, at, "r1")
+        ..echoed_call(1, address, "r1")
     });
     let mut peer = accept(&origin);
     read_head(&mut peer);
-    peer.write_all(answer("r1", "hidden").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (1, "".into()));
-    rig.http.call(named(2, at, "r2"));
+    peer.write_all(origin_response("r1", "hidden").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (1, "".into()));
+    harness.http.call(echoed_call(2, address, "r2"));
     let mut next = accept(&origin);
     read_head(&mut next);
-    next.write_all(answer("r2", "own").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (2, "own".into()));
+    next.write_all(origin_response("r2", "own").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (2, "own".into()));
 }
 
 #[test]
-fn an_address_that_goes_to_another_process_gets_each_call_once() {
-    let rig = Rig::new(Limits::default());
-    let (origin, at) = listener();
-    rig.http.call(named(1, at, "r1"));
+fn reassigned_address_receives_each_call_once() {
+    let harness = Harness::new(Limits::default());
+    let (origin, address) = listen();
+    harness.http.call(echoed_call(1, address, "r1"));
     let mut peer = accept(&origin);
     read_head(&mut peer);
-    peer.write_all(answer("r1", "one").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (1, "one".into()));
-    reset(&peer);
+    peer.write_all(origin_response("r1", "one").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (1, "one".into()));
+    reset_on_close(&peer);
     drop((peer, origin));
-    let other = HttpLine::listen(at).unwrap();
-    // The end of the kept connection is seen before the next call is begun.
+    let other = EventLoopHandle::listen(address).unwrap();
+    // The end of the idle connection is noticed before the next call is begun.
     thread::sleep(Duration::from_millis(50));
-    rig.http.call(named(2, at, "r2"));
+    harness.http.call(echoed_call(2, address, "r2"));
     let mut peer = accept(&other);
     assert!(read_head(&mut peer).contains("Request-Id: r2\r\n"));
-    peer.write_all(answer("r2", "two").as_bytes()).unwrap();
-    assert_eq!(body(rig.came()), (2, "two".into()));
-    quiet(&other);
+    peer.write_all(origin_response("r2", "two").as_bytes())
+        .unwrap();
+    assert_eq!(body(harness.outcome()), (2, "two".into()));
+    assert_no_connection(&other);
 }
 
 #[test]
-fn answers_to_a_client_that_pipelined_and_went_away_reach_nobody_else() {
-    let rig = Rig::new(Limits::default());
-    let mut leaving = rig.peer();
+fn responses_to_disconnected_client_reach_no_other() {
+    let harness = Harness::new(Limits::default());
+    let mut leaving = harness.peer();
     leaving
         .write_all("GET /a HTTP/1.1\r\n\r\n".repeat(3).as_bytes())
         .unwrap();
-    let old: Vec<u64> = (0..3).map(|_| rig.asked().0).collect();
-    rig.http.tell(old[1], told("second of the one that left"));
-    reset(&leaving);
+    let unanswered: Vec<u64> = (0..3).map(|_| harness.request().0).collect();
+    harness
+        .http
+        .respond(unanswered[1], response("second of the disconnected client"));
+    reset_on_close(&leaving);
     drop(leaving);
-    let gone: Vec<u64> = (0..3).map(|_| rig.gone()).collect();
-    assert_eq!(gone, old);
-    let mut peer = rig.peer();
+    let disconnected: Vec<u64> = (0..3).map(|_| harness.disconnect()).collect();
+    assert_eq!(disconnected, unanswered);
+    let mut peer = harness.peer();
     peer.write_all(b"GET /b HTTP/1.1\r\nConnection: close\r\n\r\n")
         .unwrap();
-    let (own, asked) = rig.asked();
-    assert_eq!(asked.target, "/b");
-    assert!(!old.contains(&own));
-    for line in old {
-        rig.http.tell(line, told("of the one that left"));
+    let (own, request) = harness.request();
+    assert_eq!(request.target, "/b");
+    assert!(!unanswered.contains(&own));
+    for id in unanswered {
+        harness
+            .http
+            .respond(id, response("of the disconnected client"));
     }
-    rig.http.tell(own, told("own"));
-    let all = rest(&mut peer);
+    harness.http.respond(own, response("own"));
+    let all = read_to_end(&mut peer);
     assert!(all.ends_with("\r\n\r\nown"), "{all}");
     assert_eq!(all.matches("HTTP/1.1").count(), 1);
 }
 
 /// A close is reported at once, whatever the connection is doing.
-fn reported_as_gone(limits: Limits, requests: &str, half: bool) {
-    let rig = Rig::new(limits);
-    let mut peer = rig.peer();
+fn assert_disconnect_reported(limits: Limits, requests: &str, half_close: bool) {
+    let harness = Harness::new(limits);
+    let mut peer = harness.peer();
     peer.write_all(requests.as_bytes()).unwrap();
-    let (line, _) = rig.asked();
-    if half {
+    let (id, _) = harness.request();
+    if half_close {
         peer.shutdown(std::net::Shutdown::Write).unwrap();
     } else {
         drop(peer);
     }
-    assert_eq!(rig.gone(), line, "{requests:?}");
+    assert_eq!(harness.disconnect(), id, "{requests:?}");
 }
 
 #[test]
-fn the_close_of_a_waiting_caller_is_reported() {
-    for half in [false, true] {
-        reported_as_gone(Limits::default(), "GET /a HTTP/1.1\r\n\r\n", half);
+fn close_of_waiting_client_is_reported() {
+    for half_close in [false, true] {
+        assert_disconnect_reported(Limits::default(), "GET /a HTTP/1.1\r\n\r\n", half_close);
     }
 }
 
 /// Nothing is read behind a request that ends its connection.
 #[test]
-fn the_close_behind_a_last_request_is_reported() {
-    for half in [false, true] {
+fn close_behind_last_request_is_reported() {
+    for half_close in [false, true] {
         let last = "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n";
-        reported_as_gone(Limits::default(), last, half);
+        assert_disconnect_reported(Limits::default(), last, half_close);
     }
 }
 
-/// Nothing is read from a caller that has asked for so much already.
+/// Nothing is read from a client with so many requests in flight.
 #[test]
-fn the_close_behind_requests_that_are_not_read_yet_is_reported() {
+fn close_behind_unread_requests_is_reported() {
     let limits = Limits {
         pipeline: 1,
         ..Limits::default()
     };
-    for half in [false, true] {
+    for half_close in [false, true] {
         let two = "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
-        reported_as_gone(limits.clone(), two, half);
+        assert_disconnect_reported(limits.clone(), two, half_close);
     }
 }
 
 #[test]
-fn the_close_of_a_caller_is_reported_while_the_line_is_drained_and_stopped() {
-    let rig = Rig::new(Limits::default());
-    let mut peer = rig.peer();
+fn close_is_reported_while_draining_and_stopped() {
+    let harness = Harness::new(Limits::default());
+    let mut peer = harness.peer();
     peer.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
-    let (line, _) = rig.asked();
-    rig.http.drain();
-    rig.http.stop();
+    let (id, _) = harness.request();
+    harness.http.drain();
+    harness.http.stop();
     drop(peer);
-    assert_eq!(rig.gone(), line);
+    assert_eq!(harness.disconnect(), id);
 }
 
 #[test]
-fn a_reset_is_reported_and_an_answered_request_is_not() {
-    let rig = Rig::new(Limits::default());
-    let mut peer = rig.peer();
+fn reset_is_reported_for_unanswered_request_only() {
+    let harness = Harness::new(Limits::default());
+    let mut peer = harness.peer();
     peer.write_all(b"GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
         .unwrap();
-    let ((a, _), (b, _)) = (rig.asked(), rig.asked());
-    rig.http.tell(a, told("a"));
+    let ((a, _), (b, _)) = (harness.request(), harness.request());
+    harness.http.respond(a, response("a"));
     let mut answer = [0; 64];
     peer.read_exact(&mut answer[..30]).unwrap();
-    reset(&peer);
+    reset_on_close(&peer);
     drop(peer);
-    assert_eq!(rig.gone(), b);
-    thread::sleep(QUIET);
-    assert!(rig.events.is_empty(), "reported twice, or though answered");
+    assert_eq!(harness.disconnect(), b);
+    thread::sleep(QUIET_TIME);
+    assert!(
+        harness.events.is_empty(),
+        "reported twice, or though responded to"
+    );
 }
 
 /// No connections are open any more.
-fn all_closed(http: &HttpLine) -> bool {
+fn all_closed(http: &EventLoopHandle) -> bool {
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(2) {
         if http.usage().open == 0 {
@@ -352,43 +369,43 @@
 
 /// A large answer on a narrow link would be written for ten seconds more.
 #[test]
-fn a_paced_answer_is_not_written_on_for_a_caller_that_has_left() {
+fn paced_response_ends_when_client_disconnects() {
     for reads in [false, true] {
-        let rig = Rig::new(Limits {
-            send_bytes_s: Some(100_000.0),
+        let harness = Harness::new(Limits {
+            link_bytes_per_second: Some(100_000.0),
             ..Limits::default()
         });
-        let mut peer = rig.peer();
+        let mut peer = harness.peer();
         peer.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
-        let (line, _) = rig.asked();
-        rig.http.tell(line, told(&"x".repeat(1_000_000)));
+        let (id, _) = harness.request();
+        harness.http.respond(id, response(&"x".repeat(1_000_000)));
         if reads {
             peer.read_exact(&mut [0; 20_000]).unwrap();
         }
         drop(peer);
-        assert!(all_closed(&rig.http), "reads: {reads}");
+        assert!(all_closed(&harness.http), "reads: {reads}");
     }
 }
 
-/// The origin sees the end of a dropped call, sent or still being connected, and
-/// nothing comes of it.
+/// The origin sees the end of a cancelled call, sent or still connecting, and it has
+/// no outcome.
 #[test]
-fn an_origin_sees_the_end_of_a_dropped_call() {
-    let rig = Rig::new(Limits::default());
-    let (listener, at) = listener();
-    rig.call(1, at, "/a");
+fn cancelled_call_resets_its_connection() {
+    let harness = Harness::new(Limits::default());
+    let (listener, address) = listen();
+    harness.call(1, address, "/a");
     let mut origin = accept(&listener);
     read_head(&mut origin);
-    rig.http.drop_call(1);
-    // Far before the call's own limit.
-    origin.set_read_timeout(Some(QUIET * 2)).unwrap();
+    harness.http.cancel_call(1);
+    // Far before the call's own timeout.
+    origin.set_read_timeout(Some(QUIET_TIME * 2)).unwrap();
     let end = origin.read(&mut [0; 8]).unwrap_err();
-    assert_eq!(end.kind(), ErrorKind::ConnectionReset, "not half an end");
+    assert_eq!(end.kind(), ErrorKind::ConnectionReset, "not a half-close");
 
-    rig.call(2, at, "/b");
-    rig.http.drop_call(2);
-    assert!(all_closed(&rig.http));
-    rig.http.drop_call(3);
-    thread::sleep(QUIET);
-    assert!(rig.events.is_empty(), "nothing comes of dropped calls");
+    harness.call(2, address, "/b");
+    harness.http.cancel_call(2);
+    assert!(all_closed(&harness.http));
+    harness.http.cancel_call(3);
+    thread::sleep(QUIET_TIME);
+    assert!(harness.events.is_empty(), "cancelled calls have no outcome");
 }
