--- a/http-line/src/head/tests.rs
+++ b/http-line/src/head/tests.rs
@@ -37,32 +37,46 @@
     assert_eq!(find_end(b"a\n\nb", 0), Some(3));
 }
 
+/// Headers that two readers could understand differently.
+const AMBIGUOUS_HEADERS: [&str; 22] = [
+    "Content-Length: 1\r\nContent-Length: 2\r\n",
+    "Content-Length: 1, 1\r\n",
+    "Content-Length: +1\r\n",
+    "Content-Length: \r\n",
+    "Content-Length: 1 1\r\n",
+    "Content-Length: 99999999999999999999\r\n",
+    "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+    "Transfer-Encoding: gzip, chunked\r\n",
+    "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+    "Transfer-Encoding: xchunked\r\n",
+    "Transfer-Encoding: identity\r\n",
+    "Transfer-Encoding:\r\n chunked\r\n",
+    "Transfer-Encoding : chunked\r\n",
+    "A: b\r\n c\r\n",
+    "A: b\rc\r\n",
+    "A: b\nC: d\r\n",
+    "A: b\0\r\n",
+    "A\r\n",
+    ": b\r\n",
+    "A b: c\r\n",
+    "Host: i\r\n",
+    "Transfer-Encoding: \u{b}chunked\r\n",
+];
+
+/// Heads whose request line or framing is not valid.
+const MALFORMED_HEADS: [&str; 7] = [
+    "GET /\r\n\r\n",
+    "GET / HTTP/2.0\r\n\r\n",
+    "GET /a b HTTP/1.1\r\n\r\n",
+    "G\u{e9} / HTTP/1.1\r\n\r\n",
+    "GET /\u{e9} HTTP/1.1\r\n\r\n",
+    "GET / HTTP/1.1 \r\n\r\n",
+    "GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
+];
+
 #[test]
 fn ambiguous_request_heads_are_rejected() {
-    for lines in [
-        "Content-Length: 1\r\nContent-Length: 2\r\n",
-        "Content-Length: 1, 1\r\n",
-        "Content-Length: +1\r\n",
-        "Content-Length: \r\n",
-        "Content-Length: 1 1\r\n",
-        "Content-Length: 99999999999999999999\r\n",
-        "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-        "Transfer-Encoding: xchunked\r\n",
-        "Transfer-Encoding: identity\r\n",
-        "Transfer-Encoding:\r\n chunked\r\n",
-        "Transfer-Encoding : chunked\r\n",
-        "A: b\r\n c\r\n",
-        "A: b\rc\r\n",
-        "A: b\nC: d\r\n",
-        "A: b\0\r\n",
-        "A\r\n",
-        ": b\r\n",
-        "A b: c\r\n",
-        "Host: i\r\n",
-        "Transfer-Encoding: \u{b}chunked\r\n",
-    ] {
+    for lines in AMBIGUOUS_HEADERS {
         assert_eq!(
             parse_with_headers(lines)
                 .err()
@@ -71,15 +85,7 @@
             "{lines:?}"
         );
     }
-    for head in [
-        "GET /\r\n\r\n",
-        "GET / HTTP/2.0\r\n\r\n",
-        "GET /a b HTTP/1.1\r\n\r\n",
-        "G\u{e9} / HTTP/1.1\r\n\r\n",
-        "GET /\u{e9} HTTP/1.1\r\n\r\n",
-        "GET / HTTP/1.1 \r\n\r\n",
-        "GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
-    ] {
+    for head in MALFORMED_HEADS {
         assert_eq!(
             RequestHead::parse(head.as_bytes())
                 .err()
--- a/http-line/src/server_connection/tests.rs
+++ b/http-line/src/server_connection/tests.rs
@@ -243,62 +243,78 @@
     assert!(TestServer::new().connection.time_out());
 }
 
-/// However the bytes are segmented, and whatever is wrong with them, the same
-/// requests are handed out and the same rejected.
-#[test]
-fn segmentation_does_not_change_parsing() {
-    let clean = "\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\n\r\n\
+/// Four requests, pipelined.
+const PIPELINED: &str = "\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\n\r\n\
             PUT /c HTTP/1.1\r\nContent-Length: 4\r\n\r\nGET GET /d HTTP/1.1\r\n\r\n";
-    let mut seed = 1u64;
-    let mut draw = |below: usize| {
-        seed = seed
+
+/// Reproducible random numbers.
+struct Generator {
+    seed: u64,
+}
+
+impl Generator {
+    fn below(&mut self, bound: usize) -> usize {
+        self.seed = self
+            .seed
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
-        (seed >> 33) as usize % below
-    };
-    let mut undamaged = 0;
-    for case in 0..3000 {
-        let mut input = clean.as_bytes().to_vec();
-        for _ in 0..case % 3 {
-            let at = draw(input.len());
-            match draw(3) {
-                0 => input[at] = b"\r\n :;0a\x00\xff"[draw(9)],
-                1 => drop(input.remove(at)),
-                _ => input.insert(at, b"\r\n :;0a9"[draw(8)]),
+        (self.seed >> 33) as usize % bound
+    }
+
+    /// The pipelined requests with so many bytes replaced, removed or inserted.
+    fn damaged_input(&mut self, changes: usize) -> Vec<u8> {
+        let mut input = PIPELINED.as_bytes().to_vec();
+        for _ in 0..changes {
+            let offset = self.below(input.len());
+            match self.below(3) {
+                0 => input[offset] = b"\r\n :;0a\x00\xff"[self.below(9)],
+                1 => drop(input.remove(offset)),
+                _ => input.insert(offset, b"\r\n :;0a9"[self.below(8)]),
             }
         }
-        let mut run = |max_step: usize| {
-            let mut server = TestServer::new();
-            server.limits.pipeline = 2;
-            let (mut requests, mut written) = (Vec::new(), String::new());
-            let (mut offset, mut next) = (0, 0);
-            loop {
-                server
-                    .connection
-                    .resume(&server.limits, server.now, &mut requests);
-                if offset < input.len() && server.connection.wants_read(&server.limits) {
-                    let size = (draw(max_step) + 1).min(input.len() - offset);
-                    server.connection.feed(
-                        &input[offset..offset + size],
-                        &server.limits,
-                        server.now,
-                        &mut requests,
-                    );
-                    offset += size;
-                } else if next < requests.len() as u64 {
-                    server.respond(next, 200, "a", false);
-                    next += 1;
-                } else {
-                    break;
-                }
-                written += &server.take_written();
+        input
+    }
+
+    /// The requests read from the input, in steps of at most so many bytes, and
+    /// all that was written.
+    fn serve_in_steps(&mut self, input: &[u8], max_step: usize) -> (Vec<String>, String) {
+        let mut server = TestServer::new();
+        server.limits.pipeline = 2;
+        let (mut requests, mut written) = (Vec::new(), String::new());
+        let (mut offset, mut next) = (0, 0);
+        loop {
+            let (limits, now) = (&server.limits, server.now);
+            server.connection.resume(limits, now, &mut requests);
+            if offset < input.len() && server.connection.wants_read(limits) {
+                let size = (self.below(max_step) + 1).min(input.len() - offset);
+                let step = &input[offset..offset + size];
+                server.connection.feed(step, limits, now, &mut requests);
+                offset += size;
+            } else if next < requests.len() as u64 {
+                server.respond(next, 200, "a", false);
+                next += 1;
+            } else {
+                break;
             }
-            (TestServer::describe(requests), written)
-        };
-        let once = run(1000);
-        assert_eq!(run(1), once, "{:?}", String::from_utf8_lossy(&input));
-        assert_eq!(run(9), once);
-        undamaged += (once.0.len() == 4) as usize;
+            written += &server.take_written();
+        }
+        (TestServer::describe(requests), written)
+    }
+}
+
+/// However the bytes are segmented, and whatever is wrong with them, the same
+/// requests are handed out and the same rejected.
+#[test]
+fn segmentation_does_not_change_parsing() {
+    let mut generator = Generator { seed: 1 };
+    let mut undamaged = 0;
+    for case in 0..3000 {
+        let input = generator.damaged_input(case % 3);
+        let at_once = generator.serve_in_steps(&input, 1000);
+        let by_bytes = generator.serve_in_steps(&input, 1);
+        assert_eq!(by_bytes, at_once, "{:?}", String::from_utf8_lossy(&input));
+        assert_eq!(generator.serve_in_steps(&input, 9), at_once);
+        undamaged += (at_once.0.len() == 4) as usize;
     }
     assert!((1000..2900).contains(&undamaged), "{undamaged}");
 }
--- a/http-line/tests/client_connection.rs
+++ b/http-line/tests/client_connection.rs
@@ -212,6 +212,10 @@
             ..
         })
     ));
+}
+
+#[test]
+fn unconnected_call_times_out_as_not_sent() {
     let mut unsent = ClientConnection::new(([127, 0, 0, 1], 9).into());
     let now = Instant::now();
     unsent.begin(&call("GET", false), now, now);
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -219,33 +219,31 @@
     assert_eq!(body(harness.outcome()), (1, "a".into()));
 }
 
-#[test]
-fn call_outcome_follows_origin_behaviour() {
-    let harness = Harness::new(Limits::default());
-    let origin = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = origin.local_addr().unwrap();
-    let echo = Some(("E".to_string(), "1".to_string()));
-    let (own, foreign) = (
-        "HTTP/1.1 200 OK\r\nE: 1\r\nContent-Length: 1\r\n\r\na",
-        "HTTP/1.1 200 OK\r\nE: 0\r\nContent-Length: 1\r\n\r\nb",
-    );
+const OWN_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 1\r\nContent-Length: 1\r\n\r\na";
+const FOREIGN_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 0\r\nContent-Length: 1\r\n\r\nb";
 
-    harness.http.call(Call {
-        request: None,
-        echo: echo.clone(),
-        ..call(1, address, "/")
-    });
+/// A call whose response must be `OWN_RESPONSE`.
+fn echoed_call(id: u64, address: SocketAddr) -> Call {
+    Call {
+        echo: Some(("E".into(), "1".into())),
+        ..call(id, address, "/")
+    }
+}
+
+fn assert_foreign_response_is_skipped(harness: &Harness, origin: &TcpListener) {
+    let address = origin.local_addr().unwrap();
+    harness.http.call(echoed_call(1, address));
     let mut peer = origin.accept().unwrap().0;
-    serve(&mut peer, &format!("{foreign}{own}"));
+    serve(&mut peer, &format!("{FOREIGN_RESPONSE}{OWN_RESPONSE}"));
     assert_eq!(body(harness.outcome()), (1, "a".into()));
     assert_eq!(read_to_end(&mut peer), "");
+}
 
-    harness.http.call(Call {
-        echo,
-        ..call(2, address, "/")
-    });
+fn assert_loss_of_reused_connection_is_reported(harness: &Harness, origin: &TcpListener) {
+    let address = origin.local_addr().unwrap();
+    harness.http.call(echoed_call(2, address));
     let mut peer = origin.accept().unwrap().0;
-    serve(&mut peer, own);
+    serve(&mut peer, OWN_RESPONSE);
     assert_eq!(body(harness.outcome()), (2, "a".into()));
     harness.call(3, address, "/");
     serve(&mut peer, "");
@@ -253,8 +251,10 @@
     assert!(
         matches!(harness.outcome(), (3, Err(ExchangeError::Interrupted { reason, reused: true })) if reason.starts_with("reused: "))
     );
+}
 
-    harness.call(4, address, "/");
+fn assert_truncated_body_is_interrupted(harness: &Harness, origin: &TcpListener) {
+    harness.call(4, origin.local_addr().unwrap(), "/");
     let mut peer = origin.accept().unwrap().0;
     serve(
         &mut peer,
@@ -265,10 +265,12 @@
         harness.outcome(),
         (4, Err(ExchangeError::Interrupted { reused: false, .. }))
     ));
+}
 
+fn assert_timed_out_call_is_reset(harness: &Harness, origin: &TcpListener) {
     harness.http.call(Call {
         timeout: Duration::from_millis(200),
-        ..call(5, address, "/")
+        ..call(5, origin.local_addr().unwrap(), "/")
     });
     let mut peer = origin.accept().unwrap().0;
     serve(&mut peer, "");
@@ -280,7 +282,17 @@
         peer.read(&mut [0]).unwrap_err().kind(),
         ErrorKind::ConnectionReset
     );
+}
 
+#[test]
+fn call_outcome_follows_origin_behaviour() {
+    let harness = Harness::new(Limits::default());
+    let origin = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = origin.local_addr().unwrap();
+    assert_foreign_response_is_skipped(&harness, &origin);
+    assert_loss_of_reused_connection_is_reported(&harness, &origin);
+    assert_truncated_body_is_interrupted(&harness, &origin);
+    assert_timed_out_call_is_reset(&harness, &origin);
     drop(origin);
     harness.call(6, address, "/");
     assert!(matches!(
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -66,6 +66,30 @@
     assert!(listener.accept().is_err(), "the call was sent again");
 }
 
+/// An origin that reads and writes so much, and then loses the connection.
+fn lose_connection(
+    harness: &Harness,
+    body: &Arc<Vec<u8>>,
+    reads: usize,
+    writes: &str,
+    resets: bool,
+) -> TcpListener {
+    let (origin, address) = listen();
+    harness.http.call(Call {
+        method: "POST".into(),
+        body: body.clone(),
+        ..call(2, address, "/")
+    });
+    let mut peer = accept(&origin);
+    peer.read_exact(&mut vec![0; reads]).unwrap();
+    peer.write_all(writes.as_bytes()).unwrap();
+    if resets {
+        reset_on_close(&peer);
+    }
+    drop(peer);
+    origin
+}
+
 #[test]
 fn refused_connection_alone_is_reported_as_not_sent() {
     let harness = Harness::new(Limits::default());
@@ -97,19 +121,7 @@
         ),
     ] {
         for resets in [true, false] {
-            let (origin, address) = listen();
-            harness.http.call(Call {
-                method: "POST".into(),
-                body: body.clone(),
-                ..call(2, address, "/")
-            });
-            let mut peer = accept(&origin);
-            peer.read_exact(&mut vec![0; reads]).unwrap();
-            peer.write_all(writes.as_bytes()).unwrap();
-            if resets {
-                reset_on_close(&peer);
-            }
-            drop(peer);
+            let origin = lose_connection(&harness, &body, reads, writes, resets);
             assert!(
                 !interrupted_on_reuse(harness.outcome()),
                 "{reads} {writes:?} {resets}"
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -185,10 +185,10 @@
                         }
                     }
                     Output::Store { serial, record } => {
-                        self.put(&store, PendingWrite::Append(serial, record))
+                        self.put(&store, PendingWrite::Append { serial, record })
                     }
                     Output::StoreSnapshot { serial, record } => {
-                        self.put(&store, PendingWrite::Snapshot(serial, record))
+                        self.put(&store, PendingWrite::Snapshot { serial, record })
                     }
                     Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
                         port.complete(id, output)
--- a/kernel/src/store.rs
+++ b/kernel/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// Why a store did not do what it was asked. The text is that of the cause.
+/// Why an operation of a store failed. The text is that of the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A read, write or sync was refused by the file system.
@@ -28,26 +28,36 @@
 /// A record with its serial number, queued for the writer thread.
 pub enum PendingWrite {
     /// A record to append.
-    Append(u64, Vec<u8>),
+    Append {
+        /// Reported once the record is durable.
+        serial: u64,
+        /// The record's bytes.
+        record: Vec<u8>,
+    },
     /// A snapshot that replaces all earlier records.
-    Snapshot(u64, Vec<u8>),
+    Snapshot {
+        /// Reported once the snapshot is durable.
+        serial: u64,
+        /// The snapshot's bytes.
+        record: Vec<u8>,
+    },
 }
 
 impl PendingWrite {
     fn serial(&self) -> u64 {
         match self {
-            PendingWrite::Append(serial, _) | PendingWrite::Snapshot(serial, _) => *serial,
+            PendingWrite::Append { serial, .. } | PendingWrite::Snapshot { serial, .. } => *serial,
         }
     }
 
     fn is_snapshot(&self) -> bool {
-        matches!(self, PendingWrite::Snapshot(..))
+        matches!(self, PendingWrite::Snapshot { .. })
     }
 
     fn write(&self, store: &mut dyn Store) -> Result<(), StoreError> {
         match self {
-            PendingWrite::Append(_, record) => store.append(record),
-            PendingWrite::Snapshot(_, record) => store.write_snapshot(record),
+            PendingWrite::Append { record, .. } => store.append(record),
+            PendingWrite::Snapshot { record, .. } => store.write_snapshot(record),
         }
     }
 }
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -48,22 +48,28 @@
     let memory = MemoryStore::default();
     let (inputs, received) = flume::unbounded();
     let writer = store::spawn_writer(Box::new(memory.clone()), inputs);
+    let append = |serial, record| {
+        let write = PendingWrite::Append { serial, record };
+        writer.send(write).unwrap();
+    };
+    let snapshot = |serial, record| {
+        let write = PendingWrite::Snapshot { serial, record };
+        writer.send(write).unwrap();
+    };
     let next = || received.recv_timeout(RESULT_TIMEOUT).expect("a result");
-    writer.send(PendingWrite::Append(1, vec![1])).unwrap();
+    append(1, vec![1]);
     assert!(matches!(next(), Input::Stored { serial: 1 }));
     memory.full.store(true, Ordering::Release);
-    writer.send(PendingWrite::Append(2, vec![2])).unwrap();
+    append(2, vec![2]);
     assert!(matches!(next(), Input::StoreFailed));
-    writer.send(PendingWrite::Snapshot(3, vec![1, 2])).unwrap();
+    snapshot(3, vec![1, 2]);
     assert!(matches!(next(), Input::StoreFailed), "it is still full");
     memory.full.store(false, Ordering::Release);
     // Alone it would follow a record that is missing.
-    writer.send(PendingWrite::Append(4, vec![4])).unwrap();
-    writer
-        .send(PendingWrite::Snapshot(5, vec![1, 2, 4]))
-        .unwrap();
+    append(4, vec![4]);
+    snapshot(5, vec![1, 2, 4]);
     assert!(matches!(next(), Input::Stored { serial: 5 }));
-    writer.send(PendingWrite::Append(6, vec![6])).unwrap();
+    append(6, vec![6]);
     assert!(matches!(next(), Input::Stored { serial: 6 }));
     let records = memory.records.lock().unwrap().clone();
     assert_eq!(records, [vec![1, 2, 4], vec![6]]);
--- a/segment-log/src/frame.rs
+++ b/segment-log/src/frame.rs
@@ -22,19 +22,29 @@
     pub(crate) has_batches: bool,
 }
 
-/// The records of a file; an error says why it is not one of ours.
-pub(crate) fn parse(bytes: &[u8]) -> Result<FileContents, String> {
+/// Why a file is not one of ours.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ForeignContent {
+    #[error("format {found}, not {expected}")]
+    OtherVersion { found: u8, expected: u8 },
+    #[error("it does not begin as one")]
+    UnknownFormat,
+}
+
+/// The records of a file.
+pub(crate) fn parse(bytes: &[u8]) -> Result<FileContents, ForeignContent> {
     let (magic, version) = HEADER.split_at(HEADER.len() - 1);
     if bytes.starts_with(&HEADER) {
         return Ok(read_frames(bytes, HEADER.len(), true));
     }
     if bytes.starts_with(magic) {
         let found = bytes.get(magic.len()).copied().unwrap_or_default();
-        return Err(format!("format {found}, not {}", version[0]));
+        let expected = version[0];
+        return Err(ForeignContent::OtherVersion { found, expected });
     }
     let searched = &bytes[..bytes.len().min(SEARCHED_BYTES)];
     if !bytes.is_empty() && frame_at(bytes).is_none() && !valid_frame_follows(searched) {
-        return Err("it does not begin as one".into());
+        return Err(ForeignContent::UnknownFormat);
     }
     Ok(read_frames(bytes, 0, false))
 }
--- a/segment-log/src/recovery.rs
+++ b/segment-log/src/recovery.rs
@@ -1,7 +1,7 @@
 //! Reads a log's files at the start, and repairs what an interruption left.
 
 use crate::file_names::*;
-use crate::frame::{FileContents, HEADER, parse};
+use crate::frame::{FileContents, ForeignContent, HEADER, parse};
 use crate::prelude::*;
 
 /// The segments as read, before anything is changed.
@@ -88,12 +88,12 @@
             has_batches: true,
         });
     }
-    parse(&bytes).map_err(|found| foreign(folder, name, found))
+    parse(&bytes).map_err(|content| foreign(folder, name, content))
 }
 
 fn read_file(folder: &impl Folder, name: &str) -> Result<FileContents, OpenError> {
     let bytes = read_bytes(folder, name)?;
-    parse(&bytes).map_err(|found| foreign(folder, name, found))
+    parse(&bytes).map_err(|content| foreign(folder, name, content))
 }
 
 fn read_bytes(folder: &impl Folder, name: &str) -> Result<Vec<u8>, OpenError> {
@@ -103,9 +103,11 @@
     })
 }
 
-fn foreign(folder: &impl Folder, name: &str, found: String) -> OpenError {
-    let file = display_path(folder, name);
-    OpenError::Foreign { file, found }
+fn foreign(folder: &impl Folder, name: &str, content: ForeignContent) -> OpenError {
+    OpenError::Foreign {
+        file: display_path(folder, name),
+        found: content.to_string(),
+    }
 }
 
 fn damaged(folder: &impl Folder, name: &str, contents: &FileContents) -> OpenError {
--- a/segment-log/src/segment_log/tests.rs
+++ b/segment-log/src/segment_log/tests.rs
@@ -70,6 +70,20 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
+/// A copy of the log as a loss of power leaves it: so many bytes of one file, and a
+/// torn draft of a snapshot.
+fn copy_after_power_loss(path: &Path, file: &Path, bytes: &[u8], draft: &[u8]) -> PathBuf {
+    let copy = temporary_path("cut-copy");
+    fs::create_dir_all(&copy).unwrap();
+    for entry in fs::read_dir(path).unwrap() {
+        let entry = entry.unwrap();
+        fs::copy(entry.path(), copy.join(entry.file_name())).unwrap();
+    }
+    fs::write(copy.join(file.file_name().unwrap()), bytes).unwrap();
+    fs::write(copy.join(DRAFT), draft).unwrap();
+    copy
+}
+
 /// The power goes at any byte of what was written since the last sync, in
 /// the middle of a roll or of a snapshot too: all that was synced is read
 /// back, in order, and nothing that was never written.
@@ -96,20 +110,8 @@
         log.flush().unwrap();
         let bytes = fs::read(&file).unwrap();
         for left in synced..=bytes.len() as u64 {
-            let copy = temporary_path("cut-copy");
-            fs::create_dir_all(&copy).unwrap();
-            for entry in fs::read_dir(&path).unwrap() {
-                let entry = entry.unwrap();
-                fs::copy(entry.path(), copy.join(entry.file_name())).unwrap();
-            }
-            fs::write(
-                copy.join(file.file_name().unwrap()),
-                &bytes[..left as usize],
-            )
-            .unwrap();
-            // A torn draft of a snapshot may be there; so may the next,
-            // empty segment.
-            fs::write(copy.join("draft"), &bytes[..(left - synced) as usize]).unwrap();
+            let draft = &bytes[..(left - synced) as usize];
+            let copy = copy_after_power_loss(&path, &file, &bytes[..left as usize], draft);
             let read = SegmentLog::open(&copy).unwrap().records;
             let expected = if left == bytes.len() as u64 {
                 written.len() + 1
