--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -98,7 +98,7 @@
         let store = self
             .store
             .take()
-            .map(|store| store::keep(store, give.clone()));
+            .map(|store| store::spawn_writer(store, give.clone()));
         watch_signals(&give, self.startup.grace()).map_err(HostError::Signals)?;
         let text = format!(
             "{} {} mesh {mesh} http {:?}",
@@ -171,9 +171,9 @@
     fn perform(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => self.send(to, message),
-            Output::Store { serial, record } => self.put(PendingWrite::Append(serial, record)),
+            Output::Store { serial, record } => self.put(PendingWrite::Append { serial, record }),
             Output::StoreSnapshot { serial, record } => {
-                self.put(PendingWrite::Image(serial, record))
+                self.put(PendingWrite::Snapshot { serial, record })
             }
             Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
                 self.port.complete(id, output)
