--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -187,173 +187,24 @@
             5 => self.both(at, Fault::DropLink(place, control), Fault::Heal),
             6 => self.both(at, Fault::DropLink(control, place), Fault::Heal),
             7 => self.both(at, Fault::Isolate(place), Fault::Heal),
-            8 => {
-                let weather = Fault::LossyNetwork {
-                    lost: self.random.below(20),
-                    doubled: self.random.below(20),
-                    late: self.random.below(30),
-                };
-                self.both(
-                    at,
-                    weather,
-                    Fault::LossyNetwork {
-                        lost: 0,
-                        doubled: 0,
-                        late: 0,
-                    },
-                );
-            }
-            9..=12 => {
-                let behavior = [
-                    OriginBehavior::Down,
-                    OriginBehavior::Mute,
-                    OriginBehavior::VerySlow,
-                    OriginBehavior::WrongBytes,
-                ][self.random.below(4) as usize];
-                self.both(
-                    at,
-                    Fault::Origin(origin, behavior),
-                    Fault::Origin(origin, OriginBehavior::Good),
-                );
-            }
-            13 => {
-                let behavior = [
-                    OriginBehavior::Slow,
-                    OriginBehavior::VerySlow,
-                    OriginBehavior::Mute,
-                    OriginBehavior::WrongBytes,
-                ][self.random.below(4) as usize];
-                self.both(
-                    at,
-                    Fault::Service(service, behavior),
-                    Fault::Service(service, OriginBehavior::Good),
-                );
-            }
+            8 => self.draw_lossy_network(at),
+            9..=12 => self.draw_origin_fault(at, origin),
+            13 => self.draw_service_fault(at, service),
             14 => self.put(at, Fault::Replace(origin)),
             // One by one.
             15 => (0..self.origins.min(4))
                 .for_each(|more| self.put(at + more * 700, Fault::Replace(more as usize))),
-            16 => {
-                // The process there ends and another service's takes the address.
-                if self.left.is_empty() {
-                    self.left.insert(origin);
-                    self.put(at, Fault::Origin(origin, OriginBehavior::Down));
-                    self.put(at + 300, Fault::ReuseAddress(origin));
-                    self.put(at + 301, Fault::Origin(origin, OriginBehavior::Good));
-                }
-            }
-            17 => {
-                // Power fails for a group of nodes at once.
-                let later = self.later(at);
-                let share = [30, 60, 100][self.random.below(3) as usize];
-                for place in (0..self.control as usize)
-                    .map(NodeId::Control)
-                    .chain((0..self.edges as usize).map(NodeId::Edge))
-                {
-                    if self.random.chance(share) {
-                        self.put(at, Fault::Kill(place));
-                        self.put(later, Fault::Start(place));
-                    }
-                }
-                self.put(later, Fault::Heal);
-                // One goes again while the others recover.
-                if self.random.chance(50) {
-                    let again = later + 300 + self.random.below(2_000);
-                    self.both(again, Fault::Kill(control), Fault::Start(control));
-                }
-            }
+            16 => self.reuse_address(at, origin),
+            17 => self.draw_power_failure(at, control),
             18 if at >= self.disks => {
                 self.disks = at + REFILL;
                 self.both(at, Fault::Wipe(control), Fault::Start(control));
             }
-            19 => {
-                // The core falls in two, in some shape.
-                let other = self.control();
-                let later = self.later(at);
-                self.put(at, Fault::Isolate(control));
-                self.put(at, Fault::DropLink(place, other));
-                self.put(later, Fault::Heal);
-            }
-            20 => {
-                // Each half of the edges keeps one side of the core.
-                let (one, later) = (self.random.below(self.control) as usize, self.later(at));
-                for other in (0..self.control as usize).filter(|other| *other != one) {
-                    self.put(
-                        at,
-                        Fault::DropLink(NodeId::Control(one), NodeId::Control(other)),
-                    );
-                    self.put(
-                        at,
-                        Fault::DropLink(NodeId::Control(other), NodeId::Control(one)),
-                    );
-                }
-                for edge in 0..self.edges as usize {
-                    for slot in 0..self.control as usize {
-                        if (slot == one) == (edge % 2 == 0) {
-                            self.put(
-                                at,
-                                Fault::DropLink(NodeId::Edge(edge), NodeId::Control(slot)),
-                            );
-                        }
-                    }
-                }
-                self.put(later, Fault::Heal);
-            }
-            21 if at >= self.disks => {
-                self.disks = at + REFILL;
-                let later = self.later(at);
-                self.put(at, Fault::DiskFull(control));
-                self.put(later, Fault::Kill(control));
-                self.put(later + 500, Fault::Start(control));
-            }
-            22 | 23 => {
-                let trigger = Trigger::ALL[self.random.below(3) as usize];
-                let slot = self.random.below(self.control) as usize;
-                let mut loss = [Loss::Power, Loss::Disk(slot), Loss::DiskSpace(slot)]
-                    [self.random.below(3) as usize];
-                if at < self.disks {
-                    loss = Loss::Power;
-                }
-                if loss != Loss::Power {
-                    self.disks = at + REFILL;
-                }
-                self.put(at, Fault::LossOnTrigger(trigger, loss));
-                self.put(
-                    at + 5,
-                    if trigger == Trigger::Purged {
-                        Fault::Purge("/".into())
-                    } else {
-                        Fault::Configure
-                    },
-                );
-                if let Loss::DiskSpace(slot) = loss {
-                    self.put(at + 4_000, Fault::Kill(NodeId::Control(slot)));
-                    self.put(at + 4_500, Fault::Start(NodeId::Control(slot)));
-                }
-            }
-            // As many disks as may be lost at once, while all lose power.
-            31..=33 if at >= self.disks => {
-                self.disks = at + REFILL;
-                let (trigger, slot) = (
-                    Trigger::ALL[self.random.below(3) as usize],
-                    self.random.below(self.control) as usize,
-                );
-                self.put(
-                    at,
-                    Fault::LossOnTrigger(
-                        trigger,
-                        Loss::Disks(slot, Schedule::borne(self.control as usize)),
-                    ),
-                );
-                self.put(
-                    at + 5,
-                    if trigger == Trigger::Purged {
-                        Fault::Purge("/".into())
-                    } else {
-                        Fault::Configure
-                    },
-                );
-            }
+            19 => self.split_core(at, control, place),
+            20 => self.split_core_and_edges(at),
+            21 if at >= self.disks => self.fill_disk(at, control),
+            22 | 23 => self.draw_loss_on_trigger(at),
+            31..=33 if at >= self.disks => self.draw_disk_losses_on_trigger(at),
             // A slot is gone for longer than it takes an empty node to get it.
             34 => {
                 self.put(at, Fault::Start(NodeId::Control(self.control as usize)));
@@ -365,6 +216,180 @@
         }
     }
 
+    /// Messages are lost, doubled and late for a while.
+    fn draw_lossy_network(&mut self, at: u64) {
+        let weather = Fault::LossyNetwork {
+            lost: self.random.below(20),
+            doubled: self.random.below(20),
+            late: self.random.below(30),
+        };
+        self.both(
+            at,
+            weather,
+            Fault::LossyNetwork {
+                lost: 0,
+                doubled: 0,
+                late: 0,
+            },
+        );
+    }
+
+    /// One origin is faulty for a while.
+    fn draw_origin_fault(&mut self, at: u64, origin: usize) {
+        let behavior = [
+            OriginBehavior::Down,
+            OriginBehavior::Mute,
+            OriginBehavior::VerySlow,
+            OriginBehavior::WrongBytes,
+        ][self.random.below(4) as usize];
+        self.both(
+            at,
+            Fault::Origin(origin, behavior),
+            Fault::Origin(origin, OriginBehavior::Good),
+        );
+    }
+
+    /// All origins of a service are faulty for a while.
+    fn draw_service_fault(&mut self, at: u64, service: usize) {
+        let behavior = [
+            OriginBehavior::Slow,
+            OriginBehavior::VerySlow,
+            OriginBehavior::Mute,
+            OriginBehavior::WrongBytes,
+        ][self.random.below(4) as usize];
+        self.both(
+            at,
+            Fault::Service(service, behavior),
+            Fault::Service(service, OriginBehavior::Good),
+        );
+    }
+
+    /// An origin ends, and an origin of another service takes its address.
+    fn reuse_address(&mut self, at: u64, origin: usize) {
+        if self.left.is_empty() {
+            self.left.insert(origin);
+            self.put(at, Fault::Origin(origin, OriginBehavior::Down));
+            self.put(at + 300, Fault::ReuseAddress(origin));
+            self.put(at + 301, Fault::Origin(origin, OriginBehavior::Good));
+        }
+    }
+
+    /// Power fails for a group of nodes at once.
+    fn draw_power_failure(&mut self, at: u64, control: NodeId) {
+        let later = self.later(at);
+        let share = [30, 60, 100][self.random.below(3) as usize];
+        for place in (0..self.control as usize)
+            .map(NodeId::Control)
+            .chain((0..self.edges as usize).map(NodeId::Edge))
+        {
+            if self.random.chance(share) {
+                self.put(at, Fault::Kill(place));
+                self.put(later, Fault::Start(place));
+            }
+        }
+        self.put(later, Fault::Heal);
+        // One goes again while the others recover.
+        if self.random.chance(50) {
+            let again = later + 300 + self.random.below(2_000);
+            self.both(again, Fault::Kill(control), Fault::Start(control));
+        }
+    }
+
+    /// The core falls in two, in some shape.
+    fn split_core(&mut self, at: u64, control: NodeId, place: NodeId) {
+        let other = self.control();
+        let later = self.later(at);
+        self.put(at, Fault::Isolate(control));
+        self.put(at, Fault::DropLink(place, other));
+        self.put(later, Fault::Heal);
+    }
+
+    /// Each half of the edges keeps one side of the core.
+    fn split_core_and_edges(&mut self, at: u64) {
+        let (one, later) = (self.random.below(self.control) as usize, self.later(at));
+        for other in (0..self.control as usize).filter(|other| *other != one) {
+            self.put(
+                at,
+                Fault::DropLink(NodeId::Control(one), NodeId::Control(other)),
+            );
+            self.put(
+                at,
+                Fault::DropLink(NodeId::Control(other), NodeId::Control(one)),
+            );
+        }
+        for edge in 0..self.edges as usize {
+            for slot in 0..self.control as usize {
+                if (slot == one) == (edge % 2 == 0) {
+                    self.put(
+                        at,
+                        Fault::DropLink(NodeId::Edge(edge), NodeId::Control(slot)),
+                    );
+                }
+            }
+        }
+        self.put(later, Fault::Heal);
+    }
+
+    /// A disk has no space until its node is started again.
+    fn fill_disk(&mut self, at: u64, control: NodeId) {
+        self.disks = at + REFILL;
+        let later = self.later(at);
+        self.put(at, Fault::DiskFull(control));
+        self.put(later, Fault::Kill(control));
+        self.put(later + 500, Fault::Start(control));
+    }
+
+    /// Something is lost the moment something is acknowledged.
+    fn draw_loss_on_trigger(&mut self, at: u64) {
+        let trigger = Trigger::ALL[self.random.below(3) as usize];
+        let slot = self.random.below(self.control) as usize;
+        let mut loss =
+            [Loss::Power, Loss::Disk(slot), Loss::DiskSpace(slot)][self.random.below(3) as usize];
+        if at < self.disks {
+            loss = Loss::Power;
+        }
+        if loss != Loss::Power {
+            self.disks = at + REFILL;
+        }
+        self.put(at, Fault::LossOnTrigger(trigger, loss));
+        self.put(
+            at + 5,
+            if trigger == Trigger::Purged {
+                Fault::Purge("/".into())
+            } else {
+                Fault::Configure
+            },
+        );
+        if let Loss::DiskSpace(slot) = loss {
+            self.put(at + 4_000, Fault::Kill(NodeId::Control(slot)));
+            self.put(at + 4_500, Fault::Start(NodeId::Control(slot)));
+        }
+    }
+
+    /// As many disks as may be lost at once, while all lose power.
+    fn draw_disk_losses_on_trigger(&mut self, at: u64) {
+        self.disks = at + REFILL;
+        let (trigger, slot) = (
+            Trigger::ALL[self.random.below(3) as usize],
+            self.random.below(self.control) as usize,
+        );
+        self.put(
+            at,
+            Fault::LossOnTrigger(
+                trigger,
+                Loss::Disks(slot, Schedule::borne(self.control as usize)),
+            ),
+        );
+        self.put(
+            at + 5,
+            if trigger == Trigger::Purged {
+                Fault::Purge("/".into())
+            } else {
+                Fault::Configure
+            },
+        );
+    }
+
     /// Two or three disks at once, sometimes with an edge: everything is back
     /// before anything else happens to a disk.
     fn lose_disks(&mut self) {
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -215,16 +215,17 @@
         {
             return self.after(Duration::from_millis(50), SimEvent::Fault(fault));
         }
-        if !matches!(
-            fault,
-            Fault::Returned
-                | Fault::LossyNetwork {
-                    lost: 0,
-                    doubled: 0,
-                    late: 0
-                }
-        ) || self.weather != (0, 0, 0)
-        {
+        let ends_nothing = self.weather == (0, 0, 0)
+            && matches!(
+                fault,
+                Fault::Returned
+                    | Fault::LossyNetwork {
+                        lost: 0,
+                        doubled: 0,
+                        late: 0
+                    }
+            );
+        if !ends_nothing {
             self.record("fault", &fault.kind(), 0, fault.planned());
         }
         self.record_span(&fault);
@@ -233,62 +234,20 @@
                 self.kill(self.at(place));
                 self.see_all_lost();
             }
-            Fault::Start(place) => {
-                let node = self.at(place);
-                if self.nodes[node].part.is_none() {
-                    self.nodes[node].disk.full = false;
-                    self.start(node);
-                }
-            }
-            Fault::Pause(place, span) => {
-                let node = self.at(place);
-                self.nodes[node].paused = self.now + span;
-                let subject = self.nodes[node].peer.address.to_string();
-                // Callers may give up on it meanwhile; that is no planned change.
-                self.record("killed", &subject, 1, true);
-            }
-            Fault::Restart(place) => {
-                let node = self.at(place);
-                if self.nodes[node].part.is_some() && self.now >= self.nodes[node].paused {
-                    self.step(node, Input::ShutdownRequested);
-                }
-            }
-            Fault::Retire(place) => {
-                let node = self.at(place);
-                if self.nodes[node].part.is_some() {
-                    self.nodes[node].retiring = true;
-                    self.after(GRACE, SimEvent::Fault(Fault::Kill(place)));
-                    self.step(node, Input::ShutdownRequested);
-                }
-            }
-            Fault::Wipe(place) => {
-                let node = self.at(place);
-                self.kill(node);
-                self.nodes[node].disk = Disk::default();
-                self.nodes[node].founding = Founding::Never;
-                self.see_all_lost();
-            }
+            Fault::Start(place) => self.start_if_down(place),
+            Fault::Pause(place, span) => self.pause(place, span),
+            Fault::Restart(place) => self.request_shutdown(place),
+            Fault::Retire(place) => self.retire(place),
+            Fault::Wipe(place) => self.wipe(place),
             Fault::DiskFull(place) => {
                 let node = self.at(place);
                 self.nodes[node].disk.full = true;
             }
             Fault::DropLink(from, to) => self.cut(self.at(from), self.at(to), Duration::MAX),
-            Fault::Isolate(place) => {
-                let node = self.at(place);
-                for other in 0..self.nodes.len() {
-                    self.cut(node, other, Duration::MAX);
-                    self.cut(other, node, Duration::MAX);
-                }
-            }
+            Fault::Isolate(place) => self.isolate(place),
             Fault::Partition(place, scope, span) => self.cut_off(self.at(place), scope, span),
             Fault::Reset(one, other) => self.reset(self.at(one), self.at(other)),
-            Fault::Slow(place, span) => {
-                let node = self.at(place);
-                self.nodes[node].slow_until = self.now + span;
-                // As with a pause: callers may give up on it.
-                let subject = self.nodes[node].peer.address.to_string();
-                self.record("killed", &subject, 1, true);
-            }
+            Fault::Slow(place, span) => self.slow_down(place, span),
             Fault::StallDisk(place, span) => {
                 let node = self.at(place);
                 self.nodes[node].disk.stalled_until = self.now + span;
@@ -309,30 +268,13 @@
                 late,
             } => self.weather = (lost, doubled, late),
             Fault::Origin(at, behavior) => self.set_behavior(at, behavior),
-            Fault::Service(service, behavior) => {
-                let name = self.plan.deployment.services[service].name;
-                let list: Vec<usize> = (0..self.origins.len())
-                    .filter(|at| self.origins[*at].origin.service == name)
-                    .collect();
-                list.into_iter()
-                    .for_each(|at| self.set_behavior(at, behavior));
-            }
+            Fault::Service(service, behavior) => self.set_service_behavior(service, behavior),
             Fault::DrainOrigin(at) => {
                 self.origins[at].origin.draining = true;
                 self.put_origins();
             }
-            Fault::ReuseAddress(at) => {
-                self.end_watches(at);
-                self.origins[at].service = "usurper".into();
-                self.origins[at].instance = "usurper-0".into();
-            }
-            Fault::Replace(at) => {
-                let instance = format!("{}-next", self.origins[at].instance);
-                self.end_watches(at);
-                self.origins[at].instance = instance.clone();
-                self.origins[at].origin.instance = instance;
-                self.put_origins();
-            }
+            Fault::ReuseAddress(at) => self.reuse_address(at),
+            Fault::Replace(at) => self.replace_origin(at),
             Fault::Content => {
                 self.version += 1;
                 self.record("content", "", self.version, true);
@@ -355,40 +297,12 @@
                 let base = self.markers.clone();
                 self.configure(1, &base, None, false);
             }
-            Fault::ConfigureInvalid => {
-                let text = self
-                    .plan
-                    .deployment
-                    .document(&[999])
-                    .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
-                self.ask(
-                    2,
-                    OperatorCall::Configure {
-                        marker: 999,
-                        text,
-                        expect: None,
-                        race: false,
-                        without: vec![],
-                    },
-                    0,
-                );
-            }
-            Fault::Race(operators) => {
-                let expect = self.acknowledged.as_ref().map(|(version, _)| *version);
-                let base = self.markers.clone();
-                (0..operators)
-                    .for_each(|at| self.configure(at % self.plan.control, &base, expect, true));
-            }
+            Fault::ConfigureInvalid => self.configure_invalid(),
+            Fault::Race(operators) => self.race(operators),
             Fault::LossOnTrigger(trigger, loss) => self.armed_loss = Some((trigger, loss)),
             Fault::LoseAll => self.lose_all(),
             Fault::OpenLedger => self.ask(0, OperatorCall::OpenLedger { generation: None }, 0),
-            Fault::Returned => {
-                self.record("returned", "all", 0, true);
-                self.after(
-                    Duration::from_secs(15),
-                    SimEvent::LookReady { since: self.now },
-                );
-            }
+            Fault::Returned => self.expect_recovery(),
             Fault::ReadBack => {
                 if let Some(expect) = self.acknowledged.clone() {
                     self.ask(2, OperatorCall::ReadBack { expect }, 0);
@@ -396,4 +310,116 @@
             }
         }
     }
+
+    fn start_if_down(&mut self, place: NodeId) {
+        let node = self.at(place);
+        if self.nodes[node].part.is_none() {
+            self.nodes[node].disk.full = false;
+            self.start(node);
+        }
+    }
+
+    fn pause(&mut self, place: NodeId, span: Duration) {
+        let node = self.at(place);
+        self.nodes[node].paused = self.now + span;
+        let subject = self.nodes[node].peer.address.to_string();
+        // Callers may give up on it meanwhile; that is no planned change.
+        self.record("killed", &subject, 1, true);
+    }
+
+    fn request_shutdown(&mut self, place: NodeId) {
+        let node = self.at(place);
+        if self.nodes[node].part.is_some() && self.now >= self.nodes[node].paused {
+            self.step(node, Input::ShutdownRequested);
+        }
+    }
+
+    fn retire(&mut self, place: NodeId) {
+        let node = self.at(place);
+        if self.nodes[node].part.is_some() {
+            self.nodes[node].retiring = true;
+            self.after(GRACE, SimEvent::Fault(Fault::Kill(place)));
+            self.step(node, Input::ShutdownRequested);
+        }
+    }
+
+    fn wipe(&mut self, place: NodeId) {
+        let node = self.at(place);
+        self.kill(node);
+        self.nodes[node].disk = Disk::default();
+        self.nodes[node].founding = Founding::Never;
+        self.see_all_lost();
+    }
+
+    fn isolate(&mut self, place: NodeId) {
+        let node = self.at(place);
+        for other in 0..self.nodes.len() {
+            self.cut(node, other, Duration::MAX);
+            self.cut(other, node, Duration::MAX);
+        }
+    }
+
+    fn slow_down(&mut self, place: NodeId, span: Duration) {
+        let node = self.at(place);
+        self.nodes[node].slow_until = self.now + span;
+        // As with a pause: callers may give up on it.
+        let subject = self.nodes[node].peer.address.to_string();
+        self.record("killed", &subject, 1, true);
+    }
+
+    fn set_service_behavior(&mut self, service: usize, behavior: OriginBehavior) {
+        let name = self.plan.deployment.services[service].name;
+        let list: Vec<usize> = (0..self.origins.len())
+            .filter(|at| self.origins[*at].origin.service == name)
+            .collect();
+        list.into_iter()
+            .for_each(|at| self.set_behavior(at, behavior));
+    }
+
+    fn reuse_address(&mut self, at: usize) {
+        self.end_watches(at);
+        self.origins[at].service = "usurper".into();
+        self.origins[at].instance = "usurper-0".into();
+    }
+
+    fn replace_origin(&mut self, at: usize) {
+        let instance = format!("{}-next", self.origins[at].instance);
+        self.end_watches(at);
+        self.origins[at].instance = instance.clone();
+        self.origins[at].origin.instance = instance;
+        self.put_origins();
+    }
+
+    fn configure_invalid(&mut self) {
+        let text = self
+            .plan
+            .deployment
+            .document(&[999])
+            .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
+        self.ask(
+            2,
+            OperatorCall::Configure {
+                marker: 999,
+                text,
+                expect: None,
+                race: false,
+                without: vec![],
+            },
+            0,
+        );
+    }
+
+    fn race(&mut self, operators: usize) {
+        let expect = self.acknowledged.as_ref().map(|(version, _)| *version);
+        let base = self.markers.clone();
+        (0..operators).for_each(|at| self.configure(at % self.plan.control, &base, expect, true));
+    }
+
+    fn expect_recovery(&mut self) {
+        self.record("returned", "all", 0, true);
+        self.after(
+            Duration::from_secs(15),
+            SimEvent::LookReady { since: self.now },
+        );
+    }
 }
