--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -5,7 +5,7 @@
 use crate::head::{find_end, values};
 use std::ops::ControlFlow;
 
-/// After a part of the input: bytes consumed, or an end of the reading with the
+/// One step of reading: bytes consumed, or the end of the reading, with the
 /// exchange if it has finished.
 type ReadStep = ControlFlow<Option<FinishedExchange>, usize>;
 
--- a/http-line/src/client_connection/request_head.rs
+++ b/http-line/src/client_connection/request_head.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::head::{is_one_of, push_header};
 
-/// Room for a head without a reallocation, as a rule.
+/// Capacity for a head without a reallocation, as a rule.
 const HEAD_CAPACITY_BYTES: usize = 256;
 /// Headers that are written by the connection itself.
 const OWN_HEADERS: [&str; 3] = ["content-length", "transfer-encoding", "expect"];
--- a/http-line/src/event_loop/accept.rs
+++ b/http-line/src/event_loop/accept.rs
@@ -5,7 +5,7 @@
 /// After an accept failed, for example for want of file descriptors, none is
 /// tried for this time.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// A client that acknowledges nothing for this time is gone.
+/// A client that acknowledges nothing for this time counts as disconnected.
 pub(super) const SERVER_TCP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Makes the listeners non-blocking; their tokens are their indexes.
--- a/http-line/src/event_loop/calls.rs
+++ b/http-line/src/event_loop/calls.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Another address that acknowledges nothing for this time is gone.
+/// Another address that acknowledges nothing for this time counts as disconnected.
 const CLIENT_TCP_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl EventLoop {
@@ -27,7 +27,7 @@
         if self.pool.open_count(call.address) >= call.max_connections
             && let Some(token) = self.pool.take(call.address, |_| true)
         {
-            // Idle but not to be used for this call: it makes room.
+            // Idle but not to be used for this call: close it to open another.
             self.close(token);
         }
         if self.pool.open_count(call.address) >= call.max_connections {
--- a/http-line/src/event_loop/commands.rs
+++ b/http-line/src/event_loop/commands.rs
@@ -9,10 +9,13 @@
         while !self.commands.is_empty() || !self.touched.is_empty() {
             while let Ok(command) = self.commands.try_recv() {
                 match command {
-                    Command::Respond(request_id, response) => self.respond(request_id, response),
-                    Command::Call(call, started) => self.begin_call(*call, started),
-                    Command::CancelCall(id) => self.cancel_call(id),
-                    Command::ExtendCall(id, deadline) => self.extend_call(id, deadline),
+                    Command::Respond {
+                        request_id,
+                        response,
+                    } => self.respond(request_id, response),
+                    Command::Call { call, started } => self.begin_call(*call, started),
+                    Command::CancelCall { id } => self.cancel_call(id),
+                    Command::ExtendCall { id, deadline } => self.extend_call(id, deadline),
                     Command::SetLimits(limits) => {
                         self.limits = limits;
                         self.touch_servers(|_| {});
--- a/http-line/src/event_loop_handle.rs
+++ b/http-line/src/event_loop_handle.rs
@@ -31,13 +31,23 @@
 
 /// What a handle asks the event loop to do.
 pub(crate) enum Command {
-    /// Responds to the request with this id.
-    Respond(u64, Response),
-    /// Begins a call whose timeout runs from this time.
-    Call(Box<Call>, Instant),
-    CancelCall(u64),
-    /// Keeps a call from timing out before this time.
-    ExtendCall(u64, Instant),
+    Respond {
+        request_id: u64,
+        response: Response,
+    },
+    /// Begins a call whose timeout runs from `started`.
+    Call {
+        call: Box<Call>,
+        started: Instant,
+    },
+    CancelCall {
+        id: u64,
+    },
+    /// Keeps a call from timing out before `deadline`.
+    ExtendCall {
+        id: u64,
+        deadline: Instant,
+    },
     SetLimits(Limits),
     RecordLinkDelay(Duration),
     Drain,
@@ -91,23 +101,30 @@
     /// Responds to a request; nothing happens if its connection has ended or it
     /// has a response already.
     pub fn respond(&self, request_id: u64, response: Response) {
-        self.send(Command::Respond(request_id, response));
+        self.send(Command::Respond {
+            request_id,
+            response,
+        });
     }
 
     /// Begins a call; its outcome goes to the handler.
     pub fn call(&self, call: Call) {
-        self.send(Command::Call(Box::new(call), Instant::now()));
+        self.send(Command::Call {
+            call: Box::new(call),
+            started: Instant::now(),
+        });
     }
 
     /// Ends the call's connection. An outcome may be on its way at this moment;
     /// none follows once the event loop has processed this.
     pub fn cancel_call(&self, id: u64) {
-        self.send(Command::CancelCall(id));
+        self.send(Command::CancelCall { id });
     }
 
     /// The call, if it is in flight, does not time out before this time from now.
     pub fn extend_call(&self, id: u64, timeout: Duration) {
-        self.send(Command::ExtendCall(id, Instant::now() + timeout));
+        let deadline = Instant::now() + timeout;
+        self.send(Command::ExtendCall { id, deadline });
     }
 
     /// Replaces the limits, except the link's bandwidth.
--- a/http-line/src/server_connection/writer.rs
+++ b/http-line/src/server_connection/writer.rs
@@ -6,7 +6,7 @@
 
 /// Headers that are written by the connection itself.
 const OWN_HEADERS: [&str; 3] = ["connection", "transfer-encoding", "keep-alive"];
-/// Room for the lines of a head that are not the response's headers.
+/// Capacity for the lines of a head that are not the response's headers.
 const HEAD_CAPACITY_BYTES: usize = 64;
 /// Bytes of a header line beside its name and value.
 const HEADER_LINE_BYTES: usize = 4;
--- a/http-line/src/timers.rs
+++ b/http-line/src/timers.rs
@@ -11,11 +11,11 @@
 /// own until the earlier one comes up.
 pub(crate) struct Timers {
     start: Instant,
-    heap: BinaryHeap<Reverse<(u64, usize)>>,
+    heap: BinaryHeap<Reverse<Timer>>,
 }
 
-/// One entry of the queue.
-#[derive(Debug, Clone, Copy, PartialEq)]
+/// One entry of the queue, ordered by its tick.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
     pub(crate) tick: u64,
     pub(crate) token: usize,
@@ -45,13 +45,12 @@
     }
 
     pub(crate) fn push(&mut self, tick: u64, token: usize) {
-        self.heap.push(Reverse((tick, token)));
+        self.heap.push(Reverse(Timer { tick, token }));
     }
 
     /// The earliest entry.
     pub(crate) fn first(&self) -> Option<Timer> {
-        let Reverse((tick, token)) = *self.heap.peek()?;
-        Some(Timer { tick, token })
+        self.heap.peek().map(|entry| entry.0)
     }
 
     /// Removes the earliest entry.
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -157,8 +157,8 @@
     peer.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
     let (id, _) = harness.request();
     harness.http.respond(id, response("a"));
-    let mut answer = [0; 64];
-    assert!(peer.read(&mut answer).unwrap() > 0);
+    let mut received = [0; 64];
+    assert!(peer.read(&mut received).unwrap() > 0);
     harness.http.drain();
     std::thread::sleep(Duration::from_millis(50));
     peer.write_all(b"GET /b HTTP/1.1\r\n\r\n").unwrap();
@@ -191,15 +191,15 @@
     half.write_all(b"56789").unwrap();
     std::thread::sleep(Duration::from_millis(50));
     assert!(harness.events.is_empty(), "nothing was read");
-    assert!(!harness.http.is_finished(), "one is not answered");
+    assert!(!harness.http.is_finished(), "one has no response");
     harness.http.respond(id, response("a"));
     let deadline = std::time::Instant::now() + EVENT_TIMEOUT;
     while !harness.http.is_finished() {
-        assert!(std::time::Instant::now() < deadline, "it is answered");
+        assert!(std::time::Instant::now() < deadline, "it has a response");
         std::thread::sleep(Duration::from_millis(1));
     }
-    let mut answer = [0; 64];
-    assert!(peer.read(&mut answer).unwrap() > 0);
+    let mut received = [0; 64];
+    assert!(peer.read(&mut received).unwrap() > 0);
 }
 
 #[test]
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -167,7 +167,7 @@
         .write_all(origin_response("r1", "first").as_bytes())
         .unwrap();
     assert_eq!(body(harness.outcome()), (1, "first".into()));
-    // Another attempt of the same request: had it gone over the first connection,
+    // Another attempt of the same request: had it used the first connection,
     // this response would be taken for its own.
     harness.http.call(echoed_call(2, address, "r1"));
     let duplicate = thread::spawn(move || {
@@ -355,8 +355,8 @@
         .unwrap();
     let ((a, _), (b, _)) = (harness.request(), harness.request());
     harness.http.respond(a, response("a"));
-    let mut answer = [0; 64];
-    peer.read_exact(&mut answer[..30]).unwrap();
+    let mut received = [0; 64];
+    peer.read_exact(&mut received[..30]).unwrap();
     reset_on_close(&peer);
     drop(peer);
     assert_eq!(harness.disconnect(), b);
@@ -379,7 +379,7 @@
     false
 }
 
-/// A large answer on a narrow link would be written for ten seconds more.
+/// A large response on a narrow link would be written for ten seconds more.
 #[test]
 fn paced_response_ends_when_client_disconnects() {
     for reads in [false, true] {
--- a/segment-log/src/power_loss_tests.rs
+++ b/segment-log/src/power_loss_tests.rs
@@ -17,7 +17,7 @@
     Unlink(String),
 }
 
-/// What is on the disk, and what is on its way there.
+/// What is on the disk, and what is not synced yet.
 #[derive(Debug, Clone, Default)]
 struct Disk {
     files: Vec<ModelFile>,
@@ -52,13 +52,14 @@
             .concat()
     }
 
-    /// Each disk that a loss of power may leave.
+    /// Each disk that a loss of power may leave: every subset of name changes with
+    /// every outcome of unsynced writes.
     fn after_power_loss(&self) -> Vec<Disk> {
         let mut survivors = Vec::new();
         for persisted in 0..1u32 << self.changes.len() {
             let mut names = self.synced_names.clone();
-            for (at, change) in self.changes.iter().enumerate() {
-                if persisted >> at & 1 == 1 {
+            for (index, change) in self.changes.iter().enumerate() {
+                if persisted >> index & 1 == 1 {
                     Disk::apply(&mut names, change);
                 }
             }
@@ -69,8 +70,8 @@
             }];
             for file in 0..self.files.len() {
                 for write in 0..self.files[file].unsynced.len() {
-                    let one = |disk: Disk| Disk::with_outcomes(disk, file, write);
-                    disks = disks.into_iter().flat_map(one).collect();
+                    let outcomes = |disk: Disk| Disk::with_outcomes(disk, file, write);
+                    disks = disks.into_iter().flat_map(outcomes).collect();
                 }
             }
             survivors.extend(disks);
