--- a/control-plane/src/assignment_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -10,21 +10,21 @@
     pub rows: &'a BTreeMap<String, Row>,
     pub settled: u64,
     pub live: &'a [SessionInfo],
-    pub gone: &'a dyn Fn(Peer) -> bool,
+    pub departed: &'a dyn Fn(Peer) -> bool,
     /// Its process is known to have ended: it cannot come back, so what it held
     /// needs no revoking.
     pub ended: &'a dyn Fn(Peer) -> bool,
     /// Whether a control node is on the same machine: its loss would take both.
-    pub beside: &'a dyn Fn(&SessionInfo) -> bool,
+    pub on_control_host: &'a dyn Fn(&SessionInfo) -> bool,
     /// Not all sessions are known yet: only what the ended left is given out.
-    pub early: bool,
+    pub sessions_incomplete: bool,
 }
 
 /// Assignments taken from live holders at a time, so that a join does not empty
 /// the whole ring at once.
-const MOVES: usize = 64;
+const MAX_CONCURRENT_MOVES: usize = 64;
 /// So much stronger must one beside a control node be to have an admission controller as often.
-const APART: u32 = 4;
+const CONTROL_HOST_WEIGHT_DIVISOR: u32 = 4;
 
 impl AssignmentPlan<'_> {
     /// The rows to write now.
@@ -36,7 +36,7 @@
             .count();
         let mut out = Vec::new();
         for name in assignments {
-            let want = self.best(name);
+            let want = self.preferred_owner(name);
             let known = self.rows.get(name).map(|row| (row.version, &row.value));
             match known {
                 Some((
@@ -47,7 +47,7 @@
                         epoch,
                     }),
                 )) => {
-                    if want.is_some() && self.settled >= version && !self.early {
+                    if want.is_some() && self.settled >= version && !self.sessions_incomplete {
                         out.push((
                             name.clone(),
                             Assignment {
@@ -77,17 +77,17 @@
                         ));
                         continue;
                     }
-                    if self.early {
+                    if self.sessions_incomplete {
                         continue;
                     }
-                    let gone = (self.gone)(*holder);
+                    let gone = (self.departed)(*holder);
                     let leaves = self
                         .live
                         .iter()
                         .any(|seen| seen.peer == *holder && seen.draining);
                     let better =
                         name.starts_with("cache/") && want.is_some_and(|peer| peer != *holder);
-                    let may_move = want.is_some() && moves < MOVES;
+                    let may_move = want.is_some() && moves < MAX_CONCURRENT_MOVES;
                     if gone || (leaves && want.is_some()) || (better && may_move) {
                         moves += 1;
                         let last = (!gone).then_some(*holder);
@@ -102,7 +102,7 @@
                     }
                 }
                 _ => {
-                    if want.is_some() && !self.early {
+                    if want.is_some() && !self.sessions_incomplete {
                         out.push((
                             name.clone(),
                             Assignment {
@@ -118,7 +118,7 @@
         out
     }
 
-    fn best(&self, name: &str) -> Option<Peer> {
+    fn preferred_owner(&self, name: &str) -> Option<Peer> {
         let near = |seen: &&SessionInfo| assignment_ring(name).is_none_or(|ring| ring == seen.ring);
         let able = self.live.iter().filter(|seen| !seen.draining).filter(near);
         // A copy goes from its one owner to every edge that is asked for it, so
@@ -127,7 +127,9 @@
         // only where others are much weaker.
         let strength = |seen: &SessionInfo| match assignment_ring(name) {
             Some(_) => seen.weight.saturating_pow(2),
-            None if (self.beside)(seen) => (seen.weight / APART).max(1).saturating_pow(3),
+            None if (self.on_control_host)(seen) => (seen.weight / CONTROL_HOST_WEIGHT_DIVISOR)
+                .max(1)
+                .saturating_pow(3),
             None => seen.weight.saturating_pow(3),
         };
         let far = |seen: &SessionInfo| seen.peer.distance(name, strength(seen));
--- a/control-plane/src/assignment_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `assignment_plan`.
 use crate::prelude::*;
 
-fn seen(port: u16, draining: bool) -> SessionInfo {
+fn session(port: u16, draining: bool) -> SessionInfo {
     let peer = Peer::new(SocketAddr::from(([127, 0, 0, 1], port)), 1);
     SessionInfo {
         peer,
@@ -17,9 +17,13 @@
     }
 }
 
-fn apply(rows: &mut BTreeMap<String, Row>, out: Vec<(String, Assignment)>, version: u64) -> usize {
-    let count = out.len();
-    for (key, assignment) in out {
+fn apply(
+    rows: &mut BTreeMap<String, Row>,
+    planned: Vec<(String, Assignment)>,
+    version: u64,
+) -> usize {
+    let count = planned.len();
+    for (key, assignment) in planned {
         rows.insert(
             key,
             Row {
@@ -38,156 +42,160 @@
 }
 
 #[test]
-fn a_assignment_is_granted_again_only_after_its_revocation_settled() {
+fn assignment_is_regranted_after_revocation_settles() {
     let mut rows = BTreeMap::new();
-    let (one, two) = ([seen(1, false)], [seen(2, false)]);
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = AssignmentPlan {
+    let (first, second) = ([session(1, false)], [session(2, false)]);
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 0,
-        live: &one,
-        gone: none,
-        ended: none,
-        beside: &|_| false,
-        early: false,
+        live: &first,
+        departed: never,
+        ended: never,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
-    apply(&mut rows, out, 1);
-    let all: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
-    let out = AssignmentPlan {
+    apply(&mut rows, planned, 1);
+    let has_departed: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 1,
-        live: &two,
-        gone: all,
+        live: &second,
+        departed: has_departed,
         ended: &|_| false,
-        beside: &|_| false,
-        early: false,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
     assert!(
-        out.iter()
+        planned
+            .iter()
             .all(|(_, assignment)| assignment.owner.is_none() && assignment.epoch == 2)
     );
-    assert_eq!(apply(&mut rows, out, 2), usize::from(CACHE_PARTITIONS));
+    assert_eq!(apply(&mut rows, planned, 2), usize::from(CACHE_PARTITIONS));
     assert!(
         AssignmentPlan {
             rows: &rows,
             settled: 1,
-            live: &two,
-            gone: all,
+            live: &second,
+            departed: has_departed,
             ended: &|_| false,
-            beside: &|_| false,
-            early: false
+            on_control_host: &|_| false,
+            sessions_incomplete: false
         }
         .next(&names())
         .is_empty()
     );
-    let out = AssignmentPlan {
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 2,
-        live: &two,
-        gone: all,
+        live: &second,
+        departed: has_departed,
         ended: &|_| false,
-        beside: &|_| false,
-        early: false,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
     assert!(
-        out.iter()
-            .all(|(_, assignment)| assignment.owner == Some(two[0].peer) && assignment.epoch == 3)
+        planned.iter().all(
+            |(_, assignment)| assignment.owner == Some(second[0].peer) && assignment.epoch == 3
+        )
     );
-    assert_eq!(out.len(), usize::from(CACHE_PARTITIONS));
+    assert_eq!(planned.len(), usize::from(CACHE_PARTITIONS));
 }
 
 #[test]
-fn what_an_ended_process_held_is_granted_at_once_also_before_all_sessions_are_known() {
+fn ended_owner_is_replaced_before_sessions_are_complete() {
     let mut rows = BTreeMap::new();
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = AssignmentPlan {
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 0,
-        live: &[seen(1, false), seen(2, false)],
-        gone: none,
-        ended: none,
-        beside: &|_| false,
-        early: false,
+        live: &[session(1, false), session(2, false)],
+        departed: never,
+        ended: never,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
-    apply(&mut rows, out, 1);
-    let again = SessionInfo {
+    apply(&mut rows, planned, 1);
+    let restarted = SessionInfo {
         peer: Peer {
             incarnation: 9,
-            ..seen(1, false).peer
+            ..session(1, false).peer
         },
-        ..seen(1, false)
+        ..session(1, false)
     };
-    let over: &dyn Fn(Peer) -> bool = &|peer| peer == seen(1, false).peer;
-    let out = AssignmentPlan {
+    let has_ended: &dyn Fn(Peer) -> bool = &|peer| peer == session(1, false).peer;
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 1,
-        live: std::slice::from_ref(&again),
-        gone: none,
-        ended: over,
-        beside: &|_| false,
-        early: true,
+        live: std::slice::from_ref(&restarted),
+        departed: never,
+        ended: has_ended,
+        on_control_host: &|_| false,
+        sessions_incomplete: true,
     }
     .next(&names());
     assert!(
-        !out.is_empty() && out.len() < names().len(),
+        !planned.is_empty() && planned.len() < names().len(),
         "what the other holds is left to it"
     );
     assert!(
-        out.iter()
-            .all(|(_, assignment)| assignment.owner == Some(again.peer) && assignment.epoch == 2)
+        planned.iter().all(
+            |(_, assignment)| assignment.owner == Some(restarted.peer) && assignment.epoch == 2
+        )
     );
 }
 
 #[test]
-fn a_join_moves_only_what_the_newcomer_gets_and_not_all_at_once() {
+fn joining_edge_receives_its_partitions_in_bounded_batches() {
     let mut rows = BTreeMap::new();
-    let mut live: Vec<SessionInfo> = (1..8).map(|port| seen(port, false)).collect();
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = AssignmentPlan {
+    let mut live: Vec<SessionInfo> = (1..8).map(|port| session(port, false)).collect();
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let planned = AssignmentPlan {
         rows: &rows,
         settled: 0,
         live: &live,
-        gone: none,
-        ended: none,
-        beside: &|_| false,
-        early: false,
+        departed: never,
+        ended: never,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
-    apply(&mut rows, out, 1);
-    live.push(seen(8, false));
+    apply(&mut rows, planned, 1);
+    live.push(session(8, false));
     let mut moved = 0;
     for version in (2..100).step_by(2) {
-        let out = AssignmentPlan {
+        let planned = AssignmentPlan {
             rows: &rows,
             settled: version,
             live: &live,
-            gone: none,
-            ended: none,
-            beside: &|_| false,
-            early: false,
+            departed: never,
+            ended: never,
+            on_control_host: &|_| false,
+            sessions_incomplete: false,
         }
         .next(&names());
-        assert!(out.len() <= 64);
-        moved += apply(&mut rows, out, version);
-        let out = AssignmentPlan {
+        assert!(planned.len() <= 64);
+        moved += apply(&mut rows, planned, version);
+        let planned = AssignmentPlan {
             rows: &rows,
             settled: version,
             live: &live,
-            gone: none,
-            ended: none,
-            beside: &|_| false,
-            early: false,
+            departed: never,
+            ended: never,
+            on_control_host: &|_| false,
+            sessions_incomplete: false,
         }
         .next(&names());
         assert!(
-            out.iter()
+            planned
+                .iter()
                 .all(|(_, assignment)| assignment.owner == Some(live[7].peer))
         );
-        apply(&mut rows, out, version + 1);
+        apply(&mut rows, planned, version + 1);
     }
     assert!(
         (16..=48).contains(&moved),
@@ -196,27 +204,27 @@
 }
 
 #[test]
-fn assignments_go_by_strength() {
-    let strong = |port, strength| SessionInfo {
+fn cache_partitions_follow_edge_weight() {
+    let weighted = |port, strength| SessionInfo {
         weight: strength,
-        ..seen(port, false)
+        ..session(port, false)
     };
     let live: Vec<SessionInfo> = (1..=4)
-        .map(|port| strong(port, 30))
-        .chain((5..=34).map(|port| strong(port, 1)))
+        .map(|port| weighted(port, 30))
+        .chain((5..=34).map(|port| weighted(port, 1)))
         .collect();
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = AssignmentPlan {
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let planned = AssignmentPlan {
         rows: &BTreeMap::new(),
         settled: 0,
         live: &live,
-        gone: none,
-        ended: none,
-        beside: &|_| false,
-        early: false,
+        departed: never,
+        ended: never,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names());
-    let strong = out
+    let weighted = planned
         .iter()
         .filter(|(_, assignment)| {
             assignment
@@ -226,36 +234,37 @@
         .count();
     // By the square: 4 x 900 of 3,630 parts.
     assert!(
-        (250..=256).contains(&strong),
-        "{strong} of 256: 99 of 100 parts"
+        (250..=256).contains(&weighted),
+        "{weighted} of 256: 99 of 100 parts"
     );
 }
 
 #[test]
-fn a_admission_is_apart_from_control_nodes_unless_others_are_much_weaker() {
+fn admission_avoids_control_hosts_unless_others_are_weak() {
     let admissions: Vec<String> = (0..200)
         .map(|at| admission_assignment(&format!("s{at}")))
         .collect();
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let beside = |seen: &SessionInfo| seen.peer.address.port() <= 4;
-    let held = |other: u32| {
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let on_control_host = |session: &SessionInfo| session.peer.address.port() <= 4;
+    let owned = |other: u32| {
         let live: Vec<SessionInfo> = (1..=14)
             .map(|port| SessionInfo {
                 weight: if port <= 4 { 35 } else { other },
-                ..seen(port, false)
+                ..session(port, false)
             })
             .collect();
-        let out = AssignmentPlan {
+        let planned = AssignmentPlan {
             rows: &BTreeMap::new(),
             settled: 0,
             live: &live,
-            gone: none,
-            ended: none,
-            beside: &beside,
-            early: false,
+            departed: never,
+            ended: never,
+            on_control_host: &on_control_host,
+            sessions_incomplete: false,
         }
         .next(&admissions);
-        out.iter()
+        planned
+            .iter()
             .filter(|(_, assignment)| {
                 assignment
                     .owner
@@ -264,49 +273,50 @@
             .count()
     };
     assert!(
-        held(20) < 20 && held(1) > 180,
+        owned(20) < 20 && owned(1) > 180,
         "{} and {}",
-        held(20),
-        held(1)
+        owned(20),
+        owned(1)
     );
 }
 
 #[test]
-fn a_partition_of_a_ring_goes_to_its_own_edges_only() {
-    let near = |port, ring: &str| SessionInfo {
+fn ring_partitions_stay_on_ring_edges() {
+    let in_ring = |port, ring: &str| SessionInfo {
         ring: ring.into(),
-        ..seen(port, false)
+        ..session(port, false)
     };
-    let live = [near(1, "a"), near(2, "a"), near(3, "b")];
+    let live = [in_ring(1, "a"), in_ring(2, "a"), in_ring(3, "b")];
     let names: Vec<String> = (0..CACHE_PARTITIONS)
         .flat_map(|partition| ["a", "b", "c"].map(|ring| cache_assignment(ring, partition)))
         .collect();
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
-    let out = AssignmentPlan {
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
+    let planned = AssignmentPlan {
         rows: &BTreeMap::new(),
         settled: 0,
         live: &live,
-        gone: none,
-        ended: none,
-        beside: &|_| false,
-        early: false,
+        departed: never,
+        ended: never,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
     }
     .next(&names);
-    let held = |ring: &str| -> BTreeSet<Option<Peer>> {
-        out.iter()
+    let owned = |ring: &str| -> BTreeSet<Option<Peer>> {
+        planned
+            .iter()
             .filter(|(name, _)| assignment_ring(name) == Some(ring))
             .map(|(_, assignment)| assignment.owner)
             .collect()
     };
-    assert_eq!(held("a"), [Some(live[0].peer), Some(live[1].peer)].into());
-    assert_eq!(held("b"), [Some(live[2].peer)].into());
-    assert!(held("c").is_empty(), "no edge of that ring is there");
+    assert_eq!(owned("a"), [Some(live[0].peer), Some(live[1].peer)].into());
+    assert_eq!(owned("b"), [Some(live[2].peer)].into());
+    assert!(owned("c").is_empty(), "no edge of that ring is there");
 }
 
 #[test]
-fn a_draining_holder_loses_its_admission_and_a_live_one_keeps_it() {
+fn draining_owner_loses_admission_and_live_owner_retains_it() {
     let admission = [admission_assignment("book")];
-    let held = |peer| {
+    let owned = |peer| {
         BTreeMap::from([(
             admission[0].clone(),
             Row {
@@ -319,33 +329,33 @@
             },
         )])
     };
-    let none: &dyn Fn(Peer) -> bool = &|_| false;
+    let never: &dyn Fn(Peer) -> bool = &|_| false;
     for port in 1..9 {
-        let rows = held(seen(port, false).peer);
-        let live: Vec<SessionInfo> = (1..9).map(|port| seen(port, false)).collect();
+        let rows = owned(session(port, false).peer);
+        let live: Vec<SessionInfo> = (1..9).map(|port| session(port, false)).collect();
         assert!(
             AssignmentPlan {
                 rows: &rows,
                 settled: 9,
                 live: &live,
-                gone: none,
-                ended: none,
-                beside: &|_| false,
-                early: false
+                departed: never,
+                ended: never,
+                on_control_host: &|_| false,
+                sessions_incomplete: false
             }
             .next(&admission)
             .is_empty()
         );
-        let live: Vec<SessionInfo> = (1..9).map(|other| seen(other, other == port)).collect();
+        let live: Vec<SessionInfo> = (1..9).map(|other| session(other, other == port)).collect();
         assert_eq!(
             AssignmentPlan {
                 rows: &rows,
                 settled: 9,
                 live: &live,
-                gone: none,
-                ended: none,
-                beside: &|_| false,
-                early: false
+                departed: never,
+                ended: never,
+                on_control_host: &|_| false,
+                sessions_incomplete: false
             }
             .next(&admission)
             .len(),
--- a/control-plane/src/bootstrap.rs
+++ b/control-plane/src/bootstrap.rs
@@ -9,11 +9,11 @@
     pub founding: bool,
     /// No fleet was there before this one, so no operation ran.
     pub first_start: bool,
-    span: Duration,
-    since: Option<Duration>,
-    enlisted: BTreeSet<SocketAddr>,
+    join_window: Duration,
+    started_at: Option<Duration>,
+    joiners: BTreeSet<SocketAddr>,
     /// Somebody goes by a table already.
-    others: bool,
+    table_exists: bool,
 }
 
 impl Bootstrap {
@@ -21,10 +21,10 @@
         Bootstrap {
             founding,
             first_start: founding,
-            span,
-            since: None,
-            enlisted: BTreeSet::new(),
-            others: false,
+            join_window: span,
+            started_at: None,
+            joiners: BTreeSet::new(),
+            table_exists: false,
         }
     }
 
@@ -44,23 +44,23 @@
     }
 
     /// A founding node asked for a slot.
-    pub fn enlist(&mut self, address: SocketAddr) {
-        self.enlisted.insert(address);
+    pub fn add_joiner(&mut self, address: SocketAddr) {
+        self.joiners.insert(address);
     }
 
-    pub fn met_others(&mut self) {
-        self.others = true;
+    pub fn note_existing_table(&mut self) {
+        self.table_exists = true;
     }
 
     /// The founding table, once the span is over: the seeds in their order,
     /// then who asked, by address.
-    pub fn table(&mut self, now: Duration, seeds: &[SocketAddr]) -> Option<Vec<Peer>> {
-        let since = *self.since.get_or_insert(now);
-        if !self.founding || self.others || now < since + self.span {
+    pub fn founding_table(&mut self, now: Duration, seeds: &[SocketAddr]) -> Option<Vec<Peer>> {
+        let since = *self.started_at.get_or_insert(now);
+        if !self.founding || self.table_exists || now < since + self.join_window {
             return None;
         }
         let more = self
-            .enlisted
+            .joiners
             .iter()
             .filter(|address| !seeds.contains(address));
         Some(
--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -4,7 +4,7 @@
 
 /// What the assignments were last planned from: the same again gives the same plan.
 #[derive(PartialEq)]
-pub(super) struct PlannedFrom {
+pub(super) struct PlanInputs {
     epoch: u64,
     version: u64,
     settled: u64,
@@ -15,21 +15,21 @@
 
 impl ControlNode {
     /// Who owns the list of origins is the one to read the platform's.
-    pub(super) fn show_lists(&mut self, now: Duration) {
+    pub(super) fn publish_origin_list(&mut self, now: Duration) {
         let leads = self
             .leaders
             .get(&ORIGINS_PARTITION)
-            .is_some_and(|leader| leader.ready() && leader.wary.is_none());
+            .is_some_and(|leader| leader.ready() && leader.recall_until.is_none());
         // Cut off, what is read could not be put.
         let lists = leads && self.reaches_majority(now);
-        if lists != self.lists {
-            self.lists = lists;
+        if lists != self.publishes_origins {
+            self.publishes_origins = lists;
             let list = if lists {
                 vec![ORIGIN_LIST_ASSIGNMENT.to_string()]
             } else {
                 vec![]
             };
-            self.out
+            self.outputs
                 .push(Output::Publish(PublishedState::Assignments(list)));
         }
     }
@@ -42,12 +42,12 @@
         let calm = leader
             .active_since
             .is_some_and(|since| now >= since + lease::CONTROL_TICK);
-        if !leader.ready() || !calm || leader.wary.is_some() {
+        if !leader.ready() || !calm || leader.recall_until.is_some() {
             return;
         }
         // After a start, sessions may stand that are not known yet: then only
         // what holders left who are known to have ended is given out.
-        let known = self.sessions.known(now);
+        let known = self.sessions.is_complete(now);
         if known {
             self.plan_edge_registry(now);
         }
@@ -60,24 +60,24 @@
             _ => None,
         });
         let over: BTreeSet<Peer> = holders
-            .filter(|peer| self.sessions.ended(*peer, self.granted))
+            .filter(|peer| self.sessions.has_ended(*peer, self.tokens_at_grant))
             .collect();
-        let planned = PlannedFrom {
+        let planned = PlanInputs {
             epoch: leader.epoch,
             version: leader.version,
             settled: leader.settled(),
-            configuration: self.read,
-            sessions: self.sessions.standing(now),
+            configuration: self.items_version,
+            sessions: self.sessions.membership_snapshot(now),
             ended: over,
         };
-        if self.planned.as_ref() == Some(&planned) {
+        if self.last_plan_inputs.as_ref() == Some(&planned) {
             return;
         }
         let quorum = self.quorum();
         let live = if known {
             self.sessions.live(now, quorum)
         } else {
-            self.sessions.mine()
+            self.sessions.local_sessions()
         };
         let spread = leader
             .rows
@@ -99,7 +99,7 @@
                 .iter()
                 .map(|service| admission_assignment(service)),
         );
-        let gone = |peer: Peer| self.sessions.gone(now, peer, quorum);
+        let gone = |peer: Peer| self.sessions.has_departed(now, peer, quorum);
         let ended = |peer: Peer| planned.ended.contains(&peer);
         let members = &self.members;
         let beside = |seen: &SessionInfo| {
@@ -111,15 +111,15 @@
             rows: &leader.rows,
             settled: leader.settled(),
             live: &live,
-            gone: &gone,
+            departed: &gone,
             ended: &ended,
-            beside: &beside,
-            early: !known,
+            on_control_host: &beside,
+            sessions_incomplete: !known,
         };
         let out = plan.next(&names);
-        self.planned = Some(planned);
+        self.last_plan_inputs = Some(planned);
         if !out.is_empty() {
-            self.granted = self.sessions.renewal_tokens();
+            self.tokens_at_grant = self.sessions.issued_tokens();
         }
         let leader = self
             .leaders
@@ -130,11 +130,11 @@
         }
         for (key, assignment) in out {
             match assignment.owner {
-                Some(peer) => self.note(
+                Some(peer) => self.log_event(
                     Event::AssignmentGranted,
                     format!("{key} epoch {} to {peer}", assignment.epoch),
                 ),
-                None => self.note(
+                None => self.log_event(
                     Event::AssignmentRevoked,
                     format!("{key} epoch {}", assignment.epoch),
                 ),
@@ -144,12 +144,12 @@
 
     /// The services of the configuration in force, as shown here.
     pub(super) fn read_services(&mut self) {
-        let held = self.replica.held(CONFIGURATION_PARTITION);
-        if held.image.published == self.read {
+        let held = self.replica.partition(CONFIGURATION_PARTITION);
+        if held.state.published == self.items_version {
             return;
         }
-        self.read = held.image.published;
-        for (key, row) in &held.shown {
+        self.items_version = held.state.published;
+        for (key, row) in &held.published_rows {
             // What stands was judged before.
             let _ = self.items.learn(key, row);
         }
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -9,19 +9,19 @@
 
 /// How long a call of an operator is sent again before its outcome is given up
 /// as unknown.
-const OPERATOR_CALL_LIMIT: Duration = Duration::from_secs(12);
+const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(12);
 /// An unanswered call is sent again after this.
-const OPERATOR_CALL_AGAIN: Duration = Duration::from_millis(400);
+const OPERATOR_CALL_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// An answer that waits for its leader to get so far.
 pub(super) struct PendingReply {
     pub(super) partition: u8,
-    pub(super) asker: SocketAddr,
+    pub(super) requester: SocketAddr,
     pub(super) id: u64,
-    pub(super) commit: u64,
-    pub(super) settle: u64,
-    pub(super) round: u64,
-    pub(super) told: ChangeOutcome,
+    pub(super) required_commit: u64,
+    pub(super) required_settled: u64,
+    pub(super) required_round: u64,
+    pub(super) outcome: ChangeOutcome,
 }
 
 impl PendingReply {
@@ -29,25 +29,25 @@
     fn new(request: &ChangeRequest) -> PendingReply {
         PendingReply {
             partition: request.partition,
-            asker: request.requester,
+            requester: request.requester,
             id: request.id,
-            commit: 0,
-            settle: 0,
-            round: 0,
-            told: ChangeOutcome::Unknown,
+            required_commit: 0,
+            required_settled: 0,
+            required_round: 0,
+            outcome: ChangeOutcome::Unknown,
         }
     }
 
     /// Acknowledges once this version is in force everywhere.
     fn acknowledge(&mut self, version: u64) {
-        self.settle = version;
-        self.told = ChangeOutcome::Acknowledged { version };
+        self.required_settled = version;
+        self.outcome = ChangeOutcome::Acknowledged { version };
     }
 
     /// Acknowledges as soon as the version is on a majority of disks instead.
     fn acknowledge_commit(&mut self) {
-        if self.settle > 0 {
-            self.commit = std::mem::take(&mut self.settle);
+        if self.required_settled > 0 {
+            self.required_commit = std::mem::take(&mut self.required_settled);
         }
     }
 
@@ -55,15 +55,15 @@
     /// the leader is confirmed, since one that was superseded may not know what
     /// was accepted after it.
     fn refuse(&mut self, leader: &mut PartitionLeader, told: ChangeOutcome) {
-        self.commit = leader.version;
-        self.round = leader.start_round();
-        self.told = told;
+        self.required_commit = leader.version;
+        self.required_round = leader.begin_read_round();
+        self.outcome = told;
     }
 
     /// Puts a row that is replaced whole, unless this change did so already,
     /// another version stands than the expected one, or something is found
     /// wrong with it. The version, if it is put now.
-    fn replace(
+    fn replace_row(
         &mut self,
         leader: &mut PartitionLeader,
         key: &str,
@@ -80,13 +80,13 @@
         if expect.is_some_and(|version| version != current) {
             let raced = ChangeOutcome::VersionConflict {
                 version: current,
-                complete_after: leader.applied().complete_after(),
+                complete_after: leader.applied_changes().complete_after(),
             };
             self.refuse(leader, raced);
             return None;
         }
         if let Some(found) = found() {
-            self.told = ChangeOutcome::Findings(found);
+            self.outcome = ChangeOutcome::Findings(found);
             return None;
         }
         let version = leader.apply_change(key, value, change);
@@ -95,7 +95,7 @@
     }
 
     /// Sets or removes items. How many, and the version, if any are put now.
-    fn put_items(
+    fn apply_items(
         &mut self,
         leader: &mut PartitionLeader,
         items: Vec<Item>,
@@ -131,16 +131,16 @@
 pub(super) struct OperatorCall {
     partition: u8,
     change: Change,
-    until: Duration,
-    next: Duration,
+    deadline: Duration,
+    retry_at: Duration,
     /// The leader it was last meant for, and how often it was sent.
     sent_to: Option<u8>,
-    tries: u32,
+    attempts: u32,
 }
 
 impl OperatorCall {
     /// The version that the change is made to replace, if it says so.
-    fn expect(&self) -> Option<u64> {
+    fn expected_version(&self) -> Option<u64> {
         match &self.change {
             Change::PutConfiguration { expect, .. } | Change::PutOrigins { expect, .. } => *expect,
             _ => None,
@@ -149,9 +149,9 @@
 
     /// What is known of a call that is given up: reads have no effect, and
     /// what was never sent had none.
-    fn given_up(&self) -> ChangeOutcome {
+    fn timeout_outcome(&self) -> ChangeOutcome {
         let is_read = matches!(self.change, Change::GetConfiguration | Change::List);
-        if is_read || self.tries == 0 {
+        if is_read || self.attempts == 0 {
             ChangeOutcome::NoMajority
         } else {
             ChangeOutcome::Unknown
@@ -161,69 +161,69 @@
 
 /// A change of another member that does not reach the leader itself.
 pub(super) struct Relay {
-    asker: SocketAddr,
+    requester: SocketAddr,
     id: u64,
-    pub(super) until: Duration,
+    pub(super) deadline: Duration,
 }
 
 /// Id of a change that this node asks for by itself.
-pub(super) const NOBODY_WAITS: u64 = 0;
+pub(super) const NO_REQUESTER_ID: u64 = 0;
 /// Ids under which changes are passed on have this bit, ids of operators'
 /// calls have not.
-pub(super) const RELAY_IDS: u64 = 1 << 63;
+pub(super) const RELAY_ID_BIT: u64 = 1 << 63;
 /// So many control nodes pass a change on at the most: one that is asked by
 /// mistake, and one between it and the leader.
-const MOST_HOPS: u8 = 2;
+const MAX_HOPS: u8 = 2;
 /// A cut of this length may be over before a caller could ask another node.
-const CUT_OFF_GRACE: Duration = Duration::from_millis(600);
+const ISOLATION_GRACE: Duration = Duration::from_millis(600);
 
 impl ControlNode {
     /// Notes since when no majority is in contact with this node.
-    pub(super) fn watch_contact(&mut self, now: Duration) {
+    pub(super) fn track_isolation(&mut self, now: Duration) {
         if self.reaches_majority(now) {
-            self.cut_off = None;
+            self.isolated_since = None;
         } else {
-            self.cut_off.get_or_insert(now);
+            self.isolated_since.get_or_insert(now);
         }
     }
 
-    fn is_cut_off(&self, now: Duration) -> bool {
-        let for_long = |since| now >= since + CUT_OFF_GRACE;
-        self.cut_off.is_some_and(for_long) && !self.reaches_majority(now)
+    fn is_isolated(&self, now: Duration) -> bool {
+        let for_long = |since| now >= since + ISOLATION_GRACE;
+        self.isolated_since.is_some_and(for_long) && !self.reaches_majority(now)
     }
 
-    pub(super) fn answer_operator(&mut self, id: u64, outcome: ChangeOutcome) {
+    pub(super) fn reply_to_operator(&mut self, id: u64, outcome: ChangeOutcome) {
         let answer = OperatorResponse::ChangeOutcome(outcome);
-        self.out.push(Output::OperatorResponse {
+        self.outputs.push(Output::OperatorResponse {
             id,
             response: answer,
         });
     }
 
     /// Answers all operators' calls with what is known of them by now.
-    pub(super) fn give_up_operator_calls(&mut self) {
+    pub(super) fn fail_operator_calls(&mut self) {
         for (id, call) in std::mem::take(&mut self.operator_calls) {
-            self.answer_operator(id, call.given_up());
+            self.reply_to_operator(id, call.timeout_outcome());
         }
     }
 
     /// Sends operators' calls to the leaders of their partitions, again when
     /// there was no answer or when another member leads.
     pub(super) fn send_operator_calls(&mut self, now: Duration) {
-        if self.is_cut_off(now) {
-            return self.give_up_operator_calls();
+        if self.is_isolated(now) {
+            return self.fail_operator_calls();
         }
         let ids: Vec<u64> = self.operator_calls.keys().copied().collect();
         for id in ids {
             let call = &self.operator_calls[&id];
-            if now >= call.until {
-                let outcome = call.given_up();
+            if now >= call.deadline {
+                let outcome = call.timeout_outcome();
                 self.operator_calls.remove(&id);
-                self.answer_operator(id, outcome);
+                self.reply_to_operator(id, outcome);
                 continue;
             }
-            let leader = self.chosen(now, call.partition);
-            if leader.is_some() && (now >= call.next || call.sent_to != leader) {
+            let leader = self.preferred_leader(now, call.partition);
+            if leader.is_some() && (now >= call.retry_at || call.sent_to != leader) {
                 self.send_operator_call(now, id, leader);
             }
         }
@@ -237,9 +237,9 @@
         let Some(call) = self.operator_calls.get_mut(&id) else {
             return;
         };
-        call.next = now + OPERATOR_CALL_AGAIN;
+        call.retry_at = now + OPERATOR_CALL_RETRY_INTERVAL;
         call.sent_to = leader;
-        call.tries += 1;
+        call.attempts += 1;
         let request = ChangeRequest {
             requester: asker,
             id,
@@ -247,7 +247,7 @@
             hops: 0,
             change: call.change.clone(),
         };
-        self.tell(self.address(next_hop), request);
+        self.send(self.address(next_hop), request);
     }
 
     pub(super) fn handle_change_request(
@@ -257,26 +257,26 @@
         request: ChangeRequest,
     ) {
         if !self.leads(request.partition) {
-            return self.pass_on(now, from, request);
+            return self.forward_change(now, from, request);
         }
         if let Change::Claim(claim) = &request.change
-            && !self.replica.enrolled(&claim.claimant)
+            && !self.replica.is_enrolled(&claim.claimant)
         {
             return; // It asks again; by then it is on the roll.
         }
         self.pending_replies
-            .retain(|known| (known.asker, known.id) != (request.requester, request.id));
+            .retain(|known| (known.requester, known.id) != (request.requester, request.id));
         let partition = request.partition;
         let before = self.leaders[&partition].version;
-        let mut reply = self.change(now, request);
-        let somebody_waits = reply.id != NOBODY_WAITS;
+        let mut reply = self.apply_change(now, request);
+        let somebody_waits = reply.id != NO_REQUESTER_ID;
         if let Some(leader) = self.leaders.get_mut(&partition)
             && leader.version == before
             && somebody_waits
         {
             // Nothing was written that a majority would have to keep: whatever
             // is answered, a refusal too, a majority must still follow us.
-            reply.round = leader.start_round();
+            reply.required_round = leader.begin_read_round();
         }
         self.pending_replies.push(reply);
     }
@@ -284,26 +284,27 @@
     /// Whether we lead a partition, as far as we know.
     fn leads(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
-        self.able() && leader.is_some_and(|leader| leader.ready() && leader.wary.is_none())
+        self.can_vote()
+            && leader.is_some_and(|leader| leader.ready() && leader.recall_until.is_none())
     }
 
     /// Sends a change on to the leader of its partition. A member of the table
     /// is answered through us, since the leader may not reach it; an edge by
     /// the leader itself.
-    fn pass_on(&mut self, now: Duration, from: Peer, mut request: ChangeRequest) {
-        if self.is_cut_off(now) {
+    fn forward_change(&mut self, now: Duration, from: Peer, mut request: ChangeRequest) {
+        if self.is_isolated(now) {
             let reply = ChangeReply {
                 id: request.id,
                 outcome: ChangeOutcome::NoMajority,
             };
-            return self.tell(from.address, reply);
+            return self.send(from.address, reply);
         }
-        let leader = self.chosen(now, request.partition);
+        let leader = self.preferred_leader(now, request.partition);
         let elsewhere = leader.filter(|slot| *slot != self.slot);
         let Some(next_hop) = elsewhere.and_then(|slot| self.next_hop(now, slot)) else {
             return;
         };
-        if request.hops >= MOST_HOPS || self.address(next_hop) == from.address {
+        if request.hops >= MAX_HOPS || self.address(next_hop) == from.address {
             return;
         }
         request.hops += 1;
@@ -312,64 +313,71 @@
             request.id = self.relay_id(now, request.requester, request.id);
             request.requester = self.address;
         }
-        self.tell(self.address(next_hop), request);
+        self.send(self.address(next_hop), request);
     }
 
     /// The id under which a member's change is passed on, the same for a
     /// change that is sent again.
     fn relay_id(&mut self, now: Duration, asker: SocketAddr, id: u64) -> u64 {
-        let until = now + OPERATOR_CALL_LIMIT;
+        let until = now + OPERATOR_CALL_TIMEOUT;
         let mut known = self.relays.iter_mut();
-        let again = known.find(|(_, relay)| (relay.asker, relay.id) == (asker, id));
+        let again = known.find(|(_, relay)| (relay.requester, relay.id) == (asker, id));
         if let Some((relay_id, relay)) = again {
-            relay.until = until;
+            relay.deadline = until;
             return *relay_id;
         }
-        let relay_id = self.next_relay | RELAY_IDS;
-        self.next_relay = relay_id.wrapping_add(1);
-        self.relays.insert(relay_id, Relay { asker, id, until });
+        let relay_id = self.next_relay_id | RELAY_ID_BIT;
+        self.next_relay_id = relay_id.wrapping_add(1);
+        self.relays.insert(
+            relay_id,
+            Relay {
+                requester: asker,
+                id,
+                deadline: until,
+            },
+        );
         relay_id
     }
 
     /// Makes a change as the partition's owner; the answer pending_replies for the disks.
-    pub(super) fn change(&mut self, now: Duration, ask: ChangeRequest) -> PendingReply {
+    pub(super) fn apply_change(&mut self, now: Duration, ask: ChangeRequest) -> PendingReply {
         let mut wait = PendingReply::new(&ask);
         let ChangeRequest {
             partition,
             change: ask,
             ..
         } = ask;
-        let left = self.closed.saturating_sub(now);
+        let left = self.ledger_closed_until.saturating_sub(now);
         let leader = self.leaders.get_mut(&partition).expect("owner");
         match ask {
             Change::GetConfiguration => {
-                wait.round = leader.start_round();
+                wait.required_round = leader.begin_read_round();
                 if let Some(Row {
                     version,
                     value: Value::Configuration { text, .. },
                 }) = leader.rows.get("configuration")
                 {
-                    wait.commit = *version;
-                    wait.told = ChangeOutcome::Configuration {
+                    wait.required_commit = *version;
+                    wait.outcome = ChangeOutcome::Configuration {
                         version: *version,
                         text: text.clone(),
                     };
                 } else {
-                    wait.told = ChangeOutcome::Configuration {
+                    wait.outcome = ChangeOutcome::Configuration {
                         version: 0,
                         text: "".into(),
                     };
                 }
             }
             Change::List => {
-                wait.round = leader.start_round();
-                wait.commit = leader.version;
+                wait.required_round = leader.begin_read_round();
+                wait.required_commit = leader.version;
                 let rows = leader
                     .rows
                     .iter()
                     .map(|(key, row)| (key.clone(), row.clone()))
                     .collect();
-                wait.told = ChangeOutcome::Rows {
+                wait.outcome = ChangeOutcome::Rows {
                     version: leader.version,
                     rows,
                 };
@@ -385,15 +393,15 @@
                     change,
                 };
                 if let Some(version) =
-                    wait.replace(leader, "configuration", value, expect, change, &found)
+                    wait.replace_row(leader, "configuration", value, expect, change, &found)
                 {
-                    self.note(Event::ConfigurationPut, format!("version {version}"));
+                    self.log_event(Event::ConfigurationPut, format!("version {version}"));
                 }
             }
             Change::PutItems { items } => {
-                if let Some((count, version)) = wait.put_items(leader, items) {
+                if let Some((count, version)) = wait.apply_items(leader, items) {
                     let text = format!("{count} items, version {version}");
-                    self.note(Event::ConfigurationPut, text);
+                    self.log_event(Event::ConfigurationPut, text);
                 }
             }
             Change::AddPurge { purge, change } => {
@@ -413,9 +421,9 @@
             } => {
                 let value = Value::Origins { list, change };
                 if let Some(version) =
-                    wait.replace(leader, "origins", value, expect, change, &|| None)
+                    wait.replace_row(leader, "origins", value, expect, change, &|| None)
                 {
-                    self.note(Event::OriginsPut, format!("version {version}"));
+                    self.log_event(Event::OriginsPut, format!("version {version}"));
                 }
                 if acknowledge == Acknowledge::Committed {
                     wait.acknowledge_commit();
@@ -423,34 +431,37 @@
             }
             Change::OpenLedger { generation } if generation != self.generation => {
                 let text = format!("the realm is {} now", Generation::name(self.generation));
-                wait.told = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
+                wait.outcome = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
             }
             Change::OpenLedger { generation } => {
-                let version = if leader.opened() == generation {
+                let version = if leader.opened_generation() == generation {
                     leader.version
                 } else {
                     leader.put("opened".into(), Value::Opened { generation })
                 };
-                wait.commit = version;
-                wait.told = ChangeOutcome::Acknowledged { version };
-                self.note(
+                wait.required_commit = version;
+                wait.outcome = ChangeOutcome::Acknowledged { version };
+                self.log_event(
                     Event::LedgerOpened,
                     format!("realm {}: operators said so", Generation::name(generation)),
                 );
             }
-            Change::Refound { after } => self.refound(after),
+            Change::Refound { after } => self.found_next_generation(after),
             Change::JoinRequest { peer, founding } => self.assign_slot(now, peer, founding),
             Change::OfferSlot { member } => self.assign_offered_slot(now, member),
-            Change::Claim(claim) if !left.is_zero() && !Ledger::tells(leader, &claim) => {
-                wait.told = ChangeOutcome::LedgerClosed { left }
+            Change::Claim(claim) if !left.is_zero() && !Ledger::is_decided(leader, &claim) => {
+                wait.outcome = ChangeOutcome::LedgerClosed { left }
+            }
+            Change::Claim(claim) => {
+                (wait.required_commit, wait.outcome) = Ledger::claim(leader, claim)
             }
-            Change::Claim(claim) => (wait.commit, wait.told) = Ledger::claim(leader, claim),
             Change::Release(claim) => {
-                (wait.commit, wait.told) = Ledger::finish(leader, claim, OperationState::Released)
+                (wait.required_commit, wait.outcome) =
+                    Ledger::finish(leader, claim, OperationState::Released)
             }
             Change::Record(claim, reply) => {
                 let state = reply.map_or(OperationState::Unknown, OperationState::Done);
-                (wait.commit, wait.told) = Ledger::finish(leader, claim, state);
+                (wait.required_commit, wait.outcome) = Ledger::finish(leader, claim, state);
             }
         }
         wait
@@ -462,7 +473,7 @@
                 id: relay.id,
                 outcome: reply.outcome,
             };
-            return self.tell(relay.asker, passed_back);
+            return self.send(relay.requester, passed_back);
         }
         let Some(call) = self.operator_calls.get_mut(&reply.id) else {
             return;
@@ -470,41 +481,44 @@
         let outcome = match reply.outcome {
             // Who was to pass it on is cut off: another way may be found.
             ChangeOutcome::NoMajority => {
-                call.next = Duration::ZERO;
+                call.retry_at = Duration::ZERO;
                 return;
             }
             // An earlier try of ours may be what this one lost against.
             ChangeOutcome::VersionConflict { complete_after, .. }
-                if call.tries > 1 && call.expect().is_some_and(|from| from < complete_after) =>
+                if call.attempts > 1
+                    && call
+                        .expected_version()
+                        .is_some_and(|from| from < complete_after) =>
             {
                 ChangeOutcome::Unknown
             }
             outcome => outcome,
         };
         self.operator_calls.remove(&reply.id);
-        self.answer_operator(reply.id, outcome);
+        self.reply_to_operator(reply.id, outcome);
     }
 
-    pub(super) fn operator(&mut self, now: Duration, id: u64, ask: OperatorRequest) {
+    pub(super) fn handle_operator_request(&mut self, now: Duration, id: u64, ask: OperatorRequest) {
         match ask {
             OperatorRequest::Change { .. } if self.removed || self.slot == NO_SLOT => {
-                self.answer_operator(id, ChangeOutcome::NoMajority);
+                self.reply_to_operator(id, ChangeOutcome::NoMajority);
             }
             OperatorRequest::Change { partition, change } => {
                 let call = OperatorCall {
                     partition,
                     change,
-                    until: now + OPERATOR_CALL_LIMIT,
-                    next: now,
+                    deadline: now + OPERATOR_CALL_TIMEOUT,
+                    retry_at: now,
                     sent_to: None,
-                    tries: 0,
+                    attempts: 0,
                 };
                 self.operator_calls.insert(id, call);
                 self.send_operator_calls(now);
             }
             OperatorRequest::State => {
-                let answer = OperatorResponse::State(self.state(now));
-                self.out.push(Output::OperatorResponse {
+                let answer = OperatorResponse::State(self.fleet_state(now));
+                self.outputs.push(Output::OperatorResponse {
                     id,
                     response: answer,
                 });
@@ -513,12 +527,12 @@
     }
 
     /// What this node knows of the fleet.
-    pub(super) fn state(&self, now: Duration) -> serde_json::Value {
+    pub(super) fn fleet_state(&self, now: Duration) -> serde_json::Value {
         let control: Vec<_> = (0..self.members.len() as u8)
             .map(|slot| {
                 let peer = self.peers.get(&slot);
-                let live = self.contacts(now).contains(slot);
-                let full = if slot == self.slot { self.able() } else { live && peer.is_some_and(|peer| peer.full) };
+                let live = self.mutual_contacts(now).contains(slot);
+                let full = if slot == self.slot { self.can_vote() } else { live && peer.is_some_and(|peer| peer.full) };
                 serde_json::json!({ "slot": slot, "address": self.address(slot), "live": live, "full": full })
             })
             .collect();
@@ -550,7 +564,7 @@
                 })
             })
             .collect();
-        let ledger = serde_json::json!({ "realm": Generation::name(self.generation), "closed_s": self.closed.saturating_sub(now).as_secs_f64().ceil() });
+        let ledger = serde_json::json!({ "realm": Generation::name(self.generation), "closed_s": self.ledger_closed_until.saturating_sub(now).as_secs_f64().ceil() });
         serde_json::json!({ "slot": self.slot, "majority": self.reaches_majority(now), "ledger": ledger, "control": control, "edges": edges, "origins": origins, "owned_slices": partitions })
     }
 }
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -12,14 +12,14 @@
 /// By then the partitions are founded and led.
 const FOUNDED: Duration = Duration::from_secs(6);
 
-enum Happening {
+enum ScheduledEvent {
     Tick { run: u64 },
-    Heard { from: Peer, message: Box<Message> },
+    Received { from: Peer, message: Box<Message> },
     Synced { run: u64, serial: u64 },
 }
 
 struct Node {
-    part: Option<ControlNode>,
+    control_node: Option<ControlNode>,
     /// Counts its starts: what was due for an earlier one is dropped.
     run: u64,
     disk: Vec<Vec<u8>>,
@@ -29,14 +29,14 @@
 pub(super) struct Cluster {
     pub now: Duration,
     serial: u64,
-    queue: BTreeMap<(Duration, u64), (usize, Happening)>,
+    queue: BTreeMap<(Duration, u64), (usize, ScheduledEvent)>,
     nodes: Vec<Node>,
     incarnations: u64,
     /// Nodes that no message reaches or leaves.
     pub isolated: BTreeSet<usize>,
     /// Answers to changes are lost.
     pub replies_lost: bool,
-    pub answers: BTreeMap<u64, ChangeOutcome>,
+    pub outcomes: BTreeMap<u64, ChangeOutcome>,
 }
 
 fn address(slot: usize) -> SocketAddr {
@@ -47,7 +47,7 @@
     /// Founded and led.
     pub fn new() -> Cluster {
         let node = || Node {
-            part: None,
+            control_node: None,
             run: 0,
             disk: Vec::new(),
             unsynced: VecDeque::new(),
@@ -60,7 +60,7 @@
             incarnations: 0,
             isolated: BTreeSet::new(),
             replies_lost: false,
-            answers: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
         };
         (0..SLOTS).for_each(|slot| cluster.start(slot));
         cluster.run_for(FOUNDED);
@@ -73,12 +73,12 @@
 
     /// Starts a node on what its disk holds.
     pub fn start(&mut self, slot: usize) {
-        let known = Replica::replay(&self.nodes[slot].disk).expect("own records read");
-        let blank = known.is_none();
+        let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("own records read");
+        let blank = disk_replica.is_none();
         self.incarnations += 1;
-        let replica = known.unwrap_or_else(|| Replica::blank(1000 + self.incarnations));
+        let replica = disk_replica.unwrap_or_else(|| Replica::blank(1000 + self.incarnations));
         let seeds = (0..SLOTS).map(address).collect();
-        let part = ControlNode::new(
+        let control_node = ControlNode::new(
             address(slot),
             seeds,
             replica,
@@ -88,14 +88,14 @@
         );
         let node = &mut self.nodes[slot];
         node.run += 1;
-        node.part = Some(part);
+        node.control_node = Some(control_node);
         let run = node.run;
-        self.push(self.now, slot, Happening::Tick { run });
+        self.push(self.now, slot, ScheduledEvent::Tick { run });
     }
 
     /// The process ends at once; what was not synced is gone.
     pub fn kill(&mut self, slot: usize) {
-        self.nodes[slot].part = None;
+        self.nodes[slot].control_node = None;
         self.nodes[slot].unsynced.clear();
     }
 
@@ -139,27 +139,27 @@
     /// Who leads a partition and may answer for it.
     pub fn leader(&self, partition: u8) -> Option<usize> {
         let leads = |slot: &usize| {
-            let part = self.nodes[*slot].part.as_ref();
-            let leader = part.and_then(|part| part.leaders.get(&partition));
+            let control_node = self.nodes[*slot].control_node.as_ref();
+            let leader = control_node.and_then(|control_node| control_node.leaders.get(&partition));
             !self.isolated.contains(slot)
-                && leader.is_some_and(|leader| leader.ready() && leader.wary.is_none())
+                && leader.is_some_and(|leader| leader.ready() && leader.recall_until.is_none())
         };
         (0..SLOTS).find(leads)
     }
 
     /// Asks a node; the answer comes under this id.
-    pub fn ask(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
-        let ask = OperatorRequest::Change { partition, change };
-        self.step(slot, Input::Operator { id, request: ask });
+    pub fn submit(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
+        let request = OperatorRequest::Change { partition, change };
+        self.step(slot, Input::Operator { id, request });
     }
 
     /// Asks a node and waits for the answer.
     pub fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
-        self.ask(slot, id, partition, change);
+        self.submit(slot, id, partition, change);
         for _ in 0..150 {
-            if let Some(outcome) = self.answers.remove(&id) {
+            if let Some(outcome) = self.outcomes.remove(&id) {
                 return outcome;
             }
             self.run_for(TICK);
@@ -174,39 +174,39 @@
             if at > end {
                 break;
             }
-            let (slot, what) = entry.remove();
+            let (slot, event) = entry.remove();
             self.now = at;
-            self.happen(slot, what);
+            self.process(slot, event);
         }
         self.now = end;
     }
 
-    fn push(&mut self, at: Duration, slot: usize, what: Happening) {
+    fn push(&mut self, at: Duration, slot: usize, event: ScheduledEvent) {
         self.serial += 1;
-        self.queue.insert((at, self.serial), (slot, what));
+        self.queue.insert((at, self.serial), (slot, event));
     }
 
-    fn happen(&mut self, slot: usize, what: Happening) {
-        match what {
-            Happening::Tick { run } if run == self.nodes[slot].run => {
+    fn process(&mut self, slot: usize, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Tick { run } if run == self.nodes[slot].run => {
                 self.step(slot, Input::Tick);
-                self.push(self.now + TICK, slot, Happening::Tick { run });
+                self.push(self.now + TICK, slot, ScheduledEvent::Tick { run });
             }
-            Happening::Synced { run, serial } if run == self.nodes[slot].run => {
+            ScheduledEvent::Synced { run, serial } if run == self.nodes[slot].run => {
                 self.sync(slot, serial);
                 self.step(slot, Input::Stored { serial });
             }
-            Happening::Heard { from, message } => {
+            ScheduledEvent::Received { from, message } => {
                 let message = *message;
                 self.step(slot, Input::MessageReceived { from, message });
             }
-            Happening::Tick { .. } | Happening::Synced { .. } => {}
+            ScheduledEvent::Tick { .. } | ScheduledEvent::Synced { .. } => {}
         }
     }
 
     fn sync(&mut self, slot: usize, serial: u64) {
         let node = &mut self.nodes[slot];
-        let synced = |(known, _): &mut (u64, Vec<u8>)| *known <= serial;
+        let synced = |(disk_replica, _): &mut (u64, Vec<u8>)| *disk_replica <= serial;
         while let Some((_, record)) = node.unsynced.pop_front_if(synced) {
             node.disk.push(record);
         }
@@ -214,41 +214,42 @@
 
     fn step(&mut self, slot: usize, input: Input) {
         let now = self.now;
-        let Some(part) = &mut self.nodes[slot].part else {
+        let Some(control_node) = &mut self.nodes[slot].control_node else {
             return;
         };
-        let outputs = part.handle(now, input);
-        let from = part.me();
+        let outputs = control_node.handle(now, input);
+        let from = control_node.me();
         let run = self.nodes[slot].run;
         for output in outputs {
             match output {
-                Output::Send { to, message } => self.tell(slot, from, to, message),
+                Output::Send { to, message } => self.deliver(slot, from, to, message),
                 Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                     self.nodes[slot].unsynced.push_back((serial, record));
-                    self.push(now + SYNC, slot, Happening::Synced { run, serial });
+                    self.push(now + SYNC, slot, ScheduledEvent::Synced { run, serial });
                 }
                 Output::OperatorResponse {
                     id,
                     response: OperatorResponse::ChangeOutcome(outcome),
                 } => {
-                    self.answers.insert(id, outcome);
+                    self.outcomes.insert(id, outcome);
                 }
                 _ => {}
             }
         }
     }
 
-    fn tell(&mut self, slot: usize, from: Peer, to: SocketAddr, message: Message) {
+    fn deliver(&mut self, slot: usize, from: Peer, to: SocketAddr, message: Message) {
         let Some(to) = (0..SLOTS).find(|slot| address(*slot) == to) else {
             return;
         };
-        let cut = to != slot && (self.isolated.contains(&slot) || self.isolated.contains(&to));
+        let partitioned =
+            to != slot && (self.isolated.contains(&slot) || self.isolated.contains(&to));
         let lost = self.replies_lost && matches!(message, Message::ChangeReply(_));
-        if cut || lost {
+        if partitioned || lost {
             return;
         }
         let message = Box::new(message);
-        let heard = Happening::Heard { from, message };
-        self.push(self.now + DELAY, to, heard);
+        let event = ScheduledEvent::Received { from, message };
+        self.push(self.now + DELAY, to, event);
     }
 }
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -1,7 +1,7 @@
 use super::cluster::Cluster;
 use crate::prelude::*;
 
-const PATIENT: Duration = Duration::from_secs(4);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 fn group(name: &str, revision: u64, rate: u32) -> Item {
     let text: Arc<str> =
@@ -15,8 +15,8 @@
     }
 }
 
-fn items(list: Vec<Item>) -> Change {
-    Change::PutItems { items: list }
+fn items(entries: Vec<Item>) -> Change {
+    Change::PutItems { items: entries }
 }
 
 fn document(path: &str, expect: Option<u64>, change: u64) -> Change {
@@ -72,85 +72,85 @@
 }
 
 #[test]
-fn of_two_operators_under_one_revision_at_two_nodes_one_is_confirmed_and_the_other_named() {
+fn concurrent_revisions_yield_one_acknowledgement_and_one_conflict() {
     for first in 0..3 {
         let mut cluster = Cluster::new();
         let second = cluster.other(first);
-        cluster.ask(
+        cluster.submit(
             first,
             1,
             CONFIGURATION_PARTITION,
             items(vec![group("s", 7, 1)]),
         );
-        cluster.ask(
+        cluster.submit(
             second,
             2,
             CONFIGURATION_PARTITION,
             items(vec![group("s", 7, 2)]),
         );
-        cluster.run_for(PATIENT);
-        let told: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.answers[id]).collect();
-        let settled = told
+        cluster.run_for(REPLY_TIMEOUT);
+        let outcome: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.outcomes[id]).collect();
+        let settled = outcome
             .iter()
-            .filter(|told| matches!(told, ChangeOutcome::Acknowledged { .. }));
-        assert_eq!(settled.count(), 1, "{told:?}");
-        let conflict = told
+            .filter(|outcome| matches!(outcome, ChangeOutcome::Acknowledged { .. }));
+        assert_eq!(settled.count(), 1, "{outcome:?}");
+        let conflict = outcome
             .iter()
-            .find(|told| matches!(told, ChangeOutcome::RevisionConflict(_)));
+            .find(|outcome| matches!(outcome, ChangeOutcome::RevisionConflict(_)));
         assert_conflict(conflict.expect("the other"), "the other");
     }
 }
 
 #[test]
-fn one_order_at_all_nodes_at_once_is_acknowledged_by_each() {
+fn same_change_at_every_node_is_acknowledged_by_each() {
     let mut cluster = Cluster::new();
     for slot in 0..3 {
         let id = slot as u64;
-        cluster.ask(
+        cluster.submit(
             slot,
             id,
             CONFIGURATION_PARTITION,
             items(vec![group("s", 7, 1)]),
         );
-        cluster.ask(slot, 10 + id, ORIGINS_PARTITION, origins("o", Some(0), 5));
+        cluster.submit(slot, 10 + id, ORIGINS_PARTITION, origins("o", Some(0), 5));
     }
-    cluster.run_for(PATIENT);
-    for (id, outcome) in &cluster.answers {
+    cluster.run_for(REPLY_TIMEOUT);
+    for (id, outcome) in &cluster.outcomes {
         assert_settled(outcome, &format!("call {id}"));
     }
-    assert_eq!(cluster.answers.len(), 6);
+    assert_eq!(cluster.outcomes.len(), 6);
 }
 
 #[test]
-fn eight_orders_under_way_at_once_are_each_acknowledged_and_again_after_their_answers_were_lost() {
+fn concurrent_changes_are_acknowledged_again_after_lost_replies() {
     let mut cluster = Cluster::new();
     let order = |at: u64| items(vec![group(&format!("s{at}"), 1, 1), group("s", at + 1, 1)]);
     cluster.replies_lost = true;
     for at in 0..8 {
-        cluster.ask(at as usize % 3, at, CONFIGURATION_PARTITION, order(at));
+        cluster.submit(at as usize % 3, at, CONFIGURATION_PARTITION, order(at));
     }
     cluster.run_for(Duration::from_millis(300));
-    assert!(cluster.answers.is_empty());
+    assert!(cluster.outcomes.is_empty());
     cluster.replies_lost = false;
     for at in 0..8 {
-        let told = cluster.outcome((at as usize + 1) % 3, CONFIGURATION_PARTITION, order(at));
-        assert_settled(&told, &format!("order {at}"));
+        let outcome = cluster.outcome((at as usize + 1) % 3, CONFIGURATION_PARTITION, order(at));
+        assert_settled(&outcome, &format!("order {at}"));
     }
 }
 
 /// The leader ends at each moment from an order's arrival until it is settled;
 /// with its disk, or without it. The order is sent again to another node.
 #[test]
-fn an_order_whose_answer_was_lost_at_any_step_is_acknowledged_when_it_is_sent_again() {
+fn retried_change_is_acknowledged_after_reply_loss_at_any_step() {
     for wiped in [false, true] {
         for lost_at in 0..16 {
             let what = format!("wiped: {wiped}, lost after {lost_at} ms");
             let mut cluster = Cluster::new();
             let leader = cluster.leader(CONFIGURATION_PARTITION).unwrap();
-            let asked = cluster.other(leader);
+            let contacted = cluster.other(leader);
             cluster.replies_lost = true;
-            cluster.ask(
-                asked,
+            cluster.submit(
+                contacted,
                 1,
                 CONFIGURATION_PARTITION,
                 items(vec![group("s", 7, 1)]),
@@ -162,39 +162,39 @@
                 cluster.kill(leader);
             }
             cluster.replies_lost = false;
-            let next = cluster.other(asked);
-            let next = if next == leader { asked } else { next };
-            let told =
+            let next = cluster.other(contacted);
+            let next = if next == leader { contacted } else { next };
+            let outcome =
                 cluster.outcome(next, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)]));
-            assert_settled(&told, &what);
+            assert_settled(&outcome, &what);
             cluster.start(leader);
-            cluster.run_for(PATIENT);
-            let told = cluster.outcome(
+            cluster.run_for(REPLY_TIMEOUT);
+            let outcome = cluster.outcome(
                 leader,
                 CONFIGURATION_PARTITION,
                 items(vec![group("s", 7, 1)]),
             );
-            assert_settled(&told, &what);
-            let told = cluster.outcome(
+            assert_settled(&outcome, &what);
+            let outcome = cluster.outcome(
                 leader,
                 CONFIGURATION_PARTITION,
                 items(vec![group("s", 7, 2)]),
             );
-            assert_conflict(&told, &what);
+            assert_conflict(&outcome, &what);
         }
     }
 }
 
 #[test]
-fn what_was_accepted_is_known_after_newer_ones_restarts_and_lost_disks() {
+fn accepted_revisions_survive_restarts_and_disk_loss() {
     let mut cluster = Cluster::new();
     for revision in 1..=3 {
-        let told = cluster.outcome(
+        let outcome = cluster.outcome(
             0,
             CONFIGURATION_PARTITION,
             items(vec![group("s", revision, revision as u32)]),
         );
-        assert_settled(&told, "put");
+        assert_settled(&outcome, "put");
     }
     let check = |cluster: &mut Cluster, what: &str| {
         for revision in 1..=3 {
@@ -209,20 +209,20 @@
     check(&mut cluster, "at once");
     (0..3).for_each(|slot| cluster.kill(slot));
     (0..3).for_each(|slot| cluster.start(slot));
-    cluster.run_for(PATIENT);
+    cluster.run_for(REPLY_TIMEOUT);
     check(&mut cluster, "after a restart of all");
     for slot in 0..3 {
         cluster.wipe(slot);
         cluster.run_for(Duration::from_secs(2));
         cluster.start(slot);
-        cluster.run_for(PATIENT);
+        cluster.run_for(REPLY_TIMEOUT);
         check(&mut cluster, "after each disk in turn was lost");
     }
 }
 
 /// A document or a list that names the version it replaces.
 #[test]
-fn a_document_or_list_sent_again_after_a_takeover_is_acknowledged_under_its_first_version() {
+fn retry_after_takeover_reports_original_version() {
     for (partition, make) in [
         (
             CONFIGURATION_PARTITION,
@@ -243,17 +243,17 @@
             }
             let leader = cluster.leader(partition).unwrap();
             cluster.kill(leader);
-            cluster.run_for(PATIENT);
-            let asked = cluster.other(leader);
-            let told = cluster.outcome(asked, partition, make("/a/", Some(0), 5));
-            assert_eq!(version(&told), first, "{what}");
-            let told = cluster.outcome(asked, partition, make("/c/", Some(0), 9));
+            cluster.run_for(REPLY_TIMEOUT);
+            let contacted = cluster.other(leader);
+            let outcome = cluster.outcome(contacted, partition, make("/a/", Some(0), 5));
+            assert_eq!(version(&outcome), first, "{what}");
+            let outcome = cluster.outcome(contacted, partition, make("/c/", Some(0), 9));
             assert!(
-                matches!(told, ChangeOutcome::VersionConflict { version, .. } if version == stands),
-                "{what}: {told:?}"
+                matches!(outcome, ChangeOutcome::VersionConflict { version, .. } if version == stands),
+                "{what}: {outcome:?}"
             );
-            let told = cluster.outcome(asked, partition, make("/c/", Some(stands), 9));
-            assert_settled(&told, &what);
+            let outcome = cluster.outcome(contacted, partition, make("/c/", Some(stands), 9));
+            assert_settled(&outcome, &what);
         }
     }
 }
@@ -261,27 +261,27 @@
 /// Sent twice by the node itself, since the first answer was lost: another
 /// change came first, and that is what the operator is told.
 #[test]
-fn a_change_that_lost_a_race_is_told_so_also_when_it_had_to_be_sent_again() {
+fn retried_change_that_lost_race_gets_version_conflict() {
     let mut cluster = Cluster::new();
     assert_settled(
         &cluster.outcome(0, CONFIGURATION_PARTITION, document("/a/", Some(0), 5)),
         "first",
     );
     cluster.replies_lost = true;
-    cluster.ask(1, 1, CONFIGURATION_PARTITION, document("/b/", Some(0), 6));
+    cluster.submit(1, 1, CONFIGURATION_PARTITION, document("/b/", Some(0), 6));
     cluster.run_for(Duration::from_millis(600));
     cluster.replies_lost = false;
-    cluster.run_for(PATIENT);
-    let told = &cluster.answers[&1];
+    cluster.run_for(REPLY_TIMEOUT);
+    let outcome = &cluster.outcomes[&1];
     assert!(
-        matches!(told, ChangeOutcome::VersionConflict { .. }),
-        "{told:?}"
+        matches!(outcome, ChangeOutcome::VersionConflict { .. }),
+        "{outcome:?}"
     );
 }
 
 /// A leader that is cut off does not know what was accepted after it.
 #[test]
-fn a_leader_that_is_cut_off_refuses_nothing() {
+fn isolated_leader_reports_unknown_instead_of_refusal() {
     let mut cluster = Cluster::new();
     assert_settled(
         &cluster.outcome(0, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)])),
@@ -289,13 +289,13 @@
     );
     let old = cluster.leader(CONFIGURATION_PARTITION).unwrap();
     cluster.isolated.insert(old);
-    cluster.ask(
+    cluster.submit(
         old,
         1,
         CONFIGURATION_PARTITION,
         items(vec![group("s", 7, 2)]),
     );
-    cluster.ask(
+    cluster.submit(
         old,
         2,
         CONFIGURATION_PARTITION,
@@ -313,15 +313,15 @@
         source: text,
         ..orphan
     };
-    cluster.ask(old, 3, CONFIGURATION_PARTITION, items(vec![orphan]));
+    cluster.submit(old, 3, CONFIGURATION_PARTITION, items(vec![orphan]));
     cluster.run_for(Duration::from_secs(14));
     for id in [1, 2, 3] {
-        assert_eq!(cluster.answers[&id], ChangeOutcome::Unknown, "call {id}");
+        assert_eq!(cluster.outcomes[&id], ChangeOutcome::Unknown, "call {id}");
     }
 }
 
 #[test]
-fn memory_of_applied_changes_is_bounded_and_says_from_where_it_is_complete() {
+fn applied_changes_are_bounded_and_report_completeness() {
     let mut applied = AppliedChanges::default();
     for change in 1..=2 * APPLIED_CHANGES as u64 {
         applied.remember(change, change * 2);
@@ -338,7 +338,7 @@
 /// edge that is slow to apply it must not hold that up: an origin that leaves
 /// meanwhile would be heard of too late.
 #[test]
-fn a_list_of_origins_is_acknowledged_on_a_majority_while_an_edge_is_slow_to_apply_it() {
+fn committed_acknowledgement_of_origins_ignores_slow_edge() {
     const SLOW: Duration = Duration::from_secs(1);
     for (acknowledge, within) in [
         (Acknowledge::Settled, false),
@@ -361,15 +361,15 @@
             change,
             acknowledge,
         };
-        cluster.ask(0, 1, ORIGINS_PARTITION, put);
+        cluster.submit(0, 1, ORIGINS_PARTITION, put);
         cluster.renew_without_applying(SLOW);
         assert_eq!(
-            cluster.answers.contains_key(&1),
+            cluster.outcomes.contains_key(&1),
             within,
             "{acknowledge:?} within {SLOW:?}"
         );
         // The edge lapses: then it holds up nothing.
-        cluster.run_for(PATIENT);
-        assert_settled(&cluster.answers[&1], "in the end");
+        cluster.run_for(REPLY_TIMEOUT);
+        assert_settled(&cluster.outcomes[&1], "in the end");
     }
 }
--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -10,24 +10,24 @@
 
 /// A member vouches only for those it heard within this span: by the time that
 /// we take a member for gone ourselves, nobody vouches for it any more.
-const VOUCH: Duration =
+const CANDIDATE_TIMEOUT: Duration =
     lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
 impl ControlNode {
     /// Slots whose heartbeats came within the span, our own among them.
-    pub(super) fn hears(&self, now: Duration, span: Duration) -> SlotSet {
+    pub(super) fn recently_heard(&self, now: Duration, span: Duration) -> SlotSet {
         let near = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.heard_within(now, span));
+            .filter(|(_, peer)| peer.heartbeat_within(now, span));
         near.map(|(slot, _)| *slot).chain([self.slot]).collect()
     }
 
     /// Slots that we hear and that hear us, our own among them.
-    pub(super) fn contacts(&self, now: Duration) -> SlotSet {
-        let hears = self.hears(now, lease::CONTROL_PEER_TIMEOUT);
+    pub(super) fn mutual_contacts(&self, now: Duration) -> SlotSet {
+        let hears = self.recently_heard(now, lease::CONTROL_PEER_TIMEOUT);
         let both_ways = hears.iter().filter(|slot| {
-            let hears_us = |peer: &PeerStatus| peer.hears.contains(self.slot);
+            let hears_us = |peer: &PeerStatus| peer.heard_slots.contains(self.slot);
             *slot == self.slot || self.peers.get(slot).is_some_and(hears_us)
         });
         both_ways.collect()
@@ -36,20 +36,20 @@
     /// Whether a majority of the table is in contact with us. Without it, this
     /// node can neither confirm nor refuse anything.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
-        self.contacts(now).len() >= self.quorum().most()
+        self.mutual_contacts(now).len() >= self.quorum().most()
     }
 
     /// Whether this node may lead a partition.
     pub(super) fn may_lead(&self, now: Duration) -> bool {
-        self.is_full(self.slot) && self.is_promising_majority(self.contacts(now))
+        self.has_full_disk(self.slot) && self.is_voting_majority(self.mutual_contacts(now))
     }
 
     /// Whether these slots make a majority of disks that promise and keep, as
     /// far as known here; one that is about to end still does. Of a slot that
     /// is not in contact with us the best is assumed.
-    fn is_promising_majority(&self, slots: SlotSet) -> bool {
+    fn is_voting_majority(&self, slots: SlotSet) -> bool {
         let promises = |slot: &u8| match self.peers.get(slot) {
-            _ if *slot == self.slot => self.able(),
+            _ if *slot == self.slot => self.can_vote(),
             Some(peer) => !peer.blank,
             None => true,
         };
@@ -57,9 +57,9 @@
     }
 
     /// Whether the disk of a slot is full and its node goes on.
-    fn is_full(&self, slot: u8) -> bool {
+    fn has_full_disk(&self, slot: u8) -> bool {
         if slot == self.slot {
-            return self.able() && self.warned.is_none();
+            return self.can_vote() && self.shutdown_requested_at.is_none();
         }
         self.peers.get(&slot).is_none_or(|peer| peer.full)
     }
@@ -67,31 +67,31 @@
     /// Members in contact with us, heard within the span, that may lead. All
     /// judge that by the same heartbeats, so they agree as soon as those came.
     fn eligible_contacts(&self, now: Duration, span: Duration) -> SlotSet {
-        let heard = self.hears(now, span);
-        let eligible = self.contacts(now).iter().filter(|slot| {
+        let heard = self.recently_heard(now, span);
+        let eligible = self.mutual_contacts(now).iter().filter(|slot| {
             if *slot == self.slot {
                 return self.may_lead(now);
             }
             let may_lead =
-                |peer: &PeerStatus| peer.full && self.is_promising_majority(peer.contacts);
+                |peer: &PeerStatus| peer.full && self.is_voting_majority(peer.mutual_contacts);
             heard.contains(*slot) && self.peers.get(slot).is_some_and(may_lead)
         });
         eligible.collect()
     }
 
     /// Members for which we vouch to others.
-    pub(super) fn vouched(&self, now: Duration) -> SlotSet {
-        self.eligible_contacts(now, VOUCH)
+    pub(super) fn leader_candidates(&self, now: Duration) -> SlotSet {
+        self.eligible_contacts(now, CANDIDATE_TIMEOUT)
     }
 
     /// All members that may lead. Who is in contact with us is judged by
     /// itself alone; for others, who is in contact with us vouches.
-    pub(super) fn eligible(&self, now: Duration) -> SlotSet {
-        let contacts = self.contacts(now);
+    pub(super) fn eligible_leaders(&self, now: Duration) -> SlotSet {
+        let contacts = self.mutual_contacts(now);
         let vouched = contacts
             .iter()
             .filter_map(|slot| self.peers.get(&slot))
-            .map(|peer| peer.vouched)
+            .map(|peer| peer.leader_candidates)
             .fold(SlotSet::default(), SlotSet::union);
         let elsewhere = vouched.without(contacts);
         self.eligible_contacts(now, lease::CONTROL_PEER_TIMEOUT)
@@ -100,12 +100,12 @@
 
     /// The slot that shall lead a partition: by weight over those that may.
     /// None while nobody may, as far as known here.
-    pub(super) fn chosen(&self, now: Duration, partition: u8) -> Option<u8> {
-        self.chosen_among(self.eligible(now), partition)
+    pub(super) fn preferred_leader(&self, now: Duration, partition: u8) -> Option<u8> {
+        self.preferred_leader_among(self.eligible_leaders(now), partition)
     }
 
     /// The same, for who asks for several partitions at once.
-    pub(super) fn chosen_among(&self, eligible: SlotSet, partition: u8) -> Option<u8> {
+    pub(super) fn preferred_leader_among(&self, eligible: SlotSet, partition: u8) -> Option<u8> {
         let name = format!("slice/{partition}");
         let known = |slot: &u8| usize::from(*slot) < self.members.len();
         let eligible = eligible.iter().filter(known);
@@ -115,11 +115,11 @@
     /// Whom to tell what is meant for a slot: itself, or a member in contact
     /// with both of us.
     pub(super) fn next_hop(&self, now: Duration, slot: u8) -> Option<u8> {
-        let contacts = self.contacts(now);
+        let contacts = self.mutual_contacts(now);
         if contacts.contains(slot) {
             return Some(slot);
         }
-        let reaches = |peer: &PeerStatus| peer.contacts.contains(slot);
+        let reaches = |peer: &PeerStatus| peer.mutual_contacts.contains(slot);
         contacts
             .iter()
             .find(|between| self.peers.get(between).is_some_and(reaches))
--- a/control-plane/src/control_node/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -4,14 +4,14 @@
 
 impl ControlNode {
     /// All sessions renew now, with a mark of this moment.
-    pub(super) fn ask_all(&mut self) {
-        let renewal_token = self.sessions.renewal_token();
+    pub(super) fn request_renewals(&mut self) {
+        let renewal_token = self.sessions.issue_token();
         for edge in self.sessions.addresses() {
-            self.tell(edge, RenewPrompt { renewal_token });
+            self.send(edge, RenewPrompt { renewal_token });
         }
     }
 
-    pub(super) fn renew(&mut self, now: Duration, from: Peer, renew: RenewRequest) {
+    pub(super) fn handle_renew_request(&mut self, now: Duration, from: Peer, renew: RenewRequest) {
         let mine = self.replica.generation();
         // An edge of another generation takes everything anew.
         let known: &[u64] = if renew.generation == mine || mine == 0 {
@@ -20,7 +20,7 @@
             &[]
         };
         let updates = self.update_replies.reply(now, from, known, &self.replica);
-        let recall = now < self.closed;
+        let recall = now < self.ledger_closed_until;
         let founded = renew.generation == 0 || mine != 0;
         let RenewRequest {
             sent,
@@ -51,7 +51,7 @@
             },
             heard,
         ) {
-            self.note(Event::SessionOpened, from.to_string());
+            self.log_event(Event::SessionOpened, from.to_string());
         }
         // An edge of an earlier generation is heard, but not live by us, until there
         // is a new one for it to enter.
@@ -63,8 +63,8 @@
         let Some(updates) = updates else {
             return;
         };
-        let renewal_token = self.sessions.renewal_token();
-        self.tell(
+        let renewal_token = self.sessions.issue_token();
+        self.send(
             from.address,
             RenewReply {
                 incarnation: from.incarnation,
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -5,7 +5,7 @@
 impl ControlNode {
     /// Operations: those whose edge is gone become unknown; final ones are
     /// dropped when they have stood their time under this owner.
-    pub(super) fn sweep(&mut self, now: Duration) {
+    pub(super) fn expire_operations(&mut self, now: Duration) {
         let mut notes = Vec::new();
         let quorum = self.quorum();
         for (partition, leader) in self
@@ -21,7 +21,7 @@
                     continue;
                 };
                 if operation.state == OperationState::Running {
-                    if self.sessions.gone(now, operation.claimant, quorum) {
+                    if self.sessions.has_departed(now, operation.claimant, quorum) {
                         lost.push((key.clone(), operation.clone()));
                     }
                     continue;
@@ -48,17 +48,17 @@
             }
             for key in old {
                 finished_since.remove(&key);
-                leader.drop_row(&key);
+                leader.remove_row(&key);
             }
         }
         for text in notes {
-            self.note(Event::OperationAbandoned, text);
+            self.log_event(Event::OperationAbandoned, text);
         }
     }
 
-    pub(super) fn majority_lost(&mut self, now: Duration) {
-        if now >= self.closed {
-            self.note(
+    pub(super) fn close_ledger(&mut self, now: Duration) {
+        if now >= self.ledger_closed_until {
+            self.log_event(
                 Event::MajorityLost,
                 format!(
                     "unknown operations are not run for {:?}",
@@ -66,64 +66,66 @@
                 ),
             );
         }
-        self.closed = now + lease::LEDGER_CLOSED_AFTER_LOSS;
+        self.ledger_closed_until = now + lease::LEDGER_CLOSED_AFTER_LOSS;
     }
 
     /// Whether the ledger of this generation is known to be complete.
-    pub(super) fn open(&self) -> bool {
-        self.generation != 0 && self.replica.opened() == self.generation && self.refound.is_none()
+    pub(super) fn is_ledger_open(&self) -> bool {
+        self.generation != 0
+            && self.replica.opened_generation() == self.generation
+            && self.refound_after.is_none()
     }
 
     /// The generation whose acknowledged rows may be lost, as far as known here.
-    pub(super) fn lost(&self) -> u64 {
-        let known =
-            Some(self.replica.lost).filter(|generation| *generation == self.replica.generation());
-        self.refound.or(known).unwrap_or(0)
+    pub(super) fn lost_generation(&self) -> u64 {
+        let known = Some(self.replica.lost_generation)
+            .filter(|generation| *generation == self.replica.generation());
+        self.refound_after.or(known).unwrap_or(0)
     }
 
     /// Another knows that a majority of disks was lost: said with every
     /// promise, so that no partition is taken in ignorance of it.
-    pub(super) fn note_loss(&mut self, now: Duration, generation: u64) {
-        if generation != 0 && generation == self.generation && self.refound.is_none() {
-            self.majority_lost(now);
-            self.refound = Some(generation);
+    pub(super) fn on_loss_reported(&mut self, now: Duration, generation: u64) {
+        if generation != 0 && generation == self.generation && self.refound_after.is_none() {
+            self.close_ledger(now);
+            self.refound_after = Some(generation);
         }
     }
 
     /// Partitions that were founded, or lost a majority of their disks, first
     /// take back from the edges what those were shown.
-    pub(super) fn recollect(&mut self, now: Duration) {
+    pub(super) fn recall_rows(&mut self, now: Duration) {
         if self.generation != self.replica.generation() {
             self.generation = self.replica.generation();
-            self.entered = now;
-            self.refound =
-                Some(self.replica.lost).filter(|generation| *generation == self.generation);
-            if self.replica.opened() != self.generation || self.refound.is_some() {
+            self.generation_entered_at = now;
+            self.refound_after = Some(self.replica.lost_generation)
+                .filter(|generation| *generation == self.generation);
+            if self.replica.opened_generation() != self.generation || self.refound_after.is_some() {
                 // A first founding looks like the loss of everything.
-                self.majority_lost(now);
+                self.close_ledger(now);
                 // An owner that lost nothing itself knows the roll as it was.
                 let owner = self
                     .leaders
                     .get(&ASSIGNMENTS_PARTITION)
-                    .filter(|leader| leader.ready() && leader.wary.is_none());
-                self.before = owner
+                    .filter(|leader| leader.ready() && leader.recall_until.is_none());
+                self.registry_before_loss = owner
                     .and_then(PartitionLeader::edge_registry)
-                    .or(self.before.take());
+                    .or(self.registry_before_loss.take());
             }
         }
-        if self.open() {
-            self.closed = Duration::ZERO;
-            self.before = None;
+        if self.is_ledger_open() {
+            self.ledger_closed_until = Duration::ZERO;
+            self.registry_before_loss = None;
         }
-        if let Some(after) = self.refound {
+        if let Some(after) = self.refound_after {
             let ask = ChangeRequest {
                 requester: self.address,
-                id: changes::NOBODY_WAITS,
+                id: changes::NO_REQUESTER_ID,
                 hops: 0,
                 partition: CONFIGURATION_PARTITION,
                 change: Change::Refound { after },
             };
-            self.tell(self.address, ask);
+            self.send(self.address, ask);
         }
         let mut before = None;
         let mut told = Vec::new();
@@ -142,20 +144,20 @@
         for (partition, leader) in self
             .leaders
             .iter_mut()
-            .filter(|(_, leader)| leader.ready() && leader.wary.is_some())
+            .filter(|(_, leader)| leader.ready() && leader.recall_until.is_some())
         {
             if *partition < PUBLISHED_PARTITIONS {
                 told.extend(
                     self.sessions
-                        .beyond(*partition, leader.version)
+                        .ahead_of(*partition, leader.version)
                         .into_iter()
                         .map(|edge| (edge, *partition)),
                 );
             }
             // The ledger opens once the generation tells whether anything was lost.
             let may = *partition < PUBLISHED_PARTITIONS || self.generation != 0;
-            if may && leader.wary.is_some_and(|until| now >= until) {
-                leader.wary = None;
+            if may && leader.recall_until.is_some_and(|until| now >= until) {
+                leader.recall_until = None;
                 before = leader.edge_registry().or(before);
                 leader.put("founded".into(), Value::Founded { generation });
                 if *partition == CONFIGURATION_PARTITION {
@@ -163,12 +165,12 @@
                 }
             }
         }
-        self.before = before.or(self.before.take());
+        self.registry_before_loss = before.or(self.registry_before_loss.take());
         for (edge, partition) in told {
-            self.tell(edge, RecallRequest { partition });
+            self.send(edge, RecallRequest { partition });
         }
         for text in notes {
-            self.note(Event::GenerationFounded, text);
+            self.log_event(Event::GenerationFounded, text);
         }
     }
 
@@ -181,13 +183,13 @@
         let Some(leader) = self
             .leaders
             .get_mut(&partition)
-            .filter(|leader| leader.wary.is_some() && leader.version < version)
+            .filter(|leader| leader.recall_until.is_some() && leader.version < version)
         else {
             return;
         };
-        let newer = leader.recall(version, rows);
-        self.granted = self.sessions.renewal_tokens();
-        self.note(
+        let newer = leader.merge_recalled_rows(version, rows);
+        self.tokens_at_grant = self.sessions.issued_tokens();
+        self.log_event(
             Event::RowsRecalled,
             format!("slice {partition}: {newer} rows up to version {version}"),
         );
@@ -206,8 +208,8 @@
                 seen.peer == *peer && seen.generation == self.generation && seen.recall_complete
             })
         };
-        if let Some((members, gone, true)) = &self.before
-            && now < self.closed
+        if let Some((members, gone, true)) = &self.registry_before_loss
+            && now < self.ledger_closed_until
             && Generation::again(self.generation)
             && gone.is_empty()
             && !members.is_empty()
@@ -219,13 +221,13 @@
                     generation: self.generation,
                 },
             );
-            self.before = None;
+            self.registry_before_loss = None;
             notes.push("all of the roll told what they knew");
         }
-        if self.fresh
+        if self.first_fleet_start
             && self.generation != 0
             && !Generation::again(self.generation)
-            && leader.opened() != self.generation
+            && leader.opened_generation() != self.generation
         {
             leader.put(
                 "opened".into(),
@@ -238,12 +240,12 @@
         // All that could come again has come.
         let over = now
             >= self
-                .closed
-                .max(self.entered + lease::LEDGER_CLOSED_AFTER_LOSS);
+                .ledger_closed_until
+                .max(self.generation_entered_at + lease::LEDGER_CLOSED_AFTER_LOSS);
         if self.generation != 0
-            && self.replica.opened() != self.generation
+            && self.replica.opened_generation() != self.generation
             && over
-            && leader.opened() != self.generation
+            && leader.opened_generation() != self.generation
         {
             leader.put(
                 "opened".into(),
@@ -261,26 +263,27 @@
             .map(|seen| seen.peer)
             .collect();
         for peer in known {
-            if !members.contains(&peer) && self.sessions.gone(now, peer, quorum) {
+            if !members.contains(&peer) && self.sessions.has_departed(now, peer, quorum) {
                 gone.push(peer);
             } else {
                 members.insert(peer);
             }
         }
-        self.departed.retain(|peer, _| gone.contains(peer));
+        self.departed_since.retain(|peer, _| gone.contains(peer));
         for peer in &gone {
-            self.departed.entry(*peer).or_insert(now);
+            self.departed_since.entry(*peer).or_insert(now);
         }
         // Who is back in the same life has kept what it knows.
         gone.retain(|peer| {
-            !members.contains(peer) && now < self.departed[peer] + lease::LEDGER_CLOSED_AFTER_LOSS
+            !members.contains(peer)
+                && now < self.departed_since[peer] + lease::LEDGER_CLOSED_AFTER_LOSS
         });
         let members: Vec<Peer> = members.into_iter().collect();
         // Until the new generation has its name, the roll is the lost one's.
         let complete = if self.generation == 0 {
             complete
         } else {
-            leader.opened() == self.generation
+            leader.opened_generation() == self.generation
         };
         let value = Value::EdgeRegistry {
             members: members.clone(),
@@ -303,7 +306,7 @@
             leader.put("enrolled".into(), Value::Enrolled { members });
         }
         for why in notes {
-            self.note(
+            self.log_event(
                 Event::LedgerOpened,
                 format!("realm {}: {why}", Generation::name(self.generation)),
             );
@@ -311,7 +314,7 @@
     }
 
     /// Names the next generation, unless that was done since it was asked for.
-    pub(super) fn refound(&mut self, after: u64) {
+    pub(super) fn found_next_generation(&mut self, after: u64) {
         let generation = Generation::after(self.replica.generation(), self.replica.incarnation);
         let Some(leader) = self.leaders.get_mut(&CONFIGURATION_PARTITION) else {
             return;
@@ -322,16 +325,16 @@
             .is_some_and(|row| row.value == Value::Founded { generation: after })
         {
             leader.put("founded".into(), Value::Founded { generation });
-            self.note(Event::GenerationFounded, format!("realm {generation:016x}"));
+            self.log_event(Event::GenerationFounded, format!("realm {generation:016x}"));
         }
     }
 
     /// Another keeps the ledger closed for so long. The way the message took
     /// must not add to it, to and fro.
-    pub(super) fn extend_closing(&mut self, now: Duration, left: Duration) {
+    pub(super) fn extend_ledger_closure(&mut self, now: Duration, left: Duration) {
         const ON_THE_WAY: Duration = Duration::from_secs(1);
-        if !self.open() && now + left > self.closed + ON_THE_WAY {
-            self.closed = now + left;
+        if !self.is_ledger_open() && now + left > self.ledger_closed_until + ON_THE_WAY {
+            self.ledger_closed_until = now + left;
         }
     }
 }
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -5,38 +5,38 @@
 /// A slot not heard of for this long may go to an empty node that asks for one.
 /// A process that is only started again is back before, and one that was wrongly
 /// replaced comes back as an empty node.
-const LOST: Duration = Duration::from_secs(2);
+const MEMBER_LOSS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Since when this node hears the others without a pause of its own: one that
 /// was frozen has heard nobody for long, and that is no fault of theirs.
 #[derive(Debug, Default)]
-pub(super) struct Watch {
-    ticked: Option<Duration>,
-    since: Duration,
+pub(super) struct ContactWatch {
+    last_tick_at: Option<Duration>,
+    unpaused_since: Duration,
 }
 
-impl Watch {
+impl ContactWatch {
     pub(super) fn tick(&mut self, now: Duration) {
-        if !self.unbroken(now) {
-            self.since = now;
+        if !self.is_unpaused(now) {
+            self.unpaused_since = now;
         }
-        self.ticked = Some(now);
+        self.last_tick_at = Some(now);
     }
 
     /// About the present time.
     fn last_tick(&self) -> Duration {
-        self.ticked.unwrap_or_default()
+        self.last_tick_at.unwrap_or_default()
     }
 
     /// Whether the last tick was as lately as it should be.
-    fn unbroken(&self, now: Duration) -> bool {
-        self.ticked
+    fn is_unpaused(&self, now: Duration) -> bool {
+        self.last_tick_at
             .is_some_and(|ticked| now < ticked + lease::CONTROL_PEER_TIMEOUT)
     }
 
     /// Whether one last heard of at this time has been silent for long enough.
-    pub(super) fn lost(&self, now: Duration, heard: Duration) -> bool {
-        self.unbroken(now) && now >= heard.max(self.since) + LOST
+    pub(super) fn is_lost(&self, now: Duration, heard: Duration) -> bool {
+        self.is_unpaused(now) && now >= heard.max(self.unpaused_since) + MEMBER_LOSS_TIMEOUT
     }
 }
 
@@ -62,7 +62,7 @@
                 None
             }
             Message::MembershipTable(table) => {
-                self.handle_membership(now, table);
+                self.handle_membership_table(now, table);
                 None
             }
             Message::SlotOfferReply(reply) => {
@@ -79,7 +79,7 @@
             }
             _ if self.removed => None,
             other if self.slot == NO_SLOT => {
-                self.heard_without_slot(now, from, &other);
+                self.handle_message_without_slot(now, from, &other);
                 None
             }
             other => self.compare_tables(now, from, slot, other),
@@ -87,12 +87,12 @@
     }
 
     /// A node that holds no slot only looks for somebody who knows the table.
-    fn heard_without_slot(&mut self, now: Duration, from: Peer, message: &Message) {
+    fn handle_message_without_slot(&mut self, now: Duration, from: Peer, message: &Message) {
         match message {
-            Message::RecallReply(reply) => self.learn_table(now, reply),
+            Message::RecallReply(reply) => self.learn_recalled_table(now, reply),
             // After a loss of all disks nobody but the edges knows the table.
             Message::RenewRequest(_) if self.bootstrap.is_some() => {
-                self.tell(
+                self.send(
                     from.address,
                     RecallRequest {
                         partition: MEMBERSHIP_PARTITION,
@@ -104,9 +104,9 @@
                 let Some(bootstrap) = &mut self.bootstrap else {
                     return;
                 };
-                bootstrap.met_others();
+                bootstrap.note_existing_table();
                 let founding = bootstrap.founding && !self.replica.full;
-                self.tell(from.address, JoinRequest { founding });
+                self.send(from.address, JoinRequest { founding });
             }
             _ => {}
         }
@@ -131,11 +131,11 @@
         };
         let is_heartbeat = matches!(message, Message::Heartbeat(_));
         if version < self.membership_version {
-            self.tell(from.address, self.known_table());
+            self.send(from.address, self.current_table());
             return Some(message).filter(|_| is_heartbeat);
         }
         if is_heartbeat && version > self.membership_version {
-            self.tell(from.address, self.beat(now, slot.unwrap_or(NO_SLOT)));
+            self.send(from.address, self.heartbeat(now, slot.unwrap_or(NO_SLOT)));
         }
         Some(message)
     }
@@ -151,42 +151,42 @@
             incarnation: from.incarnation,
             full: heartbeat.full,
             blank: heartbeat.blank,
-            heard: now,
-            hears: heartbeat.heard_slots,
-            contacts: heartbeat.mutual_contacts,
-            vouched: heartbeat.leader_candidates,
-            got: heartbeat.acknowledged_sessions,
+            last_heartbeat: now,
+            heard_slots: heartbeat.heard_slots,
+            mutual_contacts: heartbeat.mutual_contacts,
+            leader_candidates: heartbeat.leader_candidates,
+            acknowledged_sessions: heartbeat.acknowledged_sessions,
         };
         self.peers.insert(slot, status);
-        self.extend_closing(now, heartbeat.ledger_closed_for);
-        self.note_loss(now, heartbeat.lost_generation);
+        self.extend_ledger_closure(now, heartbeat.ledger_closed_for);
+        self.on_loss_reported(now, heartbeat.lost_generation);
         if let Some(sessions) = heartbeat.sessions {
-            self.sessions.told(now, slot, sessions);
+            self.sessions.apply_delta(now, slot, sessions);
         }
     }
 
     /// The table of places is updates like any other: heeded once published.
-    pub(super) fn see_places(&mut self) {
+    pub(super) fn adopt_published_table(&mut self) {
         if let Some((version, members)) = self
             .replica
-            .members()
+            .published_members()
             .filter(|(version, _)| *version > self.membership_version)
         {
-            self.go_by(version, members);
+            self.adopt_table(version, members);
         }
     }
 
     /// Of a full disk: from now on nobody who goes by an older table gets a
     /// promise or has anything kept here.
-    pub(super) fn go_by(&mut self, version: u64, members: Vec<Peer>) {
+    pub(super) fn adopt_table(&mut self, version: u64, members: Vec<Peer>) {
         self.membership_version = version;
         if members == self.members {
             self.leaders
                 .values_mut()
-                .for_each(|leader| leader.go_by(version));
+                .for_each(|leader| leader.set_membership_version(version));
             return;
         }
-        self.table_since = self.watch.last_tick();
+        self.table_adopted_at = self.contact_watch.last_tick();
         let before = std::mem::replace(&mut self.members, members.clone());
         for slot in 0..before.len().max(members.len()) {
             let (old, new) = (before.get(slot), members.get(slot));
@@ -195,10 +195,10 @@
             }
             let was = old.map_or(String::new(), |old| format!(" from {old}"));
             let to = new.map_or(String::new(), Peer::to_string);
-            self.note(Event::MemberReplaced, format!("slot {slot}{was} to {to}"));
+            self.log_event(Event::MemberReplaced, format!("slot {slot}{was} to {to}"));
             let at = slot as u8;
-            self.met.remove(&at);
-            self.sessions.forget_slot(at);
+            self.last_messages.remove(&at);
+            self.sessions.remove_table(at);
             let Some(peer) = self.peers.remove(&at) else {
                 continue;
             };
@@ -206,7 +206,7 @@
                 .zip(new)
                 .is_some_and(|(old, new)| new.names(&Peer::new(old.address, peer.incarnation)));
             if !stays {
-                self.retire(peer.incarnation);
+                self.retire_incarnation(peer.incarnation);
             }
         }
         // What was promised and counted so far was counted by another table:
@@ -224,13 +224,15 @@
 
     /// What this disk said counts for nothing any more. Written down: whoever
     /// hears an acknowledgement of ours hears of this first, over our restarts.
-    pub(super) fn retire(&mut self, incarnation: u64) {
-        if incarnation == self.replica.incarnation || self.retired.contains(&incarnation) {
+    pub(super) fn retire_incarnation(&mut self, incarnation: u64) {
+        if incarnation == self.replica.incarnation
+            || self.retired_incarnations.contains(&incarnation)
+        {
             return;
         }
-        self.retired.push_back(incarnation);
-        while self.retired.len() > RETIRED {
-            self.retired.pop_front();
+        self.retired_incarnations.push_back(incarnation);
+        while self.retired_incarnations.len() > MAX_RETIRED_INCARNATIONS {
+            self.retired_incarnations.pop_front();
         }
         if self.replica.full {
             self.store(&Record::Retired { incarnation });
@@ -238,9 +240,9 @@
     }
 
     /// Another retired these.
-    pub(super) fn note_retired(&mut self, incarnations: &[u64]) {
+    pub(super) fn on_retired_reported(&mut self, incarnations: &[u64]) {
         for incarnation in incarnations {
-            self.retire(*incarnation);
+            self.retire_incarnation(*incarnation);
             let slots: Vec<u8> = self
                 .peers
                 .iter()
@@ -249,16 +251,16 @@
                 .collect();
             for slot in slots {
                 self.peers.remove(&slot);
-                self.sessions.forget_slot(slot);
+                self.sessions.remove_table(slot);
                 self.leaders
                     .values_mut()
-                    .for_each(|leader| leader.forget(slot));
+                    .for_each(|leader| leader.reset_replica(slot));
             }
         }
     }
 
     pub(super) fn retired_incarnations(&self) -> Vec<u64> {
-        self.retired.iter().copied().collect()
+        self.retired_incarnations.iter().copied().collect()
     }
 
     pub(super) fn mark_removed(&mut self) {
@@ -269,16 +271,16 @@
             self.pending_replies.clear();
             // Nobody answers those who asked here any more: at once, not when
             // they lose patience.
-            self.give_up_operator_calls();
-            self.note(Event::MemberRemoved, format!("slot {}", self.slot));
+            self.fail_operator_calls();
+            self.log_event(Event::MemberRemoved, format!("slot {}", self.slot));
         }
     }
 
     /// Another goes by a newer table.
-    pub(super) fn handle_membership(&mut self, now: Duration, table: MembershipTable) {
+    pub(super) fn handle_membership_table(&mut self, now: Duration, table: MembershipTable) {
         let MembershipTable { version, members } = table;
         if let Some(bootstrap) = &mut self.bootstrap {
-            bootstrap.met_others();
+            bootstrap.note_existing_table();
         }
         let slot = members
             .iter()
@@ -306,7 +308,7 @@
             members: members.clone(),
         });
         if self.replica.full && !self.members.is_empty() {
-            return self.go_by(version, members);
+            return self.adopt_table(version, members);
         }
         self.join_table(now, version, members, slot);
     }
@@ -323,21 +325,21 @@
             // It may have been met by others, who then retired this life.
             return self.mark_removed();
         }
-        self.table_since = now;
+        self.table_adopted_at = now;
         // Who was met by the older table may sit elsewhere by this one: that
         // retires nobody.
         self.peers.clear();
-        self.met.clear();
-        self.retired = self.replica.retired.clone();
+        self.last_messages.clear();
+        self.retired_incarnations = self.replica.retired.clone();
         self.slot = slot.unwrap_or(NO_SLOT);
         let blank = slot.filter(|_| !self.replica.full);
         self.recovery = blank.map(|slot| ReplicaRecovery::new(slot, self.members.len(), version));
-        self.sessions.begin(now);
+        self.sessions.restart(now);
     }
 
     /// Without a slot: the first seed of a founding makes the table, all others
     /// ask.
-    pub(super) fn ask_for_slot(&mut self, now: Duration) {
+    pub(super) fn request_slot(&mut self, now: Duration) {
         let first = self.seeds.first() == Some(&self.address)
             && self.members.is_empty()
             && !self.replica.full;
@@ -345,14 +347,14 @@
             .bootstrap
             .as_mut()
             .filter(|_| first)
-            .and_then(|bootstrap| bootstrap.table(now, &self.seeds));
+            .and_then(|bootstrap| bootstrap.founding_table(now, &self.seeds));
         if let Some(members) = table {
             self.store(&Record::Founding {
                 members: members.clone(),
             });
             for peer in &members {
                 if peer.address != self.address {
-                    self.tell_synced(
+                    self.send_after_sync(
                         peer.address,
                         MembershipTable {
                             version: 0,
@@ -378,7 +380,7 @@
             .filter(|one| *one != self.address)
             .collect();
         for one in asked {
-            self.tell(one, JoinRequest { founding });
+            self.send(one, JoinRequest { founding });
         }
     }
 
@@ -389,14 +391,14 @@
             .as_mut()
             .filter(|_| founding && self.slot == NO_SLOT)
         {
-            bootstrap.enlist(from.address);
+            bootstrap.add_joiner(from.address);
         }
         if self.slot == NO_SLOT {
             return;
         }
         if self.members.iter().any(|peer| peer.names(&from)) {
             // Also one that was removed may know. The founder's own table is on its disk before it is told.
-            return self.tell_synced(from.address, self.known_table());
+            return self.send_after_sync(from.address, self.current_table());
         }
         if self.removed {
             return;
@@ -404,7 +406,7 @@
         // To the owner, through our own door; nobody pending_replies for it.
         let ask = ChangeRequest {
             requester: self.address,
-            id: changes::NOBODY_WAITS,
+            id: changes::NO_REQUESTER_ID,
             hops: 0,
             partition: MEMBERSHIP_PARTITION,
             change: Change::JoinRequest {
@@ -412,10 +414,10 @@
                 founding,
             },
         };
-        self.tell(self.address, ask);
+        self.send(self.address, ask);
     }
 
-    pub(super) fn known_table(&self) -> MembershipTable {
+    pub(super) fn current_table(&self) -> MembershipTable {
         MembershipTable {
             version: self.membership_version,
             members: self.members.clone(),
@@ -423,7 +425,7 @@
     }
 
     /// An edge told who holds the slots, which nobody else knows here.
-    pub(super) fn learn_table(&mut self, now: Duration, recalled: &RecallReply) {
+    pub(super) fn learn_recalled_table(&mut self, now: Duration, recalled: &RecallReply) {
         let table = recalled.rows.iter().find_map(|(_, row)| match &row.value {
             Value::Members(members) if recalled.partition == MEMBERSHIP_PARTITION => {
                 Some((row.version, members.clone()))
@@ -431,17 +433,17 @@
             _ => None,
         });
         if let Some((version, members)) = table.filter(|_| self.bootstrap.is_some()) {
-            self.handle_membership(now, MembershipTable { version, members });
+            self.handle_membership_table(now, MembershipTable { version, members });
         }
     }
 
     /// The table becomes a row, so that edges learn it: a first one that was
     /// founded is in no row yet, and one may have been lost with a majority.
-    pub(super) fn write_table(&mut self) {
+    pub(super) fn publish_table(&mut self) {
         let Some(leader) = self
             .leaders
             .get_mut(&MEMBERSHIP_PARTITION)
-            .filter(|leader| leader.ready() && leader.wary.is_none())
+            .filter(|leader| leader.ready() && leader.recall_until.is_none())
         else {
             return;
         };
@@ -456,14 +458,16 @@
 
     /// The first of the slots not heard of for long enough.
     fn lost_slot(&self, now: Duration) -> Option<u8> {
-        self.others().find(|slot| self.is_lost(now, *slot))
+        self.other_slots()
+            .find(|slot| self.is_slot_lost(now, *slot))
     }
 
     /// Whether a slot was silent for so long that it may go to another. One that
     /// was not met yet counts from when the table named it.
-    pub(super) fn is_lost(&self, now: Duration, slot: u8) -> bool {
-        let met = self.met.get(&slot).copied();
-        self.watch.lost(now, met.unwrap_or(self.table_since))
+    pub(super) fn is_slot_lost(&self, now: Duration, slot: u8) -> bool {
+        let met = self.last_messages.get(&slot).copied();
+        self.contact_watch
+            .is_lost(now, met.unwrap_or(self.table_adopted_at))
     }
 
     /// Whether the last change of the table is done: it has settled, and every
@@ -473,8 +477,8 @@
         let refilled = |slot: u8| self.peers.get(&slot).is_some_and(|peer| !peer.blank);
         self.table_has_settled()
             && self
-                .others()
-                .all(|slot| refilled(slot) || self.is_lost(now, slot))
+                .other_slots()
+                .all(|slot| refilled(slot) || self.is_slot_lost(now, slot))
     }
 
     /// Whether the table that this leader goes by is the last one written, and
@@ -494,20 +498,21 @@
     }
 
     /// A slot was heard with this life; an earlier one is retired.
-    pub(super) fn meet(&mut self, slot: u8, incarnation: u64) {
-        self.met.insert(slot, self.watch.last_tick());
+    pub(super) fn on_member_contact(&mut self, slot: u8, incarnation: u64) {
+        self.last_messages
+            .insert(slot, self.contact_watch.last_tick());
         let known = self
             .peers
             .entry(slot)
-            .or_insert_with(|| PeerStatus::unheard(incarnation));
+            .or_insert_with(|| PeerStatus::unknown(incarnation));
         if known.incarnation != incarnation {
             let earlier = known.incarnation;
-            *known = PeerStatus::unheard(incarnation);
+            *known = PeerStatus::unknown(incarnation);
             for leader in self.leaders.values_mut() {
-                leader.forget(slot);
+                leader.reset_replica(slot);
             }
-            self.sessions.forget_slot(slot);
-            self.retire(earlier);
+            self.sessions.remove_table(slot);
+            self.retire_incarnation(earlier);
         }
     }
 
@@ -525,17 +530,20 @@
             .position(|known| known.address == peer.address)
             .map(|at| at as u8);
         if own.is_none() {
-            self.newcomer = Some(Newcomer { peer, asked: now });
+            self.waiting_joiner = Some(WaitingJoiner {
+                peer,
+                requested_at: now,
+            });
         }
         if !self.table_has_settled() {
             return;
         }
         let lost = || self.lost_slot(now).filter(|_| self.membership_is_calm(now));
         let all_full = || {
-            self.others().all(|slot| {
+            self.other_slots().all(|slot| {
                 self.peers
                     .get(&slot)
-                    .is_some_and(|peer| peer.full && peer.near(now))
+                    .is_some_and(|peer| peer.full && peer.is_connected(now))
             })
         };
         let mut members = self.members.clone();
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -2,11 +2,11 @@
 //! assignment it is.
 
 use crate::prelude::*;
-use assignments::PlannedFrom;
-use changes::{OperatorCall, PendingReply, RELAY_IDS, Relay};
+use assignments::PlanInputs;
+use changes::{OperatorCall, PendingReply, RELAY_ID_BIT, Relay};
 use disk_failure::DiskFailure;
-use membership::Watch;
-use slot_handover::{Handover, Newcomer};
+use membership::ContactWatch;
+use slot_handover::{Handover, WaitingJoiner};
 
 mod assignments;
 mod changes;
@@ -45,71 +45,71 @@
     replica: Replica,
     recovery: Option<ReplicaRecovery>,
     /// A write failed: the disk counts for nothing until all is on it again.
-    failed: Option<DiskFailure>,
-    serial: u64,
-    synced: u64,
-    unsynced: VecDeque<(u64, SocketAddr, Message)>,
+    disk_failure: Option<DiskFailure>,
+    stored_serial: u64,
+    synced_serial: u64,
+    awaiting_sync: VecDeque<(u64, SocketAddr, Message)>,
     log_bytes: usize,
     image_bytes: usize,
     leaders: BTreeMap<u8, PartitionLeader>,
     /// Highest promise met for each partition, and when to raise it at the soonest.
-    superseded: BTreeMap<u8, (u64, Duration, u32)>,
+    stale_epochs: BTreeMap<u8, (u64, Duration, u32)>,
     peers: BTreeMap<u8, PeerStatus>,
     /// The replica's, and what was met while the disk was blank.
-    retired: VecDeque<u64>,
+    retired_incarnations: VecDeque<u64>,
     sessions: Sessions,
     update_replies: UpdateReplies,
     pending_replies: Vec<PendingReply>,
     operator_calls: BTreeMap<u64, OperatorCall>,
     /// Changes passed on for other members, by the id under which that was done.
     relays: BTreeMap<u64, Relay>,
-    next_relay: u64,
+    next_relay_id: u64,
     /// Since when no majority is in contact with us.
-    cut_off: Option<Duration>,
+    isolated_since: Option<Duration>,
     finished_since: BTreeMap<u8, HashMap<String, (u64, Duration)>>,
-    swept: Duration,
+    last_sweep: Duration,
     /// Until then unknown operations are not run: acknowledged ones may be lost.
-    closed: Duration,
+    ledger_closed_until: Duration,
     /// Version of the configuration last shown to the history.
-    shown: u64,
+    published_configuration: u64,
     /// The generation as last looked at; 0 after a start, so that one whose ledger
     /// is not open yet closes it anew, in full.
     generation: u64,
     /// When that was first seen.
-    entered: Duration,
+    generation_entered_at: Duration,
     /// Our disk was refilled after a loss in this generation: a new one is asked for.
-    refound: Option<u64>,
+    refound_after: Option<u64>,
     /// The roll as it was before the loss, while the ledger is closed.
-    before: Option<(Vec<Peer>, Vec<Peer>, bool)>,
+    registry_before_loss: Option<(Vec<Peer>, Vec<Peer>, bool)>,
     /// As owner of the assignments: when edges on the roll were seen to be gone.
-    departed: BTreeMap<Peer, Duration>,
+    departed_since: BTreeMap<Peer, Duration>,
     /// The configuration's parts as far as shown here, up to this version, and
     /// the services of it.
     items: Items,
-    read: u64,
+    items_version: u64,
     services: Vec<String>,
     /// Marks told when the last assignment was known: each holder had begun by then.
-    granted: u64,
+    tokens_at_grant: u64,
     /// What the assignments were last planned from.
-    planned: Option<PlannedFrom>,
+    last_plan_inputs: Option<PlanInputs>,
     /// The whole fleet started for the first time when we did, on empty disks:
     /// no operation ran before.
-    fresh: bool,
+    first_fleet_start: bool,
     /// Whether we were last seen to own the list of origins.
-    lists: bool,
-    warned: Option<Duration>,
+    publishes_origins: bool,
+    shutdown_requested_at: Option<Duration>,
     /// Since when other members are heard without a pause of our own.
-    watch: Watch,
+    contact_watch: ContactWatch,
     /// When any message last came from whoever holds a slot, also when what its
     /// disk said counts for nothing any more.
-    met: BTreeMap<u8, Duration>,
+    last_messages: BTreeMap<u8, Duration>,
     /// When the table that is gone by was first seen.
-    table_since: Duration,
+    table_adopted_at: Duration,
     /// The empty node that last asked for a slot here, as leader of the table.
-    newcomer: Option<Newcomer>,
+    waiting_joiner: Option<WaitingJoiner>,
     /// What became of our slot after a warning.
     handover: Handover,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 /// Of a node that holds no slot (yet).
@@ -120,44 +120,44 @@
     incarnation: u64,
     full: bool,
     blank: bool,
-    heard: Duration,
+    last_heartbeat: Duration,
     /// Slots that it hears, those that hear it too, and those of them for
     /// which it vouches.
-    hears: SlotSet,
-    contacts: SlotSet,
-    vouched: SlotSet,
+    heard_slots: SlotSet,
+    mutual_contacts: SlotSet,
+    leader_candidates: SlotSet,
     /// The state of our table of sessions up to which it has it.
-    got: u64,
+    acknowledged_sessions: u64,
 }
 
 impl PeerStatus {
     /// Of a life that was not heard yet.
-    fn unheard(incarnation: u64) -> PeerStatus {
+    fn unknown(incarnation: u64) -> PeerStatus {
         PeerStatus {
             incarnation,
             full: false,
             blank: true,
-            heard: Duration::ZERO,
-            hears: SlotSet::default(),
-            contacts: SlotSet::default(),
-            vouched: SlotSet::default(),
-            got: 0,
+            last_heartbeat: Duration::ZERO,
+            heard_slots: SlotSet::default(),
+            mutual_contacts: SlotSet::default(),
+            leader_candidates: SlotSet::default(),
+            acknowledged_sessions: 0,
         }
     }
 
-    fn heard_within(&self, now: Duration, span: Duration) -> bool {
-        now < self.heard + span
+    fn heartbeat_within(&self, now: Duration, span: Duration) -> bool {
+        now < self.last_heartbeat + span
     }
 
-    fn near(&self, now: Duration) -> bool {
-        self.heard_within(now, lease::CONTROL_PEER_TIMEOUT)
+    fn is_connected(&self, now: Duration) -> bool {
+        self.heartbeat_within(now, lease::CONTROL_PEER_TIMEOUT)
     }
 }
 
 /// A node that is to end waits this long for others to lead its partitions.
-const HAND_OVER: Duration = Duration::from_secs(3);
+const LEADER_HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A fresh image is written when the log since the last one is this long.
-const LOG_BYTES: usize = 4 * 1024 * 1024;
+const MIN_LOG_BYTES_BEFORE_SNAPSHOT: usize = 4 * 1024 * 1024;
 
 impl ControlNode {
     /// `replica` as read from disk, or a blank one with a new life. The node's
@@ -172,7 +172,10 @@
         run: u64,
     ) -> ControlNode {
         // One that was removed gets no slot of its own and opens no ledger.
-        if let Some(bootstrap) = bootstrap.as_mut().filter(|_| replica.table().is_some()) {
+        if let Some(bootstrap) = bootstrap
+            .as_mut()
+            .filter(|_| replica.newest_table().is_some())
+        {
             bootstrap.end_founding();
         }
         let table_of_seeds = || {
@@ -182,7 +185,9 @@
                 seeds.iter().map(|seed| Peer::new(*seed, 0)).collect()
             }
         };
-        let (version, members) = replica.table().unwrap_or_else(|| (0, table_of_seeds()));
+        let (version, members) = replica
+            .newest_table()
+            .unwrap_or_else(|| (0, table_of_seeds()));
         let slot = members
             .iter()
             .position(|peer| peer.address == address)
@@ -194,7 +199,7 @@
             && bootstrap
                 .as_ref()
                 .is_some_and(|bootstrap| bootstrap.first_start);
-        let mut part = ControlNode {
+        let mut control_node = ControlNode {
             slot,
             address,
             members,
@@ -204,55 +209,55 @@
             removed: replica.removed,
             recovery: (!replica.full && slot != NO_SLOT)
                 .then(|| ReplicaRecovery::new(slot, slots, version)),
-            retired: replica.retired.clone(),
+            retired_incarnations: replica.retired.clone(),
             replica,
-            failed: None,
-            serial: 0,
-            synced: 0,
-            unsynced: VecDeque::new(),
+            disk_failure: None,
+            stored_serial: 0,
+            synced_serial: 0,
+            awaiting_sync: VecDeque::new(),
             log_bytes: 0,
             image_bytes: 0,
             leaders: BTreeMap::new(),
-            superseded: BTreeMap::new(),
+            stale_epochs: BTreeMap::new(),
             peers: BTreeMap::new(),
             sessions: Sessions::new(run),
             update_replies: UpdateReplies::default(),
             pending_replies: Vec::new(),
             operator_calls: BTreeMap::new(),
             relays: BTreeMap::new(),
-            next_relay: run | RELAY_IDS,
-            cut_off: None,
+            next_relay_id: run | RELAY_ID_BIT,
+            isolated_since: None,
             finished_since: BTreeMap::new(),
-            swept: Duration::ZERO,
-            closed: Duration::ZERO,
-            shown: 0,
+            last_sweep: Duration::ZERO,
+            ledger_closed_until: Duration::ZERO,
+            published_configuration: 0,
             generation: 0,
-            entered: Duration::ZERO,
-            refound: None,
-            before: None,
-            departed: BTreeMap::new(),
+            generation_entered_at: Duration::ZERO,
+            refound_after: None,
+            registry_before_loss: None,
+            departed_since: BTreeMap::new(),
             items: Items::default(),
-            read: 0,
+            items_version: 0,
             services: Vec::new(),
-            granted: 0,
-            planned: None,
-            fresh,
-            lists: false,
-            warned: None,
-            watch: Watch::default(),
-            met: BTreeMap::new(),
-            table_since: Duration::ZERO,
-            newcomer: None,
+            tokens_at_grant: 0,
+            last_plan_inputs: None,
+            first_fleet_start: fresh,
+            publishes_origins: false,
+            shutdown_requested_at: None,
+            contact_watch: ContactWatch::default(),
+            last_messages: BTreeMap::new(),
+            table_adopted_at: Duration::ZERO,
+            waiting_joiner: None,
             handover: Handover::default(),
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
         if blank {
-            part.store(&Record::Incarnation {
-                incarnation: part.replica.incarnation,
+            control_node.store(&Record::Incarnation {
+                incarnation: control_node.replica.incarnation,
             });
-            part.note(Event::DiskBlank, format!("slot {slot}"));
+            control_node.log_event(Event::DiskBlank, format!("slot {slot}"));
         }
-        part
+        control_node
     }
 
     /// How long the log on disk is already, and the image that it begins with:
@@ -275,7 +280,7 @@
     }
 
     /// All slots but ours.
-    fn others(&self) -> impl Iterator<Item = u8> + use<> {
+    fn other_slots(&self) -> impl Iterator<Item = u8> + use<> {
         let mine = self.slot;
         (0..self.members.len() as u8).filter(move |slot| *slot != mine)
     }
@@ -284,145 +289,154 @@
         self.members[usize::from(slot)].address
     }
 
-    fn note(&mut self, event: Event, text: String) {
-        self.out.push(Output::Log { event, text });
+    fn log_event(&mut self, event: Event, text: String) {
+        self.outputs.push(Output::Log { event, text });
     }
 
-    fn tell(&mut self, to: SocketAddr, message: impl Into<Message>) {
-        self.out.push(Output::Send {
+    fn send(&mut self, to: SocketAddr, message: impl Into<Message>) {
+        self.outputs.push(Output::Send {
             to,
             message: message.into(),
         });
     }
 
     /// Tells once everything stored so far is synced.
-    fn tell_synced(&mut self, to: SocketAddr, message: impl Into<Message>) {
-        if self.synced >= self.serial {
-            self.tell(to, message);
+    fn send_after_sync(&mut self, to: SocketAddr, message: impl Into<Message>) {
+        if self.synced_serial >= self.stored_serial {
+            self.send(to, message);
         } else {
-            self.unsynced.push_back((self.serial, to, message.into()));
+            self.awaiting_sync
+                .push_back((self.stored_serial, to, message.into()));
         }
     }
 
     fn store(&mut self, record: &Record) {
         let bytes = bincode::serialize(record).expect("records serialize");
-        self.serial += 1;
+        self.stored_serial += 1;
         self.log_bytes += bytes.len();
         // A disk that refused a write takes no more until it takes everything.
-        if self.failed.is_none() {
-            self.out.push(Output::Store {
-                serial: self.serial,
+        if self.disk_failure.is_none() {
+            self.outputs.push(Output::Store {
+                serial: self.stored_serial,
                 record: bytes,
             });
         }
         self.replica.apply(record);
-        self.see_places();
-        if self.failed.is_none() && self.log_bytes > LOG_BYTES.max(2 * self.image_bytes) {
-            self.store_image();
+        self.adopt_published_table();
+        if self.disk_failure.is_none()
+            && self.log_bytes > MIN_LOG_BYTES_BEFORE_SNAPSHOT.max(2 * self.image_bytes)
+        {
+            self.store_snapshot();
         }
     }
 
     /// Writes the whole replica anew; the serial under which that is done.
-    fn store_image(&mut self) -> u64 {
-        let image = bincode::serialize(&Record::Image(Box::new(self.replica.clone())))
+    fn store_snapshot(&mut self) -> u64 {
+        let image = bincode::serialize(&Record::Snapshot(Box::new(self.replica.clone())))
             .expect("records serialize");
         self.image_bytes = image.len();
         self.log_bytes = 0;
-        self.serial += 1;
-        self.out.push(Output::StoreSnapshot {
-            serial: self.serial,
+        self.stored_serial += 1;
+        self.outputs.push(Output::StoreSnapshot {
+            serial: self.stored_serial,
             record: image,
         });
-        self.serial
+        self.stored_serial
     }
 
-    fn able(&self) -> bool {
-        self.replica.full && self.failed.is_none() && !self.removed && self.slot != NO_SLOT
+    fn can_vote(&self) -> bool {
+        self.replica.full && self.disk_failure.is_none() && !self.removed && self.slot != NO_SLOT
     }
 
     fn tick(&mut self, now: Duration) {
         for peer in self.sessions.tick(now) {
-            self.note(Event::SessionLapsed, peer.to_string());
+            self.log_event(Event::SessionLapsed, peer.to_string());
         }
-        self.watch.tick(now);
+        self.contact_watch.tick(now);
         self.tick_handover(now);
         if self.removed {
             return;
         }
         if self.slot == NO_SLOT {
-            return self.ask_for_slot(now);
+            return self.request_slot(now);
         }
-        for slot in self.others() {
-            self.tell(self.address(slot), self.beat(now, slot));
+        for slot in self.other_slots() {
+            self.send(self.address(slot), self.heartbeat(now, slot));
         }
         if let Some(recovery) = &mut self.recovery {
             for (slot, message) in recovery.tick(now) {
-                self.tell(self.address(slot), message);
+                self.send(self.address(slot), message);
             }
         }
-        if self.able() {
-            self.take_partitions(now);
+        if self.can_vote() {
+            self.campaign(now);
         }
-        if now >= self.swept + Duration::from_secs(1) {
-            self.swept = now;
-            self.sweep(now);
+        if now >= self.last_sweep + Duration::from_secs(1) {
+            self.last_sweep = now;
+            self.expire_operations(now);
         }
         if let Some((version, text)) = self
             .replica
             .configuration()
-            .filter(|(version, _)| *version != self.shown)
+            .filter(|(version, _)| *version != self.published_configuration)
         {
-            self.shown = version;
-            self.out
+            self.published_configuration = version;
+            self.outputs
                 .push(Output::Publish(PublishedState::CommittedConfiguration {
                     version,
                     text,
                 }));
         }
         self.restore_disk(now);
-        self.watch_contact(now);
-        self.show_lists(now);
-        self.recollect(now);
-        self.write_table();
+        self.track_isolation(now);
+        self.publish_origin_list(now);
+        self.recall_rows(now);
+        self.publish_table();
         self.plan_assignments(now);
         self.send_operator_calls(now);
-        self.relays.retain(|_, relay| now < relay.until);
+        self.relays.retain(|_, relay| now < relay.deadline);
     }
 
     /// After a warning the others take the partitions and a newcomer the slot;
     /// then, with all operators answered, nothing is left to do. One that was
     /// removed ends at once: it starts over with an empty disk.
-    fn may_end(&self, now: Duration) -> bool {
-        let over = match self.warned {
+    fn can_shut_down(&self, now: Duration) -> bool {
+        let over = match self.shutdown_requested_at {
             Some(since) => {
-                let led = !self.leaders.is_empty() && now < since + HAND_OVER;
-                !led && self.handover_over(now, since)
+                let led = !self.leaders.is_empty() && now < since + LEADER_HANDOVER_TIMEOUT;
+                !led && self.handover_complete(now, since)
             }
-            None => self.removed && self.synced >= self.serial,
+            None => self.removed && self.synced_serial >= self.stored_serial,
         };
         over && self.operator_calls.is_empty()
     }
 
-    fn beat(&self, now: Duration, to: u8) -> Heartbeat {
-        let got = self.peers.get(&to).map_or(0, |peer| peer.got);
-        let seen = self.sessions.known(now).then(|| self.sessions.since(got));
+    fn heartbeat(&self, now: Duration, to: u8) -> Heartbeat {
+        let got = self
+            .peers
+            .get(&to)
+            .map_or(0, |peer| peer.acknowledged_sessions);
+        let seen = self
+            .sessions
+            .is_complete(now)
+            .then(|| self.sessions.delta_since(got));
         Heartbeat {
             slot: self.slot,
-            full: self.able() && self.warned.is_none(),
-            blank: !self.replica.full || self.failed.is_some(),
+            full: self.can_vote() && self.shutdown_requested_at.is_none(),
+            blank: !self.replica.full || self.disk_failure.is_some(),
             membership_version: self.membership_version,
-            ledger_closed_for: self.closed.saturating_sub(now),
-            lost_generation: self.lost(),
-            heard_slots: self.hears(now, lease::CONTROL_PEER_TIMEOUT),
-            mutual_contacts: self.contacts(now),
-            leader_candidates: self.vouched(now),
-            acknowledged_sessions: self.sessions.got(to),
+            ledger_closed_for: self.ledger_closed_until.saturating_sub(now),
+            lost_generation: self.lost_generation(),
+            heard_slots: self.recently_heard(now, lease::CONTROL_PEER_TIMEOUT),
+            mutual_contacts: self.mutual_contacts(now),
+            leader_candidates: self.leader_candidates(now),
+            acknowledged_sessions: self.sessions.received_revision(to),
             sessions: seen,
         }
     }
 
-    fn heard(&mut self, now: Duration, from: Peer, message: Message) {
-        let retired = self.retired.contains(&from.incarnation);
+    fn handle_message(&mut self, now: Duration, from: Peer, message: Message) {
+        let retired = self.retired_incarnations.contains(&from.incarnation);
         let slot = self.slot_of(&from).filter(|_| !retired);
         let Some(message) = self.check_membership(now, from, slot, message) else {
             return;
@@ -431,43 +445,45 @@
             return;
         }
         if let Some(slot) = slot.filter(|slot| *slot != self.slot) {
-            self.meet(slot, from.incarnation);
+            self.on_member_contact(slot, from.incarnation);
         }
         match slot {
-            Some(slot) => self.heard_from_member(now, from, slot, message),
-            None => self.heard_from_anyone(now, from, message),
+            Some(slot) => self.handle_member_message(now, from, slot, message),
+            None => self.handle_public_message(now, from, message),
         }
     }
 
     /// What only members of the table may say; all else is judged as from
     /// anyone.
-    fn heard_from_member(&mut self, now: Duration, from: Peer, slot: u8, message: Message) {
+    fn handle_member_message(&mut self, now: Duration, from: Peer, slot: u8, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) if slot != self.slot => {
                 self.handle_heartbeat(now, from, slot, heartbeat)
             }
             Message::SnapshotRequest(request) => self.handle_snapshot_request(from, &request),
             Message::SnapshotReply(reply) => self.handle_snapshot_reply(now, reply),
-            Message::PrepareRequest(request) if self.able() => {
+            Message::PrepareRequest(request) if self.can_vote() => {
                 self.handle_prepare_request(from, request)
             }
             Message::PrepareReply(reply) => self.handle_prepare_reply(now, slot, reply),
-            Message::AppendRequest(request) if self.able() => {
+            Message::AppendRequest(request) if self.can_vote() => {
                 self.handle_append_request(now, from, request)
             }
             Message::AppendReply(reply) => self.handle_append_reply(slot, &reply),
             Message::AppendGap(gap) => self.handle_append_gap(slot, &gap),
             Message::StaleEpoch(stale) => self.handle_stale_epoch(now, stale),
-            other => self.heard_from_anyone(now, from, other),
+            other => self.handle_public_message(now, from, other),
         }
     }
 
     /// What edges say, and changes and their answers.
-    fn heard_from_anyone(&mut self, now: Duration, from: Peer, message: Message) {
+    fn handle_public_message(&mut self, now: Duration, from: Peer, message: Message) {
         match message {
-            Message::RenewRequest(request) if self.able() => self.renew(now, from, request),
-            Message::SessionClose(_) if self.sessions.leave(from) => {
-                self.note(Event::SessionClosed, from.to_string());
+            Message::RenewRequest(request) if self.can_vote() => {
+                self.handle_renew_request(now, from, request)
+            }
+            Message::SessionClose(_) if self.sessions.remove(from) => {
+                self.log_event(Event::SessionClosed, from.to_string());
             }
             Message::RecallReply(reply) => self.handle_recall_reply(reply),
             Message::ChangeRequest(request) => self.handle_change_request(now, from, request),
@@ -484,32 +500,34 @@
             Input::Tick => {
                 tick = true;
                 self.tick(now);
-                let ready = self.able() && self.warned.is_none() && self.reaches_majority(now);
-                self.out.push(Output::Publish(PublishedState::Fence {
+                let ready = self.can_vote()
+                    && self.shutdown_requested_at.is_none()
+                    && self.reaches_majority(now);
+                self.outputs.push(Output::Publish(PublishedState::Fence {
                     until: now + lease::SESSION_LEASE,
                     ready,
                 }));
-                if self.may_end(now) {
-                    self.out.push(Output::ShutdownComplete);
+                if self.can_shut_down(now) {
+                    self.outputs.push(Output::ShutdownComplete);
                 }
             }
-            Input::MessageReceived { from, message } => self.heard(now, from, message),
+            Input::MessageReceived { from, message } => self.handle_message(now, from, message),
             Input::Stored { serial } => {
                 self.finish_restoring(now, serial);
-                self.synced = self.synced.max(serial);
+                self.synced_serial = self.synced_serial.max(serial);
                 while self
-                    .unsynced
+                    .awaiting_sync
                     .front()
-                    .is_some_and(|(serial, _, _)| *serial <= self.synced)
+                    .is_some_and(|(serial, _, _)| *serial <= self.synced_serial)
                 {
-                    let (_, to, message) = self.unsynced.pop_front().expect("just seen");
-                    self.tell(to, message);
+                    let (_, to, message) = self.awaiting_sync.pop_front().expect("just seen");
+                    self.send(to, message);
                 }
             }
             Input::StoreFailed => self.handle_store_failure(now),
-            Input::Operator { id, request: ask } => self.operator(now, id, ask),
+            Input::Operator { id, request: ask } => self.handle_operator_request(now, id, ask),
             Input::ShutdownRequested => {
-                self.warned.get_or_insert(now);
+                self.shutdown_requested_at.get_or_insert(now);
                 self.offer_slot(now);
             }
             Input::ClientRequest { .. }
@@ -517,9 +535,9 @@
             | Input::CallCompleted { .. }
             | Input::ConnectionChanged { .. } => {}
         }
-        if self.able() {
-            self.finish_step(now, tick);
+        if self.can_vote() {
+            self.flush_leaders(now, tick);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 }
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -12,25 +12,25 @@
 use super::*;
 
 /// An empty node that asked within this time is there and waits.
-const NEWCOMER_WAITS: Duration = Duration::from_secs(1);
+const JOINER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Who leads the table for less than this may not have heard of one that waits.
-const NEWCOMER_HEARD: Duration = Duration::from_millis(400);
+const JOINER_DISCOVERY_TIME: Duration = Duration::from_millis(400);
 /// Operators' calls under way here are answered before the slot is offered, if
 /// that takes no longer.
-const CALLS_FIRST: Duration = Duration::from_secs(1);
+const CALL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// An offer that nobody answers for this long is given up.
-const OFFER_LIMIT: Duration = HAND_OVER;
+const OFFER_TIMEOUT: Duration = LEADER_HANDOVER_TIMEOUT;
 /// A removed member stays for its successor until so long after the warning:
 /// below the grace period of the platform.
-const STAY_LIMIT: Duration = Duration::from_millis(5_200);
+const SUCCESSOR_WAIT_TIMEOUT: Duration = Duration::from_millis(5_200);
 /// What the disk holds is sent again when it was not received by then.
-const STATE_AGAIN: Duration = Duration::from_millis(600);
+const STATE_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
 /// An empty node that waits for a slot.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Newcomer {
+pub(super) struct WaitingJoiner {
     pub(super) peer: Peer,
-    pub(super) asked: Duration,
+    pub(super) requested_at: Duration,
 }
 
 /// What becomes of a member's slot after a warning.
@@ -40,14 +40,14 @@
     #[default]
     Offered,
     /// A newcomer waits, and will have the slot.
-    Later,
+    Deferred,
     /// Nobody waits for the slot: it is kept.
-    Kept,
+    Retained,
     /// The table of this version gives it to the successor.
     Assigned {
         version: u64,
         successor: Peer,
-        sent: Option<Duration>,
+        last_sent: Option<Duration>,
     },
     /// The successor's disk is full.
     Received,
@@ -56,13 +56,15 @@
 impl ControlNode {
     /// Offers the slot of a node that was warned to who leads the table.
     pub(super) fn offer_slot(&mut self, now: Duration) {
-        let answered = matches!(self.handover, Handover::Kept | Handover::Received);
+        let answered = matches!(self.handover, Handover::Retained | Handover::Received);
         let calls_first = !self.operator_calls.is_empty()
-            && self.warned.is_some_and(|since| now < since + CALLS_FIRST);
-        if answered || calls_first || !self.able() {
+            && self
+                .shutdown_requested_at
+                .is_some_and(|since| now < since + CALL_DRAIN_TIMEOUT);
+        if answered || calls_first || !self.can_vote() {
             return;
         }
-        let Some(slot) = self.chosen(now, MEMBERSHIP_PARTITION) else {
+        let Some(slot) = self.preferred_leader(now, MEMBERSHIP_PARTITION) else {
             return;
         };
         let offer = ChangeRequest {
@@ -72,7 +74,7 @@
             partition: MEMBERSHIP_PARTITION,
             change: Change::OfferSlot { member: self.me() },
         };
-        self.tell(self.address(slot), offer);
+        self.send(self.address(slot), offer);
     }
 
     /// As leader of the table: gives a leaving member's slot to a newcomer, if
@@ -82,12 +84,12 @@
             return;
         };
         let waiting = self
-            .newcomer
-            .filter(|newcomer| now < newcomer.asked + NEWCOMER_WAITS)
+            .waiting_joiner
+            .filter(|newcomer| now < newcomer.requested_at + JOINER_TIMEOUT)
             .map(|newcomer| newcomer.peer)
             .filter(|peer| !self.members.iter().any(|known| known.names(peer)));
         let answer = match waiting {
-            None if self.may_lack_newcomers(now) => return,
+            None if self.may_not_know_joiners(now) => return,
             None => SlotOfferOutcome::NoNewcomer,
             Some(_) if !self.membership_is_calm(now) => SlotOfferOutcome::Later,
             Some(successor) => {
@@ -99,35 +101,41 @@
                 SlotOfferOutcome::Assigned { version, successor }
             }
         };
-        self.tell(member.address, SlotOfferReply { outcome: answer });
+        self.send(member.address, SlotOfferReply { outcome: answer });
     }
 
     /// Whether a newcomer that waits may not have asked this leader yet.
-    fn may_lack_newcomers(&self, now: Duration) -> bool {
+    fn may_not_know_joiners(&self, now: Duration) -> bool {
         let since = self
             .leaders
             .get(&MEMBERSHIP_PARTITION)
             .and_then(|leader| leader.active_since);
-        since.is_none_or(|since| now < since + NEWCOMER_HEARD)
+        since.is_none_or(|since| now < since + JOINER_DISCOVERY_TIME)
     }
 
     /// The answer to our offer.
     pub(super) fn handle_slot_offer_reply(&mut self, now: Duration, reply: &SlotOfferReply) {
-        let sent = matches!(self.handover, Handover::Assigned { sent: Some(_), .. });
-        let over = matches!(self.handover, Handover::Kept | Handover::Received);
-        if self.warned.is_none() || sent || over {
+        let sent = matches!(
+            self.handover,
+            Handover::Assigned {
+                last_sent: Some(_),
+                ..
+            }
+        );
+        let over = matches!(self.handover, Handover::Retained | Handover::Received);
+        if self.shutdown_requested_at.is_none() || sent || over {
             return;
         }
         let assigned = matches!(self.handover, Handover::Assigned { .. });
         self.handover = match reply.outcome {
-            SlotOfferOutcome::NoNewcomer => Handover::Kept,
+            SlotOfferOutcome::NoNewcomer => Handover::Retained,
             // To an offer made again while the table was on its way.
             SlotOfferOutcome::Later if assigned => return,
-            SlotOfferOutcome::Later => Handover::Later,
+            SlotOfferOutcome::Later => Handover::Deferred,
             SlotOfferOutcome::Assigned { version, successor } => Handover::Assigned {
                 version,
                 successor,
-                sent: None,
+                last_sent: None,
             },
         };
         if self.removed {
@@ -138,36 +146,36 @@
     /// Makes the offer again, or sends what the disk holds once it acknowledges
     /// nothing any more.
     pub(super) fn tick_handover(&mut self, now: Duration) {
-        if self.warned.is_none() {
+        if self.shutdown_requested_at.is_none() {
             return;
         }
         self.offer_slot(now);
         let Handover::Assigned {
             version,
             successor,
-            sent,
+            last_sent: sent,
         } = self.handover
         else {
             return;
         };
-        let due = sent.is_none_or(|sent| now >= sent + STATE_AGAIN);
-        if !self.removed || !self.replica.full || self.failed.is_some() || !due {
+        let due = sent.is_none_or(|sent| now >= sent + STATE_RETRY_INTERVAL);
+        if !self.removed || !self.replica.full || self.disk_failure.is_some() || !due {
             return;
         }
         self.handover = Handover::Assigned {
             version,
             successor,
-            sent: Some(now),
+            last_sent: Some(now),
         };
         let state = SlotState {
             version,
             slot: self.slot,
-            lost_generation: self.lost(),
+            lost_generation: self.lost_generation(),
             retired_incarnations: self.retired_incarnations(),
-            partitions: self.replica.copy_out(),
+            partitions: self.replica.snapshot(),
         };
-        self.tell_synced(successor.address, self.known_table());
-        self.tell_synced(successor.address, state);
+        self.send_after_sync(successor.address, self.current_table());
+        self.send_after_sync(successor.address, state);
     }
 
     /// The disk of our slot, as the member before us left it. It counts only if
@@ -179,16 +187,16 @@
         let direct = self.membership_version == version && self.slot == state.slot;
         if self.recovery.is_some() && direct {
             for incarnation in &state.retired_incarnations {
-                self.retire(*incarnation);
+                self.retire_incarnation(*incarnation);
             }
-            let merged = Merged {
-                held: state.partitions,
-                lost: state.lost_generation != 0,
+            let merged = RecoveredState {
+                partitions: state.partitions,
+                majority_lost: state.lost_generation != 0,
             };
             self.finish_recovery(now, merged);
         }
-        if self.able() && self.membership_version >= version {
-            self.tell_synced(from.address, SlotStateReceived { version });
+        if self.can_vote() && self.membership_version >= version {
+            self.send_after_sync(from.address, SlotStateReceived { version });
         }
     }
 
@@ -202,15 +210,17 @@
     /// Also one that was removed a moment ago: the answer to its offer may still
     /// be on its way.
     fn has_slot_to_offer(&self) -> bool {
-        self.slot != NO_SLOT && self.replica.full && self.failed.is_none()
+        self.slot != NO_SLOT && self.replica.full && self.disk_failure.is_none()
     }
 
     /// Whether nothing is left to do for the slot of a node that was warned.
-    pub(super) fn handover_over(&self, now: Duration, warned: Duration) -> bool {
+    pub(super) fn handover_complete(&self, now: Duration, warned: Duration) -> bool {
         match self.handover {
-            Handover::Offered => !self.has_slot_to_offer() || now >= warned + OFFER_LIMIT,
-            Handover::Kept | Handover::Received => true,
-            Handover::Later | Handover::Assigned { .. } => now >= warned + STAY_LIMIT,
+            Handover::Offered => !self.has_slot_to_offer() || now >= warned + OFFER_TIMEOUT,
+            Handover::Retained | Handover::Received => true,
+            Handover::Deferred | Handover::Assigned { .. } => {
+                now >= warned + SUCCESSOR_WAIT_TIMEOUT
+            }
         }
     }
 }
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -7,24 +7,24 @@
 }
 
 /// All slots that there may be.
-fn everybody() -> SlotSet {
+fn all_slots() -> SlotSet {
     (0..MAX_SLOTS as u8).collect()
 }
 
 /// Slot 0 with a full disk that syncs at once; the peers are scripted.
-struct Script {
-    part: ControlNode,
+struct ScriptedNode {
+    control_node: ControlNode,
 }
 
-impl Script {
-    fn new() -> Script {
+impl ScriptedNode {
+    fn new() -> ScriptedNode {
         let replica = Replica {
             full: true,
             ..Replica::blank(1)
         };
         let seeds = (0..3).map(address).collect();
-        Script {
-            part: ControlNode::new(address(0), seeds, replica, false, None, 1),
+        ScriptedNode {
+            control_node: ControlNode::new(address(0), seeds, replica, false, None, 1),
         }
     }
 
@@ -32,17 +32,17 @@
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([input]);
-        let mut told = Vec::new();
+        let mut messages = Vec::new();
         while let Some(input) = inputs.pop_front() {
-            for output in self.part.handle(now, input) {
+            for output in self.control_node.handle(now, input) {
                 match output {
                     Output::Send { to, message } if to == address(0) => {
                         inputs.push_back(Input::MessageReceived {
-                            from: self.part.me(),
+                            from: self.control_node.me(),
                             message,
                         })
                     }
-                    Output::Send { to, message } => told.push((to, message)),
+                    Output::Send { to, message } => messages.push((to, message)),
                     Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } => {
                         inputs.push_back(Input::Stored { serial })
                     }
@@ -50,10 +50,10 @@
                 }
             }
         }
-        told
+        messages
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         ms: u64,
         slot: u16,
@@ -70,14 +70,14 @@
         )
     }
 
-    fn beat(&mut self, ms: u64, incarnation: u64) -> Vec<(SocketAddr, Message)> {
-        self.hear(
+    fn heartbeat(&mut self, ms: u64, incarnation: u64) -> Vec<(SocketAddr, Message)> {
+        self.receive(
             ms,
             1,
             incarnation,
             Heartbeat {
-                heard_slots: everybody(),
-                mutual_contacts: everybody(),
+                heard_slots: all_slots(),
+                mutual_contacts: all_slots(),
                 leader_candidates: SlotSet::default(),
                 slot: 1,
                 full: true,
@@ -93,21 +93,21 @@
 }
 
 #[test]
-fn acknowledgements_of_a_slots_earlier_disk_count_for_nothing() {
-    let mut script = Script::new();
-    let mut owned = None;
+fn append_reply_of_replaced_disk_is_not_counted() {
+    let mut script = ScriptedNode::new();
+    let mut led = None;
     for ms in (0..1600).step_by(100) {
-        let mut said: VecDeque<_> = script.beat(ms, 11).into();
-        said.extend(script.step(ms + 1, Input::Tick));
-        while let Some((to, message)) = said.pop_front() {
+        let mut queue: VecDeque<_> = script.heartbeat(ms, 11).into();
+        queue.extend(script.step(ms + 1, Input::Tick));
+        while let Some((to, message)) = queue.pop_front() {
             match message {
                 Message::PrepareRequest(PrepareRequest {
                     partition, epoch, ..
                 }) if to == address(1) => {
                     if [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition) {
-                        owned = Some((partition, epoch));
+                        led = Some((partition, epoch));
                     }
-                    said.extend(script.hear(
+                    queue.extend(script.receive(
                         ms + 2,
                         1,
                         11,
@@ -127,7 +127,7 @@
                     to_version: version,
                     ..
                 }) if to == address(1) => {
-                    said.extend(script.hear(
+                    queue.extend(script.receive(
                         ms + 3,
                         1,
                         11,
@@ -145,8 +145,8 @@
             }
         }
     }
-    let (partition, epoch) = owned.expect("one of the two is ours by weight");
-    let ask = match partition {
+    let (partition, epoch) = led.expect("one of the two is ours by weight");
+    let change = match partition {
         PURGES_PARTITION => Change::AddPurge {
             purge: Purge {
                 entry: Some("e".into()),
@@ -161,7 +161,7 @@
             acknowledge: Acknowledge::Settled,
         },
     };
-    let told = script.hear(
+    let messages = script.receive(
         1700,
         1,
         11,
@@ -170,17 +170,19 @@
             requester: address(1),
             id: 7,
             partition,
-            change: ask,
+            change,
         },
     );
-    let version = told.iter().find_map(|(_, message)| match message {
-        Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
+    let version = messages.iter().find_map(|(_, message)| match message {
+        Message::AppendRequest(request) if request.partition == partition => {
+            Some(request.to_version)
+        }
         _ => None,
     });
     let version = version.expect("it is written at once");
     // The disk of slot 1 is another now; what the earlier one says comes late.
-    script.beat(1710, 12);
-    let kept = AppendReply {
+    script.heartbeat(1710, 12);
+    let append_reply = AppendReply {
         partition,
         epoch,
         round: 100,
@@ -188,30 +190,36 @@
         sessions_confirmed: Some(version),
         retired_incarnations: vec![],
     };
-    let answered = |told: &[(SocketAddr, Message)]| {
-        told.iter()
+    let is_answered = |messages: &[(SocketAddr, Message)]| {
+        messages
+            .iter()
             .any(|(_, message)| matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. })))
     };
-    assert!(!answered(&script.hear(1720, 1, 11, kept.clone())));
-    assert!(!answered(&script.step(1801, Input::Tick)));
-    let mut told = script.hear(1810, 1, 12, kept.clone());
-    told.extend(script.step(1901, Input::Tick));
-    told.extend(script.hear(1910, 1, 12, kept));
-    assert!(answered(&told), "the disk that is there now has it");
+    assert!(!is_answered(&script.receive(
+        1720,
+        1,
+        11,
+        append_reply.clone()
+    )));
+    assert!(!is_answered(&script.step(1801, Input::Tick)));
+    let mut messages = script.receive(1810, 1, 12, append_reply.clone());
+    messages.extend(script.step(1901, Input::Tick));
+    messages.extend(script.receive(1910, 1, 12, append_reply));
+    assert!(is_answered(&messages), "the disk that is there now has it");
 }
 
 /// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and
 /// with ours that is a majority. But disk 2 knows that disk 1 is another by
 /// now, refilled without it, and says so with its acknowledgement.
 #[test]
-fn an_acknowledgement_of_a_retired_incarnation_that_another_reports_is_not_counted() {
-    let owned = |retired: Vec<u64>| {
+fn append_reply_of_reported_retired_incarnation_is_not_counted() {
+    let led = |retired: Vec<u64>| {
         let replica = Replica {
             full: true,
             ..Replica::blank(1)
         };
-        let mut script = Script {
-            part: ControlNode::new(
+        let mut script = ScriptedNode {
+            control_node: ControlNode::new(
                 address(0),
                 (0..5).map(address).collect(),
                 replica,
@@ -220,13 +228,13 @@
                 1,
             ),
         };
-        let mut owned = None;
+        let mut led = None;
         for ms in (0..2_500).step_by(100) {
-            let mut said = VecDeque::new();
+            let mut queue = VecDeque::new();
             for slot in 1..5 {
-                let beat = Heartbeat {
-                    heard_slots: everybody(),
-                    mutual_contacts: everybody(),
+                let heartbeat = Heartbeat {
+                    heard_slots: all_slots(),
+                    mutual_contacts: all_slots(),
                     leader_candidates: SlotSet::default(),
                     slot: slot as u8,
                     full: true,
@@ -237,20 +245,20 @@
                     acknowledged_sessions: 0,
                     sessions: Some(SessionsDelta::default()),
                 };
-                said.extend(script.hear(ms, slot, 10 + u64::from(slot), beat));
+                queue.extend(script.receive(ms, slot, 10 + u64::from(slot), heartbeat));
             }
-            said.extend(script.step(ms + 1, Input::Tick));
-            while let Some((to, message)) = said.pop_front() {
+            queue.extend(script.step(ms + 1, Input::Tick));
+            while let Some((to, message)) = queue.pop_front() {
                 let slot = to.port() - 100;
                 let incarnation = 10 + u64::from(slot);
                 match message {
                     Message::PrepareRequest(PrepareRequest {
                         partition, epoch, ..
                     }) => {
-                        owned = Some((partition, epoch))
+                        led = Some((partition, epoch))
                             .filter(|_| [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition))
-                            .or(owned);
-                        said.extend(script.hear(
+                            .or(led);
+                        queue.extend(script.receive(
                             ms + 2,
                             slot,
                             incarnation,
@@ -270,7 +278,7 @@
                         to_version: version,
                         ..
                     }) => {
-                        said.extend(script.hear(
+                        queue.extend(script.receive(
                             ms + 3,
                             slot,
                             incarnation,
@@ -288,8 +296,8 @@
                 }
             }
         }
-        let (partition, epoch) = owned?;
-        let ask = match partition {
+        let (partition, epoch) = led?;
+        let change = match partition {
             PURGES_PARTITION => Change::AddPurge {
                 purge: Purge {
                     entry: Some("e".into()),
@@ -304,7 +312,7 @@
                 acknowledge: Acknowledge::Settled,
             },
         };
-        let told = script.hear(
+        let messages = script.receive(
             2_600,
             1,
             11,
@@ -313,14 +321,16 @@
                 requester: address(1),
                 id: 7,
                 partition,
-                change: ask,
+                change,
             },
         );
-        let version = told.iter().find_map(|(_, message)| match message {
-            Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
+        let version = messages.iter().find_map(|(_, message)| match message {
+            Message::AppendRequest(request) if request.partition == partition => {
+                Some(request.to_version)
+            }
             _ => None,
         })?;
-        let kept = |retired| AppendReply {
+        let append_reply = |retired| AppendReply {
             partition,
             epoch,
             round: 1_000,
@@ -328,34 +338,34 @@
             sessions_confirmed: Some(version),
             retired_incarnations: retired,
         };
-        let mut told = script.hear(2_610, 1, 11, kept(vec![]));
-        told.extend(script.hear(2_611, 2, 12, kept(retired)));
-        told.extend(script.step(2_701, Input::Tick));
-        told.extend(script.step(2_801, Input::Tick));
+        let mut messages = script.receive(2_610, 1, 11, append_reply(vec![]));
+        messages.extend(script.receive(2_611, 2, 12, append_reply(retired)));
+        messages.extend(script.step(2_701, Input::Tick));
+        messages.extend(script.step(2_801, Input::Tick));
         Some(
-            told.iter().any(|(_, message)| {
+            messages.iter().any(|(_, message)| {
                 matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. }))
             }),
         )
     };
-    assert_eq!(owned(vec![]), Some(true), "three of five hold it");
-    assert_eq!(owned(vec![11]), Some(false), "only two of them do");
+    assert_eq!(led(vec![]), Some(true), "three of five hold it");
+    assert_eq!(led(vec![11]), Some(false), "only two of them do");
 }
 
 /// A control node whose disk keeps what is synced, alone with its peers.
-struct Alone {
-    part: ControlNode,
+struct DurableNode {
+    control_node: ControlNode,
     disk: Vec<Vec<u8>>,
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
-impl Alone {
-    fn start(slot: u16, disk: Vec<Vec<u8>>, founding: bool) -> Alone {
+impl DurableNode {
+    fn start(slot: u16, disk: Vec<Vec<u8>>, founding: bool) -> DurableNode {
         let known = Replica::replay(&disk).unwrap();
         let blank = known.is_none();
         let bootstrap = Bootstrap::new(founding, Duration::from_millis(500));
         let replica = known.unwrap_or_else(|| Replica::blank(40 + u64::from(slot)));
-        let part = ControlNode::new(
+        let control_node = ControlNode::new(
             address(slot),
             (0..3).map(address).collect(),
             replica,
@@ -363,8 +373,8 @@
             Some(bootstrap),
             1,
         );
-        Alone {
-            part,
+        DurableNode {
+            control_node,
             disk,
             unsynced: vec![],
         }
@@ -372,27 +382,27 @@
 
     /// What it says; what it stores pending_replies to be synced.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
-        let mut told = Vec::new();
-        for output in self.part.handle(Duration::from_millis(ms), input) {
+        let mut messages = Vec::new();
+        for output in self.control_node.handle(Duration::from_millis(ms), input) {
             match output {
-                Output::Send { to, message } => told.push((to, message)),
+                Output::Send { to, message } => messages.push((to, message)),
                 Output::Store { serial, record } => self.unsynced.push((serial, record)),
                 _ => {}
             }
         }
-        told
+        messages
     }
 
     fn sync(&mut self, ms: u64) -> Vec<(SocketAddr, Message)> {
-        let mut told = Vec::new();
+        let mut messages = Vec::new();
         for (serial, record) in std::mem::take(&mut self.unsynced) {
             self.disk.push(record);
-            told.extend(self.step(ms, Input::Stored { serial }));
+            messages.extend(self.step(ms, Input::Stored { serial }));
         }
-        told
+        messages
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         ms: u64,
         from: u16,
@@ -408,8 +418,8 @@
     }
 }
 
-fn membership_version(told: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
-    told.iter().find_map(|(_, message)| match message {
+fn membership_version(messages: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
+    messages.iter().find_map(|(_, message)| match message {
         Message::MembershipTable(membership_version) => Some(
             membership_version
                 .members
@@ -422,12 +432,12 @@
 }
 
 #[test]
-fn the_first_seed_tells_a_table_only_once_it_is_on_its_disk_and_never_another() {
-    let mut founder = Alone::start(0, vec![], true);
+fn founding_table_is_sent_after_sync_and_never_changes() {
+    let mut founder = DurableNode::start(0, vec![], true);
     founder.step(0, Input::Tick);
-    founder.hear(100, 4, JoinRequest { founding: true });
-    founder.hear(110, 3, JoinRequest { founding: true });
-    founder.hear(120, 7, JoinRequest { founding: false });
+    founder.receive(100, 4, JoinRequest { founding: true });
+    founder.receive(110, 3, JoinRequest { founding: true });
+    founder.receive(120, 7, JoinRequest { founding: false });
     founder.sync(130);
     assert_eq!(
         membership_version(&founder.step(600, Input::Tick)),
@@ -435,58 +445,61 @@
         "not synced yet"
     );
     // It ends before the sync: nobody was told, and it begins anew.
-    let mut again = Alone::start(0, founder.disk.clone(), true);
-    assert!(again.part.members.is_empty());
-    again.step(0, Input::Tick);
-    again.hear(100, 5, JoinRequest { founding: true });
-    again.step(600, Input::Tick);
+    let mut restarted = DurableNode::start(0, founder.disk.clone(), true);
+    assert!(restarted.control_node.members.is_empty());
+    restarted.step(0, Input::Tick);
+    restarted.receive(100, 5, JoinRequest { founding: true });
+    restarted.step(600, Input::Tick);
     assert_eq!(
-        membership_version(&again.hear(601, 5, JoinRequest { founding: true })),
+        membership_version(&restarted.receive(601, 5, JoinRequest { founding: true })),
         None,
         "still not synced"
     );
-    assert_eq!(membership_version(&again.sync(602)), Some(vec![0, 1, 2, 5]));
+    assert_eq!(
+        membership_version(&restarted.sync(602)),
+        Some(vec![0, 1, 2, 5])
+    );
     // It ends after it: the table is the one that was told, whoever asks.
-    let mut again = Alone::start(0, again.disk, true);
-    again.hear(10, 3, JoinRequest { founding: true });
-    again.step(900, Input::Tick);
+    let mut restarted = DurableNode::start(0, restarted.disk, true);
+    restarted.receive(10, 3, JoinRequest { founding: true });
+    restarted.step(900, Input::Tick);
     assert_eq!(
-        membership_version(&again.hear(901, 1, JoinRequest { founding: true })),
+        membership_version(&restarted.receive(901, 1, JoinRequest { founding: true })),
         Some(vec![0, 1, 2, 5])
     );
 }
 
 #[test]
-fn a_founding_table_is_taken_once_and_only_by_who_was_there() {
-    let table = |list: &[u16]| MembershipTable {
+fn founding_table_is_accepted_once_by_founding_nodes() {
+    let table = |slots: &[u16]| MembershipTable {
         version: 0,
-        members: list
+        members: slots
             .iter()
             .map(|slot| Peer::new(address(*slot), 0))
             .collect(),
     };
-    let mut seed = Alone::start(1, vec![], true);
+    let mut seed = DurableNode::start(1, vec![], true);
     seed.step(0, Input::Tick);
     assert!(
         (0..50).all(|more| membership_version(&seed.step(100 * more, Input::Tick)).is_none()),
         "only the first seed makes one"
     );
-    seed.hear(5_001, 0, table(&[0, 1, 2, 3]));
-    seed.hear(5_002, 0, table(&[0, 1, 2, 4]));
+    seed.receive(5_001, 0, table(&[0, 1, 2, 3]));
+    seed.receive(5_002, 0, table(&[0, 1, 2, 4]));
     seed.sync(5_003);
-    assert_eq!(seed.part.members.len(), 4);
-    let again = Alone::start(1, seed.disk, false);
-    assert_eq!(again.part.members[3].address, address(3));
+    assert_eq!(seed.control_node.members.len(), 4);
+    let restarted = DurableNode::start(1, seed.disk, false);
+    assert_eq!(restarted.control_node.members[3].address, address(3));
     // A machine that came in place of another never takes or makes one.
     for slot in [0, 1] {
-        let mut other = Alone::start(slot, vec![], false);
+        let mut other = DurableNode::start(slot, vec![], false);
         other.step(0, Input::Tick);
-        other.hear(10, 2, table(&[0, 1, 2]));
+        other.receive(10, 2, table(&[0, 1, 2]));
         assert!(
             (1..20).all(|more| membership_version(&other.step(100 * more, Input::Tick)).is_none())
         );
-        assert!(other.part.members.is_empty());
-        other.hear(
+        assert!(other.control_node.members.is_empty());
+        other.receive(
             3_000,
             2,
             MembershipTable {
@@ -494,17 +507,20 @@
                 ..table(&[0, 1, 2])
             },
         );
-        assert_eq!((other.part.members.len(), other.part.slot), (3, slot as u8));
+        assert_eq!(
+            (other.control_node.members.len(), other.control_node.slot),
+            (3, slot as u8)
+        );
     }
     // Nor does the first seed, if it hears of somebody who has one.
-    let mut late = Alone::start(0, vec![], true);
+    let mut late = DurableNode::start(0, vec![], true);
     late.step(0, Input::Tick);
-    late.hear(
+    late.receive(
         100,
         2,
         Heartbeat {
-            heard_slots: everybody(),
-            mutual_contacts: everybody(),
+            heard_slots: all_slots(),
+            mutual_contacts: all_slots(),
             leader_candidates: SlotSet::default(),
             slot: 2,
             full: true,
@@ -517,7 +533,7 @@
         },
     );
     late.step(900, Input::Tick);
-    assert!(late.part.members.is_empty());
+    assert!(late.control_node.members.is_empty());
 }
 
 fn purge_rows(versions: std::ops::RangeInclusive<u64>) -> Vec<(String, Row)> {
@@ -534,10 +550,10 @@
 /// Within an epoch a replica is complete up to its version: a whole image that
 /// comes late, over rows that were acknowledged since, takes none of them away.
 #[test]
-fn a_whole_image_that_comes_late_takes_no_later_row_away() {
-    let mut script = Script::new();
-    script.beat(10, 11);
-    let whole = AppendRequest {
+fn late_full_state_removes_no_later_row() {
+    let mut script = ScriptedNode::new();
+    script.heartbeat(10, 11);
+    let full_append = AppendRequest {
         partition: PURGES_PARTITION,
         epoch: 17,
         membership_version: 0,
@@ -550,25 +566,25 @@
         published: 0,
         base: None,
     };
-    script.hear(20, 1, 11, whole.clone());
+    script.receive(20, 1, 11, full_append.clone());
     let next = AppendRequest {
         full_state: false,
         round: 2,
         after_version: 1,
         to_version: 2,
         rows: purge_rows(2..=2),
-        ..whole.clone()
+        ..full_append.clone()
     };
-    script.hear(30, 1, 11, next);
-    script.hear(40, 1, 11, whole);
+    script.receive(30, 1, 11, next);
+    script.receive(40, 1, 11, full_append);
     let prepare = PrepareRequest {
         partition: PURGES_PARTITION,
         epoch: 34,
         membership_version: 0,
         requester_state: StateId::default(),
     };
-    let held = script
-        .hear(50, 1, 11, prepare)
+    let state = script
+        .receive(50, 1, 11, prepare)
         .into_iter()
         .find_map(|(_, message)| match message {
             Message::PrepareReply(PrepareReply {
@@ -578,5 +594,5 @@
             _ => None,
         })
         .expect("the epoch is promised");
-    assert_eq!((held.version, held.rows.len()), (2, 2));
+    assert_eq!((state.version, state.rows.len()), (2, 2));
 }
--- a/control-plane/src/history.rs
+++ b/control-plane/src/history.rs
@@ -8,7 +8,7 @@
 }
 
 /// Changes not yet kept; more are left out.
-const PENDING: usize = 64;
+const MAX_QUEUED_VERSIONS: usize = 64;
 const FILE: &str = "configuration.json";
 
 impl History {
@@ -21,11 +21,12 @@
     }
 
     /// Keeps what is sent to it, in a thread.
-    pub fn keep(data: PathBuf) -> Sender<(u64, Arc<str>)> {
-        let (give, take) = flume::bounded::<(u64, Arc<str>)>(PENDING);
+    pub fn spawn_writer(data: PathBuf) -> Sender<(u64, Arc<str>)> {
+        let (give, take) = flume::bounded::<(u64, Arc<str>)>(MAX_QUEUED_VERSIONS);
         thread::spawn(move || {
             for (version, text) in take.iter() {
-                if let Err(error) = History::open(&data).and_then(|store| store.put(version, &text))
+                if let Err(error) =
+                    History::open(&data).and_then(|store| store.store_version(version, &text))
                 {
                     log_event(
                         Event::HistoryFailed,
@@ -43,7 +44,7 @@
 
     /// A version already kept with the same text stays as it is; with another
     /// text (the state was lost and founded anew) the newer is kept.
-    pub fn put(&self, version: u64, text: &str) -> Result<()> {
+    pub fn store_version(&self, version: u64, text: &str) -> Result<()> {
         if self
             .text(version)
             .is_ok_and(|known| known == text.as_bytes())
@@ -98,7 +99,7 @@
     }
 
     /// Lines that differ, in the usual form.
-    pub fn compare(&self, old: u64, new: u64) -> Result<String> {
+    pub fn diff(&self, old: u64, new: u64) -> Result<String> {
         let diff =
             self.store
                 .diff_tree_to_tree(Some(&self.tree(old)?), Some(&self.tree(new)?), None)?;
@@ -119,17 +120,17 @@
     use crate::prelude::*;
 
     #[test]
-    fn versions_are_kept_shown_and_compared_and_a_broken_store_only_says_so() {
+    fn stored_versions_are_listed_and_diffed_and_broken_store_is_an_error() {
         let data = std::env::temp_dir().join(format!("otterslip-history-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&data);
         std::fs::create_dir_all(&data).unwrap();
         let store = History::open(&data).unwrap();
-        store.put(3, "one\ntwo\n").unwrap();
-        store.put(7, "one\nthree\n").unwrap();
-        store.put(7, "one\nthree\n").unwrap();
+        store.store_version(3, "one\ntwo\n").unwrap();
+        store.store_version(7, "one\nthree\n").unwrap();
+        store.store_version(7, "one\nthree\n").unwrap();
         assert_eq!(store.versions().unwrap(), [3, 7]);
         assert_eq!(store.text(3).unwrap(), b"one\ntwo\n");
-        let told = store.compare(3, 7).unwrap();
+        let told = store.diff(3, 7).unwrap();
         assert!(
             told.contains("-two") && told.contains("+three") && !told.contains("-one"),
             "{told}"
@@ -139,7 +140,7 @@
         std::fs::remove_dir_all(data.join("history")).unwrap();
         std::fs::write(data.join("history"), "x").unwrap();
         assert!(History::open(&data).is_err());
-        let give = History::keep(data.clone());
+        let give = History::spawn_writer(data.clone());
         assert!(give.try_send((9, "text".into())).is_ok());
         std::fs::remove_dir_all(&data).unwrap();
     }
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -9,7 +9,7 @@
 
 impl Ledger {
     pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
-        if let Some((version, known)) = Ledger::known(leader, &claim) {
+        if let Some((version, known)) = Ledger::find(leader, &claim) {
             let own = (known.claimant, known.request) == (claim.claimant, claim.request);
             match known.state {
                 OperationState::Running if own => return (version, ChangeOutcome::Claimed),
@@ -46,7 +46,7 @@
         } else {
             ChangeOutcome::Recorded
         };
-        if let Some((version, known)) = Ledger::known(leader, &claim) {
+        if let Some((version, known)) = Ledger::find(leader, &claim) {
             let own = (known.claimant, known.request) == (claim.claimant, claim.request);
             let open = matches!(
                 known.state,
@@ -67,12 +67,12 @@
 
     /// Whether it is known what came of an operation. A released claim tells
     /// only that this one did not run: an earlier one may have.
-    pub fn tells(leader: &PartitionLeader, claim: &Claim) -> bool {
-        Ledger::known(leader, claim)
+    pub fn is_decided(leader: &PartitionLeader, claim: &Claim) -> bool {
+        Ledger::find(leader, claim)
             .is_some_and(|(_, known)| known.state != OperationState::Released)
     }
 
-    fn known(leader: &PartitionLeader, claim: &Claim) -> Option<(u64, Operation)> {
+    fn find(leader: &PartitionLeader, claim: &Claim) -> Option<(u64, Operation)> {
         match leader.rows.get(&claim.operation) {
             Some(Row {
                 version,
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of `ledger`.
 use crate::prelude::*;
 
-fn claim(request: u64, print: u8) -> Claim {
-    let by = Peer::new(SocketAddr::from(([127, 0, 0, 1], 1)), 1);
+fn claim(request: u64, digest: u8) -> Claim {
+    let claimant = Peer::new(SocketAddr::from(([127, 0, 0, 1], 1)), 1);
     Claim {
         operation: "s/k".into(),
-        fingerprint: [print; 32],
-        claimant: by,
+        fingerprint: [digest; 32],
+        claimant,
         request,
     }
 }
@@ -18,12 +18,12 @@
     }))
 }
 
-fn taken(same: bool, state: OperationState) -> ChangeOutcome {
+fn already_claimed(same: bool, state: OperationState) -> ChangeOutcome {
     ChangeOutcome::AlreadyClaimed { same, state }
 }
 
 #[test]
-fn a_key_is_held_by_one_errand_and_a_repeat_hears_how_it_stands() {
+fn key_is_claimed_once_and_retry_gets_its_state() {
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
@@ -36,11 +36,11 @@
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
-        taken(true, OperationState::Running)
+        already_claimed(true, OperationState::Running)
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(3, 9)).1,
-        taken(false, OperationState::Running)
+        already_claimed(false, OperationState::Running)
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(2, 0), done()).1,
@@ -53,7 +53,7 @@
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)),
-        (2, taken(true, done()))
+        (2, already_claimed(true, done()))
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_release_frees_the_key_and_is_met_by_a_claim_that_comes_after_it() {
+fn release_frees_key_and_rejects_late_claim() {
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
@@ -84,23 +84,23 @@
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(3, 0)).1,
-        taken(true, OperationState::Running),
+        already_claimed(true, OperationState::Running),
         "another's release frees nothing"
     );
 }
 
 #[test]
-fn unknown_is_final_but_for_the_claim_that_was_held() {
+fn unknown_is_final_except_for_its_claimant() {
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 3, 3, 0);
     Ledger::claim(&mut leader, claim(1, 0));
     Ledger::finish(&mut leader, claim(1, 0), OperationState::Unknown);
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
-        taken(true, OperationState::Unknown)
+        already_claimed(true, OperationState::Unknown)
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)).1,
-        taken(true, OperationState::Unknown),
+        already_claimed(true, OperationState::Unknown),
         "nor by its own request"
     );
     assert_eq!(
@@ -109,6 +109,6 @@
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
-        taken(true, done())
+        already_claimed(true, done())
     );
 }
--- a/control-plane/src/operator_api.rs
+++ b/control-plane/src/operator_api.rs
@@ -13,10 +13,10 @@
 });
 
 /// Longer than a front tries.
-const PATIENCE: Duration = Duration::from_secs(15);
+const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 /// When to ask a node again that was cut off.
 const NO_MAJORITY_RETRY: Duration = Duration::from_secs(1);
-const ORIGINS_LISTED: usize = 1000;
+const MAX_LISTED_ORIGINS: usize = 1000;
 
 fn serve(port: &Port, request: &rouille::Request) -> Option<rouille::Response> {
     let path = request.raw_url().strip_prefix("/.otterslip/v1/")?;
@@ -31,7 +31,7 @@
         ("GET", "items") => get_items(port),
         ("PATCH", "items") => answer_of(put_items(port, request)),
         ("GET", "duties") => list(port, ASSIGNMENTS_PARTITION, &show_assignments),
-        ("GET", "state") => match port.ask(PATIENCE, &|id| Input::Operator {
+        ("GET", "state") => match port.ask(OPERATOR_REQUEST_TIMEOUT, &|id| Input::Operator {
             id,
             request: OperatorRequest::State,
         }) {
@@ -70,7 +70,7 @@
         )),
         Some([old, new]) => Ok(rouille::Response::from_data(
             "text/plain; charset=utf-8",
-            store.compare(*old, *new)?,
+            store.diff(*old, *new)?,
         )),
         _ => bail!("no such path"),
     });
@@ -113,7 +113,7 @@
 }
 
 fn ask(port: &Port, partition: u8, change: &Change) -> ChangeOutcome {
-    match port.ask(PATIENCE, &|id| Input::Operator {
+    match port.ask(OPERATOR_REQUEST_TIMEOUT, &|id| Input::Operator {
         id,
         request: OperatorRequest::Change {
             partition,
@@ -285,10 +285,10 @@
     let mut found = Vec::new();
     let mut origins: Vec<Origin> = Vec::new();
     let mut seen = HashSet::new();
-    if items.len() > ORIGINS_LISTED {
+    if items.len() > MAX_LISTED_ORIGINS {
         found.push(Finding::new(
             "",
-            format!("more than {ORIGINS_LISTED} origins"),
+            format!("more than {MAX_LISTED_ORIGINS} origins"),
         ));
     }
     for (at, item) in items.into_iter().enumerate() {
--- a/control-plane/src/operator_api/tests.rs
+++ b/control-plane/src/operator_api/tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn items_are_read_one_by_one_and_a_removal_must_be_said() {
+fn items_are_validated_singly_and_removal_is_explicit() {
     let group = r#"{"service":"s","rate":9.50,"concurrency":2,"proof":"named"}"#;
     let body = format!(
         r#"[{{"kind":"group","name":"s","revision":1,"value":{group}}},{{"kind":"entry","name":"e","revision":2,"value":null}}]"#
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_change_that_names_what_it_replaces_has_one_id_and_others_a_new_one() {
+fn conditional_change_id_is_stable_and_unconditional_is_fresh() {
     let id = |expect, content| super::change_id(expect, content).unwrap();
     assert_eq!(id(Some(4), "a"), id(Some(4), "a"));
     assert_ne!(id(Some(4), "a"), id(Some(5), "a"));
@@ -33,27 +33,27 @@
 }
 
 #[test]
-fn a_conflict_names_its_items_and_promises_that_nothing_took_effect() {
-    let found = vec![crate::prelude::Finding::new("/0/revision", "item/entry/a")];
+fn revision_conflict_names_items_and_reports_not_run() {
+    let findings = vec![crate::prelude::Finding::new("/0/revision", "item/entry/a")];
     let body_of = |outcome| {
-        let answer = super::acknowledged(outcome);
-        let (mut reader, _) = answer.data.into_reader_and_size();
+        let response = super::acknowledged(outcome);
+        let (mut reader, _) = response.data.into_reader_and_size();
         let mut text = String::new();
         std::io::Read::read_to_string(&mut reader, &mut text).unwrap();
         (
-            answer.status_code,
+            response.status_code,
             serde_json::from_str::<serde_json::Value>(&text).unwrap(),
         )
     };
     let (status, body) = body_of(crate::prelude::ChangeOutcome::RevisionConflict(
-        found.clone(),
+        findings.clone(),
     ));
     assert_eq!(
         (status, &body["code"], &body["outcome"]),
         (409, &"revision_conflict".into(), &"not_run".into())
     );
     assert_eq!(body["findings"][0]["place"], "/0/revision");
-    let (status, body) = body_of(crate::prelude::ChangeOutcome::RevisionForgotten(found));
+    let (status, body) = body_of(crate::prelude::ChangeOutcome::RevisionForgotten(findings));
     assert_eq!(
         (status, &body["code"], &body["outcome"]),
         (410, &"revision_forgotten".into(), &"unknown".into())
