--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -19,58 +19,58 @@
     pub version: u64,
     published: u64,
     /// Keys dropped at a version; forgotten once all copies dropped them.
-    drops: BTreeMap<u64, String>,
+    removed_keys: BTreeMap<u64, String>,
     /// Copies behind this version need the whole image.
-    floor: u64,
+    full_state_floor: u64,
     round: u64,
     /// When promises were last asked for.
-    asked: Option<Duration>,
+    last_prepare: Option<Duration>,
     /// When the last round of a tick began.
-    rounded: Duration,
-    promises: BTreeMap<u8, PreparedState>,
+    last_tick_round: Duration,
+    prepared: BTreeMap<u8, PreparedState>,
     /// What our own disk held when the epoch was begun.
-    own: PartitionState,
+    local_state: PartitionState,
     /// The state that was adopted.
-    adopted: StateId,
+    adopted_state: StateId,
     /// What each disk held when it promised.
-    bases: BTreeMap<u8, StateId>,
+    prepared_states: BTreeMap<u8, StateId>,
     /// One for each slot of the table it was begun under: another table
     /// takes another leader.
-    copies: Vec<CopyAt>,
+    replicas: Vec<ReplicaProgress>,
     quorum: Quorum,
     /// Version of that table.
     membership_version: u64,
     pub active_since: Option<Duration>,
     /// Until then nothing is answered: edges may know more.
-    pub wary: Option<Duration>,
+    pub recall_until: Option<Duration>,
 }
 
 /// What is known of the copy on one disk.
 #[derive(Debug, Clone, Default)]
-struct CopyAt {
-    to: Option<u64>,
-    shown: u64,
-    round: u64,
-    clear: u64,
+struct ReplicaProgress {
+    synced_version: Option<u64>,
+    sent_published: u64,
+    confirmed_round: u64,
+    sessions_confirmed: u64,
     /// The round of the message under way, and when it is sent again.
-    busy: Option<(u64, Duration)>,
+    in_flight: Option<(u64, Duration)>,
 }
 
 /// An unanswered message is sent again after this, and after so much more for
 /// each row in it: one that is still on the way is not put behind itself.
-const AGAIN: Duration = Duration::from_millis(300);
-const AGAIN_A_ROW: Duration = Duration::from_millis(2);
-const AGAIN_MOST: Duration = Duration::from_secs(3);
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
+const RESEND_INTERVAL_PER_ROW: Duration = Duration::from_millis(2);
+const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(3);
 /// Who has not promised yet is given so long before it is sent the whole state.
-pub const PROMISE_WAIT: Duration = Duration::from_millis(200);
+pub const PREPARE_REPLY_GRACE: Duration = Duration::from_millis(200);
 /// Row key of the changes applied to the partition's one row that is replaced
 /// whole.
 const APPLIED_KEY: &str = "applied";
-const RAISE_AGAIN: Duration = Duration::from_millis(400);
+const PREPARE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 /// Between rounds of a partition that is not updates.
-const SELDOM: Duration = Duration::from_secs(1);
+const LEDGER_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// Dropped keys remembered for copies that lag.
-const DROPS: usize = 4096;
+const MAX_REMOVED_KEYS: usize = 4096;
 
 impl PartitionLeader {
     pub fn new(
@@ -85,48 +85,51 @@
             rows: BTreeMap::new(),
             version: 0,
             published: 0,
-            drops: BTreeMap::new(),
-            floor: 0,
+            removed_keys: BTreeMap::new(),
+            full_state_floor: 0,
             round: 0,
-            asked: None,
-            rounded: Duration::ZERO,
-            promises: BTreeMap::new(),
-            own: PartitionState::default(),
-            adopted: StateId::default(),
-            bases: BTreeMap::new(),
-            copies: vec![CopyAt::default(); slots],
+            last_prepare: None,
+            last_tick_round: Duration::ZERO,
+            prepared: BTreeMap::new(),
+            local_state: PartitionState::default(),
+            adopted_state: StateId::default(),
+            prepared_states: BTreeMap::new(),
+            replicas: vec![ReplicaProgress::default(); slots],
             quorum: Quorum::new(slots),
             membership_version,
             active_since: None,
-            wary: None,
+            recall_until: None,
         }
     }
 
     /// Our own disk holds this: who holds nothing newer need not send it.
-    pub fn holding(self, own: PartitionState) -> PartitionLeader {
-        PartitionLeader { own, ..self }
+    pub fn with_local_state(self, own: PartitionState) -> PartitionLeader {
+        PartitionLeader {
+            local_state: own,
+            ..self
+        }
     }
 
     /// A slot promised the epoch and told what it holds.
-    pub fn raised(&mut self, now: Duration, slot: u8, state: PreparedState) {
-        self.bases.insert(slot, state.id());
+    pub fn on_prepare_reply(&mut self, now: Duration, slot: u8, state: PreparedState) {
+        self.prepared_states.insert(slot, state.id());
         if self.active_since.is_some() {
             return;
         }
-        self.promises.insert(slot, state);
-        if self.promises.len() >= self.quorum.most() {
-            self.adopt(now);
+        self.prepared.insert(slot, state);
+        if self.prepared.len() >= self.quorum.most() {
+            self.adopt_newest_state(now);
         }
     }
 
     /// The state with the highest id of a majority holds all that was ever
     /// acknowledged. Our own counts beside it: who told us no rows holds nothing
     /// newer than that.
-    fn adopt(&mut self, now: Duration) {
-        let promises = std::mem::take(&mut self.promises);
+    fn adopt_newest_state(&mut self, now: Duration) {
+        let promises = std::mem::take(&mut self.prepared);
         let published = promises.values().map(PreparedState::published).max();
         self.published = published.unwrap_or(0);
-        let own = std::mem::take(&mut self.own);
+        let own = std::mem::take(&mut self.local_state);
         let newer = promises
             .into_values()
             .filter_map(|promised| match promised {
@@ -137,20 +140,24 @@
             .chain([own])
             .max_by_key(PartitionState::id)
             .expect("our own is there");
-        self.adopted = best.id();
+        self.adopted_state = best.id();
         self.version = best.version;
-        self.floor = best.version;
+        self.full_state_floor = best.version;
         self.rows = best.rows;
         self.active_since = Some(now);
     }
 
     /// Whether answers may be given: a majority has the adopted image.
     pub fn ready(&self) -> bool {
-        self.copies.iter().filter(|copy| copy.to.is_some()).count() >= self.quorum.most()
+        self.replicas
+            .iter()
+            .filter(|copy| copy.synced_version.is_some())
+            .count()
+            >= self.quorum.most()
     }
 
     /// Rows an edge was shown and we do not have; ours are older.
-    pub fn recall(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
+    pub fn merge_recalled_rows(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
         let mut newer = 0;
         for (key, row) in rows {
             // The generation of the lost state is not this one's.
@@ -167,8 +174,10 @@
         }
         self.version = self.version.max(version);
         // Their versions may lie below what copies have: they get it whole.
-        self.floor = self.version;
-        self.copies.iter_mut().for_each(|copy| copy.to = None);
+        self.full_state_floor = self.version;
+        self.replicas
+            .iter_mut()
+            .for_each(|copy| copy.synced_version = None);
         newer
     }
 
@@ -184,18 +193,18 @@
         self.version
     }
 
-    pub fn drop_row(&mut self, key: &str) {
+    pub fn remove_row(&mut self, key: &str) {
         if self.rows.remove(key).is_some() {
             self.version += 1;
-            self.drops.insert(self.version, key.to_string());
+            self.removed_keys.insert(self.version, key.to_string());
         }
-        while self.drops.len() > DROPS {
-            self.floor = self.drops.pop_first().expect("not empty").0;
+        while self.removed_keys.len() > MAX_REMOVED_KEYS {
+            self.full_state_floor = self.removed_keys.pop_first().expect("not empty").0;
         }
     }
 
-    fn majority(&self, of: fn(&CopyAt) -> u64) -> u64 {
-        let mut list: Vec<u64> = self.copies.iter().map(of).collect();
+    fn quorum_version(&self, of: fn(&ReplicaProgress) -> u64) -> u64 {
+        let mut list: Vec<u64> = self.replicas.iter().map(of).collect();
         list.sort_unstable();
         list[list.len() - self.quorum.most()]
     }
@@ -203,7 +212,7 @@
     /// On a majority of the disks up to here.
     pub fn committed(&self) -> u64 {
         if self.ready() {
-            self.majority(|copy| copy.to.unwrap_or(0))
+            self.quorum_version(|copy| copy.synced_version.unwrap_or(0))
         } else {
             0
         }
@@ -212,39 +221,41 @@
     /// Known to every live edge up to here: at a majority, every session had
     /// confirmed it when that node answered, and later ones get it first.
     pub fn settled(&self) -> u64 {
-        self.majority(|copy| copy.clear)
+        self.quorum_version(|copy| copy.sessions_confirmed)
     }
 
     pub fn confirmed_round(&self) -> u64 {
-        self.majority(|copy| copy.round)
+        self.quorum_version(|copy| copy.confirmed_round)
     }
 
-    pub fn kept(&mut self, slot: u8, kept: &AppendReply) {
-        let Some(copy) = self.copies.get_mut(usize::from(slot)) else {
+    pub fn on_append_reply(&mut self, slot: u8, kept: &AppendReply) {
+        let Some(copy) = self.replicas.get_mut(usize::from(slot)) else {
             return;
         };
-        if copy.busy.is_some_and(|(round, _)| round == kept.round) {
-            copy.busy = None;
+        if copy.in_flight.is_some_and(|(round, _)| round == kept.round) {
+            copy.in_flight = None;
         }
-        copy.to = Some(copy.to.unwrap_or(0).max(kept.synced_version));
-        copy.round = copy.round.max(kept.round);
-        copy.clear = copy.clear.max(kept.sessions_confirmed.unwrap_or(0));
+        copy.synced_version = Some(copy.synced_version.unwrap_or(0).max(kept.synced_version));
+        copy.confirmed_round = copy.confirmed_round.max(kept.round);
+        copy.sessions_confirmed = copy
+            .sessions_confirmed
+            .max(kept.sessions_confirmed.unwrap_or(0));
         let committed = self.committed();
         self.published = self.published.max(committed);
     }
 
     /// Nothing this slot said counts any more: its disk is another.
-    pub fn forget(&mut self, slot: u8) {
-        self.promises.remove(&slot);
-        self.bases.remove(&slot);
-        if let Some(copy) = self.copies.get_mut(usize::from(slot)) {
-            *copy = CopyAt::default();
+    pub fn reset_replica(&mut self, slot: u8) {
+        self.prepared.remove(&slot);
+        self.prepared_states.remove(&slot);
+        if let Some(copy) = self.replicas.get_mut(usize::from(slot)) {
+            *copy = ReplicaProgress::default();
         }
     }
 
     /// Changes applied to the partition's row that is replaced whole. A row of
     /// their own beside it: on disk, on all replicas, and adopted with the rest.
-    pub fn applied(&self) -> AppliedChanges {
+    pub fn applied_changes(&self) -> AppliedChanges {
         match self.rows.get(APPLIED_KEY) {
             Some(Row {
                 value: Value::Applied(applied),
@@ -267,38 +278,41 @@
         });
         standing
             .map(|row| row.version)
-            .or_else(|| self.applied().version_of(change))
+            .or_else(|| self.applied_changes().version_of(change))
     }
 
     /// Replaces a row whole and remembers the change. The memory goes first:
     /// who has the row has the memory too.
     pub fn apply_change(&mut self, key: &str, value: Value, change: u64) -> u64 {
-        let mut applied = self.applied();
+        let mut applied = self.applied_changes();
         applied.remember(change, self.version + 2);
         self.put(APPLIED_KEY.into(), Value::Applied(applied));
         self.put(key.into(), value)
     }
 
     /// The table changed in its number only.
-    pub fn go_by(&mut self, membership_version: u64) {
+    pub fn set_membership_version(&mut self, membership_version: u64) {
         self.membership_version = membership_version;
     }
 
     /// Messages due now. On a tick every copy gets a round; otherwise only
     /// those that lack something, one message at a time: what gathers while
     /// one is under way goes together in the next.
-    pub fn flush(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
+    pub fn due_messages(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
         if self.active_since.is_none() {
             let (partition, epoch, membership_version) =
                 (self.partition, self.epoch, self.membership_version);
             // The answers bring whole images: asked too often, they stand in
             // each other's way.
-            let due = tick && self.asked.is_none_or(|asked| now >= asked + RAISE_AGAIN);
+            let due = tick
+                && self
+                    .last_prepare
+                    .is_none_or(|asked| now >= asked + PREPARE_RETRY_INTERVAL);
             if due {
-                self.asked = Some(now);
+                self.last_prepare = Some(now);
             }
             let unanswered = (0..self.quorum.slots as u8)
-                .filter(|slot| due && !self.promises.contains_key(slot));
+                .filter(|slot| due && !self.prepared.contains_key(slot));
             return unanswered
                 .map(|slot| {
                     (
@@ -307,7 +321,7 @@
                             partition,
                             epoch,
                             membership_version,
-                            requester_state: self.own.id(),
+                            requester_state: self.local_state.id(),
                         }
                         .into(),
                     )
@@ -317,25 +331,28 @@
         // What edges are not shown needs no settling: its rounds are seldom, and
         // that a row is on a majority goes along with the next.
         let updates = self.partition < PUBLISHED_PARTITIONS;
-        let tick = tick && (updates || now >= self.rounded + SELDOM);
+        let tick = tick && (updates || now >= self.last_tick_round + LEDGER_ROUND_INTERVAL);
         if tick {
             self.round += 1;
-            self.rounded = now;
+            self.last_tick_round = now;
         }
         let published = self.published;
         let mut out = Vec::new();
         for slot in 0..self.quorum.slots as u8 {
-            let copy = &self.copies[usize::from(slot)];
-            let lacking = copy.to.is_none_or(|to| to < self.version)
-                || updates && copy.shown < published
-                || copy.round < self.round;
-            let busy = copy.busy.is_some_and(|(_, again)| now < again);
-            if busy || !(tick || lacking) || self.awaits_promise(now, slot) {
+            let copy = &self.replicas[usize::from(slot)];
+            let lacking = copy.synced_version.is_none_or(|to| to < self.version)
+                || updates && copy.sent_published < published
+                || copy.confirmed_round < self.round;
+            let busy = copy.in_flight.is_some_and(|(_, again)| now < again);
+            if busy || !(tick || lacking) || self.awaits_prepare_reply(now, slot) {
                 continue;
             }
-            let base = self.base_of(slot);
-            let whole = base.is_none() && copy.to.is_none_or(|to| to < self.floor);
-            let known = copy.to.or(base.map(|base| base.version));
+            let base = self.delta_base(slot);
+            let whole = base.is_none()
+                && copy
+                    .synced_version
+                    .is_none_or(|to| to < self.full_state_floor);
+            let known = copy.synced_version.or(base.map(|base| base.version));
             let from = known.filter(|_| !whole).unwrap_or(0);
             let newer = self
                 .rows
@@ -353,7 +370,7 @@
                 removed_keys: if whole {
                     vec![]
                 } else {
-                    self.drops
+                    self.removed_keys
                         .range(from + 1..)
                         .map(|(_, key)| key.clone())
                         .filter(|key| !self.rows.contains_key(key))
@@ -362,10 +379,10 @@
                 published,
                 base: base.map(|base| self.earlier_state(base)),
             };
-            let span = AGAIN + AGAIN_A_ROW * keep.rows.len() as u32;
-            let copy = &mut self.copies[usize::from(slot)];
-            copy.busy = Some((self.round, now + span.min(AGAIN_MOST)));
-            copy.shown = published;
+            let span = RESEND_INTERVAL + RESEND_INTERVAL_PER_ROW * keep.rows.len() as u32;
+            let copy = &mut self.replicas[usize::from(slot)];
+            copy.in_flight = Some((self.round, now + span.min(MAX_RESEND_INTERVAL)));
+            copy.sent_published = published;
             out.push((slot, keep.into()));
         }
         out
@@ -373,28 +390,28 @@
 
     /// The state of the ledger that this disk held when it promised, if rows can
     /// be added to that: its own acknowledgement takes its place.
-    fn base_of(&self, slot: u8) -> Option<StateId> {
-        let unknown = self.copies[usize::from(slot)].to.is_none();
-        self.bases.get(&slot).copied().filter(|base| {
+    fn delta_base(&self, slot: u8) -> Option<StateId> {
+        let unknown = self.replicas[usize::from(slot)].synced_version.is_none();
+        self.prepared_states.get(&slot).copied().filter(|base| {
             unknown
                 && self.partition >= PUBLISHED_PARTITIONS
                 && base.epoch != 0
-                && base.epoch == self.adopted.epoch
-                && base.version <= self.adopted.version
+                && base.epoch == self.adopted_state.epoch
+                && base.version <= self.adopted_state.version
         })
     }
 
     /// Whether what this disk holds may still be told, so that it need not be
     /// sent the whole ledger.
-    fn awaits_promise(&self, now: Duration, slot: u8) -> bool {
+    fn awaits_prepare_reply(&self, now: Duration, slot: u8) -> bool {
         let early = self
             .active_since
-            .is_some_and(|since| now < since + PROMISE_WAIT);
-        let unknown = self.copies[usize::from(slot)].to.is_none();
+            .is_some_and(|since| now < since + PREPARE_REPLY_GRACE);
+        let unknown = self.replicas[usize::from(slot)].synced_version.is_none();
         early
             && unknown
             && self.partition >= PUBLISHED_PARTITIONS
-            && !self.bases.contains_key(&slot)
+            && !self.prepared_states.contains_key(&slot)
     }
 
     fn earlier_state(&self, base: StateId) -> EarlierState {
@@ -406,7 +423,7 @@
     }
 
     /// A read begun now is confirmed once this round is.
-    pub fn start_round(&mut self) -> u64 {
+    pub fn begin_read_round(&mut self) -> u64 {
         self.round += 1;
         self.round
     }
@@ -423,7 +440,7 @@
     }
 
     /// The generation whose ledger is said to be complete.
-    pub fn opened(&self) -> u64 {
+    pub fn opened_generation(&self) -> u64 {
         match self.rows.get("opened") {
             Some(Row {
                 value: Value::Opened { generation },
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -22,10 +22,10 @@
     pub removed: bool,
     /// The generation that may have lost something when this disk was refilled: of
     /// any two disks one knows, until the next generation has its name.
-    pub lost: u64,
+    pub lost_generation: u64,
     /// A table of places heard of from others; the one in the partition of places
     /// goes first if it is as new.
-    pub membership_version: Option<(u64, Vec<Peer>)>,
+    pub known_table: Option<(u64, Vec<Peer>)>,
     /// The first disk of its slot: it was there when the table was founded, and
     /// nothing was acknowledged before.
     pub founding: bool,
@@ -36,15 +36,15 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaPartition {
-    pub promised: u64,
-    pub image: PartitionState,
-    pub shown: BTreeMap<String, Row>,
-    pub tail: VecDeque<(u64, Vec<(String, Row)>)>,
+    pub promised_epoch: u64,
+    pub state: PartitionState,
+    pub published_rows: BTreeMap<String, Row>,
+    pub unpublished: VecDeque<(u64, Vec<(String, Row)>)>,
 }
 
 /// Retired lives remembered: disks are lost rarely, and what an earlier one
 /// acknowledged is counted within seconds or never.
-pub const RETIRED: usize = 32;
+pub const MAX_RETIRED_INCARNATIONS: usize = 32;
 
 /// One entry of the log on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -54,17 +54,17 @@
     },
     /// `lost`: from what was left after a majority of disks went.
     Recovered {
-        held: Vec<PartitionSnapshot>,
-        lost: bool,
+        partitions: Vec<PartitionSnapshot>,
+        majority_lost: bool,
     },
     Promise {
         partition: u8,
         epoch: u64,
     },
     Appended {
-        keep: AppendRequest,
+        request: AppendRequest,
     },
-    Image(Box<Replica>),
+    Snapshot(Box<Replica>),
     Removed,
     MembershipTable {
         version: u64,
@@ -97,9 +97,9 @@
 
     /// What a removed disk starts over with: a new life, which holds nothing, and
     /// the table that told of the removal.
-    pub fn renewed(&self, incarnation: u64) -> Replica {
+    pub fn for_rejoin(&self, incarnation: u64) -> Replica {
         Replica {
-            membership_version: self.table(),
+            known_table: self.newest_table(),
             ..Replica::blank(incarnation)
         }
     }
@@ -113,7 +113,7 @@
         Ok((replica.incarnation != 0).then_some(replica))
     }
 
-    pub fn held(&self, partition: u8) -> &ReplicaPartition {
+    pub fn partition(&self, partition: u8) -> &ReplicaPartition {
         &self.partitions[usize::from(partition)]
     }
 
@@ -121,31 +121,36 @@
         match record {
             Record::Incarnation { incarnation } => self.incarnation = *incarnation,
             Record::Promise { partition, epoch } => {
-                self.partitions[usize::from(*partition)].promised = *epoch
+                self.partitions[usize::from(*partition)].promised_epoch = *epoch
+            }
+            Record::Appended { request: keep } => {
+                self.partitions[usize::from(keep.partition)].append(keep)
             }
-            Record::Appended { keep } => self.partitions[usize::from(keep.partition)].keep(keep),
             Record::Removed => self.removed = true,
             Record::MembershipTable { version, members } => {
-                self.membership_version = Some((*version, members.clone()))
+                self.known_table = Some((*version, members.clone()))
             }
             Record::Founding { members } => {
-                (self.founding, self.membership_version) = (true, Some((0, members.clone())))
+                (self.founding, self.known_table) = (true, Some((0, members.clone())))
             }
             Record::Retired { incarnation } => {
                 self.retired.push_back(*incarnation);
-                while self.retired.len() > RETIRED {
+                while self.retired.len() > MAX_RETIRED_INCARNATIONS {
                     self.retired.pop_front();
                 }
             }
-            Record::Image(image) => *self = (**image).clone(),
-            Record::Recovered { held, lost } => {
+            Record::Snapshot(image) => *self = (**image).clone(),
+            Record::Recovered {
+                partitions: held,
+                majority_lost: lost,
+            } => {
                 self.full = true;
                 for one in held {
                     let partition = &mut self.partitions[usize::from(one.partition)];
-                    partition.promised = partition.promised.max(one.promised);
-                    partition.image = one.state.clone();
-                    partition.shown = one.published_rows.clone();
-                    partition.tail.clear();
+                    partition.promised_epoch = partition.promised_epoch.max(one.promised);
+                    partition.state = one.state.clone();
+                    partition.published_rows = one.published_rows.clone();
+                    partition.unpublished.clear();
                     if one.partition < PUBLISHED_PARTITIONS {
                         let rows = one
                             .state
@@ -153,20 +158,20 @@
                             .iter()
                             .map(|(key, row)| (key.clone(), row.clone()))
                             .collect();
-                        partition.tail.push_back((one.state.version, rows));
+                        partition.unpublished.push_back((one.state.version, rows));
                     }
                 }
-                self.lost = if *lost { self.generation() } else { 0 };
+                self.lost_generation = if *lost { self.generation() } else { 0 };
             }
         }
     }
 
-    pub fn copy_out(&self) -> Vec<PartitionSnapshot> {
+    pub fn snapshot(&self) -> Vec<PartitionSnapshot> {
         let one = |(at, held): (usize, &ReplicaPartition)| PartitionSnapshot {
             partition: at as u8,
-            promised: held.promised,
-            state: held.image.clone(),
-            published_rows: held.shown.clone(),
+            promised: held.promised_epoch,
+            state: held.state.clone(),
+            published_rows: held.published_rows.clone(),
         };
         self.partitions.iter().enumerate().map(one).collect()
     }
@@ -175,12 +180,15 @@
     pub fn updates(&self, vector: &[u64]) -> Vec<PartitionUpdate> {
         (0..PUBLISHED_PARTITIONS)
             .filter_map(|partition| {
-                let held = self.held(partition);
+                let held = self.partition(partition);
                 let known = vector.get(usize::from(partition)).copied().unwrap_or(0);
-                let rows = held.shown.iter().filter(|(_, row)| row.version > known);
-                (held.image.published > known).then(|| PartitionUpdate {
+                let rows = held
+                    .published_rows
+                    .iter()
+                    .filter(|(_, row)| row.version > known);
+                (held.state.published > known).then(|| PartitionUpdate {
                     partition,
-                    version: held.image.published,
+                    version: held.state.published,
                     rows: rows.map(|(key, row)| (key.clone(), row.clone())).collect(),
                 })
             })
@@ -189,7 +197,11 @@
 
     /// The generation, as far as this replica may show it; 0 before the founding.
     pub fn generation(&self) -> u64 {
-        match self.held(CONFIGURATION_PARTITION).shown.get("founded") {
+        match self
+            .partition(CONFIGURATION_PARTITION)
+            .published_rows
+            .get("founded")
+        {
             Some(Row {
                 value: Value::Founded { generation },
                 ..
@@ -199,8 +211,12 @@
     }
 
     /// The generation whose ledger was told to be complete.
-    pub fn opened(&self) -> u64 {
-        match self.held(ASSIGNMENTS_PARTITION).shown.get("opened") {
+    pub fn opened_generation(&self) -> u64 {
+        match self
+            .partition(ASSIGNMENTS_PARTITION)
+            .published_rows
+            .get("opened")
+        {
             Some(Row {
                 value: Value::Opened { generation },
                 ..
@@ -210,14 +226,14 @@
     }
 
     /// Whether an edge may claim operations: its loss would be noticed.
-    pub fn enrolled(&self, peer: &Peer) -> bool {
-        matches!(self.held(ASSIGNMENTS_PARTITION).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
+    pub fn is_enrolled(&self, peer: &Peer) -> bool {
+        matches!(self.partition(ASSIGNMENTS_PARTITION).published_rows.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
     }
 
     /// Who holds the slots by the newest table known here, if any is.
-    pub fn table(&self) -> Option<(u64, Vec<Peer>)> {
-        let shown = self.members();
-        match &self.membership_version {
+    pub fn newest_table(&self) -> Option<(u64, Vec<Peer>)> {
+        let shown = self.published_members();
+        match &self.known_table {
             Some(heard) if shown.as_ref().is_none_or(|(version, _)| *version < heard.0) => {
                 Some(heard.clone())
             }
@@ -226,9 +242,9 @@
     }
 
     /// Who holds the slots as edges are shown it here, if there is such a row.
-    pub fn members(&self) -> Option<(u64, Vec<Peer>)> {
-        self.held(MEMBERSHIP_PARTITION)
-            .shown
+    pub fn published_members(&self) -> Option<(u64, Vec<Peer>)> {
+        self.partition(MEMBERSHIP_PARTITION)
+            .published_rows
             .values()
             .find_map(|row| match &row.value {
                 Value::Members(members) => Some((row.version, members.clone())),
@@ -238,8 +254,8 @@
 
     /// The configuration as far as this replica may show it.
     pub fn configuration(&self) -> Option<(u64, Arc<str>)> {
-        self.held(CONFIGURATION_PARTITION)
-            .shown
+        self.partition(CONFIGURATION_PARTITION)
+            .published_rows
             .values()
             .find_map(|row| match &row.value {
                 Value::Configuration { text, .. } => Some((row.version, text.clone())),
@@ -250,85 +266,87 @@
 
 impl ReplicaPartition {
     /// Whether `keep` can be taken as it is; the epoch was checked before.
-    pub fn fits(&self, keep: &AppendRequest) -> bool {
-        let same_epoch = self.image.epoch == keep.epoch && self.image.version >= keep.after_version;
+    pub fn accepts(&self, keep: &AppendRequest) -> bool {
+        let same_epoch = self.state.epoch == keep.epoch && self.state.version >= keep.after_version;
         let base = keep.base.as_ref().map(|base| StateId {
             epoch: base.epoch,
             version: keep.after_version,
         });
-        keep.full_state || same_epoch || base == Some(self.image.id())
+        keep.full_state || same_epoch || base == Some(self.state.id())
     }
 
     /// What is told with a promise to one who holds `held`. States of the ledger
     /// are large and mostly the same at all replicas.
-    pub fn promised_state(&self, partition: u8, held: StateId) -> PreparedState {
-        let id = self.image.id();
+    pub fn prepared_state(&self, partition: u8, held: StateId) -> PreparedState {
+        let id = self.state.id();
         if partition >= PUBLISHED_PARTITIONS && id <= held {
-            let published = self.image.published;
+            let published = self.state.published;
             PreparedState::NotNewer { id, published }
         } else {
-            PreparedState::Newer(self.image.clone())
+            PreparedState::Newer(self.state.clone())
         }
     }
 
-    fn keep(&mut self, keep: &AppendRequest) {
-        self.promised = self.promised.max(keep.epoch);
+    fn append(&mut self, keep: &AppendRequest) {
+        self.promised_epoch = self.promised_epoch.max(keep.epoch);
         if keep.full_state {
-            self.image.rows.clear();
-            self.image.version = 0;
-            self.tail.clear();
+            self.state.rows.clear();
+            self.state.version = 0;
+            self.unpublished.clear();
         }
-        self.image.epoch = keep.epoch;
+        self.state.epoch = keep.epoch;
         for (key, row) in &keep.rows {
             if self
-                .image
+                .state
                 .rows
                 .get(key)
                 .is_none_or(|known| known.version < row.version)
             {
-                self.image.rows.insert(key.clone(), row.clone());
+                self.state.rows.insert(key.clone(), row.clone());
             }
         }
         for key in &keep.removed_keys {
-            self.image.rows.remove(key);
+            self.state.rows.remove(key);
         }
         if let Some(keys) = keep.base.as_ref().and_then(|base| base.keys.as_ref()) {
             let keys: HashSet<&String> = keys.iter().collect();
-            self.image.rows.retain(|key, _| keys.contains(key));
+            self.state.rows.retain(|key, _| keys.contains(key));
         }
         if keep.partition < PUBLISHED_PARTITIONS
-            && (keep.full_state || keep.to_version > self.image.version)
+            && (keep.full_state || keep.to_version > self.state.version)
         {
-            self.tail.push_back((keep.to_version, keep.rows.clone()));
+            self.unpublished
+                .push_back((keep.to_version, keep.rows.clone()));
         }
-        self.image.version = self.image.version.max(keep.to_version);
+        self.state.version = self.state.version.max(keep.to_version);
         if keep.partition < PUBLISHED_PARTITIONS {
             self.publish(keep.published);
         } else {
-            self.image.published = self
-                .image
+            self.state.published = self
+                .state
                 .published
-                .max(keep.published.min(self.image.version));
+                .max(keep.published.min(self.state.version));
         }
     }
 
     fn publish(&mut self, published: u64) {
-        while let Some((version, rows)) =
-            self.tail.pop_front_if(|(version, _)| *version <= published)
+        while let Some((version, rows)) = self
+            .unpublished
+            .pop_front_if(|(version, _)| *version <= published)
         {
             for (key, row) in rows {
                 if !row.value.visible_to_edges() {
                     continue;
                 }
                 if self
-                    .shown
+                    .published_rows
                     .get(&key)
                     .is_none_or(|known| known.version < row.version)
                 {
-                    self.shown.insert(key, row);
+                    self.published_rows.insert(key, row);
                 }
             }
-            self.image.published = self.image.published.max(version);
+            self.state.published = self.state.published.max(version);
         }
     }
 }
--- a/control-plane/src/replica/tests.rs
+++ b/control-plane/src/replica/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `replica`.
 use crate::prelude::*;
 
-fn keep(from: u64, to: u64, published: u64) -> AppendRequest {
+fn append_request(from: u64, to: u64, published: u64) -> AppendRequest {
     let purge = Purge {
         entry: Some(format!("e{to}")),
         ..Purge::default()
@@ -27,15 +27,15 @@
 }
 
 #[test]
-fn a_row_is_shown_only_once_published_and_a_newer_one_does_not_hide_it() {
+fn row_is_visible_once_published_despite_newer_row() {
     let mut replica = Replica::blank(1);
     replica.apply(&Record::Appended {
-        keep: keep(0, 1, 0),
+        request: append_request(0, 1, 0),
     });
     assert!(replica.updates(&[0; 4]).is_empty());
     // Publishing 1 and adding 2 over it come in one message.
     replica.apply(&Record::Appended {
-        keep: keep(1, 2, 1),
+        request: append_request(1, 2, 1),
     });
     let updates = replica.updates(&[0; 4]);
     assert_eq!((updates[0].version, updates[0].rows[0].1.version), (1, 1));
@@ -45,20 +45,20 @@
 /// Once, a row that a lagging disk never got was claimed to be shown by it:
 /// the edge missed that its assignment had been revoked, and two held it.
 #[test]
-fn what_a_later_row_hides_is_not_claimed_to_be_shown() {
+fn overwritten_row_is_not_reported_as_published() {
     let mut replica = Replica::blank(1);
     replica.apply(&Record::Appended {
-        keep: keep(0, 1, 1),
+        request: append_request(0, 1, 1),
     });
     // Rows 2 and 3 were published; row 4 of the same key went over them.
     replica.apply(&Record::Appended {
-        keep: keep(1, 4, 3),
+        request: append_request(1, 4, 3),
     });
     assert!(replica.updates(&[0, 1]).is_empty(), "3 is not known here");
     replica.apply(&Record::Appended {
-        keep: AppendRequest {
+        request: AppendRequest {
             rows: vec![],
-            ..keep(4, 4, 4)
+            ..append_request(4, 4, 4)
         },
     });
     let updates = replica.updates(&[0, 1]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_log_reads_back_to_the_same_state_and_without_a_number_it_is_blank() {
+fn log_replays_to_same_state_and_empty_log_is_blank() {
     let mut replica = Replica::blank(0);
     let records = [
         Record::Incarnation { incarnation: 9 },
@@ -75,7 +75,7 @@
             epoch: 3,
         },
         Record::Appended {
-            keep: keep(0, 1, 0),
+            request: append_request(0, 1, 0),
         },
     ];
     let bytes: Vec<Vec<u8>> = records
@@ -84,8 +84,8 @@
         .collect();
     records.iter().for_each(|record| replica.apply(record));
     assert_eq!(Replica::replay(&bytes).unwrap(), Some(replica.clone()));
-    let image = bincode::serialize(&Record::Image(Box::new(replica.clone()))).unwrap();
-    assert_eq!(Replica::replay(&[image]).unwrap(), Some(replica));
+    let snapshot = bincode::serialize(&Record::Snapshot(Box::new(replica.clone()))).unwrap();
+    assert_eq!(Replica::replay(&[snapshot]).unwrap(), Some(replica));
     assert_eq!(Replica::replay(&[]).unwrap(), None);
     assert!(Replica::replay(&[vec![250, 1, 2]]).is_err());
 }
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -18,29 +18,29 @@
     quorum: Quorum,
     membership_version: u64,
     round: u8,
-    got: BTreeMap<u8, Got>,
+    replies: BTreeMap<u8, ReceivedSnapshot>,
     /// In which round each was last asked, and when.
-    asked: BTreeMap<u8, (u8, Duration)>,
+    last_requests: BTreeMap<u8, (u8, Duration)>,
 }
 
 /// A whole disk's content takes this long over a slow way.
-const AGAIN: Duration = Duration::from_millis(600);
+const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
 #[derive(Debug, Clone)]
-struct Got {
+struct ReceivedSnapshot {
     /// Its disk is full, by whichever table.
     full: bool,
     /// And it counts: edges are shown the table that names us there.
-    whole: bool,
-    held: Vec<PartitionSnapshot>,
+    usable: bool,
+    partitions: Vec<PartitionSnapshot>,
 }
 
 /// All partitions merged, and whether a majority of disks was lost: too many others
 /// were blank too, or just refilled from what was left, and yet there was
 /// something.
-pub struct Merged {
-    pub held: Vec<PartitionSnapshot>,
-    pub lost: bool,
+pub struct RecoveredState {
+    pub partitions: Vec<PartitionSnapshot>,
+    pub majority_lost: bool,
 }
 
 impl ReplicaRecovery {
@@ -51,8 +51,8 @@
             quorum: Quorum::new(slots),
             membership_version,
             round: 0,
-            got: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            replies: BTreeMap::new(),
+            last_requests: BTreeMap::new(),
         }
     }
 
@@ -60,16 +60,16 @@
     /// by now. Not more often than an answer, which brings all there is, takes
     /// to come: those asked for in vain would stand before what follows.
     pub fn tick(&mut self, now: Duration) -> Vec<(u8, Message)> {
-        let whole = |slot: &u8| self.got.get(slot).is_some_and(|got| got.whole);
+        let whole = |slot: &u8| self.replies.get(slot).is_some_and(|got| got.usable);
         let due = |slot: &u8| {
-            self.asked
-                .get(slot)
-                .is_none_or(|(round, asked)| *round != self.round || now >= *asked + AGAIN)
+            self.last_requests.get(slot).is_none_or(|(round, asked)| {
+                *round != self.round || now >= *asked + SNAPSHOT_RETRY_INTERVAL
+            })
         };
         let others: Vec<u8> = (0..self.quorum.slots as u8)
             .filter(|slot| *slot != self.slot && !whole(slot) && due(slot))
             .collect();
-        self.asked
+        self.last_requests
             .extend(others.iter().map(|slot| (*slot, (self.round, now))));
         others
             .into_iter()
@@ -88,33 +88,36 @@
     }
 
     /// All partitions merged, once the second round is whole.
-    pub fn heard(&mut self, refilled: SnapshotReply) -> Option<Merged> {
+    pub fn on_snapshot_reply(&mut self, refilled: SnapshotReply) -> Option<RecoveredState> {
         if refilled.round != self.round || refilled.slot == self.slot {
             return None;
         }
         let full = refilled.full && refilled.lost_generation == 0;
         // Else its edges may still go by the earlier table.
         let whole = full && refilled.membership_version >= self.membership_version;
-        self.got.insert(
+        self.replies.insert(
             refilled.slot,
-            Got {
+            ReceivedSnapshot {
                 full,
-                whole,
-                held: refilled.partitions,
+                usable: whole,
+                partitions: refilled.partitions,
             },
         );
-        let enough = self.got.values().filter(|got| got.whole).count() >= self.quorum.rest();
-        let may_be = self.got.values().filter(|got| got.full).count() >= self.quorum.rest();
-        if !enough && (may_be || self.got.len() + 1 < self.quorum.slots) {
+        let enough = self.replies.values().filter(|got| got.usable).count() >= self.quorum.rest();
+        let may_be = self.replies.values().filter(|got| got.full).count() >= self.quorum.rest();
+        if !enough && (may_be || self.replies.len() + 1 < self.quorum.slots) {
             return None;
         }
         if self.round == 0 {
             self.round = 1;
-            self.got.clear();
+            self.replies.clear();
             return None;
         }
         let mut merged: Vec<PartitionSnapshot> = Vec::new();
-        for Got { held, .. } in std::mem::take(&mut self.got).into_values() {
+        for ReceivedSnapshot {
+            partitions: held, ..
+        } in std::mem::take(&mut self.replies).into_values()
+        {
             if merged.is_empty() {
                 merged = held;
                 continue;
@@ -133,6 +136,9 @@
             }
         }
         let lost = !enough && merged.iter().any(|one| one.state.version > 0);
-        Some(Merged { held: merged, lost })
+        Some(RecoveredState {
+            partitions: merged,
+            majority_lost: lost,
+        })
     }
 }
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -2,8 +2,8 @@
 use crate::prelude::*;
 
 #[test]
-fn only_the_second_round_of_both_others_counts_and_the_newer_image_wins() {
-    let held = |promised, epoch, version| {
+fn second_round_snapshots_merge_to_newest_state() {
+    let partitions = |promised, epoch, version| {
         vec![PartitionSnapshot {
             partition: 0,
             promised,
@@ -19,104 +19,104 @@
     let mut recovery = ReplicaRecovery::new(1, 3, 0);
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 slot: 0,
                 requester_incarnation: 1,
                 round: 0,
                 full: true,
                 lost_generation: 0,
                 membership_version: 0,
-                partitions: held(1, 1, 90)
+                partitions: partitions(1, 1, 90)
             })
             .is_none()
     );
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 slot: 0,
                 requester_incarnation: 1,
                 round: 0,
                 full: true,
                 lost_generation: 0,
                 membership_version: 0,
-                partitions: held(1, 1, 90)
+                partitions: partitions(1, 1, 90)
             })
             .is_none()
     );
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 slot: 2,
                 requester_incarnation: 1,
                 round: 0,
                 full: true,
                 lost_generation: 0,
                 membership_version: 0,
-                partitions: held(1, 1, 90)
+                partitions: partitions(1, 1, 90)
             })
             .is_none()
     );
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 slot: 2,
                 requester_incarnation: 1,
                 round: 0,
                 full: true,
                 lost_generation: 0,
                 membership_version: 0,
-                partitions: held(1, 1, 90)
+                partitions: partitions(1, 1, 90)
             })
             .is_none(),
         "late first round"
     );
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 slot: 0,
                 requester_incarnation: 1,
                 round: 1,
                 full: true,
                 lost_generation: 0,
                 membership_version: 0,
-                partitions: held(9, 3, 5)
+                partitions: partitions(9, 3, 5)
             })
             .is_none()
     );
-    let merged = recovery
-        .heard(SnapshotReply {
+    let recovered = recovery
+        .on_snapshot_reply(SnapshotReply {
             slot: 2,
             requester_incarnation: 1,
             round: 1,
             full: true,
             lost_generation: 0,
             membership_version: 0,
-            partitions: held(7, 4, 2),
+            partitions: partitions(7, 4, 2),
         })
         .unwrap();
-    assert!(!merged.lost);
-    let merged = merged.held;
+    assert!(!recovered.majority_lost);
+    let recovered = recovered.partitions;
     assert_eq!(
         (
-            merged[0].promised,
-            merged[0].state.epoch,
-            merged[0].state.version
+            recovered[0].promised,
+            recovered[0].state.epoch,
+            recovered[0].state.version
         ),
         (9, 4, 2)
     );
 }
 
-fn told(slot: u8, round: u8, full: bool, version: u64) -> SnapshotReply {
-    let image = PartitionState {
+fn snapshot_reply(slot: u8, round: u8, full: bool, version: u64) -> SnapshotReply {
+    let state = PartitionState {
         epoch: 1,
         version,
         published: version,
         rows: BTreeMap::new(),
     };
-    let held = vec![PartitionSnapshot {
+    let partitions = vec![PartitionSnapshot {
         partition: 0,
         promised: 1,
-        state: image,
+        state,
         published_rows: BTreeMap::new(),
     }];
     SnapshotReply {
@@ -126,15 +126,23 @@
         full,
         lost_generation: 0,
         membership_version: 5,
-        partitions: held,
+        partitions,
     }
 }
 
 #[test]
-fn of_four_two_full_ones_suffice_and_one_beside_a_blank_does_not() {
+fn recovery_in_four_slots_needs_second_usable_snapshot() {
     let mut recovery = ReplicaRecovery::new(3, 4, 5);
-    assert!(recovery.heard(told(0, 0, true, 9)).is_none());
-    assert!(recovery.heard(told(1, 0, false, 0)).is_none());
+    assert!(
+        recovery
+            .on_snapshot_reply(snapshot_reply(0, 0, true, 9))
+            .is_none()
+    );
+    assert!(
+        recovery
+            .on_snapshot_reply(snapshot_reply(1, 0, false, 0))
+            .is_none()
+    );
     assert_eq!(recovery.round, 0, "one is blank: it does not count");
     assert!(
         recovery
@@ -145,9 +153,9 @@
     );
     assert!(
         recovery
-            .heard(SnapshotReply {
+            .on_snapshot_reply(SnapshotReply {
                 membership_version: 4,
-                ..told(2, 0, true, 9)
+                ..snapshot_reply(2, 0, true, 9)
             })
             .is_none()
     );
@@ -155,34 +163,52 @@
         recovery.round, 0,
         "one goes by an earlier table: it does not count"
     );
-    assert!(recovery.heard(told(2, 0, true, 9)).is_none());
+    assert!(
+        recovery
+            .on_snapshot_reply(snapshot_reply(2, 0, true, 9))
+            .is_none()
+    );
     assert_eq!(recovery.round, 1);
-    assert!(recovery.heard(told(1, 1, false, 0)).is_none());
-    assert!(recovery.heard(told(2, 1, true, 7)).is_none());
-    let merged = recovery.heard(told(0, 1, true, 9)).unwrap();
-    assert!(!merged.lost && merged.held[0].state.version == 9);
+    assert!(
+        recovery
+            .on_snapshot_reply(snapshot_reply(1, 1, false, 0))
+            .is_none()
+    );
+    assert!(
+        recovery
+            .on_snapshot_reply(snapshot_reply(2, 1, true, 7))
+            .is_none()
+    );
+    let recovered = recovery
+        .on_snapshot_reply(snapshot_reply(0, 1, true, 9))
+        .unwrap();
+    assert!(!recovered.majority_lost && recovered.partitions[0].state.version == 9);
 }
 
 #[test]
-fn when_all_answered_and_too_few_are_full_a_majority_is_known_to_be_lost() {
+fn too_few_full_replicas_report_majority_loss() {
     let mut recovery = ReplicaRecovery::new(4, 5, 0);
     for round in 0..2 {
         for slot in 0..3 {
-            assert!(recovery.heard(told(slot, round, slot < 2, 9)).is_none());
+            assert!(
+                recovery
+                    .on_snapshot_reply(snapshot_reply(slot, round, slot < 2, 9))
+                    .is_none()
+            );
         }
-        let merged = recovery.heard(told(3, round, false, 0));
+        let recovered = recovery.on_snapshot_reply(snapshot_reply(3, round, false, 0));
         assert_eq!(
-            merged.map(|merged| merged.lost),
+            recovered.map(|recovered| recovered.majority_lost),
             (round == 1).then_some(true)
         );
     }
 }
 
 #[test]
-fn who_has_not_answered_is_asked_again_but_not_with_every_pulse() {
+fn snapshot_request_is_retried_after_interval() {
     let mut recovery = ReplicaRecovery::new(0, 3, 0);
-    let said: Vec<usize> = (0..8)
+    let request_counts: Vec<usize> = (0..8)
         .map(|tick| recovery.tick(Duration::from_millis(tick * 100)).len())
         .collect();
-    assert_eq!(said, [2, 0, 0, 0, 0, 0, 2, 0]);
+    assert_eq!(request_counts, [2, 0, 0, 0, 0, 0, 2, 0]);
 }
--- a/control-plane/src/update_replies/tests.rs
+++ b/control-plane/src/update_replies/tests.rs
@@ -10,7 +10,7 @@
 
 /// Publishes so many rows more of the purges.
 fn publish(replica: &mut Replica, count: u64) {
-    let from = replica.held(PURGES_PARTITION).image.version;
+    let from = replica.partition(PURGES_PARTITION).state.version;
     let to = from + count;
     let row = |version: u64| {
         let prefix = Some(format!("/{version:0100}"));
@@ -24,7 +24,7 @@
         };
         (format!("purge/{version}"), Row { version, value })
     };
-    let keep = AppendRequest {
+    let request = AppendRequest {
         partition: PURGES_PARTITION,
         epoch: 1,
         membership_version: 0,
@@ -37,10 +37,10 @@
         published: to,
         base: None,
     };
-    replica.apply(&Record::Appended { keep });
+    replica.apply(&Record::Appended { request });
 }
 
-fn told(
+fn expect_reply(
     replies: &mut UpdateReplies,
     ms: u64,
     to: Peer,
@@ -56,64 +56,67 @@
 }
 
 #[test]
-fn edges_that_lack_the_same_share_it_until_more_is_published() {
+fn equal_versions_share_encoded_updates_until_next_publish() {
     let mut replica = Replica::blank(1);
     let mut replies = UpdateReplies::default();
     publish(&mut replica, 400);
-    let first = told(&mut replies, 0, edge(1), 0, &replica);
-    let second = told(&mut replies, 0, edge(2), 0, &replica);
+    let first = expect_reply(&mut replies, 0, edge(1), 0, &replica);
+    let second = expect_reply(&mut replies, 0, edge(2), 0, &replica);
     assert!(Arc::ptr_eq(&first.encoded(), &second.encoded()));
-    let behind = told(&mut replies, 0, edge(3), 399, &replica);
+    let behind = expect_reply(&mut replies, 0, edge(3), 399, &replica);
     assert_eq!(behind[0].rows.len(), 1, "only what it lacks");
-    assert!(told(&mut replies, 0, edge(4), 400, &replica).is_empty());
+    assert!(expect_reply(&mut replies, 0, edge(4), 400, &replica).is_empty());
     publish(&mut replica, 1);
-    let later = told(&mut replies, 0, edge(5), 0, &replica);
+    let later = expect_reply(&mut replies, 0, edge(5), 0, &replica);
     assert_eq!(later[0].rows.len(), 401);
 }
 
 #[test]
-fn a_partition_taken_from_another_disk_is_not_told_as_it_was() {
+fn replaced_partition_state_invalidates_cached_reply() {
     let mut replica = Replica::blank(1);
     let mut replies = UpdateReplies::default();
     publish(&mut replica, 3);
-    told(&mut replies, 0, edge(1), 0, &replica);
+    expect_reply(&mut replies, 0, edge(1), 0, &replica);
     let mut other = Replica::blank(2);
     publish(&mut other, 3);
-    other.partitions[usize::from(PURGES_PARTITION)].image.epoch = 2;
+    other.partitions[usize::from(PURGES_PARTITION)].state.epoch = 2;
     other.partitions[usize::from(PURGES_PARTITION)]
-        .shown
+        .published_rows
         .clear();
-    told(&mut replies, 0, edge(1), 0, &other);
+    expect_reply(&mut replies, 0, edge(1), 0, &other);
 }
 
 #[test]
-fn what_is_large_and_on_the_way_is_told_again_only_after_a_while() {
+fn large_reply_in_flight_is_resent_after_backoff() {
     let mut replica = Replica::blank(1);
     let mut replies = UpdateReplies::default();
     publish(&mut replica, 2_000);
-    let updates = told(&mut replies, 0, edge(1), 0, &replica);
+    let updates = expect_reply(&mut replies, 0, edge(1), 0, &replica);
     let bytes = updates.encoded().len() as u64;
     assert!(bytes > 200_000);
-    let again = bytes / 500 + 251;
-    for ms in [1, 200, again - 2] {
+    let resend_delay = bytes / 500 + 251;
+    for ms in [1, 200, resend_delay - 2] {
         let vector = [0; 5];
         assert_eq!(replies.reply(at(ms), edge(1), &vector, &replica), None);
     }
-    told(&mut replies, 201, edge(2), 0, &replica);
+    expect_reply(&mut replies, 201, edge(2), 0, &replica);
     // Another run of the edge, and one that has taken some of it, get theirs.
     let incarnation = Peer::new(edge(1).address, 2);
-    told(&mut replies, 202, incarnation, 0, &replica);
-    told(&mut replies, 203, edge(1), 1_900, &replica);
-    told(&mut replies, 204, edge(1), 0, &replica);
-    told(&mut replies, 204 + again, edge(1), 0, &replica);
+    expect_reply(&mut replies, 202, incarnation, 0, &replica);
+    expect_reply(&mut replies, 203, edge(1), 1_900, &replica);
+    expect_reply(&mut replies, 204, edge(1), 0, &replica);
+    expect_reply(&mut replies, 204 + resend_delay, edge(1), 0, &replica);
 }
 
 #[test]
-fn what_is_small_is_told_with_every_renewal() {
+fn small_reply_is_sent_with_every_renewal() {
     let mut replica = Replica::blank(1);
     let mut replies = UpdateReplies::default();
     publish(&mut replica, 2);
     for ms in 0..3 {
-        assert_eq!(told(&mut replies, ms, edge(1), 0, &replica).len(), 1);
+        assert_eq!(
+            expect_reply(&mut replies, ms, edge(1), 0, &replica).len(),
+            1
+        );
     }
 }
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -11,7 +11,7 @@
 /// Ports of the nodes begin here.
 const FIRST_PORT: u16 = 100;
 
-enum Happening {
+enum ScheduledEvent {
     Tick,
     Deliver { from: Peer, message: Box<Message> },
     Synced { serial: u64, record: Vec<u8> },
@@ -22,11 +22,11 @@
     node: usize,
     /// The run of the node that this is meant for; a restart begins another.
     run: u64,
-    happening: Happening,
+    event: ScheduledEvent,
 }
 
 struct Node {
-    part: ControlNode,
+    control_node: ControlNode,
     run: u64,
     disk: Vec<Vec<u8>>,
     /// It refuses writes.
@@ -36,8 +36,8 @@
 /// A call of an operator: where and when it was made, and its answer.
 pub struct Call {
     pub node: usize,
-    pub asked: Duration,
-    pub answer: Option<(Duration, ChangeOutcome)>,
+    pub sent_at: Duration,
+    pub response: Option<(Duration, ChangeOutcome)>,
 }
 
 /// A fleet of control nodes whose seeds are the membership table.
@@ -47,7 +47,7 @@
     scheduled: BTreeMap<(Duration, u64), Scheduled>,
     sequence: u64,
     /// Directions, as (from, to), in which nothing gets through.
-    cuts: BTreeSet<(usize, usize)>,
+    blocked_links: BTreeSet<(usize, usize)>,
     pub calls: Vec<Call>,
     /// Epochs under which partitions were led, by node.
     pub takeovers: usize,
@@ -69,7 +69,7 @@
             nodes: Vec::new(),
             scheduled: BTreeMap::new(),
             sequence: 0,
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             calls: Vec::new(),
             takeovers: 0,
         };
@@ -78,11 +78,11 @@
                 full: true,
                 ..Replica::blank(1 + node as u64)
             };
-            let image = control_plane::Record::Image(Box::new(replica.clone()));
+            let image = control_plane::Record::Snapshot(Box::new(replica.clone()));
             let disk = vec![bincode::serialize(&image).expect("records serialize")];
-            let part = Cluster::part(node, size, replica, 1);
+            let control_node = Cluster::control_node(node, size, replica, 1);
             cluster.nodes.push(Node {
-                part,
+                control_node,
                 run: 1,
                 disk,
                 full: false,
@@ -90,7 +90,7 @@
             cluster.schedule(
                 Duration::from_millis(7 * node as u64),
                 node,
-                Happening::Tick,
+                ScheduledEvent::Tick,
             );
         }
         cluster.run(Duration::from_secs(5));
@@ -104,14 +104,14 @@
         let state = self.state(0);
         let generation = state["ledger"]["realm"].as_str().expect("a text");
         let generation = u64::from_str_radix(generation, 16).expect("a realm");
-        let at = self.ask(0, ASSIGNMENTS_PARTITION, Change::OpenLedger { generation });
+        let at = self.submit(0, ASSIGNMENTS_PARTITION, Change::OpenLedger { generation });
         self.run(Duration::from_secs(2));
-        let answer = &self.calls[at].answer;
-        let opened = matches!(answer, Some((_, ChangeOutcome::Acknowledged { .. })));
-        assert!(opened, "{answer:?}");
+        let response = &self.calls[at].response;
+        let opened = matches!(response, Some((_, ChangeOutcome::Acknowledged { .. })));
+        assert!(opened, "{response:?}");
     }
 
-    fn part(node: usize, size: usize, replica: Replica, run: u64) -> ControlNode {
+    fn control_node(node: usize, size: usize, replica: Replica, run: u64) -> ControlNode {
         let seeds = (0..size).map(address).collect();
         ControlNode::new(address(node), seeds, replica, false, None, run)
     }
@@ -120,34 +120,30 @@
         self.nodes.len()
     }
 
-    fn schedule(&mut self, after: Duration, node: usize, happening: Happening) {
+    fn schedule(&mut self, after: Duration, node: usize, event: ScheduledEvent) {
         self.sequence += 1;
         // Of the node's current run; of none while it is being made.
-        let run = self.nodes.get(node).map_or(1, |known| known.run);
-        let scheduled = Scheduled {
-            node,
-            run,
-            happening,
-        };
+        let run = self.nodes.get(node).map_or(1, |running| running.run);
+        let scheduled = Scheduled { node, run, event };
         let key = (self.now + after, self.sequence);
         self.scheduled.insert(key, scheduled);
     }
 
     /// Nothing gets from the first to the second any more.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
     /// Neither hears the other.
-    pub fn cut_both_ways(&mut self, one: usize, other: usize) {
-        self.cut(one, other);
-        self.cut(other, one);
+    pub fn block_both_ways(&mut self, first: usize, other: usize) {
+        self.block(first, other);
+        self.block(other, first);
     }
 
     /// Cuts a node off from all others.
     pub fn isolate(&mut self, node: usize) {
         for other in self.others(node) {
-            self.cut_both_ways(node, other);
+            self.block_both_ways(node, other);
         }
     }
 
@@ -156,7 +152,7 @@
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
     /// From now on the node's disk refuses writes, or takes them again.
@@ -167,18 +163,20 @@
     /// The process ends and starts again with what its disk holds.
     pub fn restart(&mut self, node: usize) {
         let size = self.size();
-        let known = &mut self.nodes[node];
-        let replica = Replica::replay(&known.disk).expect("reads").expect("full");
-        known.run += 1;
-        known.part = Cluster::part(node, size, replica, known.run);
+        let running = &mut self.nodes[node];
+        let replica = Replica::replay(&running.disk)
+            .expect("reads")
+            .expect("full");
+        running.run += 1;
+        running.control_node = Cluster::control_node(node, size, replica, running.run);
         // Who asked there sees the connection end.
         let now = self.now;
         for call in &mut self.calls {
-            if call.node == node && call.answer.is_none() {
-                call.answer = Some((now, ChangeOutcome::Unknown));
+            if call.node == node && call.response.is_none() {
+                call.response = Some((now, ChangeOutcome::Unknown));
             }
         }
-        self.schedule(Duration::ZERO, node, Happening::Tick);
+        self.schedule(Duration::ZERO, node, ScheduledEvent::Tick);
     }
 
     /// Runs for a span of virtual time.
@@ -206,25 +204,25 @@
             self.now = entry.key().0;
             let scheduled = entry.remove();
             if self.nodes[scheduled.node].run == scheduled.run {
-                self.happen(scheduled);
+                self.process(scheduled);
             }
         }
         true
     }
 
-    fn happen(&mut self, scheduled: Scheduled) {
+    fn process(&mut self, scheduled: Scheduled) {
         let node = scheduled.node;
-        let input = match scheduled.happening {
-            Happening::Tick => {
-                self.schedule(lease::CONTROL_TICK, node, Happening::Tick);
+        let input = match scheduled.event {
+            ScheduledEvent::Tick => {
+                self.schedule(lease::CONTROL_TICK, node, ScheduledEvent::Tick);
                 Input::Tick
             }
-            Happening::Deliver { from, message } => Input::MessageReceived {
+            ScheduledEvent::Deliver { from, message } => Input::MessageReceived {
                 from,
                 message: *message,
             },
-            Happening::StoreFailed => Input::StoreFailed,
-            Happening::Synced { serial, record } => {
+            ScheduledEvent::StoreFailed => Input::StoreFailed,
+            ScheduledEvent::Synced { serial, record } => {
                 self.nodes[node].disk.push(record);
                 Input::Stored { serial }
             }
@@ -233,20 +231,20 @@
     }
 
     fn step(&mut self, node: usize, input: Input) {
-        let from = self.nodes[node].part.me();
-        for output in self.nodes[node].part.handle(self.now, input) {
+        let from = self.nodes[node].control_node.me();
+        for output in self.nodes[node].control_node.handle(self.now, input) {
             match output {
                 Output::Send { to, message } => self.deliver(node, from, to, message),
                 Output::Store { .. } | Output::StoreSnapshot { .. } if self.nodes[node].full => {
-                    self.schedule(SYNC, node, Happening::StoreFailed);
+                    self.schedule(SYNC, node, ScheduledEvent::StoreFailed);
                 }
                 Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
-                    self.schedule(SYNC, node, Happening::Synced { serial, record });
+                    self.schedule(SYNC, node, ScheduledEvent::Synced { serial, record });
                 }
                 Output::OperatorResponse {
                     id,
                     response: OperatorResponse::ChangeOutcome(outcome),
-                } => self.calls[id as usize - 1].answer = Some((self.now, outcome)),
+                } => self.calls[id as usize - 1].response = Some((self.now, outcome)),
                 Output::Log {
                     event: Event::PartitionAcquired,
                     ..
@@ -258,7 +256,7 @@
 
     fn deliver(&mut self, node: usize, from: Peer, to: SocketAddr, message: Message) {
         let receiver = node_at(to);
-        if self.cuts.contains(&(node, receiver)) {
+        if self.blocked_links.contains(&(node, receiver)) {
             return;
         }
         let latency = if receiver == node {
@@ -267,55 +265,51 @@
             LATENCY
         };
         let message = Box::new(message);
-        self.schedule(latency, receiver, Happening::Deliver { from, message });
+        self.schedule(latency, receiver, ScheduledEvent::Deliver { from, message });
     }
 
     /// An operator calls a node. The call's index.
-    pub fn ask(&mut self, node: usize, partition: u8, change: Change) -> usize {
+    pub fn submit(&mut self, node: usize, partition: u8, change: Change) -> usize {
         self.calls.push(Call {
             node,
-            asked: self.now,
-            answer: None,
+            sent_at: self.now,
+            response: None,
         });
         let id = self.calls.len() as u64;
-        let ask = OperatorRequest::Change { partition, change };
-        self.step(node, Input::Operator { id, request: ask });
+        let request = OperatorRequest::Change { partition, change };
+        self.step(node, Input::Operator { id, request });
         self.calls.len() - 1
     }
 
     /// The same, and the answer with how long it took, waited for at the most
     /// as long as the span.
-    pub fn answer(
+    pub fn response(
         &mut self,
         node: usize,
         change: Change,
         span: Duration,
     ) -> (Duration, ChangeOutcome) {
-        let at = self.ask(node, CONFIGURATION_PARTITION, change);
-        let answered = self.run_while_not(span, |cluster| cluster.calls[at].answer.is_some());
-        assert!(answered, "no answer at node {node} within {span:?}");
-        let (when, outcome) = self.calls[at].answer.clone().expect("just seen");
-        (when - self.calls[at].asked, outcome)
+        let at = self.submit(node, CONFIGURATION_PARTITION, change);
+        let responded = self.run_while_not(span, |cluster| cluster.calls[at].response.is_some());
+        assert!(responded, "no answer at node {node} within {span:?}");
+        let (when, outcome) = self.calls[at].response.clone().expect("just seen");
+        (when - self.calls[at].sent_at, outcome)
     }
 
     /// What a node tells of itself.
     pub fn state(&mut self, node: usize) -> serde_json::Value {
-        let ask = OperatorRequest::State;
-        let outputs = self.nodes[node].part.handle(
-            self.now,
-            Input::Operator {
-                id: 0,
-                request: ask,
-            },
-        );
-        let told = outputs.into_iter().find_map(|output| match output {
+        let request = OperatorRequest::State;
+        let outputs = self.nodes[node]
+            .control_node
+            .handle(self.now, Input::Operator { id: 0, request });
+        let state = outputs.into_iter().find_map(|output| match output {
             Output::OperatorResponse {
                 response: OperatorResponse::State(state),
                 ..
             } => Some(state),
             _ => None,
         });
-        told.expect("state is always told")
+        state.expect("state is always told")
     }
 
     /// Whether a node says that a majority is in contact with it.
@@ -330,8 +324,10 @@
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
-            let mine = partitions.iter().find(|one| one["slice"] == partition);
-            mine.and_then(|one| one["epoch"].as_u64())
+            let led = partitions
+                .iter()
+                .find(|candidate| candidate["slice"] == partition);
+            led.and_then(|partition| partition["epoch"].as_u64())
         };
         let epochs = (0..self.size()).map(|node| (led(self.state(node)), node));
         let (epoch, node) = epochs.collect::<Vec<_>>().into_iter().max().expect("nodes");
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -14,10 +14,10 @@
 }
 
 fn heartbeat() -> Input {
-    let everybody: SlotSet = (0..MAX_SLOTS as u8).collect();
+    let all_slots: SlotSet = (0..MAX_SLOTS as u8).collect();
     let heartbeat = Heartbeat {
-        heard_slots: everybody,
-        mutual_contacts: everybody,
+        heard_slots: all_slots,
+        mutual_contacts: all_slots,
         leader_candidates: SlotSet::default(),
         slot: 1,
         full: true,
@@ -47,39 +47,44 @@
 }
 
 #[test]
-fn others_are_asked_for_a_promise_only_once_our_own_is_synced() {
+fn prepare_is_sent_after_own_promise_is_synced() {
     let now = Duration::from_secs(1);
     let full = Replica {
         full: true,
         ..Replica::blank(1)
     };
-    let mut part = start(full.clone());
-    part.handle(now, heartbeat());
-    let outputs = part.handle(now, Input::Tick);
+    let mut control_node = start(full.clone());
+    control_node.handle(now, heartbeat());
+    let outputs = control_node.handle(now, Input::Tick);
     assert!(requests(&outputs).is_empty(), "nothing is synced yet");
     let mut replica = full;
-    let mut last = 0;
+    let mut last_serial = 0;
     for output in outputs {
         if let Output::Store { serial, record } = output {
-            last = serial;
+            last_serial = serial;
             replica.apply(&bincode::deserialize::<Record>(&record).unwrap());
         }
     }
-    let asked = requests(&part.handle(now, Input::Stored { serial: last }));
-    assert!(!asked.is_empty(), "some partitions are ours by weight");
+    let requested = requests(&control_node.handle(
+        now,
+        Input::Stored {
+            serial: last_serial,
+        },
+    ));
+    assert!(!requested.is_empty(), "some partitions are ours by weight");
 
     // The process ends before anybody's answer, and starts on what was synced.
-    let mut part = start(replica);
-    part.handle(now, heartbeat());
-    let outputs = part.handle(now, Input::Tick);
+    let mut control_node = start(replica);
+    control_node.handle(now, heartbeat());
+    let outputs = control_node.handle(now, Input::Tick);
     let stored = outputs.iter().filter_map(|output| match output {
         Output::Store { serial, .. } => Some(*serial),
         _ => None,
     });
     let serial = stored.max().expect("promises are stored");
-    let again = requests(&part.handle(now, Input::Stored { serial }));
-    for (partition, epoch) in again {
-        let earlier = asked.iter().filter(|(other, _)| *other == partition);
+    let requested_after_restart = requests(&control_node.handle(now, Input::Stored { serial }));
+    for (partition, epoch) in requested_after_restart {
+        let earlier = requested.iter().filter(|(other, _)| *other == partition);
         assert!(earlier.map(|(_, epoch)| *epoch).all(|known| known < epoch));
     }
 }
--- a/control-plane/tests/recovery_answers.rs
+++ b/control-plane/tests/recovery_replies.rs
@@ -11,38 +11,43 @@
 }
 
 /// All outputs of an input; what is stored is synced at once.
-fn step(part: &mut ControlNode, ms: u64, input: Input) -> Vec<Output> {
+fn step(control_node: &mut ControlNode, ms: u64, input: Input) -> Vec<Output> {
     let mut inputs = VecDeque::from([input]);
-    let mut all = Vec::new();
+    let mut outputs = Vec::new();
     while let Some(input) = inputs.pop_front() {
-        for output in part.handle(Duration::from_millis(ms), input) {
+        for output in control_node.handle(Duration::from_millis(ms), input) {
             if let Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } = &output {
                 inputs.push_back(Input::Stored { serial: *serial });
             }
-            all.push(output);
+            outputs.push(output);
         }
     }
-    all
+    outputs
 }
 
 /// Both others answer, to the disk of this life. True if the disk is full now.
-fn both_answer(part: &mut ControlNode, ms: u64, asker: u64, round: u8) -> bool {
-    let mut refilled = false;
+fn deliver_both_replies(
+    control_node: &mut ControlNode,
+    ms: u64,
+    requester: u64,
+    round: u8,
+) -> bool {
+    let mut recovered = false;
     for slot in [1, 2] {
         let reply = SnapshotReply {
             slot: slot as u8,
-            requester_incarnation: asker,
+            requester_incarnation: requester,
             round,
             full: true,
             lost_generation: 0,
             membership_version: 0,
-            partitions: Replica::blank(1).copy_out(),
+            partitions: Replica::blank(1).snapshot(),
         };
         let input = Input::MessageReceived {
             from: Peer::new(address(slot), 50 + u64::from(slot)),
             message: reply.into(),
         };
-        refilled |= step(part, ms, input).iter().any(|output| {
+        recovered |= step(control_node, ms, input).iter().any(|output| {
             matches!(
                 output,
                 Output::Log {
@@ -52,13 +57,13 @@
             )
         });
     }
-    refilled
+    recovered
 }
 
 #[test]
-fn what_was_told_to_an_earlier_disk_of_the_slot_does_not_fill_this_one() {
+fn snapshot_reply_to_earlier_incarnation_is_ignored() {
     let seeds = (0..3).map(address).collect();
-    let mut part = ControlNode::new(
+    let mut control_node = ControlNode::new(
         address(0),
         seeds,
         Replica::blank(INCARNATION),
@@ -66,13 +71,13 @@
         None,
         1,
     );
-    step(&mut part, 0, Input::Tick);
-    assert!(!both_answer(&mut part, 10, EARLIER, 0));
-    assert!(!both_answer(&mut part, 20, EARLIER, 1));
-    assert!(!both_answer(&mut part, 30, INCARNATION, 0));
+    step(&mut control_node, 0, Input::Tick);
+    assert!(!deliver_both_replies(&mut control_node, 10, EARLIER, 0));
+    assert!(!deliver_both_replies(&mut control_node, 20, EARLIER, 1));
+    assert!(!deliver_both_replies(&mut control_node, 30, INCARNATION, 0));
     assert!(
-        !both_answer(&mut part, 40, EARLIER, 1),
+        !deliver_both_replies(&mut control_node, 40, EARLIER, 1),
         "late to the earlier"
     );
-    assert!(both_answer(&mut part, 50, INCARNATION, 1));
+    assert!(deliver_both_replies(&mut control_node, 50, INCARNATION, 1));
 }
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -15,9 +15,9 @@
 const MOST_STATES: usize = 1_000_000;
 
 /// A leader writes while another takes the partition and writes.
-fn taking(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn taking(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, LEDGER)])
         .with(Budget {
             elections: vec![(1, LEDGER)],
@@ -27,9 +27,9 @@
 }
 
 /// A leader is read from while another takes the partition and writes.
-fn reading(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn reading(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, LEDGER)])
         .with(Budget {
             elections: vec![(1, LEDGER)],
@@ -40,9 +40,9 @@
 }
 
 /// A row reached one disk; two leaders follow.
-fn taking_twice(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn taking_twice(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, LEDGER)])
         .written(0, LEDGER, &[])
         .with(Budget {
@@ -52,19 +52,21 @@
 }
 
 /// A leader ends and starts again while it takes the partition and writes.
-fn leader_crash(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without).acquainted().with(Budget {
-        elections: vec![(0, LEDGER), (0, LEDGER)],
-        writes: vec![(0, LEDGER), (0, LEDGER)],
-        crashes: vec![0],
-        ..Budget::default()
-    })
+fn leader_crash(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
+        .with(Budget {
+            elections: vec![(0, LEDGER), (0, LEDGER)],
+            writes: vec![(0, LEDGER), (0, LEDGER)],
+            crashes: vec![0],
+            ..Budget::default()
+        })
 }
 
 /// A replica ends and starts again, and then leads.
-fn replica_crash(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn replica_crash(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, LEDGER)])
         .with(Budget {
             elections: vec![(1, LEDGER)],
@@ -76,9 +78,9 @@
 
 /// A leader that got its promises sends its state twice and writes a row; then
 /// another leads.
-fn retransmitting(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn retransmitting(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .promised(0, LEDGER)
         .with(Budget {
             elections: vec![(1, LEDGER)],
@@ -86,12 +88,12 @@
             retries: vec![0],
             ..Budget::default()
         })
-        .cut(&[(0, 2)])
+        .with_blocked_links(&[(0, 2)])
 }
 
 /// A row is under way while a disk is wiped and refilled, which then leads.
-fn refilling(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
+fn refilling(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
         .established(&[(0, LEDGER)])
         .with(Budget {
             elections: vec![(1, LEDGER)],
@@ -102,8 +104,8 @@
 }
 
 /// Two rows are under way while a disk is wiped and refilled.
-fn refilling_between_writes(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
+fn refilling_between_writes(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
         .established(&[(0, LEDGER)])
         .with(Budget {
             writes: vec![(0, LEDGER), (0, LEDGER)],
@@ -113,9 +115,9 @@
 }
 
 /// A member is replaced while it leads; the newcomer leads next.
-fn replacing(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn replacing(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
         .with(Budget {
             elections: vec![(3, LEDGER)],
@@ -126,9 +128,9 @@
 }
 /// A member that holds an acknowledged row was replaced; the newcomer, which is
 /// not refilled yet, leads as soon as it may.
-fn newcomer_leads(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
-        .acquainted()
+fn newcomer_leads(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
+        .with_known_members()
         .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
         .written(1, LEDGER, &[0])
         .replaced(0, &[1])
@@ -139,8 +141,8 @@
 }
 
 /// A disk that holds an acknowledged row is wiped and leads as soon as it may.
-fn wiped_disk_leads(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(SLOTS, without)
+fn wiped_disk_leads(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(SLOTS, disabled)
         .established(&[(0, LEDGER)])
         .written(0, LEDGER, &[1])
         .with(Budget {
@@ -154,12 +156,12 @@
 /// reaches node 0 and the removed node 1. The newcomer, refilled from nodes 0,
 /// 2 and 3, leads and reaches nodes 2 and 3. (Of three, two majorities always
 /// meet in a member that goes by the new table.)
-fn leading_by_an_old_table(without: Option<Safeguard>) -> Cluster {
-    Cluster::new(5, without)
+fn leading_by_an_old_table(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::new(5, disabled)
         .established(&[(4, LEDGER)])
         .established_without((0, MEMBERSHIP_PARTITION), 1)
         .replaced(0, &[1, 4])
-        .cut(&[(4, 2), (4, 3), (4, 5), (1, 0), (1, 2), (1, 3), (1, 5)])
+        .with_blocked_links(&[(4, 2), (4, 3), (4, 5), (1, 0), (1, 2), (1, 3), (1, 5)])
         .with(Budget {
             elections: vec![(5, LEDGER)],
             writes: vec![(4, LEDGER)],
@@ -181,65 +183,65 @@
 }
 
 /// Without the safeguard some state breaks an invariant; prints the way there.
-fn finds(name: &str, scenario: Scenario, without: Safeguard) {
-    let found = search(scenario(Some(without)), MOST_STATES);
+fn finds(name: &str, scenario: Scenario, disabled: Safeguard) {
+    let found = search(scenario(Some(disabled)), MOST_STATES);
     let trace = found.violation.unwrap_or_default();
     println!(
-        "{name} without {without:?}: {} states\n{trace}",
+        "{name} without {disabled:?}: {} states\n{trace}",
         found.states
     );
     assert!(
         !trace.is_empty(),
-        "{name} does not notice that {without:?} is missing"
+        "{name} does not notice that {disabled:?} is missing"
     );
 }
 
 #[test]
-fn what_one_leader_got_acknowledged_the_next_one_holds() {
+fn acknowledged_row_survives_leader_change() {
     holds("taking", taking);
     finds("taking", taking, Safeguard::PromiseCheckedOnAppend);
 }
 
 #[test]
-fn a_read_is_never_older_than_what_was_acknowledged_before_it() {
+fn read_includes_previously_acknowledged_rows() {
     holds("reading", reading);
     finds("reading", reading, Safeguard::ReadConfirmedByRound);
 }
 
 #[test]
-fn what_a_leader_adopted_and_answered_the_next_one_holds() {
+fn adopted_and_read_row_survives_leader_change() {
     holds("taking twice", taking_twice);
-    let without = Safeguard::StateRewrittenBeforeAnswering;
-    finds("taking twice", taking_twice, without);
+    let disabled = Safeguard::StateRewrittenBeforeAnswering;
+    finds("taking twice", taking_twice, disabled);
 }
 
 #[test]
-fn a_leader_that_starts_again_takes_another_epoch() {
+fn restarted_leader_takes_new_epoch() {
     holds("leader crash", leader_crash);
     finds("leader crash", leader_crash, Safeguard::OwnPromiseFirst);
 }
 
 #[test]
-fn a_replica_that_starts_again_holds_what_it_acknowledged() {
+fn restarted_replica_retains_acknowledged_rows() {
     holds("replica crash", replica_crash);
     finds("replica crash", replica_crash, Safeguard::ReplyAfterSync);
 }
 
 #[test]
-fn a_late_append_does_not_send_a_disk_back() {
+fn late_append_does_not_regress_replica() {
     holds("retransmitting", retransmitting);
-    let without = Safeguard::OutdatedAppendIgnored;
-    finds("retransmitting", retransmitting, without);
+    let disabled = Safeguard::OutdatedAppendIgnored;
+    finds("retransmitting", retransmitting, disabled);
 }
 
 #[test]
-fn a_refilled_disk_holds_what_the_earlier_one_helped_to_acknowledge() {
+fn recovered_disk_contains_rows_its_predecessor_acknowledged() {
     holds("refilling", refilling);
     finds("refilling", refilling, Safeguard::SecondRecoveryRound);
 }
 
 #[test]
-fn what_a_wiped_disk_acknowledged_counts_for_nothing() {
+fn wiped_disk_acknowledgement_is_not_counted() {
     finds(
         "refilling",
         refilling,
@@ -248,30 +250,30 @@
 }
 
 #[test]
-fn a_refilled_disk_takes_no_append_meant_for_the_earlier_one() {
+fn recovered_disk_rejects_append_for_predecessor() {
     holds("refilling between writes", refilling_between_writes);
-    let without = Safeguard::GapRefused;
+    let disabled = Safeguard::GapRefused;
     finds(
         "refilling between writes",
         refilling_between_writes,
-        without,
+        disabled,
     );
 }
 
 #[test]
-fn a_blank_disk_takes_no_part() {
+fn blank_disk_does_not_vote() {
     holds("wiped disk leads", wiped_disk_leads);
-    let without = Safeguard::BlankDiskTakesNoPart;
-    finds("wiped disk leads", wiped_disk_leads, without);
+    let disabled = Safeguard::BlankDiskTakesNoPart;
+    finds("wiped disk leads", wiped_disk_leads, disabled);
 }
 
 #[test]
-fn a_member_is_replaced_while_it_leads() {
+fn member_is_replaced_while_leading() {
     holds("replacing", replacing);
 }
 
 #[test]
-fn a_newcomer_does_not_count_before_it_was_refilled() {
+fn joiner_does_not_count_before_recovery() {
     holds("newcomer leads", newcomer_leads);
     finds(
         "newcomer leads",
@@ -281,8 +283,8 @@
 }
 
 #[test]
-fn a_leader_by_an_old_table_gets_nothing_acknowledged() {
+fn leader_with_stale_table_gets_no_acknowledgement() {
     holds("leading by an old table", leading_by_an_old_table);
-    let without = Safeguard::MembershipVersionFences;
-    finds("leading by an old table", leading_by_an_old_table, without);
+    let disabled = Safeguard::MembershipVersionFences;
+    finds("leading by an old table", leading_by_an_old_table, disabled);
 }
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -34,7 +34,7 @@
         node: usize,
     },
     /// The outsider learns the new table from this node.
-    Seat {
+    JoinTable {
         from: usize,
     },
     /// Time passes at this node: it sends again what was not answered.
@@ -77,7 +77,7 @@
     acknowledged: Hashed<Acknowledged>,
     budget: Hashed<Budget>,
     /// Nodes that hear nothing of each other.
-    cuts: Arc<BTreeSet<(usize, usize)>>,
+    blocked_links: Arc<BTreeSet<(usize, usize)>>,
     pub violation: Option<String>,
 }
 
@@ -88,18 +88,18 @@
 
 impl Cluster {
     /// So many members with full, empty disks and one outsider with a blank one.
-    pub fn new(slots: usize, without: Option<Safeguard>) -> Cluster {
+    pub fn new(slots: usize, disabled: Option<Safeguard>) -> Cluster {
         let members: Vec<Peer> = (0..slots).map(|node| Peer::new(address(node), 0)).collect();
         let mut nodes: Vec<Hashed<Node>> = (0..slots)
-            .map(|node| Hashed::new(Node::member(node, members.clone(), without)))
+            .map(|node| Hashed::new(Node::member(node, members.clone(), disabled)))
             .collect();
-        nodes.push(Hashed::new(Node::outsider(slots, without)));
+        nodes.push(Hashed::new(Node::outsider(slots, disabled)));
         Cluster {
             nodes,
             network: BTreeMap::new(),
             acknowledged: Hashed::new(Acknowledged::default()),
             budget: Hashed::new(Budget::default()),
-            cuts: Arc::default(),
+            blocked_links: Arc::default(),
             violation: None,
         }
     }
@@ -109,10 +109,10 @@
     }
 
     /// The same with all members known to each other.
-    pub fn acquainted(mut self) -> Cluster {
+    pub fn with_known_members(mut self) -> Cluster {
         let outsider = self.outsider();
         for node in &mut self.nodes[..outsider] {
-            node.update(Node::acquainted);
+            node.update(Node::with_known_members);
         }
         self
     }
@@ -170,16 +170,16 @@
         });
         self.apply(Action::Replace { node: leader });
         self.deliver_all(&|_, to| !unaware.contains(&to));
-        self.apply(Action::Seat { from: leader });
+        self.apply(Action::JoinTable { from: leader });
         self
     }
 
     /// The same with these nodes cut off from each other.
-    pub fn cut(mut self, cuts: &[(usize, usize)]) -> Cluster {
-        let both = cuts
+    pub fn with_blocked_links(mut self, blocked_links: &[(usize, usize)]) -> Cluster {
+        let both = blocked_links
             .iter()
             .flat_map(|(one, other)| [(*one, *other), (*other, *one)]);
-        self.cuts = Arc::new(both.collect());
+        self.blocked_links = Arc::new(both.collect());
         self
     }
 
@@ -231,7 +231,7 @@
         let budget = &*self.budget;
         for (node, partition) in distinct(&budget.elections) {
             let leads = self.nodes[node].leaders.contains_key(&partition);
-            if self.nodes[node].able() && !leads {
+            if self.nodes[node].can_vote() && !leads {
                 actions.push(Action::Elect { node, partition });
             }
         }
@@ -262,7 +262,7 @@
             actions.extend(
                 (0..self.outsider())
                     .filter(knows)
-                    .map(|from| Action::Seat { from }),
+                    .map(|from| Action::JoinTable { from }),
             );
         }
         let retries = distinct(&budget.retries).into_iter();
@@ -273,7 +273,7 @@
     fn leads(&self, node: usize, partition: u8) -> bool {
         let node = &self.nodes[node];
         let leader = node.leaders.get(&partition);
-        node.able() && leader.is_some_and(|leader| node.answers(leader))
+        node.can_vote() && leader.is_some_and(|leader| node.can_serve(leader))
     }
 
     /// The tolerated number of wiped disks among three is one at a time.
@@ -317,12 +317,12 @@
                     )
                 });
             }
-            Action::Seat { from } => {
+            Action::JoinTable { from } => {
                 let (version, members) = {
                     let teller = &self.nodes[from];
                     (teller.membership_version, teller.members.clone())
                 };
-                self.run(self.outsider(), |node| node.take_seat(version, members));
+                self.run(self.outsider(), |node| node.join_table(version, members));
             }
             Action::Retry { node } => {
                 self.spend(|budget| &mut budget.retries, node);
@@ -353,14 +353,14 @@
     fn deliver(&mut self, key: u64) {
         let envelope = self.network.remove(&key).expect("is on its way");
         let Envelope { from, to, message } = (*envelope).clone();
-        self.run(node_at(to), |node| node.hear(from, message));
+        self.run(node_at(to), |node| node.receive(from, message));
     }
 
     fn run(&mut self, node: usize, step: impl FnOnce(&mut Node) -> Vec<Envelope>) {
         let out = self.nodes[node].update(step);
         for envelope in out {
             let to = node_at(envelope.to);
-            if self.cuts.contains(&(node, to)) {
+            if self.blocked_links.contains(&(node, to)) {
                 continue;
             }
             self.network
@@ -368,7 +368,7 @@
         }
         let nodes = &self.nodes;
         self.network
-            .retain(|_, envelope| nodes[node_at(envelope.to)].heeds(&envelope.message));
+            .retain(|_, envelope| nodes[node_at(envelope.to)].accepts(&envelope.message));
     }
 
     /// What a process said to itself ends with it.
@@ -396,8 +396,12 @@
 
     fn note_acknowledged(&mut self) {
         let mut fresh = Vec::new();
-        for node in self.nodes.iter().filter(|node| node.able()) {
-            for leader in node.leaders.values().filter(|leader| node.answers(leader)) {
+        for node in self.nodes.iter().filter(|node| node.can_vote()) {
+            for leader in node
+                .leaders
+                .values()
+                .filter(|leader| node.can_serve(leader))
+            {
                 let committed = if leader.ready() {
                     leader.committed()
                 } else {
@@ -405,8 +409,8 @@
                 };
                 for (key, row) in &leader.rows {
                     let known = self.acknowledged.rows.get(&(leader.partition, key.clone()));
-                    let told = row.version <= committed;
-                    if told && known.is_none_or(|known| known.epoch > leader.epoch) {
+                    let messages = row.version <= committed;
+                    if messages && known.is_none_or(|known| known.epoch > leader.epoch) {
                         fresh.push((leader.partition, leader.epoch, key.clone(), row.clone()));
                     }
                 }
@@ -441,13 +445,13 @@
             if node.reads.is_empty() {
                 continue;
             }
-            let answered = node.update(Node::answered_reads);
+            let answered = node.update(Node::finished_reads);
             for read in answered {
-                if !read.required.is_subset(&read.answer) {
+                if !read.required.is_subset(&read.keys) {
                     let text = format!(
                         "a read at {} tells {:?} and lacks some of {:?}",
                         node.address.port(),
-                        read.answer,
+                        read.keys,
                         read.required
                     );
                     self.violation = Some(text);
@@ -461,7 +465,7 @@
         let full = || self.nodes.iter().filter(|node| node.replica.full);
         for (one, other) in full().flat_map(|one| full().map(move |other| (one, other))) {
             for (mine, theirs) in one.replica.partitions.iter().zip(&other.replica.partitions) {
-                let (mine, theirs) = (&mine.image, &theirs.image);
+                let (mine, theirs) = (&mine.state, &theirs.state);
                 let level = (mine.epoch, mine.version) == (theirs.epoch, theirs.version);
                 if level && mine.rows != theirs.rows {
                     let text = format!(
@@ -481,7 +485,7 @@
     fn judge_published(&mut self) {
         for node in &self.nodes {
             for (partition, held) in node.replica.partitions.iter().enumerate() {
-                for (key, row) in &held.shown {
+                for (key, row) in &held.published_rows {
                     let known = self
                         .acknowledged
                         .rows
@@ -499,8 +503,12 @@
 
     /// Every later leader that answers holds what was acknowledged.
     fn judge_leaders(&mut self) {
-        for node in self.nodes.iter().filter(|node| node.able()) {
-            for leader in node.leaders.values().filter(|leader| node.answers(leader)) {
+        for node in self.nodes.iter().filter(|node| node.can_vote()) {
+            for leader in node
+                .leaders
+                .values()
+                .filter(|leader| node.can_serve(leader))
+            {
                 for ((partition, key), known) in &self.acknowledged.rows {
                     let later = leader.partition == *partition && leader.epoch >= known.epoch;
                     if later && leader.rows.get(key) != Some(&known.row) {
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -25,7 +25,7 @@
     pub round: u64,
     pub commit: u64,
     /// Keys in the answer.
-    pub answer: BTreeSet<String>,
+    pub keys: BTreeSet<String>,
     /// Keys acknowledged before the read began.
     pub required: BTreeSet<String>,
 }
@@ -45,12 +45,12 @@
     pub leaders: BTreeMap<u8, PartitionLeader>,
     pub recovery: Option<ReplicaRecovery>,
     /// Answers of the first recovery round; used without `SecondRecoveryRound`.
-    first_answers: Vec<SnapshotReply>,
+    first_replies: Vec<SnapshotReply>,
     pub reads: Vec<PendingRead>,
     now: Duration,
     /// It got its slot by a later table.
     joined: bool,
-    without: Option<Safeguard>,
+    disabled: Option<Safeguard>,
 }
 
 /// Longer than the product waits before it sends a message again.
@@ -71,14 +71,14 @@
                     .collect();
                 (
                     (replica.incarnation, replica.full, replica.removed),
-                    (&replica.membership_version, &replica.retired),
+                    (&replica.known_table, &replica.retired),
                     touched,
                 )
             })
             .collect();
         let membership = (self.membership_version, &self.members, self.joined);
         let volatile = (&self.incarnations, &self.retired, &self.leaders, self.now);
-        let waiting = (&self.recovery, &self.first_answers, &self.reads);
+        let waiting = (&self.recovery, &self.first_replies, &self.reads);
         write!(out, "{replicas:?}{membership:?}{volatile:?}{waiting:?}")
     }
 }
@@ -103,15 +103,15 @@
 
 impl Node {
     /// A member with a full disk, by the first table.
-    pub fn member(node: usize, members: Vec<Peer>, without: Option<Safeguard>) -> Node {
-        let mut node = Node::outsider(node, without);
+    pub fn member(node: usize, members: Vec<Peer>, disabled: Option<Safeguard>) -> Node {
+        let mut node = Node::outsider(node, disabled);
         node.members = members;
         node.replica.full = true;
         node
     }
 
     /// A node with a blank disk and no slot.
-    pub fn outsider(node: usize, without: Option<Safeguard>) -> Node {
+    pub fn outsider(node: usize, disabled: Option<Safeguard>) -> Node {
         let replica = empty_replica(node as u64 + 1);
         Node {
             address: address(node),
@@ -123,16 +123,16 @@
             retired: VecDeque::new(),
             leaders: BTreeMap::new(),
             recovery: None,
-            first_answers: vec![],
+            first_replies: vec![],
             reads: vec![],
             now: Duration::ZERO,
             joined: false,
-            without,
+            disabled,
         }
     }
 
     /// Every member's first disk was heard of here.
-    pub fn acquainted(&mut self) {
+    pub fn with_known_members(&mut self) {
         self.incarnations = (0..self.members.len())
             .map(|slot| (slot as u8, slot as u64 + 1))
             .collect();
@@ -145,8 +145,8 @@
         Peer::new(self.address, self.replica.incarnation)
     }
 
-    fn keeps(&self, safeguard: Safeguard) -> bool {
-        self.without != Some(safeguard)
+    fn has(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 
     fn slot_of(&self, peer: &Peer) -> Option<u8> {
@@ -158,11 +158,11 @@
         self.slot_of(&self.me())
     }
 
-    /// Whether this disk counts (`ControlNode::able`).
-    pub fn able(&self) -> bool {
+    /// Whether this disk counts (`ControlNode::can_vote`).
+    pub fn can_vote(&self) -> bool {
         let counts = self.replica.full
-            || !self.keeps(Safeguard::BlankDiskTakesNoPart)
-            || !self.keeps(Safeguard::LearnerDoesNotCount) && self.joined;
+            || !self.has(Safeguard::BlankDiskTakesNoPart)
+            || !self.has(Safeguard::LearnerDoesNotCount) && self.joined;
         counts && !self.replica.removed && self.slot().is_some()
     }
 
@@ -173,10 +173,9 @@
     }
 
     /// Whether a leader may answer from its rows.
-    pub fn answers(&self, leader: &PartitionLeader) -> bool {
+    pub fn can_serve(&self, leader: &PartitionLeader) -> bool {
         leader.ready()
-            || !self.keeps(Safeguard::StateRewrittenBeforeAnswering)
-                && leader.active_since.is_some()
+            || !self.has(Safeguard::StateRewrittenBeforeAnswering) && leader.active_since.is_some()
     }
 
     fn envelope(&self, to: SocketAddr, message: impl Into<Message>) -> Envelope {
@@ -188,22 +187,22 @@
     }
 
     fn store(&mut self, record: &Record) {
-        if !self.keeps(Safeguard::ReplyAfterSync) {
+        if !self.has(Safeguard::ReplyAfterSync) {
             self.disk = Some(self.replica.clone());
         }
         self.replica.apply(record);
-        self.see_membership();
+        self.adopt_published_table();
     }
 
-    fn see_membership(&mut self) {
-        if let Some((version, members)) = self.replica.members()
+    fn adopt_published_table(&mut self) {
+        if let Some((version, members)) = self.replica.published_members()
             && version > self.membership_version
         {
-            self.go_by(version, members);
+            self.adopt_table(version, members);
         }
     }
 
-    fn go_by(&mut self, version: u64, members: Vec<Peer>) {
+    fn adopt_table(&mut self, version: u64, members: Vec<Peer>) {
         self.membership_version = version;
         let before = std::mem::replace(&mut self.members, members);
         let moved = before.into_iter().zip(self.members.clone());
@@ -214,7 +213,7 @@
             if let Some(incarnation) = self.incarnations.remove(&(slot as u8))
                 && !new.names(&Peer::new(old.address, incarnation))
             {
-                self.retire(incarnation);
+                self.retire_incarnation(incarnation);
             }
         }
         self.leaders.clear();
@@ -224,7 +223,7 @@
         }
     }
 
-    fn retire(&mut self, incarnation: u64) {
+    fn retire_incarnation(&mut self, incarnation: u64) {
         if incarnation == self.replica.incarnation || self.retired.contains(&incarnation) {
             return;
         }
@@ -234,12 +233,12 @@
         }
     }
 
-    fn note_retired(&mut self, incarnations: &[u64]) {
-        if !self.keeps(Safeguard::RetiredIncarnationsNotCounted) {
+    fn on_retired_reported(&mut self, incarnations: &[u64]) {
+        if !self.has(Safeguard::RetiredIncarnationsNotCounted) {
             return;
         }
         for incarnation in incarnations {
-            self.retire(*incarnation);
+            self.retire_incarnation(*incarnation);
             let known = |(slot, known): (&u8, &u64)| (known == incarnation).then_some(*slot);
             for slot in self
                 .incarnations
@@ -248,24 +247,24 @@
                 .collect::<Vec<u8>>()
             {
                 self.incarnations.remove(&slot);
-                self.forget(slot);
+                self.reset_replica(slot);
             }
         }
     }
 
-    fn forget(&mut self, slot: u8) {
+    fn reset_replica(&mut self, slot: u8) {
         for leader in self.leaders.values_mut() {
-            leader.forget(slot);
+            leader.reset_replica(slot);
         }
     }
 
     /// A slot was heard with this disk; an earlier one is retired.
-    fn meet(&mut self, slot: u8, incarnation: u64) {
+    fn on_member_contact(&mut self, slot: u8, incarnation: u64) {
         let known = *self.incarnations.entry(slot).or_insert(incarnation);
-        if known != incarnation && self.keeps(Safeguard::RetiredIncarnationsNotCounted) {
+        if known != incarnation && self.has(Safeguard::RetiredIncarnationsNotCounted) {
             self.incarnations.insert(slot, incarnation);
-            self.forget(slot);
-            self.retire(known);
+            self.reset_replica(slot);
+            self.retire_incarnation(known);
         }
     }
 
@@ -273,12 +272,12 @@
         self.retired.iter().copied().collect()
     }
 
-    /// Stands as leader of a partition (`ControlNode::take_partitions`).
+    /// Stands as leader of a partition (`ControlNode::campaign`).
     pub fn elect(&mut self, partition: u8) -> Vec<Envelope> {
         let slot = self.slot().expect("a member");
-        let highest = self.replica.held(partition).promised;
+        let highest = self.replica.partition(partition).promised_epoch;
         let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(slot);
-        if self.keeps(Safeguard::OwnPromiseFirst) {
+        if self.has(Safeguard::OwnPromiseFirst) {
             self.store(&Record::Promise { partition, epoch });
         }
         let leader = PartitionLeader::new(
@@ -287,7 +286,7 @@
             self.members.len(),
             self.membership_version,
         )
-        .holding(self.replica.held(partition).image.clone());
+        .with_local_state(self.replica.partition(partition).state.clone());
         self.leaders.insert(partition, leader);
         self.flush(true)
     }
@@ -301,21 +300,25 @@
 
     /// Begins a read of all rows (`Change::List`).
     pub fn read(&mut self, partition: u8, required: BTreeSet<String>) -> Vec<Envelope> {
-        let confirmed = !self.keeps(Safeguard::ReadConfirmedByRound);
+        let confirmed = !self.has(Safeguard::ReadConfirmedByRound);
         let leader = self.leaders.get_mut(&partition).expect("leads");
         self.reads.push(PendingRead {
             partition,
             epoch: leader.epoch,
-            round: if confirmed { 0 } else { leader.start_round() },
+            round: if confirmed {
+                0
+            } else {
+                leader.begin_read_round()
+            },
             commit: leader.version,
-            answer: leader.rows.keys().cloned().collect(),
+            keys: leader.rows.keys().cloned().collect(),
             required,
         });
         self.flush(false)
     }
 
     /// Reads that are answered now.
-    pub fn answered_reads(&mut self) -> Vec<PendingRead> {
+    pub fn finished_reads(&mut self) -> Vec<PendingRead> {
         let leaders = &self.leaders;
         let done = |read: &PendingRead| {
             leaders.get(&read.partition).is_some_and(|leader| {
@@ -361,7 +364,7 @@
     }
 
     fn begin_recovery(&mut self) -> Vec<Envelope> {
-        self.first_answers.clear();
+        self.first_replies.clear();
         let slot = self.slot().filter(|_| !self.replica.full);
         self.recovery = slot
             .map(|slot| ReplicaRecovery::new(slot, self.members.len(), self.membership_version));
@@ -378,8 +381,8 @@
             .collect()
     }
 
-    /// An outsider learns a table that names it (`ControlNode::take_seat`).
-    pub fn take_seat(&mut self, version: u64, members: Vec<Peer>) -> Vec<Envelope> {
+    /// An outsider learns a table that names it (`ControlNode::join_table`).
+    pub fn join_table(&mut self, version: u64, members: Vec<Peer>) -> Vec<Envelope> {
         self.store(&Record::MembershipTable {
             version,
             members: members.clone(),
@@ -389,16 +392,16 @@
         self.begin_recovery()
     }
 
-    /// What the leaders have to say now (`ControlNode::finish_step`).
+    /// What the leaders have to say now (`ControlNode::flush_leaders`).
     fn flush(&mut self, tick: bool) -> Vec<Envelope> {
-        if !self.able() {
+        if !self.can_vote() {
             return vec![];
         }
         let now = self.now;
         let due: Vec<(u8, Message)> = self
             .leaders
             .values_mut()
-            .flat_map(|leader| leader.flush(now, tick))
+            .flat_map(|leader| leader.due_messages(now, tick))
             .collect();
         due.into_iter()
             .map(|(slot, message)| self.envelope(self.members[usize::from(slot)].address, message))
@@ -407,7 +410,7 @@
 
     /// Whether a message can still change anything here; others are dropped,
     /// which is one of the things that may happen to them anyway.
-    pub fn heeds(&self, message: &Message) -> bool {
+    pub fn accepts(&self, message: &Message) -> bool {
         let leads = |partition: u8, epoch: u64| {
             self.leaders
                 .get(&partition)
@@ -420,18 +423,18 @@
             Message::SnapshotReply(_) => self.recovery.is_some(),
             Message::StaleEpoch(_) => false,
             Message::PrepareRequest(request) => {
-                request.epoch >= self.replica.held(request.partition).promised
+                request.epoch >= self.replica.partition(request.partition).promised_epoch
             }
             Message::AppendRequest(request) => {
-                request.epoch >= self.replica.held(request.partition).promised
-                    || !self.keeps(Safeguard::PromiseCheckedOnAppend)
+                request.epoch >= self.replica.partition(request.partition).promised_epoch
+                    || !self.has(Safeguard::PromiseCheckedOnAppend)
             }
             _ => true,
         }
     }
 
-    /// Takes a message (`ControlNode::heard`) and says what follows.
-    pub fn hear(&mut self, from: Peer, message: Message) -> Vec<Envelope> {
+    /// Takes a message (`ControlNode::received`) and says what follows.
+    pub fn receive(&mut self, from: Peer, message: Message) -> Vec<Envelope> {
         let mut out = self.handle(from, message);
         out.extend(self.flush(false));
         out
@@ -451,22 +454,24 @@
             };
             return vec![self.envelope(from.address, table)];
         }
-        let counts_retired = !self.keeps(Safeguard::RetiredIncarnationsNotCounted);
+        let counts_retired = !self.has(Safeguard::RetiredIncarnationsNotCounted);
         let retired = self.retired.contains(&from.incarnation) && !counts_retired;
         let Some(slot) = self.slot_of(&from).filter(|_| !retired) else {
             return vec![];
         };
         if Some(slot) != self.slot() {
-            self.meet(slot, from.incarnation);
+            self.on_member_contact(slot, from.incarnation);
         }
         match message {
-            Message::PrepareRequest(request) if self.able() => self.handle_prepare(from, request),
-            Message::AppendRequest(request) if self.able() => self.handle_append(from, request),
-            Message::PrepareReply(reply) => self.handle_promise(slot, reply),
-            Message::AppendReply(reply) => self.handle_appended(slot, reply),
+            Message::PrepareRequest(request) if self.can_vote() => {
+                self.handle_prepare(from, request)
+            }
+            Message::AppendRequest(request) if self.can_vote() => self.handle_append(from, request),
+            Message::PrepareReply(reply) => self.handle_prepare_reply(slot, reply),
+            Message::AppendReply(reply) => self.handle_append_reply(slot, reply),
             Message::AppendGap(gap) => {
                 if let Some(leader) = self.leaders.get_mut(&gap.partition) {
-                    leader.forget(slot);
+                    leader.reset_replica(slot);
                 }
                 vec![]
             }
@@ -483,7 +488,7 @@
             Message::SnapshotRequest(request) => request.membership_version,
             _ => return false,
         };
-        version < self.membership_version && self.keeps(Safeguard::MembershipVersionFences)
+        version < self.membership_version && self.has(Safeguard::MembershipVersionFences)
     }
 
     fn handle_table(&mut self, table: MembershipTable) -> Vec<Envelope> {
@@ -492,7 +497,7 @@
                 version: table.version,
                 members: table.members.clone(),
             });
-            self.go_by(table.version, table.members);
+            self.adopt_table(table.version, table.members);
         }
         vec![]
     }
@@ -504,7 +509,7 @@
             requester_state: held,
             ..
         } = request;
-        let promised = self.replica.held(partition).promised;
+        let promised = self.replica.partition(partition).promised_epoch;
         if epoch < promised {
             return vec![];
         }
@@ -516,7 +521,10 @@
             epoch,
             lost_generation: 0,
             retired_incarnations: self.retired_incarnations(),
-            state: self.replica.held(partition).promised_state(partition, held),
+            state: self
+                .replica
+                .partition(partition)
+                .prepared_state(partition, held),
         };
         vec![self.envelope(from.address, reply)]
     }
@@ -528,11 +536,11 @@
             request.round,
             request.to_version,
         );
-        let held = self.replica.held(partition);
-        if epoch < held.promised && self.keeps(Safeguard::PromiseCheckedOnAppend) {
+        let held = self.replica.partition(partition);
+        if epoch < held.promised_epoch && self.has(Safeguard::PromiseCheckedOnAppend) {
             return vec![];
         }
-        if !held.fits(&request) && self.keeps(Safeguard::GapRefused) {
+        if !held.accepts(&request) && self.has(Safeguard::GapRefused) {
             let gap = AppendGap {
                 partition,
                 epoch,
@@ -540,19 +548,19 @@
             };
             return vec![self.envelope(from.address, gap)];
         }
-        let current = held.image.epoch == epoch && held.promised == epoch;
-        let is_held = current && held.image.version >= to;
-        if !is_held || request.full_state && !self.keeps(Safeguard::OutdatedAppendIgnored) {
-            self.store(&Record::Appended { keep: request });
-        } else if request.published > held.image.published {
-            let keep = AppendRequest {
+        let current = held.state.epoch == epoch && held.promised_epoch == epoch;
+        let is_held = current && held.state.version >= to;
+        if !is_held || request.full_state && !self.has(Safeguard::OutdatedAppendIgnored) {
+            self.store(&Record::Appended { request });
+        } else if request.published > held.state.published {
+            let request = AppendRequest {
                 full_state: false,
                 rows: vec![],
                 removed_keys: vec![],
                 base: None,
                 ..request
             };
-            self.store(&Record::Appended { keep });
+            self.store(&Record::Appended { request });
         }
         let reply = AppendReply {
             partition,
@@ -565,35 +573,38 @@
         vec![self.envelope(from.address, reply)]
     }
 
-    fn handle_promise(&mut self, slot: u8, reply: PrepareReply) -> Vec<Envelope> {
-        self.note_retired(&reply.retired_incarnations);
+    fn handle_prepare_reply(&mut self, slot: u8, reply: PrepareReply) -> Vec<Envelope> {
+        self.on_retired_reported(&reply.retired_incarnations);
         if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
             let was_active = leader.active_since.is_some();
-            leader.raised(self.now, slot, reply.state);
+            leader.on_prepare_reply(self.now, slot, reply.state);
             if !was_active && leader.active_since.is_some() {
                 // Those that have not promised were waited for.
-                self.now += PROMISE_WAIT;
+                self.now += PREPARE_REPLY_GRACE;
             }
         }
         vec![]
     }
 
-    fn handle_appended(&mut self, slot: u8, reply: AppendReply) -> Vec<Envelope> {
-        self.note_retired(&reply.retired_incarnations);
+    fn handle_append_reply(&mut self, slot: u8, reply: AppendReply) -> Vec<Envelope> {
+        self.on_retired_reported(&reply.retired_incarnations);
         if let Some(leader) = self.leaders.get_mut(&reply.partition)
             && leader.epoch == reply.epoch
         {
-            leader.kept(slot, &reply);
+            leader.on_append_reply(slot, &reply);
         }
         vec![]
     }
 
     fn snapshot(&self, from: Peer, request: SnapshotRequest) -> Envelope {
-        let counts = request.round > 0 || !self.keeps(Safeguard::SecondRecoveryRound);
-        let founding = self.replica.held(MEMBERSHIP_PARTITION).image.version == 0;
-        let shown = self.replica.members().map_or(0, |(version, _)| version);
+        let counts = request.round > 0 || !self.has(Safeguard::SecondRecoveryRound);
+        let founding = self.replica.partition(MEMBERSHIP_PARTITION).state.version == 0;
+        let shown = self
+            .replica
+            .published_members()
+            .map_or(0, |(version, _)| version);
         let reply = SnapshotReply {
             requester_incarnation: from.incarnation,
             slot: self.slot().expect("a member"),
@@ -606,7 +617,7 @@
                 shown
             },
             partitions: if counts {
-                self.replica.copy_out()
+                self.replica.snapshot()
             } else {
                 vec![]
             },
@@ -618,16 +629,16 @@
         if reply.requester_incarnation != self.replica.incarnation {
             return vec![];
         }
-        if !self.keeps(Safeguard::SecondRecoveryRound) {
-            return self.take_first_answers(reply);
+        if !self.has(Safeguard::SecondRecoveryRound) {
+            return self.accept_first_replies(reply);
         }
-        let merged = self
+        let recovered = self
             .recovery
             .as_mut()
-            .and_then(|recovery| recovery.heard(reply));
-        match merged {
-            Some(merged) => {
-                self.refill(merged);
+            .and_then(|recovery| recovery.on_snapshot_reply(reply));
+        match recovered {
+            Some(recovered) => {
+                self.recover_from(recovered);
                 vec![]
             }
             None => self.recover(),
@@ -635,29 +646,31 @@
     }
 
     /// Without the second round, the first answers stand for both.
-    fn take_first_answers(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
+    fn accept_first_replies(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
         let Some(recovery) = &mut self.recovery else {
             return vec![];
         };
-        self.first_answers.push(reply.clone());
-        let _ = recovery.heard(reply);
-        let again = self.first_answers.iter().cloned().map(|mut answer| {
-            answer.round = 1;
-            answer
+        self.first_replies.push(reply.clone());
+        let _ = recovery.on_snapshot_reply(reply);
+        let again = self.first_replies.iter().cloned().map(|mut keys| {
+            keys.round = 1;
+            keys
         });
-        let merged = again.filter_map(|answer| recovery.heard(answer)).last();
-        if let Some(merged) = merged {
-            self.refill(merged);
+        let recovered = again
+            .filter_map(|keys| recovery.on_snapshot_reply(keys))
+            .last();
+        if let Some(recovered) = recovered {
+            self.recover_from(recovered);
         }
         vec![]
     }
 
-    fn refill(&mut self, merged: Merged) {
+    fn recover_from(&mut self, recovered: RecoveredState) {
         self.recovery = None;
-        self.first_answers.clear();
+        self.first_replies.clear();
         self.store(&Record::Recovered {
-            held: merged.held,
-            lost: merged.lost,
+            partitions: recovered.partitions,
+            majority_lost: recovered.majority_lost,
         });
         for incarnation in self.retired_incarnations() {
             if !self.replica.retired.contains(&incarnation) {
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -36,14 +36,14 @@
 fn append() -> impl Strategy<Value = Message> {
     let versions = (0u64..6, 0u64..6, 0u64..6);
     (partition(), 0u64..40, versions, any::<bool>()).prop_map(
-        |(partition, epoch, (one, other, published), whole)| {
-            let (from, to) = (if whole { 0 } else { one.min(other) }, one.max(other));
+        |(partition, epoch, (one, other, published), full_state)| {
+            let (from, to) = (if full_state { 0 } else { one.min(other) }, one.max(other));
             let request = AppendRequest {
                 partition,
                 epoch,
                 membership_version: 0,
                 round: to,
-                full_state: whole,
+                full_state,
                 after_version: from,
                 to_version: to,
                 rows: (from + 1..=to).map(row).collect(),
@@ -91,25 +91,25 @@
     ControlNode::new(address(0), seeds, replica, false, None, 1)
 }
 
-fn heard(from: u16, message: Message) -> Input {
+fn received(from: u16, message: Message) -> Input {
     let from = Peer::new(address(from.into()), u64::from(from) + 1);
     Input::MessageReceived { from, message }
 }
 
 /// One step after which everything is synced at once.
-fn step_synced(part: &mut ControlNode, input: Input) -> Vec<Message> {
+fn step_synced(control_node: &mut ControlNode, input: Input) -> Vec<Message> {
     let mut inputs = VecDeque::from([input]);
-    let mut told = Vec::new();
+    let mut messages = Vec::new();
     while let Some(input) = inputs.pop_front() {
-        for output in part.handle(Duration::from_secs(1), input) {
+        for output in control_node.handle(Duration::from_secs(1), input) {
             match output {
-                Output::Send { message, .. } => told.push(message),
+                Output::Send { message, .. } => messages.push(message),
                 Output::Store { serial, .. } => inputs.push_back(Input::Stored { serial }),
                 _ => {}
             }
         }
     }
-    told
+    messages
 }
 
 /// Of what the model leaves out nothing is compared.
@@ -133,9 +133,11 @@
 /// Whether a replica holds what a reply told.
 fn holds(replica: &Replica, reply: &Message) -> bool {
     match reply {
-        Message::PrepareReply(reply) => replica.held(reply.partition).promised >= reply.epoch,
+        Message::PrepareReply(reply) => {
+            replica.partition(reply.partition).promised_epoch >= reply.epoch
+        }
         Message::AppendReply(reply) => {
-            let image = &replica.held(reply.partition).image;
+            let image = &replica.partition(reply.partition).state;
             (image.epoch, image.version) >= (reply.epoch, reply.synced_version)
                 || image.epoch > reply.epoch
         }
@@ -145,7 +147,7 @@
 
 /// Appends and syncs each record to a log in a fresh folder, and cuts the last:
 /// what was synced before it must be there.
-fn torn_log(records: &[Vec<u8>], cut: usize) -> Vec<Vec<u8>> {
+fn torn_log(records: &[Vec<u8>], with_blocked_links: usize) -> Vec<Vec<u8>> {
     static FOLDERS: AtomicU64 = AtomicU64::new(0);
     let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
     let name = format!("replication-sequences-{}-{number}", std::process::id());
@@ -171,7 +173,8 @@
     let length = std::fs::metadata(&segment).unwrap().len();
     let last = records.last().map_or(0, Vec::len) as u64;
     let file = std::fs::File::options().write(true).open(&segment).unwrap();
-    file.set_len(length - 1 - cut as u64 % last.max(1)).unwrap();
+    file.set_len(length - 1 - with_blocked_links as u64 % last.max(1))
+        .unwrap();
     let read = SegmentLog::open(&folder).unwrap().records;
     std::fs::remove_dir_all(&folder).unwrap();
     read
@@ -224,7 +227,7 @@
         };
         for slot in 0..2 {
             let nothing = PreparedState::Newer(PartitionState::default());
-            lane.leader.raised(lane.now, slot, nothing);
+            lane.leader.on_prepare_reply(lane.now, slot, nothing);
         }
         lane.flush(true);
         lane
@@ -233,7 +236,8 @@
     fn flush(&mut self, tick: bool) {
         let state = self.leader.rows.clone();
         self.states.insert(self.leader.version, state);
-        self.network.extend(self.leader.flush(self.now, tick));
+        self.network
+            .extend(self.leader.due_messages(self.now, tick));
     }
 
     fn take(&mut self, step: &Step) {
@@ -245,7 +249,7 @@
                 };
                 self.leader.put(format!("row-{key}"), value);
             }
-            Step::Drop(key) => self.leader.drop_row(&format!("row-{key}")),
+            Step::Drop(key) => self.leader.remove_row(&format!("row-{key}")),
             Step::Tick => self.now += Duration::from_secs(2),
             _ if self.network.is_empty() => {}
             Step::Lose(index) => drop(self.network.remove(at(index))),
@@ -265,12 +269,12 @@
         match message {
             Message::AppendRequest(_) => {
                 let leader = Peer::new(address(0), 1);
-                let replies = self.replicas[usize::from(slot)].hear(leader, message);
+                let replies = self.replicas[usize::from(slot)].receive(leader, message);
                 let replies = replies.into_iter().map(|reply| (slot, reply.message));
                 self.network.extend(replies);
             }
-            Message::AppendReply(reply) => self.leader.kept(slot, &reply),
-            Message::AppendGap(_) => self.leader.forget(slot),
+            Message::AppendReply(reply) => self.leader.on_append_reply(slot, &reply),
+            Message::AppendGap(_) => self.leader.reset_replica(slot),
             other => panic!("{}", other.name()),
         }
     }
@@ -290,7 +294,7 @@
     fn check(&self) -> Result<(), TestCaseError> {
         let partition = self.leader.partition;
         let holding = self.replicas.iter().filter(|node| {
-            let image = &node.replica.held(partition).image;
+            let image = &node.replica.partition(partition).state;
             image.epoch == EPOCH && image.version >= self.leader.committed()
         });
         let committed = self.leader.committed();
@@ -299,13 +303,13 @@
             "{committed} is lost"
         );
         for node in &self.replicas {
-            let held = node.replica.held(partition);
-            if held.image.epoch == EPOCH {
-                let known = self.states.get(&held.image.version);
-                prop_assert_eq!(Some(&held.image.rows), known);
+            let held = node.replica.partition(partition);
+            if held.state.epoch == EPOCH {
+                let known = self.states.get(&held.state.version);
+                prop_assert_eq!(Some(&held.state.rows), known);
             }
-            if partition < PUBLISHED_PARTITIONS && held.image.published > 0 {
-                prop_assert!(held.image.published <= self.leader.committed());
+            if partition < PUBLISHED_PARTITIONS && held.state.published > 0 {
+                prop_assert!(held.state.published <= self.leader.committed());
             }
         }
         Ok(())
@@ -316,17 +320,17 @@
     /// The log read back at any synced prefix is the state that was replied
     /// from, also once an image took the place of what came before it.
     #[test]
-    fn any_synced_prefix_of_the_log_holds_what_was_replied(
+    fn synced_log_prefix_contains_replied_state(
         requests in prop::collection::vec(request(), 1..40),
         image_at in any::<prop::sample::Index>(),
     ) {
-        let mut part = member(full_replica());
+        let mut control_node = member(full_replica());
         let mut replica = full_replica();
-        let start = Record::Image(Box::new(replica.clone()));
+        let start = Record::Snapshot(Box::new(replica.clone()));
         let mut log = vec![bincode::serialize(&start).unwrap()];
         let image_at = image_at.index(requests.len());
         for (at, (from, message)) in requests.into_iter().enumerate() {
-            let outputs = part.handle(Duration::from_secs(1), heard(from, message));
+            let outputs = control_node.handle(Duration::from_secs(1), received(from, message));
             let mut last = None;
             for output in outputs {
                 if let Output::Store { serial, record } = output {
@@ -338,11 +342,11 @@
                 }
             }
             if at == image_at {
-                let image = Record::Image(Box::new(replica.clone()));
+                let image = Record::Snapshot(Box::new(replica.clone()));
                 log = vec![bincode::serialize(&image).unwrap()];
             }
             let Some(serial) = last else { continue };
-            for output in part.handle(Duration::from_secs(1), Input::Stored { serial }) {
+            for output in control_node.handle(Duration::from_secs(1), Input::Stored { serial }) {
                 if let Output::Send { message, .. } = output {
                     prop_assert!(holds(&replica, &message), "{message:?}");
                 }
@@ -352,21 +356,21 @@
 
     /// A last record that is torn at any byte costs that record alone.
     #[test]
-    fn a_torn_last_record_leaves_the_state_before_it(
+    fn torn_last_record_restores_previous_state(
         requests in prop::collection::vec(request(), 1..12),
-        cut in any::<usize>(),
+        with_blocked_links in any::<usize>(),
     ) {
-        let mut part = member(full_replica());
-        let first = bincode::serialize(&Record::Image(Box::new(full_replica()))).unwrap();
+        let mut control_node = member(full_replica());
+        let first = bincode::serialize(&Record::Snapshot(Box::new(full_replica()))).unwrap();
         let mut log = vec![first.clone()];
         for (from, message) in requests {
-            for output in part.handle(Duration::from_secs(1), heard(from, message)) {
+            for output in control_node.handle(Duration::from_secs(1), received(from, message)) {
                 if let Output::Store { record, .. } = output {
                     log.push(record);
                 }
             }
         }
-        let read = torn_log(&log, cut);
+        let read = torn_log(&log, with_blocked_links);
         prop_assert_eq!(&read, &log[..log.len() - 1]);
         let before = Replica::replay(&log[..log.len() - 1]).unwrap();
         prop_assert_eq!(Replica::replay(&read).unwrap(), before);
@@ -375,7 +379,7 @@
     /// Appends in any order, lost and doubled: each replica is the leader's
     /// state of some version, and catching up by differences ends in the whole.
     #[test]
-    fn appends_in_any_order_leave_whole_states(
+    fn reordered_appends_yield_complete_states(
         partition in partition(),
         steps in prop::collection::vec(step(), 1..80),
     ) {
@@ -388,17 +392,17 @@
         lane.check()?;
         prop_assert_eq!(lane.leader.committed(), lane.leader.version);
         for node in &lane.replicas {
-            prop_assert_eq!(&node.replica.held(partition).image.rows, &lane.leader.rows);
+            prop_assert_eq!(&node.replica.partition(partition).state.rows, &lane.leader.rows);
         }
     }
 
     /// Membership tables in any order and doubled: the newest stays, also over
     /// a restart on what was stored.
     #[test]
-    fn the_newest_membership_table_stays(
+    fn newest_membership_table_wins(
         versions in prop::collection::vec(0u64..8, 1..12),
     ) {
-        let mut part = member(full_replica());
+        let mut control_node = member(full_replica());
         let mut replica = full_replica();
         let mut newest = 0;
         for version in versions {
@@ -407,17 +411,17 @@
             let mut members = members();
             members[1] = Peer::new(address(10 + version as usize), 50 + version);
             let table = MembershipTable { version, members };
-            for output in part.handle(Duration::from_secs(1), heard(2, table.into())) {
+            for output in control_node.handle(Duration::from_secs(1), received(2, table.into())) {
                 if let Output::Store { serial, record } = output {
                     replica.apply(&bincode::deserialize(&record).unwrap());
-                    part.handle(Duration::from_secs(1), Input::Stored { serial });
+                    control_node.handle(Duration::from_secs(1), Input::Stored { serial });
                 }
             }
             let mut again = member(replica.clone());
-            for part in [&mut part, &mut again] {
-                let asked = heard(2, JoinRequest { founding: false }.into());
-                let told = step_synced(part, asked);
-                let known = told.iter().find_map(|message| match message {
+            for control_node in [&mut control_node, &mut again] {
+                let asked = received(2, JoinRequest { founding: false }.into());
+                let messages = step_synced(control_node, asked);
+                let known = messages.iter().find_map(|message| match message {
                     Message::MembershipTable(table) => Some(table.version),
                     _ => None,
                 });
@@ -428,20 +432,20 @@
 
     /// The model of the exhaustive search answers as `ControlNode` does.
     #[test]
-    fn the_model_answers_as_the_product(
+    fn model_replies_match_control_node(
         requests in prop::collection::vec(request(), 1..40),
     ) {
-        let mut part = member(full_replica());
+        let mut control_node = member(full_replica());
         let mut node = Node::member(0, members(), None);
         for (from, message) in requests {
-            let told = step_synced(&mut part, heard(from, message.clone()));
-            let told: Vec<Message> = told.into_iter().filter_map(comparable).collect();
+            let messages = step_synced(&mut control_node, received(from, message.clone()));
+            let messages: Vec<Message> = messages.into_iter().filter_map(comparable).collect();
             let peer = Peer::new(address(from.into()), u64::from(from) + 1);
-            let modelled = node.hear(peer, message).into_iter();
+            let modelled = node.receive(peer, message).into_iter();
             let modelled: Vec<Message> = modelled
                 .filter_map(|envelope| comparable(envelope.message))
                 .collect();
-            prop_assert_eq!(told, modelled);
+            prop_assert_eq!(messages, modelled);
         }
     }
 }
--- a/control-plane/tests/stored_data/main.rs
+++ b/control-plane/tests/stored_data/main.rs
@@ -15,12 +15,12 @@
 const REPLAYED: &str = include_str!("replayed.hex");
 
 /// A copy of the checked-in log that a test may open, removed at its end.
-struct LogCopy {
+struct ScratchLog {
     folder: PathBuf,
 }
 
-impl LogCopy {
-    fn new(test: &str) -> LogCopy {
+impl ScratchLog {
+    fn new(test: &str) -> ScratchLog {
         let folder =
             std::env::temp_dir().join(format!("otterslip-stored-{test}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
@@ -29,7 +29,7 @@
             let file = file.unwrap();
             fs::copy(file.path(), folder.join(file.file_name())).unwrap();
         }
-        LogCopy { folder }
+        ScratchLog { folder }
     }
 
     /// Each file's name and bytes.
@@ -61,7 +61,7 @@
     }
 }
 
-impl Drop for LogCopy {
+impl Drop for ScratchLog {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn every_record_is_read_from_the_checked_in_log() {
-    let copy = LogCopy::new("records");
-    let loaded = SegmentLog::open(&copy.folder).unwrap();
+fn checked_in_log_yields_every_record() {
+    let log = ScratchLog::new("records");
+    let loaded = SegmentLog::open(&log.folder).unwrap();
     let expected: Vec<Vec<u8>> = records::records().iter().map(Record::bytes).collect();
     assert_eq!(loaded.records, expected);
     let read: Vec<Record> = loaded
@@ -91,27 +91,27 @@
 
 #[test]
 fn checked_in_log_replays_to_the_checked_in_replica() {
-    let copy = LogCopy::new("replay");
-    let loaded = SegmentLog::open(&copy.folder).unwrap();
+    let log = ScratchLog::new("replay");
+    let loaded = SegmentLog::open(&log.folder).unwrap();
     let replica = Replica::replay(&loaded.records).unwrap().unwrap();
-    let image = Record::Image(Box::new(replica));
-    assert_eq!(hexadecimal(&image.bytes()), REPLAYED.trim());
+    let snapshot = Record::Snapshot(Box::new(replica));
+    assert_eq!(hexadecimal(&snapshot.bytes()), REPLAYED.trim());
 }
 
 #[test]
-fn damaged_checked_in_log_is_refused_and_left_as_it_is() {
-    let copy = LogCopy::new("damaged");
-    let segment = copy.oldest_segment();
+fn damaged_checked_in_log_is_refused_unmodified() {
+    let log = ScratchLog::new("damaged");
+    let segment = log.oldest_segment();
     let mut bytes = fs::read(&segment).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0xff;
     fs::write(&segment, bytes).unwrap();
-    assert!(matches!(copy.refusal(), OpenError::Damaged { .. }));
+    assert!(matches!(log.refusal(), OpenError::Damaged { .. }));
 }
 
 #[test]
-fn foreign_file_in_the_checked_in_log_is_refused_and_left_as_it_is() {
-    let copy = LogCopy::new("foreign");
-    fs::write(copy.oldest_segment(), "not a segment of ours").unwrap();
-    assert!(matches!(copy.refusal(), OpenError::Foreign { .. }));
+fn foreign_file_in_checked_in_log_is_refused_unmodified() {
+    let log = ScratchLog::new("foreign");
+    fs::write(log.oldest_segment(), "not a segment of ours").unwrap();
+    assert!(matches!(log.refusal(), OpenError::Foreign { .. }));
 }
--- a/control-plane/tests/stored_data/records.rs
+++ b/control-plane/tests/stored_data/records.rs
@@ -8,12 +8,12 @@
 
 pub fn records() -> Vec<Record> {
     vec![
-        Record::Image(Box::new(Replica {
+        Record::Snapshot(Box::new(Replica {
             incarnation: 2019,
             full: true,
             removed: false,
-            lost: 2020,
-            membership_version: Some((
+            lost_generation: 2020,
+            known_table: Some((
                 2021,
                 vec![Peer {
                     address: address(2022),
@@ -24,45 +24,45 @@
             retired: vec![2024].into(),
             partitions: vec![
                 ReplicaPartition {
-                    promised: 2025,
-                    image: PartitionState {
+                    promised_epoch: 2025,
+                    state: PartitionState {
                         epoch: 2026,
                         version: 2027,
                         published: 2028,
                         rows: rows().into_iter().collect()
                     },
-                    shown: rows().into_iter().collect(),
-                    tail: vec![(2029, rows())].into()
+                    published_rows: rows().into_iter().collect(),
+                    unpublished: vec![(2029, rows())].into()
                 };
                 usize::from(PARTITIONS)
             ],
         })),
-        Record::Image(Box::new(Replica {
+        Record::Snapshot(Box::new(Replica {
             incarnation: 2019,
             full: false,
             removed: true,
-            lost: 2020,
-            membership_version: None,
+            lost_generation: 2020,
+            known_table: None,
             founding: false,
             retired: vec![2024].into(),
             partitions: vec![
                 ReplicaPartition {
-                    promised: 2025,
-                    image: PartitionState {
+                    promised_epoch: 2025,
+                    state: PartitionState {
                         epoch: 2026,
                         version: 2027,
                         published: 2028,
                         rows: rows().into_iter().collect()
                     },
-                    shown: rows().into_iter().collect(),
-                    tail: vec![(2029, rows())].into()
+                    published_rows: rows().into_iter().collect(),
+                    unpublished: vec![(2029, rows())].into()
                 };
                 usize::from(PARTITIONS)
             ],
         })),
         Record::Incarnation { incarnation: 2001 },
         Record::Recovered {
-            held: vec![PartitionSnapshot {
+            partitions: vec![PartitionSnapshot {
                 partition: 7,
                 promised: 2003,
                 state: PartitionState {
@@ -73,10 +73,10 @@
                 },
                 published_rows: rows().into_iter().collect(),
             }],
-            lost: true,
+            majority_lost: true,
         },
         Record::Recovered {
-            held: vec![PartitionSnapshot {
+            partitions: vec![PartitionSnapshot {
                 partition: 7,
                 promised: 2003,
                 state: PartitionState {
@@ -87,14 +87,14 @@
                 },
                 published_rows: rows().into_iter().collect(),
             }],
-            lost: false,
+            majority_lost: false,
         },
         Record::Promise {
             partition: 12,
             epoch: 2008,
         },
         Record::Appended {
-            keep: AppendRequest {
+            request: AppendRequest {
                 partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
@@ -112,7 +112,7 @@
             },
         },
         Record::Appended {
-            keep: AppendRequest {
+            request: AppendRequest {
                 partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
@@ -130,7 +130,7 @@
             },
         },
         Record::Appended {
-            keep: AppendRequest {
+            request: AppendRequest {
                 partition: 14,
                 epoch: 2010,
                 membership_version: 2011,
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -9,9 +9,9 @@
 const CANDIDATE: usize = 1;
 
 /// Small numbers that hang on a seed alone.
-struct Dice(u64);
+struct SeededRandom(u64);
 
-impl Dice {
+impl SeededRandom {
     fn below(&mut self, most: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1);
         (self.0 >> 33) % most
@@ -42,7 +42,7 @@
     mut reaches: impl FnMut(usize) -> bool,
 ) -> usize {
     let mut bytes = 0;
-    for (slot, message) in leader.flush(now, tick) {
+    for (slot, message) in leader.due_messages(now, tick) {
         bytes += bincode::serialized_size(&message).unwrap() as usize;
         let replica = &mut replicas[usize::from(slot)];
         if !reaches(slot.into()) {
@@ -53,19 +53,23 @@
                 let (partition, epoch) = (request.partition, request.epoch);
                 replica.apply(&Record::Promise { partition, epoch });
                 let state = replica
-                    .held(partition)
-                    .promised_state(partition, request.requester_state);
+                    .partition(partition)
+                    .prepared_state(partition, request.requester_state);
                 bytes += bincode::serialized_size(&state).unwrap() as usize;
-                leader.raised(now, slot, state);
+                leader.on_prepare_reply(now, slot, state);
             }
-            Message::AppendRequest(keep) => {
-                let (partition, epoch, round, to) =
-                    (keep.partition, keep.epoch, keep.round, keep.to_version);
-                if !replica.held(partition).fits(&keep) {
-                    leader.forget(slot);
+            Message::AppendRequest(request) => {
+                let (partition, epoch, round, to) = (
+                    request.partition,
+                    request.epoch,
+                    request.round,
+                    request.to_version,
+                );
+                if !replica.partition(partition).accepts(&request) {
+                    leader.reset_replica(slot);
                     continue;
                 }
-                replica.apply(&Record::Appended { keep });
+                replica.apply(&Record::Appended { request });
                 let reply = AppendReply {
                     partition,
                     epoch,
@@ -74,7 +78,7 @@
                     sessions_confirmed: None,
                     retired_incarnations: vec![],
                 };
-                leader.kept(slot, &reply);
+                leader.on_append_reply(slot, &reply);
             }
             other => panic!("{}", other.name()),
         }
@@ -84,8 +88,8 @@
 
 /// Replicas of a partition after a leader's life in which messages were lost:
 /// each lags by as much as it lags. What was committed is on three of five.
-fn lived(
-    dice: &mut Dice,
+fn replicas_after_writes(
+    random: &mut SeededRandom,
     writes: u64,
     bytes: usize,
     lossy: bool,
@@ -100,15 +104,15 @@
         now += Duration::from_secs(1);
     }
     for write in 0..writes {
-        if dice.below(5) == 0 {
-            let key = format!("host/{}", dice.below(writes));
-            leader.drop_row(&key);
+        if random.below(5) == 0 {
+            let key = format!("host/{}", random.below(writes));
+            leader.remove_row(&key);
         } else {
-            let key = format!("host/{}", dice.below(writes));
+            let key = format!("host/{}", random.below(writes));
             leader.put(key, operation(write, bytes));
         }
         now += Duration::from_millis(10);
-        let down = dice.below(SLOTS as u64 * 2) as usize;
+        let down = random.below(SLOTS as u64 * 2) as usize;
         exchange(&mut leader, &mut replicas, now, false, |slot| {
             !lossy || slot != down
         });
@@ -118,8 +122,12 @@
 
 /// The next leader's life until every replica holds what it holds; bytes sent.
 fn take_over(replicas: &mut [Replica]) -> (PartitionLeader, usize) {
-    let own = replicas[CANDIDATE].held(PUBLISHED_PARTITIONS).image.clone();
-    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0).holding(own);
+    let local_state = replicas[CANDIDATE]
+        .partition(PUBLISHED_PARTITIONS)
+        .state
+        .clone();
+    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0)
+        .with_local_state(local_state);
     let mut now = Duration::from_secs(100);
     let mut bytes = 0;
     for _ in 0..10 {
@@ -130,42 +138,49 @@
 }
 
 #[test]
-fn replicas_that_hold_a_ledger_are_not_sent_it_again() {
+fn takeover_does_not_resend_ledger_to_current_replicas() {
     const WRITES: u64 = 600;
     const BYTES: usize = 2000;
-    let (mut replicas, _) = lived(&mut Dice(1), WRITES, BYTES, false);
-    let held =
-        bincode::serialized_size(&replicas[0].held(PUBLISHED_PARTITIONS).image).unwrap() as usize;
-    assert!(held > 400_000, "{held} bytes of ledger");
+    let (mut replicas, _) = replicas_after_writes(&mut SeededRandom(1), WRITES, BYTES, false);
+    let ledger_bytes = bincode::serialized_size(&replicas[0].partition(PUBLISHED_PARTITIONS).state)
+        .unwrap() as usize;
+    assert!(ledger_bytes > 400_000, "{ledger_bytes} bytes of ledger");
     let (next, bytes) = take_over(&mut replicas);
     assert!(next.ready());
     // Before: five times with the promises, and five times to be written.
-    assert!(bytes < held / 10, "{bytes} bytes to take over {held}");
+    assert!(
+        bytes < ledger_bytes / 10,
+        "{bytes} bytes to take over {ledger_bytes}"
+    );
 }
 
 #[test]
-fn replicas_that_lag_get_what_they_lack() {
+fn lagging_replicas_get_missing_rows() {
     const WRITES: u64 = 600;
     const BYTES: usize = 2000;
-    let (mut replicas, mut leader) = lived(&mut Dice(2), WRITES, BYTES, false);
+    let (mut replicas, mut leader) =
+        replicas_after_writes(&mut SeededRandom(2), WRITES, BYTES, false);
     for version in 0..20 {
         leader.put(format!("late/{version}"), operation(version, BYTES));
     }
     let now = Duration::from_secs(50);
     exchange(&mut leader, &mut replicas, now, false, |slot| slot < 3);
-    let held =
-        bincode::serialized_size(&replicas[0].held(PUBLISHED_PARTITIONS).image).unwrap() as usize;
+    let ledger_bytes = bincode::serialized_size(&replicas[0].partition(PUBLISHED_PARTITIONS).state)
+        .unwrap() as usize;
     let (next, bytes) = take_over(&mut replicas);
     assert_eq!(next.rows, leader.rows);
-    assert!(bytes < held / 2, "{bytes} bytes to take over {held}");
+    assert!(
+        bytes < ledger_bytes / 2,
+        "{bytes} bytes to take over {ledger_bytes}"
+    );
 }
 
 #[test]
-fn over_many_seeds_all_replicas_hold_the_adopted_state_and_nothing_committed_is_lost() {
+fn takeover_converges_and_loses_no_committed_row() {
     for seed in 0..400 {
-        let mut dice = Dice(seed);
-        let writes = 5 + dice.below(60);
-        let (mut replicas, leader) = lived(&mut dice, writes, 10, true);
+        let mut random = SeededRandom(seed);
+        let writes = 5 + random.below(60);
+        let (mut replicas, leader) = replicas_after_writes(&mut random, writes, 10, true);
         let committed = leader.committed();
         let (next, _) = take_over(&mut replicas);
         assert!(next.ready(), "seed {seed}");
@@ -175,8 +190,8 @@
             .iter()
             .filter(|(_, row)| row.version <= committed)
         {
-            let taken = next.rows.get(key).map(|row| row.version);
-            let newer = taken.is_some_and(|version| version >= row.version);
+            let adopted = next.rows.get(key).map(|row| row.version);
+            let newer = adopted.is_some_and(|version| version >= row.version);
             assert!(
                 newer,
                 "seed {seed}: {key} of version {} is gone",
@@ -184,47 +199,57 @@
             );
         }
         for (slot, replica) in replicas.iter().enumerate() {
-            let image = &replica.held(PUBLISHED_PARTITIONS).image;
-            assert_eq!(image.rows, next.rows, "seed {seed}, slot {slot}");
-            assert_eq!(image.epoch, NEXT_EPOCH, "seed {seed}, slot {slot}");
+            let state = &replica.partition(PUBLISHED_PARTITIONS).state;
+            assert_eq!(state.rows, next.rows, "seed {seed}, slot {slot}");
+            assert_eq!(state.epoch, NEXT_EPOCH, "seed {seed}, slot {slot}");
         }
     }
 }
 
 /// Another state under the same version number, of another epoch, is no base.
 #[test]
-fn rows_are_added_to_no_state_but_the_one_they_were_made_for() {
-    let (mut replicas, _) = lived(&mut Dice(3), 40, 10, false);
-    let (mut other, _) = lived(&mut Dice(4), 40, 10, false);
-    let own = replicas[CANDIDATE].held(PUBLISHED_PARTITIONS).image.clone();
-    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0).holding(own);
+fn delta_applies_to_its_base_state_alone() {
+    let (mut replicas, _) = replicas_after_writes(&mut SeededRandom(3), 40, 10, false);
+    let (mut other, _) = replicas_after_writes(&mut SeededRandom(4), 40, 10, false);
+    let local_state = replicas[CANDIDATE]
+        .partition(PUBLISHED_PARTITIONS)
+        .state
+        .clone();
+    let mut next = PartitionLeader::new(PUBLISHED_PARTITIONS, NEXT_EPOCH, SLOTS, 0)
+        .with_local_state(local_state);
     let now = Duration::from_secs(100);
     exchange(&mut next, &mut replicas, now, true, |_| true);
-    let keep = next
-        .flush(now + PROMISE_WAIT, true)
+    let request = next
+        .due_messages(now + PREPARE_REPLY_GRACE, true)
         .into_iter()
         .find_map(|(_, message)| match message {
-            Message::AppendRequest(keep) if keep.base.is_some() => Some(keep),
+            Message::AppendRequest(request) if request.base.is_some() => Some(request),
             _ => None,
         })
         .expect("a replica holds the adopted state");
-    assert!(replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep));
-    let image = &mut other[4].partitions[usize::from(PUBLISHED_PARTITIONS)].image;
-    image.epoch += 1;
-    image.version = keep.after_version;
     assert!(
-        !other[4].held(PUBLISHED_PARTITIONS).fits(&keep),
+        replicas[4]
+            .partition(PUBLISHED_PARTITIONS)
+            .accepts(&request)
+    );
+    let state = &mut other[4].partitions[usize::from(PUBLISHED_PARTITIONS)].state;
+    state.epoch += 1;
+    state.version = request.after_version;
+    assert!(
+        !other[4].partition(PUBLISHED_PARTITIONS).accepts(&request),
         "another epoch"
     );
-    image_version(&mut replicas[4], keep.after_version + 1);
+    image_version(&mut replicas[4], request.after_version + 1);
     assert!(
-        !replicas[4].held(PUBLISHED_PARTITIONS).fits(&keep),
+        !replicas[4]
+            .partition(PUBLISHED_PARTITIONS)
+            .accepts(&request),
         "another version"
     );
 }
 
 fn image_version(replica: &mut Replica, version: u64) {
     replica.partitions[usize::from(PUBLISHED_PARTITIONS)]
-        .image
+        .state
         .version = version;
 }
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -19,7 +19,7 @@
         new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.image_bytes);
-    let history = Some(History::keep(startup.data.clone().context("data folder")?));
+    let history = Some(History::spawn_writer(startup.data.clone().context("data folder")?));
     let host = NodeHost {
         me: part.me(),
         program: "control-node",
@@ -43,8 +43,8 @@
 /// The slot of this disk went to another node while it was away, so what it holds
 /// counts for nothing: it goes on as an empty one, which may be given a slot.
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
-    let renewed = removed.renewed(new_incarnation()?);
-    let image = Record::Image(Box::new(renewed.clone()));
+    let renewed = removed.for_rejoin(new_incarnation()?);
+    let image = Record::Snapshot(Box::new(renewed.clone()));
     log.image(&image.bytes())?;
     log.sync()?;
     Ok(renewed)
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -30,8 +30,8 @@
         if !replica.removed {
             return replica;
         }
-        let renewed = replica.renewed(incarnation);
-        let image = Record::Image(Box::new(renewed.clone()));
+        let renewed = replica.for_rejoin(incarnation);
+        let image = Record::Snapshot(Box::new(renewed.clone()));
         self.synced = vec![image.bytes()];
         renewed
     }
