--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -2,163 +2,187 @@
 
 use super::*;
 
-/// What the assignments were last planned from: the same again gives the same plan.
-#[derive(PartialEq)]
-pub(super) struct PlanInputs {
+/// What the leader of the assignments plans from.
+#[derive(Debug, Default)]
+pub(super) struct AssignmentState {
+    /// The configuration's items as far as they are published here, up to `items_version`.
+    items: Items,
+    items_version: u64,
+    /// Services of that configuration.
+    services: Vec<String>,
+    /// Number of renewal tokens issued when assignments were last granted: each owner had begun by then.
+    pub(super) tokens_at_grant: u64,
+    /// What was last planned from: the same again gives the same plan.
+    last_inputs: Option<PlanInputs>,
+    /// Whether this node was last found to lead the list of origins.
+    publishes_origins: bool,
+}
+
+/// All that a plan depends on.
+#[derive(Debug, PartialEq)]
+struct PlanInputs {
     epoch: u64,
     version: u64,
     settled: u64,
     configuration: u64,
-    sessions: Vec<Vec<(Peer, bool)>>,
+    sessions: Vec<Vec<SessionStanding>>,
     ended: BTreeSet<Peer>,
 }
 
 impl ControlNode {
-    /// Who owns the list of origins is the one to read the platform's.
+    /// The leader of the list of origins is the node that reads the platform's.
     pub(super) fn publish_origin_list(&mut self, now: Duration) {
         let leads = self
             .leaders
             .get(&ORIGINS_PARTITION)
             .is_some_and(|leader| leader.ready() && leader.recall_until.is_none());
-        // Cut off, what is read could not be put.
-        let lists = leads && self.reaches_majority(now);
-        if lists != self.publishes_origins {
-            self.publishes_origins = lists;
-            let list = if lists {
+        // Isolated, what is read could not be put.
+        let publishes = leads && self.reaches_majority(now);
+        if publishes != self.assignments.publishes_origins {
+            self.assignments.publishes_origins = publishes;
+            let names = if publishes {
                 vec![ORIGIN_LIST_ASSIGNMENT.to_string()]
             } else {
                 vec![]
             };
-            self.outputs
-                .push(Output::Publish(PublishedState::Assignments(list)));
+            let assignments = PublishedState::Assignments(names);
+            self.outputs.push(Output::Publish(assignments));
         }
     }
 
+    /// As leader of the assignments: writes those that shall change now.
     pub(super) fn plan_assignments(&mut self, now: Duration) {
-        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
-            return;
-        };
-        // A new owner pending_replies until sessions have had time to show.
-        let calm = leader
-            .active_since
-            .is_some_and(|since| now >= since + lease::CONTROL_TICK);
-        if !leader.ready() || !calm || leader.recall_until.is_some() {
+        if !self.may_plan_assignments(now) {
             return;
         }
-        // After a start, sessions may stand that are not known yet: then only
-        // what holders left who are known to have ended is given out.
-        let known = self.sessions.is_complete(now);
-        if known {
+        // After a start, sessions may stand that are not known yet: then only what edges left that are known to have
+        // ended is granted.
+        if self.sessions.is_complete(now) {
             self.plan_edge_registry(now);
         }
         self.read_services();
-        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
+        let Some(inputs) = self.plan_inputs(now) else {
             return;
         };
-        let holders = leader.rows.values().filter_map(|row| match &row.value {
+        if self.assignments.last_inputs.as_ref() == Some(&inputs) {
+            return;
+        }
+        let planned = self.next_assignments(now, &inputs);
+        self.assignments.last_inputs = Some(inputs);
+        if !planned.is_empty() {
+            self.assignments.tokens_at_grant = self.sessions.issued_tokens();
+        }
+        self.write_assignments(planned);
+    }
+
+    /// A new leader waits until sessions have had time to be renewed.
+    fn may_plan_assignments(&self, now: Duration) -> bool {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
+            return false;
+        };
+        let has_waited = |since: Duration| now >= since + lease::CONTROL_TICK;
+        leader.ready()
+            && leader.active_since.is_some_and(has_waited)
+            && leader.recall_until.is_none()
+    }
+
+    fn plan_inputs(&self, now: Duration) -> Option<PlanInputs> {
+        let leader = self.leaders.get(&ASSIGNMENTS_PARTITION)?;
+        let owners = leader.rows.values().filter_map(|row| match &row.value {
             Value::Assignment(assignment) => assignment.owner,
             _ => None,
         });
-        let over: BTreeSet<Peer> = holders
-            .filter(|peer| self.sessions.has_ended(*peer, self.tokens_at_grant))
-            .collect();
-        let planned = PlanInputs {
+        let tokens = self.assignments.tokens_at_grant;
+        Some(PlanInputs {
             epoch: leader.epoch,
             version: leader.version,
             settled: leader.settled(),
-            configuration: self.items_version,
-            sessions: self.sessions.membership_snapshot(now),
-            ended: over,
+            configuration: self.assignments.items_version,
+            sessions: self.sessions.standing(now),
+            ended: owners
+                .filter(|peer| self.sessions.has_ended(*peer, tokens))
+                .collect(),
+        })
+    }
+
+    fn next_assignments(&self, now: Duration, inputs: &PlanInputs) -> Vec<(String, Assignment)> {
+        let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
+            return vec![];
         };
-        if self.last_plan_inputs.as_ref() == Some(&planned) {
-            return;
-        }
         let quorum = self.quorum();
-        let live = if known {
+        let is_complete = self.sessions.is_complete(now);
+        let live = if is_complete {
             self.sessions.live(now, quorum)
         } else {
             self.sessions.local_sessions()
         };
-        let spread = leader
-            .rows
-            .keys()
-            .filter_map(|assignment| assignment_ring(assignment));
-        let rings: BTreeSet<&str> = live
-            .iter()
-            .map(|seen| seen.ring.as_str())
-            .chain(spread)
-            .collect();
-        let mut names: Vec<String> = rings
-            .iter()
-            .flat_map(|ring| {
-                (0..CACHE_PARTITIONS).map(|partition| cache_assignment(ring, partition))
-            })
-            .collect();
-        names.extend(
-            self.services
-                .iter()
-                .map(|service| admission_assignment(service)),
-        );
-        let gone = |peer: Peer| self.sessions.has_departed(now, peer, quorum);
-        let ended = |peer: Peer| planned.ended.contains(&peer);
-        let members = &self.members;
-        let beside = |seen: &SessionInfo| {
-            members
-                .iter()
-                .any(|place| place.address.ip() == seen.peer.address.ip())
-        };
+        let is_on_host =
+            |session: &SessionInfo, member: &Peer| member.address.ip() == session.peer.address.ip();
         let plan = AssignmentPlan {
             rows: &leader.rows,
             settled: leader.settled(),
             live: &live,
-            departed: &gone,
-            ended: &ended,
-            on_control_host: &beside,
-            sessions_incomplete: !known,
+            departed: &|peer| self.sessions.has_departed(now, peer, quorum),
+            ended: &|peer| inputs.ended.contains(&peer),
+            on_control_host: &|session| {
+                let mut members = self.members.iter();
+                members.any(|member| is_on_host(session, member))
+            },
+            sessions_incomplete: !is_complete,
         };
-        let out = plan.next(&names);
-        self.last_plan_inputs = Some(planned);
-        if !out.is_empty() {
-            self.tokens_at_grant = self.sessions.issued_tokens();
-        }
-        let leader = self
-            .leaders
-            .get_mut(&ASSIGNMENTS_PARTITION)
-            .expect("just seen");
-        for (key, assignment) in &out {
+        plan.next(&self.assignment_names(leader, &live))
+    }
+
+    /// Names of all assignments: the cache partitions of each ring, and the admission controller of each service.
+    fn assignment_names(&self, leader: &PartitionLeader, live: &[SessionInfo]) -> Vec<String> {
+        let live_rings = live.iter().map(|session| session.ring.as_str());
+        let assigned_rings = leader.rows.keys().filter_map(|name| assignment_ring(name));
+        let rings: BTreeSet<&str> = live_rings.chain(assigned_rings).collect();
+        let caches = rings.into_iter().flat_map(|ring| {
+            (0..CACHE_PARTITIONS).map(move |partition| cache_assignment(ring, partition))
+        });
+        let services = self.assignments.services.iter();
+        let admissions = services.map(|service| admission_assignment(service));
+        caches.chain(admissions).collect()
+    }
+
+    fn write_assignments(&mut self, planned: Vec<(String, Assignment)>) {
+        let Some(leader) = self.leaders.get_mut(&ASSIGNMENTS_PARTITION) else {
+            return;
+        };
+        for (key, assignment) in &planned {
             leader.put(key.clone(), Value::Assignment(assignment.clone()));
         }
-        for (key, assignment) in out {
+        for (key, assignment) in planned {
+            let epoch = assignment.epoch;
             match assignment.owner {
-                Some(peer) => self.log_event(
-                    Event::AssignmentGranted,
-                    format!("{key} epoch {} to {peer}", assignment.epoch),
-                ),
-                None => self.log_event(
-                    Event::AssignmentRevoked,
-                    format!("{key} epoch {}", assignment.epoch),
-                ),
+                Some(peer) => {
+                    let text = format!("{key} epoch {epoch} to {peer}");
+                    self.log_event(Event::AssignmentGranted, text);
+                }
+                None => {
+                    let text = format!("{key} epoch {epoch}");
+                    self.log_event(Event::AssignmentRevoked, text);
+                }
             }
         }
     }
 
-    /// The services of the configuration in force, as shown here.
-    pub(super) fn read_services(&mut self) {
-        let held = self.replica.partition(CONFIGURATION_PARTITION);
-        if held.state.published == self.items_version {
+    /// Follows the services of the configuration in force, as published here.
+    fn read_services(&mut self) {
+        let configuration = self.replica.partition(CONFIGURATION_PARTITION);
+        let state = &mut self.assignments;
+        if configuration.state.published == state.items_version {
             return;
         }
-        self.items_version = held.state.published;
-        for (key, row) in &held.published_rows {
-            // What stands was judged before.
-            let _ = self.items.learn(key, row);
+        state.items_version = configuration.state.published;
+        for (key, row) in &configuration.published_rows {
+            // What is published was validated before.
+            let _ = state.items.learn(key, row);
         }
-        if let Ok((document, _)) = self.items.merged() {
-            self.services = document
-                .groups
-                .into_iter()
-                .map(|group| group.service)
-                .collect();
+        if let Ok((document, _)) = state.items.merged() {
+            let groups = document.groups.into_iter();
+            state.services = groups.map(|group| group.service).collect();
         }
     }
 }
--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -1,40 +1,140 @@
-//! Which members this node is in contact with, in both directions, and who may lead a partition.
+//! Which members this node is in contact with, in both directions, and which may lead a partition.
 //!
-//! Each heartbeat names the slots that its sender hears. So a node knows for
-//! each other whether messages get through both ways, also when a cut lets
-//! them pass in one direction only. A member may lead only while it is in
-//! contact with a majority; one that we do not reach ourselves counts if a
-//! member that we do reach says so, and what is meant for it goes by that one.
+//! Each heartbeat names the slots that its sender hears. So a node knows for each other whether messages get through
+//! both ways, also when a network partition lets them pass in one direction only. A member may lead only while it is
+//! in contact with a majority. One that this node does not reach itself counts if a member that it does reach vouches
+//! for it, and what is meant for it is sent by way of that member.
 
 use super::*;
 
-/// A member vouches only for those it heard within this span: by the time that
-/// we take a member for gone ourselves, nobody vouches for it any more.
+/// A member vouches only for those it heard within this time: by the time that this node takes a member for departed
+/// itself, nobody vouches for it any more.
 const CANDIDATE_TIMEOUT: Duration =
     lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
+/// What a member's last heartbeat reported.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PeerStatus {
+    pub(super) incarnation: u64,
+    /// Its disk counts and it goes on.
+    pub(super) full: bool,
+    /// Its disk promises and stores nothing.
+    pub(super) blank: bool,
+    /// When the heartbeat was received; zero before the first.
+    last_heartbeat: Duration,
+    /// Slots that it hears.
+    heard_slots: SlotSet,
+    /// Those of them that hear it too.
+    mutual_contacts: SlotSet,
+    /// Those of them for which it vouches.
+    leader_candidates: SlotSet,
+    /// The revision of this node's table of sessions up to which it has it.
+    pub(super) acknowledged_sessions: u64,
+}
+
+impl PeerStatus {
+    /// Of an incarnation that has sent no heartbeat yet.
+    pub(super) fn unknown(incarnation: u64) -> PeerStatus {
+        PeerStatus {
+            incarnation,
+            full: false,
+            blank: true,
+            last_heartbeat: Duration::ZERO,
+            heard_slots: SlotSet::default(),
+            mutual_contacts: SlotSet::default(),
+            leader_candidates: SlotSet::default(),
+            acknowledged_sessions: 0,
+        }
+    }
+
+    /// Of a heartbeat received now.
+    pub(super) fn reported(now: Duration, incarnation: u64, heartbeat: &Heartbeat) -> PeerStatus {
+        PeerStatus {
+            incarnation,
+            full: heartbeat.full,
+            blank: heartbeat.blank,
+            last_heartbeat: now,
+            heard_slots: heartbeat.heard_slots,
+            mutual_contacts: heartbeat.mutual_contacts,
+            leader_candidates: heartbeat.leader_candidates,
+            acknowledged_sessions: heartbeat.acknowledged_sessions,
+        }
+    }
+
+    fn sent_heartbeat_within(&self, now: Duration, timeout: Duration) -> bool {
+        now < self.last_heartbeat + timeout
+    }
+
+    /// Whether its heartbeats have not timed out.
+    pub(super) fn is_connected(&self, now: Duration) -> bool {
+        self.sent_heartbeat_within(now, lease::CONTROL_PEER_TIMEOUT)
+    }
+}
+
 impl ControlNode {
-    /// Slots whose heartbeats came within the span, our own among them.
-    pub(super) fn recently_heard(&self, now: Duration, span: Duration) -> SlotSet {
-        let near = self
+    /// The heartbeat for a slot.
+    pub(super) fn heartbeat(&self, now: Duration, to: u8) -> Heartbeat {
+        let acknowledged = self
+            .peers
+            .get(&to)
+            .map_or(0, |peer| peer.acknowledged_sessions);
+        let sessions = self
+            .sessions
+            .is_complete(now)
+            .then(|| self.sessions.delta_since(acknowledged));
+        Heartbeat {
+            slot: self.slot,
+            full: self.can_vote() && !self.shutdown.is_requested(),
+            blank: !self.replica.full || self.journal.has_failed(),
+            membership_version: self.membership_version,
+            ledger_closed_for: self.generation.ledger_closed_until.saturating_sub(now),
+            lost_generation: self.lost_generation(),
+            heard_slots: self.heard_slots(now, lease::CONTROL_PEER_TIMEOUT),
+            mutual_contacts: self.mutual_contacts(now),
+            leader_candidates: self.leader_candidates(now),
+            acknowledged_sessions: self.sessions.received_revision(to),
+            sessions,
+        }
+    }
+
+    /// A member sent a heartbeat.
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        slot: u8,
+        heartbeat: Heartbeat,
+    ) {
+        let status = PeerStatus::reported(now, from.incarnation, &heartbeat);
+        self.peers.insert(slot, status);
+        self.extend_ledger_closure(now, heartbeat.ledger_closed_for);
+        self.on_loss_reported(now, heartbeat.lost_generation);
+        if let Some(delta) = heartbeat.sessions {
+            self.sessions.apply_delta(now, slot, delta);
+        }
+    }
+
+    /// Slots whose heartbeats came within the timeout, this node's among them.
+    fn heard_slots(&self, now: Duration, timeout: Duration) -> SlotSet {
+        let recent = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.heartbeat_within(now, span));
-        near.map(|(slot, _)| *slot).chain([self.slot]).collect()
+            .filter(|(_, peer)| peer.sent_heartbeat_within(now, timeout));
+        recent.map(|(slot, _)| *slot).chain([self.slot]).collect()
     }
 
-    /// Slots that we hear and that hear us, our own among them.
+    /// Slots that this node hears and that hear it, its own among them.
     pub(super) fn mutual_contacts(&self, now: Duration) -> SlotSet {
-        let hears = self.recently_heard(now, lease::CONTROL_PEER_TIMEOUT);
-        let both_ways = hears.iter().filter(|slot| {
-            let hears_us = |peer: &PeerStatus| peer.heard_slots.contains(self.slot);
-            *slot == self.slot || self.peers.get(slot).is_some_and(hears_us)
+        let heard = self.heard_slots(now, lease::CONTROL_PEER_TIMEOUT);
+        let both_ways = heard.iter().filter(|slot| {
+            let hears_this_node = |peer: &PeerStatus| peer.heard_slots.contains(self.slot);
+            *slot == self.slot || self.peers.get(slot).is_some_and(hears_this_node)
         });
         both_ways.collect()
     }
 
-    /// Whether a majority of the table is in contact with us. Without it, this
-    /// node can neither confirm nor refuse anything.
+    /// Whether a majority of the table is in contact with this node. Without it, the node can neither confirm nor
+    /// refuse anything.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
         self.mutual_contacts(now).len() >= self.quorum().most()
     }
@@ -44,30 +144,29 @@
         self.has_full_disk(self.slot) && self.is_voting_majority(self.mutual_contacts(now))
     }
 
-    /// Whether these slots make a majority of disks that promise and keep, as
-    /// far as known here; one that is about to end still does. Of a slot that
-    /// is not in contact with us the best is assumed.
+    /// Whether these slots make a majority of disks that promise and store, as far as known here; one that is about
+    /// to end still does. Of a slot that is not in contact with this node the best is assumed.
     fn is_voting_majority(&self, slots: SlotSet) -> bool {
-        let promises = |slot: &u8| match self.peers.get(slot) {
+        let votes = |slot: &u8| match self.peers.get(slot) {
             _ if *slot == self.slot => self.can_vote(),
             Some(peer) => !peer.blank,
             None => true,
         };
-        slots.iter().filter(promises).count() >= self.quorum().most()
+        slots.iter().filter(votes).count() >= self.quorum().most()
     }
 
     /// Whether the disk of a slot is full and its node goes on.
     fn has_full_disk(&self, slot: u8) -> bool {
         if slot == self.slot {
-            return self.can_vote() && self.shutdown_requested_at.is_none();
+            return self.can_vote() && !self.shutdown.is_requested();
         }
         self.peers.get(&slot).is_none_or(|peer| peer.full)
     }
 
-    /// Members in contact with us, heard within the span, that may lead. All
-    /// judge that by the same heartbeats, so they agree as soon as those came.
-    fn eligible_contacts(&self, now: Duration, span: Duration) -> SlotSet {
-        let heard = self.recently_heard(now, span);
+    /// Members in contact with this node, heard within the timeout, that may lead. All judge that by the same
+    /// heartbeats, so they agree as soon as those were received.
+    fn eligible_contacts(&self, now: Duration, timeout: Duration) -> SlotSet {
+        let heard = self.heard_slots(now, timeout);
         let eligible = self.mutual_contacts(now).iter().filter(|slot| {
             if *slot == self.slot {
                 return self.may_lead(now);
@@ -79,13 +178,13 @@
         eligible.collect()
     }
 
-    /// Members for which we vouch to others.
-    pub(super) fn leader_candidates(&self, now: Duration) -> SlotSet {
+    /// Members for which this node vouches to others.
+    fn leader_candidates(&self, now: Duration) -> SlotSet {
         self.eligible_contacts(now, CANDIDATE_TIMEOUT)
     }
 
-    /// All members that may lead. Who is in contact with us is judged by
-    /// itself alone; for others, who is in contact with us vouches.
+    /// All members that may lead. Those in contact with this node are judged by itself alone; for others, whoever is
+    /// in contact with it vouches.
     pub(super) fn eligible_leaders(&self, now: Duration) -> SlotSet {
         let contacts = self.mutual_contacts(now);
         let vouched = contacts
@@ -98,22 +197,22 @@
             .union(elsewhere)
     }
 
-    /// The slot that shall lead a partition: by weight over those that may.
-    /// None while nobody may, as far as known here.
+    /// The slot that shall lead a partition: by weight over those that may. None while none may, as far as known
+    /// here.
     pub(super) fn preferred_leader(&self, now: Duration, partition: u8) -> Option<u8> {
         self.preferred_leader_among(self.eligible_leaders(now), partition)
     }
 
-    /// The same, for who asks for several partitions at once.
+    /// The same of these slots, for several partitions at once.
     pub(super) fn preferred_leader_among(&self, eligible: SlotSet, partition: u8) -> Option<u8> {
+        // The name is part of the hash by which all nodes agree.
         let name = format!("slice/{partition}");
-        let known = |slot: &u8| usize::from(*slot) < self.members.len();
-        let eligible = eligible.iter().filter(known);
+        let is_known = |slot: &u8| usize::from(*slot) < self.members.len();
+        let eligible = eligible.iter().filter(is_known);
         eligible.max_by_key(|slot| Peer::new(self.address(*slot), 0).weight(&name))
     }
 
-    /// Whom to tell what is meant for a slot: itself, or a member in contact
-    /// with both of us.
+    /// Where to send what is meant for a slot: to itself, or to a member in contact with both.
     pub(super) fn next_hop(&self, now: Duration, slot: u8) -> Option<u8> {
         let contacts = self.mutual_contacts(now);
         if contacts.contains(slot) {
@@ -122,6 +221,6 @@
         let reaches = |peer: &PeerStatus| peer.mutual_contacts.contains(slot);
         contacts
             .iter()
-            .find(|between| self.peers.get(between).is_some_and(reaches))
+            .find(|relay| self.peers.get(relay).is_some_and(reaches))
     }
 }
--- a/control-plane/src/control_node/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -1,9 +1,9 @@
-//! Renewals of edges and the updates they are told.
+//! Renewals of edges, and the updates that they are sent.
 
 use super::*;
 
 impl ControlNode {
-    /// All sessions renew now, with a mark of this moment.
+    /// Prompts all edges with a session here to renew now, with a token of this moment.
     pub(super) fn request_renewals(&mut self) {
         let renewal_token = self.sessions.issue_token();
         for edge in self.sessions.addresses() {
@@ -11,69 +11,81 @@
         }
     }
 
-    pub(super) fn handle_renew_request(&mut self, now: Duration, from: Peer, renew: RenewRequest) {
-        let mine = self.replica.generation();
-        // An edge of another generation takes everything anew.
-        let known: &[u64] = if renew.generation == mine || mine == 0 {
-            &renew.version_vector
+    /// Prompts edges that have not confirmed this version of a partition to renew.
+    pub(super) fn send_update_notices(&mut self, partition: u8, version: u64) {
+        let renewal_token = self.sessions.issue_token();
+        let generation = self.replica.generation();
+        let edges = self.sessions.unconfirmed(generation, partition, version);
+        for edge in edges {
+            let notice = UpdateNotice {
+                partition,
+                version,
+                renewal_token,
+            };
+            self.send(edge, notice);
+        }
+    }
+
+    /// Renews an edge's session, and replies with the updates that it lacks.
+    pub(super) fn handle_renew_request(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        request: RenewRequest,
+    ) {
+        let generation = self.replica.generation();
+        // An edge of another generation gets everything anew.
+        let is_same_generation = request.generation == generation || generation == 0;
+        let known_versions: &[u64] = if is_same_generation {
+            &request.version_vector
         } else {
             &[]
         };
-        let updates = self.update_replies.reply(now, from, known, &self.replica);
-        let recall = now < self.ledger_closed_until;
-        let founded = renew.generation == 0 || mine != 0;
-        let RenewRequest {
-            sent,
-            last_token: heard,
-            generation,
-            recall_complete: recalled,
-            version_vector: vector,
-            zone,
-            ring,
-            weight: strength,
-            draining,
-            usage,
-            origin_health: found,
-        } = renew;
-        if self.sessions.renew(
-            now,
-            SessionInfo {
-                peer: from,
-                zone,
-                ring,
-                weight: strength,
-                draining,
-                generation,
-                recall_complete: recalled,
-                version_vector: vector,
-                usage,
-                origin_health: found,
-            },
-            heard,
-        ) {
+        let updates = self
+            .update_replies
+            .reply(now, from, known_versions, &self.replica);
+        let recall_requested = now < self.generation.ledger_closed_until;
+        // An edge of an earlier generation is noted, but not live by this node, until there is a new one for it to
+        // enter.
+        let may_reply = request.generation == 0 || generation != 0;
+        let sent = request.sent;
+        let last_token = request.last_token;
+        if self
+            .sessions
+            .renew(now, session_info(from, request), last_token)
+        {
             self.log_event(Event::SessionOpened, from.to_string());
         }
-        // An edge of an earlier generation is heard, but not live by us, until there
-        // is a new one for it to enter.
-        if !founded {
+        if !may_reply {
             return;
         }
-        // A renewal counts only with all updates it lacks: while that is on the way
-        // there is nothing to say.
+        // A renewal counts only with all updates that the edge lacks: while those are in flight there is no reply.
         let Some(updates) = updates else {
             return;
         };
-        let renewal_token = self.sessions.issue_token();
-        self.send(
-            from.address,
-            RenewReply {
-                incarnation: from.incarnation,
-                renewal_token,
-                sent,
-                generation: mine,
-                recall_requested: recall,
-                updates,
-            },
-        );
+        let reply = RenewReply {
+            incarnation: from.incarnation,
+            renewal_token: self.sessions.issue_token(),
+            sent,
+            generation,
+            recall_requested,
+            updates,
+        };
+        self.send(from.address, reply);
+    }
+}
+
+fn session_info(peer: Peer, request: RenewRequest) -> SessionInfo {
+    SessionInfo {
+        peer,
+        zone: request.zone,
+        ring: request.ring,
+        weight: request.weight,
+        draining: request.draining,
+        generation: request.generation,
+        recall_complete: request.recall_complete,
+        version_vector: request.version_vector,
+        usage: request.usage,
+        origin_health: request.origin_health,
     }
 }
--- /dev/null
+++ b/control-plane/src/control_node/joining.rs
@@ -0,0 +1,181 @@
+//! How a node comes to a slot: founding the fleet, requesting a slot, and learning a table that names it.
+
+use super::*;
+
+impl ControlNode {
+    /// A node that holds no slot only looks for somebody who knows the table.
+    pub(super) fn handle_message_without_slot(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        message: &Message,
+    ) {
+        match message {
+            Message::RecallReply(reply) => self.learn_recalled_table(now, reply),
+            // After a loss of all disks nobody but the edges knows the table.
+            Message::RenewRequest(_) if self.bootstrap.is_some() => {
+                let partition = MEMBERSHIP_PARTITION;
+                self.send(from.address, RecallRequest { partition });
+            }
+            // The sender takes this node for a member: seeds may have departed, it is there.
+            Message::Heartbeat(_) => {
+                if let Some(bootstrap) = &mut self.bootstrap {
+                    bootstrap.note_existing_table();
+                    let founding = self.is_founding();
+                    self.send(from.address, JoinRequest { founding });
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether this node founds the fleet, with an empty disk.
+    fn is_founding(&self) -> bool {
+        let bootstrap = self.bootstrap.as_ref();
+        bootstrap.is_some_and(|bootstrap| bootstrap.founding) && !self.replica.full
+    }
+
+    /// Without a slot: the first seed of a founding makes the table, all others request a slot.
+    pub(super) fn request_slot(&mut self, now: Duration) {
+        if let Some(members) = self.founding_table(now) {
+            return self.found_table(now, members);
+        }
+        let founding = self.is_founding();
+        // Seeds may have departed by now: members of the last known table are asked too.
+        let known = self.members.iter().map(|peer| peer.address);
+        let addresses: BTreeSet<SocketAddr> = self
+            .seeds
+            .iter()
+            .copied()
+            .chain(known)
+            .filter(|address| *address != self.address)
+            .collect();
+        for address in addresses {
+            self.send(address, JoinRequest { founding });
+        }
+    }
+
+    /// The founding table, if this node is to make it and the time to join it is over.
+    fn founding_table(&mut self, now: Duration) -> Option<Vec<Peer>> {
+        let is_first_seed = self.seeds.first() == Some(&self.address);
+        if !is_first_seed || !self.members.is_empty() || self.replica.full {
+            return None;
+        }
+        let bootstrap = self.bootstrap.as_mut()?;
+        bootstrap.founding_table(now, &self.seeds)
+    }
+
+    /// Stores the founding table, and sends it to all members once it is synced.
+    fn found_table(&mut self, now: Duration, members: Vec<Peer>) {
+        self.store(&Record::Founding {
+            members: members.clone(),
+        });
+        let table = MembershipTable {
+            version: 0,
+            members,
+        };
+        for peer in &table.members {
+            if peer.address != self.address {
+                self.send_after_sync(peer.address, table.clone());
+            }
+        }
+        self.join_table(now, table, Some(0));
+    }
+
+    /// A node without a slot requests one, or requests it again after it got it.
+    pub(super) fn handle_join_request(&mut self, from: Peer, founding: bool) {
+        if self.slot == NO_SLOT {
+            if let Some(bootstrap) = self.bootstrap.as_mut().filter(|_| founding) {
+                bootstrap.add_joiner(from.address);
+            }
+            return;
+        }
+        if self.is_member(&from) {
+            // Also one that was removed may know. The founder's own table is on its disk before it is sent.
+            return self.send_after_sync(from.address, self.current_table());
+        }
+        if self.removed {
+            return;
+        }
+        // To the leader of the table, as a change of this node's own; nobody waits for a reply.
+        let request = ChangeRequest {
+            requester: self.address,
+            id: changes::NO_REQUESTER_ID,
+            hops: 0,
+            partition: MEMBERSHIP_PARTITION,
+            change: Change::JoinRequest {
+                peer: from,
+                founding,
+            },
+        };
+        self.send(self.address, request);
+    }
+
+    /// Another node goes by a newer table.
+    pub(super) fn handle_membership_table(&mut self, now: Duration, table: MembershipTable) {
+        if let Some(bootstrap) = &mut self.bootstrap {
+            bootstrap.note_existing_table();
+        }
+        let me = self.me();
+        let slot = table.members.iter().position(|peer| peer.names(&me));
+        let slot = slot.map(|at| at as u8);
+        if table.version <= self.membership_version {
+            // The founding table, which there is one of, is accepted by the nodes that were there.
+            let accepts = self.is_founding() && self.members.is_empty();
+            if table.version == 0 && accepts && slot.is_some() {
+                self.store(&Record::Founding {
+                    members: table.members.clone(),
+                });
+                self.join_table(now, table, slot);
+            }
+            return;
+        }
+        // Stored beside what the partition's rows say: those may take longer to arrive.
+        self.store(&Record::MembershipTable {
+            version: table.version,
+            members: table.members.clone(),
+        });
+        if self.replica.full && !self.members.is_empty() {
+            self.adopt_table(table);
+        } else {
+            self.join_table(now, table, slot);
+        }
+    }
+
+    /// Goes by a table with a disk that does not count yet.
+    fn join_table(&mut self, now: Duration, table: MembershipTable, slot: Option<u8>) {
+        self.membership_version = table.version;
+        self.members = table.members;
+        if self.slot != NO_SLOT && slot.is_none() {
+            // It may have been met by others, who then retired this incarnation.
+            return self.mark_removed();
+        }
+        self.table_adopted_at = now;
+        // Whoever was met by the older table may hold another slot by this one: that retires nobody.
+        self.peers.clear();
+        self.last_messages.clear();
+        self.retired_incarnations = self.replica.retired.clone();
+        self.slot = slot.unwrap_or(NO_SLOT);
+        let recovering_slot = slot.filter(|_| !self.replica.full);
+        self.recovery = recovering_slot
+            .map(|slot| ReplicaRecovery::new(slot, self.members.len(), self.membership_version));
+        self.sessions.restart(now);
+    }
+
+    /// An edge sent the table that it was shown, which nobody else knows here.
+    fn learn_recalled_table(&mut self, now: Duration, reply: &RecallReply) {
+        if self.bootstrap.is_none() || reply.partition != MEMBERSHIP_PARTITION {
+            return;
+        }
+        let table = reply.rows.iter().find_map(|(_, row)| match &row.value {
+            Value::Members(members) => Some(MembershipTable {
+                version: row.version,
+                members: members.clone(),
+            }),
+            _ => None,
+        });
+        if let Some(table) = table {
+            self.handle_membership_table(now, table);
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/control_node/operation_expiry.rs
@@ -0,0 +1,96 @@
+//! Ends of operations in the ledger: abandoned ones become unknown, finished ones are dropped after their retention.
+
+use super::*;
+
+/// When finished operations were first found by this leader, by partition and key.
+#[derive(Debug, Default)]
+pub(super) struct FinishedOperations {
+    by_partition: BTreeMap<u8, HashMap<String, FinishedOperation>>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct FinishedOperation {
+    /// Version of the operation's row.
+    version: u64,
+    since: Duration,
+}
+
+impl FinishedOperations {
+    /// Forgets a partition: its operations are retained for their full time under a new leader.
+    pub(super) fn forget(&mut self, partition: u8) {
+        self.by_partition.remove(&partition);
+    }
+
+    /// Removes and returns the keys of operations that finished longer ago than they are retained.
+    fn take_expired(&mut self, now: Duration, leader: &PartitionLeader) -> Vec<String> {
+        let finished = self.by_partition.entry(leader.partition).or_default();
+        let mut expired = Vec::new();
+        for (key, row) in &leader.rows {
+            if !matches!(&row.value, Value::Operation(operation) if operation.state != OperationState::Running)
+            {
+                continue;
+            }
+            let first_found = FinishedOperation {
+                version: row.version,
+                since: now,
+            };
+            let known = finished.entry(key.clone()).or_insert(first_found);
+            if known.version != row.version {
+                *known = first_found;
+            }
+            if now >= known.since + lease::OPERATION_RETENTION {
+                expired.push(key.clone());
+            }
+        }
+        for key in &expired {
+            finished.remove(key);
+        }
+        expired
+    }
+}
+
+impl ControlNode {
+    /// Sweeps the ledger partitions that this node leads.
+    pub(super) fn expire_operations(&mut self, now: Duration) {
+        let quorum = self.quorum();
+        let mut abandoned = Vec::new();
+        let leaders = self.leaders.values_mut();
+        let ledgers =
+            leaders.filter(|leader| leader.partition >= PUBLISHED_PARTITIONS && leader.ready());
+        for leader in ledgers {
+            let has_departed = |peer: Peer| self.sessions.has_departed(now, peer, quorum);
+            let orphaned = orphaned_operations(leader, &has_departed);
+            let expired = self.finished_operations.take_expired(now, leader);
+            for (key, operation) in orphaned {
+                abandoned.push(format!("{key} by {}", operation.claimant));
+                let state = OperationState::Unknown;
+                leader.put(key, Value::Operation(Operation { state, ..operation }));
+            }
+            for key in expired {
+                leader.remove_row(&key);
+            }
+        }
+        for text in abandoned {
+            self.log_event(Event::OperationAbandoned, text);
+        }
+    }
+}
+
+/// Running operations whose edge has departed.
+fn orphaned_operations(
+    leader: &PartitionLeader,
+    has_departed: &dyn Fn(Peer) -> bool,
+) -> Vec<(String, Operation)> {
+    let operations = leader
+        .rows
+        .iter()
+        .filter_map(|(key, row)| match &row.value {
+            Value::Operation(operation) => Some((key, operation)),
+            _ => None,
+        });
+    operations
+        .filter(|(_, operation)| operation.state == OperationState::Running)
+        .filter(|(_, operation)| has_departed(operation.claimant))
+        .map(|(key, operation)| (key.clone(), operation.clone()))
+        .collect()
+}
--- /dev/null
+++ b/control-plane/src/control_node/pending_reply.rs
@@ -0,0 +1,75 @@
+//! Replies to changes, and what the leader has to reach before they are sent.
+
+use super::*;
+
+/// A reply that waits for its leader to get so far.
+pub(super) struct PendingReply {
+    pub(super) partition: u8,
+    pub(super) requester: SocketAddr,
+    pub(super) id: u64,
+    /// The version that must be committed.
+    pub(super) required_commit: u64,
+    /// The version that must be settled.
+    pub(super) required_settled: u64,
+    /// The round that must be confirmed.
+    pub(super) required_round: u64,
+    pub(super) outcome: ChangeOutcome,
+}
+
+impl PendingReply {
+    /// A reply to this request that has to wait for nothing yet.
+    pub(super) fn new(request: &ChangeRequest) -> PendingReply {
+        PendingReply {
+            partition: request.partition,
+            requester: request.requester,
+            id: request.id,
+            required_commit: 0,
+            required_settled: 0,
+            required_round: 0,
+            outcome: ChangeOutcome::Unknown,
+        }
+    }
+
+    /// Whether the leader of its partition has got so far.
+    pub(super) fn is_due(&self, leader: &PartitionLeader) -> bool {
+        self.partition == leader.partition
+            && self.required_commit <= leader.committed()
+            && self.required_settled <= leader.settled()
+            && self.required_round <= leader.confirmed_round()
+    }
+
+    pub(super) fn into_message(self) -> (SocketAddr, Message) {
+        let reply = ChangeReply {
+            id: self.id,
+            outcome: self.outcome,
+        };
+        (self.requester, reply.into())
+    }
+
+    /// Acknowledges once this version is in force everywhere.
+    pub(super) fn acknowledge(&mut self, version: u64) {
+        self.required_settled = version;
+        self.outcome = ChangeOutcome::Acknowledged { version };
+    }
+
+    /// Acknowledges as soon as the version is on a majority of disks instead.
+    pub(super) fn acknowledge_commit(&mut self) {
+        if self.required_settled > 0 {
+            self.required_commit = std::mem::take(&mut self.required_settled);
+        }
+    }
+
+    /// Sends this outcome once its version is on a majority of disks.
+    pub(super) fn report_commit(&mut self, (version, outcome): (u64, ChangeOutcome)) {
+        self.required_commit = version;
+        self.outcome = outcome;
+    }
+
+    /// Refuses for what stands: only once that is on a majority of disks and the leader is confirmed, since one that
+    /// was superseded may not know what was accepted after it.
+    pub(super) fn refuse(&mut self, leader: &mut PartitionLeader, outcome: ChangeOutcome) {
+        self.required_commit = leader.version;
+        self.required_round = leader.begin_read_round();
+        self.outcome = outcome;
+    }
+}
--- /dev/null
+++ b/control-plane/src/control_node/relays.rs
@@ -0,0 +1,63 @@
+//! Changes that are passed on for other members, by the ids under which that is done.
+
+use super::changes::OPERATOR_CALL_TIMEOUT;
+use crate::prelude::*;
+
+/// Set in the ids under which changes are passed on, and not in those of operators' calls.
+const RELAY_ID_BIT: u64 = 1 << 63;
+
+/// Changes of other members that do not reach the leader themselves.
+#[derive(Debug)]
+pub(super) struct Relays {
+    relays: BTreeMap<u64, Relay>,
+    next_id: u64,
+}
+
+/// Where the reply to a passed-on change goes.
+#[derive(Debug)]
+pub(super) struct Relay {
+    pub(super) requester: SocketAddr,
+    /// The requester's id of the change.
+    pub(super) id: u64,
+    deadline: Duration,
+}
+
+impl Relays {
+    /// `run` is unlike that of any other run of this node, so that ids differ from earlier ones.
+    pub(super) fn new(run: u64) -> Relays {
+        Relays {
+            relays: BTreeMap::new(),
+            next_id: run | RELAY_ID_BIT,
+        }
+    }
+
+    /// The id under which a member's change is passed on, the same for a change that is retried.
+    pub(super) fn id_for(&mut self, now: Duration, requester: SocketAddr, id: u64) -> u64 {
+        let deadline = now + OPERATOR_CALL_TIMEOUT;
+        let mut known = self.relays.iter_mut();
+        let retried = known.find(|(_, relay)| (relay.requester, relay.id) == (requester, id));
+        if let Some((relay_id, relay)) = retried {
+            relay.deadline = deadline;
+            return *relay_id;
+        }
+        let relay_id = self.next_id | RELAY_ID_BIT;
+        self.next_id = relay_id.wrapping_add(1);
+        let relay = Relay {
+            requester,
+            id,
+            deadline,
+        };
+        self.relays.insert(relay_id, relay);
+        relay_id
+    }
+
+    /// Removes the relay of this id, to pass its reply back.
+    pub(super) fn take(&mut self, relay_id: u64) -> Option<Relay> {
+        self.relays.remove(&relay_id)
+    }
+
+    /// Removes relays whose deadline has passed.
+    pub(super) fn expire(&mut self, now: Duration) {
+        self.relays.retain(|_, relay| now < relay.deadline);
+    }
+}
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -1,12 +1,14 @@
-//! Partitions on disks: taking a partition under a new epoch, keeping rows as a replica, recovering a blank disk.
+//! Replication: standing for partitions under new epochs, storing rows as a replica, and counting replies as a leader.
 
 use super::*;
 
-/// Without a loss for this long, a leader's pauses start short again.
-const STALE_EPOCH_BACKOFF_RESET: Duration = Duration::from_secs(10);
+/// Rounds of recall before a leader serves: in the configuration's partition one more, since the generation is named
+/// last, when all have listened.
+const RECALL_ROUNDS: u32 = 1;
+const CONFIGURATION_RECALL_ROUNDS: u32 = 2;
 
-/// Of a request whose rows are held already, maybe with later ones over them:
-/// a whole state that comes late must not take those away.
+/// An append whose rows are held already, maybe with later ones over them: a full state that comes late must not take
+/// those away.
 fn without_rows(request: AppendRequest) -> AppendRequest {
     AppendRequest {
         full_state: false,
@@ -18,6 +20,7 @@
 }
 
 impl ControlNode {
+    /// Stands for the partitions that this node shall lead, and gives up candidacies for others.
     pub(super) fn campaign(&mut self, now: Duration) {
         if !self.may_lead(now) {
             return;
@@ -25,219 +28,153 @@
         let eligible = self.eligible_leaders(now);
         for partition in 0..PARTITIONS {
             if self.preferred_leader_among(eligible, partition) != Some(self.slot) {
-                if self
-                    .leaders
-                    .get(&partition)
-                    .is_some_and(|leader| leader.active_since.is_none())
-                {
-                    self.leaders.remove(&partition);
-                }
-                continue;
-            }
-            let (met, soonest, _) = self
-                .stale_epochs
-                .get(&partition)
-                .copied()
-                .unwrap_or_default();
-            if self.leaders.contains_key(&partition) || now < soonest {
-                continue;
+                self.withdraw_candidacy(partition);
+            } else if !self.leaders.contains_key(&partition)
+                && !self.stale_epochs.backs_off(now, partition)
+            {
+                self.stand_for(partition);
             }
-            let highest = met.max(self.replica.partition(partition).promised_epoch);
-            let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(self.slot);
-            // On our own disk before others are asked: an epoch that others
-            // promised and we forgot over a restart would be taken twice.
-            self.store(&Record::Promise { partition, epoch });
-            self.leaders.insert(
-                partition,
-                PartitionLeader::new(
-                    partition,
-                    epoch,
-                    self.members.len(),
-                    self.membership_version,
-                )
-                .with_local_state(self.replica.partition(partition).state.clone()),
-            );
         }
     }
 
-    pub(super) fn handle_prepare_request(&mut self, from: Peer, request: PrepareRequest) {
-        let PrepareRequest {
-            partition,
-            epoch,
-            requester_state: held,
-            ..
-        } = request;
+    fn withdraw_candidacy(&mut self, partition: u8) {
+        let leader = self.leaders.get(&partition);
+        if leader.is_some_and(|leader| leader.active_since.is_none()) {
+            self.leaders.remove(&partition);
+        }
+    }
+
+    fn stand_for(&mut self, partition: u8) {
+        let promised = self.replica.partition(partition).promised_epoch;
+        let highest = promised.max(self.stale_epochs.promised_epoch(partition));
+        // Epochs of one slot differ from those of all others.
+        let slots = MAX_SLOTS as u64;
+        let epoch = (highest / slots + 1) * slots + u64::from(self.slot);
+        // On the own disk before others are asked: an epoch that others promised and this node forgot over a restart
+        // would be taken twice.
+        self.store(&Record::Promise { partition, epoch });
+        let local_state = self.replica.partition(partition).state.clone();
+        let slots = self.members.len();
+        let leader = PartitionLeader::new(partition, epoch, slots, self.membership_version)
+            .with_local_state(local_state);
+        self.leaders.insert(partition, leader);
+    }
+
+    /// A candidate requests a promise.
+    pub(super) fn handle_prepare_request(&mut self, from: Peer, request: &PrepareRequest) {
+        let (partition, epoch) = (request.partition, request.epoch);
         let promised = self.replica.partition(partition).promised_epoch;
         if epoch < promised {
-            return self.send_after_sync(
-                from.address,
-                StaleEpoch {
-                    partition,
-                    epoch,
-                    promised,
-                },
-            );
+            return self.refuse_stale_epoch(from, partition, epoch);
         }
         if epoch > promised {
             self.store(&Record::Promise { partition, epoch });
         }
-        let state = self
-            .replica
-            .partition(partition)
-            .prepared_state(partition, held);
-        self.send_after_sync(
-            from.address,
-            PrepareReply {
-                partition,
-                epoch,
-                lost_generation: self.lost_generation(),
-                retired_incarnations: self.retired_incarnations(),
-                state,
-            },
-        );
+        let held = self.replica.partition(partition);
+        let reply = PrepareReply {
+            partition,
+            epoch,
+            lost_generation: self.lost_generation(),
+            retired_incarnations: self.retired_incarnations(),
+            state: held.prepared_state(partition, request.requester_state),
+        };
+        self.send_after_sync(from.address, reply);
     }
 
-    pub(super) fn handle_append_request(&mut self, now: Duration, from: Peer, keep: AppendRequest) {
-        let AppendRequest {
+    fn refuse_stale_epoch(&mut self, from: Peer, partition: u8, epoch: u64) {
+        let promised = self.replica.partition(partition).promised_epoch;
+        let refusal = StaleEpoch {
             partition,
             epoch,
-            round,
-            to_version: to,
-            ..
-        } = keep;
+            promised,
+        };
+        self.send_after_sync(from.address, refusal);
+    }
+
+    /// A leader sends rows.
+    pub(super) fn handle_append_request(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        request: AppendRequest,
+    ) {
+        let (partition, epoch, round) = (request.partition, request.epoch, request.round);
         let held = self.replica.partition(partition);
         if epoch < held.promised_epoch {
-            let promised = held.promised_epoch;
-            return self.send_after_sync(
-                from.address,
-                StaleEpoch {
-                    partition,
-                    epoch,
-                    promised,
-                },
-            );
+            return self.refuse_stale_epoch(from, partition, epoch);
         }
-        if !held.accepts(&keep) {
-            return self.send(
-                from.address,
-                AppendGap {
-                    partition,
-                    epoch,
-                    round,
-                },
-            );
-        }
-        let published = held.state.published;
-        let current = held.state.epoch == epoch && held.promised_epoch == epoch;
-        // Taken again, rows of a request that was overtaken or came twice would
-        // undo what was acknowledged since.
-        let is_held = current && held.state.version >= to;
-        if !is_held {
-            self.store(&Record::Appended { request: keep });
-        } else if keep.published > published {
-            let keep = without_rows(keep);
-            self.store(&Record::Appended { request: keep });
-        }
-        let held = self.replica.partition(partition);
-        let clear = if partition < PUBLISHED_PARTITIONS {
-            self.sessions
-                .confirmed_version(now, partition, held.state.published)
-        } else {
-            None
-        };
-        let version = held.state.published;
-        self.send_after_sync(
-            from.address,
-            AppendReply {
+        if !held.accepts(&request) {
+            let gap = AppendGap {
                 partition,
                 epoch,
                 round,
-                synced_version: to,
-                sessions_confirmed: clear,
-                retired_incarnations: self.retired_incarnations(),
-            },
-        );
-        if version > published && partition < PUBLISHED_PARTITIONS {
-            let renewal_token = self.sessions.issue_token();
-            for edge in self
-                .sessions
-                .unconfirmed(self.replica.generation(), partition, version)
-            {
-                self.send(
-                    edge,
-                    UpdateNotice {
-                        partition,
-                        version,
-                        renewal_token,
-                    },
-                );
-            }
+            };
+            return self.send(from.address, gap);
+        }
+        let published_before = held.state.published;
+        let synced_version = request.to_version;
+        self.store_append(request);
+        let published = self.replica.partition(partition).state.published;
+        let is_published_partition = partition < PUBLISHED_PARTITIONS;
+        let sessions_confirmed = is_published_partition
+            .then(|| self.sessions.confirmed_version(now, partition, published))
+            .flatten();
+        let reply = AppendReply {
+            partition,
+            epoch,
+            round,
+            synced_version,
+            sessions_confirmed,
+            retired_incarnations: self.retired_incarnations(),
+        };
+        self.send_after_sync(from.address, reply);
+        if published > published_before && is_published_partition {
+            self.send_update_notices(partition, published);
         }
     }
 
-    pub(super) fn handle_stale_epoch(&mut self, now: Duration, superseded: StaleEpoch) {
-        if self
-            .leaders
-            .get(&superseded.partition)
-            .is_none_or(|leader| leader.epoch != superseded.epoch)
-        {
+    /// Stores what of an accepted append is new. Applied again, rows of a request that was overtaken or came twice
+    /// would undo what was acknowledged since.
+    fn store_append(&mut self, request: AppendRequest) {
+        let held = self.replica.partition(request.partition);
+        let is_current = held.state.epoch == request.epoch && held.promised_epoch == request.epoch;
+        let is_held = is_current && held.state.version >= request.to_version;
+        if !is_held {
+            self.store(&Record::Appended { request });
+        } else if request.published > held.state.published {
+            let request = without_rows(request);
+            self.store(&Record::Appended { request });
+        }
+    }
+
+    /// A replica promised a higher epoch: another node leads the partition, or stands for it.
+    pub(super) fn handle_stale_epoch(&mut self, now: Duration, stale: &StaleEpoch) {
+        let partition = stale.partition;
+        if self.leader_under(partition, stale.epoch).is_none() {
             return;
         }
-        self.leaders.remove(&superseded.partition);
+        self.leaders.remove(&partition);
         self.pending_replies
-            .retain(|wait| wait.partition != superseded.partition);
-        // Two that both think themselves chosen do not chase each other:
-        // each pending_replies longer after each loss, and unlike long.
-        let recent = |known: &&(u64, Duration, u32)| now < known.1 + STALE_EPOCH_BACKOFF_RESET;
-        let spell = self
-            .stale_epochs
-            .get(&superseded.partition)
-            .filter(recent)
-            .map_or(0, |known| (known.2 + 1).min(5));
-        let pause = Duration::from_millis((40 + 30 * u64::from(self.slot)) << spell);
-        self.stale_epochs.insert(
-            superseded.partition,
-            (superseded.promised, now + pause, spell),
-        );
-        self.log_event(
-            Event::PartitionLost,
-            format!(
-                "slice {} epoch {} to {}",
-                superseded.partition, superseded.epoch, superseded.promised
-            ),
-        );
+            .retain(|reply| reply.partition != partition);
+        self.stale_epochs.on_loss(now, self.slot, stale);
+        let (epoch, promised) = (stale.epoch, stale.promised);
+        let text = format!("slice {partition} epoch {epoch} to {promised}");
+        self.log_event(Event::PartitionLost, text);
     }
 
+    /// Sends what the leaders here have to send after a step, and the replies that are due thereby.
     pub(super) fn flush_leaders(&mut self, now: Duration, tick: bool) {
-        let mut told = Vec::new();
-        for (partition, leader) in &mut self.leaders {
+        let mut messages = Vec::new();
+        for leader in self.leaders.values_mut() {
             for (slot, message) in leader.due_messages(now, tick) {
-                told.push((self.members[usize::from(slot)].address, message));
+                messages.push((self.members[usize::from(slot)].address, message));
             }
-            let (committed, settled, round) = (
-                leader.committed(),
-                leader.settled(),
-                leader.confirmed_round(),
-            );
-            self.pending_replies.retain(|wait| {
-                let done = wait.partition == *partition
-                    && wait.required_commit <= committed
-                    && wait.required_settled <= settled
-                    && wait.required_round <= round;
-                if done {
-                    told.push((
-                        wait.requester,
-                        ChangeReply {
-                            id: wait.id,
-                            outcome: wait.outcome.clone(),
-                        }
-                        .into(),
-                    ));
-                }
-                !done
-            });
+            let due = self
+                .pending_replies
+                .extract_if(.., |reply| reply.is_due(leader));
+            messages.extend(due.map(PendingReply::into_message));
         }
-        for (to, message) in told {
+        for (to, message) in messages {
             match message {
                 Message::PrepareRequest(_) => self.send_after_sync(to, message),
                 _ => self.send(to, message),
@@ -245,78 +182,7 @@
         }
     }
 
-    /// A blank disk asks for all that ours holds.
-    pub(super) fn handle_snapshot_request(&mut self, from: Peer, request: &SnapshotRequest) {
-        // In the first round nothing that is told counts.
-        let held = if request.round == 0 {
-            vec![]
-        } else {
-            self.replica.snapshot()
-        };
-        // A first disk holds all that it ever acknowledged: nothing.
-        let full = self.replica.full || self.replica.founding;
-        // After a loss of everything no table is shown by anybody, and no edge
-        // is renewed that might go by another.
-        let none_shown = self.replica.partition(MEMBERSHIP_PARTITION).state.version == 0;
-        let membership_version = if none_shown {
-            self.membership_version
-        } else {
-            self.replica
-                .published_members()
-                .map_or(0, |(version, _)| version)
-        };
-        let reply = SnapshotReply {
-            slot: self.slot,
-            requester_incarnation: from.incarnation,
-            round: request.round,
-            full,
-            lost_generation: self.lost_generation(),
-            membership_version,
-            partitions: held,
-        };
-        self.send_after_sync(from.address, reply);
-    }
-
-    pub(super) fn handle_snapshot_reply(&mut self, now: Duration, reply: SnapshotReply) {
-        if reply.requester_incarnation != self.replica.incarnation {
-            return; // To an earlier disk of this slot, which acknowledged since.
-        }
-        let merged = self
-            .recovery
-            .as_mut()
-            .and_then(|one| one.on_snapshot_reply(reply));
-        if let Some(merged) = merged {
-            self.finish_recovery(now, merged);
-        }
-    }
-
-    /// Our blank disk got all that it needs to count.
-    pub(super) fn finish_recovery(&mut self, now: Duration, merged: RecoveredState) {
-        self.recovery = None;
-        self.sessions.restart(now);
-        self.store(&Record::Recovered {
-            partitions: merged.partitions,
-            majority_lost: merged.majority_lost,
-        });
-        for incarnation in self.retired_incarnations() {
-            if !self.replica.retired.contains(&incarnation) {
-                self.store(&Record::Retired { incarnation });
-            }
-        }
-        self.generation = self.replica.generation();
-        if merged.majority_lost {
-            self.refound_after = Some(self.generation);
-        }
-        // A generation met for the first time may have a ledger that is not complete.
-        self.generation_entered_at = now;
-        if merged.majority_lost
-            || self.generation != 0 && self.replica.opened_generation() != self.generation
-        {
-            self.close_ledger(now);
-        }
-        self.log_event(Event::DiskRefilled, format!("slot {}", self.slot));
-    }
-
+    /// A replica promised an epoch of this node's.
     pub(super) fn handle_prepare_reply(&mut self, now: Duration, slot: u8, reply: PrepareReply) {
         self.on_loss_reported(now, reply.lost_generation);
         self.on_retired_reported(&reply.retired_incarnations);
@@ -330,35 +196,33 @@
         }
     }
 
-    /// A majority promised our epoch.
+    /// A majority promised the epoch.
     fn on_leadership_won(&mut self, now: Duration, partition: u8) {
-        let closed = now < self.ledger_closed_until;
+        let is_ledger_closed = now < self.generation.ledger_closed_until;
         let Some(leader) = self.leaders.get_mut(&partition) else {
             return;
         };
-        // Also one whose founding another began and did not end.
-        if closed || !leader.rows.contains_key("founded") {
-            // The generation is named last, when all have listened.
+        // Also a partition whose founding another leader began and did not end.
+        if is_ledger_closed || !leader.rows.contains_key("founded") {
             let rounds = if partition == CONFIGURATION_PARTITION {
-                2
+                CONFIGURATION_RECALL_ROUNDS
             } else {
-                1
+                RECALL_ROUNDS
             };
             leader.recall_until = Some(now + lease::RECALL_PERIOD * rounds);
         }
-        let text = format!(
-            "slice {partition} epoch {} version {}",
-            leader.epoch, leader.version
-        );
-        self.tokens_at_grant = self.sessions.issued_tokens();
-        self.finished_since.remove(&partition);
+        let (epoch, version) = (leader.epoch, leader.version);
+        self.assignments.tokens_at_grant = self.sessions.issued_tokens();
+        self.finished_operations.forget(partition);
+        let text = format!("slice {partition} epoch {epoch} version {version}");
         self.log_event(Event::PartitionAcquired, text);
         if partition == ASSIGNMENTS_PARTITION {
-            // Which of the holders are still there?
+            // Which of the owners are still there?
             self.request_renewals();
         }
     }
 
+    /// A replica synced rows.
     pub(super) fn handle_append_reply(&mut self, slot: u8, reply: &AppendReply) {
         self.on_retired_reported(&reply.retired_incarnations);
         if let Some(leader) = self.leader_under(reply.partition, reply.epoch) {
@@ -366,14 +230,14 @@
         }
     }
 
-    /// The replica has not what we thought: it gets everything.
+    /// The replica does not hold what was assumed: it gets everything.
     pub(super) fn handle_append_gap(&mut self, slot: u8, gap: &AppendGap) {
         if let Some(leader) = self.leader_under(gap.partition, gap.epoch) {
             leader.reset_replica(slot);
         }
     }
 
-    /// Our own leadership of a partition, if it is under this epoch.
+    /// This node's own leadership of a partition, if it is under this epoch.
     fn leader_under(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
         let leader = self.leaders.get_mut(&partition)?;
         Some(leader).filter(|leader| leader.epoch == epoch)
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -1,5 +1,6 @@
 //! Handing a slot over, and what a disk that moved may and may not say.
 
+use super::slot_handover::Handover;
 use super::*;
 
 const VERSION: u64 = 9;
@@ -179,7 +180,10 @@
     };
     node.receive(120, 1, deferred);
     assert!(
-        matches!(node.control_node.handover, Handover::Assigned { .. }),
+        matches!(
+            node.control_node.shutdown.handover,
+            Handover::Assigned { .. }
+        ),
         "an answer to an earlier offer takes nothing back"
     );
 }
@@ -244,10 +248,7 @@
     assert!(node.step(100, Input::Tick).1, "it is no member any more");
     let renewed = node.control_node.replica.for_rejoin(500);
     assert!(!renewed.full && !renewed.removed && renewed.incarnation == 500);
-    assert_eq!(
-        renewed.newest_table(),
-        Some((VERSION, handed_over_table().members))
-    );
+    assert_eq!(renewed.newest_table(), Some(handed_over_table()));
     let founding = Bootstrap::new(true, Duration::ZERO);
     let seeds = (0..3).map(address).collect();
     let control_node = ControlNode::new(address(0), seeds, renewed, true, Some(founding), 1);
@@ -262,7 +263,7 @@
     });
     assert!(join_requests.all(|founding| !founding) && !messages.is_empty());
     assert!(
-        !restarted.control_node.first_fleet_start,
+        !restarted.control_node.generation.first_fleet_start,
         "operations may have run before"
     );
 }
--- a/control-plane/src/history.rs
+++ b/control-plane/src/history.rs
@@ -1,108 +1,144 @@
+//! Acknowledged configurations in a Git object store, for operators to read and compare.
+
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
-/// Acknowledged configurations in a Git object store: one commit each, with a
-/// tag that is its version. A convenience beside the control state: written by
-/// a thread of its own, and nothing pending_replies for it or depends on it.
+/// Versions that wait for the writer; more are left out.
+const MAX_QUEUED_VERSIONS: usize = 64;
+/// Name of the one file in each commit.
+const FILE: &str = "configuration.json";
+/// The branch whose newest commit is the parent of the next.
+const BRANCH: &str = "refs/heads/main";
+
+/// Acknowledged configurations in a Git object store: one commit each, with a tag that is its version. A convenience
+/// beside the control state: written by a thread of its own, and nothing waits for it or depends on it.
 pub struct History {
     store: git2::Repository,
 }
 
-/// Changes not yet kept; more are left out.
-const MAX_QUEUED_VERSIONS: usize = 64;
-const FILE: &str = "configuration.json";
+/// Why the history cannot be written or read.
+#[derive(Debug, thiserror::Error)]
+pub enum HistoryError {
+    /// No configuration of this version is in the store.
+    #[error("version {version} was not kept here: {cause}")]
+    UnknownVersion {
+        /// The version that was looked up.
+        version: u64,
+        /// What the store reports.
+        cause: git2::Error,
+    },
+    /// A commit without the configuration's file.
+    #[error("no file in it")]
+    NoFile,
+    /// The object store cannot be read or written.
+    #[error(transparent)]
+    Store(#[from] git2::Error),
+}
 
 impl History {
-    /// Opens the store below a data folder, or begins it.
-    pub fn open(data: &Path) -> Result<History> {
+    /// Opens the store below a data folder, or makes it.
+    ///
+    /// # Errors
+    /// The store can be neither opened nor made.
+    pub fn open(data: &Path) -> Result<History, HistoryError> {
         let path = data.join("history");
         let store =
             git2::Repository::open_bare(&path).or_else(|_| git2::Repository::init_bare(&path))?;
         Ok(History { store })
     }
 
-    /// Keeps what is sent to it, in a thread.
+    /// Starts a thread that stores each version and text sent to it, below a data folder.
     pub fn spawn_writer(data: PathBuf) -> Sender<(u64, Arc<str>)> {
-        let (give, take) = flume::bounded::<(u64, Arc<str>)>(MAX_QUEUED_VERSIONS);
+        let (sender, receiver) = flume::bounded::<(u64, Arc<str>)>(MAX_QUEUED_VERSIONS);
         thread::spawn(move || {
-            for (version, text) in take.iter() {
-                if let Err(error) =
-                    History::open(&data).and_then(|store| store.store_version(version, &text))
-                {
-                    log_event(
-                        Event::HistoryFailed,
-                        &format!("version {version}: {error:#}"),
-                    );
+            for (version, text) in receiver.iter() {
+                let stored =
+                    History::open(&data).and_then(|history| history.store_version(version, &text));
+                if let Err(error) = stored {
+                    log_event(Event::HistoryFailed, &format!("version {version}: {error}"));
                 }
             }
         });
-        give
+        sender
     }
 
     fn tag(version: u64) -> String {
         format!("refs/tags/{version}")
     }
 
-    /// A version already kept with the same text stays as it is; with another
-    /// text (the state was lost and founded anew) the newer is kept.
-    pub fn store_version(&self, version: u64, text: &str) -> Result<()> {
-        if self
-            .text(version)
-            .is_ok_and(|known| known == text.as_bytes())
-        {
+    /// Stores a version. One already stored with the same text stays as it is; with another text (the state was
+    /// lost and founded anew) the newer takes its place.
+    ///
+    /// # Errors
+    /// The store cannot be written.
+    pub fn store_version(&self, version: u64, text: &str) -> Result<(), HistoryError> {
+        let stored = self.text(version);
+        if stored.is_ok_and(|stored| stored == text.as_bytes()) {
             return Ok(());
         }
+        let commit = self.commit(version, text)?;
+        self.store
+            .reference(&History::tag(version), commit, true, "acknowledged")?;
+        Ok(())
+    }
+
+    fn commit(&self, version: u64, text: &str) -> Result<git2::Oid, git2::Error> {
         let blob = self.store.blob(text.as_bytes())?;
         let mut tree = self.store.treebuilder(None)?;
         tree.insert(FILE, blob, 0o100_644)?;
         let tree = self.store.find_tree(tree.write()?)?;
-        let who = git2::Signature::now("otterslip", "control-node@otterslip.invalid")?;
-        let last = self
+        let author = git2::Signature::now("otterslip", "control-node@otterslip.invalid")?;
+        let parent = self
             .store
-            .refname_to_id("refs/heads/main")
+            .refname_to_id(BRANCH)
             .and_then(|id| self.store.find_commit(id))
             .ok();
-        let parents: Vec<&git2::Commit> = last.iter().collect();
-        let id = self.store.commit(
-            Some("refs/heads/main"),
-            &who,
-            &who,
-            &format!("version {version}"),
-            &tree,
-            &parents,
-        )?;
+        let parents: Vec<&git2::Commit> = parent.iter().collect();
+        let message = format!("version {version}");
         self.store
-            .reference(&History::tag(version), id, true, "acknowledged")?;
-        Ok(())
+            .commit(Some(BRANCH), &author, &author, &message, &tree, &parents)
     }
 
-    fn tree(&self, version: u64) -> Result<git2::Tree<'_>> {
+    fn tree(&self, version: u64) -> Result<git2::Tree<'_>, HistoryError> {
         let id = self
             .store
             .refname_to_id(&History::tag(version))
-            .with_context(|| format!("version {version} was not kept here"))?;
+            .map_err(|cause| HistoryError::UnknownVersion { version, cause })?;
         Ok(self.store.find_commit(id)?.tree()?)
     }
 
-    pub fn versions(&self) -> Result<Vec<u64>> {
-        let names = self.store.references_glob("refs/tags/*")?;
-        let mut list: Vec<u64> = names
-            .filter_map(|one| one.ok()?.shorthand().ok()?.parse().ok())
+    /// All stored versions, in ascending order.
+    ///
+    /// # Errors
+    /// The store cannot be read.
+    pub fn versions(&self) -> Result<Vec<u64>, HistoryError> {
+        let tags = self.store.references_glob("refs/tags/*")?;
+        let mut versions: Vec<u64> = tags
+            .filter_map(|tag| tag.ok()?.shorthand().ok()?.parse().ok())
             .collect();
-        list.sort_unstable();
-        Ok(list)
+        versions.sort_unstable();
+        Ok(versions)
     }
 
-    pub fn text(&self, version: u64) -> Result<Vec<u8>> {
+    /// The text of a version.
+    ///
+    /// # Errors
+    /// The version is not stored, or the store cannot be read.
+    pub fn text(&self, version: u64) -> Result<Vec<u8>, HistoryError> {
         let tree = self.tree(version)?;
-        let file = tree.get_name(FILE).context("no file in it")?;
+        let file = tree.get_name(FILE).ok_or(HistoryError::NoFile)?;
         Ok(self.store.find_blob(file.id())?.content().to_vec())
     }
 
-    /// Lines that differ, in the usual form.
-    pub fn diff(&self, old: u64, new: u64) -> Result<String> {
-        let diff =
-            self.store
-                .diff_tree_to_tree(Some(&self.tree(old)?), Some(&self.tree(new)?), None)?;
+    /// Lines that differ between two versions, as a unified diff.
+    ///
+    /// # Errors
+    /// A version is not stored, or the store cannot be read.
+    pub fn diff(&self, old: u64, new: u64) -> Result<String, HistoryError> {
+        let (old, new) = (self.tree(old)?, self.tree(new)?);
+        let diff = self.store.diff_tree_to_tree(Some(&old), Some(&new), None)?;
         let mut text = String::new();
         diff.print(git2::DiffFormat::Patch, |_, _, line| {
             if ['+', '-', ' '].contains(&line.origin()) {
@@ -114,34 +150,3 @@
         Ok(text)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn stored_versions_are_listed_and_diffed_and_broken_store_is_an_error() {
-        let data = std::env::temp_dir().join(format!("otterslip-history-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&data);
-        std::fs::create_dir_all(&data).unwrap();
-        let store = History::open(&data).unwrap();
-        store.store_version(3, "one\ntwo\n").unwrap();
-        store.store_version(7, "one\nthree\n").unwrap();
-        store.store_version(7, "one\nthree\n").unwrap();
-        assert_eq!(store.versions().unwrap(), [3, 7]);
-        assert_eq!(store.text(3).unwrap(), b"one\ntwo\n");
-        let told = store.diff(3, 7).unwrap();
-        assert!(
-            told.contains("-two") && told.contains("+three") && !told.contains("-one"),
-            "{told}"
-        );
-        assert!(store.text(4).is_err());
-        // Something else lies where the store should be: an error, no more.
-        std::fs::remove_dir_all(data.join("history")).unwrap();
-        std::fs::write(data.join("history"), "x").unwrap();
-        assert!(History::open(&data).is_err());
-        let give = History::spawn_writer(data.clone());
-        assert!(give.try_send((9, "text".into())).is_ok());
-        std::fs::remove_dir_all(&data).unwrap();
-    }
-}
--- /dev/null
+++ b/control-plane/src/history/tests.rs
@@ -0,0 +1,27 @@
+use crate::prelude::*;
+
+#[test]
+fn stored_versions_are_listed_and_diffed_and_broken_store_is_an_error() {
+    let data = std::env::temp_dir().join(format!("otterslip-history-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&data);
+    std::fs::create_dir_all(&data).unwrap();
+    let store = History::open(&data).unwrap();
+    store.store_version(3, "one\ntwo\n").unwrap();
+    store.store_version(7, "one\nthree\n").unwrap();
+    store.store_version(7, "one\nthree\n").unwrap();
+    assert_eq!(store.versions().unwrap(), [3, 7]);
+    assert_eq!(store.text(3).unwrap(), b"one\ntwo\n");
+    let diff = store.diff(3, 7).unwrap();
+    assert!(
+        diff.contains("-two") && diff.contains("+three") && !diff.contains("-one"),
+        "{diff}"
+    );
+    assert!(store.text(4).is_err());
+    // Something else lies where the store should be: an error, no more.
+    std::fs::remove_dir_all(data.join("history")).unwrap();
+    std::fs::write(data.join("history"), "x").unwrap();
+    assert!(History::open(&data).is_err());
+    let sender = History::spawn_writer(data.clone());
+    assert!(sender.try_send((9, "text".into())).is_ok());
+    std::fs::remove_dir_all(&data).unwrap();
+}
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -1,102 +1,100 @@
+//! The rules of the operation ledger: claims, their ends, and what a retry finds.
+
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// The rules of operations, over the leader of their partition. Each answer comes
-/// with the version that must be on a majority before it is given.
+/// The rules of operations, over the leader of their partition. Each outcome comes with the version that must be
+/// committed before it is sent.
 pub struct Ledger;
 
 impl Ledger {
+    /// Claims an operation for a request, unless it is claimed already.
     pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
-        if let Some((version, known)) = Ledger::find(leader, &claim) {
-            let own = (known.claimant, known.request) == (claim.claimant, claim.request);
-            match known.state {
-                OperationState::Running if own => return (version, ChangeOutcome::Claimed),
-                // The request gave up before this claim came through.
-                OperationState::Released if own => return (version, ChangeOutcome::Released),
-                OperationState::Released => {}
-                state => {
-                    return (
-                        version,
-                        ChangeOutcome::AlreadyClaimed {
-                            same: known.fingerprint == claim.fingerprint,
-                            state,
-                        },
-                    );
-                }
+        let Some((version, operation)) = Ledger::find(leader, &claim) else {
+            return Ledger::begin(leader, claim);
+        };
+        let is_own = is_claimed_by(&operation, &claim);
+        match operation.state {
+            OperationState::Running if is_own => (version, ChangeOutcome::Claimed),
+            // The request gave up before this claim arrived.
+            OperationState::Released if is_own => (version, ChangeOutcome::Released),
+            OperationState::Released => Ledger::begin(leader, claim),
+            state => {
+                let same = operation.fingerprint == claim.fingerprint;
+                (version, ChangeOutcome::AlreadyClaimed { same, state })
             }
         }
-        (
-            Ledger::put(leader, claim, OperationState::Running),
-            ChangeOutcome::Claimed,
-        )
     }
 
-    /// Ends a claim. A released one leaves its mark even where no claim was
-    /// met, so that a claim still under way finds it given up.
+    fn begin(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
+        let version = Ledger::put(leader, claim, OperationState::Running);
+        (version, ChangeOutcome::Claimed)
+    }
+
+    /// Ends a claim. A released one leaves its row even where no claim was received, so that a claim still in
+    /// flight finds it given up.
     pub fn finish(
         leader: &mut PartitionLeader,
         claim: Claim,
         state: OperationState,
     ) -> (u64, ChangeOutcome) {
-        let release = state == OperationState::Released;
-        let told = if release {
+        let is_release = state == OperationState::Released;
+        let outcome = if is_release {
             ChangeOutcome::Released
         } else {
             ChangeOutcome::Recorded
         };
-        if let Some((version, known)) = Ledger::find(leader, &claim) {
-            let own = (known.claimant, known.request) == (claim.claimant, claim.request);
-            let open = matches!(
-                known.state,
+        if let Some((version, operation)) = Ledger::find(leader, &claim) {
+            let is_own = is_claimed_by(&operation, &claim);
+            let is_released = operation.state == OperationState::Released;
+            let is_open = matches!(
+                operation.state,
                 OperationState::Running | OperationState::Unknown
             );
-            if known.state == state && own {
-                return (version, told);
+            let is_retry = is_own && operation.state == state;
+            // A release of a claim that another request owns frees nothing.
+            let frees_nothing = !is_own && is_release;
+            if is_retry || frees_nothing {
+                return (version, outcome);
             }
-            if !own && release {
-                return (version, told); // Nothing of this request is held.
-            }
-            if !own && known.state != OperationState::Released || own && !open {
+            if !is_own && !is_released || is_own && !is_open {
                 return (version, ChangeOutcome::Unknown);
             }
         }
-        (Ledger::put(leader, claim, state), told)
+        (Ledger::put(leader, claim, state), outcome)
     }
 
-    /// Whether it is known what came of an operation. A released claim tells
-    /// only that this one did not run: an earlier one may have.
+    /// Whether the outcome of an operation is decided or under way. A released claim shows only that this request
+    /// did not run it: an earlier one may have.
     pub fn is_decided(leader: &PartitionLeader, claim: &Claim) -> bool {
         Ledger::find(leader, claim)
-            .is_some_and(|(_, known)| known.state != OperationState::Released)
+            .is_some_and(|(_, operation)| operation.state != OperationState::Released)
     }
 
+    /// The operation's row, with its version.
     fn find(leader: &PartitionLeader, claim: &Claim) -> Option<(u64, Operation)> {
         match leader.rows.get(&claim.operation) {
             Some(Row {
                 version,
-                value: Value::Operation(known),
-            }) => Some((*version, known.clone())),
+                value: Value::Operation(operation),
+            }) => Some((*version, operation.clone())),
             _ => None,
         }
     }
 
     fn put(leader: &mut PartitionLeader, claim: Claim, state: OperationState) -> u64 {
-        let Claim {
-            operation,
-            fingerprint: print,
-            claimant: by,
-            request,
-        } = claim;
-        leader.put(
-            operation,
-            Value::Operation(Operation {
-                fingerprint: print,
-                claimant: by,
-                request,
-                state,
-            }),
-        )
+        let operation = Operation {
+            fingerprint: claim.fingerprint,
+            claimant: claim.claimant,
+            request: claim.request,
+            state,
+        };
+        leader.put(claim.operation, Value::Operation(operation))
     }
 }
+
+fn is_claimed_by(operation: &Operation, claim: &Claim) -> bool {
+    (operation.claimant, operation.request) == (claim.claimant, claim.request)
+}
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -13,5 +13,5 @@
 mod update_replies;
 pub use bootstrap::Bootstrap;
 pub use control_node::ControlNode;
-pub use history::History;
-pub use replica::{Record, Replica};
+pub use history::{History, HistoryError};
+pub use replica::{Record, ReplayError, Replica};
--- /dev/null
+++ b/control-plane/src/operator_api/responses.rs
@@ -0,0 +1,87 @@
+//! Responses to operators by the outcome of their changes.
+
+use crate::prelude::*;
+
+/// When a caller may try an isolated node again.
+const NO_MAJORITY_RETRY: Duration = Duration::from_secs(1);
+
+/// No outcome came from the leader in time.
+pub(super) fn outcome_unknown() -> Rejection {
+    Rejection::unknown(
+        503,
+        "outcome_unknown",
+        "no answer came from the owner in time; read back before trying again",
+    )
+}
+
+/// The node that was called is isolated: it neither did anything nor can it know what is in force.
+fn no_majority() -> Rejection {
+    let text = "this node is not in contact with a majority; ask another one";
+    Rejection::not_run(503, "no_majority", text).with_retry_after(NO_MAJORITY_RETRY)
+}
+
+/// Refuses a request for what is wrong in it.
+pub(super) fn invalid(findings: &[Finding]) -> rouille::Response {
+    let body = serde_json::json!({
+        "code": "invalid",
+        "outcome": "not_run",
+        "text": "nothing took effect",
+        "findings": findings,
+    });
+    json(422, &body)
+}
+
+/// The response where the leader sent no reply.
+pub(super) fn no_reply(outcome: &ChangeOutcome) -> rouille::Response {
+    match outcome {
+        ChangeOutcome::NoMajority => refuse(&no_majority()),
+        _ => refuse(&outcome_unknown()),
+    }
+}
+
+/// The response to a change.
+pub(super) fn change_response(outcome: ChangeOutcome) -> rouille::Response {
+    match outcome {
+        ChangeOutcome::Acknowledged { version } => {
+            json(200, &serde_json::json!({ "version": version }))
+                .with_additional_header("ETag", format!("\"{version}\""))
+        }
+        ChangeOutcome::VersionConflict { version, .. } => version_conflict(version),
+        ChangeOutcome::Findings(findings) => invalid(&findings),
+        ChangeOutcome::RevisionConflict(findings) => revision_conflict(&findings),
+        ChangeOutcome::RevisionForgotten(findings) => revision_forgotten(&findings),
+        other => no_reply(&other),
+    }
+}
+
+fn version_conflict(version: u64) -> rouille::Response {
+    let body = serde_json::json!({
+        "code": "raced",
+        "outcome": "not_run",
+        "text": "another change came first",
+        "version": version,
+    });
+    json(409, &body)
+}
+
+/// Names the items whose revision was accepted with another content.
+fn revision_conflict(findings: &[Finding]) -> rouille::Response {
+    let body = serde_json::json!({
+        "code": "revision_conflict",
+        "outcome": "not_run",
+        "text": "a revision was accepted with another content; nothing took effect",
+        "findings": findings,
+    });
+    json(409, &body)
+}
+
+/// Names the items whose revision is below all that is remembered.
+fn revision_forgotten(findings: &[Finding]) -> rouille::Response {
+    let body = serde_json::json!({
+        "code": "revision_forgotten",
+        "outcome": "unknown",
+        "text": "whether these revisions were accepted is not known any more; newer ones stand",
+        "findings": findings,
+    });
+    json(410, &body)
+}
--- a/control-plane/src/operator_api/tests.rs
+++ b/control-plane/src/operator_api/tests.rs
@@ -4,7 +4,7 @@
     let body = format!(
         r#"[{{"kind":"group","name":"s","revision":1,"value":{group}}},{{"kind":"entry","name":"e","revision":2,"value":null}}]"#
     );
-    let items = super::items_of(&body).unwrap();
+    let items = super::items::parse_items(&body).unwrap();
     assert_eq!(
         (items[0].text.as_deref(), &*items[0].source),
         (Some(group), group),
@@ -15,7 +15,7 @@
         .replace("9.50", "0")
         .replace(r#","value":null"#, "")
         .replace(']', r#",{"kind":"odd"}]"#);
-    let members: Vec<String> = super::items_of(&body)
+    let members: Vec<String> = super::items::parse_items(&body)
         .unwrap_err()
         .into_iter()
         .map(|one| one.place)
@@ -36,7 +36,7 @@
 fn revision_conflict_names_items_and_reports_not_run() {
     let findings = vec![crate::prelude::Finding::new("/0/revision", "item/entry/a")];
     let body_of = |outcome| {
-        let response = super::acknowledged(outcome);
+        let response = super::change_response(outcome);
         let (mut reader, _) = response.data.into_reader_and_size();
         let mut text = String::new();
         std::io::Read::read_to_string(&mut reader, &mut text).unwrap();
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -1,78 +1,72 @@
+//! Leadership of one partition under one epoch: adopting a state from a quorum, writing rows, and counting what
+//! replicas acknowledged.
+
+mod known_rows;
+mod messages;
+mod replica_progress;
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
+pub use known_rows::EdgeRegistry;
+use replica_progress::{InFlight, ReplicaProgress};
+
+/// How long replicas that have not promised yet are given, in time since the epoch became active, before they are
+/// sent the full state.
+pub const PREPARE_REPLY_GRACE: Duration = Duration::from_millis(200);
+/// Removed keys retained for replicas that lag; replicas behind the oldest of them get the full state.
+const MAX_REMOVED_KEYS: usize = 4096;
 
-/// The owner of one partition, for one epoch. Invariants:
-/// - All that is counted here is counted by one table: with another table
-///   comes another leader, under an epoch that was promised by that.
-/// - Until a majority promised the epoch and took the whole adopted image,
-///   nothing is answered from `rows`.
-/// - `version` rises by one with each row put or dropped.
-/// - A copy's `to` counts only what it synced under this epoch.
-/// - `published` never exceeds what a majority of copies has.
+/// The leader of one partition, for one epoch. Invariants:
+/// - All acknowledgements are counted by one membership table: another table needs another leader, under an epoch
+///   that was promised by that table.
+/// - Until a quorum promised the epoch and holds the adopted state under it, nothing is served from `rows`.
+/// - `version` rises by one with each row put or removed.
+/// - A replica's `synced_version` counts only what it synced under this epoch.
+/// - `published` never exceeds what a quorum of replicas holds.
 #[derive(Debug, Clone)]
 pub struct PartitionLeader {
+    /// The partition that is led.
     pub partition: u8,
+    /// The epoch under which it is led; unique to this leader.
     pub epoch: u64,
+    /// The partition's rows by key, the uncommitted ones included.
     pub rows: BTreeMap<String, Row>,
+    /// Version of the newest change to `rows`.
     pub version: u64,
+    /// Highest version known to be on a quorum of replicas, and so fit to be shown to edges.
     published: u64,
-    /// Keys dropped at a version; forgotten once all copies dropped them.
+    /// Keys by the version that removed them.
     removed_keys: BTreeMap<u64, String>,
-    /// Copies behind this version need the whole image.
+    /// Replicas behind this version need the full state.
     full_state_floor: u64,
+    /// Number of the newest round; each append carries the one it was sent in.
     round: u64,
-    /// When promises were last asked for.
+    /// When promises were last requested.
     last_prepare: Option<Duration>,
-    /// When the last round of a tick began.
+    /// When a tick last began a round.
     last_tick_round: Duration,
+    /// Promises received while the epoch is not active, by slot.
     prepared: BTreeMap<u8, PreparedState>,
-    /// What our own disk held when the epoch was begun.
+    /// What the node's own disk held when the epoch was begun.
     local_state: PartitionState,
-    /// The state that was adopted.
+    /// Id of the state that was adopted.
     adopted_state: StateId,
-    /// What each disk held when it promised.
+    /// Id of the state that each disk held when it promised.
     prepared_states: BTreeMap<u8, StateId>,
-    /// One for each slot of the table it was begun under: another table
-    /// takes another leader.
+    /// Progress of each slot of the membership table that the epoch was begun under.
     replicas: Vec<ReplicaProgress>,
     quorum: Quorum,
     /// Version of that table.
     membership_version: u64,
+    /// When a quorum had promised the epoch; none before.
     pub active_since: Option<Duration>,
-    /// Until then nothing is answered: edges may know more.
+    /// Until then nothing is served: edges may hold rows that were lost here.
     pub recall_until: Option<Duration>,
 }
 
-/// What is known of the copy on one disk.
-#[derive(Debug, Clone, Default)]
-struct ReplicaProgress {
-    synced_version: Option<u64>,
-    sent_published: u64,
-    confirmed_round: u64,
-    sessions_confirmed: u64,
-    /// The round of the message under way, and when it is sent again.
-    in_flight: Option<(u64, Duration)>,
-}
-
-/// An unanswered message is sent again after this, and after so much more for
-/// each row in it: one that is still on the way is not put behind itself.
-const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-const RESEND_INTERVAL_PER_ROW: Duration = Duration::from_millis(2);
-const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(3);
-/// Who has not promised yet is given so long before it is sent the whole state.
-pub const PREPARE_REPLY_GRACE: Duration = Duration::from_millis(200);
-/// Row key of the changes applied to the partition's one row that is replaced
-/// whole.
-const APPLIED_KEY: &str = "applied";
-const PREPARE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// Between rounds of a partition that is not updates.
-const LEDGER_ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Dropped keys remembered for copies that lag.
-const MAX_REMOVED_KEYS: usize = 4096;
-
 impl PartitionLeader {
+    /// A candidate for the partition, by a membership table of so many slots and this version.
     pub fn new(
         partition: u8,
         epoch: u64,
@@ -102,15 +96,15 @@
         }
     }
 
-    /// Our own disk holds this: who holds nothing newer need not send it.
-    pub fn with_local_state(self, own: PartitionState) -> PartitionLeader {
+    /// Names what the node's own disk holds: replicas that hold nothing newer need not send their state.
+    pub fn with_local_state(self, local_state: PartitionState) -> PartitionLeader {
         PartitionLeader {
-            local_state: own,
+            local_state,
             ..self
         }
     }
 
-    /// A slot promised the epoch and told what it holds.
+    /// A slot promised the epoch and reported its state.
     pub fn on_prepare_reply(&mut self, now: Duration, slot: u8, state: PreparedState) {
         self.prepared_states.insert(slot, state.id());
         if self.active_since.is_some() {
@@ -122,77 +116,65 @@
         }
     }
 
-    /// The state with the highest id of a majority holds all that was ever
-    /// acknowledged. Our own counts beside it: who told us no rows holds nothing
-    /// newer than that.
+    /// The state with the highest id of a quorum holds all that was ever acknowledged. The node's own state counts
+    /// beside it: a replica that sent no rows holds nothing newer.
     fn adopt_newest_state(&mut self, now: Duration) {
-        let promises = std::mem::take(&mut self.prepared);
-        let published = promises.values().map(PreparedState::published).max();
+        let prepared = std::mem::take(&mut self.prepared);
+        let published = prepared.values().map(PreparedState::published).max();
         self.published = published.unwrap_or(0);
-        let own = std::mem::take(&mut self.local_state);
-        let newer = promises
-            .into_values()
-            .filter_map(|promised| match promised {
-                PreparedState::Newer(state) => Some(state),
-                PreparedState::NotNewer { .. } => None,
-            });
-        let best = newer
-            .chain([own])
+        let local_state = std::mem::take(&mut self.local_state);
+        let newer_states = prepared.into_values().filter_map(|state| match state {
+            PreparedState::Newer(state) => Some(state),
+            PreparedState::NotNewer { .. } => None,
+        });
+        let newest = newer_states
+            .chain([local_state])
             .max_by_key(PartitionState::id)
-            .expect("our own is there");
-        self.adopted_state = best.id();
-        self.version = best.version;
-        self.full_state_floor = best.version;
-        self.rows = best.rows;
+            .expect("the local state is always there");
+        self.adopted_state = newest.id();
+        self.version = newest.version;
+        self.full_state_floor = newest.version;
+        self.rows = newest.rows;
         self.active_since = Some(now);
     }
 
-    /// Whether answers may be given: a majority has the adopted image.
+    /// Whether requests may be served: a quorum holds the adopted state under this epoch.
     pub fn ready(&self) -> bool {
-        self.replicas
-            .iter()
-            .filter(|copy| copy.synced_version.is_some())
-            .count()
-            >= self.quorum.most()
+        let holds_state = |replica: &&ReplicaProgress| replica.synced_version.is_some();
+        self.replicas.iter().filter(holds_state).count() >= self.quorum.most()
     }
 
-    /// Rows an edge was shown and we do not have; ours are older.
+    /// Merges rows that an edge was shown up to `version`, where they are newer than the leader's. Returns how many
+    /// were.
     pub fn merge_recalled_rows(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
         let mut newer = 0;
         for (key, row) in rows {
             // The generation of the lost state is not this one's.
-            let generation = matches!(row.value, Value::Founded { .. });
-            if !generation
-                && self
-                    .rows
-                    .get(&key)
-                    .is_none_or(|known| known.version < row.version)
-            {
+            let is_generation = matches!(row.value, Value::Founded { .. });
+            let known = self.rows.get(&key);
+            if !is_generation && known.is_none_or(|known| known.version < row.version) {
                 self.rows.insert(key, row);
                 newer += 1;
             }
         }
         self.version = self.version.max(version);
-        // Their versions may lie below what copies have: they get it whole.
+        // Their versions may lie below what replicas hold: all replicas get the full state.
         self.full_state_floor = self.version;
-        self.replicas
-            .iter_mut()
-            .for_each(|copy| copy.synced_version = None);
+        for replica in &mut self.replicas {
+            replica.synced_version = None;
+        }
         newer
     }
 
+    /// Writes a row. Returns its version.
     pub fn put(&mut self, key: String, value: Value) -> u64 {
         self.version += 1;
-        self.rows.insert(
-            key,
-            Row {
-                version: self.version,
-                value,
-            },
-        );
-        self.version
+        let version = self.version;
+        self.rows.insert(key, Row { version, value });
+        version
     }
 
+    /// Removes a row, if it is there.
     pub fn remove_row(&mut self, key: &str) {
         if self.rows.remove(key).is_some() {
             self.version += 1;
@@ -203,267 +185,60 @@
         }
     }
 
-    fn quorum_version(&self, of: fn(&ReplicaProgress) -> u64) -> u64 {
-        let mut list: Vec<u64> = self.replicas.iter().map(of).collect();
-        list.sort_unstable();
-        list[list.len() - self.quorum.most()]
+    /// The highest value that a quorum of replicas has reached.
+    fn reached_by_quorum(&self, value_of: fn(&ReplicaProgress) -> u64) -> u64 {
+        let mut values: Vec<u64> = self.replicas.iter().map(value_of).collect();
+        values.sort_unstable();
+        values[values.len() - self.quorum.most()]
     }
 
-    /// On a majority of the disks up to here.
+    /// The version up to which rows are on a quorum of disks; 0 while the leader is not ready.
     pub fn committed(&self) -> u64 {
         if self.ready() {
-            self.quorum_version(|copy| copy.synced_version.unwrap_or(0))
+            self.reached_by_quorum(|replica| replica.synced_version.unwrap_or(0))
         } else {
             0
         }
     }
 
-    /// Known to every live edge up to here: at a majority, every session had
-    /// confirmed it when that node answered, and later ones get it first.
+    /// The version that every live edge has confirmed: at a quorum of nodes every session had confirmed it when
+    /// that node replied, and later sessions get it first.
     pub fn settled(&self) -> u64 {
-        self.quorum_version(|copy| copy.sessions_confirmed)
+        self.reached_by_quorum(|replica| replica.sessions_confirmed)
     }
 
+    /// The newest round that a quorum replied to: no other leader had taken over when it was sent.
     pub fn confirmed_round(&self) -> u64 {
-        self.quorum_version(|copy| copy.confirmed_round)
+        self.reached_by_quorum(|replica| replica.confirmed_round)
     }
 
-    pub fn on_append_reply(&mut self, slot: u8, kept: &AppendReply) {
-        let Some(copy) = self.replicas.get_mut(usize::from(slot)) else {
+    /// A slot synced what an append brought.
+    pub fn on_append_reply(&mut self, slot: u8, reply: &AppendReply) {
+        let Some(replica) = self.replicas.get_mut(usize::from(slot)) else {
             return;
         };
-        if copy.in_flight.is_some_and(|(round, _)| round == kept.round) {
-            copy.in_flight = None;
-        }
-        copy.synced_version = Some(copy.synced_version.unwrap_or(0).max(kept.synced_version));
-        copy.confirmed_round = copy.confirmed_round.max(kept.round);
-        copy.sessions_confirmed = copy
-            .sessions_confirmed
-            .max(kept.sessions_confirmed.unwrap_or(0));
+        replica.on_append_reply(reply);
         let committed = self.committed();
         self.published = self.published.max(committed);
     }
 
-    /// Nothing this slot said counts any more: its disk is another.
+    /// Drops all that this slot acknowledged: its disk is another, or does not hold what was assumed.
     pub fn reset_replica(&mut self, slot: u8) {
         self.prepared.remove(&slot);
         self.prepared_states.remove(&slot);
-        if let Some(copy) = self.replicas.get_mut(usize::from(slot)) {
-            *copy = ReplicaProgress::default();
-        }
-    }
-
-    /// Changes applied to the partition's row that is replaced whole. A row of
-    /// their own beside it: on disk, on all replicas, and adopted with the rest.
-    pub fn applied_changes(&self) -> AppliedChanges {
-        match self.rows.get(APPLIED_KEY) {
-            Some(Row {
-                value: Value::Applied(applied),
-                ..
-            }) => applied.clone(),
-            _ => AppliedChanges::default(),
+        if let Some(replica) = self.replicas.get_mut(usize::from(slot)) {
+            *replica = ReplicaProgress::default();
         }
     }
 
-    /// The version under which a change was applied to the row of this key, if
-    /// it is remembered.
-    pub fn applied_version(&self, key: &str, change: u64) -> Option<u64> {
-        // The row itself names its change: it may have come without the memory,
-        // from edges after a loss.
-        let standing = self.rows.get(key).filter(|row| match &row.value {
-            Value::Configuration { change: known, .. } | Value::Origins { change: known, .. } => {
-                *known == change
-            }
-            _ => false,
-        });
-        standing
-            .map(|row| row.version)
-            .or_else(|| self.applied_changes().version_of(change))
-    }
-
-    /// Replaces a row whole and remembers the change. The memory goes first:
-    /// who has the row has the memory too.
-    pub fn apply_change(&mut self, key: &str, value: Value, change: u64) -> u64 {
-        let mut applied = self.applied_changes();
-        applied.remember(change, self.version + 2);
-        self.put(APPLIED_KEY.into(), Value::Applied(applied));
-        self.put(key.into(), value)
-    }
-
-    /// The table changed in its number only.
+    /// The membership table got another version with the same members.
     pub fn set_membership_version(&mut self, membership_version: u64) {
         self.membership_version = membership_version;
     }
 
-    /// Messages due now. On a tick every copy gets a round; otherwise only
-    /// those that lack something, one message at a time: what gathers while
-    /// one is under way goes together in the next.
-    pub fn due_messages(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
-        if self.active_since.is_none() {
-            let (partition, epoch, membership_version) =
-                (self.partition, self.epoch, self.membership_version);
-            // The answers bring whole images: asked too often, they stand in
-            // each other's way.
-            let due = tick
-                && self
-                    .last_prepare
-                    .is_none_or(|asked| now >= asked + PREPARE_RETRY_INTERVAL);
-            if due {
-                self.last_prepare = Some(now);
-            }
-            let unanswered = (0..self.quorum.slots as u8)
-                .filter(|slot| due && !self.prepared.contains_key(slot));
-            return unanswered
-                .map(|slot| {
-                    (
-                        slot,
-                        PrepareRequest {
-                            partition,
-                            epoch,
-                            membership_version,
-                            requester_state: self.local_state.id(),
-                        }
-                        .into(),
-                    )
-                })
-                .collect();
-        }
-        // What edges are not shown needs no settling: its rounds are seldom, and
-        // that a row is on a majority goes along with the next.
-        let updates = self.partition < PUBLISHED_PARTITIONS;
-        let tick = tick && (updates || now >= self.last_tick_round + LEDGER_ROUND_INTERVAL);
-        if tick {
-            self.round += 1;
-            self.last_tick_round = now;
-        }
-        let published = self.published;
-        let mut out = Vec::new();
-        for slot in 0..self.quorum.slots as u8 {
-            let copy = &self.replicas[usize::from(slot)];
-            let lacking = copy.synced_version.is_none_or(|to| to < self.version)
-                || updates && copy.sent_published < published
-                || copy.confirmed_round < self.round;
-            let busy = copy.in_flight.is_some_and(|(_, again)| now < again);
-            if busy || !(tick || lacking) || self.awaits_prepare_reply(now, slot) {
-                continue;
-            }
-            let base = self.delta_base(slot);
-            let whole = base.is_none()
-                && copy
-                    .synced_version
-                    .is_none_or(|to| to < self.full_state_floor);
-            let known = copy.synced_version.or(base.map(|base| base.version));
-            let from = known.filter(|_| !whole).unwrap_or(0);
-            let newer = self
-                .rows
-                .iter()
-                .filter(|(_, row)| whole || row.version > from);
-            let keep = AppendRequest {
-                partition: self.partition,
-                epoch: self.epoch,
-                membership_version: self.membership_version,
-                round: self.round,
-                full_state: whole,
-                after_version: from,
-                to_version: self.version,
-                rows: newer.map(|(key, row)| (key.clone(), row.clone())).collect(),
-                removed_keys: if whole {
-                    vec![]
-                } else {
-                    self.removed_keys
-                        .range(from + 1..)
-                        .map(|(_, key)| key.clone())
-                        .filter(|key| !self.rows.contains_key(key))
-                        .collect()
-                },
-                published,
-                base: base.map(|base| self.earlier_state(base)),
-            };
-            let span = RESEND_INTERVAL + RESEND_INTERVAL_PER_ROW * keep.rows.len() as u32;
-            let copy = &mut self.replicas[usize::from(slot)];
-            copy.in_flight = Some((self.round, now + span.min(MAX_RESEND_INTERVAL)));
-            copy.sent_published = published;
-            out.push((slot, keep.into()));
-        }
-        out
-    }
-
-    /// The state of the ledger that this disk held when it promised, if rows can
-    /// be added to that: its own acknowledgement takes its place.
-    fn delta_base(&self, slot: u8) -> Option<StateId> {
-        let unknown = self.replicas[usize::from(slot)].synced_version.is_none();
-        self.prepared_states.get(&slot).copied().filter(|base| {
-            unknown
-                && self.partition >= PUBLISHED_PARTITIONS
-                && base.epoch != 0
-                && base.epoch == self.adopted_state.epoch
-                && base.version <= self.adopted_state.version
-        })
-    }
-
-    /// Whether what this disk holds may still be told, so that it need not be
-    /// sent the whole ledger.
-    fn awaits_prepare_reply(&self, now: Duration, slot: u8) -> bool {
-        let early = self
-            .active_since
-            .is_some_and(|since| now < since + PREPARE_REPLY_GRACE);
-        let unknown = self.replicas[usize::from(slot)].synced_version.is_none();
-        early
-            && unknown
-            && self.partition >= PUBLISHED_PARTITIONS
-            && !self.prepared_states.contains_key(&slot)
-    }
-
-    fn earlier_state(&self, base: StateId) -> EarlierState {
-        let changed = base.version != self.version;
-        EarlierState {
-            epoch: base.epoch,
-            keys: changed.then(|| self.rows.keys().cloned().collect()),
-        }
-    }
-
-    /// A read begun now is confirmed once this round is.
+    /// Begins a round. A read begun now may be served once `confirmed_round` has reached the returned number.
     pub fn begin_read_round(&mut self) -> u64 {
         self.round += 1;
         self.round
     }
-
-    /// Edges that may claim operations.
-    pub fn enrolled(&self) -> Vec<Peer> {
-        match self.rows.get("enrolled") {
-            Some(Row {
-                value: Value::Enrolled { members },
-                ..
-            }) => members.clone(),
-            _ => vec![],
-        }
-    }
-
-    /// The generation whose ledger is said to be complete.
-    pub fn opened_generation(&self) -> u64 {
-        match self.rows.get("opened") {
-            Some(Row {
-                value: Value::Opened { generation },
-                ..
-            }) => *generation,
-            _ => 0,
-        }
-    }
-
-    /// Members, gone and whether the ledger was complete, in the partition that
-    /// keeps the roll.
-    pub fn edge_registry(&self) -> Option<(Vec<Peer>, Vec<Peer>, bool)> {
-        match self.rows.get("roll") {
-            Some(Row {
-                value:
-                    Value::EdgeRegistry {
-                        members,
-                        departed: gone,
-                        complete,
-                    },
-                ..
-            }) => Some((members.clone(), gone.clone(), *complete)),
-            _ => None,
-        }
-    }
 }
--- /dev/null
+++ b/control-plane/src/replica/partition.rs
@@ -0,0 +1,163 @@
+//! One partition on one disk: what is accepted, and what of it is published to edges.
+
+use crate::prelude::*;
+
+/// One partition on one disk. Invariants:
+/// - `promised_epoch` never goes down, and nothing under a lower epoch is accepted.
+/// - `state` is complete up to `state.version` under `state.epoch`.
+/// - `published_rows` is, for partitions that are published to edges, all rows for edges as they were at
+///   `state.published`. Rows that came after it wait in `unpublished`, by the version up to which each append made
+///   the state complete: what is published in between is not shown, since a later row may hide an earlier one of its
+///   key that was never received.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub struct ReplicaPartition {
+    /// The highest epoch that was promised.
+    pub promised_epoch: u64,
+    /// All rows, the unpublished ones included.
+    pub state: PartitionState,
+    /// Rows that edges are shown.
+    pub published_rows: BTreeMap<String, Row>,
+    /// Rows of later appends, in their order.
+    pub unpublished: VecDeque<UnpublishedRows>,
+}
+
+/// The rows of one append that are not published yet.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct UnpublishedRows {
+    /// The version up to which the append made the state complete.
+    pub version: u64,
+    /// Its rows by key.
+    pub rows: Vec<(String, Row)>,
+}
+
+impl ReplicaPartition {
+    /// Whether an append follows on what is held here, so that it can be applied as it is. The epoch was checked
+    /// before.
+    pub fn accepts(&self, request: &AppendRequest) -> bool {
+        let same_epoch =
+            self.state.epoch == request.epoch && self.state.version >= request.after_version;
+        let base = request.base.as_ref().map(|base| StateId {
+            epoch: base.epoch,
+            version: request.after_version,
+        });
+        request.full_state || same_epoch || base == Some(self.state.id())
+    }
+
+    /// What is reported with a promise to a candidate that holds `requester_state`. Ledger states are large and
+    /// mostly the same at all replicas, so they are sent only if they are newer.
+    pub fn prepared_state(&self, partition: u8, requester_state: StateId) -> PreparedState {
+        let id = self.state.id();
+        if partition >= PUBLISHED_PARTITIONS && id <= requester_state {
+            let published = self.state.published;
+            PreparedState::NotNewer { id, published }
+        } else {
+            PreparedState::Newer(self.state.clone())
+        }
+    }
+
+    /// The partition as another disk needs it to recover.
+    pub(super) fn snapshot(&self, partition: u8) -> PartitionSnapshot {
+        PartitionSnapshot {
+            partition,
+            promised: self.promised_epoch,
+            state: self.state.clone(),
+            published_rows: self.published_rows.clone(),
+        }
+    }
+
+    /// Takes over a snapshot of other disks. A promise that was made here stands.
+    pub(super) fn restore(&mut self, snapshot: &PartitionSnapshot) {
+        self.promised_epoch = self.promised_epoch.max(snapshot.promised);
+        self.state = snapshot.state.clone();
+        self.published_rows = snapshot.published_rows.clone();
+        self.unpublished.clear();
+        if snapshot.partition < PUBLISHED_PARTITIONS {
+            let rows = snapshot.state.rows.iter();
+            self.unpublished.push_back(UnpublishedRows {
+                version: snapshot.state.version,
+                rows: rows.map(|(key, row)| (key.clone(), row.clone())).collect(),
+            });
+        }
+    }
+
+    /// What an edge lacks that knows the partition up to this version, if anything.
+    pub(super) fn update_since(
+        &self,
+        partition: u8,
+        known_version: u64,
+    ) -> Option<PartitionUpdate> {
+        let version = self.state.published;
+        let newer_rows = self
+            .published_rows
+            .iter()
+            .filter(|(_, row)| row.version > known_version);
+        (version > known_version).then(|| PartitionUpdate {
+            partition,
+            version,
+            rows: newer_rows
+                .map(|(key, row)| (key.clone(), row.clone()))
+                .collect(),
+        })
+    }
+
+    /// Applies an append that is accepted.
+    pub(super) fn append(&mut self, request: &AppendRequest) {
+        self.promised_epoch = self.promised_epoch.max(request.epoch);
+        if request.full_state {
+            self.state.rows.clear();
+            self.state.version = 0;
+            self.unpublished.clear();
+        }
+        self.state.epoch = request.epoch;
+        self.merge_rows(request);
+        let is_published = request.partition < PUBLISHED_PARTITIONS;
+        let is_newer = request.full_state || request.to_version > self.state.version;
+        if is_published && is_newer {
+            self.unpublished.push_back(UnpublishedRows {
+                version: request.to_version,
+                rows: request.rows.clone(),
+            });
+        }
+        self.state.version = self.state.version.max(request.to_version);
+        if is_published {
+            self.publish(request.published);
+        } else {
+            let published = request.published.min(self.state.version);
+            self.state.published = self.state.published.max(published);
+        }
+    }
+
+    fn merge_rows(&mut self, request: &AppendRequest) {
+        for (key, row) in &request.rows {
+            insert_newer(&mut self.state.rows, key, row);
+        }
+        for key in &request.removed_keys {
+            self.state.rows.remove(key);
+        }
+        if let Some(keys) = request.base.as_ref().and_then(|base| base.keys.as_ref()) {
+            let keys: HashSet<&String> = keys.iter().collect();
+            self.state.rows.retain(|key, _| keys.contains(key));
+        }
+    }
+
+    /// Shows edges what is committed up to this version.
+    fn publish(&mut self, published: u64) {
+        let is_committed = |append: &mut UnpublishedRows| append.version <= published;
+        while let Some(append) = self.unpublished.pop_front_if(is_committed) {
+            for (key, row) in &append.rows {
+                if row.value.visible_to_edges() {
+                    insert_newer(&mut self.published_rows, key, row);
+                }
+            }
+            self.state.published = self.state.published.max(append.version);
+        }
+    }
+}
+
+/// Inserts a row unless one as new is there.
+fn insert_newer(rows: &mut BTreeMap<String, Row>, key: &str, row: &Row) {
+    let known = rows.get(key);
+    if known.is_none_or(|known| known.version < row.version) {
+        rows.insert(key.to_string(), row.clone());
+    }
+}
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -1,144 +1,170 @@
+//! Recovery of a blank disk from the other replicas.
+
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Refills a blank disk, in two rounds with `rest` of the others whose disks
-/// are full and who go by a table that names this one. After the first, those
-/// have forgotten what the earlier disk of this slot acknowledged, and whoever
-/// hears an acknowledgement of theirs forgets it too; so whatever is counted
-/// with the earlier disk's help lies on one of them when it answers the second
-/// round, which brings it.
+/// Between snapshot requests to one slot: a full snapshot takes this long over a slow link.
+const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_millis(600);
+/// The round that makes the others retire the slot's earlier disk; the next one brings the snapshots.
+const FENCING_ROUND: u8 = 0;
+/// The round whose snapshots are merged.
+const SNAPSHOT_ROUND: u8 = 1;
+
+/// Recovers a blank disk, in two rounds with `Quorum::rest` of the others whose disks are full and who go by a
+/// membership table that names this one. After the first, those have retired the slot's earlier disk, and whoever
+/// receives an acknowledgement of theirs retires it too. So whatever is counted with the earlier disk's help lies
+/// on one of them when it replies in the second round, which brings it.
 ///
-/// If all others answered and fewer are full, a majority was lost, and what is
-/// left is taken. Until then it pending_replies: one that is full may be slow.
+/// If all others replied and fewer are full, a majority was lost, and what is left is taken. Until then recovery
+/// waits: one that is full may be slow.
 #[derive(Debug, Clone)]
 pub struct ReplicaRecovery {
     slot: u8,
     quorum: Quorum,
     membership_version: u64,
     round: u8,
+    /// Replies in this round, by slot.
     replies: BTreeMap<u8, ReceivedSnapshot>,
-    /// In which round each was last asked, and when.
-    last_requests: BTreeMap<u8, (u8, Duration)>,
+    /// The last request to each slot.
+    last_requests: BTreeMap<u8, LastRequest>,
 }
 
-/// A whole disk's content takes this long over a slow way.
-const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_millis(600);
+#[derive(Debug, Clone, Copy)]
+struct LastRequest {
+    round: u8,
+    sent_at: Duration,
+}
 
 #[derive(Debug, Clone)]
 struct ReceivedSnapshot {
-    /// Its disk is full, by whichever table.
+    /// The sender's disk is full, by whichever table.
     full: bool,
-    /// And it counts: edges are shown the table that names us there.
+    /// And it counts: its edges are shown the table that names the recovering disk.
     usable: bool,
     partitions: Vec<PartitionSnapshot>,
 }
 
-/// All partitions merged, and whether a majority of disks was lost: too many others
-/// were blank too, or just refilled from what was left, and yet there was
-/// something.
+/// What a recovered disk holds.
 pub struct RecoveredState {
+    /// All partitions, merged.
     pub partitions: Vec<PartitionSnapshot>,
+    /// Whether a majority of disks was lost: too many others were blank too, or had just been recovered from what
+    /// was left, and yet there was something.
     pub majority_lost: bool,
 }
 
 impl ReplicaRecovery {
-    /// For a slot of a table of so many slots and this version.
+    /// Recovery of a slot, by a membership table of so many slots and this version.
     pub fn new(slot: u8, slots: usize, membership_version: u64) -> ReplicaRecovery {
         ReplicaRecovery {
             slot,
             quorum: Quorum::new(slots),
             membership_version,
-            round: 0,
+            round: FENCING_ROUND,
             replies: BTreeMap::new(),
             last_requests: BTreeMap::new(),
         }
     }
 
-    /// Asks all whose answer may still change something: blank ones may be full
-    /// by now. Not more often than an answer, which brings all there is, takes
-    /// to come: those asked for in vain would stand before what follows.
+    /// Requests due now, by slot: to all whose reply may still change something, since blank ones may be full by
+    /// now. Each is sent no more often than its reply takes to arrive, or the replies delay each other.
     pub fn tick(&mut self, now: Duration) -> Vec<(u8, Message)> {
-        let whole = |slot: &u8| self.replies.get(slot).is_some_and(|got| got.usable);
-        let due = |slot: &u8| {
-            self.last_requests.get(slot).is_none_or(|(round, asked)| {
-                *round != self.round || now >= *asked + SNAPSHOT_RETRY_INTERVAL
-            })
+        let request = SnapshotRequest {
+            slot: self.slot,
+            round: self.round,
+            membership_version: self.membership_version,
         };
-        let others: Vec<u8> = (0..self.quorum.slots as u8)
-            .filter(|slot| *slot != self.slot && !whole(slot) && due(slot))
+        let due: Vec<u8> = (0..self.quorum.slots as u8)
+            .filter(|slot| self.is_request_due(now, *slot))
             .collect();
-        self.last_requests
-            .extend(others.iter().map(|slot| (*slot, (self.round, now))));
-        others
-            .into_iter()
-            .map(|slot| {
-                (
-                    slot,
-                    SnapshotRequest {
-                        slot: self.slot,
-                        round: self.round,
-                        membership_version: self.membership_version,
-                    }
-                    .into(),
-                )
-            })
+        let round = self.round;
+        let sent_at = now;
+        let requests = due
+            .iter()
+            .map(|slot| (*slot, LastRequest { round, sent_at }));
+        self.last_requests.extend(requests);
+        due.into_iter()
+            .map(|slot| (slot, request.clone().into()))
             .collect()
     }
 
-    /// All partitions merged, once the second round is whole.
-    pub fn on_snapshot_reply(&mut self, refilled: SnapshotReply) -> Option<RecoveredState> {
-        if refilled.round != self.round || refilled.slot == self.slot {
+    fn is_request_due(&self, now: Duration, slot: u8) -> bool {
+        let is_usable = |reply: &ReceivedSnapshot| reply.usable;
+        let is_due = |last: &LastRequest| {
+            last.round != self.round || now >= last.sent_at + SNAPSHOT_RETRY_INTERVAL
+        };
+        slot != self.slot
+            && !self.replies.get(&slot).is_some_and(is_usable)
+            && self.last_requests.get(&slot).is_none_or(is_due)
+    }
+
+    /// Counts a reply. All partitions merged, once the second round is complete.
+    pub fn on_snapshot_reply(&mut self, reply: SnapshotReply) -> Option<RecoveredState> {
+        if reply.round != self.round || reply.slot == self.slot {
             return None;
         }
-        let full = refilled.full && refilled.lost_generation == 0;
-        // Else its edges may still go by the earlier table.
-        let whole = full && refilled.membership_version >= self.membership_version;
-        self.replies.insert(
-            refilled.slot,
-            ReceivedSnapshot {
-                full,
-                usable: whole,
-                partitions: refilled.partitions,
-            },
-        );
-        let enough = self.replies.values().filter(|got| got.usable).count() >= self.quorum.rest();
-        let may_be = self.replies.values().filter(|got| got.full).count() >= self.quorum.rest();
-        if !enough && (may_be || self.replies.len() + 1 < self.quorum.slots) {
+        let full = reply.full && reply.lost_generation == 0;
+        let received = ReceivedSnapshot {
+            full,
+            // Else its edges may still go by the earlier table.
+            usable: full && reply.membership_version >= self.membership_version,
+            partitions: reply.partitions,
+        };
+        self.replies.insert(reply.slot, received);
+        let is_recoverable = self.count(|reply| reply.usable) >= self.quorum.rest();
+        let may_become_recoverable = self.count(|reply| reply.full) >= self.quorum.rest();
+        let all_replied = self.replies.len() + 1 >= self.quorum.slots;
+        if !is_recoverable && (may_become_recoverable || !all_replied) {
             return None;
         }
-        if self.round == 0 {
-            self.round = 1;
-            self.replies.clear();
+        let replies = std::mem::take(&mut self.replies);
+        if self.round == FENCING_ROUND {
+            self.round = SNAPSHOT_ROUND;
             return None;
         }
-        let mut merged: Vec<PartitionSnapshot> = Vec::new();
-        for ReceivedSnapshot {
-            partitions: held, ..
-        } in std::mem::take(&mut self.replies).into_values()
-        {
-            if merged.is_empty() {
-                merged = held;
-                continue;
-            }
-            for (mine, other) in merged.iter_mut().zip(held) {
-                let published = mine.state.published.max(other.state.published);
-                mine.promised = mine.promised.max(other.promised);
-                if other.state.published > mine.state.published {
-                    mine.published_rows = other.published_rows;
-                }
-                if (other.state.epoch, other.state.version) > (mine.state.epoch, mine.state.version)
-                {
-                    mine.state = other.state;
-                }
-                mine.state.published = published;
-            }
-        }
-        let lost = !enough && merged.iter().any(|one| one.state.version > 0);
+        let snapshots = replies.into_values().map(|reply| reply.partitions);
+        let partitions = merge_snapshots(snapshots);
+        let holds_rows = partitions
+            .iter()
+            .any(|partition| partition.state.version > 0);
         Some(RecoveredState {
-            partitions: merged,
-            majority_lost: lost,
+            majority_lost: !is_recoverable && holds_rows,
+            partitions,
         })
     }
+
+    fn count(&self, counts: impl Fn(&ReceivedSnapshot) -> bool) -> usize {
+        self.replies.values().filter(|reply| counts(reply)).count()
+    }
+}
+
+/// The newest state of each partition, and the highest promise.
+fn merge_snapshots(
+    snapshots: impl Iterator<Item = Vec<PartitionSnapshot>>,
+) -> Vec<PartitionSnapshot> {
+    let mut merged: Vec<PartitionSnapshot> = Vec::new();
+    for partitions in snapshots {
+        if merged.is_empty() {
+            merged = partitions;
+            continue;
+        }
+        for (known, other) in merged.iter_mut().zip(partitions) {
+            merge_partition(known, other);
+        }
+    }
+    merged
+}
+
+fn merge_partition(known: &mut PartitionSnapshot, other: PartitionSnapshot) {
+    let published = known.state.published.max(other.state.published);
+    known.promised = known.promised.max(other.promised);
+    if other.state.published > known.state.published {
+        known.published_rows = other.published_rows;
+    }
+    if other.state.id() > known.state.id() {
+        known.state = other.state;
+    }
+    known.state.published = published;
 }
--- /dev/null
+++ b/control-plane/src/sessions/peer_sessions.rs
@@ -0,0 +1,75 @@
+//! The table of sessions that another control node reports.
+
+use crate::prelude::*;
+
+/// The table of sessions that another control node reports.
+#[derive(Debug, Default)]
+pub(super) struct PeerSessions {
+    /// When a delta last fitted.
+    pub(super) last_contact: Duration,
+    /// The sender's revision up to which the table was received; 0 requests the full table.
+    revision: u64,
+    checksum: u64,
+    pub(super) sessions: BTreeMap<Peer, SessionInfo>,
+    /// The highest confirmed version of each published partition, and the edge that confirmed it.
+    newest: Vec<(u64, Peer)>,
+}
+
+impl PeerSessions {
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    pub(super) fn infos(&self) -> impl Iterator<Item = &SessionInfo> {
+        self.sessions.values()
+    }
+
+    pub(super) fn newest(&self, partition: u8) -> Option<(u64, Peer)> {
+        self.newest.get(usize::from(partition)).copied()
+    }
+
+    pub(super) fn is_current(&self, now: Duration) -> bool {
+        now < self.last_contact + lease::CONTROL_PEER_TIMEOUT
+    }
+
+    /// Applies a delta, if the table then has the sender's checksum.
+    pub(super) fn apply_delta(&mut self, now: Duration, delta: SessionsDelta) {
+        let checksum = self.checksum_after(&delta);
+        if checksum != delta.checksum || delta.from > self.revision {
+            // Late, or of another run: the table here is not the one it was made for.
+            if delta.to >= self.revision || delta.from == 0 {
+                self.revision = 0;
+            }
+            return;
+        }
+        if delta.from == 0 {
+            self.sessions.clear();
+        }
+        for peer in &delta.removed {
+            self.sessions.remove(peer);
+        }
+        let upserted = delta.upserted.into_iter().map(|info| (info.peer, info));
+        self.sessions.extend(upserted);
+        self.last_contact = now;
+        self.revision = delta.to;
+        self.checksum = checksum;
+        self.newest = delta.newest;
+    }
+
+    /// The checksum of the table with this delta applied.
+    fn checksum_after(&self, delta: &SessionsDelta) -> u64 {
+        let is_full = delta.from == 0;
+        let known = |peer: &Peer| {
+            let info = self.sessions.get(peer).filter(|_| !is_full);
+            info.map_or(0, SessionInfo::sum)
+        };
+        let mut checksum = if is_full { 0 } else { self.checksum };
+        for info in &delta.upserted {
+            checksum ^= known(&info.peer) ^ info.sum();
+        }
+        for peer in &delta.removed {
+            checksum ^= known(peer);
+        }
+        checksum
+    }
+}
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -117,6 +117,7 @@
     let core = |table: &Sessions| {
         table
             .local
+            .sessions
             .values()
             .map(|sender| (sender.info.peer, sender.info.draining))
             .collect::<BTreeSet<_>>()
@@ -142,7 +143,7 @@
             }
         }
         sent_tables
-            .entry(sender.checksum)
+            .entry(sender.local.checksum)
             .or_default()
             .push(core(&sender));
         let delta = sender.delta_since(receiver.received_revision(1));
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -195,10 +195,10 @@
     }
 
     fn adopt_published_table(&mut self) {
-        if let Some((version, members)) = self.replica.published_members()
-            && version > self.membership_version
+        if let Some(table) = self.replica.published_table()
+            && table.version > self.membership_version
         {
-            self.adopt_table(version, members);
+            self.adopt_table(table.version, table.members);
         }
     }
 
@@ -603,8 +603,8 @@
         let founding = self.replica.partition(MEMBERSHIP_PARTITION).state.version == 0;
         let shown = self
             .replica
-            .published_members()
-            .map_or(0, |(version, _)| version);
+            .published_table()
+            .map_or(0, |table| table.version);
         let reply = SnapshotReply {
             requester_incarnation: from.incarnation,
             slot: self.slot().expect("a member"),
--- a/control-plane/tests/stored_data/records.rs
+++ b/control-plane/tests/stored_data/records.rs
@@ -13,13 +13,13 @@
             full: true,
             removed: false,
             lost_generation: 2020,
-            known_table: Some((
-                2021,
-                vec![Peer {
+            known_table: Some(MembershipTable {
+                version: 2021,
+                members: vec![Peer {
                     address: address(2022),
                     incarnation: 2023,
                 }],
-            )),
+            }),
             founding: true,
             retired: vec![2024].into(),
             partitions: vec![
@@ -32,7 +32,11 @@
                         rows: rows().into_iter().collect()
                     },
                     published_rows: rows().into_iter().collect(),
-                    unpublished: vec![(2029, rows())].into()
+                    unpublished: vec![UnpublishedRows {
+                        version: 2029,
+                        rows: rows()
+                    }]
+                    .into()
                 };
                 usize::from(PARTITIONS)
             ],
@@ -55,7 +59,11 @@
                         rows: rows().into_iter().collect()
                     },
                     published_rows: rows().into_iter().collect(),
-                    unpublished: vec![(2029, rows())].into()
+                    unpublished: vec![UnpublishedRows {
+                        version: 2029,
+                        rows: rows()
+                    }]
+                    .into()
                 };
                 usize::from(PARTITIONS)
             ],
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -19,7 +19,9 @@
         new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.image_bytes);
-    let history = Some(History::spawn_writer(startup.data.clone().context("data folder")?));
+    let history = Some(History::spawn_writer(
+        startup.data.clone().context("data folder")?,
+    ));
     let host = NodeHost {
         me: part.me(),
         program: "control-node",
@@ -76,7 +78,7 @@
 /// read were written by another version.
 fn read_back(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
     Replica::replay(records)
-        .unwrap_or_else(|error| refuse(&format!("{}: {error:#}", folder.display())))
+        .unwrap_or_else(|error| refuse(&format!("{}: {:#}", folder.display(), anyhow!(error))))
 }
 
 fn refuse(why: &str) -> ! {
