--- a/control-plane/src/assignment_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -35,6 +35,23 @@
     count
 }
 
+/// A plan in which no edge has departed or ended, none is on a control node's host, and all sessions are known.
+fn plan<'a>(
+    rows: &'a BTreeMap<String, Row>,
+    settled: u64,
+    live: &'a [SessionInfo],
+) -> AssignmentPlan<'a> {
+    AssignmentPlan {
+        rows,
+        settled,
+        live,
+        departed: &|_| false,
+        ended: &|_| false,
+        on_control_host: &|_| false,
+        sessions_incomplete: false,
+    }
+}
+
 fn names() -> Vec<String> {
     (0..CACHE_PARTITIONS)
         .map(|partition| cache_assignment("", partition))
@@ -45,27 +62,12 @@
 fn assignment_is_regranted_after_revocation_settles() {
     let mut rows = BTreeMap::new();
     let (first, second) = ([session(1, false)], [session(2, false)]);
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
-    let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 0,
-        live: &first,
-        departed: never,
-        ended: never,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
-    }
-    .next(&names());
+    let planned = plan(&rows, 0, &first).next(&names());
     apply(&mut rows, planned, 1);
     let has_departed: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
     let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 1,
-        live: &second,
         departed: has_departed,
-        ended: &|_| false,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
+        ..plan(&rows, 1, &second)
     }
     .next(&names());
     assert!(
@@ -76,25 +78,15 @@
     assert_eq!(apply(&mut rows, planned, 2), usize::from(CACHE_PARTITIONS));
     assert!(
         AssignmentPlan {
-            rows: &rows,
-            settled: 1,
-            live: &second,
             departed: has_departed,
-            ended: &|_| false,
-            on_control_host: &|_| false,
-            sessions_incomplete: false
+            ..plan(&rows, 1, &second)
         }
         .next(&names())
         .is_empty()
     );
     let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 2,
-        live: &second,
         departed: has_departed,
-        ended: &|_| false,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
+        ..plan(&rows, 2, &second)
     }
     .next(&names());
     assert!(
@@ -108,17 +100,7 @@
 #[test]
 fn ended_owner_is_replaced_before_sessions_are_complete() {
     let mut rows = BTreeMap::new();
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
-    let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 0,
-        live: &[session(1, false), session(2, false)],
-        departed: never,
-        ended: never,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
-    }
-    .next(&names());
+    let planned = plan(&rows, 0, &[session(1, false), session(2, false)]).next(&names());
     apply(&mut rows, planned, 1);
     let restarted = SessionInfo {
         peer: Peer {
@@ -129,13 +111,9 @@
     };
     let has_ended: &dyn Fn(Peer) -> bool = &|peer| peer == session(1, false).peer;
     let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 1,
-        live: std::slice::from_ref(&restarted),
-        departed: never,
         ended: has_ended,
-        on_control_host: &|_| false,
         sessions_incomplete: true,
+        ..plan(&rows, 1, std::slice::from_ref(&restarted))
     }
     .next(&names());
     assert!(
@@ -153,43 +131,15 @@
 fn joining_edge_receives_its_partitions_in_bounded_batches() {
     let mut rows = BTreeMap::new();
     let mut live: Vec<SessionInfo> = (1..8).map(|port| session(port, false)).collect();
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
-    let planned = AssignmentPlan {
-        rows: &rows,
-        settled: 0,
-        live: &live,
-        departed: never,
-        ended: never,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
-    }
-    .next(&names());
+    let planned = plan(&rows, 0, &live).next(&names());
     apply(&mut rows, planned, 1);
     live.push(session(8, false));
     let mut moved = 0;
     for version in (2..100).step_by(2) {
-        let planned = AssignmentPlan {
-            rows: &rows,
-            settled: version,
-            live: &live,
-            departed: never,
-            ended: never,
-            on_control_host: &|_| false,
-            sessions_incomplete: false,
-        }
-        .next(&names());
+        let planned = plan(&rows, version, &live).next(&names());
         assert!(planned.len() <= 64);
         moved += apply(&mut rows, planned, version);
-        let planned = AssignmentPlan {
-            rows: &rows,
-            settled: version,
-            live: &live,
-            departed: never,
-            ended: never,
-            on_control_host: &|_| false,
-            sessions_incomplete: false,
-        }
-        .next(&names());
+        let planned = plan(&rows, version, &live).next(&names());
         assert!(
             planned
                 .iter()
@@ -213,17 +163,7 @@
         .map(|port| weighted(port, 30))
         .chain((5..=34).map(|port| weighted(port, 1)))
         .collect();
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
-    let planned = AssignmentPlan {
-        rows: &BTreeMap::new(),
-        settled: 0,
-        live: &live,
-        departed: never,
-        ended: never,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
-    }
-    .next(&names());
+    let planned = plan(&BTreeMap::new(), 0, &live).next(&names());
     let weighted = planned
         .iter()
         .filter(|(_, assignment)| {
@@ -244,7 +184,6 @@
     let admissions: Vec<String> = (0..200)
         .map(|at| admission_assignment(&format!("s{at}")))
         .collect();
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
     let on_control_host = |session: &SessionInfo| session.peer.address.port() <= 4;
     let owned = |other: u32| {
         let live: Vec<SessionInfo> = (1..=14)
@@ -254,13 +193,8 @@
             })
             .collect();
         let planned = AssignmentPlan {
-            rows: &BTreeMap::new(),
-            settled: 0,
-            live: &live,
-            departed: never,
-            ended: never,
             on_control_host: &on_control_host,
-            sessions_incomplete: false,
+            ..plan(&BTreeMap::new(), 0, &live)
         }
         .next(&admissions);
         planned
@@ -290,17 +224,7 @@
     let names: Vec<String> = (0..CACHE_PARTITIONS)
         .flat_map(|partition| ["a", "b", "c"].map(|ring| cache_assignment(ring, partition)))
         .collect();
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
-    let planned = AssignmentPlan {
-        rows: &BTreeMap::new(),
-        settled: 0,
-        live: &live,
-        departed: never,
-        ended: never,
-        on_control_host: &|_| false,
-        sessions_incomplete: false,
-    }
-    .next(&names);
+    let planned = plan(&BTreeMap::new(), 0, &live).next(&names);
     let owned = |ring: &str| -> BTreeSet<Option<Peer>> {
         planned
             .iter()
@@ -329,37 +253,11 @@
             },
         )])
     };
-    let never: &dyn Fn(Peer) -> bool = &|_| false;
     for port in 1..9 {
         let rows = owned(session(port, false).peer);
         let live: Vec<SessionInfo> = (1..9).map(|port| session(port, false)).collect();
-        assert!(
-            AssignmentPlan {
-                rows: &rows,
-                settled: 9,
-                live: &live,
-                departed: never,
-                ended: never,
-                on_control_host: &|_| false,
-                sessions_incomplete: false
-            }
-            .next(&admission)
-            .is_empty()
-        );
+        assert!(plan(&rows, 9, &live).next(&admission).is_empty());
         let live: Vec<SessionInfo> = (1..9).map(|other| session(other, other == port)).collect();
-        assert_eq!(
-            AssignmentPlan {
-                rows: &rows,
-                settled: 9,
-                live: &live,
-                departed: never,
-                ended: never,
-                on_control_host: &|_| false,
-                sessions_incomplete: false
-            }
-            .next(&admission)
-            .len(),
-            1
-        );
+        assert_eq!(plan(&rows, 9, &live).next(&admission).len(), 1);
     }
 }
--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -35,7 +35,7 @@
         let leads = self
             .leaders
             .get(&ORIGINS_PARTITION)
-            .is_some_and(|leader| leader.ready() && leader.recall_until.is_none());
+            .is_some_and(PartitionLeader::is_serving);
         // Isolated, what is read could not be put.
         let publishes = leads && self.reaches_majority(now);
         if publishes != self.assignments.publishes_origins {
@@ -81,9 +81,7 @@
             return false;
         };
         let has_waited = |since: Duration| now >= since + lease::CONTROL_TICK;
-        leader.ready()
-            && leader.active_since.is_some_and(has_waited)
-            && leader.recall_until.is_none()
+        leader.is_serving() && leader.active_since.is_some_and(has_waited)
     }
 
     fn plan_inputs(&self, now: Duration) -> Option<PlanInputs> {
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -10,7 +10,7 @@
 /// How long a change is retried before its outcome is given up as unknown.
 pub(super) const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(12);
 /// Id of a change that a node requests by itself, without waiting for the reply.
-pub(super) const NO_REQUESTER_ID: u64 = 0;
+const NO_REQUESTER_ID: u64 = 0;
 /// So many control nodes pass a change on at the most: one that it was sent to by mistake, and one between that and
 /// the leader.
 const MAX_HOPS: u8 = 2;
@@ -131,11 +131,21 @@
         self.pending_replies.push(reply);
     }
 
+    /// A change that this node requests by itself; nobody waits for the reply.
+    pub(super) fn own_request(&self, partition: u8, change: Change) -> ChangeRequest {
+        ChangeRequest {
+            requester: self.address,
+            id: NO_REQUESTER_ID,
+            hops: 0,
+            partition,
+            change,
+        }
+    }
+
     /// Whether this node leads a partition and may serve it, as far as it knows.
     fn leads(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
-        let serves = |leader: &PartitionLeader| leader.ready() && leader.recall_until.is_none();
-        self.can_vote() && leader.is_some_and(serves)
+        self.can_vote() && leader.is_some_and(PartitionLeader::is_serving)
     }
 
     /// Sends a change on to the leader of its partition. A member of the table gets its reply through this node,
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -1,5 +1,5 @@
 //! Three control nodes in virtual time without edges, for tests of orders that
-//! are sent again while nodes are lost.
+//! are retried while nodes are lost.
 
 use crate::prelude::*;
 
@@ -27,16 +27,16 @@
 }
 
 pub(super) struct Cluster {
-    pub now: Duration,
+    pub(super) now: Duration,
     serial: u64,
     queue: BTreeMap<(Duration, u64), (usize, ScheduledEvent)>,
     nodes: Vec<Node>,
     incarnations: u64,
     /// Nodes that no message reaches or leaves.
-    pub isolated: BTreeSet<usize>,
-    /// Answers to changes are lost.
-    pub replies_lost: bool,
-    pub outcomes: BTreeMap<u64, ChangeOutcome>,
+    pub(super) isolated: BTreeSet<usize>,
+    /// Replies to changes are lost.
+    pub(super) replies_lost: bool,
+    pub(super) outcomes: BTreeMap<u64, ChangeOutcome>,
 }
 
 fn address(slot: usize) -> SocketAddr {
@@ -45,7 +45,7 @@
 
 impl Cluster {
     /// Founded and led.
-    pub fn new() -> Cluster {
+    pub(super) fn new() -> Cluster {
         let node = || Node {
             control_node: None,
             run: 0,
@@ -72,7 +72,7 @@
     }
 
     /// Starts a node on what its disk holds.
-    pub fn start(&mut self, slot: usize) {
+    pub(super) fn start(&mut self, slot: usize) {
         let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("own records read");
         let blank = disk_replica.is_none();
         self.incarnations += 1;
@@ -93,19 +93,19 @@
         self.push(self.now, slot, ScheduledEvent::Tick { run });
     }
 
-    /// The process ends at once; what was not synced is gone.
-    pub fn kill(&mut self, slot: usize) {
+    /// The process ends at once; what was not synced is lost.
+    pub(super) fn kill(&mut self, slot: usize) {
         self.nodes[slot].control_node = None;
         self.nodes[slot].unsynced.clear();
     }
 
-    pub fn wipe(&mut self, slot: usize) {
+    pub(super) fn wipe(&mut self, slot: usize) {
         self.kill(slot);
         self.nodes[slot].disk.clear();
     }
 
     /// For so long an edge renews with all nodes and applies no updates.
-    pub fn renew_without_applying(&mut self, span: Duration) {
+    pub(super) fn renew_without_applying(&mut self, span: Duration) {
         let until = self.now + span;
         let edge = Peer::new(address(SLOTS + 1), 77);
         while self.now < until {
@@ -132,29 +132,28 @@
     }
 
     /// Another node than this one.
-    pub fn other(&self, slot: usize) -> usize {
+    pub(super) fn other(&self, slot: usize) -> usize {
         (slot + 1) % SLOTS
     }
 
-    /// Who leads a partition and may answer for it.
-    pub fn leader(&self, partition: u8) -> Option<usize> {
+    /// The node that leads a partition and may serve it.
+    pub(super) fn leader(&self, partition: u8) -> Option<usize> {
         let leads = |slot: &usize| {
             let control_node = self.nodes[*slot].control_node.as_ref();
             let leader = control_node.and_then(|control_node| control_node.leaders.get(&partition));
-            !self.isolated.contains(slot)
-                && leader.is_some_and(|leader| leader.ready() && leader.recall_until.is_none())
+            !self.isolated.contains(slot) && leader.is_some_and(PartitionLeader::is_serving)
         };
         (0..SLOTS).find(leads)
     }
 
-    /// Asks a node; the answer comes under this id.
-    pub fn submit(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
+    /// An operator calls a node; the outcome is stored under this id.
+    pub(super) fn submit(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
         let request = OperatorRequest::Change { partition, change };
         self.step(slot, Input::Operator { id, request });
     }
 
-    /// Asks a node and waits for the answer.
-    pub fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
+    /// An operator calls a node and waits for the outcome.
+    pub(super) fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
         self.submit(slot, id, partition, change);
@@ -167,7 +166,7 @@
         panic!("no answer")
     }
 
-    pub fn run_for(&mut self, span: Duration) {
+    pub(super) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
             let (at, _) = *entry.key();
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -139,7 +139,7 @@
 }
 
 /// The leader ends at each moment from an order's arrival until it is settled;
-/// with its disk, or without it. The order is sent again to another node.
+/// with its disk, or without it. The change is retried at another node.
 #[test]
 fn retried_change_is_acknowledged_after_reply_loss_at_any_step() {
     for wiped in [false, true] {
@@ -258,8 +258,8 @@
     }
 }
 
-/// Sent twice by the node itself, since the first answer was lost: another
-/// change came first, and that is what the operator is told.
+/// Sent twice by the node itself, since the first reply was lost: another change came first, and that is what the
+/// operator gets.
 #[test]
 fn retried_change_that_lost_race_gets_version_conflict() {
     let mut cluster = Cluster::new();
@@ -334,9 +334,9 @@
     assert!(bytes <= 16 + 16 * APPLIED_CHANGES as u64, "{bytes}");
 }
 
-/// The platform's list is read again only once the last one was acknowledged. An
+/// The platform's list is read anew only once the last one was acknowledged. An
 /// edge that is slow to apply it must not hold that up: an origin that leaves
-/// meanwhile would be heard of too late.
+/// meanwhile would be known too late.
 #[test]
 fn committed_acknowledgement_of_origins_ignores_slow_edge() {
     const SLOW: Duration = Duration::from_secs(1);
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -107,7 +107,7 @@
         let leader = self
             .leaders
             .get(&ASSIGNMENTS_PARTITION)
-            .filter(|leader| leader.ready() && leader.recall_until.is_none());
+            .filter(|leader| leader.is_serving());
         let known = leader.and_then(PartitionLeader::edge_registry);
         let earlier = self.generation.registry_before_loss.take();
         self.generation.registry_before_loss = known.or(earlier);
@@ -116,13 +116,7 @@
     /// Requests the next generation after a loss, until it is founded.
     pub(super) fn request_next_generation(&mut self) {
         if let Some(after) = self.generation.refound_after {
-            let request = ChangeRequest {
-                requester: self.address,
-                id: changes::NO_REQUESTER_ID,
-                hops: 0,
-                partition: CONFIGURATION_PARTITION,
-                change: Change::Refound { after },
-            };
+            let request = self.own_request(CONFIGURATION_PARTITION, Change::Refound { after });
             self.send(self.address, request);
         }
     }
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -97,17 +97,12 @@
         if self.removed {
             return;
         }
-        // To the leader of the table, as a change of this node's own; nobody waits for a reply.
-        let request = ChangeRequest {
-            requester: self.address,
-            id: changes::NO_REQUESTER_ID,
-            hops: 0,
-            partition: MEMBERSHIP_PARTITION,
-            change: Change::JoinRequest {
-                peer: from,
-                founding,
-            },
+        // To the leader of the table, by way of this node's own changes.
+        let change = Change::JoinRequest {
+            peer: from,
+            founding,
         };
+        let request = self.own_request(MEMBERSHIP_PARTITION, change);
         self.send(self.address, request);
     }
 
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -117,24 +117,38 @@
         run: u64,
     ) -> ControlNode {
         let table = initial_table(&replica, &seeds, bootstrap.as_mut());
-        let slot = slot_at(&table.members, address).unwrap_or(NO_SLOT);
         // A node that knows a table was there before, or follows one that was.
-        let first_fleet_start = blank
-            && table.members.is_empty()
-            && bootstrap
-                .as_ref()
-                .is_some_and(|bootstrap| bootstrap.first_start);
-        let recovers = !replica.full && slot != NO_SLOT;
+        let is_first_start = |bootstrap: &Bootstrap| bootstrap.first_start;
+        let first_fleet_start =
+            blank && table.members.is_empty() && bootstrap.as_ref().is_some_and(is_first_start);
         let mut control_node = ControlNode {
+            seeds,
+            bootstrap,
+            sessions: Sessions::new(run),
+            relays: Relays::new(run),
+            generation: GenerationState::new(first_fleet_start),
+            ..ControlNode::with_table(address, table, replica)
+        };
+        if blank {
+            control_node.store_first_incarnation();
+        }
+        control_node
+    }
+
+    /// A node that goes by a table, before anything happened.
+    fn with_table(address: SocketAddr, table: MembershipTable, replica: Replica) -> ControlNode {
+        let MembershipTable { version, members } = table;
+        let slot = slot_at(&members, address).unwrap_or(NO_SLOT);
+        let recovers = !replica.full && slot != NO_SLOT;
+        ControlNode {
             slot,
             address,
-            recovery: recovers
-                .then(|| ReplicaRecovery::new(slot, table.members.len(), table.version)),
-            members: table.members,
-            membership_version: table.version,
+            recovery: recovers.then(|| ReplicaRecovery::new(slot, members.len(), version)),
+            members,
+            membership_version: version,
             table_adopted_at: Duration::ZERO,
-            seeds,
-            bootstrap,
+            seeds: Vec::new(),
+            bootstrap: None,
             removed: replica.removed,
             retired_incarnations: replica.retired.clone(),
             replica,
@@ -145,24 +159,20 @@
             last_messages: BTreeMap::new(),
             contact_watch: ContactWatch::default(),
             isolated_since: None,
-            sessions: Sessions::new(run),
+            sessions: Sessions::default(),
             update_replies: UpdateReplies::default(),
             pending_replies: Vec::new(),
             operator_calls: BTreeMap::new(),
-            relays: Relays::new(run),
+            relays: Relays::default(),
             finished_operations: FinishedOperations::default(),
             last_sweep: Duration::ZERO,
             published_configuration: 0,
-            generation: GenerationState::new(first_fleet_start),
+            generation: GenerationState::default(),
             departed_since: BTreeMap::new(),
             assignments: AssignmentState::default(),
             shutdown: ShutdownState::default(),
             outputs: Vec::new(),
-        };
-        if blank {
-            control_node.store_first_incarnation();
         }
-        control_node
     }
 
     fn store_first_incarnation(&mut self) {
--- a/control-plane/src/control_node/relays.rs
+++ b/control-plane/src/control_node/relays.rs
@@ -7,7 +7,7 @@
 const RELAY_ID_BIT: u64 = 1 << 63;
 
 /// Changes of other members that do not reach the leader themselves.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub(super) struct Relays {
     relays: BTreeMap<u64, Relay>,
     next_id: u64,
--- a/control-plane/src/control_node/slot_assignment.rs
+++ b/control-plane/src/control_node/slot_assignment.rs
@@ -9,7 +9,7 @@
         let Some(leader) = self
             .leaders
             .get_mut(&MEMBERSHIP_PARTITION)
-            .filter(|leader| leader.ready() && leader.recall_until.is_none())
+            .filter(|leader| leader.is_serving())
         else {
             return;
         };
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -113,13 +113,8 @@
         let Some(slot) = self.preferred_leader(now, MEMBERSHIP_PARTITION) else {
             return;
         };
-        let offer = ChangeRequest {
-            hops: 0,
-            requester: self.address,
-            id: changes::NO_REQUESTER_ID,
-            partition: MEMBERSHIP_PARTITION,
-            change: Change::OfferSlot { member: self.me() },
-        };
+        let change = Change::OfferSlot { member: self.me() };
+        let offer = self.own_request(MEMBERSHIP_PARTITION, change);
         self.send(self.address(slot), offer);
     }
 
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -7,28 +7,57 @@
 }
 
 /// All slots that there may be.
-fn all_slots() -> SlotSet {
+pub(super) fn all_slots() -> SlotSet {
     (0..MAX_SLOTS as u8).collect()
 }
 
+/// The heartbeat of a member with a full disk that is in contact with all.
+pub(super) fn member_heartbeat(slot: u8) -> Heartbeat {
+    Heartbeat {
+        heard_slots: all_slots(),
+        mutual_contacts: all_slots(),
+        leader_candidates: SlotSet::default(),
+        slot,
+        full: true,
+        blank: false,
+        membership_version: 0,
+        ledger_closed_for: Duration::ZERO,
+        lost_generation: 0,
+        acknowledged_sessions: 0,
+        sessions: None,
+    }
+}
+
 /// Slot 0 with a full disk that syncs at once; the peers are scripted.
 struct ScriptedNode {
     control_node: ControlNode,
 }
 
+/// A partition that the scripted node leads.
+#[derive(Clone, Copy)]
+struct LedPartition {
+    partition: u8,
+    epoch: u64,
+}
+
+/// Incarnation of a scripted peer's first disk.
+fn first_incarnation(slot: u16) -> u64 {
+    10 + u64::from(slot)
+}
+
 impl ScriptedNode {
-    fn new() -> ScriptedNode {
+    fn new(slots: u16) -> ScriptedNode {
         let replica = Replica {
             full: true,
             ..Replica::blank(1)
         };
-        let seeds = (0..3).map(address).collect();
+        let seeds = (0..slots).map(address).collect();
         ScriptedNode {
             control_node: ControlNode::new(address(0), seeds, replica, false, None, 1),
         }
     }
 
-    /// What it says to others; what it says to itself it hears.
+    /// What it sends to others; what it sends to itself it receives.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([input]);
@@ -61,242 +90,86 @@
         message: impl Into<Message>,
     ) -> Vec<(SocketAddr, Message)> {
         let from = Peer::new(address(slot), incarnation);
-        self.step(
-            ms,
-            Input::MessageReceived {
-                from,
-                message: message.into(),
-            },
-        )
+        let message = message.into();
+        self.step(ms, Input::MessageReceived { from, message })
     }
 
-    fn heartbeat(&mut self, ms: u64, incarnation: u64) -> Vec<(SocketAddr, Message)> {
-        self.receive(
-            ms,
-            1,
-            incarnation,
-            Heartbeat {
-                heard_slots: all_slots(),
-                mutual_contacts: all_slots(),
-                leader_candidates: SlotSet::default(),
-                slot: 1,
-                full: true,
-                blank: false,
-                membership_version: 0,
-                ledger_closed_for: Duration::ZERO,
-                lost_generation: 0,
-                acknowledged_sessions: 0,
-                sessions: Some(SessionsDelta::default()),
-            },
-        )
+    fn receive_heartbeat(
+        &mut self,
+        ms: u64,
+        slot: u16,
+        incarnation: u64,
+    ) -> Vec<(SocketAddr, Message)> {
+        let heartbeat = Heartbeat {
+            sessions: Some(SessionsDelta::default()),
+            ..member_heartbeat(slot as u8)
+        };
+        self.receive(ms, slot, incarnation, heartbeat)
     }
-}
 
-#[test]
-fn append_reply_of_replaced_disk_is_not_counted() {
-    let mut script = ScriptedNode::new();
-    let mut led = None;
-    for ms in (0..1600).step_by(100) {
-        let mut queue: VecDeque<_> = script.heartbeat(ms, 11).into();
-        queue.extend(script.step(ms + 1, Input::Tick));
-        while let Some((to, message)) = queue.pop_front() {
-            match message {
-                Message::PrepareRequest(PrepareRequest {
-                    partition, epoch, ..
-                }) if to == address(1) => {
-                    if [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition) {
-                        led = Some((partition, epoch));
-                    }
-                    queue.extend(script.receive(
-                        ms + 2,
-                        1,
-                        11,
-                        PrepareReply {
-                            partition,
-                            epoch,
-                            lost_generation: 0,
-                            retired_incarnations: vec![],
-                            state: PreparedState::Newer(PartitionState::default()),
-                        },
-                    ));
+    /// Ticks until a time while these peers promise and store all. The partition of purges or of origins that the
+    /// node then leads, if it leads one.
+    fn lead(&mut self, peers: &[u16], until_ms: u64) -> Option<LedPartition> {
+        let mut led = None;
+        for ms in (0..until_ms).step_by(100) {
+            let mut queue = VecDeque::new();
+            for slot in peers {
+                queue.extend(self.receive_heartbeat(ms, *slot, first_incarnation(*slot)));
+            }
+            queue.extend(self.step(ms + 1, Input::Tick));
+            while let Some((to, message)) = queue.pop_front() {
+                let slot = to.port() - 100;
+                if !peers.contains(&slot) {
+                    continue;
                 }
-                Message::AppendRequest(AppendRequest {
-                    partition,
-                    epoch,
-                    round,
-                    to_version: version,
-                    ..
-                }) if to == address(1) => {
-                    queue.extend(script.receive(
-                        ms + 3,
-                        1,
-                        11,
-                        AppendReply {
-                            partition,
-                            epoch,
-                            round,
-                            synced_version: version,
-                            sessions_confirmed: Some(0),
-                            retired_incarnations: vec![],
-                        },
-                    ));
+                if let Message::PrepareRequest(request) = &message
+                    && [PURGES_PARTITION, ORIGINS_PARTITION].contains(&request.partition)
+                {
+                    let (partition, epoch) = (request.partition, request.epoch);
+                    led = Some(LedPartition { partition, epoch });
                 }
-                _ => {}
+                queue.extend(self.reply_as_peer(ms, slot, message));
             }
         }
+        led
     }
-    let (partition, epoch) = led.expect("one of the two is ours by weight");
-    let change = match partition {
-        PURGES_PARTITION => Change::AddPurge {
-            purge: Purge {
-                entry: Some("e".into()),
-                ..Purge::default()
-            },
-            change: 5,
-        },
-        _ => Change::PutOrigins {
-            list: Arc::default(),
-            expect: None,
-            change: 5,
-            acknowledge: Acknowledge::Settled,
-        },
-    };
-    let messages = script.receive(
-        1700,
-        1,
-        11,
-        ChangeRequest {
-            hops: 0,
-            requester: address(1),
-            id: 7,
-            partition,
-            change,
-        },
-    );
-    let version = messages.iter().find_map(|(_, message)| match message {
-        Message::AppendRequest(request) if request.partition == partition => {
-            Some(request.to_version)
-        }
-        _ => None,
-    });
-    let version = version.expect("it is written at once");
-    // The disk of slot 1 is another now; what the earlier one says comes late.
-    script.heartbeat(1710, 12);
-    let append_reply = AppendReply {
-        partition,
-        epoch,
-        round: 100,
-        synced_version: version,
-        sessions_confirmed: Some(version),
-        retired_incarnations: vec![],
-    };
-    let is_answered = |messages: &[(SocketAddr, Message)]| {
-        messages
-            .iter()
-            .any(|(_, message)| matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. })))
-    };
-    assert!(!is_answered(&script.receive(
-        1720,
-        1,
-        11,
-        append_reply.clone()
-    )));
-    assert!(!is_answered(&script.step(1801, Input::Tick)));
-    let mut messages = script.receive(1810, 1, 12, append_reply.clone());
-    messages.extend(script.step(1901, Input::Tick));
-    messages.extend(script.receive(1910, 1, 12, append_reply));
-    assert!(is_answered(&messages), "the disk that is there now has it");
-}
 
-/// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and
-/// with ours that is a majority. But disk 2 knows that disk 1 is another by
-/// now, refilled without it, and says so with its acknowledgement.
-#[test]
-fn append_reply_of_reported_retired_incarnation_is_not_counted() {
-    let led = |retired: Vec<u64>| {
-        let replica = Replica {
-            full: true,
-            ..Replica::blank(1)
-        };
-        let mut script = ScriptedNode {
-            control_node: ControlNode::new(
-                address(0),
-                (0..5).map(address).collect(),
-                replica,
-                false,
-                None,
-                1,
-            ),
-        };
-        let mut led = None;
-        for ms in (0..2_500).step_by(100) {
-            let mut queue = VecDeque::new();
-            for slot in 1..5 {
-                let heartbeat = Heartbeat {
-                    heard_slots: all_slots(),
-                    mutual_contacts: all_slots(),
-                    leader_candidates: SlotSet::default(),
-                    slot: slot as u8,
-                    full: true,
-                    blank: false,
-                    membership_version: 0,
-                    ledger_closed_for: Duration::ZERO,
+    /// A peer with an empty disk promises, or stores.
+    fn reply_as_peer(
+        &mut self,
+        ms: u64,
+        slot: u16,
+        message: Message,
+    ) -> Vec<(SocketAddr, Message)> {
+        let incarnation = first_incarnation(slot);
+        match message {
+            Message::PrepareRequest(request) => {
+                let reply = PrepareReply {
+                    partition: request.partition,
+                    epoch: request.epoch,
                     lost_generation: 0,
-                    acknowledged_sessions: 0,
-                    sessions: Some(SessionsDelta::default()),
+                    retired_incarnations: vec![],
+                    state: PreparedState::Newer(PartitionState::default()),
                 };
-                queue.extend(script.receive(ms, slot, 10 + u64::from(slot), heartbeat));
+                self.receive(ms + 2, slot, incarnation, reply)
             }
-            queue.extend(script.step(ms + 1, Input::Tick));
-            while let Some((to, message)) = queue.pop_front() {
-                let slot = to.port() - 100;
-                let incarnation = 10 + u64::from(slot);
-                match message {
-                    Message::PrepareRequest(PrepareRequest {
-                        partition, epoch, ..
-                    }) => {
-                        led = Some((partition, epoch))
-                            .filter(|_| [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition))
-                            .or(led);
-                        queue.extend(script.receive(
-                            ms + 2,
-                            slot,
-                            incarnation,
-                            PrepareReply {
-                                partition,
-                                epoch,
-                                lost_generation: 0,
-                                retired_incarnations: vec![],
-                                state: PreparedState::Newer(PartitionState::default()),
-                            },
-                        ));
-                    }
-                    Message::AppendRequest(AppendRequest {
-                        partition,
-                        epoch,
-                        round,
-                        to_version: version,
-                        ..
-                    }) => {
-                        queue.extend(script.receive(
-                            ms + 3,
-                            slot,
-                            incarnation,
-                            AppendReply {
-                                partition,
-                                epoch,
-                                round,
-                                synced_version: version,
-                                sessions_confirmed: Some(0),
-                                retired_incarnations: vec![],
-                            },
-                        ));
-                    }
-                    _ => {}
-                }
+            Message::AppendRequest(request) => {
+                let reply = AppendReply {
+                    partition: request.partition,
+                    epoch: request.epoch,
+                    round: request.round,
+                    synced_version: request.to_version,
+                    sessions_confirmed: Some(0),
+                    retired_incarnations: vec![],
+                };
+                self.receive(ms + 3, slot, incarnation, reply)
             }
+            _ => vec![],
         }
-        let (partition, epoch) = led?;
+    }
+
+    /// Slot 1 requests a change of a partition that is led here. The version under which it is written.
+    fn request_change(&mut self, ms: u64, partition: u8) -> Option<u64> {
         let change = match partition {
             PURGES_PARTITION => Change::AddPurge {
                 purge: Purge {
@@ -312,47 +185,103 @@
                 acknowledge: Acknowledge::Settled,
             },
         };
-        let messages = script.receive(
-            2_600,
-            1,
-            11,
-            ChangeRequest {
-                hops: 0,
-                requester: address(1),
-                id: 7,
-                partition,
-                change,
-            },
-        );
-        let version = messages.iter().find_map(|(_, message)| match message {
+        let request = ChangeRequest {
+            hops: 0,
+            requester: address(1),
+            id: CHANGE_ID,
+            partition,
+            change,
+        };
+        let messages = self.receive(ms, 1, first_incarnation(1), request);
+        messages.iter().find_map(|(_, message)| match message {
             Message::AppendRequest(request) if request.partition == partition => {
                 Some(request.to_version)
             }
             _ => None,
-        })?;
-        let append_reply = |retired| AppendReply {
-            partition,
-            epoch,
-            round: 1_000,
-            synced_version: version,
-            sessions_confirmed: Some(version),
-            retired_incarnations: retired,
-        };
-        let mut messages = script.receive(2_610, 1, 11, append_reply(vec![]));
-        messages.extend(script.receive(2_611, 2, 12, append_reply(retired)));
-        messages.extend(script.step(2_701, Input::Tick));
-        messages.extend(script.step(2_801, Input::Tick));
-        Some(
-            messages.iter().any(|(_, message)| {
-                matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. }))
-            }),
-        )
+        })
+    }
+}
+
+/// Id of the change that slot 1 requests.
+const CHANGE_ID: u64 = 7;
+
+/// Whether the requested change has its reply.
+fn has_change_reply(messages: &[(SocketAddr, Message)]) -> bool {
+    messages
+        .iter()
+        .any(|(_, message)| matches!(message, Message::ChangeReply(reply) if reply.id == CHANGE_ID))
+}
+
+#[test]
+fn append_reply_of_replaced_disk_is_not_counted() {
+    let mut script = ScriptedNode::new(3);
+    let led = script.lead(&[1], 1_600);
+    let LedPartition { partition, epoch } = led.expect("one of the two is ours by weight");
+    let version = script.request_change(1_700, partition);
+    let version = version.expect("it is written at once");
+    // The disk of slot 1 is another now; what the earlier one sent comes late.
+    script.receive_heartbeat(1_710, 1, 12);
+    let append_reply = AppendReply {
+        partition,
+        epoch,
+        round: 100,
+        synced_version: version,
+        sessions_confirmed: Some(version),
+        retired_incarnations: vec![],
+    };
+    assert!(!has_change_reply(&script.receive(
+        1_720,
+        1,
+        11,
+        append_reply.clone()
+    )));
+    assert!(!has_change_reply(&script.step(1_801, Input::Tick)));
+    let mut messages = script.receive(1_810, 1, 12, append_reply.clone());
+    messages.extend(script.step(1_901, Input::Tick));
+    messages.extend(script.receive(1_910, 1, 12, append_reply));
+    assert!(
+        has_change_reply(&messages),
+        "the disk that is there now has it"
+    );
+}
+
+/// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and with ours that is a majority. But disk 2 may
+/// know that disk 1 is another by now, recovered without it, and report that with its acknowledgement. Whether the
+/// change is acknowledged, if these are the incarnations that disk 2 reports.
+fn is_acknowledged_with(retired_incarnations: Vec<u64>) -> Option<bool> {
+    let mut script = ScriptedNode::new(5);
+    let LedPartition { partition, epoch } = script.lead(&[1, 2, 3, 4], 2_500)?;
+    let version = script.request_change(2_600, partition)?;
+    let append_reply = |retired_incarnations| AppendReply {
+        partition,
+        epoch,
+        round: 1_000,
+        synced_version: version,
+        sessions_confirmed: Some(version),
+        retired_incarnations,
     };
-    assert_eq!(led(vec![]), Some(true), "three of five hold it");
-    assert_eq!(led(vec![11]), Some(false), "only two of them do");
+    let mut messages = script.receive(2_610, 1, 11, append_reply(vec![]));
+    messages.extend(script.receive(2_611, 2, 12, append_reply(retired_incarnations)));
+    messages.extend(script.step(2_701, Input::Tick));
+    messages.extend(script.step(2_801, Input::Tick));
+    Some(has_change_reply(&messages))
 }
 
-/// A control node whose disk keeps what is synced, alone with its peers.
+#[test]
+fn append_reply_of_reported_retired_incarnation_is_not_counted() {
+    assert_eq!(
+        is_acknowledged_with(vec![]),
+        Some(true),
+        "three of five hold it"
+    );
+    assert_eq!(
+        is_acknowledged_with(vec![11]),
+        Some(false),
+        "only two of them do"
+    );
+}
+
+/// A control node whose disk retains what is synced over restarts; its peers are scripted.
 struct DurableNode {
     control_node: ControlNode,
     disk: Vec<Vec<u8>>,
@@ -380,7 +309,7 @@
         }
     }
 
-    /// What it says; what it stores pending_replies to be synced.
+    /// What it sends; what it stores waits to be synced.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let mut messages = Vec::new();
         for output in self.control_node.handle(Duration::from_millis(ms), input) {
@@ -444,7 +373,7 @@
         None,
         "not synced yet"
     );
-    // It ends before the sync: nobody was told, and it begins anew.
+    // It ends before the sync: nobody was sent the table, and it starts over.
     let mut restarted = DurableNode::start(0, founder.disk.clone(), true);
     assert!(restarted.control_node.members.is_empty());
     restarted.step(0, Input::Tick);
@@ -459,7 +388,7 @@
         membership_version(&restarted.sync(602)),
         Some(vec![0, 1, 2, 5])
     );
-    // It ends after it: the table is the one that was told, whoever asks.
+    // It ends after it: the table is the one that was sent, whoever joins.
     let mut restarted = DurableNode::start(0, restarted.disk, true);
     restarted.receive(10, 3, JoinRequest { founding: true });
     restarted.step(900, Input::Tick);
@@ -490,7 +419,7 @@
     assert_eq!(seed.control_node.members.len(), 4);
     let restarted = DurableNode::start(1, seed.disk, false);
     assert_eq!(restarted.control_node.members[3].address, address(3));
-    // A machine that came in place of another never takes or makes one.
+    // A machine that replaces another never accepts or makes one.
     for slot in [0, 1] {
         let mut other = DurableNode::start(slot, vec![], false);
         other.step(0, Input::Tick);
@@ -512,24 +441,15 @@
             (3, slot as u8)
         );
     }
-    // Nor does the first seed, if it hears of somebody who has one.
+    // Nor does the first seed, if another node has one already.
     let mut late = DurableNode::start(0, vec![], true);
     late.step(0, Input::Tick);
     late.receive(
         100,
         2,
         Heartbeat {
-            heard_slots: all_slots(),
-            mutual_contacts: all_slots(),
-            leader_candidates: SlotSet::default(),
-            slot: 2,
-            full: true,
-            blank: false,
             membership_version: 4,
-            ledger_closed_for: Duration::ZERO,
-            lost_generation: 0,
-            acknowledged_sessions: 0,
-            sessions: None,
+            ..member_heartbeat(2)
         },
     );
     late.step(900, Input::Tick);
@@ -547,12 +467,12 @@
         .collect()
 }
 
-/// Within an epoch a replica is complete up to its version: a whole image that
-/// comes late, over rows that were acknowledged since, takes none of them away.
+/// Within an epoch a replica is complete up to its version: a full state that arrives late, over rows that were
+/// acknowledged since, removes none of them.
 #[test]
 fn late_full_state_removes_no_later_row() {
-    let mut script = ScriptedNode::new();
-    script.heartbeat(10, 11);
+    let mut script = ScriptedNode::new(3);
+    script.receive_heartbeat(10, 1, 11);
     let full_append = AppendRequest {
         partition: PURGES_PARTITION,
         epoch: 17,
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -1,6 +1,7 @@
-//! Handing a slot over, and what a disk that moved may and may not say.
+//! Handing a slot over, and what a disk that moved may and may not acknowledge.
 
 use super::slot_handover::Handover;
+use super::tests::member_heartbeat;
 use super::*;
 
 const VERSION: u64 = 9;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// What it says, and whether it ends.
+    /// What it sends, and whether it ends.
     fn step(&mut self, ms: u64, input: Input) -> (Vec<(SocketAddr, Message)>, bool) {
         let mut inputs = VecDeque::from([input]);
         let (mut messages, mut ended) = (Vec::new(), false);
@@ -75,23 +76,10 @@
     }
 
     fn heartbeat(&mut self, ms: u64, slot: u16) {
-        let heartbeat = Heartbeat {
-            heard_slots: all_slots(),
-            mutual_contacts: all_slots(),
-            leader_candidates: SlotSet::default(),
-            slot: slot as u8,
-            full: true,
-            blank: false,
-            membership_version: 0,
-            ledger_closed_for: Duration::ZERO,
-            lost_generation: 0,
-            acknowledged_sessions: 0,
-            sessions: None,
-        };
-        self.receive(ms, slot, heartbeat);
+        self.receive(ms, slot, member_heartbeat(slot as u8));
     }
 
-    /// It is told to end, and its offer is answered so.
+    /// It is requested to end, and its offer gets this outcome.
     fn begin_leaving(&mut self, outcome: SlotOfferOutcome) {
         self.step(0, Input::Tick);
         self.heartbeat(10, 1);
@@ -236,7 +224,7 @@
         [77],
         "it says what its predecessor would have said"
     );
-    // Sent again: it is told again, and nothing is taken twice.
+    // A retry is confirmed again, and nothing is applied twice.
     assert_eq!(node.receive(200, 0, state(VERSION, 0)).len(), 1);
 }
 
@@ -304,8 +292,8 @@
     );
 }
 
-/// A disk wiped, and back within two seconds: another told that its earlier life
-/// is retired, and its slot went to a node that waited.
+/// A disk wiped, and back within two seconds: another node reported that its earlier incarnation is retired, and its
+/// slot went to a joiner.
 #[test]
 fn reported_retirement_does_not_age_last_contact() {
     let mut node = Node::start(0, true);
@@ -321,8 +309,3 @@
             .is_slot_lost(Duration::from_millis(3_950), 2)
     );
 }
-
-/// All slots that there may be.
-fn all_slots() -> SlotSet {
-    (0..MAX_SLOTS as u8).collect()
-}
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,4 +1,7 @@
-//! The control plane: owners of partitions, sessions with the edges, assignments.
+//! The control plane: replicated partitions and their leaders, membership, sessions of the edges, and what edges are
+//! assigned.
+#![warn(missing_docs, unreachable_pub)]
+
 mod assignment_plan;
 mod bootstrap;
 mod control_node;
--- a/control-plane/src/operator_api/responses.rs
+++ b/control-plane/src/operator_api/responses.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// When a caller may try an isolated node again.
+/// When a caller may retry at an isolated node.
 const NO_MAJORITY_RETRY: Duration = Duration::from_secs(1);
 
 /// No outcome came from the leader in time.
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -144,6 +144,11 @@
         self.replicas.iter().filter(holds_state).count() >= self.quorum.most()
     }
 
+    /// Whether rows may be read and changed: the leader is ready, and rows that edges may hold were recalled.
+    pub fn is_serving(&self) -> bool {
+        self.ready() && self.recall_until.is_none()
+    }
+
     /// Merges rows that an edge was shown up to `version`, where they are newer than the leader's. Returns how many
     /// were.
     pub fn merge_recalled_rows(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
--- a/control-plane/src/prelude.rs
+++ b/control-plane/src/prelude.rs
@@ -1,3 +1,5 @@
+//! All types of this crate and of `kernel`, for this crate and its tests.
+
 pub use crate::assignment_plan::AssignmentPlan;
 pub use crate::bootstrap::Bootstrap;
 pub use crate::control_node::ControlNode;
--- a/control-plane/src/replica/tests.rs
+++ b/control-plane/src/replica/tests.rs
@@ -50,7 +50,7 @@
     replica.apply(&Record::Appended {
         request: append_request(0, 1, 1),
     });
-    // Rows 2 and 3 were published; row 4 of the same key went over them.
+    // Rows 2 and 3 were published; row 4 of the same key replaced them.
     replica.apply(&Record::Appended {
         request: append_request(1, 4, 3),
     });
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -16,83 +16,44 @@
             published_rows: BTreeMap::new(),
         }]
     };
+    let reply = |slot, round, partitions| SnapshotReply {
+        slot,
+        requester_incarnation: 1,
+        round,
+        full: true,
+        lost_generation: 0,
+        membership_version: 0,
+        partitions,
+    };
     let mut recovery = ReplicaRecovery::new(1, 3, 0);
     assert!(
         recovery
-            .on_snapshot_reply(SnapshotReply {
-                slot: 0,
-                requester_incarnation: 1,
-                round: 0,
-                full: true,
-                lost_generation: 0,
-                membership_version: 0,
-                partitions: partitions(1, 1, 90)
-            })
+            .on_snapshot_reply(reply(0, 0, partitions(1, 1, 90)))
             .is_none()
     );
     assert!(
         recovery
-            .on_snapshot_reply(SnapshotReply {
-                slot: 0,
-                requester_incarnation: 1,
-                round: 0,
-                full: true,
-                lost_generation: 0,
-                membership_version: 0,
-                partitions: partitions(1, 1, 90)
-            })
+            .on_snapshot_reply(reply(0, 0, partitions(1, 1, 90)))
             .is_none()
     );
     assert!(
         recovery
-            .on_snapshot_reply(SnapshotReply {
-                slot: 2,
-                requester_incarnation: 1,
-                round: 0,
-                full: true,
-                lost_generation: 0,
-                membership_version: 0,
-                partitions: partitions(1, 1, 90)
-            })
+            .on_snapshot_reply(reply(2, 0, partitions(1, 1, 90)))
             .is_none()
     );
     assert!(
         recovery
-            .on_snapshot_reply(SnapshotReply {
-                slot: 2,
-                requester_incarnation: 1,
-                round: 0,
-                full: true,
-                lost_generation: 0,
-                membership_version: 0,
-                partitions: partitions(1, 1, 90)
-            })
+            .on_snapshot_reply(reply(2, 0, partitions(1, 1, 90)))
             .is_none(),
         "late first round"
     );
     assert!(
         recovery
-            .on_snapshot_reply(SnapshotReply {
-                slot: 0,
-                requester_incarnation: 1,
-                round: 1,
-                full: true,
-                lost_generation: 0,
-                membership_version: 0,
-                partitions: partitions(9, 3, 5)
-            })
+            .on_snapshot_reply(reply(0, 1, partitions(9, 3, 5)))
             .is_none()
     );
     let recovered = recovery
-        .on_snapshot_reply(SnapshotReply {
-            slot: 2,
-            requester_incarnation: 1,
-            round: 1,
-            full: true,
-            lost_generation: 0,
-            membership_version: 0,
-            partitions: partitions(7, 4, 2),
-        })
+        .on_snapshot_reply(reply(2, 1, partitions(7, 4, 2)))
         .unwrap();
     assert!(!recovered.majority_lost);
     let recovered = recovered.partitions;
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Whatever is lost, doubled, late, or said by another run: a table counts
-/// as heard only with what the other has just then.
+/// Whatever is lost, duplicated, late, or sent by another run: a table counts as received only in a state that the
+/// sender had.
 #[test]
 fn applied_deltas_match_a_table_the_sender_had() {
     let mut seed = 7u64;
@@ -186,7 +186,7 @@
         ),
         (100, 0)
     );
-    // What was confirmed rises all the time, and who is newest is said.
+    // What was confirmed rises all the time, and the newest confirmation is reported.
     table.renew(at(200), session(7, 2), None);
     let delta = table.delta_since(revision);
     assert_eq!(
@@ -227,8 +227,8 @@
     assert!(table.has_departed(at(5100), session(1, 1).peer, Quorum::new(3)));
 }
 
-/// Of any tables: an edge in `rest` of them is live and not gone, whatever
-/// the others say; one in fewer is not live, and gone once `most` lack it.
+/// Of any tables: an edge in `rest` of them is live and has not departed, whatever the others report; one in fewer is
+/// not live, and has departed once `most` lack it.
 #[test]
 fn live_edge_is_never_departed_for_any_slot_count() {
     let at = Duration::from_millis;
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -1,5 +1,5 @@
-//! Control nodes without edges in virtual time: the real state machines, a network that can be cut in either
-//! direction, and disks that keep what was synced.
+//! Control nodes without edges in virtual time: the real state machines, a network that can be partitioned in either
+//! direction, and disks that retain what was synced.
 
 use control_plane::{ControlNode, Replica};
 use kernel::prelude::*;
@@ -33,7 +33,7 @@
     full: bool,
 }
 
-/// A call of an operator: where and when it was made, and its answer.
+/// A call of an operator: where and when it was made, and its outcome.
 pub struct Call {
     pub node: usize,
     pub sent_at: Duration,
@@ -62,7 +62,7 @@
 }
 
 impl Cluster {
-    /// Full disks that hold nothing yet; the fleet runs until it answers.
+    /// Full disks that hold nothing yet; the fleet runs until it serves calls.
     pub fn start(size: usize) -> Cluster {
         let mut cluster = Cluster {
             now: Duration::ZERO,
@@ -98,7 +98,7 @@
         cluster
     }
 
-    /// Says that nothing ran before, as operators do for a new fleet; until then
+    /// Vouches that nothing ran before, as operators do for a new fleet; until then
     /// each takeover waits for what edges might still know.
     fn open_ledger(&mut self) {
         let state = self.state(0);
@@ -134,7 +134,7 @@
         self.blocked_links.insert((from, to));
     }
 
-    /// Neither hears the other.
+    /// Nothing gets through between the two.
     pub fn block_both_ways(&mut self, first: usize, other: usize) {
         self.block(first, other);
         self.block(other, first);
@@ -155,12 +155,12 @@
         self.blocked_links.clear();
     }
 
-    /// From now on the node's disk refuses writes, or takes them again.
+    /// From now on the node's disk refuses writes, or accepts them.
     pub fn set_disk_full(&mut self, node: usize, full: bool) {
         self.nodes[node].full = full;
     }
 
-    /// The process ends and starts again with what its disk holds.
+    /// The process restarts with what its disk holds.
     pub fn restart(&mut self, node: usize) {
         let size = self.size();
         let running = &mut self.nodes[node];
@@ -169,7 +169,7 @@
             .expect("full");
         running.run += 1;
         running.control_node = Cluster::control_node(node, size, replica, running.run);
-        // Who asked there sees the connection end.
+        // Callers there see the connection end.
         let now = self.now;
         for call in &mut self.calls {
             if call.node == node && call.response.is_none() {
@@ -281,7 +281,7 @@
         self.calls.len() - 1
     }
 
-    /// The same, and the answer with how long it took, waited for at the most
+    /// The same, and the outcome with how long it took, waited for at the most
     /// as long as the span.
     pub fn response(
         &mut self,
@@ -296,7 +296,7 @@
         (when - self.calls[at].sent_at, outcome)
     }
 
-    /// What a node tells of itself.
+    /// What a node reports of itself.
     pub fn state(&mut self, node: usize) -> serde_json::Value {
         let request = OperatorRequest::State;
         let outputs = self.nodes[node]
@@ -312,12 +312,12 @@
         state.expect("state is always told")
     }
 
-    /// Whether a node says that a majority is in contact with it.
+    /// Whether a node reports that a majority is in contact with it.
     pub fn has_majority(&mut self, node: usize) -> bool {
         self.state(node)["majority"] == true
     }
 
-    /// The node that leads a partition under the highest epoch, as they say.
+    /// The node that leads a partition under the highest epoch, as they report.
     pub fn leader(&mut self, partition: u8) -> usize {
         let led = |state: serde_json::Value| {
             let partitions = state["owned_slices"]
@@ -363,7 +363,7 @@
     Change::PutItems { items: vec![item] }
 }
 
-/// The revision of an item in an answer to `Change::List`, if it is there.
+/// The revision of an item in a reply to `Change::List`, if it is there.
 pub fn revision_of(outcome: &ChangeOutcome, name: &str) -> Option<u64> {
     let ChangeOutcome::Rows { rows, .. } = outcome else {
         return None;
--- a/control-plane/tests/faults/disk_failure.rs
+++ b/control-plane/tests/faults/disk_failure.rs
@@ -4,7 +4,7 @@
 use kernel::prelude::*;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
-/// A node counts again within two tries, and edges' sessions are known then.
+/// A node counts again within two attempts, and edges' sessions are known then.
 const RESTORED: Duration = Duration::from_secs(3);
 
 /// Two full disks, one after the other, must not add up to a lost majority.
--- a/control-plane/tests/faults/isolation.rs
+++ b/control-plane/tests/faults/isolation.rs
@@ -1,14 +1,14 @@
-//! A control node that is cut off neither hands out what may be old nor confirms nor refuses anything, and the
+//! An isolated control node neither serves what may be stale nor confirms nor refuses anything, and the
 //! majority goes on without it.
 
 use crate::cluster::{Cluster, address, put_entry, put_group, revision_of};
 use kernel::prelude::*;
 
-/// A node that noticed the cut answers within the same step.
+/// A node that detected its isolation replies within the same step.
 const IMMEDIATELY: Duration = Duration::ZERO;
-/// It notices after the span for which peers count as near, a grace and a tick.
+/// It detects that after the timeout of its peers, a grace and a tick.
 const DETECTION_TIME: Duration = Duration::from_millis(1_200);
-/// The majority takes over what the cut-off node led within this.
+/// The majority takes over what the isolated node led within this.
 const TAKEOVER: Duration = Duration::from_millis(1_500);
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
 
@@ -16,7 +16,7 @@
     matches!(outcome, ChangeOutcome::Acknowledged { .. })
 }
 
-/// All that operators may ask.
+/// Each kind of call that operators make.
 fn operator_changes(revision: u64) -> Vec<Change> {
     vec![
         Change::List,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The call comes before the cut is noticed, and may already be on its way.
+/// The call comes before the isolation is detected, and may already be in flight.
 #[test]
 fn call_during_isolation_has_unknown_outcome() {
     for size in [3, 5] {
@@ -107,8 +107,8 @@
     }
 }
 
-/// As soon as it is joined again, the old leader still thinks that it leads,
-/// and its rows are old: it must not refuse an order for them.
+/// As soon as it is connected, the old leader still thinks that it leads,
+/// and its rows are stale: it must not refuse a change for them.
 #[test]
 fn rejoined_leader_does_not_refuse_by_stale_rows() {
     for size in [3, 4, 5] {
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -73,7 +73,7 @@
     ));
     assert!(!requested.is_empty(), "some partitions are ours by weight");
 
-    // The process ends before anybody's answer, and starts on what was synced.
+    // The process ends before any reply, and restarts on what was synced.
     let mut control_node = start(replica);
     control_node.handle(now, heartbeat());
     let outputs = control_node.handle(now, Input::Tick);
--- a/control-plane/tests/recovery_replies.rs
+++ b/control-plane/tests/recovery_replies.rs
@@ -1,8 +1,8 @@
-//! Which answers fill a blank disk.
+//! Which replies recover a blank disk.
 use control_plane::prelude::*;
 use std::net::SocketAddr;
 
-/// The life of the blank disk in slot 0, and that of the disk before it.
+/// The incarnation of the blank disk in slot 0, and that of the disk before it.
 const INCARNATION: u64 = 7;
 const EARLIER: u64 = 6;
 
@@ -25,7 +25,7 @@
     outputs
 }
 
-/// Both others answer, to the disk of this life. True if the disk is full now.
+/// Both others reply, to the disk of this incarnation. True if the disk is full now.
 fn deliver_both_replies(
     control_node: &mut ControlNode,
     ms: u64,
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -11,7 +11,7 @@
 const LEDGER: u8 = PUBLISHED_PARTITIONS;
 const SLOTS: usize = 3;
 
-/// A scenario with more states than this is too large to be searched whole.
+/// A scenario with more states than this is too large to be searched completely.
 const MOST_STATES: usize = 1_000_000;
 
 /// A leader writes while another takes the partition and writes.
@@ -51,7 +51,7 @@
         })
 }
 
-/// A leader ends and starts again while it takes the partition and writes.
+/// A leader restarts while it takes the partition and writes.
 fn leader_crash(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
@@ -63,7 +63,7 @@
         })
 }
 
-/// A replica ends and starts again, and then leads.
+/// A replica restarts, and then leads.
 fn replica_crash(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
@@ -171,7 +171,7 @@
 
 type Scenario = fn(Option<Safeguard>) -> Cluster;
 
-/// All states of the scenario keep the invariants; prints how many there are.
+/// All states of the scenario satisfy the invariants; prints how many there are.
 fn holds(name: &str, scenario: Scenario) {
     let found = search(scenario(None), MOST_STATES);
     println!(
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -37,7 +37,7 @@
     JoinTable {
         from: usize,
     },
-    /// Time passes at this node: it sends again what was not answered.
+    /// Time passes at this node: it retries what has no reply.
     Retry {
         node: usize,
     },
@@ -64,7 +64,7 @@
     row: Row,
 }
 
-/// What outsiders were told, by partition and key.
+/// What was acknowledged to outsiders, by partition and key.
 #[derive(Debug, Clone, Default)]
 struct Acknowledged {
     rows: BTreeMap<(u8, String), AcknowledgedRow>,
@@ -76,14 +76,14 @@
     network: BTreeMap<u64, Arc<Envelope>>,
     acknowledged: Hashed<Acknowledged>,
     budget: Hashed<Budget>,
-    /// Nodes that hear nothing of each other.
+    /// Pairs of nodes between which nothing gets through.
     blocked_links: Arc<BTreeSet<(usize, usize)>>,
     pub violation: Option<String>,
 }
 
 /// The slot that the outsider gets.
 const REPLACED_SLOT: usize = 1;
-/// Lives of wiped disks follow those of the first ones.
+/// Incarnations of wiped disks follow those of the first ones.
 const WIPED_INCARNATION: u64 = 100;
 
 impl Cluster {
@@ -143,7 +143,7 @@
         self
     }
 
-    /// The same after this election, of which one node hears nothing.
+    /// The same after this election, of which one node receives nothing.
     pub fn established_without(mut self, leader: (usize, u8), absent: usize) -> Cluster {
         self.run(leader.0, |node| node.elect(leader.1));
         self.deliver_all(&|from, to| from != absent && to != absent);
@@ -162,7 +162,7 @@
     }
 
     /// The same after the outsider got its slot by a table that all but these
-    /// nodes heard of; it is not refilled yet.
+    /// nodes received; it is not recovered yet.
     pub fn replaced(mut self, leader: usize, unaware: &[usize]) -> Cluster {
         self = self.with(Budget {
             replacements: vec![leader],
@@ -371,7 +371,7 @@
             .retain(|_, envelope| nodes[node_at(envelope.to)].accepts(&envelope.message));
     }
 
-    /// What a process said to itself ends with it.
+    /// What a process sent to itself ends with it.
     fn drop_messages_to_itself(&mut self, node: usize) {
         let me = self.nodes[node].address;
         self.network
@@ -439,7 +439,7 @@
         });
     }
 
-    /// A read tells what was acknowledged before it began.
+    /// A read includes what was acknowledged before it began.
     fn judge_reads(&mut self) {
         for node in &mut self.nodes {
             if node.reads.is_empty() {
@@ -501,7 +501,7 @@
         }
     }
 
-    /// Every later leader that answers holds what was acknowledged.
+    /// Every later leader that serves holds what was acknowledged.
     fn judge_leaders(&mut self) {
         for node in self.nodes.iter().filter(|node| node.can_vote()) {
             for leader in node
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -24,7 +24,7 @@
     pub epoch: u64,
     pub round: u64,
     pub commit: u64,
-    /// Keys in the answer.
+    /// Keys in the result.
     pub keys: BTreeSet<String>,
     /// Keys acknowledged before the read began.
     pub required: BTreeSet<String>,
@@ -44,7 +44,7 @@
     retired: VecDeque<u64>,
     pub leaders: BTreeMap<u8, PartitionLeader>,
     pub recovery: Option<ReplicaRecovery>,
-    /// Answers of the first recovery round; used without `SecondRecoveryRound`.
+    /// Replies of the first recovery round; used without `SecondRecoveryRound`.
     first_replies: Vec<SnapshotReply>,
     pub reads: Vec<PendingRead>,
     now: Duration,
@@ -53,13 +53,13 @@
     disabled: Option<Safeguard>,
 }
 
-/// Longer than the product waits before it sends a message again.
+/// Longer than the product waits before it retries a message.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Partitions of a model replica: up to the first ledger partition.
 const PARTITIONS: usize = PUBLISHED_PARTITIONS as usize + 1;
 
 /// Shows all that the node's behaviour hangs on; partitions nobody touched are
-/// left out, since states are told apart by this text.
+/// left out, since states are distinguished by this text.
 impl fmt::Debug for Node {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let replicas: Vec<_> = std::iter::once(&self.replica)
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Every member's first disk was heard of here.
+    /// Every member's first disk was met here.
     pub fn with_known_members(&mut self) {
         self.incarnations = (0..self.members.len())
             .map(|slot| (slot as u8, slot as u64 + 1))
@@ -172,7 +172,7 @@
         leader.is_some_and(|leader| leader.active_since.is_some())
     }
 
-    /// Whether a leader may answer from its rows.
+    /// Whether a leader may serve its rows.
     pub fn can_serve(&self, leader: &PartitionLeader) -> bool {
         leader.ready()
             || !self.has(Safeguard::StateRewrittenBeforeAnswering) && leader.active_since.is_some()
@@ -258,7 +258,7 @@
         }
     }
 
-    /// A slot was heard with this disk; an earlier one is retired.
+    /// A message of this disk came from a slot; an earlier one is retired.
     fn on_member_contact(&mut self, slot: u8, incarnation: u64) {
         let known = *self.incarnations.entry(slot).or_insert(incarnation);
         if known != incarnation && self.has(Safeguard::RetiredIncarnationsNotCounted) {
@@ -317,7 +317,7 @@
         self.flush(false)
     }
 
-    /// Reads that are answered now.
+    /// Reads that are finished now.
     pub fn finished_reads(&mut self) -> Vec<PendingRead> {
         let leaders = &self.leaders;
         let done = |read: &PendingRead| {
@@ -334,7 +334,7 @@
         done
     }
 
-    /// Time passes: what was not answered is sent again.
+    /// Time passes: what has no reply is retried.
     pub fn retry(&mut self) -> Vec<Envelope> {
         self.now += RETRY_INTERVAL;
         let mut out = self.flush(true);
@@ -342,13 +342,13 @@
         out
     }
 
-    /// The process ends and starts again on its disk.
+    /// The process restarts on its disk.
     pub fn crash(&mut self) -> Vec<Envelope> {
         let replica = self.disk.take().unwrap_or_else(|| self.replica.clone());
         self.start(replica)
     }
 
-    /// The process ends and starts again on a blank disk.
+    /// The process restarts on a blank disk.
     pub fn wipe(&mut self, incarnation: u64) -> Vec<Envelope> {
         self.start(empty_replica(incarnation))
     }
@@ -392,7 +392,7 @@
         self.begin_recovery()
     }
 
-    /// What the leaders have to say now (`ControlNode::flush_leaders`).
+    /// What the leaders send now (`ControlNode::flush_leaders`).
     fn flush(&mut self, tick: bool) -> Vec<Envelope> {
         if !self.can_vote() {
             return vec![];
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Takes a message (`ControlNode::received`) and says what follows.
+    /// Takes a message (`ControlNode::handle_message`) and returns what is sent.
     pub fn receive(&mut self, from: Peer, message: Message) -> Vec<Envelope> {
         let mut out = self.handle(from, message);
         out.extend(self.flush(false));
@@ -645,7 +645,7 @@
         }
     }
 
-    /// Without the second round, the first answers stand for both.
+    /// Without the second round, the first replies stand for both.
     fn accept_first_replies(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
         let Some(recovery) = &mut self.recovery else {
             return vec![];
--- a/control-plane/tests/replication/model/safeguard.rs
+++ b/control-plane/tests/replication/model/safeguard.rs
@@ -10,24 +10,24 @@
     GapRefused,
     /// An append that comes after a later one of its epoch changes nothing.
     OutdatedAppendIgnored,
-    /// A leader answers only once a majority holds its adopted state under its
+    /// A leader serves only once a majority holds its adopted state under its
     /// own epoch.
     StateRewrittenBeforeAnswering,
-    /// A replica replies only once what it says is synced.
+    /// A replica replies only once what it acknowledges is synced.
     ReplyAfterSync,
-    /// A leader asks others only once its own disk promised the epoch, so that
+    /// A leader sends requests only once its own disk promised the epoch, so that
     /// no epoch is used again after a restart.
     OwnPromiseFirst,
-    /// A read is answered only once a round begun after it is confirmed.
+    /// A read is finished only once a round begun after it is confirmed.
     ReadConfirmedByRound,
-    /// A blank disk counts only once it was refilled.
+    /// A blank disk counts only once it was recovered.
     BlankDiskTakesNoPart,
-    /// A blank disk asks the others twice and takes the second answers.
+    /// A blank disk sends requests in two rounds and uses the replies of the second.
     SecondRecoveryRound,
     /// Replies of a disk that was replaced count for nothing.
     RetiredIncarnationsNotCounted,
     /// Requests by an older membership table are refused.
     MembershipVersionFences,
-    /// A newcomer counts only once it was refilled by the new table's members.
+    /// A joiner counts only once it was recovered by the new table's members.
     LearnerDoesNotCount,
 }
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -67,7 +67,7 @@
     })
 }
 
-/// What two other members may ask of slot 0.
+/// Requests of two other members to slot 0.
 fn request() -> impl Strategy<Value = (u16, Message)> {
     (
         1u16..3,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Whether a replica holds what a reply told.
+/// Whether a replica holds what a reply acknowledged.
 fn holds(replica: &Replica, reply: &Message) -> bool {
     match reply {
         Message::PrepareReply(reply) => {
@@ -279,7 +279,7 @@
         }
     }
 
-    /// All messages arrive until nothing is left to say.
+    /// All messages arrive until nothing is left to send.
     fn heal(&mut self) {
         for _ in 0..6 {
             self.take(&Step::Tick);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Every replica is the leader's state of some version, whole, and a
+    /// Every replica is the leader's state of some version, in full, and a
     /// majority holds what the leader counts as committed.
     fn check(&self) -> Result<(), TestCaseError> {
         let partition = self.leader.partition;
@@ -318,7 +318,7 @@
 
 proptest! {
     /// The log read back at any synced prefix is the state that was replied
-    /// from, also once an image took the place of what came before it.
+    /// from, also once a snapshot replaced the records before it.
     #[test]
     fn synced_log_prefix_contains_replied_state(
         requests in prop::collection::vec(request(), 1..40),
@@ -377,7 +377,7 @@
     }
 
     /// Appends in any order, lost and doubled: each replica is the leader's
-    /// state of some version, and catching up by differences ends in the whole.
+    /// state of some version, and catching up by deltas ends in the full state.
     #[test]
     fn reordered_appends_yield_complete_states(
         partition in partition(),
@@ -430,7 +430,7 @@
         }
     }
 
-    /// The model of the exhaustive search answers as `ControlNode` does.
+    /// The model of the exhaustive search replies as `ControlNode` does.
     #[test]
     fn model_replies_match_control_node(
         requests in prop::collection::vec(request(), 1..40),
--- a/control-plane/tests/stored_data/main.rs
+++ b/control-plane/tests/stored_data/main.rs
@@ -11,7 +11,7 @@
 use segment_log::{OpenError, SegmentLog};
 use std::fs;
 
-/// The replica after all records, as the record of a whole image.
+/// The replica after all records, as the record of a snapshot.
 const REPLAYED: &str = include_str!("replayed.hex");
 
 /// A copy of the checked-in log that a test may open, removed at its end.
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -32,8 +32,8 @@
     })
 }
 
-/// Hands what a leader has to say to replicas, where `reaches` lets it, and
-/// their replies back; the bytes that were said.
+/// Delivers a leader's due messages to the replicas that `reaches` lets through, and their replies back. The bytes
+/// that were sent.
 fn exchange(
     leader: &mut PartitionLeader,
     replicas: &mut [Replica],
@@ -86,7 +86,7 @@
     bytes
 }
 
-/// Replicas of a partition after a leader's life in which messages were lost:
+/// Replicas of a partition after a leader's epoch in which messages were lost:
 /// each lags by as much as it lags. What was committed is on three of five.
 fn replicas_after_writes(
     random: &mut SeededRandom,
@@ -120,7 +120,7 @@
     (replicas, leader)
 }
 
-/// The next leader's life until every replica holds what it holds; bytes sent.
+/// The next leader's epoch until every replica holds what it holds; the bytes sent.
 fn take_over(replicas: &mut [Replica]) -> (PartitionLeader, usize) {
     let local_state = replicas[CANDIDATE]
         .partition(PUBLISHED_PARTITIONS)
