--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -1,3 +1,4 @@
+//! Changes that are retried while nodes and messages are lost.
 use super::cluster::Cluster;
 use crate::prelude::*;
 
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Another node keeps the ledger closed for so long.
+    /// Another node has closed the ledger for so long.
     pub(super) fn extend_ledger_closure(&mut self, now: Duration, closed_for: Duration) {
         let until = now + closed_for;
         let is_longer = until > self.generation.ledger_closed_until + CLOSING_TOLERANCE;
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -41,7 +41,7 @@
             return self.found_table(now, members);
         }
         let founding = self.is_founding();
-        // Seeds may have departed by now: members of the last known table are asked too.
+        // Seeds may have departed by now: members of the last known table get the request too.
         let known = self.members.iter().map(|peer| peer.address);
         let addresses: BTreeSet<SocketAddr> = self
             .seeds
--- a/control-plane/src/control_node/recall.rs
+++ b/control-plane/src/control_node/recall.rs
@@ -12,7 +12,7 @@
         self.end_recalls(now);
     }
 
-    /// Asks edges for rows beyond those known here.
+    /// Requests from edges the rows beyond those known here.
     fn send_recall_requests(&mut self) {
         let mut requests = Vec::new();
         for (partition, leader) in &self.leaders {
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -50,7 +50,7 @@
         // Epochs of one slot differ from those of all others.
         let slots = MAX_SLOTS as u64;
         let epoch = (highest / slots + 1) * slots + u64::from(self.slot);
-        // On the own disk before others are asked: an epoch that others promised and this node forgot over a restart
+        // On the own disk before promises are requested: an epoch that others promised and this node forgot over a restart
         // would be taken twice.
         self.store(&Record::Promise { partition, epoch });
         let local_state = self.replica.partition(partition).state.clone();
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -398,15 +398,17 @@
     );
 }
 
+/// The founding table with these slots.
+fn table(slots: &[u16]) -> MembershipTable {
+    let members = slots.iter().map(|slot| Peer::new(address(*slot), 0));
+    MembershipTable {
+        version: 0,
+        members: members.collect(),
+    }
+}
+
 #[test]
 fn founding_table_is_accepted_once_by_founding_nodes() {
-    let table = |slots: &[u16]| MembershipTable {
-        version: 0,
-        members: slots
-            .iter()
-            .map(|slot| Peer::new(address(*slot), 0))
-            .collect(),
-    };
     let mut seed = DurableNode::start(1, vec![], true);
     seed.step(0, Input::Tick);
     assert!(
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -172,7 +172,7 @@
             node.control_node.shutdown.handover,
             Handover::Assigned { .. }
         ),
-        "an answer to an earlier offer takes nothing back"
+        "a reply to an earlier offer takes nothing back"
     );
 }
 
@@ -222,7 +222,7 @@
     assert_eq!(
         node.control_node.replica.retired,
         [77],
-        "it says what its predecessor would have said"
+        "it reports what its predecessor would have"
     );
     // A retry is confirmed again, and nothing is applied twice.
     assert_eq!(node.receive(200, 0, state(VERSION, 0)).len(), 1);
@@ -279,7 +279,10 @@
         node.heartbeat(tick * 100 + 10, 1);
     }
     let now = Duration::from_millis(3_950);
-    assert!(node.control_node.is_slot_lost(now, 2), "nobody has met it");
+    assert!(
+        node.control_node.is_slot_lost(now, 2),
+        "it sent no message yet"
+    );
     let request = SnapshotRequest {
         slot: 2,
         round: 0,
--- a/control-plane/src/history/tests.rs
+++ b/control-plane/src/history/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of `history`.
 use crate::prelude::*;
 
 #[test]
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
         (1, ChangeOutcome::Claimed),
-        "said twice"
+        "a duplicate"
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
--- a/control-plane/src/operator_api/tests.rs
+++ b/control-plane/src/operator_api/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of `operator_api`.
+
 #[test]
 fn items_are_validated_singly_and_removal_is_explicit() {
     let group = r#"{"service":"s","rate":9.50,"concurrency":2,"proof":"named"}"#;
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -70,6 +70,17 @@
     assert_eq!(message_counts, [3, 0, 0, 0, 3, 0, 0, 0, 3, 0]);
 }
 
+/// All three replicas of a ledger partition synced this version, in this round.
+fn ledger_replies_from_all(leader: &mut PartitionLeader, round: u64, version: u64) {
+    for slot in 0..3 {
+        let reply = AppendReply {
+            partition: PUBLISHED_PARTITIONS,
+            ..append_reply(round, version, 0)
+        };
+        leader.on_append_reply(slot, &reply);
+    }
+}
+
 #[test]
 fn ledger_sends_missing_rows_and_one_round_a_second() {
     let at = Duration::from_millis;
@@ -80,43 +91,19 @@
     assert_eq!(
         leader.due_messages(at(1000), true).len(),
         3,
-        "the adopted image"
+        "the adopted state"
     );
-    for slot in 0..3 {
-        leader.on_append_reply(
-            slot,
-            &AppendReply {
-                partition: PUBLISHED_PARTITIONS,
-                ..append_reply(1, 0, 0)
-            },
-        );
-    }
+    ledger_replies_from_all(&mut leader, 1, 0);
     assert!(
         (1100..2000)
             .step_by(100)
             .all(|ms| leader.due_messages(at(ms), true).is_empty())
     );
     assert_eq!(leader.due_messages(at(2000), true).len(), 3);
-    for slot in 0..3 {
-        leader.on_append_reply(
-            slot,
-            &AppendReply {
-                partition: PUBLISHED_PARTITIONS,
-                ..append_reply(2, 0, 0)
-            },
-        );
-    }
+    ledger_replies_from_all(&mut leader, 2, 0);
     leader.put("k".into(), value(1));
     assert_eq!(leader.due_messages(at(2010), false).len(), 3);
-    for slot in 0..3 {
-        leader.on_append_reply(
-            slot,
-            &AppendReply {
-                partition: PUBLISHED_PARTITIONS,
-                ..append_reply(2, 1, 0)
-            },
-        );
-    }
+    ledger_replies_from_all(&mut leader, 2, 1);
     assert_eq!(leader.committed(), 1);
     assert!(
         leader.due_messages(at(2020), true).is_empty(),
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -1,21 +1,29 @@
 //! Tests of `replica_recovery`.
 use crate::prelude::*;
 
+/// Whether recovery needs more replies after this one.
+fn is_incomplete(recovery: &mut ReplicaRecovery, reply: SnapshotReply) -> bool {
+    recovery.on_snapshot_reply(reply).is_none()
+}
+
+/// One partition without rows.
+fn partitions(promised: u64, epoch: u64, version: u64) -> Vec<PartitionSnapshot> {
+    let state = PartitionState {
+        epoch,
+        version,
+        published: version,
+        rows: BTreeMap::new(),
+    };
+    vec![PartitionSnapshot {
+        partition: 0,
+        promised,
+        state,
+        published_rows: BTreeMap::new(),
+    }]
+}
+
 #[test]
 fn second_round_snapshots_merge_to_newest_state() {
-    let partitions = |promised, epoch, version| {
-        vec![PartitionSnapshot {
-            partition: 0,
-            promised,
-            state: PartitionState {
-                epoch,
-                version,
-                published: version,
-                rows: BTreeMap::new(),
-            },
-            published_rows: BTreeMap::new(),
-        }]
-    };
     let reply = |slot, round, partitions| SnapshotReply {
         slot,
         requester_incarnation: 1,
@@ -26,32 +34,26 @@
         partitions,
     };
     let mut recovery = ReplicaRecovery::new(1, 3, 0);
+    assert!(is_incomplete(
+        &mut recovery,
+        reply(0, 0, partitions(1, 1, 90))
+    ));
+    assert!(is_incomplete(
+        &mut recovery,
+        reply(0, 0, partitions(1, 1, 90))
+    ));
+    assert!(is_incomplete(
+        &mut recovery,
+        reply(2, 0, partitions(1, 1, 90))
+    ));
     assert!(
-        recovery
-            .on_snapshot_reply(reply(0, 0, partitions(1, 1, 90)))
-            .is_none()
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(reply(0, 0, partitions(1, 1, 90)))
-            .is_none()
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(reply(2, 0, partitions(1, 1, 90)))
-            .is_none()
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(reply(2, 0, partitions(1, 1, 90)))
-            .is_none(),
+        is_incomplete(&mut recovery, reply(2, 0, partitions(1, 1, 90))),
         "late first round"
     );
-    assert!(
-        recovery
-            .on_snapshot_reply(reply(0, 1, partitions(9, 3, 5)))
-            .is_none()
-    );
+    assert!(is_incomplete(
+        &mut recovery,
+        reply(0, 1, partitions(9, 3, 5))
+    ));
     let recovered = recovery
         .on_snapshot_reply(reply(2, 1, partitions(7, 4, 2)))
         .unwrap();
@@ -68,18 +70,6 @@
 }
 
 fn snapshot_reply(slot: u8, round: u8, full: bool, version: u64) -> SnapshotReply {
-    let state = PartitionState {
-        epoch: 1,
-        version,
-        published: version,
-        rows: BTreeMap::new(),
-    };
-    let partitions = vec![PartitionSnapshot {
-        partition: 0,
-        promised: 1,
-        state,
-        published_rows: BTreeMap::new(),
-    }];
     SnapshotReply {
         slot,
         requester_incarnation: 1,
@@ -87,59 +77,38 @@
         full,
         lost_generation: 0,
         membership_version: 5,
-        partitions,
+        partitions: partitions(1, 1, version),
     }
 }
 
 #[test]
 fn recovery_in_four_slots_needs_second_usable_snapshot() {
     let mut recovery = ReplicaRecovery::new(3, 4, 5);
-    assert!(
-        recovery
-            .on_snapshot_reply(snapshot_reply(0, 0, true, 9))
-            .is_none()
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(snapshot_reply(1, 0, false, 0))
-            .is_none()
-    );
+    assert!(is_incomplete(&mut recovery, snapshot_reply(0, 0, true, 9)));
+    assert!(is_incomplete(&mut recovery, snapshot_reply(1, 0, false, 0)));
     assert_eq!(recovery.round, 0, "one is blank: it does not count");
     assert!(
         recovery
             .tick(Duration::ZERO)
             .iter()
             .any(|(slot, _)| *slot == 1),
-        "and is asked again"
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(SnapshotReply {
-                membership_version: 4,
-                ..snapshot_reply(2, 0, true, 9)
-            })
-            .is_none()
+        "and its request is retried"
     );
+    assert!(is_incomplete(
+        &mut recovery,
+        SnapshotReply {
+            membership_version: 4,
+            ..snapshot_reply(2, 0, true, 9)
+        }
+    ));
     assert_eq!(
         recovery.round, 0,
         "one goes by an earlier table: it does not count"
     );
-    assert!(
-        recovery
-            .on_snapshot_reply(snapshot_reply(2, 0, true, 9))
-            .is_none()
-    );
+    assert!(is_incomplete(&mut recovery, snapshot_reply(2, 0, true, 9)));
     assert_eq!(recovery.round, 1);
-    assert!(
-        recovery
-            .on_snapshot_reply(snapshot_reply(1, 1, false, 0))
-            .is_none()
-    );
-    assert!(
-        recovery
-            .on_snapshot_reply(snapshot_reply(2, 1, true, 7))
-            .is_none()
-    );
+    assert!(is_incomplete(&mut recovery, snapshot_reply(1, 1, false, 0)));
+    assert!(is_incomplete(&mut recovery, snapshot_reply(2, 1, true, 7)));
     let recovered = recovery
         .on_snapshot_reply(snapshot_reply(0, 1, true, 9))
         .unwrap();
@@ -151,11 +120,10 @@
     let mut recovery = ReplicaRecovery::new(4, 5, 0);
     for round in 0..2 {
         for slot in 0..3 {
-            assert!(
-                recovery
-                    .on_snapshot_reply(snapshot_reply(slot, round, slot < 2, 9))
-                    .is_none()
-            );
+            assert!(is_incomplete(
+                &mut recovery,
+                snapshot_reply(slot, round, slot < 2, 9)
+            ));
         }
         let recovered = recovery.on_snapshot_reply(snapshot_reply(3, round, false, 0));
         assert_eq!(
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -71,13 +71,13 @@
     );
     assert!(
         !table.has_ended(sender.peer, 0) && table.local_sessions().len() == 2,
-        "a mark of another run tells nothing"
+        "a token of another run proves nothing"
     );
     let tokens = table.issued_tokens();
     table.renew(at(45), two.clone(), Some(renewal_token));
     assert!(
         !table.has_ended(sender.peer, tokens),
-        "told before it was known that the other had begun"
+        "issued before it was known that the other had begun"
     );
     let renewal_token = table.issue_token();
     table.renew(at(50), two.clone(), Some(renewal_token));
@@ -89,7 +89,7 @@
     assert_eq!(
         table.local_sessions(),
         [two],
-        "what the earlier life said came late"
+        "the renewal of the earlier incarnation came late"
     );
 }
 
@@ -114,13 +114,10 @@
             .wrapping_add(1442695040888963407);
         (seed >> 33) % most
     };
-    let core = |table: &Sessions| {
-        table
-            .local
-            .sessions
-            .values()
-            .map(|sender| (sender.info.peer, sender.info.draining))
-            .collect::<BTreeSet<_>>()
+    let core = |sessions: &mut dyn Iterator<Item = &SessionInfo>| -> BTreeSet<(Peer, bool)> {
+        sessions
+            .map(|session| (session.peer, session.draining))
+            .collect()
     };
     let (mut sender, mut receiver) = (Sessions::default(), Sessions::default());
     let (mut late, mut accepted) = (vec![], 0);
@@ -132,20 +129,18 @@
             0 => _ = sender.remove(session(port, 1).peer),
             1 if random(40) == 0 => sender = Sessions::default(),
             _ => {
-                _ = sender.renew(
-                    now,
-                    SessionInfo {
-                        draining: random(3) == 0,
-                        ..session(port, step)
-                    },
-                    None,
-                )
+                let draining = random(3) == 0;
+                let info = SessionInfo {
+                    draining,
+                    ..session(port, step)
+                };
+                _ = sender.renew(now, info, None);
             }
         }
         sent_tables
             .entry(sender.local.checksum)
             .or_default()
-            .push(core(&sender));
+            .push(core(&mut sender.local.infos()));
         let delta = sender.delta_since(receiver.received_revision(1));
         if random(4) == 0 {
             late.push(delta.clone());
@@ -159,11 +154,7 @@
         let table = &receiver.peer_tables[&1];
         if table.last_contact == now {
             accepted += 1;
-            let received: BTreeSet<_> = table
-                .sessions
-                .values()
-                .map(|session| (session.peer, session.draining))
-                .collect();
+            let received = core(&mut table.infos());
             assert!(
                 sent_tables[&late.checksum].contains(&received),
                 "step {step}"
--- a/control-plane/src/update_replies/tests.rs
+++ b/control-plane/src/update_replies/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of `update_replies`.
 use crate::prelude::*;
 
 fn edge(port: u16) -> Peer {
@@ -50,7 +51,7 @@
     let vector = [0, known, 0, 0, 0];
     let updates = replies
         .reply(at(ms), to, &vector, from)
-        .expect("it is told");
+        .expect("it is sent");
     assert_eq!(updates.to_vec(), from.updates(&vector));
     updates
 }
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -291,7 +291,7 @@
     ) -> (Duration, ChangeOutcome) {
         let at = self.submit(node, CONFIGURATION_PARTITION, change);
         let responded = self.run_while_not(span, |cluster| cluster.calls[at].response.is_some());
-        assert!(responded, "no answer at node {node} within {span:?}");
+        assert!(responded, "no response at node {node} within {span:?}");
         let (when, outcome) = self.calls[at].response.clone().expect("just seen");
         (when - self.calls[at].sent_at, outcome)
     }
@@ -309,7 +309,7 @@
             } => Some(state),
             _ => None,
         });
-        state.expect("state is always told")
+        state.expect("state is always reported")
     }
 
     /// Whether a node reports that a majority is in contact with it.
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -138,7 +138,7 @@
                 prepares && node_at(envelope.to) <= 1 && node_at(envelope.from.address) <= 1
             });
             let key = next.map(|(key, _)| *key);
-            self.apply(Action::Deliver(key.expect("promises are asked for")));
+            self.apply(Action::Deliver(key.expect("promises are requested")));
         }
         self
     }
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -50,42 +50,46 @@
         }
         match message {
             Message::PrepareRequest(request) => {
-                let (partition, epoch) = (request.partition, request.epoch);
-                replica.apply(&Record::Promise { partition, epoch });
-                let state = replica
-                    .partition(partition)
-                    .prepared_state(partition, request.requester_state);
+                let state = promise(replica, &request);
                 bytes += bincode::serialized_size(&state).unwrap() as usize;
                 leader.on_prepare_reply(now, slot, state);
             }
-            Message::AppendRequest(request) => {
-                let (partition, epoch, round, to) = (
-                    request.partition,
-                    request.epoch,
-                    request.round,
-                    request.to_version,
-                );
-                if !replica.partition(partition).accepts(&request) {
-                    leader.reset_replica(slot);
-                    continue;
-                }
-                replica.apply(&Record::Appended { request });
-                let reply = AppendReply {
-                    partition,
-                    epoch,
-                    round,
-                    synced_version: to,
-                    sessions_confirmed: None,
-                    retired_incarnations: vec![],
-                };
-                leader.on_append_reply(slot, &reply);
-            }
+            Message::AppendRequest(request) => match append(replica, request) {
+                Some(reply) => leader.on_append_reply(slot, &reply),
+                None => leader.reset_replica(slot),
+            },
             other => panic!("{}", other.name()),
         }
     }
     bytes
 }
 
+/// A replica promises, and reports its state.
+fn promise(replica: &mut Replica, request: &PrepareRequest) -> PreparedState {
+    let (partition, epoch) = (request.partition, request.epoch);
+    replica.apply(&Record::Promise { partition, epoch });
+    replica
+        .partition(partition)
+        .prepared_state(partition, request.requester_state)
+}
+
+/// A replica stores rows; none if they do not follow on what it holds.
+fn append(replica: &mut Replica, request: AppendRequest) -> Option<AppendReply> {
+    if !replica.partition(request.partition).accepts(&request) {
+        return None;
+    }
+    let reply = AppendReply {
+        partition: request.partition,
+        epoch: request.epoch,
+        round: request.round,
+        synced_version: request.to_version,
+        sessions_confirmed: None,
+        retired_incarnations: vec![],
+    };
+    replica.apply(&Record::Appended { request });
+    Some(reply)
+}
+
 /// Replicas of a partition after a leader's epoch in which messages were lost:
 /// each lags by as much as it lags. What was committed is on three of five.
 fn replicas_after_writes(
@@ -194,7 +198,7 @@
             let newer = adopted.is_some_and(|version| version >= row.version);
             assert!(
                 newer,
-                "seed {seed}: {key} of version {} is gone",
+                "seed {seed}: {key} of version {} is lost",
                 row.version
             );
         }
