--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -70,13 +70,13 @@
         if epoch > promised {
             self.store(&Record::Promise { partition, epoch });
         }
-        let held = self.replica.partition(partition);
+        let stored = self.replica.partition(partition);
         let reply = PrepareReply {
             partition,
             epoch,
             lost_generation: self.lost_generation(),
             retired_incarnations: self.retired_incarnations(),
-            state: held.prepared_state(partition, request.requester_state),
+            state: stored.prepared_state(partition, request.requester_state),
         };
         self.send_after_sync(from.address, reply);
     }
@@ -99,11 +99,11 @@
         request: AppendRequest,
     ) {
         let (partition, epoch, round) = (request.partition, request.epoch, request.round);
-        let held = self.replica.partition(partition);
-        if epoch < held.promised_epoch {
+        let stored = self.replica.partition(partition);
+        if epoch < stored.promised_epoch {
             return self.refuse_stale_epoch(from, partition, epoch);
         }
-        if !held.accepts(&request) {
+        if !stored.accepts(&request) {
             let gap = AppendGap {
                 partition,
                 epoch,
@@ -111,7 +111,7 @@
             };
             return self.send(from.address, gap);
         }
-        let published_before = held.state.published;
+        let published_before = stored.state.published;
         let synced_version = request.to_version;
         self.store_append(request);
         let published = self.replica.partition(partition).state.published;
@@ -136,12 +136,13 @@
     /// Stores what of an accepted append is new. Applied again, rows of a request that was overtaken or came twice
     /// would undo what was acknowledged since.
     fn store_append(&mut self, request: AppendRequest) {
-        let held = self.replica.partition(request.partition);
-        let is_current = held.state.epoch == request.epoch && held.promised_epoch == request.epoch;
-        let is_held = is_current && held.state.version >= request.to_version;
-        if !is_held {
+        let stored = self.replica.partition(request.partition);
+        let is_current =
+            stored.state.epoch == request.epoch && stored.promised_epoch == request.epoch;
+        let is_stored = is_current && stored.state.version >= request.to_version;
+        if !is_stored {
             self.store(&Record::Appended { request });
-        } else if request.published > held.state.published {
+        } else if request.published > stored.state.published {
             let request = without_rows(request);
             self.store(&Record::Appended { request });
         }
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -510,9 +510,9 @@
         .into_iter()
         .find_map(|(_, message)| match message {
             Message::PrepareReply(PrepareReply {
-                state: PreparedState::Newer(image),
+                state: PreparedState::Newer(prepared_state),
                 ..
-            }) => Some(image),
+            }) => Some(prepared_state),
             _ => None,
         })
         .expect("the epoch is promised");
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -181,11 +181,15 @@
     }
     leader.on_append_reply(0, &append_reply(1, 0, 0));
     let messages = leader.due_messages(ZERO, false);
-    let [(0, Message::AppendRequest(keep))] = messages.as_slice() else {
+    let [(0, Message::AppendRequest(request))] = messages.as_slice() else {
         panic!("{messages:?}")
     };
     assert_eq!(
-        (keep.rows.len(), keep.after_version, keep.to_version),
+        (
+            request.rows.len(),
+            request.after_version,
+            request.to_version
+        ),
         (20, 0, 20)
     );
 }
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -103,6 +103,28 @@
     }
 }
 
+/// Renews or ends a session, or restarts the sender.
+fn change_at_random(
+    sender: &mut Sessions,
+    now: Duration,
+    step: u64,
+    random: &mut dyn FnMut(u64) -> u64,
+) {
+    let port = 1 + random(20) as u16;
+    match random(8) {
+        0 => _ = sender.remove(session(port, 1).peer),
+        1 if random(40) == 0 => *sender = Sessions::default(),
+        _ => {
+            let draining = random(3) == 0;
+            let info = SessionInfo {
+                draining,
+                ..session(port, step)
+            };
+            _ = sender.renew(now, info, None);
+        }
+    }
+}
+
 /// Whatever is lost, duplicated, late, or sent by another run: a table counts as received only in a state that the
 /// sender had.
 #[test]
@@ -124,19 +146,7 @@
     let mut sent_tables: BTreeMap<u64, Vec<BTreeSet<(Peer, bool)>>> = BTreeMap::new();
     for step in 1..6000u64 {
         let now = Duration::from_millis(step * 100);
-        let port = 1 + random(20) as u16;
-        match random(8) {
-            0 => _ = sender.remove(session(port, 1).peer),
-            1 if random(40) == 0 => sender = Sessions::default(),
-            _ => {
-                let draining = random(3) == 0;
-                let info = SessionInfo {
-                    draining,
-                    ..session(port, step)
-                };
-                _ = sender.renew(now, info, None);
-            }
-        }
+        change_at_random(&mut sender, now, step, &mut random);
         sent_tables
             .entry(sender.local.checksum)
             .or_default()
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -78,8 +78,8 @@
                 full: true,
                 ..Replica::blank(1 + node as u64)
             };
-            let image = control_plane::Record::Snapshot(Box::new(replica.clone()));
-            let disk = vec![bincode::serialize(&image).expect("records serialize")];
+            let snapshot = control_plane::Record::Snapshot(Box::new(replica.clone()));
+            let disk = vec![bincode::serialize(&snapshot).expect("records serialize")];
             let control_node = Cluster::control_node(node, size, replica, 1);
             cluster.nodes.push(Node {
                 control_node,
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -484,8 +484,8 @@
     /// Edges are shown only what was acknowledged.
     fn judge_published(&mut self) {
         for node in &self.nodes {
-            for (partition, held) in node.replica.partitions.iter().enumerate() {
-                for (key, row) in &held.published_rows {
+            for (partition, replica_partition) in node.replica.partitions.iter().enumerate() {
+                for (key, row) in &replica_partition.published_rows {
                     let known = self
                         .acknowledged
                         .rows
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -67,7 +67,7 @@
             .map(|replica| {
                 let touched = replica.partitions.iter().enumerate();
                 let touched: Vec<_> = touched
-                    .filter(|(_, held)| **held != ReplicaPartition::default())
+                    .filter(|(_, stored)| **stored != ReplicaPartition::default())
                     .collect();
                 (
                     (replica.incarnation, replica.full, replica.removed),
@@ -506,7 +506,7 @@
         let PrepareRequest {
             partition,
             epoch,
-            requester_state: held,
+            requester_state,
             ..
         } = request;
         let promised = self.replica.partition(partition).promised_epoch;
@@ -524,7 +524,7 @@
             state: self
                 .replica
                 .partition(partition)
-                .prepared_state(partition, held),
+                .prepared_state(partition, requester_state),
         };
         vec![self.envelope(from.address, reply)]
     }
@@ -536,11 +536,11 @@
             request.round,
             request.to_version,
         );
-        let held = self.replica.partition(partition);
-        if epoch < held.promised_epoch && self.has(Safeguard::PromiseCheckedOnAppend) {
+        let stored = self.replica.partition(partition);
+        if epoch < stored.promised_epoch && self.has(Safeguard::PromiseCheckedOnAppend) {
             return vec![];
         }
-        if !held.accepts(&request) && self.has(Safeguard::GapRefused) {
+        if !stored.accepts(&request) && self.has(Safeguard::GapRefused) {
             let gap = AppendGap {
                 partition,
                 epoch,
@@ -548,11 +548,11 @@
             };
             return vec![self.envelope(from.address, gap)];
         }
-        let current = held.state.epoch == epoch && held.promised_epoch == epoch;
-        let is_held = current && held.state.version >= to;
-        if !is_held || request.full_state && !self.has(Safeguard::OutdatedAppendIgnored) {
+        let current = stored.state.epoch == epoch && stored.promised_epoch == epoch;
+        let is_stored = current && stored.state.version >= to;
+        if !is_stored || request.full_state && !self.has(Safeguard::OutdatedAppendIgnored) {
             self.store(&Record::Appended { request });
-        } else if request.published > held.state.published {
+        } else if request.published > stored.state.published {
             let request = AppendRequest {
                 full_state: false,
                 rows: vec![],
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -137,9 +137,9 @@
             replica.partition(reply.partition).promised_epoch >= reply.epoch
         }
         Message::AppendReply(reply) => {
-            let image = &replica.partition(reply.partition).state;
-            (image.epoch, image.version) >= (reply.epoch, reply.synced_version)
-                || image.epoch > reply.epoch
+            let state = &replica.partition(reply.partition).state;
+            (state.epoch, state.version) >= (reply.epoch, reply.synced_version)
+                || state.epoch > reply.epoch
         }
         _ => true,
     }
@@ -294,8 +294,8 @@
     fn check(&self) -> Result<(), TestCaseError> {
         let partition = self.leader.partition;
         let holding = self.replicas.iter().filter(|node| {
-            let image = &node.replica.partition(partition).state;
-            image.epoch == EPOCH && image.version >= self.leader.committed()
+            let state = &node.replica.partition(partition).state;
+            state.epoch == EPOCH && state.version >= self.leader.committed()
         });
         let committed = self.leader.committed();
         prop_assert!(
@@ -303,13 +303,13 @@
             "{committed} is lost"
         );
         for node in &self.replicas {
-            let held = node.replica.partition(partition);
-            if held.state.epoch == EPOCH {
-                let known = self.states.get(&held.state.version);
-                prop_assert_eq!(Some(&held.state.rows), known);
+            let replica_partition = node.replica.partition(partition);
+            if replica_partition.state.epoch == EPOCH {
+                let known = self.states.get(&replica_partition.state.version);
+                prop_assert_eq!(Some(&replica_partition.state.rows), known);
             }
-            if partition < PUBLISHED_PARTITIONS && held.state.published > 0 {
-                prop_assert!(held.state.published <= self.leader.committed());
+            if partition < PUBLISHED_PARTITIONS && replica_partition.state.published > 0 {
+                prop_assert!(replica_partition.state.published <= self.leader.committed());
             }
         }
         Ok(())
@@ -342,8 +342,8 @@
                 }
             }
             if at == image_at {
-                let image = Record::Snapshot(Box::new(replica.clone()));
-                log = vec![bincode::serialize(&image).unwrap()];
+                let snapshot = Record::Snapshot(Box::new(replica.clone()));
+                log = vec![bincode::serialize(&snapshot).unwrap()];
             }
             let Some(serial) = last else { continue };
             for output in control_node.handle(Duration::from_secs(1), Input::Stored { serial }) {
