--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -1,4 +1,4 @@
-//! Changes on their way to the leader of their partition, made there, and their answers.
+//! Changes on their way to the leader of their partition, and made there.
 
 use super::*;
 
@@ -7,86 +7,57 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a call of an operator is sent again before its outcome is given up
-/// as unknown.
-const OPERATOR_CALL_LIMIT: Duration = Duration::from_secs(12);
-/// An unanswered call is sent again after this.
-const OPERATOR_CALL_AGAIN: Duration = Duration::from_millis(400);
+/// How long a change is retried before its outcome is given up as unknown.
+pub(super) const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(12);
+/// Id of a change that a node requests by itself, without waiting for the reply.
+const NO_REQUESTER_ID: u64 = 0;
+/// So many control nodes pass a change on at the most: one that it was sent to by mistake, and one between that and
+/// the leader.
+const MAX_HOPS: u8 = 2;
+/// Keys of the rows that are replaced as a unit.
+const CONFIGURATION_KEY: &str = "configuration";
+const ORIGINS_KEY: &str = "origins";
 
-/// An answer that waits for its leader to get so far.
-pub(super) struct PendingReply {
-    pub(super) partition: u8,
-    pub(super) asker: SocketAddr,
-    pub(super) id: u64,
-    pub(super) commit: u64,
-    pub(super) settle: u64,
-    pub(super) round: u64,
-    pub(super) told: ChangeOutcome,
+/// A new value for a row that is replaced as a unit.
+struct Replacement<'a> {
+    key: &'a str,
+    value: Value,
+    /// The version that it is made to replace, if it names one.
+    expect: Option<u64>,
+    /// Id of the change.
+    change: u64,
 }
 
 impl PendingReply {
-    /// A reply to this request that has to wait for nothing yet.
-    fn new(request: &ChangeRequest) -> PendingReply {
-        PendingReply {
-            partition: request.partition,
-            asker: request.requester,
-            id: request.id,
-            commit: 0,
-            settle: 0,
-            round: 0,
-            told: ChangeOutcome::Unknown,
-        }
-    }
-
-    /// Acknowledges once this version is in force everywhere.
-    fn acknowledge(&mut self, version: u64) {
-        self.settle = version;
-        self.told = ChangeOutcome::Acknowledged { version };
-    }
-
-    /// Acknowledges as soon as the version is on a majority of disks instead.
-    fn acknowledge_commit(&mut self) {
-        if self.settle > 0 {
-            self.commit = std::mem::take(&mut self.settle);
-        }
-    }
-
-    /// Refuses for what stands: only once that is on a majority of disks and
-    /// the leader is confirmed, since one that was superseded may not know what
-    /// was accepted after it.
-    fn refuse(&mut self, leader: &mut PartitionLeader, told: ChangeOutcome) {
-        self.commit = leader.version;
-        self.round = leader.start_round();
-        self.told = told;
-    }
-
-    /// Puts a row that is replaced whole, unless this change did so already,
-    /// another version stands than the expected one, or something is found
-    /// wrong with it. The version, if it is put now.
-    fn replace(
+    /// Puts a row that is replaced as a unit, unless this change did so already, another version stands than the
+    /// expected one, or the value is not valid. The version, if it is put now.
+    fn replace_row(
         &mut self,
         leader: &mut PartitionLeader,
-        key: &str,
-        value: Value,
-        expect: Option<u64>,
-        change: u64,
-        found: &dyn Fn() -> Option<Vec<Finding>>,
+        replacement: Replacement<'_>,
+        validate: &dyn Fn() -> Result<(), Vec<Finding>>,
     ) -> Option<u64> {
+        let Replacement {
+            key,
+            value,
+            expect,
+            change,
+        } = replacement;
         if let Some(version) = leader.applied_version(key, change) {
             self.acknowledge(version);
             return None;
         }
         let current = leader.rows.get(key).map_or(0, |row| row.version);
         if expect.is_some_and(|version| version != current) {
-            let raced = ChangeOutcome::VersionConflict {
+            let conflict = ChangeOutcome::VersionConflict {
                 version: current,
-                complete_after: leader.applied().complete_after(),
+                complete_after: leader.applied_changes().complete_after(),
             };
-            self.refuse(leader, raced);
+            self.refuse(leader, conflict);
             return None;
         }
-        if let Some(found) = found() {
-            self.told = ChangeOutcome::Findings(found);
+        if let Err(findings) = validate() {
+            self.outcome = ChangeOutcome::Findings(findings);
             return None;
         }
         let version = leader.apply_change(key, value, change);
@@ -95,7 +66,7 @@
     }
 
     /// Sets or removes items. How many, and the version, if any are put now.
-    fn put_items(
+    fn apply_items(
         &mut self,
         leader: &mut PartitionLeader,
         items: Vec<Item>,
@@ -112,8 +83,8 @@
         for (key, value) in change.rows {
             leader.put(key, value);
         }
-        let versions = change.keys.iter().filter_map(|key| leader.rows.get(key));
-        let version = versions.map(|row| row.version).max().unwrap_or(0);
+        let rows = change.keys.iter().filter_map(|key| leader.rows.get(key));
+        let version = rows.map(|row| row.version).max().unwrap_or(0);
         self.acknowledge(version);
         (count > 0).then_some((count, version))
     }
@@ -121,135 +92,14 @@
 
 fn outcome_of(refusal: ItemsRejection) -> ChangeOutcome {
     match refusal {
-        ItemsRejection::Invalid(found) => ChangeOutcome::Findings(found),
-        ItemsRejection::Conflict(found) => ChangeOutcome::RevisionConflict(found),
-        ItemsRejection::Forgotten(found) => ChangeOutcome::RevisionForgotten(found),
-    }
-}
-
-/// A call from an operator, on its way to the leader of its partition.
-pub(super) struct OperatorCall {
-    partition: u8,
-    change: Change,
-    until: Duration,
-    next: Duration,
-    /// The leader it was last meant for, and how often it was sent.
-    sent_to: Option<u8>,
-    tries: u32,
-}
-
-impl OperatorCall {
-    /// The version that the change is made to replace, if it says so.
-    fn expect(&self) -> Option<u64> {
-        match &self.change {
-            Change::PutConfiguration { expect, .. } | Change::PutOrigins { expect, .. } => *expect,
-            _ => None,
-        }
-    }
-
-    /// What is known of a call that is given up: reads have no effect, and
-    /// what was never sent had none.
-    fn given_up(&self) -> ChangeOutcome {
-        let is_read = matches!(self.change, Change::GetConfiguration | Change::List);
-        if is_read || self.tries == 0 {
-            ChangeOutcome::NoMajority
-        } else {
-            ChangeOutcome::Unknown
-        }
+        ItemsRejection::Invalid(findings) => ChangeOutcome::Findings(findings),
+        ItemsRejection::Conflict(findings) => ChangeOutcome::RevisionConflict(findings),
+        ItemsRejection::Forgotten(findings) => ChangeOutcome::RevisionForgotten(findings),
     }
 }
 
-/// A change of another member that does not reach the leader itself.
-pub(super) struct Relay {
-    asker: SocketAddr,
-    id: u64,
-    pub(super) until: Duration,
-}
-
-/// Id of a change that this node asks for by itself.
-pub(super) const NOBODY_WAITS: u64 = 0;
-/// Ids under which changes are passed on have this bit, ids of operators'
-/// calls have not.
-pub(super) const RELAY_IDS: u64 = 1 << 63;
-/// So many control nodes pass a change on at the most: one that is asked by
-/// mistake, and one between it and the leader.
-const MOST_HOPS: u8 = 2;
-/// A cut of this length may be over before a caller could ask another node.
-const CUT_OFF_GRACE: Duration = Duration::from_millis(600);
-
 impl ControlNode {
-    /// Notes since when no majority is in contact with this node.
-    pub(super) fn watch_contact(&mut self, now: Duration) {
-        if self.reaches_majority(now) {
-            self.cut_off = None;
-        } else {
-            self.cut_off.get_or_insert(now);
-        }
-    }
-
-    fn is_cut_off(&self, now: Duration) -> bool {
-        let for_long = |since| now >= since + CUT_OFF_GRACE;
-        self.cut_off.is_some_and(for_long) && !self.reaches_majority(now)
-    }
-
-    pub(super) fn answer_operator(&mut self, id: u64, outcome: ChangeOutcome) {
-        let answer = OperatorResponse::ChangeOutcome(outcome);
-        self.out.push(Output::OperatorResponse {
-            id,
-            response: answer,
-        });
-    }
-
-    /// Answers all operators' calls with what is known of them by now.
-    pub(super) fn give_up_operator_calls(&mut self) {
-        for (id, call) in std::mem::take(&mut self.operator_calls) {
-            self.answer_operator(id, call.given_up());
-        }
-    }
-
-    /// Sends operators' calls to the leaders of their partitions, again when
-    /// there was no answer or when another member leads.
-    pub(super) fn send_operator_calls(&mut self, now: Duration) {
-        if self.is_cut_off(now) {
-            return self.give_up_operator_calls();
-        }
-        let ids: Vec<u64> = self.operator_calls.keys().copied().collect();
-        for id in ids {
-            let call = &self.operator_calls[&id];
-            if now >= call.until {
-                let outcome = call.given_up();
-                self.operator_calls.remove(&id);
-                self.answer_operator(id, outcome);
-                continue;
-            }
-            let leader = self.chosen(now, call.partition);
-            if leader.is_some() && (now >= call.next || call.sent_to != leader) {
-                self.send_operator_call(now, id, leader);
-            }
-        }
-    }
-
-    fn send_operator_call(&mut self, now: Duration, id: u64, leader: Option<u8>) {
-        let Some(next_hop) = leader.and_then(|leader| self.next_hop(now, leader)) else {
-            return;
-        };
-        let asker = self.address(self.slot);
-        let Some(call) = self.operator_calls.get_mut(&id) else {
-            return;
-        };
-        call.next = now + OPERATOR_CALL_AGAIN;
-        call.sent_to = leader;
-        call.tries += 1;
-        let request = ChangeRequest {
-            requester: asker,
-            id,
-            partition: call.partition,
-            hops: 0,
-            change: call.change.clone(),
-        };
-        self.tell(self.address(next_hop), request);
-    }
-
+    /// A node or an edge requests a change.
     pub(super) fn handle_change_request(
         &mut self,
         now: Duration,
@@ -257,154 +107,86 @@
         request: ChangeRequest,
     ) {
         if !self.leads(request.partition) {
-            return self.pass_on(now, from, request);
+            return self.forward_change(now, from, request);
         }
         if let Change::Claim(claim) = &request.change
-            && !self.replica.enrolled(&claim.claimant)
+            && !self.replica.is_enrolled(&claim.claimant)
         {
-            return; // It asks again; by then it is on the roll.
+            return; // It is retried; by then the edge is enrolled.
         }
         self.pending_replies
-            .retain(|known| (known.asker, known.id) != (request.requester, request.id));
+            .retain(|known| (known.requester, known.id) != (request.requester, request.id));
         let partition = request.partition;
-        let before = self.leaders[&partition].version;
-        let mut reply = self.change(now, request);
-        let somebody_waits = reply.id != NOBODY_WAITS;
+        let version_before = self.leaders[&partition].version;
+        let mut reply = self.apply_change(now, request);
+        let has_requester = reply.id != NO_REQUESTER_ID;
         if let Some(leader) = self.leaders.get_mut(&partition)
-            && leader.version == before
-            && somebody_waits
+            && leader.version == version_before
+            && has_requester
         {
-            // Nothing was written that a majority would have to keep: whatever
-            // is answered, a refusal too, a majority must still follow us.
-            reply.round = leader.start_round();
+            // Nothing was written that a majority would have to store: whatever the outcome, a refusal too, a
+            // majority must still follow this node.
+            reply.required_round = leader.begin_read_round();
         }
         self.pending_replies.push(reply);
     }
 
-    /// Whether we lead a partition, as far as we know.
+    /// A change that this node requests by itself; nobody waits for the reply.
+    pub(super) fn own_request(&self, partition: u8, change: Change) -> ChangeRequest {
+        ChangeRequest {
+            requester: self.address,
+            id: NO_REQUESTER_ID,
+            hops: 0,
+            partition,
+            change,
+        }
+    }
+
+    /// Whether this node leads a partition and may serve it, as far as it knows.
     fn leads(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
-        self.able() && leader.is_some_and(|leader| leader.ready() && leader.wary.is_none())
+        self.can_vote() && leader.is_some_and(PartitionLeader::is_serving)
     }
 
-    /// Sends a change on to the leader of its partition. A member of the table
-    /// is answered through us, since the leader may not reach it; an edge by
-    /// the leader itself.
-    fn pass_on(&mut self, now: Duration, from: Peer, mut request: ChangeRequest) {
-        if self.is_cut_off(now) {
+    /// Sends a change on to the leader of its partition. A member of the table gets its reply through this node,
+    /// since the leader may not reach it; an edge gets it from the leader itself.
+    fn forward_change(&mut self, now: Duration, from: Peer, mut request: ChangeRequest) {
+        if self.is_isolated(now) {
             let reply = ChangeReply {
                 id: request.id,
                 outcome: ChangeOutcome::NoMajority,
             };
-            return self.tell(from.address, reply);
+            return self.send(from.address, reply);
         }
-        let leader = self.chosen(now, request.partition);
-        let elsewhere = leader.filter(|slot| *slot != self.slot);
-        let Some(next_hop) = elsewhere.and_then(|slot| self.next_hop(now, slot)) else {
+        let leader = self.preferred_leader(now, request.partition);
+        let other_leader = leader.filter(|slot| *slot != self.slot);
+        let Some(next_hop) = other_leader.and_then(|slot| self.next_hop(now, slot)) else {
             return;
         };
-        if request.hops >= MOST_HOPS || self.address(next_hop) == from.address {
+        if request.hops >= MAX_HOPS || self.address(next_hop) == from.address {
             return;
         }
         request.hops += 1;
-        let from_member = self.members.iter().any(|peer| peer.names(&from));
-        if from_member && request.requester == from.address {
-            request.id = self.relay_id(now, request.requester, request.id);
+        if self.is_member(&from) && request.requester == from.address {
+            request.id = self.relays.id_for(now, request.requester, request.id);
             request.requester = self.address;
         }
-        self.tell(self.address(next_hop), request);
-    }
-
-    /// The id under which a member's change is passed on, the same for a
-    /// change that is sent again.
-    fn relay_id(&mut self, now: Duration, asker: SocketAddr, id: u64) -> u64 {
-        let until = now + OPERATOR_CALL_LIMIT;
-        let mut known = self.relays.iter_mut();
-        let again = known.find(|(_, relay)| (relay.asker, relay.id) == (asker, id));
-        if let Some((relay_id, relay)) = again {
-            relay.until = until;
-            return *relay_id;
-        }
-        let relay_id = self.next_relay | RELAY_IDS;
-        self.next_relay = relay_id.wrapping_add(1);
-        self.relays.insert(relay_id, Relay { asker, id, until });
-        relay_id
+        self.send(self.address(next_hop), request);
     }
 
-    /// Makes a change as the partition's owner; the answer pending_replies for the disks.
-    pub(super) fn change(&mut self, now: Duration, ask: ChangeRequest) -> PendingReply {
-        let mut wait = PendingReply::new(&ask);
-        let ChangeRequest {
-            partition,
-            change: ask,
-            ..
-        } = ask;
-        let left = self.closed.saturating_sub(now);
-        let leader = self.leaders.get_mut(&partition).expect("owner");
-        match ask {
-            Change::GetConfiguration => {
-                wait.round = leader.start_round();
-                if let Some(Row {
-                    version,
-                    value: Value::Configuration { text, .. },
-                }) = leader.rows.get("configuration")
-                {
-                    wait.commit = *version;
-                    wait.told = ChangeOutcome::Configuration {
-                        version: *version,
-                        text: text.clone(),
-                    };
-                } else {
-                    wait.told = ChangeOutcome::Configuration {
-                        version: 0,
-                        text: "".into(),
-                    };
-                }
-            }
-            Change::List => {
-                wait.round = leader.start_round();
-                wait.commit = leader.version;
-                let rows = leader
-                    .rows
-                    .iter()
-                    .map(|(key, row)| (key.clone(), row.clone()))
-                    .collect();
-                wait.told = ChangeOutcome::Rows {
-                    version: leader.version,
-                    rows,
-                };
-            }
+    /// Makes a change as leader of its partition. The reply waits for the disks.
+    fn apply_change(&mut self, now: Duration, request: ChangeRequest) -> PendingReply {
+        let mut reply = PendingReply::new(&request);
+        match request.change {
+            Change::GetConfiguration => self.read_configuration(&mut reply),
+            Change::List => self.list_rows(&mut reply),
             Change::PutConfiguration {
                 text,
                 expect,
                 change,
-            } => {
-                let found = || Configuration::read(&text).err();
-                let value = Value::Configuration {
-                    text: text.clone(),
-                    change,
-                };
-                if let Some(version) =
-                    wait.replace(leader, "configuration", value, expect, change, &found)
-                {
-                    self.note(Event::ConfigurationPut, format!("version {version}"));
-                }
-            }
-            Change::PutItems { items } => {
-                if let Some((count, version)) = wait.put_items(leader, items) {
-                    let text = format!("{count} items, version {version}");
-                    self.note(Event::ConfigurationPut, text);
-                }
-            }
-            Change::AddPurge { purge, change } => {
-                let same = |row: &&Row| matches!(&row.value, Value::Purge { change: known, .. } if *known == change);
-                let known = leader.rows.values().find(same).map(|row| row.version);
-                let version = known.unwrap_or_else(|| {
-                    let key = format!("purge/{:04}", (leader.version + 1) % MAX_RETAINED_PURGES);
-                    leader.put(key, Value::Purge { purge, change })
-                });
-                wait.acknowledge(version);
-            }
+            } => self.put_configuration(&mut reply, &text, expect, change),
+            Change::PutItems { items } => self.put_items(&mut reply, items),
+            Change::AddPurge { purge, change } => self.add_purge(&mut reply, purge, change),
             Change::PutOrigins {
                 list,
                 expect,
@@ -412,145 +194,156 @@
                 acknowledge,
             } => {
                 let value = Value::Origins { list, change };
-                if let Some(version) =
-                    wait.replace(leader, "origins", value, expect, change, &|| None)
-                {
-                    self.note(Event::OriginsPut, format!("version {version}"));
-                }
-                if acknowledge == Acknowledge::Committed {
-                    wait.acknowledge_commit();
-                }
-            }
-            Change::OpenLedger { generation } if generation != self.generation => {
-                let text = format!("the realm is {} now", Generation::name(self.generation));
-                wait.told = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
+                self.put_origins(&mut reply, value, expect, change, acknowledge);
             }
             Change::OpenLedger { generation } => {
-                let version = if leader.opened() == generation {
-                    leader.version
-                } else {
-                    leader.put("opened".into(), Value::Opened { generation })
-                };
-                wait.commit = version;
-                wait.told = ChangeOutcome::Acknowledged { version };
-                self.note(
-                    Event::LedgerOpened,
-                    format!("realm {}: operators said so", Generation::name(generation)),
-                );
+                self.open_ledger_by_operator(&mut reply, generation)
             }
-            Change::Refound { after } => self.refound(after),
+            Change::Refound { after } => self.found_next_generation(after),
             Change::JoinRequest { peer, founding } => self.assign_slot(now, peer, founding),
             Change::OfferSlot { member } => self.assign_offered_slot(now, member),
-            Change::Claim(claim) if !left.is_zero() && !Ledger::tells(leader, &claim) => {
-                wait.told = ChangeOutcome::LedgerClosed { left }
-            }
-            Change::Claim(claim) => (wait.commit, wait.told) = Ledger::claim(leader, claim),
+            Change::Claim(claim) => self.claim_operation(now, &mut reply, claim),
             Change::Release(claim) => {
-                (wait.commit, wait.told) = Ledger::finish(leader, claim, OperationState::Released)
+                self.finish_operation(&mut reply, claim, OperationState::Released);
             }
-            Change::Record(claim, reply) => {
-                let state = reply.map_or(OperationState::Unknown, OperationState::Done);
-                (wait.commit, wait.told) = Ledger::finish(leader, claim, state);
+            Change::Record(claim, response) => {
+                let state = response.map_or(OperationState::Unknown, OperationState::Done);
+                self.finish_operation(&mut reply, claim, state);
             }
         }
-        wait
+        reply
     }
 
-    pub(super) fn handle_change_reply(&mut self, reply: ChangeReply) {
-        if let Some(relay) = self.relays.remove(&reply.id) {
-            let passed_back = ChangeReply {
-                id: relay.id,
-                outcome: reply.outcome,
-            };
-            return self.tell(relay.asker, passed_back);
+    fn leader_for(&mut self, reply: &PendingReply) -> &mut PartitionLeader {
+        let leader = self.leaders.get_mut(&reply.partition);
+        leader.expect("this node leads the partition")
+    }
+
+    fn read_configuration(&mut self, reply: &mut PendingReply) {
+        let leader = self.leader_for(reply);
+        reply.required_round = leader.begin_read_round();
+        let (version, text) = match leader.rows.get(CONFIGURATION_KEY) {
+            Some(Row {
+                version,
+                value: Value::Configuration { text, .. },
+            }) => (*version, text.clone()),
+            _ => (0, "".into()),
+        };
+        reply.required_commit = version;
+        reply.outcome = ChangeOutcome::Configuration { version, text };
+    }
+
+    fn list_rows(&mut self, reply: &mut PendingReply) {
+        let leader = self.leader_for(reply);
+        reply.required_round = leader.begin_read_round();
+        reply.required_commit = leader.version;
+        let rows = leader.rows.iter();
+        reply.outcome = ChangeOutcome::Rows {
+            version: leader.version,
+            rows: rows.map(|(key, row)| (key.clone(), row.clone())).collect(),
+        };
+    }
+
+    fn put_configuration(
+        &mut self,
+        reply: &mut PendingReply,
+        text: &Arc<str>,
+        expect: Option<u64>,
+        change: u64,
+    ) {
+        let replacement = Replacement {
+            key: CONFIGURATION_KEY,
+            value: Value::Configuration {
+                text: text.clone(),
+                change,
+            },
+            expect,
+            change,
+        };
+        let validate = || Configuration::read(text).map(drop);
+        let leader = self.leader_for(reply);
+        if let Some(version) = reply.replace_row(leader, replacement, &validate) {
+            self.log_event(Event::ConfigurationPut, format!("version {version}"));
         }
-        let Some(call) = self.operator_calls.get_mut(&reply.id) else {
-            return;
+    }
+
+    fn put_items(&mut self, reply: &mut PendingReply, items: Vec<Item>) {
+        let leader = self.leader_for(reply);
+        if let Some((count, version)) = reply.apply_items(leader, items) {
+            let text = format!("{count} items, version {version}");
+            self.log_event(Event::ConfigurationPut, text);
+        }
+    }
+
+    fn add_purge(&mut self, reply: &mut PendingReply, purge: Purge, change: u64) {
+        let leader = self.leader_for(reply);
+        let is_same = |row: &&Row| matches!(&row.value, Value::Purge { change: known, .. } if *known == change);
+        let known = leader.rows.values().find(is_same).map(|row| row.version);
+        let version = known.unwrap_or_else(|| {
+            let key = format!("purge/{:04}", (leader.version + 1) % MAX_RETAINED_PURGES);
+            leader.put(key, Value::Purge { purge, change })
+        });
+        reply.acknowledge(version);
+    }
+
+    fn put_origins(
+        &mut self,
+        reply: &mut PendingReply,
+        value: Value,
+        expect: Option<u64>,
+        change: u64,
+        acknowledge: Acknowledge,
+    ) {
+        let replacement = Replacement {
+            key: ORIGINS_KEY,
+            value,
+            expect,
+            change,
         };
-        let outcome = match reply.outcome {
-            // Who was to pass it on is cut off: another way may be found.
-            ChangeOutcome::NoMajority => {
-                call.next = Duration::ZERO;
-                return;
-            }
-            // An earlier try of ours may be what this one lost against.
-            ChangeOutcome::VersionConflict { complete_after, .. }
-                if call.tries > 1 && call.expect().is_some_and(|from| from < complete_after) =>
-            {
-                ChangeOutcome::Unknown
-            }
-            outcome => outcome,
+        let leader = self.leader_for(reply);
+        if let Some(version) = reply.replace_row(leader, replacement, &|| Ok(())) {
+            self.log_event(Event::OriginsPut, format!("version {version}"));
+        }
+        if acknowledge == Acknowledge::Committed {
+            reply.acknowledge_commit();
+        }
+    }
+
+    /// An operator vouches that no operation ran before this generation that may be retried.
+    fn open_ledger_by_operator(&mut self, reply: &mut PendingReply, generation: u64) {
+        let current = self.generation.current;
+        if generation != current {
+            let text = format!("the realm is {} now", Generation::name(current));
+            reply.outcome = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
+            return;
+        }
+        let leader = self.leader_for(reply);
+        let version = if leader.opened_generation() == generation {
+            leader.version
+        } else {
+            leader.put("opened".into(), Value::Opened { generation })
         };
-        self.operator_calls.remove(&reply.id);
-        self.answer_operator(reply.id, outcome);
+        reply.report_commit((version, ChangeOutcome::Acknowledged { version }));
+        let name = Generation::name(generation);
+        self.log_event(
+            Event::LedgerOpened,
+            format!("realm {name}: operators said so"),
+        );
     }
 
-    pub(super) fn operator(&mut self, now: Duration, id: u64, ask: OperatorRequest) {
-        match ask {
-            OperatorRequest::Change { .. } if self.removed || self.slot == NO_SLOT => {
-                self.answer_operator(id, ChangeOutcome::NoMajority);
-            }
-            OperatorRequest::Change { partition, change } => {
-                let call = OperatorCall {
-                    partition,
-                    change,
-                    until: now + OPERATOR_CALL_LIMIT,
-                    next: now,
-                    sent_to: None,
-                    tries: 0,
-                };
-                self.operator_calls.insert(id, call);
-                self.send_operator_calls(now);
-            }
-            OperatorRequest::State => {
-                let answer = OperatorResponse::State(self.state(now));
-                self.out.push(Output::OperatorResponse {
-                    id,
-                    response: answer,
-                });
-            }
+    /// While the ledger is closed, an operation that is not known here may have run.
+    fn claim_operation(&mut self, now: Duration, reply: &mut PendingReply, claim: Claim) {
+        let left = self.generation.ledger_closed_until.saturating_sub(now);
+        let leader = self.leader_for(reply);
+        if !left.is_zero() && !Ledger::is_decided(leader, &claim) {
+            reply.outcome = ChangeOutcome::LedgerClosed { left };
+        } else {
+            reply.report_commit(Ledger::claim(leader, claim));
         }
     }
 
-    /// What this node knows of the fleet.
-    pub(super) fn state(&self, now: Duration) -> serde_json::Value {
-        let control: Vec<_> = (0..self.members.len() as u8)
-            .map(|slot| {
-                let peer = self.peers.get(&slot);
-                let live = self.contacts(now).contains(slot);
-                let full = if slot == self.slot { self.able() } else { live && peer.is_some_and(|peer| peer.full) };
-                serde_json::json!({ "slot": slot, "address": self.address(slot), "live": live, "full": full })
-            })
-            .collect();
-        let edges: Vec<_> = self
-            .sessions
-            .live(now, self.quorum())
-            .into_iter()
-            .map(|seen| {
-                serde_json::json!({
-                    "address": seen.peer.address, "life": format!("{:016x}", seen.peer.incarnation), "zone": seen.zone,
-                    "draining": seen.draining, "vector": seen.version_vector, "usage": seen.usage,
-                })
-            })
-            .collect();
-        let origins: Vec<_> = self
-            .sessions
-            .live(now, self.quorum())
-            .into_iter()
-            .flat_map(|seen| seen.origin_health)
-            .collect();
-        let partitions: Vec<_> = self
-            .leaders
-            .values()
-            .filter(|leader| leader.ready())
-            .map(|leader| {
-                serde_json::json!({
-                    "slice": leader.partition, "epoch": leader.epoch, "version": leader.version,
-                    "committed": leader.committed(), "settled": leader.settled(), "rows": leader.rows.len(),
-                })
-            })
-            .collect();
-        let ledger = serde_json::json!({ "realm": Generation::name(self.generation), "closed_s": self.closed.saturating_sub(now).as_secs_f64().ceil() });
-        serde_json::json!({ "slot": self.slot, "majority": self.reaches_majority(now), "ledger": ledger, "control": control, "edges": edges, "origins": origins, "owned_slices": partitions })
+    fn finish_operation(&mut self, reply: &mut PendingReply, claim: Claim, state: OperationState) {
+        let leader = self.leader_for(reply);
+        reply.report_commit(Ledger::finish(leader, claim, state));
     }
 }
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -7,42 +7,71 @@
 }
 
 /// All slots that there may be.
-fn everybody() -> SlotSet {
+pub(super) fn all_slots() -> SlotSet {
     (0..MAX_SLOTS as u8).collect()
 }
 
+/// The heartbeat of a member with a full disk that is in contact with all.
+pub(super) fn member_heartbeat(slot: u8) -> Heartbeat {
+    Heartbeat {
+        heard_slots: all_slots(),
+        mutual_contacts: all_slots(),
+        leader_candidates: SlotSet::default(),
+        slot,
+        full: true,
+        blank: false,
+        membership_version: 0,
+        ledger_closed_for: Duration::ZERO,
+        lost_generation: 0,
+        acknowledged_sessions: 0,
+        sessions: None,
+    }
+}
+
 /// Slot 0 with a full disk that syncs at once; the peers are scripted.
-struct Script {
-    part: ControlNode,
+struct ScriptedNode {
+    control_node: ControlNode,
+}
+
+/// A partition that the scripted node leads.
+#[derive(Clone, Copy)]
+struct LedPartition {
+    partition: u8,
+    epoch: u64,
+}
+
+/// Incarnation of a scripted peer's first disk.
+fn first_incarnation(slot: u16) -> u64 {
+    10 + u64::from(slot)
 }
 
-impl Script {
-    fn new() -> Script {
+impl ScriptedNode {
+    fn new(slots: u16) -> ScriptedNode {
         let replica = Replica {
             full: true,
             ..Replica::blank(1)
         };
-        let seeds = (0..3).map(address).collect();
-        Script {
-            part: ControlNode::new(address(0), seeds, replica, false, None, 1),
+        let seeds = (0..slots).map(address).collect();
+        ScriptedNode {
+            control_node: ControlNode::new(address(0), seeds, replica, false, None, 1),
         }
     }
 
-    /// What it says to others; what it says to itself it hears.
+    /// What it sends to others; what it sends to itself it receives.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([input]);
-        let mut told = Vec::new();
+        let mut messages = Vec::new();
         while let Some(input) = inputs.pop_front() {
-            for output in self.part.handle(now, input) {
+            for output in self.control_node.handle(now, input) {
                 match output {
                     Output::Send { to, message } if to == address(0) => {
                         inputs.push_back(Input::MessageReceived {
-                            from: self.part.me(),
+                            from: self.control_node.me(),
                             message,
                         })
                     }
-                    Output::Send { to, message } => told.push((to, message)),
+                    Output::Send { to, message } => messages.push((to, message)),
                     Output::Store { serial, .. } | Output::StoreSnapshot { serial, .. } => {
                         inputs.push_back(Input::Stored { serial })
                     }
@@ -50,10 +79,10 @@
                 }
             }
         }
-        told
+        messages
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         ms: u64,
         slot: u16,
@@ -61,235 +90,87 @@
         message: impl Into<Message>,
     ) -> Vec<(SocketAddr, Message)> {
         let from = Peer::new(address(slot), incarnation);
-        self.step(
-            ms,
-            Input::MessageReceived {
-                from,
-                message: message.into(),
-            },
-        )
+        let message = message.into();
+        self.step(ms, Input::MessageReceived { from, message })
     }
 
-    fn beat(&mut self, ms: u64, incarnation: u64) -> Vec<(SocketAddr, Message)> {
-        self.hear(
-            ms,
-            1,
-            incarnation,
-            Heartbeat {
-                heard_slots: everybody(),
-                mutual_contacts: everybody(),
-                leader_candidates: SlotSet::default(),
-                slot: 1,
-                full: true,
-                blank: false,
-                membership_version: 0,
-                ledger_closed_for: Duration::ZERO,
-                lost_generation: 0,
-                acknowledged_sessions: 0,
-                sessions: Some(SessionsDelta::default()),
-            },
-        )
+    fn receive_heartbeat(
+        &mut self,
+        ms: u64,
+        slot: u16,
+        incarnation: u64,
+    ) -> Vec<(SocketAddr, Message)> {
+        let heartbeat = Heartbeat {
+            sessions: Some(SessionsDelta::default()),
+            ..member_heartbeat(slot as u8)
+        };
+        self.receive(ms, slot, incarnation, heartbeat)
     }
-}
 
-#[test]
-fn acknowledgements_of_a_slots_earlier_disk_count_for_nothing() {
-    let mut script = Script::new();
-    let mut owned = None;
-    for ms in (0..1600).step_by(100) {
-        let mut said: VecDeque<_> = script.beat(ms, 11).into();
-        said.extend(script.step(ms + 1, Input::Tick));
-        while let Some((to, message)) = said.pop_front() {
-            match message {
-                Message::PrepareRequest(PrepareRequest {
-                    partition, epoch, ..
-                }) if to == address(1) => {
-                    if [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition) {
-                        owned = Some((partition, epoch));
-                    }
-                    said.extend(script.hear(
-                        ms + 2,
-                        1,
-                        11,
-                        PrepareReply {
-                            partition,
-                            epoch,
-                            lost_generation: 0,
-                            retired_incarnations: vec![],
-                            state: PreparedState::Newer(PartitionState::default()),
-                        },
-                    ));
+    /// Ticks until a time while these peers promise and store all. The partition of purges or of origins that the
+    /// node then leads, if it leads one.
+    fn lead(&mut self, peers: &[u16], until_ms: u64) -> Option<LedPartition> {
+        let mut led = None;
+        for ms in (0..until_ms).step_by(100) {
+            let mut queue = VecDeque::new();
+            for slot in peers {
+                queue.extend(self.receive_heartbeat(ms, *slot, first_incarnation(*slot)));
+            }
+            queue.extend(self.step(ms + 1, Input::Tick));
+            while let Some((to, message)) = queue.pop_front() {
+                let slot = to.port() - 100;
+                if !peers.contains(&slot) {
+                    continue;
                 }
-                Message::AppendRequest(AppendRequest {
-                    partition,
-                    epoch,
-                    round,
-                    to_version: version,
-                    ..
-                }) if to == address(1) => {
-                    said.extend(script.hear(
-                        ms + 3,
-                        1,
-                        11,
-                        AppendReply {
-                            partition,
-                            epoch,
-                            round,
-                            synced_version: version,
-                            sessions_confirmed: Some(0),
-                            retired_incarnations: vec![],
-                        },
-                    ));
+                if let Message::PrepareRequest(request) = &message
+                    && [PURGES_PARTITION, ORIGINS_PARTITION].contains(&request.partition)
+                {
+                    let (partition, epoch) = (request.partition, request.epoch);
+                    led = Some(LedPartition { partition, epoch });
                 }
-                _ => {}
+                queue.extend(self.reply_as_peer(ms, slot, message));
             }
         }
+        led
     }
-    let (partition, epoch) = owned.expect("one of the two is ours by weight");
-    let ask = match partition {
-        PURGES_PARTITION => Change::AddPurge {
-            purge: Purge {
-                entry: Some("e".into()),
-                ..Purge::default()
-            },
-            change: 5,
-        },
-        _ => Change::PutOrigins {
-            list: Arc::default(),
-            expect: None,
-            change: 5,
-            acknowledge: Acknowledge::Settled,
-        },
-    };
-    let told = script.hear(
-        1700,
-        1,
-        11,
-        ChangeRequest {
-            hops: 0,
-            requester: address(1),
-            id: 7,
-            partition,
-            change: ask,
-        },
-    );
-    let version = told.iter().find_map(|(_, message)| match message {
-        Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
-        _ => None,
-    });
-    let version = version.expect("it is written at once");
-    // The disk of slot 1 is another now; what the earlier one says comes late.
-    script.beat(1710, 12);
-    let kept = AppendReply {
-        partition,
-        epoch,
-        round: 100,
-        synced_version: version,
-        sessions_confirmed: Some(version),
-        retired_incarnations: vec![],
-    };
-    let answered = |told: &[(SocketAddr, Message)]| {
-        told.iter()
-            .any(|(_, message)| matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. })))
-    };
-    assert!(!answered(&script.hear(1720, 1, 11, kept.clone())));
-    assert!(!answered(&script.step(1801, Input::Tick)));
-    let mut told = script.hear(1810, 1, 12, kept.clone());
-    told.extend(script.step(1901, Input::Tick));
-    told.extend(script.hear(1910, 1, 12, kept));
-    assert!(answered(&told), "the disk that is there now has it");
-}
 
-/// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and
-/// with ours that is a majority. But disk 2 knows that disk 1 is another by
-/// now, refilled without it, and says so with its acknowledgement.
-#[test]
-fn an_acknowledgement_of_a_retired_incarnation_that_another_reports_is_not_counted() {
-    let owned = |retired: Vec<u64>| {
-        let replica = Replica {
-            full: true,
-            ..Replica::blank(1)
-        };
-        let mut script = Script {
-            part: ControlNode::new(
-                address(0),
-                (0..5).map(address).collect(),
-                replica,
-                false,
-                None,
-                1,
-            ),
-        };
-        let mut owned = None;
-        for ms in (0..2_500).step_by(100) {
-            let mut said = VecDeque::new();
-            for slot in 1..5 {
-                let beat = Heartbeat {
-                    heard_slots: everybody(),
-                    mutual_contacts: everybody(),
-                    leader_candidates: SlotSet::default(),
-                    slot: slot as u8,
-                    full: true,
-                    blank: false,
-                    membership_version: 0,
-                    ledger_closed_for: Duration::ZERO,
+    /// A peer with an empty disk promises, or stores.
+    fn reply_as_peer(
+        &mut self,
+        ms: u64,
+        slot: u16,
+        message: Message,
+    ) -> Vec<(SocketAddr, Message)> {
+        let incarnation = first_incarnation(slot);
+        match message {
+            Message::PrepareRequest(request) => {
+                let reply = PrepareReply {
+                    partition: request.partition,
+                    epoch: request.epoch,
                     lost_generation: 0,
-                    acknowledged_sessions: 0,
-                    sessions: Some(SessionsDelta::default()),
+                    retired_incarnations: vec![],
+                    state: PreparedState::Newer(PartitionState::default()),
                 };
-                said.extend(script.hear(ms, slot, 10 + u64::from(slot), beat));
+                self.receive(ms + 2, slot, incarnation, reply)
             }
-            said.extend(script.step(ms + 1, Input::Tick));
-            while let Some((to, message)) = said.pop_front() {
-                let slot = to.port() - 100;
-                let incarnation = 10 + u64::from(slot);
-                match message {
-                    Message::PrepareRequest(PrepareRequest {
-                        partition, epoch, ..
-                    }) => {
-                        owned = Some((partition, epoch))
-                            .filter(|_| [PURGES_PARTITION, ORIGINS_PARTITION].contains(&partition))
-                            .or(owned);
-                        said.extend(script.hear(
-                            ms + 2,
-                            slot,
-                            incarnation,
-                            PrepareReply {
-                                partition,
-                                epoch,
-                                lost_generation: 0,
-                                retired_incarnations: vec![],
-                                state: PreparedState::Newer(PartitionState::default()),
-                            },
-                        ));
-                    }
-                    Message::AppendRequest(AppendRequest {
-                        partition,
-                        epoch,
-                        round,
-                        to_version: version,
-                        ..
-                    }) => {
-                        said.extend(script.hear(
-                            ms + 3,
-                            slot,
-                            incarnation,
-                            AppendReply {
-                                partition,
-                                epoch,
-                                round,
-                                synced_version: version,
-                                sessions_confirmed: Some(0),
-                                retired_incarnations: vec![],
-                            },
-                        ));
-                    }
-                    _ => {}
-                }
+            Message::AppendRequest(request) => {
+                let reply = AppendReply {
+                    partition: request.partition,
+                    epoch: request.epoch,
+                    round: request.round,
+                    synced_version: request.to_version,
+                    sessions_confirmed: Some(0),
+                    retired_incarnations: vec![],
+                };
+                self.receive(ms + 3, slot, incarnation, reply)
             }
+            _ => vec![],
         }
-        let (partition, epoch) = owned?;
-        let ask = match partition {
+    }
+
+    /// Slot 1 requests a change of a partition that is led here. The version under which it is written.
+    fn request_change(&mut self, ms: u64, partition: u8) -> Option<u64> {
+        let change = match partition {
             PURGES_PARTITION => Change::AddPurge {
                 purge: Purge {
                     entry: Some("e".into()),
@@ -304,58 +185,116 @@
                 acknowledge: Acknowledge::Settled,
             },
         };
-        let told = script.hear(
-            2_600,
-            1,
-            11,
-            ChangeRequest {
-                hops: 0,
-                requester: address(1),
-                id: 7,
-                partition,
-                change: ask,
-            },
-        );
-        let version = told.iter().find_map(|(_, message)| match message {
-            Message::AppendRequest(keep) if keep.partition == partition => Some(keep.to_version),
-            _ => None,
-        })?;
-        let kept = |retired| AppendReply {
+        let request = ChangeRequest {
+            hops: 0,
+            requester: address(1),
+            id: CHANGE_ID,
             partition,
-            epoch,
-            round: 1_000,
-            synced_version: version,
-            sessions_confirmed: Some(version),
-            retired_incarnations: retired,
+            change,
         };
-        let mut told = script.hear(2_610, 1, 11, kept(vec![]));
-        told.extend(script.hear(2_611, 2, 12, kept(retired)));
-        told.extend(script.step(2_701, Input::Tick));
-        told.extend(script.step(2_801, Input::Tick));
-        Some(
-            told.iter().any(|(_, message)| {
-                matches!(message, Message::ChangeReply(ChangeReply { id: 7, .. }))
-            }),
-        )
+        let messages = self.receive(ms, 1, first_incarnation(1), request);
+        messages.iter().find_map(|(_, message)| match message {
+            Message::AppendRequest(request) if request.partition == partition => {
+                Some(request.to_version)
+            }
+            _ => None,
+        })
+    }
+}
+
+/// Id of the change that slot 1 requests.
+const CHANGE_ID: u64 = 7;
+
+/// Whether the requested change has its reply.
+fn has_change_reply(messages: &[(SocketAddr, Message)]) -> bool {
+    messages
+        .iter()
+        .any(|(_, message)| matches!(message, Message::ChangeReply(reply) if reply.id == CHANGE_ID))
+}
+
+#[test]
+fn append_reply_of_replaced_disk_is_not_counted() {
+    let mut script = ScriptedNode::new(3);
+    let led = script.lead(&[1], 1_600);
+    let LedPartition { partition, epoch } = led.expect("one of the two is ours by weight");
+    let version = script.request_change(1_700, partition);
+    let version = version.expect("it is written at once");
+    // The disk of slot 1 is another now; what the earlier one sent comes late.
+    script.receive_heartbeat(1_710, 1, 12);
+    let append_reply = AppendReply {
+        partition,
+        epoch,
+        round: 100,
+        synced_version: version,
+        sessions_confirmed: Some(version),
+        retired_incarnations: vec![],
     };
-    assert_eq!(owned(vec![]), Some(true), "three of five hold it");
-    assert_eq!(owned(vec![11]), Some(false), "only two of them do");
+    assert!(!has_change_reply(&script.receive(
+        1_720,
+        1,
+        11,
+        append_reply.clone()
+    )));
+    assert!(!has_change_reply(&script.step(1_801, Input::Tick)));
+    let mut messages = script.receive(1_810, 1, 12, append_reply.clone());
+    messages.extend(script.step(1_901, Input::Tick));
+    messages.extend(script.receive(1_910, 1, 12, append_reply));
+    assert!(
+        has_change_reply(&messages),
+        "the disk that is there now has it"
+    );
+}
+
+/// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and with ours that is a majority. But disk 2 may
+/// know that disk 1 is another by now, recovered without it, and report that with its acknowledgement. Whether the
+/// change is acknowledged, if these are the incarnations that disk 2 reports.
+fn is_acknowledged_with(retired_incarnations: Vec<u64>) -> Option<bool> {
+    let mut script = ScriptedNode::new(5);
+    let LedPartition { partition, epoch } = script.lead(&[1, 2, 3, 4], 2_500)?;
+    let version = script.request_change(2_600, partition)?;
+    let append_reply = |retired_incarnations| AppendReply {
+        partition,
+        epoch,
+        round: 1_000,
+        synced_version: version,
+        sessions_confirmed: Some(version),
+        retired_incarnations,
+    };
+    let mut messages = script.receive(2_610, 1, 11, append_reply(vec![]));
+    messages.extend(script.receive(2_611, 2, 12, append_reply(retired_incarnations)));
+    messages.extend(script.step(2_701, Input::Tick));
+    messages.extend(script.step(2_801, Input::Tick));
+    Some(has_change_reply(&messages))
+}
+
+#[test]
+fn append_reply_of_reported_retired_incarnation_is_not_counted() {
+    assert_eq!(
+        is_acknowledged_with(vec![]),
+        Some(true),
+        "three of five hold it"
+    );
+    assert_eq!(
+        is_acknowledged_with(vec![11]),
+        Some(false),
+        "only two of them do"
+    );
 }
 
-/// A control node whose disk keeps what is synced, alone with its peers.
-struct Alone {
-    part: ControlNode,
+/// A control node whose disk retains what is synced over restarts; its peers are scripted.
+struct DurableNode {
+    control_node: ControlNode,
     disk: Vec<Vec<u8>>,
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
-impl Alone {
-    fn start(slot: u16, disk: Vec<Vec<u8>>, founding: bool) -> Alone {
+impl DurableNode {
+    fn start(slot: u16, disk: Vec<Vec<u8>>, founding: bool) -> DurableNode {
         let known = Replica::replay(&disk).unwrap();
         let blank = known.is_none();
         let bootstrap = Bootstrap::new(founding, Duration::from_millis(500));
         let replica = known.unwrap_or_else(|| Replica::blank(40 + u64::from(slot)));
-        let part = ControlNode::new(
+        let control_node = ControlNode::new(
             address(slot),
             (0..3).map(address).collect(),
             replica,
@@ -363,36 +302,36 @@
             Some(bootstrap),
             1,
         );
-        Alone {
-            part,
+        DurableNode {
+            control_node,
             disk,
             unsynced: vec![],
         }
     }
 
-    /// What it says; what it stores pending_replies to be synced.
+    /// What it sends; what it stores waits to be synced.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
-        let mut told = Vec::new();
-        for output in self.part.handle(Duration::from_millis(ms), input) {
+        let mut messages = Vec::new();
+        for output in self.control_node.handle(Duration::from_millis(ms), input) {
             match output {
-                Output::Send { to, message } => told.push((to, message)),
+                Output::Send { to, message } => messages.push((to, message)),
                 Output::Store { serial, record } => self.unsynced.push((serial, record)),
                 _ => {}
             }
         }
-        told
+        messages
     }
 
     fn sync(&mut self, ms: u64) -> Vec<(SocketAddr, Message)> {
-        let mut told = Vec::new();
+        let mut messages = Vec::new();
         for (serial, record) in std::mem::take(&mut self.unsynced) {
             self.disk.push(record);
-            told.extend(self.step(ms, Input::Stored { serial }));
+            messages.extend(self.step(ms, Input::Stored { serial }));
         }
-        told
+        messages
     }
 
-    fn hear(
+    fn receive(
         &mut self,
         ms: u64,
         from: u16,
@@ -408,8 +347,8 @@
     }
 }
 
-fn membership_version(told: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
-    told.iter().find_map(|(_, message)| match message {
+fn membership_version(messages: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
+    messages.iter().find_map(|(_, message)| match message {
         Message::MembershipTable(membership_version) => Some(
             membership_version
                 .members
@@ -422,71 +361,76 @@
 }
 
 #[test]
-fn the_first_seed_tells_a_table_only_once_it_is_on_its_disk_and_never_another() {
-    let mut founder = Alone::start(0, vec![], true);
+fn founding_table_is_sent_after_sync_and_never_changes() {
+    let mut founder = DurableNode::start(0, vec![], true);
     founder.step(0, Input::Tick);
-    founder.hear(100, 4, JoinRequest { founding: true });
-    founder.hear(110, 3, JoinRequest { founding: true });
-    founder.hear(120, 7, JoinRequest { founding: false });
+    founder.receive(100, 4, JoinRequest { founding: true });
+    founder.receive(110, 3, JoinRequest { founding: true });
+    founder.receive(120, 7, JoinRequest { founding: false });
     founder.sync(130);
     assert_eq!(
         membership_version(&founder.step(600, Input::Tick)),
         None,
         "not synced yet"
     );
-    // It ends before the sync: nobody was told, and it begins anew.
-    let mut again = Alone::start(0, founder.disk.clone(), true);
-    assert!(again.part.members.is_empty());
-    again.step(0, Input::Tick);
-    again.hear(100, 5, JoinRequest { founding: true });
-    again.step(600, Input::Tick);
+    // It ends before the sync: nobody was sent the table, and it starts over.
+    let mut restarted = DurableNode::start(0, founder.disk.clone(), true);
+    assert!(restarted.control_node.members.is_empty());
+    restarted.step(0, Input::Tick);
+    restarted.receive(100, 5, JoinRequest { founding: true });
+    restarted.step(600, Input::Tick);
     assert_eq!(
-        membership_version(&again.hear(601, 5, JoinRequest { founding: true })),
+        membership_version(&restarted.receive(601, 5, JoinRequest { founding: true })),
         None,
         "still not synced"
     );
-    assert_eq!(membership_version(&again.sync(602)), Some(vec![0, 1, 2, 5]));
-    // It ends after it: the table is the one that was told, whoever asks.
-    let mut again = Alone::start(0, again.disk, true);
-    again.hear(10, 3, JoinRequest { founding: true });
-    again.step(900, Input::Tick);
     assert_eq!(
-        membership_version(&again.hear(901, 1, JoinRequest { founding: true })),
+        membership_version(&restarted.sync(602)),
+        Some(vec![0, 1, 2, 5])
+    );
+    // It ends after it: the table is the one that was sent, whoever joins.
+    let mut restarted = DurableNode::start(0, restarted.disk, true);
+    restarted.receive(10, 3, JoinRequest { founding: true });
+    restarted.step(900, Input::Tick);
+    assert_eq!(
+        membership_version(&restarted.receive(901, 1, JoinRequest { founding: true })),
         Some(vec![0, 1, 2, 5])
     );
 }
 
-#[test]
-fn a_founding_table_is_taken_once_and_only_by_who_was_there() {
-    let table = |list: &[u16]| MembershipTable {
+/// The founding table with these slots.
+fn table(slots: &[u16]) -> MembershipTable {
+    let members = slots.iter().map(|slot| Peer::new(address(*slot), 0));
+    MembershipTable {
         version: 0,
-        members: list
-            .iter()
-            .map(|slot| Peer::new(address(*slot), 0))
-            .collect(),
-    };
-    let mut seed = Alone::start(1, vec![], true);
+        members: members.collect(),
+    }
+}
+
+#[test]
+fn founding_table_is_accepted_once_by_founding_nodes() {
+    let mut seed = DurableNode::start(1, vec![], true);
     seed.step(0, Input::Tick);
     assert!(
         (0..50).all(|more| membership_version(&seed.step(100 * more, Input::Tick)).is_none()),
         "only the first seed makes one"
     );
-    seed.hear(5_001, 0, table(&[0, 1, 2, 3]));
-    seed.hear(5_002, 0, table(&[0, 1, 2, 4]));
+    seed.receive(5_001, 0, table(&[0, 1, 2, 3]));
+    seed.receive(5_002, 0, table(&[0, 1, 2, 4]));
     seed.sync(5_003);
-    assert_eq!(seed.part.members.len(), 4);
-    let again = Alone::start(1, seed.disk, false);
-    assert_eq!(again.part.members[3].address, address(3));
-    // A machine that came in place of another never takes or makes one.
+    assert_eq!(seed.control_node.members.len(), 4);
+    let restarted = DurableNode::start(1, seed.disk, false);
+    assert_eq!(restarted.control_node.members[3].address, address(3));
+    // A machine that replaces another never accepts or makes one.
     for slot in [0, 1] {
-        let mut other = Alone::start(slot, vec![], false);
+        let mut other = DurableNode::start(slot, vec![], false);
         other.step(0, Input::Tick);
-        other.hear(10, 2, table(&[0, 1, 2]));
+        other.receive(10, 2, table(&[0, 1, 2]));
         assert!(
             (1..20).all(|more| membership_version(&other.step(100 * more, Input::Tick)).is_none())
         );
-        assert!(other.part.members.is_empty());
-        other.hear(
+        assert!(other.control_node.members.is_empty());
+        other.receive(
             3_000,
             2,
             MembershipTable {
@@ -494,30 +438,24 @@
                 ..table(&[0, 1, 2])
             },
         );
-        assert_eq!((other.part.members.len(), other.part.slot), (3, slot as u8));
+        assert_eq!(
+            (other.control_node.members.len(), other.control_node.slot),
+            (3, slot as u8)
+        );
     }
-    // Nor does the first seed, if it hears of somebody who has one.
-    let mut late = Alone::start(0, vec![], true);
+    // Nor does the first seed, if another node has one already.
+    let mut late = DurableNode::start(0, vec![], true);
     late.step(0, Input::Tick);
-    late.hear(
+    late.receive(
         100,
         2,
         Heartbeat {
-            heard_slots: everybody(),
-            mutual_contacts: everybody(),
-            leader_candidates: SlotSet::default(),
-            slot: 2,
-            full: true,
-            blank: false,
             membership_version: 4,
-            ledger_closed_for: Duration::ZERO,
-            lost_generation: 0,
-            acknowledged_sessions: 0,
-            sessions: None,
+            ..member_heartbeat(2)
         },
     );
     late.step(900, Input::Tick);
-    assert!(late.part.members.is_empty());
+    assert!(late.control_node.members.is_empty());
 }
 
 fn purge_rows(versions: std::ops::RangeInclusive<u64>) -> Vec<(String, Row)> {
@@ -531,13 +469,13 @@
         .collect()
 }
 
-/// Within an epoch a replica is complete up to its version: a whole image that
-/// comes late, over rows that were acknowledged since, takes none of them away.
+/// Within an epoch a replica is complete up to its version: a full state that arrives late, over rows that were
+/// acknowledged since, removes none of them.
 #[test]
-fn a_whole_image_that_comes_late_takes_no_later_row_away() {
-    let mut script = Script::new();
-    script.beat(10, 11);
-    let whole = AppendRequest {
+fn late_full_state_removes_no_later_row() {
+    let mut script = ScriptedNode::new(3);
+    script.receive_heartbeat(10, 1, 11);
+    let full_append = AppendRequest {
         partition: PURGES_PARTITION,
         epoch: 17,
         membership_version: 0,
@@ -550,33 +488,33 @@
         published: 0,
         base: None,
     };
-    script.hear(20, 1, 11, whole.clone());
+    script.receive(20, 1, 11, full_append.clone());
     let next = AppendRequest {
         full_state: false,
         round: 2,
         after_version: 1,
         to_version: 2,
         rows: purge_rows(2..=2),
-        ..whole.clone()
+        ..full_append.clone()
     };
-    script.hear(30, 1, 11, next);
-    script.hear(40, 1, 11, whole);
+    script.receive(30, 1, 11, next);
+    script.receive(40, 1, 11, full_append);
     let prepare = PrepareRequest {
         partition: PURGES_PARTITION,
         epoch: 34,
         membership_version: 0,
         requester_state: StateId::default(),
     };
-    let held = script
-        .hear(50, 1, 11, prepare)
+    let state = script
+        .receive(50, 1, 11, prepare)
         .into_iter()
         .find_map(|(_, message)| match message {
             Message::PrepareReply(PrepareReply {
-                state: PreparedState::Newer(image),
+                state: PreparedState::Newer(prepared_state),
                 ..
-            }) => Some(image),
+            }) => Some(prepared_state),
             _ => None,
         })
         .expect("the epoch is promised");
-    assert_eq!((held.version, held.rows.len()), (2, 2));
+    assert_eq!((state.version, state.rows.len()), (2, 2));
 }
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -1,92 +1,47 @@
+//! What one disk holds, and how its log is read back.
+
+mod partition;
+mod record;
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
+pub use partition::{ReplicaPartition, UnpublishedRows};
+pub use record::Record;
+
+/// Retired incarnations that are remembered: disks are lost rarely, and what an earlier one acknowledged is counted
+/// within seconds or never.
+pub const MAX_RETIRED_INCARNATIONS: usize = 32;
 
-/// What one disk holds. All changes go through `apply`, on the path and when
-/// the log is read back. Invariants, per partition:
-/// - `promised` never goes down, and nothing under a lower epoch is taken.
-/// - `image` is complete up to `image.version` under `image.epoch`.
-/// - `shown` is, for the updates partitions, all rows for edges as they were at
-///   `image.published`. Rows that came after it wait in `tail`, by the version
-///   up to which each message made the image complete: what is published in
-///   between is not shown, since a later row may hide an earlier one of its key
-///   that was never sent.
+/// What one disk holds. All changes go through `apply`, while the node runs and when the log is read back.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
     /// The disk's own number, drawn when it was blank.
     pub incarnation: u64,
-    /// Whether the disk counts: it was refilled since it was blank.
+    /// Whether the disk counts toward quorums: it was recovered since it was blank.
     pub full: bool,
-    /// Its slot went to another: it counts for nothing, for good.
+    /// Its slot went to another node: it counts for nothing, for good.
     pub removed: bool,
-    /// The generation that may have lost something when this disk was refilled: of
-    /// any two disks one knows, until the next generation has its name.
-    pub lost: u64,
-    /// A table of places heard of from others; the one in the partition of places
-    /// goes first if it is as new.
-    pub membership_version: Option<(u64, Vec<Peer>)>,
-    /// The first disk of its slot: it was there when the table was founded, and
-    /// nothing was acknowledged before.
+    /// The generation that may have lost something when this disk was recovered; 0 if none. Of any two disks one
+    /// knows, until the next generation is founded.
+    pub lost_generation: u64,
+    /// A membership table received from others; the published one is preferred if it is as new.
+    pub known_table: Option<MembershipTable>,
+    /// The first disk of its slot: it was there when the table was founded, and nothing was acknowledged before.
     pub founding: bool,
-    /// Lives of slots that count for nothing any more, the latest last.
+    /// Incarnations of slots that count for nothing any more, the latest last.
     pub retired: VecDeque<u64>,
+    /// All partitions, by their numbers.
     pub partitions: Vec<ReplicaPartition>,
 }
 
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReplicaPartition {
-    pub promised: u64,
-    pub image: PartitionState,
-    pub shown: BTreeMap<String, Row>,
-    pub tail: VecDeque<(u64, Vec<(String, Row)>)>,
-}
-
-/// Retired lives remembered: disks are lost rarely, and what an earlier one
-/// acknowledged is counted within seconds or never.
-pub const RETIRED: usize = 32;
-
-/// One entry of the log on disk.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Record {
-    Incarnation {
-        incarnation: u64,
-    },
-    /// `lost`: from what was left after a majority of disks went.
-    Recovered {
-        held: Vec<PartitionSnapshot>,
-        lost: bool,
-    },
-    Promise {
-        partition: u8,
-        epoch: u64,
-    },
-    Appended {
-        keep: AppendRequest,
-    },
-    Image(Box<Replica>),
-    Removed,
-    MembershipTable {
-        version: u64,
-        members: Vec<Peer>,
-    },
-    /// The founding table, as the first seed fixed it.
-    Founding {
-        members: Vec<Peer>,
-    },
-    Retired {
-        incarnation: u64,
-    },
-}
-
-impl Record {
-    /// As it stands in the log.
-    pub fn bytes(&self) -> Vec<u8> {
-        bincode::serialize(self).expect("records serialize")
-    }
-}
+/// The log holds a record that is not one of this program's.
+#[derive(Debug, thiserror::Error)]
+#[error("record does not read")]
+pub struct ReplayError(#[from] bincode::Error);
 
 impl Replica {
+    /// An empty disk with this incarnation.
     pub fn blank(incarnation: u64) -> Replica {
         Replica {
             incarnation,
@@ -95,240 +50,162 @@
         }
     }
 
-    /// What a removed disk starts over with: a new life, which holds nothing, and
-    /// the table that told of the removal.
-    pub fn renewed(&self, incarnation: u64) -> Replica {
+    /// What a removed disk starts over with: a new incarnation, which holds nothing but the table that removed it.
+    pub fn for_rejoin(&self, incarnation: u64) -> Replica {
         Replica {
-            membership_version: self.table(),
+            known_table: self.newest_table(),
             ..Replica::blank(incarnation)
         }
     }
 
-    /// Reads a log back. None if it holds no disk number: the disk is blank.
-    pub fn replay(records: &[Vec<u8>]) -> Result<Option<Replica>> {
+    /// Reads a log back. None if it names no incarnation: the disk is blank.
+    ///
+    /// # Errors
+    /// A record that cannot be decoded.
+    pub fn replay(records: &[Vec<u8>]) -> Result<Option<Replica>, ReplayError> {
         let mut replica = Replica::blank(0);
         for record in records {
-            replica.apply(&bincode::deserialize(record).context("record does not read")?);
+            replica.apply(&bincode::deserialize(record)?);
         }
         Ok((replica.incarnation != 0).then_some(replica))
     }
 
-    pub fn held(&self, partition: u8) -> &ReplicaPartition {
+    /// The partition of this number.
+    pub fn partition(&self, partition: u8) -> &ReplicaPartition {
         &self.partitions[usize::from(partition)]
     }
 
+    fn partition_mut(&mut self, partition: u8) -> &mut ReplicaPartition {
+        &mut self.partitions[usize::from(partition)]
+    }
+
+    /// Applies one record of the log.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Incarnation { incarnation } => self.incarnation = *incarnation,
             Record::Promise { partition, epoch } => {
-                self.partitions[usize::from(*partition)].promised = *epoch
+                self.partition_mut(*partition).promised_epoch = *epoch;
             }
-            Record::Appended { keep } => self.partitions[usize::from(keep.partition)].keep(keep),
+            Record::Appended { request } => self.partition_mut(request.partition).append(request),
             Record::Removed => self.removed = true,
             Record::MembershipTable { version, members } => {
-                self.membership_version = Some((*version, members.clone()))
+                self.set_known_table(*version, members);
             }
             Record::Founding { members } => {
-                (self.founding, self.membership_version) = (true, Some((0, members.clone())))
-            }
-            Record::Retired { incarnation } => {
-                self.retired.push_back(*incarnation);
-                while self.retired.len() > RETIRED {
-                    self.retired.pop_front();
-                }
-            }
-            Record::Image(image) => *self = (**image).clone(),
-            Record::Recovered { held, lost } => {
-                self.full = true;
-                for one in held {
-                    let partition = &mut self.partitions[usize::from(one.partition)];
-                    partition.promised = partition.promised.max(one.promised);
-                    partition.image = one.state.clone();
-                    partition.shown = one.published_rows.clone();
-                    partition.tail.clear();
-                    if one.partition < PUBLISHED_PARTITIONS {
-                        let rows = one
-                            .state
-                            .rows
-                            .iter()
-                            .map(|(key, row)| (key.clone(), row.clone()))
-                            .collect();
-                        partition.tail.push_back((one.state.version, rows));
-                    }
-                }
-                self.lost = if *lost { self.generation() } else { 0 };
+                self.founding = true;
+                self.set_known_table(0, members);
             }
+            Record::Retired { incarnation } => self.remember_retired(*incarnation),
+            Record::Snapshot(snapshot) => *self = (**snapshot).clone(),
+            Record::Recovered {
+                partitions,
+                majority_lost,
+            } => self.recover(partitions, *majority_lost),
         }
     }
 
-    pub fn copy_out(&self) -> Vec<PartitionSnapshot> {
-        let one = |(at, held): (usize, &ReplicaPartition)| PartitionSnapshot {
-            partition: at as u8,
-            promised: held.promised,
-            state: held.image.clone(),
-            published_rows: held.shown.clone(),
-        };
-        self.partitions.iter().enumerate().map(one).collect()
+    fn set_known_table(&mut self, version: u64, members: &[Peer]) {
+        self.known_table = Some(MembershipTable {
+            version,
+            members: members.to_vec(),
+        });
     }
 
-    /// What an edge with this vector lacks.
-    pub fn updates(&self, vector: &[u64]) -> Vec<PartitionUpdate> {
+    fn remember_retired(&mut self, incarnation: u64) {
+        self.retired.push_back(incarnation);
+        while self.retired.len() > MAX_RETIRED_INCARNATIONS {
+            self.retired.pop_front();
+        }
+    }
+
+    fn recover(&mut self, partitions: &[PartitionSnapshot], majority_lost: bool) {
+        self.full = true;
+        for snapshot in partitions {
+            self.partition_mut(snapshot.partition).restore(snapshot);
+        }
+        self.lost_generation = if majority_lost { self.generation() } else { 0 };
+    }
+
+    /// All partitions, as another disk needs them to recover.
+    pub fn snapshot(&self) -> Vec<PartitionSnapshot> {
+        let numbered = (0u8..).zip(&self.partitions);
+        numbered
+            .map(|(number, partition)| partition.snapshot(number))
+            .collect()
+    }
+
+    /// Published rows that an edge lacks that knows the partitions up to these versions.
+    pub fn updates(&self, version_vector: &[u64]) -> Vec<PartitionUpdate> {
+        let known_version = |number: u8| version_vector.get(usize::from(number)).copied();
         (0..PUBLISHED_PARTITIONS)
-            .filter_map(|partition| {
-                let held = self.held(partition);
-                let known = vector.get(usize::from(partition)).copied().unwrap_or(0);
-                let rows = held.shown.iter().filter(|(_, row)| row.version > known);
-                (held.image.published > known).then(|| PartitionUpdate {
-                    partition,
-                    version: held.image.published,
-                    rows: rows.map(|(key, row)| (key.clone(), row.clone())).collect(),
-                })
+            .filter_map(|number| {
+                self.partition(number)
+                    .update_since(number, known_version(number).unwrap_or(0))
             })
             .collect()
     }
 
-    /// The generation, as far as this replica may show it; 0 before the founding.
+    fn published_row(&self, partition: u8, key: &str) -> Option<&Value> {
+        let row = self.partition(partition).published_rows.get(key)?;
+        Some(&row.value)
+    }
+
+    /// The generation, as far as it is published here; 0 before the founding.
     pub fn generation(&self) -> u64 {
-        match self.held(CONFIGURATION_PARTITION).shown.get("founded") {
-            Some(Row {
-                value: Value::Founded { generation },
-                ..
-            }) => *generation,
+        match self.published_row(CONFIGURATION_PARTITION, "founded") {
+            Some(Value::Founded { generation }) => *generation,
             _ => 0,
         }
     }
 
-    /// The generation whose ledger was told to be complete.
-    pub fn opened(&self) -> u64 {
-        match self.held(ASSIGNMENTS_PARTITION).shown.get("opened") {
-            Some(Row {
-                value: Value::Opened { generation },
-                ..
-            }) => *generation,
+    /// The generation whose ledger is published to be complete; 0 if none is.
+    pub fn opened_generation(&self) -> u64 {
+        match self.published_row(ASSIGNMENTS_PARTITION, "opened") {
+            Some(Value::Opened { generation }) => *generation,
             _ => 0,
         }
     }
 
     /// Whether an edge may claim operations: its loss would be noticed.
-    pub fn enrolled(&self, peer: &Peer) -> bool {
-        matches!(self.held(ASSIGNMENTS_PARTITION).shown.get("enrolled"), Some(Row { value: Value::Enrolled { members }, .. }) if members.contains(peer))
-    }
-
-    /// Who holds the slots by the newest table known here, if any is.
-    pub fn table(&self) -> Option<(u64, Vec<Peer>)> {
-        let shown = self.members();
-        match &self.membership_version {
-            Some(heard) if shown.as_ref().is_none_or(|(version, _)| *version < heard.0) => {
-                Some(heard.clone())
-            }
-            _ => shown,
+    pub fn is_enrolled(&self, peer: &Peer) -> bool {
+        match self.published_row(ASSIGNMENTS_PARTITION, "enrolled") {
+            Some(Value::Enrolled { members }) => members.contains(peer),
+            _ => false,
         }
     }
 
-    /// Who holds the slots as edges are shown it here, if there is such a row.
-    pub fn members(&self) -> Option<(u64, Vec<Peer>)> {
-        self.held(MEMBERSHIP_PARTITION)
-            .shown
-            .values()
-            .find_map(|row| match &row.value {
-                Value::Members(members) => Some((row.version, members.clone())),
-                _ => None,
-            })
-    }
-
-    /// The configuration as far as this replica may show it.
-    pub fn configuration(&self) -> Option<(u64, Arc<str>)> {
-        self.held(CONFIGURATION_PARTITION)
-            .shown
-            .values()
-            .find_map(|row| match &row.value {
-                Value::Configuration { text, .. } => Some((row.version, text.clone())),
-                _ => None,
-            })
-    }
-}
-
-impl ReplicaPartition {
-    /// Whether `keep` can be taken as it is; the epoch was checked before.
-    pub fn fits(&self, keep: &AppendRequest) -> bool {
-        let same_epoch = self.image.epoch == keep.epoch && self.image.version >= keep.after_version;
-        let base = keep.base.as_ref().map(|base| StateId {
-            epoch: base.epoch,
-            version: keep.after_version,
-        });
-        keep.full_state || same_epoch || base == Some(self.image.id())
-    }
-
-    /// What is told with a promise to one who holds `held`. States of the ledger
-    /// are large and mostly the same at all replicas.
-    pub fn promised_state(&self, partition: u8, held: StateId) -> PreparedState {
-        let id = self.image.id();
-        if partition >= PUBLISHED_PARTITIONS && id <= held {
-            let published = self.image.published;
-            PreparedState::NotNewer { id, published }
-        } else {
-            PreparedState::Newer(self.image.clone())
+    /// The newest membership table known here, if any is.
+    pub fn newest_table(&self) -> Option<MembershipTable> {
+        let published = self.published_table();
+        let is_newer = |known: &&MembershipTable| {
+            published
+                .as_ref()
+                .is_none_or(|published| published.version < known.version)
+        };
+        match self.known_table.as_ref().filter(is_newer) {
+            Some(known) => Some(known.clone()),
+            None => published,
         }
     }
 
-    fn keep(&mut self, keep: &AppendRequest) {
-        self.promised = self.promised.max(keep.epoch);
-        if keep.full_state {
-            self.image.rows.clear();
-            self.image.version = 0;
-            self.tail.clear();
-        }
-        self.image.epoch = keep.epoch;
-        for (key, row) in &keep.rows {
-            if self
-                .image
-                .rows
-                .get(key)
-                .is_none_or(|known| known.version < row.version)
-            {
-                self.image.rows.insert(key.clone(), row.clone());
-            }
-        }
-        for key in &keep.removed_keys {
-            self.image.rows.remove(key);
-        }
-        if let Some(keys) = keep.base.as_ref().and_then(|base| base.keys.as_ref()) {
-            let keys: HashSet<&String> = keys.iter().collect();
-            self.image.rows.retain(|key, _| keys.contains(key));
-        }
-        if keep.partition < PUBLISHED_PARTITIONS
-            && (keep.full_state || keep.to_version > self.image.version)
-        {
-            self.tail.push_back((keep.to_version, keep.rows.clone()));
-        }
-        self.image.version = self.image.version.max(keep.to_version);
-        if keep.partition < PUBLISHED_PARTITIONS {
-            self.publish(keep.published);
-        } else {
-            self.image.published = self
-                .image
-                .published
-                .max(keep.published.min(self.image.version));
-        }
+    /// The membership table as it is published to edges, if it is.
+    pub fn published_table(&self) -> Option<MembershipTable> {
+        let rows = &self.partition(MEMBERSHIP_PARTITION).published_rows;
+        rows.values().find_map(|row| match &row.value {
+            Value::Members(members) => Some(MembershipTable {
+                version: row.version,
+                members: members.clone(),
+            }),
+            _ => None,
+        })
     }
 
-    fn publish(&mut self, published: u64) {
-        while let Some((version, rows)) =
-            self.tail.pop_front_if(|(version, _)| *version <= published)
-        {
-            for (key, row) in rows {
-                if !row.value.visible_to_edges() {
-                    continue;
-                }
-                if self
-                    .shown
-                    .get(&key)
-                    .is_none_or(|known| known.version < row.version)
-                {
-                    self.shown.insert(key, row);
-                }
-            }
-            self.image.published = self.image.published.max(version);
-        }
+    /// The published configuration and its version.
+    pub fn configuration(&self) -> Option<(u64, Arc<str>)> {
+        let rows = &self.partition(CONFIGURATION_PARTITION).published_rows;
+        rows.values().find_map(|row| match &row.value {
+            Value::Configuration { text, .. } => Some((row.version, text.clone())),
+            _ => None,
+        })
     }
 }
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -20,7 +20,9 @@
         new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.snapshot_bytes);
-    let history = Some(History::keep(startup.data.clone().context("data folder")?));
+    let history = Some(History::spawn_writer(
+        startup.data.clone().context("data folder")?,
+    ));
     let host = NodeHost {
         me: control.me(),
         program: "control-node",
@@ -44,8 +46,8 @@
 /// The slot of this disk went to another node while it was away, so what it holds
 /// counts for nothing: it continues as an empty one, which may get a slot.
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
-    let renewed = removed.renewed(new_incarnation()?);
-    let image = Record::Image(Box::new(renewed.clone()));
+    let renewed = removed.for_rejoin(new_incarnation()?);
+    let image = Record::Snapshot(Box::new(renewed.clone()));
     log.write_snapshot(&image.bytes())?;
     log.sync()?;
     Ok(renewed)
@@ -80,7 +82,7 @@
 /// read were written by another version.
 fn read_back(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
     Replica::replay(records).unwrap_or_else(|error| {
-        exit_with_unreadable_log(&format!("{}: {error:#}", folder.display()))
+        exit_with_unreadable_log(&format!("{}: {:#}", folder.display(), anyhow!(error)))
     })
 }
 
