--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of `items_change`.
 use crate::prelude::*;
 
 fn item(kind: ItemKind, name: &str, revision: u64, text: Option<String>) -> Item {
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,5 +1,7 @@
-//! What every otterslip process is built on: startup, messages, frames, links,
-//! ticks, events and the host that drives a part.
+//! What every otterslip process is built on: settings, messages, frames, links,
+//! ticks, events and the host that drives a state machine.
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod accepted;
 pub mod applied;
 pub mod call;
--- a/kernel/src/link/counters.rs
+++ b/kernel/src/link/counters.rs
@@ -1,3 +1,4 @@
+//! Counts of what the links have come to.
 use crate::link::Priority;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -1,3 +1,4 @@
+//! Which messages go ahead of others.
 use crate::prelude::*;
 
 /// Which of two queues a message waits in. See the module's page on why no
--- a/programs/src/lib.rs
+++ b/programs/src/lib.rs
@@ -1,5 +1,7 @@
 //! Starting nodes: shared by the programs of this package, and by adapters to
 //! platforms.
+#![warn(missing_docs, unreachable_pub)]
+
 mod control_node;
 mod edge_node;
 pub mod prelude;
