--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -7,13 +7,13 @@
 
 /// A repeatable call for a caller that has left ends within this time after the
 /// close was read.
-pub const END_BOUND: Duration = Duration::from_millis(250);
+pub const MAX_ABANDONED_CALL: Duration = Duration::from_millis(250);
 
 /// Requests whose callers have left, and the calls under way to origins.
 /// Invariants that it checks:
 /// - No call is begun for a request after its caller has left, unless others wait
 ///   for what the call brings.
-/// - `END_BOUND` after its caller left, no call is under way that may be repeated
+/// - `MAX_ABANDONED_CALL` after its caller left, no call is under way that may be repeated
 ///   and that serves nobody else.
 #[derive(Debug, Default)]
 pub struct AbandonedWork {
@@ -34,7 +34,7 @@
 
 /// Work for a caller that has left.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Violation {
+pub struct AbandonedWorkViolation {
     pub request: u64,
     pub purpose: CallPurpose,
     pub kind: ViolationKind,
@@ -47,7 +47,7 @@
     /// The call was begun after the caller had left.
     Begun,
     /// The call went on.
-    KeptOn,
+    Continued,
 }
 
 impl AbandonedWork {
@@ -63,7 +63,7 @@
         call: u64,
         request: u64,
         purpose: CallPurpose,
-    ) -> Option<Violation> {
+    ) -> Option<AbandonedWorkViolation> {
         let watched = WatchedCall {
             request,
             purpose,
@@ -72,7 +72,7 @@
         self.calls.insert(call, watched);
         let since = now - *self.left.get(&request)?;
         let kind = ViolationKind::Begun;
-        (purpose != CallPurpose::SharedCopy).then_some(Violation {
+        (purpose != CallPurpose::SharedCopy).then_some(AbandonedWorkViolation {
             request,
             purpose,
             kind,
@@ -87,7 +87,11 @@
 
     /// Calls that go on for too long, each reported once. `pending`: whether the
     /// request is not answered yet.
-    pub fn overdue(&mut self, now: Duration, pending: &dyn Fn(u64) -> bool) -> Vec<Violation> {
+    pub fn overdue(
+        &mut self,
+        now: Duration,
+        pending: &dyn Fn(u64) -> bool,
+    ) -> Vec<AbandonedWorkViolation> {
         if self.left.is_empty() {
             return Vec::new();
         }
@@ -97,12 +101,12 @@
                 continue;
             };
             let may_end = call.purpose == CallPurpose::Caller && !call.reported;
-            if may_end && now > *left + END_BOUND {
+            if may_end && now > *left + MAX_ABANDONED_CALL {
                 call.reported = true;
-                found.push(Violation {
+                found.push(AbandonedWorkViolation {
                     request: call.request,
                     purpose: call.purpose,
-                    kind: ViolationKind::KeptOn,
+                    kind: ViolationKind::Continued,
                     since: now - *left,
                 });
             }
--- a/data-plane/src/admission/calls_under_way.rs
+++ b/data-plane/src/admission/calls_in_flight.rs
@@ -5,12 +5,12 @@
 /// the calls of each origin, so that a look at one origin goes over none of
 /// the others' calls.
 #[derive(Default)]
-pub struct CallsUnderWay {
-    calls: HashMap<(u64, u64), Under>,
+pub struct CallsInFlight {
+    calls: HashMap<(u64, u64), CallInFlight>,
     tallies: HashMap<SocketAddr, Tally>,
 }
 
-pub struct Under {
+pub struct CallInFlight {
     pub origin: SocketAddr,
     pub rank: u32,
     pub since: Duration,
@@ -25,15 +25,15 @@
     since_s: f64,
 }
 
-impl Under {
+impl CallInFlight {
     /// Seconds since it was given.
     pub fn age(&self, now: Duration) -> f64 {
         now.saturating_sub(self.since).as_secs_f64()
     }
 }
 
-impl CallsUnderWay {
-    pub fn insert(&mut self, permit: (u64, u64), call: Under) {
+impl CallsInFlight {
+    pub fn insert(&mut self, permit: (u64, u64), call: CallInFlight) {
         self.remove(permit);
         let tally = self.tallies.entry(call.origin).or_default();
         tally.count += 1;
@@ -41,9 +41,9 @@
         self.calls.insert(permit, call);
     }
 
-    pub fn remove(&mut self, permit: (u64, u64)) -> Option<Under> {
+    pub fn remove(&mut self, permit: (u64, u64)) -> Option<CallInFlight> {
         let call = self.calls.remove(&permit)?;
-        CallsUnderWay::uncount(&mut self.tallies, &call);
+        CallsInFlight::uncount(&mut self.tallies, &call);
         Some(call)
     }
 
@@ -53,13 +53,13 @@
         self.calls.retain(|_, call| {
             let stands = now < call.until;
             if !stands {
-                CallsUnderWay::uncount(tallies, call);
+                CallsInFlight::uncount(tallies, call);
             }
             stands
         });
     }
 
-    fn uncount(tallies: &mut HashMap<SocketAddr, Tally>, call: &Under) {
+    fn uncount(tallies: &mut HashMap<SocketAddr, Tally>, call: &CallInFlight) {
         let tally = tallies.get_mut(&call.origin).expect("it was counted");
         tally.count -= 1;
         tally.since_s -= call.since.as_secs_f64();
@@ -72,7 +72,7 @@
         self.calls.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Under> {
+    pub fn iter(&self) -> impl Iterator<Item = &CallInFlight> {
         self.calls.values()
     }
 
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -1,12 +1,14 @@
 //! Admission control of one origin group.
 mod arrivals;
-mod calls_under_way;
+mod calls_in_flight;
 #[cfg(test)]
 mod tests;
+mod token_bucket;
 
 use crate::prelude::*;
 use arrivals::Arrivals;
-use calls_under_way::{CallsUnderWay, Under};
+use calls_in_flight::{CallInFlight, CallsInFlight};
+pub use token_bucket::TokenBucket;
 
 /// The admission controller of one origin group: hands out short-lived permits by rank.
 /// Invariants:
@@ -34,10 +36,10 @@
     concurrency: u32,
     proof: Proof,
     /// What all origins together may get, if that is bounded.
-    whole: Option<Room>,
+    whole: Option<TokenBucket>,
     origins: BTreeMap<SocketAddr, OriginAt>,
     waits: Vec<Wait>,
-    calls: CallsUnderWay,
+    calls: CallsInFlight,
     firsts: VecDeque<Duration>,
     extras: VecDeque<Duration>,
     arrivals: Arrivals,
@@ -50,7 +52,7 @@
 
 struct OriginAt {
     origin: Origin,
-    room: Room,
+    room: TokenBucket,
     /// Smoothed time a call takes.
     took: f64,
     proof: Option<Duration>,
@@ -135,7 +137,7 @@
             whole: None,
             origins: BTreeMap::new(),
             waits: Vec::new(),
-            calls: CallsUnderWay::default(),
+            calls: CallsInFlight::default(),
             firsts: VecDeque::new(),
             extras: VecDeque::new(),
             arrivals: Arrivals::new(FORESEE),
@@ -156,7 +158,9 @@
         match (&mut self.whole, group.total_rate) {
             (Some(room), Some(rate)) => room.rate = rate,
             // Some calls at once: what waited for a holder comes together.
-            (whole, rate) => *whole = rate.map(|rate| Room::with(now, rate, rate * AT_ONCE_S)),
+            (whole, rate) => {
+                *whole = rate.map(|rate| TokenBucket::with(now, rate, rate * AT_ONCE_S))
+            }
         }
         // What is left of it is for edges that cannot reach the admission controller.
         if let Some(room) = self.whole.as_mut().filter(|_| group.proof == Proof::Named) {
@@ -176,7 +180,7 @@
                 .entry(origin.address)
                 .or_insert_with(|| OriginAt {
                     origin: origin.clone(),
-                    room: Room::new(now, group.rate),
+                    room: TokenBucket::new(now, group.rate),
                     took: 0.02,
                     proof: None,
                     probing: None,
@@ -258,7 +262,7 @@
         }
         // A place held by a higher call serves the next one for what is left
         // of that time after it ends.
-        let again = |call: &Under| (call.age(now) / takes).min(1.0);
+        let again = |call: &CallInFlight| (call.age(now) / takes).min(1.0);
         let reused: f64 = self
             .calls
             .iter()
@@ -323,7 +327,7 @@
     }
 
     /// None of these edges waits for a permit any more.
-    pub fn forget_askers(&mut self, now: Duration, gone: &HashSet<SocketAddr>) {
+    pub fn forget_edges(&mut self, now: Duration, gone: &HashSet<SocketAddr>) {
         self.drop_waits(now, &|wait| gone.contains(&wait.from));
     }
 
@@ -538,7 +542,7 @@
         self.serial += 1;
         self.calls.insert(
             (self.epoch, self.serial),
-            Under {
+            CallInFlight {
                 origin: address,
                 rank: wait.rank,
                 since: now,
@@ -571,7 +575,7 @@
             if epoch < self.epoch {
                 self.calls.insert(
                     (epoch, serial),
-                    Under {
+                    CallInFlight {
                         origin,
                         rank: 0,
                         since: now,
@@ -624,14 +628,14 @@
             CallResult::Cancelled => {
                 let until = call.until.min(now + CANCEL_SEEN);
                 self.calls
-                    .insert((done.epoch, done.serial), Under { until, ..call });
+                    .insert((done.epoch, done.serial), CallInFlight { until, ..call });
             }
             CallResult::Unused => {
                 // Not called: the token goes back, within the burst.
                 let room = self.origins.get_mut(&call.origin).map(|at| &mut at.room);
                 room.into_iter()
                     .chain(&mut self.whole)
-                    .for_each(Room::give_back);
+                    .for_each(TokenBucket::give_back);
                 if call.extra {
                     &mut self.extras
                 } else {
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -656,7 +656,7 @@
         admission.request_permit(at(1000), origin(port).address, ask);
     }
     let given = permits(&mut admission);
-    admission.forget_askers(at(1010), &HashSet::from([origin(9).address]));
+    admission.forget_edges(at(1010), &HashSet::from([origin(9).address]));
     admission.done(at(1100), ended(&given[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
--- a/data-plane/src/room.rs
+++ b/data-plane/src/admission/token_bucket.rs
@@ -1,20 +1,20 @@
 use crate::prelude::*;
 
 /// The span over which a rate is judged, and how much of it may come.
-const RATE_SPAN: f64 = 5.0;
-const RATE_SLACK: f64 = 1.1;
+const RATE_WINDOW_S: f64 = 5.0;
+const RATE_TOLERANCE: f64 = 1.1;
 
 /// Room under one rate: a bucket, empty at first, and what was given of late.
-pub struct Room {
+pub struct TokenBucket {
     pub rate: f64,
     pub tokens: f64,
     filled: Duration,
     window: VecDeque<Duration>,
 }
 
-impl Room {
-    pub fn new(now: Duration, rate: f64) -> Room {
-        Room {
+impl TokenBucket {
+    pub fn new(now: Duration, rate: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             tokens: 0.0,
             filled: now,
@@ -23,10 +23,10 @@
     }
 
     /// With so many calls at once.
-    pub fn with(now: Duration, rate: f64, tokens: f64) -> Room {
-        Room {
+    pub fn with(now: Duration, rate: f64, tokens: f64) -> TokenBucket {
+        TokenBucket {
             tokens,
-            ..Room::new(now, rate)
+            ..TokenBucket::new(now, rate)
         }
     }
 
@@ -41,7 +41,7 @@
         self.tokens = (self.tokens + (now - self.filled).as_secs_f64() * self.rate).min(most);
         self.filled = now;
         while self.window.front().is_some_and(|given| {
-            now >= *given + Duration::from_secs_f64(RATE_SPAN) + lease::PERMIT_VALIDITY
+            now >= *given + Duration::from_secs_f64(RATE_WINDOW_S) + lease::PERMIT_VALIDITY
         }) {
             self.window.pop_front();
         }
@@ -51,7 +51,7 @@
     /// span.
     pub fn has(&self) -> bool {
         self.tokens >= 1.0
-            && self.window.len() < (self.rate * RATE_SPAN * RATE_SLACK).max(1.0) as usize
+            && self.window.len() < (self.rate * RATE_WINDOW_S * RATE_TOLERANCE).max(1.0) as usize
     }
 
     pub fn take(&mut self, now: Duration) {
--- a/data-plane/src/cache_owner.rs
+++ b/data-plane/src/cache_owner.rs
@@ -59,21 +59,21 @@
 }
 
 /// A refresher is given this long, or the minor span if that is shorter.
-pub const STALL: Duration = Duration::from_secs(2);
+pub const REFRESH_TIMEOUT: Duration = Duration::from_secs(2);
 /// A put under a token older than this is dropped.
 const TOKEN: Duration = Duration::from_secs(60);
 /// What was set aside is kept this long, and handed on in at most this size.
 const ASIDE: Duration = Duration::from_secs(3);
-const HANDED_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_HANDOVER_BYTES: u64 = 16 * 1024 * 1024;
 /// A question that was answered with a copy is answered with another one only
 /// after this time: until then the first is taken to be on its way.
 pub const RESEND: Duration = Duration::from_secs(2);
 /// Counted for each copy beside its body and headers.
-const COPY_BYTES: u64 = 512;
+const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
 /// For how long a copy is served before it is refreshed: the paper's δ, of the
 /// keep time Δ.
-pub fn minor_span(keep: Duration) -> Duration {
+pub fn minor_expiry_after(keep: Duration) -> Duration {
     keep / 2
 }
 
@@ -104,7 +104,7 @@
     }
 
     fn delta(&self) -> Duration {
-        minor_span(self.keep)
+        minor_expiry_after(self.keep)
     }
 
     /// Lets go of the copy; what it took is free again.
@@ -116,7 +116,7 @@
 
     fn bytes(&self) -> u64 {
         let Some(held) = &self.held else { return 0 };
-        (held.reply.bytes() + self.url.len()) as u64 + COPY_BYTES
+        (held.reply.bytes() + self.url.len()) as u64 + ENTRY_OVERHEAD_BYTES
     }
 }
 
@@ -165,7 +165,7 @@
             self.bytes -= slot.empty();
         }
         let delta = slot.delta();
-        let stall = delta.min(STALL);
+        let stall = delta.min(REFRESH_TIMEOUT);
         let busy = slot.refresher.is_some_and(|(_, until)| now < until);
         if let Some(held) = &mut slot.held {
             if now < held.minor || spare || busy {
@@ -217,7 +217,7 @@
     }
 
     /// None of these edges waits for a copy any more.
-    pub fn forget_askers(&mut self, gone: &HashSet<SocketAddr>) {
+    pub fn forget_edges(&mut self, gone: &HashSet<SocketAddr>) {
         for slot in self.keys.values_mut() {
             slot.waits.retain(|wait| !gone.contains(&wait.from));
         }
@@ -263,7 +263,7 @@
 
     /// False if the put came too late: under another epoch of the assignment, after
     /// a purge that reaches it, or older than what is held.
-    pub fn put(&mut self, now: Duration, put: CachePut, epoch: u64, book: &PurgeBook) -> bool {
+    pub fn put(&mut self, now: Duration, put: CachePut, epoch: u64, purge_log: &PurgeLog) -> bool {
         let CachePut { key, token, reply } = put;
         let Some(slot) = self.keys.get_mut(&key) else {
             return false;
@@ -277,10 +277,11 @@
             .held
             .as_ref()
             .is_none_or(|held| held.serial < token.serial);
-        let good =
-            token.epoch == epoch && newer && book.clear(token.purge_version, slot.name(&reply));
+        let good = token.epoch == epoch
+            && newer
+            && purge_log.clear(token.purge_version, slot.name(&reply));
         let Some(began) = began.filter(|began| good && now < *began + slot.keep) else {
-            self.give_up(now, key, token, epoch, book.applied, false);
+            self.give_up(now, key, token, epoch, purge_log.applied, false);
             return false;
         };
         self.bytes -= slot.bytes();
@@ -289,7 +290,7 @@
         slot.held = Some(Held {
             reply,
             serial: token.serial,
-            purged: book.applied,
+            purged: purge_log.applied,
             began,
             minor,
             major,
@@ -304,7 +305,7 @@
             }
             self.given += 1;
             self.answered.insert((wait.from, wait.id), now);
-            let copy = CacheOwner::copy(now, &wait, key, held, book.applied);
+            let copy = CacheOwner::copy(now, &wait, key, held, purge_log.applied);
             self.out.push((wait.from, copy));
         }
         self.evict();
@@ -352,7 +353,7 @@
             return;
         }
         let wait = slot.waits.remove(0);
-        let stall = slot.delta().min(STALL);
+        let stall = slot.delta().min(REFRESH_TIMEOUT);
         self.serial += 1;
         let token = CacheOwner::issue(now, slot, self.serial, epoch, purged, stall);
         self.out.push((
@@ -401,7 +402,7 @@
 
     /// Keeps only partitions that are held under an unchanged epoch; copies of the
     /// others are set aside.
-    pub fn keep_partitions(&mut self, now: Duration, purged: u64, keep: &dyn Fn(u16) -> bool) {
+    pub fn retain_partitions(&mut self, now: Duration, purged: u64, keep: &dyn Fn(u16) -> bool) {
         let lost: Vec<CacheKey> = self
             .keys
             .keys()
@@ -423,7 +424,7 @@
     }
 
     /// True while a next holder may still ask for what was set aside.
-    pub fn has_aside(&self) -> bool {
+    pub fn has_retained_partitions(&self) -> bool {
         !self.aside.is_empty()
     }
 
@@ -436,7 +437,7 @@
         let mut bytes = 0;
         let fits = |(_, slot): &&(CacheKey, Slot)| {
             bytes += slot.bytes();
-            bytes <= HANDED_BYTES && slot.held.as_ref().is_some_and(|held| now < held.major)
+            bytes <= MAX_HANDOVER_BYTES && slot.held.as_ref().is_some_and(|held| now < held.major)
         };
         let carried = list.iter().take_while(fits).filter_map(|(key, slot)| {
             let held = slot.held.as_ref()?;
@@ -463,7 +464,7 @@
         now: Duration,
         way: Duration,
         copies: Vec<HandedOverResponse>,
-        book: &PurgeBook,
+        purge_log: &PurgeLog,
     ) -> usize {
         let mut taken = 0;
         for copy in copies {
@@ -477,7 +478,7 @@
                 url: &copy.url,
                 tags: Some(&copy.reply.tags),
             };
-            if held || copy.major_expiry <= way || !book.clear(copy.purge_version, name) {
+            if held || copy.major_expiry <= way || !purge_log.clear(copy.purge_version, name) {
                 continue;
             }
             taken += 1;
@@ -503,7 +504,7 @@
             let held = Held {
                 reply,
                 serial,
-                purged: book.applied,
+                purged: purge_log.applied,
                 began,
                 minor: now + minor.saturating_sub(way),
                 major: now + major - way,
@@ -511,7 +512,7 @@
             for wait in slot.waits.drain(..) {
                 self.given += 1;
                 self.answered.insert((wait.from, wait.id), now);
-                let copy = CacheOwner::copy(now, &wait, key, &held, book.applied);
+                let copy = CacheOwner::copy(now, &wait, key, &held, purge_log.applied);
                 self.out.push((wait.from, copy));
             }
             slot.held = Some(held);
@@ -522,7 +523,7 @@
     }
 
     pub fn clear(&mut self) {
-        self.keep_partitions(Duration::ZERO, 0, &|_| false);
+        self.retain_partitions(Duration::ZERO, 0, &|_| false);
         self.aside.clear();
     }
 
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -60,7 +60,7 @@
             reply: reply("a")
         },
         7,
-        &PurgeBook::default()
+        &PurgeLog::default()
     ));
     owner
 }
@@ -81,7 +81,7 @@
             reply: reply("b"),
         },
         7,
-        &PurgeBook::default(),
+        &PurgeLog::default(),
     );
     assert_eq!(ask(&mut owner, 10_050, 50).0, "copy b");
     assert_eq!(ask(&mut owner, 10_100, 51).0, "miss");
@@ -99,7 +99,7 @@
             reply: reply("a"),
         },
         7,
-        &PurgeBook::default(),
+        &PurgeLog::default(),
     );
     assert_eq!(ask(&mut owner, 6500, 2).0, "miss");
     assert_eq!(ask(&mut owner, 9999, 3).0, "copy a");
@@ -138,7 +138,7 @@
             reply: reply("c"),
         },
         7,
-        &PurgeBook::default(),
+        &PurgeLog::default(),
     );
     assert_eq!(
         owner.take_out().len(),
@@ -153,8 +153,8 @@
         url: Some("/u".into()),
         ..Purge::default()
     };
-    let mut book = PurgeBook::default();
-    book.learn(
+    let mut purge_log = PurgeLog::default();
+    purge_log.learn(
         Duration::ZERO,
         1,
         &[(
@@ -179,7 +179,7 @@
             reply: reply("old")
         },
         7,
-        &book
+        &purge_log
     ));
     assert_eq!(
         ask(&mut owner, 5200, 3).0,
@@ -197,7 +197,7 @@
             reply: reply("old")
         },
         8,
-        &PurgeBook::default()
+        &PurgeLog::default()
     ));
 
     let mut owner = filled(0);
@@ -212,7 +212,7 @@
             reply: reply("new"),
         },
         7,
-        &PurgeBook::default(),
+        &PurgeLog::default(),
     );
     assert!(!owner.put(
         at(10_200),
@@ -222,7 +222,7 @@
             reply: reply("old")
         },
         7,
-        &PurgeBook::default()
+        &PurgeLog::default()
     ));
     assert_eq!(ask(&mut owner, 10_300, 4).0, "copy new");
 }
@@ -258,7 +258,7 @@
                 reply: reply(&"x".repeat(488)),
             },
             7,
-            &PurgeBook::default(),
+            &PurgeLog::default(),
         );
         assert!(owner.bytes <= 20_000);
     }
@@ -270,7 +270,7 @@
 #[test]
 fn a_moved_partition_takes_its_copies_along_with_expiries_and_purges() {
     let mut owner = filled(0);
-    owner.keep_partitions(at(2000), 3, &|_| false);
+    owner.retain_partitions(at(2000), 3, &|_| false);
     assert_eq!(owner.bytes, 0);
     let copies = owner.hand(at(2100), cache_partition(&KEY));
     assert_eq!(
@@ -286,7 +286,7 @@
     // Its clock is its own; the way there counts against the copy.
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
-        next.take_over(at(50_000), at(100), copies.clone(), &PurgeBook::default()),
+        next.take_over(at(50_000), at(100), copies.clone(), &PurgeLog::default()),
         1
     );
     assert_eq!(ask(&mut next, 52_799, 1).0, "copy a");
@@ -297,7 +297,7 @@
     // Too long on the way: over before it came.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
-        late.take_over(at(50_000), at(7900), copies.clone(), &PurgeBook::default()),
+        late.take_over(at(50_000), at(7900), copies.clone(), &PurgeLog::default()),
         0
     );
     // A purge that the last holder did not know yet.
@@ -305,8 +305,8 @@
         url: Some("/u".into()),
         ..Purge::default()
     };
-    let mut book = PurgeBook::default();
-    book.learn(
+    let mut purge_log = PurgeLog::default();
+    purge_log.learn(
         Duration::ZERO,
         4,
         &[(
@@ -318,12 +318,14 @@
         )],
     );
     let mut next = CacheOwner::new(1 << 20);
-    assert_eq!(next.take_over(at(50_000), at(100), copies, &book), 0);
+    assert_eq!(next.take_over(at(50_000), at(100), copies, &purge_log), 0);
     // Set aside too long, it is gone.
     let mut owner = filled(0);
-    owner.keep_partitions(at(2000), 3, &|_| false);
+    owner.retain_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
-    assert!(owner.hand(at(5000), cache_partition(&KEY)).is_empty() && !owner.has_aside());
+    assert!(
+        owner.hand(at(5000), cache_partition(&KEY)).is_empty() && !owner.has_retained_partitions()
+    );
 }
 
 /// A copy is sent to nobody who took the question back, and whose refresher
@@ -339,7 +341,7 @@
         owner.withdraw(from(1), &KEY, 2);
         owner.withdraw(from(2), &KEY, 3);
         owner.withdraw(from(1), &[9; 32], 4);
-        let book = PurgeBook::default();
+        let purge_log = PurgeLog::default();
         if fails {
             owner.give_up(at(20), KEY, token, 7, 0, false);
         } else {
@@ -348,7 +350,7 @@
                 token,
                 reply: reply("a"),
             };
-            assert!(owner.put(at(20), put, 7, &book));
+            assert!(owner.put(at(20), put, 7, &purge_log));
         }
         let answered = |(_, message)| match message {
             Message::CacheCopy(copy) => copy.id,
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -5,7 +5,7 @@
 pub struct DefaultProtocol;
 
 /// Headers of an answer that go on to the caller; all else stays here.
-const PASSED: [&str; 8] = [
+const FORWARDED_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
     "set-cookie",
@@ -15,12 +15,12 @@
     "content-language",
     "vary",
 ];
-const ERRAND: &str = "otterslip-errand";
-const INSTANCE: &str = "otterslip-instance";
+const REQUEST_ID_HEADER: &str = "otterslip-errand";
+const INSTANCE_HEADER: &str = "otterslip-instance";
 /// The status of an instance that was not the one named, and ran nothing.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 /// Of an origin's answer that it did not run the request.
-const NOT_RUN: &str = "otterslip-not-run";
+const NOT_EXECUTED_HEADER: &str = "otterslip-not-run";
 
 impl ProtocolAdapter for DefaultProtocol {
     fn patience(&self, _: &[(String, String)]) -> Option<Duration> {
@@ -39,8 +39,8 @@
         let mut headers = vec![
             ("Host".to_string(), call.origin.address.to_string()),
             ("otterslip-service".into(), call.origin.service.clone()),
-            (INSTANCE.into(), call.origin.instance.clone()),
-            (ERRAND.into(), call.request.to_string()),
+            (INSTANCE_HEADER.into(), call.origin.instance.clone()),
+            (REQUEST_ID_HEADER.into(), call.request.to_string()),
             ("x-forwarded-host".into(), call.host.clone()),
         ];
         headers.extend(
@@ -67,19 +67,19 @@
             Proof::Named => {
                 // Before all else: an answer to another call proves nothing of
                 // this one.
-                if header(headers, ERRAND) != Some(request.as_str()) {
+                if header(headers, REQUEST_ID_HEADER) != Some(request.as_str()) {
                     return OriginVerdict::Rejected("the answer is to another request".into());
                 }
-                if status == MISDIRECTED {
+                if status == MISDIRECTED_REQUEST {
                     return OriginVerdict::WrongInstance;
                 }
                 // Without the refusal, another instance may have run it.
-                if header(headers, INSTANCE) != Some(call.origin.instance.as_str()) {
+                if header(headers, INSTANCE_HEADER) != Some(call.origin.instance.as_str()) {
                     return OriginVerdict::Rejected("the answer of another instance".into());
                 }
             }
             Proof::Seal => {
-                let seal = Seal {
+                let seal = ResponseSignature {
                     status,
                     method: &call.method,
                     target: &call.url,
@@ -94,7 +94,7 @@
                 }
             }
         }
-        if header(headers, NOT_RUN).is_some() {
+        if header(headers, NOT_EXECUTED_HEADER).is_some() {
             return OriginVerdict::NotExecuted;
         }
         let tags = header(headers, "otterslip-tags").map(|text| {
@@ -104,7 +104,9 @@
                 .collect()
         });
         let passed = |(name, _): &&(String, String)| {
-            PASSED.iter().any(|known| name.eq_ignore_ascii_case(known))
+            FORWARDED_HEADERS
+                .iter()
+                .any(|known| name.eq_ignore_ascii_case(known))
         };
         OriginVerdict::Accepted {
             headers: headers.iter().filter(passed).cloned().collect(),
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -1,18 +1,18 @@
 //! What is assigned to this edge: cache partitions and admission control of origin groups.
-use super::{AGAIN, EdgeNode, PROBE, PROBE_LIMIT, WANTS};
+use super::{EdgeNode, MAX_HANDOVER_REQUESTS, PROBE_PATH, PROBE_TIMEOUT, RESEND_INTERVAL};
 use crate::prelude::*;
 
 impl EdgeNode {
     /// The epoch under which an assignment is granted to this life.
-    pub(super) fn granted(&self, assignment: &str) -> Option<u64> {
+    pub(super) fn granted_epoch(&self, assignment: &str) -> Option<u64> {
         self.assignments
             .get(assignment)
-            .filter(|assignment| assignment.owner == Some(self.me))
+            .filter(|assignment| assignment.owner == Some(self.local_peer))
             .map(|assignment| assignment.epoch)
     }
 
     /// Where an assignment is done now.
-    pub(super) fn holder(&self, assignment: &str) -> Option<SocketAddr> {
+    pub(super) fn assignment_owner(&self, assignment: &str) -> Option<SocketAddr> {
         self.assignments
             .get(assignment)
             .and_then(|assignment| assignment.owner)
@@ -22,65 +22,72 @@
     pub(super) fn sync_assignments(&mut self, now: Duration) {
         let mut partitions = BTreeMap::new();
         for partition in 0..CACHE_PARTITIONS {
-            if let Some(epoch) = self.granted(&cache_assignment(&self.locality.ring, partition)) {
+            if let Some(epoch) =
+                self.granted_epoch(&cache_assignment(&self.locality.ring, partition))
+            {
                 partitions.insert(partition, epoch);
             }
         }
-        if partitions != self.partitions {
-            self.cache
-                .keep_partitions(now, self.book.applied, &|partition| {
-                    self.partitions.contains_key(&partition)
-                        && partitions.get(&partition) == self.partitions.get(&partition)
+        if partitions != self.owned_partitions {
+            self.cache_owner
+                .retain_partitions(now, self.purge_log.applied, &|partition| {
+                    self.owned_partitions.contains_key(&partition)
+                        && partitions.get(&partition) == self.owned_partitions.get(&partition)
                 });
-            let (before, after) = (self.partitions.len(), partitions.len());
-            self.wants
+            let (before, after) = (self.owned_partitions.len(), partitions.len());
+            self.pending_handovers
                 .retain(|partition, _| partitions.contains_key(partition));
             for partition in partitions
                 .iter()
-                .filter(|(partition, epoch)| self.partitions.get(partition) != Some(epoch))
+                .filter(|(partition, epoch)| self.owned_partitions.get(partition) != Some(epoch))
                 .map(|(partition, _)| *partition)
             {
                 let last = self
                     .assignments
                     .get(&cache_assignment(&self.locality.ring, partition))
                     .and_then(|assignment| assignment.previous_owner);
-                if let Some(last) = last.filter(|last| last.address != self.me.address) {
-                    self.wants.insert(partition, (last.address, 0));
+                if let Some(last) = last.filter(|last| last.address != self.local_peer.address) {
+                    self.pending_handovers.insert(partition, (last.address, 0));
                 }
             }
-            self.partitions = partitions;
-            self.ask_wants(now);
-            self.note(
+            self.owned_partitions = partitions;
+            self.request_handovers(now);
+            self.log_event(
                 Event::AssignmentAcquired,
                 format!("{after} cache slices, before {before}"),
             );
         }
-        if let Some(table) = self.table.clone() {
-            self.sync_admissions(now, &table);
+        if let Some(table) = self.routes.clone() {
+            self.sync_admission_controllers(now, &table);
         }
         let admissions = self
-            .admissions
+            .admission_controllers
             .keys()
             .map(|service| admission_assignment(service));
         let list = self
-            .partitions
+            .owned_partitions
             .keys()
             .map(|partition| cache_assignment(&self.locality.ring, *partition))
             .chain(admissions)
             .collect();
-        self.out
+        self.outputs
             .push(Output::Publish(PublishedState::Assignments(list)));
     }
 
-    pub(super) fn sync_admissions(&mut self, now: Duration, table: &RouteTable) {
+    pub(super) fn sync_admission_controllers(&mut self, now: Duration, table: &RouteTable) {
         let wanted: Vec<(&Group, u64)> = table
             .document
             .groups
             .iter()
-            .filter_map(|group| Some((group, self.granted(&admission_assignment(&group.service))?)))
+            .filter_map(|group| {
+                Some((
+                    group,
+                    self.granted_epoch(&admission_assignment(&group.service))?,
+                ))
+            })
             .collect();
         let held: Vec<(String, u64)> = self
-            .admissions
+            .admission_controllers
             .values()
             .map(|admission| (admission.service.clone(), admission.epoch))
             .collect();
@@ -89,30 +96,33 @@
                 .iter()
                 .any(|(group, granted)| group.service == service && *granted == epoch)
             {
-                self.admissions.remove(&service);
-                self.note(Event::AssignmentDropped, admission_assignment(&service));
+                self.admission_controllers.remove(&service);
+                self.log_event(Event::AssignmentDropped, admission_assignment(&service));
             }
         }
         for (group, epoch) in wanted {
-            if !self.admissions.contains_key(&group.service) {
-                self.admissions.insert(
+            if !self.admission_controllers.contains_key(&group.service) {
+                self.admission_controllers.insert(
                     group.service.clone(),
-                    AdmissionController::new(now, &group.service, epoch, self.extra_tries),
+                    AdmissionController::new(now, &group.service, epoch, self.retry_allowance),
                 );
-                self.note(
+                self.log_event(
                     Event::AssignmentAcquired,
                     format!("{} epoch {epoch}", admission_assignment(&group.service)),
                 );
             }
-            let admission = self.admissions.get_mut(&group.service).expect("just put");
+            let admission = self
+                .admission_controllers
+                .get_mut(&group.service)
+                .expect("just put");
             admission.update(now, group, &self.origins);
         }
-        self.tell_underway(now, table);
+        self.report_calls_in_flight(now, table);
     }
 
     /// Nothing is kept for edges whose sessions have ended: neither places in line
     /// for permits nor waits for copies.
-    pub(super) fn forget_gone_askers(&mut self, now: Duration) {
+    pub(super) fn forget_departed_edges(&mut self, now: Duration) {
         let Some(Row {
             value:
                 Value::EdgeRegistry {
@@ -121,7 +131,7 @@
                     ..
                 },
             ..
-        }) = self.known[usize::from(ASSIGNMENTS_PARTITION)].get("roll")
+        }) = self.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get("roll")
         else {
             return;
         };
@@ -134,24 +144,28 @@
         if gone.is_empty() {
             return;
         }
-        self.cache.forget_askers(&gone);
-        for admission in self.admissions.values_mut() {
-            admission.forget_askers(now, &gone);
+        self.cache_owner.forget_edges(&gone);
+        for admission in self.admission_controllers.values_mut() {
+            admission.forget_edges(now, &gone);
         }
     }
 
     /// Asks last holders for copies, a few times.
-    pub(super) fn ask_wants(&mut self, now: Duration) {
-        self.wants.retain(|_, (_, asked)| *asked < WANTS);
+    pub(super) fn request_handovers(&mut self, now: Duration) {
+        self.pending_handovers
+            .retain(|_, (_, asked)| *asked < MAX_HANDOVER_REQUESTS);
         let due: Vec<(u16, SocketAddr)> = self
-            .wants
+            .pending_handovers
             .iter()
             .map(|(partition, (last, _))| (*partition, *last))
             .collect();
         for (partition, last) in due {
-            self.wants.get_mut(&partition).expect("just listed").1 += 1;
-            let epoch = self.partitions.get(&partition).copied().unwrap_or(0);
-            self.tell(
+            self.pending_handovers
+                .get_mut(&partition)
+                .expect("just listed")
+                .1 += 1;
+            let epoch = self.owned_partitions.get(&partition).copied().unwrap_or(0);
+            self.send(
                 last,
                 HandoverRequest {
                     partition,
@@ -162,15 +176,20 @@
         }
     }
 
-    pub(super) fn want(&mut self, now: Duration, from: Peer, want: HandoverRequest) {
+    pub(super) fn handle_handover_request(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        want: HandoverRequest,
+    ) {
         let HandoverRequest {
             partition,
             epoch,
             sent,
         } = want;
-        let copies = self.cache.hand(now, partition);
+        let copies = self.cache_owner.hand(now, partition);
         if !copies.is_empty() {
-            self.tell(
+            self.send(
                 from.address,
                 HandoverReply {
                     partition,
@@ -182,23 +201,24 @@
         }
     }
 
-    pub(super) fn handed(&mut self, now: Duration, handed: HandoverReply) {
+    pub(super) fn handle_handover_reply(&mut self, now: Duration, handed: HandoverReply) {
         let HandoverReply {
             partition,
             epoch,
             sent,
             copies,
         } = handed;
-        if self.partitions.get(&partition) == Some(&epoch)
-            && self.wants.remove(&partition).is_some()
+        if self.owned_partitions.get(&partition) == Some(&epoch)
+            && self.pending_handovers.remove(&partition).is_some()
             && sent <= now
         {
-            self.cache.take_over(now, now - sent, copies, &self.book);
+            self.cache_owner
+                .take_over(now, now - sent, copies, &self.purge_log);
         }
     }
 
     /// New admission controller holders hear of our calls under way by earlier permits.
-    pub(super) fn tell_underway(&mut self, now: Duration, table: &RouteTable) {
+    pub(super) fn report_calls_in_flight(&mut self, now: Duration, table: &RouteTable) {
         for group in &table.document.groups {
             let Some(Assignment {
                 owner: Some(holder),
@@ -209,9 +229,9 @@
                 continue;
             };
             let calls: Vec<_> = self
-                .jobs
+                .active_requests
                 .values()
-                .filter_map(|job| match &job.stage {
+                .filter_map(|active| match &active.stage {
                     Stage::Calling { permit, .. }
                         if permit.service == group.service && permit.epoch < *epoch =>
                     {
@@ -219,7 +239,7 @@
                             permit.epoch,
                             permit.serial,
                             permit.origin.address,
-                            job.left(now),
+                            active.remaining(now),
                         ))
                     }
                     _ => None,
@@ -227,7 +247,7 @@
                 .collect();
             if !calls.is_empty() {
                 let to = holder.address;
-                self.tell(
+                self.send(
                     to,
                     CallsInProgress {
                         service: group.service.clone(),
@@ -247,13 +267,13 @@
         if !self.is_live(now) {
             return;
         }
-        let purged = self.book.applied;
+        let purged = self.purge_log.applied;
         match message {
             Message::CacheGet(get) => {
-                match self.partitions.get(&cache_partition(&get.key)) {
-                    Some(epoch) => self.cache.get(now, from.address, get, *epoch, purged),
+                match self.owned_partitions.get(&cache_partition(&get.key)) {
+                    Some(epoch) => self.cache_owner.get(now, from.address, get, *epoch, purged),
                     // Between two owners: whoever asks fetches for itself.
-                    None => self.tell(
+                    None => self.send(
                         from.address,
                         CacheUnavailable {
                             id: get.id,
@@ -263,10 +283,10 @@
                 }
             }
             Message::CachePut(put) => {
-                if let Some(epoch) = self.partitions.get(&cache_partition(&put.key)) {
+                if let Some(epoch) = self.owned_partitions.get(&cache_partition(&put.key)) {
                     let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
-                    if !self.cache.put(now, put, *epoch, &self.book) {
-                        self.note(Event::PutDropped, text);
+                    if !self.cache_owner.put(now, put, *epoch, &self.purge_log) {
+                        self.log_event(Event::PutDropped, text);
                     }
                 }
             }
@@ -275,37 +295,40 @@
                 token,
                 private,
             }) => {
-                if let Some(epoch) = self.partitions.get(&cache_partition(&key)) {
-                    self.cache.give_up(now, key, token, *epoch, purged, private);
+                if let Some(epoch) = self.owned_partitions.get(&cache_partition(&key)) {
+                    self.cache_owner
+                        .give_up(now, key, token, *epoch, purged, private);
+                }
+            }
+            Message::PermitRequest(request) => {
+                match self.admission_controllers.get_mut(&request.service) {
+                    Some(admission) => admission.request_permit(now, from.address, request),
+                    None => self.send(
+                        from.address,
+                        PermitRefused {
+                            id: request.id,
+                            reason: PermitRefusalReason::NotOwner,
+                            back: RESEND_INTERVAL,
+                        },
+                    ),
                 }
             }
-            Message::PermitRequest(request) => match self.admissions.get_mut(&request.service) {
-                Some(admission) => admission.request_permit(now, from.address, request),
-                None => self.tell(
-                    from.address,
-                    PermitRefused {
-                        id: request.id,
-                        reason: PermitRefusalReason::NotOwner,
-                        back: AGAIN,
-                    },
-                ),
-            },
             Message::PermitWithdrawn(withdrawn) => {
-                if let Some(admission) = self.admissions.get_mut(&withdrawn.service) {
+                if let Some(admission) = self.admission_controllers.get_mut(&withdrawn.service) {
                     admission.withdraw(now, from.address, withdrawn.id);
                 }
             }
             Message::CacheGetWithdrawn(withdrawn) => {
-                self.cache
+                self.cache_owner
                     .withdraw(from.address, &withdrawn.key, withdrawn.id);
             }
             Message::CallDone(done) => {
-                if let Some(admission) = self.admissions.get_mut(&done.service) {
+                if let Some(admission) = self.admission_controllers.get_mut(&done.service) {
                     admission.done(now, done);
                 }
             }
             Message::CallsInProgress(told) => {
-                if let Some(admission) = self.admissions.get_mut(&told.service) {
+                if let Some(admission) = self.admission_controllers.get_mut(&told.service) {
                     admission.underway(now, told);
                 }
             }
@@ -313,13 +336,13 @@
         }
     }
 
-    pub(super) fn run_admissions(&mut self, now: Duration) {
-        let Some(table) = self.table.clone() else {
+    pub(super) fn run_admission_controllers(&mut self, now: Duration) {
+        let Some(table) = self.routes.clone() else {
             return;
         };
         let mut calls = Vec::new();
         let mut watches = Vec::new();
-        for admission in self.admissions.values_mut() {
+        for admission in self.admission_controllers.values_mut() {
             admission.pump(now);
             let Some(group) = table.document.group(&admission.service) else {
                 continue;
@@ -329,18 +352,18 @@
                 calls.push((origin, group.key.clone()));
             }
         }
-        self.out.extend(
+        self.outputs.extend(
             watches
                 .into_iter()
                 .map(|address| Output::WatchConnection { address }),
         );
         for (origin, key) in calls {
-            let id = self.draw_id();
-            self.probes.insert(id, origin.clone());
+            let id = self.next_id();
+            self.probes_in_flight.insert(id, origin.clone());
             let call = Call {
                 origin,
                 method: "GET".into(),
-                url: PROBE.into(),
+                url: PROBE_PATH.into(),
                 host: String::new(),
                 headers: vec![],
                 body: Arc::default(),
@@ -349,16 +372,16 @@
                 request: id,
                 key,
                 proof: Proof::Seal,
-                timeout: PROBE_LIMIT,
+                timeout: PROBE_TIMEOUT,
                 max_connections: 1,
                 purpose: CallPurpose::Probe,
             };
-            self.out.push(Output::Call { id, call });
+            self.outputs.push(Output::Call { id, call });
         }
     }
 
-    pub(super) fn probed(&mut self, now: Duration, id: u64, result: CallOutcome) {
-        let Some(origin) = self.probes.remove(&id) else {
+    pub(super) fn handle_probe_result(&mut self, now: Duration, id: u64, result: CallOutcome) {
+        let Some(origin) = self.probes_in_flight.remove(&id) else {
             return;
         };
         let (good, why) = match result {
@@ -373,7 +396,7 @@
             CallOutcome::Failure(why) => (false, why),
         };
         let changed = self
-            .admissions
+            .admission_controllers
             .get_mut(&origin.service)
             .is_some_and(|admission| admission.probed(now, &origin, good));
         if changed {
@@ -381,7 +404,7 @@
                 "{} {} {}: {why}",
                 origin.address, origin.service, origin.instance
             );
-            self.note(
+            self.log_event(
                 if good {
                     Event::OriginProven
                 } else {
@@ -393,13 +416,13 @@
     }
 
     /// What the assignments held here have to say goes out.
-    pub(super) fn flush_assignments(&mut self) {
-        let mut told = self.cache.take_out();
-        for admission in self.admissions.values_mut() {
+    pub(super) fn flush_assignment_messages(&mut self) {
+        let mut told = self.cache_owner.take_out();
+        for admission in self.admission_controllers.values_mut() {
             told.extend(admission.take_out());
         }
         for (to, message) in told {
-            self.tell(to, message);
+            self.send(to, message);
         }
     }
 }
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -4,31 +4,39 @@
 //! may be repeated is broken off, unless others gain by it: requests that wait
 //! for the same copy, or the cache owner that made this one its refresher. An
 //! operation that may have run goes on until its outcome is recorded.
-use super::{EdgeNode, OWN_IDS};
+use super::{EdgeNode, LOCAL_ID_BIT};
 use crate::prelude::*;
 
 impl EdgeNode {
     /// The close of the caller's connection was read.
-    pub(super) fn caller_left(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn handle_client_disconnect(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        job.caller_left = true;
-        let text = format!("request {id} {} {}", job.request.service, job.stage.name());
+        active.client_disconnected = true;
+        let text = format!(
+            "request {id} {} {}",
+            active.request.service,
+            active.stage.name()
+        );
         self.usage.client_disconnects += 1;
         self.abandoned_work.caller_left(now, id);
-        self.note(Event::ClientDisconnected, text);
+        self.log_event(Event::ClientDisconnected, text);
         self.stop_if_abandoned(now, id);
     }
 
     /// Whether nobody gains any more by what this request waits for.
     pub(super) fn is_abandoned(&self, id: u64) -> bool {
-        let Some(job) = self.jobs.get(&id).filter(|job| job.caller_left) else {
+        let Some(active) = self
+            .active_requests
+            .get(&id)
+            .filter(|active| active.client_disconnected)
+        else {
             return false;
         };
         let followed =
             |key: CacheKey| self.coalescer.leads(&key, id) && self.coalescer.has_followers(&key);
-        job.token.is_none() && !job.key.is_some_and(followed)
+        active.cache.fill_token.is_none() && !active.cache.key.is_some_and(followed)
     }
 
     /// Ends what the request waits for, if that is for nobody.
@@ -36,18 +44,18 @@
         if !self.is_abandoned(id) {
             return;
         }
-        let job = &self.jobs[&id];
-        match &job.stage {
-            Stage::AwaitingCopy { .. } | Stage::Following | Stage::AwaitingPermit => {
-                self.end_abandoned(now, id)
+        let active = &self.active_requests[&id];
+        match &active.stage {
+            Stage::AwaitingCachedResponse { .. } | Stage::Following | Stage::AwaitingPermit => {
+                self.finish_abandoned(now, id)
             }
             Stage::Calling { permit, since } => {
-                if self.call_purpose(job) == CallPurpose::Caller {
+                if self.call_purpose(active) == CallPurpose::Caller {
                     let (permit, took) = (permit.clone(), now - *since);
-                    let call = job.question;
-                    self.out.push(Output::CancelCall { id: call });
-                    self.tell_call_done(&permit, CallResult::Cancelled, took);
-                    self.end_abandoned(now, id);
+                    let call = active.exchange.id;
+                    self.outputs.push(Output::CancelCall { id: call });
+                    self.report_call_done(&permit, CallResult::Cancelled, took);
+                    self.finish_abandoned(now, id);
                 }
             }
             // A claim that is under way is released once it is known to be held.
@@ -59,63 +67,65 @@
 
     /// Ends a request that nobody waits for; a claim is given back first. The
     /// answer is for a caller that only shut its writing side.
-    pub(super) fn end_abandoned(&mut self, now: Duration, id: u64) {
-        let job = &self.jobs[&id];
-        let refusal = job.refuse(
+    pub(super) fn finish_abandoned(&mut self, now: Duration, id: u64) {
+        let active = &self.active_requests[&id];
+        let rejection = active.reject(
             503,
             "caller_left",
             "the caller has closed its side of the connection",
         );
-        if job.claim.is_some() {
-            self.give_up(now, id, refusal);
+        if active.claim.is_some() {
+            self.fail_request(now, id, rejection);
         } else {
-            self.end(now, id, ClientResponse::Rejection(refusal));
+            self.finish(now, id, ClientResponse::Rejection(rejection));
         }
     }
 
     /// Takes back the question to the admission controller or cache owner that has not answered
     /// yet.
-    pub(super) fn withdraw_question(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn withdraw_exchange(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        let asked_of = job.asked_of.take();
+        let asked_of = active.exchange.peer.take();
         // After the deadline it does not count there any more.
-        let Some(holder) = asked_of.filter(|_| now < job.deadline) else {
+        let Some(holder) = asked_of.filter(|_| now < active.deadline) else {
             return;
         };
-        let id = job.question;
-        match (&job.stage, job.key) {
+        let id = active.exchange.id;
+        match (&active.stage, active.cache.key) {
             (Stage::AwaitingPermit, _) => {
-                let service = job.request.service.clone();
-                self.tell(holder, PermitWithdrawn { service, id });
+                let service = active.request.service.clone();
+                self.send(holder, PermitWithdrawn { service, id });
             }
-            (Stage::AwaitingCopy { .. }, Some(key)) => {
-                self.tell(holder, CacheGetWithdrawn { key, id })
+            (Stage::AwaitingCachedResponse { .. }, Some(key)) => {
+                self.send(holder, CacheGetWithdrawn { key, id })
             }
             _ => {}
         }
     }
 
     /// For whom the request's call is made now.
-    pub(super) fn call_purpose(&self, job: &Job) -> CallPurpose {
-        match job.key {
-            Some(key) if job.token.is_some() || self.coalescer.has_followers(&key) => {
+    pub(super) fn call_purpose(&self, active: &ActiveRequest) -> CallPurpose {
+        match active.cache.key {
+            Some(key)
+                if active.cache.fill_token.is_some() || self.coalescer.has_followers(&key) =>
+            {
                 CallPurpose::SharedCopy
             }
             Some(_) => CallPurpose::Copy,
-            None if job.repeatable() => CallPurpose::Caller,
+            None if active.is_idempotent() => CallPurpose::Caller,
             None => CallPurpose::RunOnce,
         }
     }
 
     /// Shows the calls that leave and end with this step to the check of abandoned
     /// work.
-    pub(super) fn watch_calls(&mut self, now: Duration) {
+    pub(super) fn observe_calls(&mut self, now: Duration) {
         let mut found = Vec::new();
-        for output in &self.out {
+        for output in &self.outputs {
             match output {
-                Output::Call { id, call } if call.request & OWN_IDS == 0 => {
+                Output::Call { id, call } if call.request & LOCAL_ID_BIT == 0 => {
                     let (request, purpose) = (call.request, call.purpose);
                     let violation = self.abandoned_work.call_begun(now, *id, request, purpose);
                     found.extend(violation);
@@ -129,17 +139,17 @@
 
     /// Looks for calls that go on for too long for nobody.
     pub(super) fn check_abandoned_work(&mut self, now: Duration) {
-        let jobs = &self.jobs;
+        let active_requests = &self.active_requests;
         let found = self
             .abandoned_work
-            .overdue(now, &|request| jobs.contains_key(&request));
+            .overdue(now, &|request| active_requests.contains_key(&request));
         self.report_abandoned_work(found);
     }
 
-    fn report_abandoned_work(&mut self, violations: Vec<Violation>) {
+    fn report_abandoned_work(&mut self, violations: Vec<AbandonedWorkViolation>) {
         for violation in violations {
             self.usage.abandoned += 1;
-            let Violation {
+            let AbandonedWorkViolation {
                 request,
                 purpose,
                 kind,
@@ -149,7 +159,7 @@
                 "request {request} {purpose:?} call {kind:?} {} ms after its caller left",
                 since.as_millis(),
             );
-            self.note(Event::AbandonedWork, text);
+            self.log_event(Event::AbandonedWork, text);
         }
     }
 }
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -17,61 +17,61 @@
 /// - A call leaves only while live, under a permit younger than
 ///   `lease::PERMIT_VALIDITY`, to an origin that is listed and not leaving.
 pub struct EdgeNode {
-    me: Peer,
+    local_peer: Peer,
     locality: Locality,
     /// Who is renewed with: those who hold the slots, as far as that is known.
-    seeds: Vec<SocketAddr>,
+    control_nodes: Vec<SocketAddr>,
     /// How many slots there are; 0 before that is known.
-    slots: usize,
+    control_slots: usize,
     /// The generation the updates is of; 0 before the first.
     generation: u64,
-    vector: Vec<u64>,
+    version_vector: Vec<u64>,
     /// The last mark of each control node, to be given back.
     renewal_tokens: HashMap<SocketAddr, RenewalToken>,
     /// Every row shown to us, to tell it back if the control plane lost it.
-    known: Vec<BTreeMap<String, Row>>,
+    known_rows: Vec<BTreeMap<String, Row>>,
     /// Own operations that ended lately, for the same reason.
-    ended: VecDeque<(Duration, Claim, Option<Arc<Reply>>)>,
-    recalling: bool,
+    completed_operations: VecDeque<(Duration, Claim, Option<Arc<Reply>>)>,
+    recall_requested: bool,
     /// When the generation was entered.
-    entered: Duration,
+    generation_entered_at: Duration,
     leases: Leases,
-    link_delay: LinkDelay,
-    next_renew: Duration,
+    link_delay_estimator: LinkDelayEstimator,
+    next_renewal: Duration,
     live: bool,
-    table: Option<Arc<RouteTable>>,
+    routes: Option<Arc<RouteTable>>,
     /// The parts of the configuration the table was made of.
-    items: Items,
+    configuration_items: Items,
     origins: Arc<Vec<Origin>>,
     assignments: HashMap<String, Assignment>,
-    book: PurgeBook,
-    cache: CacheOwner,
+    purge_log: PurgeLog,
+    cache_owner: CacheOwner,
     /// Copies served here lately, whoever owns them.
-    near: NearCache,
+    near_cache: NearCache,
     coalescer: Coalescer,
     /// Cache partitions held here, with the epoch they were granted under.
-    partitions: BTreeMap<u16, u64>,
+    owned_partitions: BTreeMap<u16, u64>,
     /// Partitions just taken whose copies the last holder may have: asked so often.
-    wants: BTreeMap<u16, (SocketAddr, u32)>,
-    admissions: BTreeMap<String, AdmissionController>,
-    extra_tries: usize,
+    pending_handovers: BTreeMap<u16, (SocketAddr, u32)>,
+    admission_controllers: BTreeMap<String, AdmissionController>,
+    retry_allowance: usize,
     /// From a warning to the end of the process at the latest.
-    grace: Duration,
+    shutdown_grace: Duration,
     /// What is sent by ourselves while an admission controller says nothing.
-    shares: BTreeMap<String, OwnShare>,
-    jobs: BTreeMap<u64, Job>,
+    fallback_quotas: BTreeMap<String, FallbackQuota>,
+    active_requests: BTreeMap<u64, ActiveRequest>,
     /// Which job waits for the answer to a question or call, by its own id.
-    questions: HashMap<u64, u64>,
+    exchanges: HashMap<u64, u64>,
     /// Endings of claims that the ledger has not confirmed yet.
-    loose: BTreeMap<u64, Loose>,
-    probes: HashMap<u64, Origin>,
+    unconfirmed_changes: BTreeMap<u64, Loose>,
+    probes_in_flight: HashMap<u64, Origin>,
     /// The number of the last id drawn here.
     last_id: u64,
     usage: Usage,
     abandoned_work: AbandonedWork,
-    warned: Option<Duration>,
-    left: bool,
-    out: Vec<Output>,
+    shutdown_requested_at: Option<Duration>,
+    departed: bool,
+    outputs: Vec<Output>,
 }
 
 struct Loose {
@@ -80,33 +80,33 @@
     round: usize,
 }
 
-const AGAIN: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 /// A request whose deadline passed gets this much more to tell the ledger.
-const LATE: Duration = Duration::from_secs(1);
+const RECORDING_GRACE: Duration = Duration::from_secs(1);
 /// A warned edge waits this long for its assignments to be taken.
-const HAND_OVER: Duration = Duration::from_secs(5);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Errands of one service pending at one edge at most.
-const PENDING: usize = 256;
+const MAX_PENDING_PER_SERVICE: usize = 256;
 /// Own ended operations remembered at most.
-const ENDED: usize = 10_000;
+const MAX_COMPLETED_OPERATIONS: usize = 10_000;
 /// How long after a purge was learned (so, before it was acknowledged) an
 /// answer that was under way may still go to the caller who waited for it.
 const PURGE_GRACE: Duration = Duration::from_secs(1);
 /// A last holder is asked so often for its copies, a tick apart.
-const WANTS: u32 = 4;
+const MAX_HANDOVER_REQUESTS: u32 = 4;
 /// Near copies take this part of what owned copies may take, beside them.
-const NEAR_PART: u64 = 2;
+const NEAR_CACHE_DIVISOR: u64 = 2;
 /// Where nothing is said of it.
-const GRACE: Duration = Duration::from_secs(20);
-const EXTRA_TRIES: usize = 3;
+const DEFAULT_SHUTDOWN_GRACE: Duration = Duration::from_secs(20);
+const DEFAULT_RETRY_ALLOWANCE: usize = 3;
 /// An admission controller that says nothing for this long is done without.
-const SILENT: Duration = Duration::from_millis(250);
-const PROBE: &str = "/.well-known/otterslip-identity";
-const PROBE_LIMIT: Duration = Duration::from_millis(1000);
+const ADMISSION_TIMEOUT: Duration = Duration::from_millis(250);
+const PROBE_PATH: &str = "/.well-known/otterslip-identity";
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Set in the ids drawn here; those of errands come from the host without it.
-const OWN_IDS: u64 = 1 << 63;
+const LOCAL_ID_BIT: u64 = 1 << 63;
 /// An odd number that spreads lives over all ids.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const INCARNATION_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl EdgeNode {
     /// The seeds hold the slots, unless it is `asked` who does.
@@ -118,47 +118,47 @@
         cache_bytes: u64,
     ) -> EdgeNode {
         EdgeNode {
-            slots: if asked { 0 } else { seeds.len() },
-            me,
+            control_slots: if asked { 0 } else { seeds.len() },
+            local_peer: me,
             locality,
-            seeds,
+            control_nodes: seeds,
             generation: 0,
-            vector: vec![0; PUBLISHED_PARTITIONS.into()],
+            version_vector: vec![0; PUBLISHED_PARTITIONS.into()],
             renewal_tokens: HashMap::new(),
-            known: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
-            ended: VecDeque::new(),
-            recalling: false,
-            entered: Duration::ZERO,
+            known_rows: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
+            completed_operations: VecDeque::new(),
+            recall_requested: false,
+            generation_entered_at: Duration::ZERO,
             leases: Leases::default(),
-            link_delay: LinkDelay::default(),
-            next_renew: Duration::ZERO,
+            link_delay_estimator: LinkDelayEstimator::default(),
+            next_renewal: Duration::ZERO,
             live: false,
-            table: None,
-            items: Items::default(),
+            routes: None,
+            configuration_items: Items::default(),
             origins: Arc::default(),
             assignments: HashMap::new(),
-            book: PurgeBook::default(),
-            cache: CacheOwner::new(cache_bytes),
-            near: NearCache::new(cache_bytes / NEAR_PART),
+            purge_log: PurgeLog::default(),
+            cache_owner: CacheOwner::new(cache_bytes),
+            near_cache: NearCache::new(cache_bytes / NEAR_CACHE_DIVISOR),
             coalescer: Coalescer::default(),
-            partitions: BTreeMap::new(),
-            wants: BTreeMap::new(),
-            admissions: BTreeMap::new(),
-            extra_tries: EXTRA_TRIES,
-            grace: GRACE,
-            shares: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            questions: HashMap::new(),
-            loose: BTreeMap::new(),
-            probes: HashMap::new(),
+            owned_partitions: BTreeMap::new(),
+            pending_handovers: BTreeMap::new(),
+            admission_controllers: BTreeMap::new(),
+            retry_allowance: DEFAULT_RETRY_ALLOWANCE,
+            shutdown_grace: DEFAULT_SHUTDOWN_GRACE,
+            fallback_quotas: BTreeMap::new(),
+            active_requests: BTreeMap::new(),
+            exchanges: HashMap::new(),
+            unconfirmed_changes: BTreeMap::new(),
+            probes_in_flight: HashMap::new(),
             // Not where another life at this address began: answers to its
             // questions may still be on their way.
-            last_id: me.incarnation.wrapping_mul(SPREAD),
+            last_id: me.incarnation.wrapping_mul(INCARNATION_SPREAD),
             usage: Usage::default(),
             abandoned_work: AbandonedWork::default(),
-            warned: None,
-            left: false,
-            out: Vec::new(),
+            shutdown_requested_at: None,
+            departed: false,
+            outputs: Vec::new(),
         }
     }
 
@@ -166,148 +166,156 @@
     /// first ones.
     pub fn with_extra_tries(self, most: Option<u32>) -> EdgeNode {
         EdgeNode {
-            extra_tries: most.map_or(EXTRA_TRIES, |most| most as usize),
+            retry_allowance: most.map_or(DEFAULT_RETRY_ALLOWANCE, |most| most as usize),
             ..self
         }
     }
 
     /// How long the process goes on after a warning at most.
     pub fn with_grace(self, grace: Duration) -> EdgeNode {
-        EdgeNode { grace, ..self }
+        EdgeNode {
+            shutdown_grace: grace,
+            ..self
+        }
     }
 
     /// An id for one question or call, unlike all before in this life.
-    fn draw_id(&mut self) -> u64 {
+    fn next_id(&mut self) -> u64 {
         self.last_id = self.last_id.wrapping_add(1);
-        OWN_IDS | self.last_id
+        LOCAL_ID_BIT | self.last_id
     }
 
     /// The job's next question or call: answers to earlier ones are no longer
     /// taken for it.
-    fn next_question(&mut self, now: Duration, id: u64) -> u64 {
-        self.withdraw_question(now, id);
-        let question = self.draw_id();
-        if let Some(job) = self.jobs.get_mut(&id) {
-            self.questions.remove(&job.question);
-            self.questions.insert(question, id);
-            job.question = question;
+    fn start_exchange(&mut self, now: Duration, id: u64) -> u64 {
+        self.withdraw_exchange(now, id);
+        let question = self.next_id();
+        if let Some(active) = self.active_requests.get_mut(&id) {
+            self.exchanges.remove(&active.exchange.id);
+            self.exchanges.insert(question, id);
+            active.exchange.id = question;
         }
         question
     }
 
     /// The job that this answer of an admission controller or cache owner is for, which is asked
     /// no more.
-    fn answered(&mut self, question: u64) -> Option<u64> {
-        let id = self.asker(question)?;
-        if let Some(job) = self.jobs.get_mut(&id) {
-            job.asked_of = None;
+    fn complete_exchange(&mut self, question: u64) -> Option<u64> {
+        let id = self.request_awaiting(question)?;
+        if let Some(active) = self.active_requests.get_mut(&id) {
+            active.exchange.peer = None;
         }
         Some(id)
     }
 
     /// The job that waits for the answer to this question or call.
-    fn asker(&self, question: u64) -> Option<u64> {
-        self.questions.get(&question).copied()
+    fn request_awaiting(&self, question: u64) -> Option<u64> {
+        self.exchanges.get(&question).copied()
     }
 
-    fn note(&mut self, event: Event, text: String) {
-        self.out.push(Output::Log { event, text });
+    fn log_event(&mut self, event: Event, text: String) {
+        self.outputs.push(Output::Log { event, text });
     }
 
-    fn tell(&mut self, to: SocketAddr, message: impl Into<Message>) {
-        self.out.push(Output::Send {
+    fn send(&mut self, to: SocketAddr, message: impl Into<Message>) {
+        self.outputs.push(Output::Send {
             to,
             message: message.into(),
         });
     }
 
     fn tick(&mut self, now: Duration) {
-        if now >= self.next_renew {
+        if now >= self.next_renewal {
             self.renew(now);
         }
-        self.check_live(now);
-        self.ask_wants(now);
+        self.update_liveness(now);
+        self.request_handovers(now);
         if self.is_live(now) {
-            let epochs = &self.partitions;
-            self.cache.tick(
+            let epochs = &self.owned_partitions;
+            self.cache_owner.tick(
                 now,
                 &|partition| epochs.get(&partition).copied().unwrap_or(0),
-                self.book.applied,
+                self.purge_log.applied,
             );
-            self.run_admissions(now);
+            self.run_admission_controllers(now);
         }
         let mut overdue = Vec::new();
         let mut again = Vec::new();
-        for (id, job) in &self.jobs {
-            if now >= job.deadline {
+        for (id, active) in &self.active_requests {
+            if now >= active.deadline {
                 overdue.push(*id);
-            } else if now >= job.again {
+            } else if now >= active.exchange.resend_at {
                 again.push(*id);
             }
         }
         again
             .into_iter()
-            .for_each(|id| self.fall_back_or_ask_again(now, id));
-        overdue.into_iter().for_each(|id| self.overdue(now, id));
+            .for_each(|id| self.fall_back_or_resend(now, id));
+        overdue
+            .into_iter()
+            .for_each(|id| self.handle_deadline(now, id));
         self.replace_stalled_leaders(now);
-        self.refuse_waiting_before_end(now);
+        self.reject_waiting_before_exit(now);
         let due: Vec<u64> = self
-            .loose
+            .unconfirmed_changes
             .iter()
             .filter(|(_, loose)| now >= loose.again)
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            let loose = self.loose.get_mut(&id).expect("just listed");
-            loose.again = now + AGAIN;
+            let loose = self.unconfirmed_changes.get_mut(&id).expect("just listed");
+            loose.again = now + RESEND_INTERVAL;
             loose.round += 1;
             let (round, change) = (loose.round, loose.change.clone());
-            self.ask(id, round, change);
+            self.send_change(id, round, change);
         }
         self.check_abandoned_work(now);
-        self.check_ended(now);
+        self.finish_shutdown(now);
     }
 
     /// After a warning: assignments are taken by others, what was read is
     /// answered, then the session is left.
-    fn check_ended(&mut self, now: Duration) {
-        let Some(since) = self.warned else { return };
-        let idle =
-            self.partitions.is_empty() && self.admissions.is_empty() && !self.cache.has_aside();
-        if !self.left
-            && self.jobs.is_empty()
-            && self.loose.is_empty()
-            && (idle || now >= since + HAND_OVER)
+    fn finish_shutdown(&mut self, now: Duration) {
+        let Some(since) = self.shutdown_requested_at else {
+            return;
+        };
+        let idle = self.owned_partitions.is_empty()
+            && self.admission_controllers.is_empty()
+            && !self.cache_owner.has_retained_partitions();
+        if !self.departed
+            && self.active_requests.is_empty()
+            && self.unconfirmed_changes.is_empty()
+            && (idle || now >= since + HANDOVER_TIMEOUT)
         {
-            self.left = true;
+            self.departed = true;
             self.leases.drop_all();
-            for seed in self.seeds.clone() {
-                self.tell(seed, SessionClose {});
+            for seed in self.control_nodes.clone() {
+                self.send(seed, SessionClose {});
             }
-            self.check_live(now);
-            self.out.push(Output::ShutdownComplete);
+            self.update_liveness(now);
+            self.outputs.push(Output::ShutdownComplete);
         }
     }
 
-    fn heard(&mut self, now: Duration, from: Peer, message: Message) {
+    fn handle_message(&mut self, now: Duration, from: Peer, message: Message) {
         match message {
-            Message::RenewReply(renewed) => self.renewed(now, from, renewed),
-            Message::UpdateNotice(nudge) => self.nudged(now, from, &nudge),
+            Message::RenewReply(renewed) => self.handle_renew_reply(now, from, renewed),
+            Message::UpdateNotice(nudge) => self.handle_update_notice(now, from, &nudge),
             Message::RenewPrompt(who) => {
                 self.renewal_tokens.insert(from.address, who.renewal_token);
                 self.renew(now);
             }
-            Message::HandoverRequest(want) => self.want(now, from, want),
-            Message::HandoverReply(handed) => self.handed(now, handed),
-            Message::RecallRequest(recall) => self.recall(from, recall.partition),
-            Message::ChangeReply(told) => self.told(now, told),
-            Message::CacheCopy(copy) => self.copy(now, copy),
-            Message::CacheMiss(miss) => self.miss(now, from, miss),
-            Message::CacheGetQueued(queued) => self.get_queued(now, queued),
-            Message::CacheUnavailable(no_copy) => self.no_copy(now, no_copy),
-            Message::Permit(permit) => self.permit(now, from, permit),
-            Message::PermitRefused(away) => self.permit_refused(now, away),
-            Message::PermitQueued(line) => self.permit_queued(now, line.id),
+            Message::HandoverRequest(want) => self.handle_handover_request(now, from, want),
+            Message::HandoverReply(handed) => self.handle_handover_reply(now, handed),
+            Message::RecallRequest(recall) => self.handle_recall_request(from, recall.partition),
+            Message::ChangeReply(told) => self.handle_change_reply(now, told),
+            Message::CacheCopy(copy) => self.handle_cache_copy(now, copy),
+            Message::CacheMiss(miss) => self.handle_cache_miss(now, from, miss),
+            Message::CacheGetQueued(queued) => self.handle_get_queued(now, queued),
+            Message::CacheUnavailable(no_copy) => self.handle_cache_unavailable(now, no_copy),
+            Message::Permit(permit) => self.handle_permit(now, from, permit),
+            Message::PermitRefused(away) => self.handle_permit_refused(now, away),
+            Message::PermitQueued(line) => self.handle_permit_queued(now, line.id),
             other => self.handle_assignment_message(now, from, other),
         }
     }
@@ -317,37 +325,37 @@
     fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
-            Input::MessageReceived { from, message } => self.heard(now, from, message),
-            Input::ClientRequest { id, request } => self.begin(now, id, request),
-            Input::ClientDisconnected { id } => self.caller_left(now, id),
+            Input::MessageReceived { from, message } => self.handle_message(now, from, message),
+            Input::ClientRequest { id, request } => self.begin_request(now, id, request),
+            Input::ClientDisconnected { id } => self.handle_client_disconnect(now, id),
             Input::CallCompleted { id, result } => {
                 self.abandoned_work.call_ended(id);
-                self.called(now, id, result);
+                self.handle_call_completed(now, id, result);
             }
             Input::ConnectionChanged { address, open } => {
-                self.admissions
+                self.admission_controllers
                     .values_mut()
                     .for_each(|admission| admission.watched(now, address, open));
                 // At once: a proof is on the path of the first errands.
-                self.run_admissions(now);
+                self.run_admission_controllers(now);
             }
             Input::ShutdownRequested => {
-                self.warned.get_or_insert(now);
-                self.extend_calls(now);
-                self.check_live(now);
+                self.shutdown_requested_at.get_or_insert(now);
+                self.extend_call_timeouts(now);
+                self.update_liveness(now);
                 self.renew(now);
             }
             Input::Operator { id, .. } => {
                 let answer = OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown);
-                self.out.push(Output::OperatorResponse {
+                self.outputs.push(Output::OperatorResponse {
                     id,
                     response: answer,
                 });
             }
             Input::Stored { .. } | Input::StoreFailed => {}
         }
-        self.flush_assignments();
-        self.watch_calls(now);
-        std::mem::take(&mut self.out)
+        self.flush_assignment_messages();
+        self.observe_calls(now);
+        std::mem::take(&mut self.outputs)
     }
 }
--- a/data-plane/src/edge_node/operations.rs
+++ b/data-plane/src/edge_node/operations.rs
@@ -1,11 +1,11 @@
 //! What a keyed request tells the ledger.
-use super::{ENDED, EdgeNode, Loose};
+use super::{EdgeNode, Loose, MAX_COMPLETED_OPERATIONS};
 use crate::prelude::*;
 
 impl EdgeNode {
     /// Asks the ledger, through the control node that answered last, then
     /// through the others in turn.
-    pub(super) fn ask(&mut self, question: u64, round: usize, change: Change) {
+    pub(super) fn send_change(&mut self, question: u64, round: usize, change: Change) {
         let partition = match &change {
             Change::Claim(claim) | Change::Release(claim) | Change::Record(claim, _) => {
                 ledger_partition(&claim.operation)
@@ -15,14 +15,14 @@
         let first = self
             .leases
             .best()
-            .and_then(|best| self.seeds.iter().position(|seed| *seed == best))
+            .and_then(|best| self.control_nodes.iter().position(|seed| *seed == best))
             .unwrap_or(0);
-        let seed = self.seeds[(first + round.saturating_sub(1)) % self.seeds.len()];
-        self.tell(
+        let seed = self.control_nodes[(first + round.saturating_sub(1)) % self.control_nodes.len()];
+        self.send(
             seed,
             ChangeRequest {
                 hops: 0,
-                requester: self.me.address,
+                requester: self.local_peer.address,
                 id: question,
                 partition,
                 change,
@@ -30,19 +30,25 @@
         );
     }
 
-    pub(super) fn remember(&mut self, now: Duration, claim: &Claim, reply: &Option<Arc<Reply>>) {
+    pub(super) fn remember_completed(
+        &mut self,
+        now: Duration,
+        claim: &Claim,
+        reply: &Option<Arc<Reply>>,
+    ) {
         while self
-            .ended
+            .completed_operations
             .front()
             .is_some_and(|(at, _, _)| now >= *at + lease::OPERATION_RETENTION)
-            || self.ended.len() >= ENDED
+            || self.completed_operations.len() >= MAX_COMPLETED_OPERATIONS
         {
-            self.ended.pop_front();
+            self.completed_operations.pop_front();
         }
-        self.ended.push_back((now, claim.clone(), reply.clone()));
+        self.completed_operations
+            .push_back((now, claim.clone(), reply.clone()));
     }
 
-    pub(super) fn told(&mut self, now: Duration, told: ChangeReply) {
+    pub(super) fn handle_change_reply(&mut self, now: Duration, told: ChangeReply) {
         let ChangeReply {
             id: question,
             outcome: told,
@@ -51,23 +57,23 @@
             told,
             ChangeOutcome::Released | ChangeOutcome::Recorded | ChangeOutcome::Unknown
         ) {
-            self.loose.remove(&question);
+            self.unconfirmed_changes.remove(&question);
         }
-        let Some(id) = self.asker(question) else {
+        let Some(id) = self.request_awaiting(question) else {
             return;
         };
-        let job = &self.jobs[&id];
-        match (&job.stage, told) {
+        let active = &self.active_requests[&id];
+        match (&active.stage, told) {
             (Stage::AwaitingClaim, ChangeOutcome::Claimed) => {
-                self.set_stage(now, id, Stage::AwaitingPermit)
+                self.enter_stage(now, id, Stage::AwaitingPermit)
             }
             (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { same: false, .. }) => {
-                let refusal = Rejection::not_run(
+                let rejection = Rejection::not_run(
                     422,
                     "operation_key_reused",
                     "this operation key came with another request or caller",
                 );
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             (
                 Stage::AwaitingClaim,
@@ -76,7 +82,7 @@
                     ..
                 },
             ) => {
-                self.end(
+                self.finish(
                     now,
                     id,
                     ClientResponse::Reply {
@@ -92,55 +98,59 @@
                     ..
                 },
             ) => {
-                let mut refusal = Rejection::unknown(
+                let mut rejection = Rejection::unknown(
                     409,
                     "outcome_unknown",
                     "this operation was sent and its outcome is not known; it is not run again",
                 )
                 .with_nothing_sent();
-                refusal.retry_after_s = None;
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                rejection.retry_after_s = None;
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             (Stage::AwaitingClaim, ChangeOutcome::LedgerClosed { left }) => {
-                let refusal = Rejection::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").with_nothing_sent();
-                self.end(
+                let rejection = Rejection::unknown(503, "ledger_recovering", "acknowledged operations may be lost; none that is not known is run for a minute").with_nothing_sent();
+                self.finish(
                     now,
                     id,
-                    ClientResponse::Rejection(refusal.with_retry_after(left)),
+                    ClientResponse::Rejection(rejection.with_retry_after(left)),
                 );
             }
             // Who was asked is cut off: the next is asked at once, each once.
             (
                 Stage::AwaitingClaim | Stage::Recording { .. } | Stage::Releasing { .. },
                 ChangeOutcome::NoMajority,
-            ) if job.round < self.seeds.len() => self.send_question(now, id),
+            ) if active.exchange.sends < self.control_nodes.len() => {
+                self.send_stage_message(now, id)
+            }
             // Runs elsewhere: nobody is left to be told of it.
-            (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { .. }) if job.caller_left => {
-                self.overdue(now, id)
+            (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { .. })
+                if active.client_disconnected =>
+            {
+                self.handle_deadline(now, id)
             }
             // Runs elsewhere: asked again in a moment, until the deadline.
             (Stage::AwaitingClaim, ChangeOutcome::AlreadyClaimed { .. }) => {}
-            (Stage::Recording { answer, .. }, ChangeOutcome::Recorded) => {
-                let answer = answer.clone();
-                self.end(now, id, answer);
+            (Stage::Recording { response, .. }, ChangeOutcome::Recorded) => {
+                let response = response.clone();
+                self.finish(now, id, response);
             }
             (Stage::Recording { .. } | Stage::Releasing { .. }, ChangeOutcome::Unknown) => {
-                let refusal =
+                let rejection =
                     Rejection::unknown(502, "outcome_unknown", "the outcome could not be recorded");
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
-            (Stage::Releasing { refusal }, ChangeOutcome::Released) => {
-                let refusal = refusal.clone();
-                self.end(now, id, ClientResponse::Rejection(refusal));
+            (Stage::Releasing { rejection }, ChangeOutcome::Released) => {
+                let rejection = rejection.clone();
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             _ => {}
         }
     }
 
     /// The ledger is told until it confirms, though nobody waits any more.
-    pub(super) fn tell_later(&mut self, now: Duration, change: Change) {
-        let question = self.draw_id();
-        self.loose.insert(
+    pub(super) fn send_until_confirmed(&mut self, now: Duration, change: Change) {
+        let question = self.next_id();
+        self.unconfirmed_changes.insert(
             question,
             Loose {
                 change,
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -4,24 +4,27 @@
 
 impl EdgeNode {
     pub(super) fn renew(&mut self, now: Duration) {
-        if self.left {
+        if self.departed {
             return;
         }
-        self.next_renew = now + lease::EDGE_TICK;
-        self.renew_with(now, self.seeds.clone());
+        self.next_renewal = now + lease::EDGE_TICK;
+        self.renew_with(now, self.control_nodes.clone());
     }
 
     pub(super) fn renew_with(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         let usage = Usage {
-            cache_hits: self.cache.given,
-            pending: self.jobs.len() as u64,
+            cache_hits: self.cache_owner.given,
+            pending: self.active_requests.len() as u64,
             ..self.usage.clone()
         };
         // Keyed errands begun in an earlier generation still have their end to tell.
-        let old = |job: &Job| job.claim.is_some() && job.began < self.entered;
-        let recalled = self.loose.is_empty() && !self.jobs.values().any(old);
+        let old = |active: &ActiveRequest| {
+            active.claim.is_some() && active.started_at < self.generation_entered_at
+        };
+        let recalled =
+            self.unconfirmed_changes.is_empty() && !self.active_requests.values().any(old);
         let found = self
-            .admissions
+            .admission_controllers
             .values()
             .flat_map(|admission| admission.found(now))
             .collect();
@@ -30,17 +33,17 @@
             last_token: None,
             generation: self.generation,
             recall_complete: recalled,
-            version_vector: self.vector.clone(),
+            version_vector: self.version_vector.clone(),
             zone: self.locality.zone.clone(),
             ring: self.locality.ring.clone(),
             weight: self.locality.weight,
-            draining: self.warned.is_some(),
+            draining: self.shutdown_requested_at.is_some(),
             usage,
             origin_health: found,
         };
         for seed in seeds {
             let heard = self.renewal_tokens.get(&seed).copied();
-            self.tell(
+            self.send(
                 seed,
                 RenewRequest {
                     last_token: heard,
@@ -52,27 +55,27 @@
 
     /// Who nudged shows what we lack: it is asked alone, the others are told
     /// once it is applied.
-    pub(super) fn nudged(&mut self, now: Duration, from: Peer, nudge: &UpdateNotice) {
+    pub(super) fn handle_update_notice(&mut self, now: Duration, from: Peer, nudge: &UpdateNotice) {
         self.renewal_tokens
             .insert(from.address, nudge.renewal_token);
         let known = self
-            .vector
+            .version_vector
             .get(usize::from(nudge.partition))
             .is_some_and(|known| *known >= nudge.version);
-        if known || self.left {
+        if known || self.departed {
             return;
         }
-        if self.seeds.contains(&from.address) {
+        if self.control_nodes.contains(&from.address) {
             self.renew_with(now, vec![from.address])
         } else {
             self.renew(now)
         }
     }
 
-    pub(super) fn renewed(&mut self, now: Duration, from: Peer, renewed: RenewReply) {
-        if renewed.incarnation != self.me.incarnation
-            || !self.seeds.contains(&from.address)
-            || self.left
+    pub(super) fn handle_renew_reply(&mut self, now: Duration, from: Peer, renewed: RenewReply) {
+        if renewed.incarnation != self.local_peer.incarnation
+            || !self.control_nodes.contains(&from.address)
+            || self.departed
         {
             return;
         }
@@ -80,32 +83,34 @@
             return; // It has not heard of the new generation yet.
         }
         if renewed.updates.is_empty() {
-            let delay =
-                self.link_delay
-                    .measured(now, from.address, now.saturating_sub(renewed.sent));
-            self.out
+            let delay = self.link_delay_estimator.measured(
+                now,
+                from.address,
+                now.saturating_sub(renewed.sent),
+            );
+            self.outputs
                 .push(Output::Publish(PublishedState::LinkDelay(delay)));
         }
         self.renewal_tokens
             .insert(from.address, renewed.renewal_token);
-        let before = std::mem::replace(&mut self.recalling, renewed.recall_requested);
+        let before = std::mem::replace(&mut self.recall_requested, renewed.recall_requested);
         let recall = renewed.recall_requested && !before;
         if renewed.generation != 0 && renewed.generation != self.generation {
-            self.enter(now, renewed.generation);
+            self.enter_generation(now, renewed.generation);
         } else if recall {
-            self.tell_ended();
+            self.resend_completed_operations();
         }
         let mut newer = false;
         for updates in renewed.updates.into_updates() {
-            if updates.version > self.vector[usize::from(updates.partition)] {
+            if updates.version > self.version_vector[usize::from(updates.partition)] {
                 newer = true;
-                self.learn(now, updates);
+                self.apply_update(now, updates);
             }
         }
-        if self.seeds.contains(&from.address) {
+        if self.control_nodes.contains(&from.address) {
             self.leases.renewed(from.address, renewed.sent);
         }
-        self.check_live(now);
+        self.update_liveness(now);
         if newer {
             // Confirm at once: others wait for it.
             self.renew(now);
@@ -114,9 +119,9 @@
 
     /// A new generation: what is known of the old one goes, but for what is told
     /// back; all updates is taken anew. Assignments of the old one are void.
-    pub(super) fn enter(&mut self, now: Duration, generation: u64) {
+    pub(super) fn enter_generation(&mut self, now: Duration, generation: u64) {
         let before = std::mem::replace(&mut self.generation, generation);
-        self.entered = now;
+        self.generation_entered_at = now;
         if before == 0 {
             return;
         }
@@ -124,64 +129,64 @@
         // known here: as at a start, two must have told theirs.
         self.leases.drop_all();
         // Fenced before anything of the new generation is shown.
-        self.check_live(now);
-        self.vector = vec![0; PUBLISHED_PARTITIONS.into()];
-        self.known = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
-        self.items = Items::default();
+        self.update_liveness(now);
+        self.version_vector = vec![0; PUBLISHED_PARTITIONS.into()];
+        self.known_rows = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
+        self.configuration_items = Items::default();
         self.assignments.clear();
-        self.cache.clear();
-        self.near.clear();
-        self.book = PurgeBook::default();
+        self.cache_owner.clear();
+        self.near_cache.clear();
+        self.purge_log = PurgeLog::default();
         self.sync_assignments(now);
-        self.tell_ended();
+        self.resend_completed_operations();
     }
 
-    pub(super) fn tell_ended(&mut self) {
+    pub(super) fn resend_completed_operations(&mut self) {
         let changes: Vec<Change> = self
-            .ended
+            .completed_operations
             .iter()
             .map(|(_, claim, reply)| Change::Record(claim.clone(), reply.clone()))
             .collect();
         for change in changes {
-            self.tell_later(Duration::ZERO, change);
+            self.send_until_confirmed(Duration::ZERO, change);
         }
     }
 
-    pub(super) fn recall(&mut self, from: Peer, partition: u8) {
-        if let Some(rows) = self.known.get(usize::from(partition)) {
+    pub(super) fn handle_recall_request(&mut self, from: Peer, partition: u8) {
+        if let Some(rows) = self.known_rows.get(usize::from(partition)) {
             let rows = rows
                 .iter()
                 .map(|(key, row)| (key.clone(), row.clone()))
                 .collect();
-            self.tell(
+            self.send(
                 from.address,
                 RecallReply {
                     partition,
-                    version: self.vector[usize::from(partition)],
+                    version: self.version_vector[usize::from(partition)],
                     rows,
                 },
             );
         }
     }
 
-    pub(super) fn learn(&mut self, now: Duration, updates: PartitionUpdate) {
-        let known = self.vector[usize::from(updates.partition)];
+    pub(super) fn apply_update(&mut self, now: Duration, updates: PartitionUpdate) {
+        let known = self.version_vector[usize::from(updates.partition)];
         let rows: Vec<(String, Row)> = updates
             .rows
             .into_iter()
             .filter(|(_, row)| row.version > known)
             .collect();
-        self.known[usize::from(updates.partition)].extend(rows.iter().cloned());
+        self.known_rows[usize::from(updates.partition)].extend(rows.iter().cloned());
         match updates.partition {
             PURGES_PARTITION => {
-                let (fresh, missed) = self.book.learn(now, updates.version, &rows);
+                let (fresh, missed) = self.purge_log.learn(now, updates.version, &rows);
                 if missed {
-                    self.cache.clear();
-                    self.near.clear();
+                    self.cache_owner.clear();
+                    self.near_cache.clear();
                 }
                 for purge in &fresh {
-                    self.cache.purge(purge);
-                    self.near.purge(purge);
+                    self.cache_owner.purge(purge);
+                    self.near_cache.purge(purge);
                 }
             }
             CONFIGURATION_PARTITION => {
@@ -189,16 +194,16 @@
                     matches!(row.value, Value::Configuration { .. } | Value::Item(_))
                 });
                 rows.into_iter()
-                    .for_each(|(key, row)| self.learn_row(key, row));
+                    .for_each(|(key, row)| self.apply_row(key, row));
                 if parts {
-                    self.take_configuration(updates.version);
+                    self.apply_configuration(updates.version);
                 }
             }
             _ => rows
                 .into_iter()
-                .for_each(|(key, row)| self.learn_row(key, row)),
+                .for_each(|(key, row)| self.apply_row(key, row)),
         }
-        self.vector[usize::from(updates.partition)] = updates.version;
+        self.version_vector[usize::from(updates.partition)] = updates.version;
         // What assignments are held and how hangs on these three.
         if [
             CONFIGURATION_PARTITION,
@@ -210,27 +215,27 @@
             self.sync_assignments(now);
         }
         if updates.partition == ASSIGNMENTS_PARTITION {
-            self.forget_gone_askers(now);
+            self.forget_departed_edges(now);
         }
     }
 
     /// The parts as they stand now, made one table. What was acknowledged fits
     /// together; updates shows whole versions only.
-    pub(super) fn take_configuration(&mut self, version: u64) {
-        if let Ok((document, bounds)) = self.items.merged() {
+    pub(super) fn apply_configuration(&mut self, version: u64) {
+        if let Ok((document, bounds)) = self.configuration_items.merged() {
             let table = Arc::new(RouteTable::new(version, document).within(bounds));
-            self.table = Some(table.clone());
-            self.note(Event::ConfigurationTaken, format!("version {version}"));
-            self.out
+            self.routes = Some(table.clone());
+            self.log_event(Event::ConfigurationTaken, format!("version {version}"));
+            self.outputs
                 .push(Output::Publish(PublishedState::Configuration(table)));
         }
     }
 
-    pub(super) fn learn_row(&mut self, key: String, row: Row) {
+    pub(super) fn apply_row(&mut self, key: String, row: Row) {
         match row.value {
             // It was checked before it was acknowledged.
             Value::Configuration { .. } | Value::Item(_) => {
-                let _ = self.items.learn(&key, &row);
+                let _ = self.configuration_items.learn(&key, &row);
             }
             Value::Origins { list, .. } => self.origins = list,
             Value::Assignment(assignment) => {
@@ -238,9 +243,9 @@
             }
             Value::Members(places) => {
                 // Renewals of who no longer holds a slot count for nothing.
-                self.seeds = places.iter().map(|peer| peer.address).collect();
-                self.slots = places.len();
-                self.leases.keep(&self.seeds);
+                self.control_nodes = places.iter().map(|peer| peer.address).collect();
+                self.control_slots = places.len();
+                self.leases.keep(&self.control_nodes);
             }
             Value::Purge { .. }
             | Value::Operation(_)
@@ -253,24 +258,24 @@
         }
     }
 
-    pub(super) fn check_live(&mut self, now: Duration) {
-        let until = self.leases.until(self.slots);
-        let live = now < until && !self.left;
+    pub(super) fn update_liveness(&mut self, now: Duration) {
+        let until = self.leases.until(self.control_slots);
+        let live = now < until && !self.departed;
         if live != self.live {
             self.live = live;
-            self.note(
+            self.log_event(
                 if live { Event::Live } else { Event::Fenced },
-                format!("vector {:?}", self.vector),
+                format!("vector {:?}", self.version_vector),
             );
         }
-        let ready = self.warned.is_none() && self.table.is_some();
-        self.out.push(Output::Publish(PublishedState::Fence {
-            until: if self.left { Duration::ZERO } else { until },
+        let ready = self.shutdown_requested_at.is_none() && self.routes.is_some();
+        self.outputs.push(Output::Publish(PublishedState::Fence {
+            until: if self.departed { Duration::ZERO } else { until },
             ready,
         }));
     }
 
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        !self.left && now < self.leases.until(self.slots)
+        !self.departed && now < self.leases.until(self.control_slots)
     }
 }
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -1,75 +1,93 @@
 //! The life of a request, from its arrival to its one answer.
-use super::cached::{OWNER_SILENT, repeat_span};
-use super::{AGAIN, EdgeNode, LATE, PENDING, SILENT};
+use super::cached::{OWNER_TIMEOUT, resend_backoff};
+use super::{
+    ADMISSION_TIMEOUT, EdgeNode, MAX_PENDING_PER_SERVICE, RECORDING_GRACE, RESEND_INTERVAL,
+};
 use crate::prelude::*;
 
 impl EdgeNode {
-    pub(super) fn begin(&mut self, now: Duration, id: u64, request: ClientRequest) {
+    pub(super) fn begin_request(&mut self, now: Duration, id: u64, request: ClientRequest) {
         self.usage.requests += 1;
-        let mut job = Job::new(now, request);
+        let mut active = ActiveRequest::new(now, request);
         if !self.is_live(now) {
-            let refusal = Rejection::fenced(job.untried_outcome());
-            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
+            let rejection = Rejection::fenced(active.outcome_before_attempt());
+            return self.respond(now, id, &active, ClientResponse::Rejection(rejection));
         }
-        if self.hands_back(now) {
-            let refusal = Rejection::ending(job.untried_outcome());
-            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
+        if self.is_rejecting_unsent(now) {
+            let rejection = Rejection::ending(active.outcome_before_attempt());
+            return self.respond(now, id, &active, ClientResponse::Rejection(rejection));
         }
-        let entry = job.request.entry();
-        if entry.kind == Kind::Cached && !job.request.personal() && job.request.method == "GET" {
-            job.key = Some(Job::cache_key(&job.request));
-            if let Some(answer) = self.near_answer(now, &job) {
+        let entry = active.request.entry();
+        if entry.kind == Kind::Cached
+            && !active.request.personal()
+            && active.request.method == "GET"
+        {
+            active.cache.key = Some(ActiveRequest::cache_key(&active.request));
+            if let Some(answer) = self.near_cache_response(now, &active) {
                 self.usage.near_cache_hits += 1;
-                return self.answer(now, id, &job, answer);
+                return self.respond(now, id, &active, answer);
             }
         }
-        if let Some(refusal) = self.crowded(now, &job) {
-            return self.answer(now, id, &job, ClientResponse::Rejection(refusal));
+        if let Some(rejection) = self.enforce_pending_limit(now, &active) {
+            return self.respond(now, id, &active, ClientResponse::Rejection(rejection));
         }
-        match (job.request.entry().kind, job.key) {
-            (_, Some(key)) => job.stage = self.join_group(now, id, key),
+        match (active.request.entry().kind, active.cache.key) {
+            (_, Some(key)) => active.stage = self.join_group(now, id, key),
             (Kind::Keyed, None) => {
-                job.claim = Some(Job::claim_of(&job.request, self.me, id));
-                job.stage = Stage::AwaitingClaim;
+                active.claim = Some(ActiveRequest::claim_of(
+                    &active.request,
+                    self.local_peer,
+                    id,
+                ));
+                active.stage = Stage::AwaitingClaim;
             }
             _ => {}
         }
-        self.jobs.insert(id, job);
-        self.next_question(now, id);
-        self.send_question(now, id);
+        self.active_requests.insert(id, active);
+        self.start_exchange(now, id);
+        self.send_stage_message(now, id);
     }
 
     /// Each pending request holds a thread of the HTTP side: a slow service must
     /// not take them all. Over its bound, the lowest rank goes first: this
     /// request, or one that waits for a permit and is told so at once.
-    pub(super) fn crowded(&mut self, now: Duration, job: &Job) -> Option<Rejection> {
-        let service = &job.request.service;
+    pub(super) fn enforce_pending_limit(
+        &mut self,
+        now: Duration,
+        active: &ActiveRequest,
+    ) -> Option<Rejection> {
+        let service = &active.request.service;
         let peers = self
-            .jobs
+            .active_requests
             .iter()
             .filter(|(_, known)| known.request.service == *service);
-        if peers.clone().count() < PENDING {
+        if peers.clone().count() < MAX_PENDING_PER_SERVICE {
             return None;
         }
         let waiting = peers.filter(|(_, known)| {
             matches!(
                 known.stage,
-                Stage::AwaitingPermit | Stage::Following | Stage::AwaitingCopy { spare: false, .. }
+                Stage::AwaitingPermit
+                    | Stage::Following
+                    | Stage::AwaitingCachedResponse {
+                        accepts_any_age: false,
+                        ..
+                    }
             )
         });
         let lowest = waiting
             .min_by_key(|(id, known)| (known.request.entry().rank, std::cmp::Reverse(**id)))
             .map(|(id, known)| (*id, known.request.entry().rank));
-        if let Some((id, _)) = lowest.filter(|(_, rank)| *rank < job.request.entry().rank) {
-            let refusal = self.jobs[&id].refuse(
+        if let Some((id, _)) = lowest.filter(|(_, rank)| *rank < active.request.entry().rank) {
+            let rejection = self.active_requests[&id].reject(
                 429,
                 "over_capacity",
                 "too many errands of this service are pending here",
             );
-            self.give_up(now, id, refusal);
+            self.fail_request(now, id, rejection);
             return None;
         }
-        let outcome = job.untried_outcome();
+        let outcome = active.outcome_before_attempt();
         Some(
             Rejection::new(
                 429,
@@ -82,66 +100,73 @@
     }
 
     /// Says the message of a job's stage, for the first time or again.
-    pub(super) fn send_question(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn send_stage_message(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        job.round += 1;
-        job.asked = now;
-        job.again = match job.stage {
-            Stage::AwaitingCopy { .. } if job.round > 1 => now + OWNER_SILENT,
-            Stage::AwaitingCopy { .. } => now + repeat_span(job.round),
-            _ => now + AGAIN,
+        active.exchange.sends += 1;
+        active.exchange.sent_at = now;
+        active.exchange.resend_at = match active.stage {
+            Stage::AwaitingCachedResponse { .. } if active.exchange.sends > 1 => {
+                now + OWNER_TIMEOUT
+            }
+            Stage::AwaitingCachedResponse { .. } => now + resend_backoff(active.exchange.sends),
+            _ => now + RESEND_INTERVAL,
         };
-        let (round, left) = (job.round, job.deadline.saturating_sub(now));
-        let question = job.question;
-        job.asked_of = None;
+        let (round, left) = (active.exchange.sends, active.deadline.saturating_sub(now));
+        let question = active.exchange.id;
+        active.exchange.peer = None;
         let mut asked_of = None;
-        match &job.stage {
+        match &active.stage {
             Stage::AwaitingClaim => {
-                let claim = job.claim.clone().expect("keyed");
-                self.ask(question, round, Change::Claim(claim));
+                let claim = active.claim.clone().expect("keyed");
+                self.send_change(question, round, Change::Claim(claim));
             }
             Stage::Recording { reply, .. } => {
-                let change = Change::Record(job.claim.clone().expect("keyed"), reply.clone());
-                self.ask(question, round, change);
+                let change = Change::Record(active.claim.clone().expect("keyed"), reply.clone());
+                self.send_change(question, round, change);
             }
             Stage::Releasing { .. } => {
-                let change = Change::Release(job.claim.clone().expect("keyed"));
-                self.ask(question, round, change);
+                let change = Change::Release(active.claim.clone().expect("keyed"));
+                self.send_change(question, round, change);
             }
-            Stage::AwaitingCopy { spare, .. } => {
-                let key = job.key.expect("cached");
-                let entry = job.request.entry();
+            Stage::AwaitingCachedResponse {
+                accepts_any_age, ..
+            } => {
+                let key = active.cache.key.expect("cached");
+                let entry = active.request.entry();
                 let get = CacheGet {
                     id: question,
                     key,
                     entry: entry.name.clone(),
-                    host: job.request.entry_host().into(),
-                    url: job.request.url.clone(),
+                    host: active.request.entry_host().into(),
+                    url: active.request.url.clone(),
                     ttl: entry.keep(),
                     max_wait: left,
-                    accepts_any_age: *spare,
+                    accepts_any_age: *accepts_any_age,
                 };
-                let spare = *spare;
-                match self.holder(&cache_assignment(
+                let accepts_any_age = *accepts_any_age;
+                match self.assignment_owner(&cache_assignment(
                     &self.locality.ring,
                     cache_partition(&key),
                 )) {
                     Some(holder) => {
                         asked_of = Some(holder);
-                        self.tell(holder, get);
+                        self.send(holder, get);
                     }
                     // Nobody hands out copies of it now: fetch it ourselves.
-                    None if !spare => self.set_stage(now, id, Stage::AwaitingPermit),
+                    None if !accepts_any_age => self.enter_stage(now, id, Stage::AwaitingPermit),
                     None => {}
                 }
             }
             Stage::AwaitingPermit => {
-                let entry = job.request.entry();
-                let service = job.request.service.clone();
+                let entry = active.request.entry();
+                let service = active.request.service.clone();
                 let admission = admission_assignment(&service);
-                let (extra, call) = (job.calls > 0, job.call_limit(now, Duration::ZERO));
+                let (extra, call) = (
+                    active.attempts.count > 0,
+                    active.call_timeout(now, Duration::ZERO),
+                );
                 let (zone, region) = (self.locality.zone.clone(), self.locality.region.clone());
                 let permit_request = PermitRequest {
                     service,
@@ -151,56 +176,73 @@
                     sent: now,
                     is_retry: extra,
                     call_timeout: call,
-                    latency_target: job.aim.saturating_sub(now),
+                    latency_target: active.latency_target.saturating_sub(now),
                     zone,
                     region,
-                    excluded_origins: job.failed.clone(),
+                    excluded_origins: active.attempts.failed_origins.clone(),
                 };
-                match self.holder(&admission) {
+                match self.assignment_owner(&admission) {
                     Some(holder) => {
                         asked_of = Some(holder);
-                        self.tell(holder, permit_request);
+                        self.send(holder, permit_request);
                     }
                     None => self.call_without_permit(now, id),
                 }
             }
             Stage::Following | Stage::Calling { .. } => {}
         }
-        if let Some(job) = self.jobs.get_mut(&id).filter(|_| asked_of.is_some()) {
-            job.asked_of = asked_of;
+        if let Some(active) = self
+            .active_requests
+            .get_mut(&id)
+            .filter(|_| asked_of.is_some())
+        {
+            active.exchange.peer = asked_of;
         }
     }
 
-    pub(super) fn set_stage(&mut self, now: Duration, id: u64, stage: Stage) {
-        if stage.begins_work() && self.is_abandoned(id) {
-            return self.end_abandoned(now, id);
+    pub(super) fn enter_stage(&mut self, now: Duration, id: u64, stage: Stage) {
+        if stage.starts_work() && self.is_abandoned(id) {
+            return self.finish_abandoned(now, id);
         }
-        self.withdraw_question(now, id);
-        if let (Stage::Recording { reply, .. }, Some(claim)) =
-            (&stage, self.jobs.get(&id).and_then(|job| job.claim.clone()))
-        {
-            self.remember(now, &claim, reply);
+        self.withdraw_exchange(now, id);
+        if let (Stage::Recording { reply, .. }, Some(claim)) = (
+            &stage,
+            self.active_requests
+                .get(&id)
+                .and_then(|active| active.claim.clone()),
+        ) {
+            self.remember_completed(now, &claim, reply);
         }
-        if let Some(job) = self.jobs.get_mut(&id) {
-            if job.key.is_some() && matches!(stage, Stage::AwaitingPermit) {
-                let purged = job
-                    .token
-                    .map_or(self.book.applied, |(_, token)| token.purge_version);
-                job.fetch = Some(Fetch { began: now, purged });
+        if let Some(active) = self.active_requests.get_mut(&id) {
+            if active.cache.key.is_some() && matches!(stage, Stage::AwaitingPermit) {
+                let purge_version = active
+                    .cache
+                    .fill_token
+                    .map_or(self.purge_log.applied, |(_, token)| token.purge_version);
+                active.cache.fetch = Some(Fetch {
+                    started_at: now,
+                    purge_version,
+                });
             }
-            job.stage = stage;
-            job.heard = now;
-            job.round = 0;
-            self.next_question(now, id);
-            self.send_question(now, id);
+            active.stage = stage;
+            active.exchange.last_contact = now;
+            active.exchange.sends = 0;
+            self.start_exchange(now, id);
+            self.send_stage_message(now, id);
         }
     }
 
-    pub(super) fn answer(&mut self, now: Duration, id: u64, job: &Job, answer: ClientResponse) {
+    pub(super) fn respond(
+        &mut self,
+        now: Duration,
+        id: u64,
+        active: &ActiveRequest,
+        answer: ClientResponse,
+    ) {
         let copy =
-            matches!(answer, ClientResponse::Reply { age: Some(_), .. }) && job.claim.is_none();
+            matches!(answer, ClientResponse::Reply { age: Some(_), .. }) && active.claim.is_none();
         let answer = if copy && !self.is_live(now) {
-            ClientResponse::Rejection(Rejection::fenced(job.outcome()))
+            ClientResponse::Rejection(Rejection::fenced(active.outcome()))
         } else {
             answer
         };
@@ -208,37 +250,37 @@
             ClientResponse::Reply { .. } => self.usage.completed += 1,
             ClientResponse::Rejection(_) => self.usage.rejected += 1,
         }
-        self.out.push(Output::ClientResponse {
+        self.outputs.push(Output::ClientResponse {
             id,
             response: answer,
         });
     }
 
-    pub(super) fn end(&mut self, now: Duration, id: u64, answer: ClientResponse) {
-        self.withdraw_question(now, id);
-        if let Some(mut job) = self.jobs.remove(&id) {
-            self.questions.remove(&job.question);
-            let answer = match (answer, job.failure.take()) {
+    pub(super) fn finish(&mut self, now: Duration, id: u64, answer: ClientResponse) {
+        self.withdraw_exchange(now, id);
+        if let Some(mut active) = self.active_requests.remove(&id) {
+            self.exchanges.remove(&active.exchange.id);
+            let answer = match (answer, active.attempts.origin_failure.take()) {
                 (ClientResponse::Rejection(_), Some(reply)) => {
                     ClientResponse::Reply { reply, age: None }
                 }
                 (answer, _) => answer,
             };
-            self.leave_group(now, id, &job, &answer);
-            self.answer(now, id, &job, answer);
+            self.leave_group(now, id, &active, &answer);
+            self.respond(now, id, &active, answer);
         }
     }
 
     /// The request is given up. What was claimed is released or recorded
     /// first; a refresher looks for a spare copy first.
-    pub(super) fn give_up(&mut self, now: Duration, id: u64, refusal: Rejection) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    pub(super) fn fail_request(&mut self, now: Duration, id: u64, rejection: Rejection) {
+        let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        if let Some((owner, token)) = job.token.take() {
-            let key = job.key.expect("cached");
-            job.refusal = Some(refusal);
-            self.tell(
+        if let Some((owner, token)) = active.cache.fill_token.take() {
+            let key = active.cache.key.expect("cached");
+            active.cache.pending_rejection = Some(rejection);
+            self.send(
                 owner,
                 CacheFillFailed {
                     key,
@@ -246,47 +288,47 @@
                     private: false,
                 },
             );
-            if let Some(copy) = self.last_resort(now, id) {
-                return self.end(now, id, copy);
+            if let Some(copy) = self.any_near_response(now, id) {
+                return self.finish(now, id, copy);
             }
-            return self.set_stage(
+            return self.enter_stage(
                 now,
                 id,
-                Stage::AwaitingCopy {
+                Stage::AwaitingCachedResponse {
                     since: now,
-                    spare: true,
+                    accepts_any_age: true,
                 },
             );
         }
-        if job.claim.is_none() {
-            let answer = self.last_resort(now, id);
-            return self.end(
+        if active.claim.is_none() {
+            let answer = self.any_near_response(now, id);
+            return self.finish(
                 now,
                 id,
-                answer.unwrap_or(ClientResponse::Rejection(refusal)),
+                answer.unwrap_or(ClientResponse::Rejection(rejection)),
             );
         }
-        let stage = if job.sent {
+        let stage = if active.attempts.sent {
             Stage::Recording {
                 reply: None,
-                answer: ClientResponse::Rejection(refusal),
+                response: ClientResponse::Rejection(rejection),
             }
         } else {
-            Stage::Releasing { refusal }
+            Stage::Releasing { rejection }
         };
-        self.set_stage(now, id, stage);
+        self.enter_stage(now, id, stage);
     }
 
-    pub(super) fn overdue(&mut self, now: Duration, id: u64) {
-        let Some(job) = self.jobs.get(&id) else {
+    pub(super) fn handle_deadline(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get(&id) else {
             return;
         };
-        let late = now >= job.deadline + LATE;
-        match &job.stage {
+        let late = now >= active.deadline + RECORDING_GRACE;
+        match &active.stage {
             Stage::AwaitingClaim => {
-                let running = job.round > 1;
-                let change = Change::Release(job.claim.clone().expect("keyed"));
-                let refusal = if running {
+                let running = active.exchange.sends > 1;
+                let change = Change::Release(active.claim.clone().expect("keyed"));
+                let rejection = if running {
                     Rejection::unknown(
                         409,
                         "in_progress",
@@ -296,46 +338,49 @@
                     Rejection::unknown(503, "no_ledger", "the ledger could not be reached")
                         .with_nothing_sent()
                 };
-                self.tell_later(now, change);
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                self.send_until_confirmed(now, change);
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
-            Stage::AwaitingCopy { spare: true, .. } => self.end_spare(now, id),
-            Stage::AwaitingCopy { .. } | Stage::Following => {
-                let refusal = job.refuse(503, "no_copy", "no copy came in time");
-                self.end(now, id, ClientResponse::Rejection(refusal));
+            Stage::AwaitingCachedResponse {
+                accepts_any_age: true,
+                ..
+            } => self.finish_failed_fallback(now, id),
+            Stage::AwaitingCachedResponse { .. } | Stage::Following => {
+                let rejection = active.reject(503, "no_copy", "no copy came in time");
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             Stage::AwaitingPermit => {
-                let refusal = job.refuse(
+                let rejection = active.reject(
                     429,
                     "over_capacity",
                     "the service could not be called in time",
                 );
-                let spare = job.token.is_some();
-                self.give_up(now, id, refusal);
-                if spare {
+                let accepts_any_age = active.cache.fill_token.is_some();
+                self.fail_request(now, id, rejection);
+                if accepts_any_age {
                     // No time is left to look for a copy.
-                    self.end_spare(now, id);
+                    self.finish_failed_fallback(now, id);
                 }
             }
             Stage::Calling { .. } if late => {
-                self.call_ended(now, id, CallOutcome::Failure("no answer in time".into()))
+                self.complete_call(now, id, CallOutcome::Failure("no answer in time".into()))
             }
             Stage::Recording { reply, .. } if late => {
-                let change = Change::Record(job.claim.clone().expect("keyed"), reply.clone());
-                self.tell_later(now, change);
-                let refusal = Rejection::unknown(
+                let change = Change::Record(active.claim.clone().expect("keyed"), reply.clone());
+                self.send_until_confirmed(now, change);
+                let rejection = Rejection::unknown(
                     503,
                     "outcome_unrecorded",
                     "the outcome could not be recorded in time",
                 );
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             Stage::Releasing { .. } if late => {
-                let change = Change::Release(job.claim.clone().expect("keyed"));
-                self.tell_later(now, change);
-                let refusal =
+                let change = Change::Release(active.claim.clone().expect("keyed"));
+                self.send_until_confirmed(now, change);
+                let rejection =
                     Rejection::unknown(503, "no_ledger", "the ledger could not be reached");
-                self.end(now, id, ClientResponse::Rejection(refusal));
+                self.finish(now, id, ClientResponse::Rejection(rejection));
             }
             _ => {}
         }
@@ -344,35 +389,35 @@
     /// Whether the process ends so soon that what was not sent goes elsewhere:
     /// the second half of the grace time is for calls under way and for answers
     /// to be written.
-    fn hands_back(&self, now: Duration) -> bool {
-        self.warned
-            .is_some_and(|since| now >= since + self.grace / 2)
+    fn is_rejecting_unsent(&self, now: Duration) -> bool {
+        self.shutdown_requested_at
+            .is_some_and(|since| now >= since + self.shutdown_grace / 2)
     }
 
     /// Everything that was read gets an answer before the process ends: what
     /// still waits is given up in time to be told so. Calls under way go on.
-    pub(super) fn refuse_waiting_before_end(&mut self, now: Duration) {
-        if !self.hands_back(now) {
+    pub(super) fn reject_waiting_before_exit(&mut self, now: Duration) {
+        if !self.is_rejecting_unsent(now) {
             return;
         }
-        let waits = |job: &Job| {
+        let waits = |active: &ActiveRequest| {
             matches!(
-                job.stage,
+                active.stage,
                 Stage::AwaitingClaim
-                    | Stage::AwaitingCopy { .. }
+                    | Stage::AwaitingCachedResponse { .. }
                     | Stage::Following
                     | Stage::AwaitingPermit
             )
         };
         let waiting: Vec<u64> = self
-            .jobs
+            .active_requests
             .iter()
-            .filter(|(_, job)| waits(job))
+            .filter(|(_, active)| waits(active))
             .map(|(id, _)| *id)
             .collect();
         for id in waiting {
-            if self.jobs.contains_key(&id) {
-                self.overdue(now, id);
+            if self.active_requests.contains_key(&id) {
+                self.handle_deadline(now, id);
             }
         }
     }
@@ -380,32 +425,40 @@
     /// An owner that does not answer even a repeated question, or has no copy
     /// for half the time, is done without, as in the paper: who cannot get the
     /// copy goes to the origin.
-    pub(super) fn fall_back_or_ask_again(&mut self, now: Duration, id: u64) {
+    pub(super) fn fall_back_or_resend(&mut self, now: Duration, id: u64) {
         let live = self.is_live(now);
-        let Some(job) = self.jobs.get_mut(&id) else {
+        let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        let half = job.began + (job.deadline - job.began) / 2;
-        match job.stage {
-            Stage::AwaitingPermit if now >= job.heard + SILENT => {
+        let half = active.started_at + (active.deadline - active.started_at) / 2;
+        match active.stage {
+            Stage::AwaitingPermit if now >= active.exchange.last_contact + ADMISSION_TIMEOUT => {
                 self.call_without_permit(now, id);
-                self.send_question(now, id);
+                self.send_stage_message(now, id);
             }
-            Stage::AwaitingCopy { spare: false, .. } if now >= half => {
-                self.fetch_without_owner(now, id)
-            }
-            Stage::AwaitingCopy { spare: false, .. }
-                if job.round > 1 && job.heard < job.asked && now >= job.asked + OWNER_SILENT =>
+            Stage::AwaitingCachedResponse {
+                accepts_any_age: false,
+                ..
+            } if now >= half => self.fetch_without_owner(now, id),
+            Stage::AwaitingCachedResponse {
+                accepts_any_age: false,
+                ..
+            } if active.exchange.sends > 1
+                && active.exchange.last_contact < active.exchange.sent_at
+                && now >= active.exchange.sent_at + OWNER_TIMEOUT =>
             {
                 self.fetch_without_owner(now, id)
             }
-            Stage::AwaitingCopy { .. } if now < job.asked + repeat_span(job.round) => {
-                job.again = job.asked + repeat_span(job.round);
+            Stage::AwaitingCachedResponse { .. }
+                if now < active.exchange.sent_at + resend_backoff(active.exchange.sends) =>
+            {
+                active.exchange.resend_at =
+                    active.exchange.sent_at + resend_backoff(active.exchange.sends);
             }
             Stage::Recording { .. } | Stage::Releasing { .. } | Stage::AwaitingClaim => {
-                self.send_question(now, id)
+                self.send_stage_message(now, id)
             }
-            _ if live => self.send_question(now, id),
+            _ if live => self.send_stage_message(now, id),
             _ => {}
         }
     }
--- a/data-plane/src/own_share.rs
+++ b/data-plane/src/fallback_quota.rs
@@ -7,20 +7,20 @@
 /// nothing. Invariants:
 /// - Only groups whose origins are named with each call: no proof is missed.
 /// - All edges' shares and the admission controller's part stay within the whole rate: each
-///   edge of the roll has an equal share of `OWN_PART`.
+///   edge of the roll has an equal share of `FALLBACK_FRACTION`.
 /// - First tries only: the budget of the others is the admission controller's.
 #[derive(Default)]
-pub struct OwnShare {
-    room: Option<Room>,
+pub struct FallbackQuota {
+    room: Option<TokenBucket>,
     /// Origins that failed a call of ours, left alone until then.
-    sore: HashMap<SocketAddr, Duration>,
+    ejected: HashMap<SocketAddr, Duration>,
 }
 
 /// Of a whole rate, for all edges that cannot reach the admission controller.
-const OWN_PART: f64 = 0.1;
-const SORE: Duration = Duration::from_secs(1);
+const FALLBACK_FRACTION: f64 = 0.1;
+const EJECTION: Duration = Duration::from_secs(1);
 
-impl OwnShare {
+impl FallbackQuota {
     /// An origin to call now without a permit, if the share has room: the
     /// nearest, then the one with the fewest of our own calls under way.
     pub fn pick(
@@ -37,21 +37,23 @@
         }
         if let Some(rate) = group
             .total_rate
-            .map(|rate| rate * OWN_PART / edges.max(1) as f64)
+            .map(|rate| rate * FALLBACK_FRACTION / edges.max(1) as f64)
         {
-            let room = self.room.get_or_insert_with(|| Room::with(now, rate, 1.0));
+            let room = self
+                .room
+                .get_or_insert_with(|| TokenBucket::with(now, rate, 1.0));
             room.rate = rate;
             room.refill(now);
             if !room.has() {
                 return None;
             }
         }
-        self.sore.retain(|_, until| now < *until);
+        self.ejected.retain(|_, until| now < *until);
         let places = |origin: &Origin| (origin.capacity.max(1) as usize / edges.max(1)).max(1);
         let usable = origins.iter().filter(|origin| {
             origin.service == group.service
                 && !origin.draining
-                && !self.sore.contains_key(&origin.address)
+                && !self.ejected.contains_key(&origin.address)
                 && under(origin.address) < places(origin)
         });
         let far = |origin: &Origin| {
@@ -70,7 +72,7 @@
     }
 
     pub fn failed(&mut self, now: Duration, address: SocketAddr) {
-        self.sore.insert(address, now + SORE);
+        self.ejected.insert(address, now + EJECTION);
     }
 }
 
--- a/data-plane/src/own_share/tests.rs
+++ b/data-plane/src/fallback_quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `own_share`.
+//! Tests of `fallback_quota`.
 use crate::prelude::*;
 
 fn origin(port: u16, zone: &str) -> Origin {
@@ -38,7 +38,7 @@
         weight: 1,
     };
     let origins = [origin(1, "a"), origin(2, "b")];
-    let mut share = OwnShare::default();
+    let mut share = FallbackQuota::default();
     let mut given = 0;
     for ms in (0..5000).step_by(10) {
         given += usize::from(
@@ -87,7 +87,7 @@
             ..origin(3, "b")
         },
     ];
-    let mut share = OwnShare::default();
+    let mut share = FallbackQuota::default();
     let named = group(Proof::Named, None);
     let now = Duration::from_secs(1);
     let port = |origin: Option<Origin>| origin.map(|origin| origin.address.port());
--- a/data-plane/src/http_frontend.rs
+++ b/data-plane/src/http_frontend.rs
@@ -6,11 +6,11 @@
 pub struct HttpFrontend {
     program: &'static str,
     protocol: Arc<dyn ProtocolAdapter>,
-    taker: Option<Arc<LineTaker>>,
+    handler: Option<Arc<ConnectionHandler>>,
 }
 
 /// What the line's thread hands on.
-struct LineTaker {
+struct ConnectionHandler {
     port: Arc<Port>,
     protocol: Arc<dyn ProtocolAdapter>,
     plug_ins: Vec<&'static PlugIn>,
@@ -22,8 +22,8 @@
     /// of it only after what it was told before.
     departed: Mutex<HashSet<u64>>,
     /// Itself, for answers that come later.
-    me: Weak<LineTaker>,
-    answer_sizes: AnswerSizes,
+    me: Weak<ConnectionHandler>,
+    response_sizes: ResponseSizes,
     /// The callers' bounds last set.
     bounds: Mutex<Option<Arc<Bounds>>>,
 }
@@ -38,24 +38,24 @@
     send_bytes_s: None,
 };
 /// Routes whose answers are larger, as a rule, wait for the link, in bytes.
-const LARGE_ANSWER: f64 = 16.0 * 1024.0;
+const LARGE_RESPONSE_BYTES: f64 = 16.0 * 1024.0;
 /// Who is turned away for a full link comes back after this, to any edge.
-const LINK_FULL: Duration = Duration::from_millis(50);
-const BYTES_IN_MEGABIT: f64 = 125_000.0;
+const LINK_FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 /// Only the platform calls the second face, to ask whether callers may come.
-const READY_FACE: usize = 1;
+const READINESS_LISTENER: usize = 1;
 
 impl HttpFrontend {
     pub fn new(program: &'static str, protocol: Arc<dyn ProtocolAdapter>) -> HttpFrontend {
         HttpFrontend {
             program,
             protocol,
-            taker: None,
+            handler: None,
         }
     }
 
     fn line(&self) -> Option<&HttpLine> {
-        self.taker.as_ref()?.line.get()
+        self.handler.as_ref()?.line.get()
     }
 }
 
@@ -74,7 +74,7 @@
                     .with_context(|| format!("cannot listen on {address}"))?,
             );
         }
-        let taker = Arc::new_cyclic(|me| LineTaker {
+        let handler = Arc::new_cyclic(|me| ConnectionHandler {
             me: me.clone(),
             port: port.clone(),
             protocol: self.protocol.clone(),
@@ -83,27 +83,27 @@
             calls: Mutex::default(),
             requests: Mutex::default(),
             departed: Mutex::default(),
-            answer_sizes: AnswerSizes::default(),
+            response_sizes: ResponseSizes::default(),
             bounds: Mutex::default(),
         });
         let limits = Limits {
-            send_bytes_s: port.startup.link_mbps.map(|link| link * BYTES_IN_MEGABIT),
+            send_bytes_s: port.startup.link_mbps.map(|link| link * BYTES_PER_MEGABIT),
             ..LIMITS
         };
-        let line = HttpLine::open(listeners, limits, taker.clone())?;
-        let _ = taker.line.set(line);
-        self.taker = Some(taker);
+        let line = HttpLine::open(listeners, limits, handler.clone())?;
+        let _ = handler.line.set(line);
+        self.handler = Some(handler);
         Ok(())
     }
 
     fn call(&self, id: u64, call: Call) {
-        let (Some(taker), Some(line)) = (&self.taker, self.line()) else {
+        let (Some(handler), Some(line)) = (&self.handler, self.line()) else {
             return;
         };
         // The process may have stood still since the part decided: what it
         // knew holds only while the lease does.
-        if !taker.port.live() || taker.is_unwanted(&call) {
-            let _ = taker.port.give.send(Input::CallCompleted {
+        if !handler.port.live() || handler.is_abandoned(&call) {
+            let _ = handler.port.give.send(Input::CallCompleted {
                 id,
                 result: CallOutcome::NotSent,
             });
@@ -122,7 +122,7 @@
             echo,
             sessions: call.max_connections,
         };
-        taker
+        handler
             .calls
             .lock()
             .expect("no holder panics")
@@ -131,10 +131,10 @@
     }
 
     fn cancel_call(&self, id: u64) {
-        let (Some(taker), Some(line)) = (&self.taker, self.line()) else {
+        let (Some(handler), Some(line)) = (&self.handler, self.line()) else {
             return;
         };
-        taker.calls.lock().expect("no holder panics").remove(&id);
+        handler.calls.lock().expect("no holder panics").remove(&id);
         line.drop_call(id);
     }
 
@@ -167,7 +167,7 @@
     }
 }
 
-impl LineTaker {
+impl ConnectionHandler {
     fn tell(&self, line: u64, words: HttpResponse) {
         let HttpResponse {
             status,
@@ -231,16 +231,16 @@
     fn link_full(&self, request: &ClientRequest) -> Option<Rejection> {
         let entry = request.entry();
         let aim = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
-        let large = self.answer_sizes.expected(&entry.name) > LARGE_ANSWER;
+        let large = self.response_sizes.expected(&entry.name) > LARGE_RESPONSE_BYTES;
         let full = large && self.line.wait().backlog() > aim;
         full.then(|| {
             let why = "the link of this edge is full";
-            Rejection::not_run(429, "link_full", why).with_retry_after(LINK_FULL)
+            Rejection::not_run(429, "link_full", why).with_retry_after(LINK_FULL_RETRY_AFTER)
         })
     }
 
     /// Whether the call is for a caller alone that has left.
-    fn is_unwanted(&self, call: &Call) -> bool {
+    fn is_abandoned(&self, call: &Call) -> bool {
         let alone = matches!(call.purpose, CallPurpose::Caller | CallPurpose::RunOnce);
         let departed = self.departed.lock().expect("no holder panics");
         alone && departed.contains(&call.request)
@@ -296,16 +296,16 @@
         let route = request.entry().name.clone();
         let headers = request.headers.clone();
         let request = Mutex::new(Some(request));
-        let taker = self.clone();
+        let handler = self.clone();
         let then = move |output: Output| {
-            taker.answered(line, &output);
+            handler.answered(line, &output);
             let answer = match output {
                 // The process may have stood still since the part answered: a
                 // copy is only as good as the lease.
                 Output::ClientResponse {
                     response: ClientResponse::Reply { age: Some(_), .. },
                     ..
-                } if !keyed && !taker.port.live() => {
+                } if !keyed && !handler.port.live() => {
                     ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
                 }
                 Output::ClientResponse {
@@ -313,11 +313,11 @@
                 } => answer,
                 _ => return,
             };
-            let words = taker.protocol.tell(&headers, &answer);
+            let words = handler.protocol.tell(&headers, &answer);
             if matches!(answer, ClientResponse::Reply { .. }) {
-                taker.answer_sizes.saw(&route, words.body.len());
+                handler.response_sizes.saw(&route, words.body.len());
             }
-            taker.tell(line, words);
+            handler.tell(line, words);
         };
         let take = |id| {
             let mut requests = self.requests.lock().expect("no holder panics");
@@ -336,9 +336,9 @@
 }
 
 /// The line's own end of the taker: it is called on the line's thread.
-impl Taker for LineTaker {
+impl Taker for ConnectionHandler {
     fn asked(&self, line: u64, frontend: usize, asked: Asked) {
-        if frontend == READY_FACE {
+        if frontend == READINESS_LISTENER {
             let status = if self.port.ready() { 200 } else { 503 };
             return self.tell(
                 line,
@@ -352,8 +352,8 @@
             return self.plug_in(line, asked);
         }
         // The taker is shared by its own answers.
-        if let Some(taker) = self.me.upgrade() {
-            taker.client_request(line, asked);
+        if let Some(handler) = self.me.upgrade() {
+            handler.client_request(line, asked);
         }
     }
 
--- a/data-plane/src/link_delay.rs
+++ b/data-plane/src/link_delay_estimator.rs
@@ -6,7 +6,7 @@
 /// in common is the own link, so the shortest wait among those measured of late
 /// counts: one that is slow by itself says nothing of the link.
 #[derive(Debug, Default)]
-pub struct LinkDelay {
+pub struct LinkDelayEstimator {
     shortest: HashMap<SocketAddr, Duration>,
     recent: HashMap<SocketAddr, (Duration, Duration)>,
 }
@@ -14,7 +14,7 @@
 /// Older measurements do not count; two renewals fit in.
 const RECENT: Duration = Duration::from_millis(400);
 
-impl LinkDelay {
+impl LinkDelayEstimator {
     /// The delay of the link, with a round trip to this control node just
     /// measured.
     pub fn measured(&mut self, now: Duration, node: SocketAddr, round_trip: Duration) -> Duration {
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -33,7 +33,7 @@
 }
 
 /// A copy to be kept, with its expiries on this edge's clock.
-pub struct KeptCopy<'a> {
+pub struct NearCacheEntry<'a> {
     pub name: CacheEntryName<'a>,
     pub reply: &'a Reply,
     pub began: Duration,
@@ -58,12 +58,12 @@
 }
 
 /// Counted for each copy beside its body, headers and name.
-const COPY_BYTES: u64 = 512;
+const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
 impl NearCopy {
     fn bytes(&self) -> u64 {
         let names = self.entry.len() + self.host.len() + self.url.len();
-        (self.reply.bytes() + names) as u64 + COPY_BYTES
+        (self.reply.bytes() + names) as u64 + ENTRY_OVERHEAD_BYTES
     }
 
     fn name(&self) -> CacheEntryName<'_> {
@@ -111,7 +111,7 @@
 
     /// Keeps the copy, unless a later one is there: then that one is only
     /// trusted for as long as the owner trusts its own.
-    pub fn put(&mut self, now: Duration, key: CacheKey, copy: KeptCopy) {
+    pub fn put(&mut self, now: Duration, key: CacheKey, copy: NearCacheEntry) {
         if now >= copy.major {
             return;
         }
--- a/data-plane/src/purge_book.rs
+++ b/data-plane/src/purge_log.rs
@@ -7,7 +7,7 @@
 /// one; those above `floor` are listed, older ones are not kept, so a copy
 /// known clear only up to below `floor` counts as purged.
 #[derive(Debug, Default)]
-pub struct PurgeBook {
+pub struct PurgeLog {
     pub applied: u64,
     floor: u64,
     /// With the time each was learned here: before its acknowledgement, since
@@ -15,7 +15,7 @@
     list: BTreeMap<u64, (Duration, Purge)>,
 }
 
-impl PurgeBook {
+impl PurgeLog {
     /// Takes updates; returns what is new, and whether some were missed so that
     /// every copy must go.
     pub fn learn(
--- a/data-plane/src/purge_book/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `purge_book`.
+//! Tests of `purge_log`.
 use crate::prelude::*;
 
 fn row(version: u64, prefix: &str) -> (String, Row) {
@@ -29,24 +29,24 @@
 
 #[test]
 fn a_copy_is_clear_of_purges_known_when_its_fetch_began_and_of_no_later_one() {
-    let mut book = PurgeBook::default();
-    book.learn(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
-    assert!(!book.clear(0, name("/a/1")));
-    assert!(book.clear(1, name("/a/1")));
-    assert!(!book.clear(1, name("/b/1")));
-    assert!(book.clear(2, name("/b/1")));
+    let mut purge_log = PurgeLog::default();
+    purge_log.learn(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
+    assert!(!purge_log.clear(0, name("/a/1")));
+    assert!(purge_log.clear(1, name("/a/1")));
+    assert!(!purge_log.clear(1, name("/b/1")));
+    assert!(purge_log.clear(2, name("/b/1")));
 }
 
 #[test]
 fn an_edge_that_missed_more_purges_than_are_kept_drops_everything_older() {
-    let mut book = PurgeBook::default();
-    assert!(!book.learn(Duration::ZERO, 1, &[row(1, "/a")]).1);
-    let (_, missed) = book.learn(
+    let mut purge_log = PurgeLog::default();
+    assert!(!purge_log.learn(Duration::ZERO, 1, &[row(1, "/a")]).1);
+    let (_, missed) = purge_log.learn(
         Duration::ZERO,
         MAX_RETAINED_PURGES + 5,
         &[row(MAX_RETAINED_PURGES + 5, "/z")],
     );
     assert!(missed);
-    assert!(!book.clear(4, name("/other")));
-    assert!(book.clear(5, name("/other")));
+    assert!(!purge_log.clear(4, name("/other")));
+    assert!(purge_log.clear(5, name("/other")));
 }
--- a/data-plane/src/seal.rs
+++ b/data-plane/src/response_signature.rs
@@ -7,7 +7,7 @@
 /// answer, who it is, and the request it answers. The request's part is
 /// rebuilt by whoever checks, so an answer to anything else does not pass.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seal<'a> {
+pub struct ResponseSignature<'a> {
     pub status: u16,
     pub method: &'a str,
     pub target: &'a str,
@@ -21,7 +21,7 @@
 const PARTS: &str = "(\"@status\" \"content-digest\" \"otterslip-service\" \"otterslip-instance\" \
     \"@method\";req \"@request-target\";req \"operation-key\";req \"otterslip-errand\";req)";
 
-impl Seal<'_> {
+impl ResponseSignature<'_> {
     fn digest(&self) -> String {
         format!("sha-256=:{}:", BASE64.encode(Sha256::digest(self.body)))
     }
--- a/data-plane/src/seal/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -5,7 +5,7 @@
 fn an_answer_passes_only_for_the_very_request_service_and_key_it_was_signed_for() {
     let key = SigningKey::from_bytes(&[7; 32]);
     let public = BASE64.encode(key.verifying_key().to_bytes());
-    let seal = Seal {
+    let seal = ResponseSignature {
         status: 200,
         method: "POST",
         target: "/book?x=1",
@@ -18,35 +18,35 @@
     let headers = seal.sign(&key);
     assert!(seal.check(&headers, &public).is_ok());
     let others = [
-        Seal {
+        ResponseSignature {
             status: 201,
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             method: "GET",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             target: "/book?x=2",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             service: "other",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             instance: "b2",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             operation: "k2",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             request: "8",
             ..seal.clone()
         },
-        Seal {
+        ResponseSignature {
             body: b"don",
             ..seal.clone()
         },
--- a/data-plane/src/answer_sizes.rs
+++ b/data-plane/src/response_sizes.rs
@@ -3,14 +3,14 @@
 
 /// A moving average of the answers' bodies in bytes, by route.
 #[derive(Debug, Default)]
-pub struct AnswerSizes {
+pub struct ResponseSizes {
     by_route: Mutex<HashMap<String, f64>>,
 }
 
 /// The weight of the latest answer.
 const LATEST: f64 = 0.1;
 
-impl AnswerSizes {
+impl ResponseSizes {
     pub fn saw(&self, route: &str, bytes: usize) {
         let mut known = self.by_route.lock().expect("no holder panics");
         match known.get_mut(route) {
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -81,7 +81,7 @@
     };
     let key = KEY;
     let put = CachePut { key, token, reply };
-    assert!(owner.put(at(100), put, 7, &PurgeBook::default()));
+    assert!(owner.put(at(100), put, 7, &PurgeLog::default()));
     assert_eq!(copies(&owner.take_out()), 1);
     let mut sent = 0;
     for now in (200..4000).step_by(200) {
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -2,7 +2,7 @@
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
-const ERRAND: u64 = 9;
+const REQUEST_ID_HEADER: u64 = 9;
 
 fn call(proof: Proof) -> Call {
     Call {
@@ -23,7 +23,7 @@
         body: Arc::default(),
         operation: None,
         request_id: None,
-        request: ERRAND,
+        request: REQUEST_ID_HEADER,
         key: String::new(),
         proof,
         timeout: Duration::from_secs(1),
@@ -107,7 +107,7 @@
         key: BASE64.encode(key.verifying_key().to_bytes()),
         ..call(Proof::Seal)
     };
-    let seal = Seal {
+    let seal = ResponseSignature {
         status: 200,
         method: "POST",
         target: "/u",
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -226,7 +226,7 @@
     }
 
     fn owner_says(&mut self, id: u64, kept: Kept) -> Vec<Output> {
-        let key = Job::cache_key(&client_request("/copy", "GET"));
+        let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
         let message: Message = match kept {
             Kept::Copy => {
                 let copy = CachedResponse {
@@ -528,7 +528,7 @@
         epoch: 1,
         purge_version: 0,
     };
-    let key = Job::cache_key(&client_request("/copy", "GET"));
+    let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
     let out = heard(
         &mut edge,
         1005,
--- a/data-plane/tests/http_frontend.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -65,8 +65,8 @@
         address: to,
         ..edge::origin(1)
     };
-    let job = Job::new(Duration::ZERO, request.clone());
-    job.call(Duration::ZERO, id, origin, Duration::ZERO, purpose)
+    let active = ActiveRequest::new(Duration::ZERO, request.clone());
+    active.call(Duration::ZERO, id, origin, Duration::ZERO, purpose)
 }
 
 /// Between the close and the moment at which the part hears of it, the part may
--- a/data-plane/tests/near_copies.rs
+++ b/data-plane/tests/near_cache.rs
@@ -9,7 +9,7 @@
 const PATIENCE_MS: u64 = 2500;
 
 fn key() -> CacheKey {
-    Job::cache_key(&client_request("/copy", "GET"))
+    ActiveRequest::cache_key(&client_request("/copy", "GET"))
 }
 
 fn begin(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
@@ -285,7 +285,7 @@
 /// when the leader's time was over, and nobody asked for that key any more.
 #[test]
 fn a_follower_that_is_turned_away_does_not_lead_its_group_later() {
-    const PENDING: u64 = 256;
+    const MAX_PENDING_PER_SERVICE: u64 = 256;
     let mut edge = ready();
     let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, patience: u64| {
         let mut request = client_request(url, "GET");
@@ -294,7 +294,7 @@
     };
     request(&mut edge, 1000, 0, "/copy-low", 500);
     request(&mut edge, 1000, 1, "/copy-low", 5000);
-    for id in 2..=PENDING {
+    for id in 2..=MAX_PENDING_PER_SERVICE {
         request(&mut edge, 1000, id, "/high", 400);
     }
     run(&mut edge, 1050, 1550);
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 /// Calls that one request may make.
-const CALLS: usize = 3;
+const DEFAULT_MAX_ATTEMPTS: usize = 3;
 const REQUEST: u64 = 1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -306,7 +306,7 @@
         // One that the edge's own line held back reached no origin.
         let withheld = |call: &&CallMade| matches!(call.ended, Some(End::Withheld));
         let tries = self.calls.len() - self.calls.iter().filter(withheld).count();
-        prop_assert!(tries < CALLS, "more calls than it may make");
+        prop_assert!(tries < DEFAULT_MAX_ATTEMPTS, "more calls than it may make");
         if self.sort != Sort::Repeatable {
             prop_assert!(
                 !self.calls.iter().any(CallMade::may_have_run),
--- a/data-plane/tests/crossed_answers.rs
+++ b/data-plane/tests/stale_responses.rs
@@ -114,7 +114,7 @@
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], true);
     let first = question(&begin(&mut edge, 1000, 1, "/copy", "GET"));
-    let key = Job::cache_key(&client_request("/copy", "GET"));
+    let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
     let copy = |id, left| CacheCopy {
         id,
         key,
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -1,5 +1,5 @@
 use crate::prelude::*;
-use data_plane::prelude::{CacheOwner, PurgeBook};
+use data_plane::prelude::{CacheOwner, PurgeLog};
 
 /// The figures of docs/figures.md, in counts and virtual time.
 pub struct Figures;
@@ -46,7 +46,7 @@
                         reply,
                     },
                     1,
-                    &PurgeBook::default(),
+                    &PurgeLog::default(),
                 );
             }
             let wait = Duration::from_secs(4);
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -142,7 +142,7 @@
             request.raw_url()
         };
         let status = if fault == "status-500" { 500 } else { 200 };
-        let seal = Seal {
+        let seal = ResponseSignature {
             status,
             method: request.method(),
             target,
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -11,7 +11,7 @@
 pub use crate::origin::StandInOrigin;
 pub use crate::record::*;
 pub use crate::schema_check::SchemaCheck;
-pub use data_plane::Seal;
+pub use data_plane::ResponseSignature;
 pub use ed25519_dalek::SigningKey;
 pub use kernel::prelude::*;
 pub use serde_json::json;
