--- a/data-plane/src/admission/arrivals.rs
+++ b/data-plane/src/admission/arrivals.rs
@@ -1,39 +1,40 @@
-//! How many requests of each rank came of late.
+//! Counts recent permit requests of each rank.
 use crate::prelude::*;
 
-/// Arrivals within a span, counted by rank. Invariant: `by_rank` counts what
-/// stands in `list`.
-pub struct Arrivals {
-    span: Duration,
-    list: VecDeque<(Duration, u32)>,
+/// Arrivals within a sliding window, by rank. Invariant: `by_rank` counts what
+/// `recent` holds.
+pub(super) struct Arrivals {
+    window: Duration,
+    /// When requests arrived, with their ranks.
+    recent: VecDeque<(Duration, u32)>,
     by_rank: BTreeMap<u32, usize>,
 }
 
 impl Arrivals {
-    pub fn new(span: Duration) -> Arrivals {
+    pub(super) fn new(window: Duration) -> Arrivals {
         Arrivals {
-            span,
-            list: VecDeque::new(),
+            window,
+            recent: VecDeque::new(),
             by_rank: BTreeMap::new(),
         }
     }
 
-    pub fn add(&mut self, now: Duration, rank: u32) {
-        self.list.push_back((now, rank));
+    pub(super) fn add(&mut self, now: Duration, rank: u32) {
+        self.recent.push_back((now, rank));
         *self.by_rank.entry(rank).or_insert(0) += 1;
     }
 
-    pub fn forget_old(&mut self, now: Duration) {
-        while let Some((at, rank)) = self.list.front().copied()
-            && now >= at + self.span
+    pub(super) fn forget_old(&mut self, now: Duration) {
+        while let Some((arrived, rank)) = self.recent.front().copied()
+            && now >= arrived + self.window
         {
-            self.list.pop_front();
+            self.recent.pop_front();
             *self.by_rank.get_mut(&rank).expect("it was counted") -= 1;
         }
     }
 
     /// Arrivals of higher ranks.
-    pub fn above(&self, rank: u32) -> usize {
+    pub(super) fn above(&self, rank: u32) -> usize {
         let higher = (std::ops::Bound::Excluded(rank), std::ops::Bound::Unbounded);
         self.by_rank.range(higher).map(|(_, count)| count).sum()
     }
--- a/data-plane/src/admission/calls_in_flight.rs
+++ b/data-plane/src/admission/calls_in_flight.rs
@@ -1,89 +1,102 @@
-//! Calls that were permitted and have not ended, as far as is known.
+//! Calls that were granted a permit and have not ended, as far as is known.
 use crate::prelude::*;
 
-/// Calls by the epoch and serial of their permits. Invariant: `tallies` counts
-/// the calls of each origin, so that a look at one origin goes over none of
-/// the others' calls.
+/// Identifies a permit of the group.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct PermitId {
+    /// The epoch of the controller that granted it.
+    pub(super) epoch: u64,
+    pub(super) serial: u64,
+}
+
+/// The calls in flight by their permits. Invariant: `by_origin` summarizes the
+/// calls of each origin, so that a look at one origin goes over none of the
+/// others' calls.
 #[derive(Default)]
-pub struct CallsInFlight {
-    calls: HashMap<(u64, u64), CallInFlight>,
-    tallies: HashMap<SocketAddr, Tally>,
+pub(super) struct CallsInFlight {
+    calls: HashMap<PermitId, CallInFlight>,
+    by_origin: HashMap<SocketAddr, OriginCalls>,
 }
 
-pub struct CallInFlight {
-    pub origin: SocketAddr,
-    pub rank: u32,
-    pub since: Duration,
-    pub until: Duration,
-    pub extra: bool,
+/// A call that was granted a permit.
+pub(super) struct CallInFlight {
+    pub(super) origin: SocketAddr,
+    pub(super) rank: u32,
+    /// When the permit was granted.
+    pub(super) since: Duration,
+    /// When the call is no longer counted, even if its end is not reported.
+    pub(super) until: Duration,
+    pub(super) is_retry: bool,
 }
 
 #[derive(Default)]
-struct Tally {
+struct OriginCalls {
     count: usize,
-    /// Sum of the times since when, in seconds.
+    /// The sum of the calls' `since`, in seconds.
     since_s: f64,
 }
 
 impl CallInFlight {
-    /// Seconds since it was given.
-    pub fn age(&self, now: Duration) -> f64 {
+    /// Seconds since the permit was granted.
+    pub(super) fn age(&self, now: Duration) -> f64 {
         now.saturating_sub(self.since).as_secs_f64()
     }
 }
 
 impl CallsInFlight {
-    pub fn insert(&mut self, permit: (u64, u64), call: CallInFlight) {
+    pub(super) fn insert(&mut self, permit: PermitId, call: CallInFlight) {
         self.remove(permit);
-        let tally = self.tallies.entry(call.origin).or_default();
-        tally.count += 1;
-        tally.since_s += call.since.as_secs_f64();
+        let summary = self.by_origin.entry(call.origin).or_default();
+        summary.count += 1;
+        summary.since_s += call.since.as_secs_f64();
         self.calls.insert(permit, call);
     }
 
-    pub fn remove(&mut self, permit: (u64, u64)) -> Option<CallInFlight> {
+    pub(super) fn remove(&mut self, permit: PermitId) -> Option<CallInFlight> {
         let call = self.calls.remove(&permit)?;
-        CallsInFlight::uncount(&mut self.tallies, &call);
+        CallsInFlight::uncount(&mut self.by_origin, &call);
         Some(call)
     }
 
-    /// Drops calls whose end is past.
-    pub fn forget_ended(&mut self, now: Duration) {
-        let tallies = &mut self.tallies;
+    /// Drops calls that are no longer counted.
+    pub(super) fn forget_ended(&mut self, now: Duration) {
+        let by_origin = &mut self.by_origin;
         self.calls.retain(|_, call| {
-            let stands = now < call.until;
-            if !stands {
-                CallsInFlight::uncount(tallies, call);
+            let is_in_flight = now < call.until;
+            if !is_in_flight {
+                CallsInFlight::uncount(by_origin, call);
             }
-            stands
+            is_in_flight
         });
     }
 
-    fn uncount(tallies: &mut HashMap<SocketAddr, Tally>, call: &CallInFlight) {
-        let tally = tallies.get_mut(&call.origin).expect("it was counted");
-        tally.count -= 1;
-        tally.since_s -= call.since.as_secs_f64();
-        if tally.count == 0 {
-            tallies.remove(&call.origin);
+    fn uncount(by_origin: &mut HashMap<SocketAddr, OriginCalls>, call: &CallInFlight) {
+        let summary = by_origin.get_mut(&call.origin).expect("it was counted");
+        summary.count -= 1;
+        summary.since_s -= call.since.as_secs_f64();
+        if summary.count == 0 {
+            by_origin.remove(&call.origin);
         }
     }
 
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.calls.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &CallInFlight> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &CallInFlight> {
         self.calls.values()
     }
 
-    /// Calls at this origin.
-    pub fn at(&self, origin: SocketAddr) -> usize {
-        self.tallies.get(&origin).map_or(0, |tally| tally.count)
+    /// The number of calls to this origin.
+    pub(super) fn at(&self, origin: SocketAddr) -> usize {
+        self.by_origin
+            .get(&origin)
+            .map_or(0, |summary| summary.count)
     }
 
-    /// Seconds that the calls at this origin have taken so far, on average.
-    pub fn mean_age(&self, now: Duration, origin: SocketAddr) -> Option<f64> {
-        let tally = self.tallies.get(&origin)?;
-        Some((now.as_secs_f64() - tally.since_s / tally.count as f64).max(0.0))
+    /// Seconds that the calls to this origin have taken so far, on average.
+    pub(super) fn mean_age(&self, now: Duration, origin: SocketAddr) -> Option<f64> {
+        let summary = self.by_origin.get(&origin)?;
+        Some((now.as_secs_f64() - summary.since_s / summary.count as f64).max(0.0))
     }
 }
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -51,7 +51,7 @@
 /// All but that somebody stands in line.
 fn said(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
     admission
-        .take_out()
+        .take_outgoing()
         .into_iter()
         .filter(|(_, message)| !matches!(message, Message::PermitQueued(_)))
         .collect()
@@ -60,19 +60,19 @@
 #[test]
 fn who_waits_is_told_so_each_time_it_asks() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.update(at(0), &group(100.0, 9), &[origin(1)]);
+    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
     for ms in [400, 600] {
         admission.request_permit(at(ms), origin(9).address, permit_request(1, 1, 5000, false));
         assert!(
-            matches!(admission.take_out().as_slice(), [(to, Message::PermitQueued(PermitQueued { id: 1 }))] if *to == origin(9).address),
+            matches!(admission.take_outgoing().as_slice(), [(to, Message::PermitQueued(PermitQueued { id: 1 }))] if *to == origin(9).address),
             "nothing is proven yet"
         );
     }
-    admission.watched(at(650), origin(1).address, true);
-    let probe = admission.probes(at(700)).remove(0);
-    admission.probed(at(710), &probe, true);
+    admission.connection_changed(at(650), origin(1).address, true);
+    let probe = admission.start_probes(at(700)).remove(0);
+    admission.probe_completed(at(710), &probe, true);
     assert!(matches!(
-        admission.take_out().as_slice(),
+        admission.take_outgoing().as_slice(),
         [(_, Message::Permit(_))]
     ));
 }
@@ -121,14 +121,14 @@
         ..group(9999.0, 99)
     };
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.update(at(0), &named, &[origin(1), origin(2)]);
+    admission.apply_configuration(at(0), &named, &[origin(1), origin(2)]);
     let mut calls = vec![];
     for id in 0..2000u64 {
         let now = at(id * 5);
         admission.request_permit(now, origin(9).address, permit_request(id, 1, 60_000, false));
         if id % 20 == 0 {
             calls.push(id * 5);
-            admission.done(
+            admission.call_completed(
                 now,
                 CallDone {
                     service: "s".into(),
@@ -142,7 +142,7 @@
         for (_, message) in said(&mut admission) {
             if let Message::Permit(permit) = message {
                 calls.push(id * 5);
-                admission.done(
+                admission.call_completed(
                     now,
                     CallDone {
                         service: "s".into(),
@@ -170,8 +170,8 @@
 impl Run {
     fn new(began: u64, epoch: u64, rate: f64, concurrency: u32) -> Run {
         let mut admission = AdmissionController::new(at(began), "s", epoch, 3);
-        admission.update(at(began), &group(rate, concurrency), &[origin(1)]);
-        admission.watched(at(began), origin(1).address, true);
+        admission.apply_configuration(at(began), &group(rate, concurrency), &[origin(1)]);
+        admission.connection_changed(at(began), origin(1).address, true);
         Run {
             admission,
             now: began,
@@ -184,19 +184,19 @@
     /// One step of 10 ms; every permit is used at once and ends after `took`.
     fn step(&mut self, took: u64, ends: &mut Vec<(u64, CallDone)>) {
         self.now += 10;
-        for probe in self.admission.probes(at(self.now)) {
+        for probe in self.admission.start_probes(at(self.now)) {
             self.calls.push(self.now);
-            self.admission.probed(at(self.now), &probe, true);
+            self.admission.probe_completed(at(self.now), &probe, true);
         }
         let (due, later) = std::mem::take(ends)
             .into_iter()
             .partition(|(when, _)| *when <= self.now);
         *ends = later;
         for (_, done) in due as Vec<(u64, CallDone)> {
-            self.admission.done(at(self.now), done);
+            self.admission.call_completed(at(self.now), done);
         }
-        self.admission.pump(at(self.now));
-        for (_, message) in self.admission.take_out() {
+        self.admission.dispatch(at(self.now));
+        for (_, message) in self.admission.take_outgoing() {
             match message {
                 Message::Permit(permit) => {
                     self.given.push((self.now, permit.id));
@@ -395,50 +395,53 @@
         run.step(5, &mut ends);
         let admission = &run.admission;
         let earned = if run.now >= 10_000 { 3 } else { 0 };
-        assert!(admission.extras.len() <= admission.firsts.len() / 5 + earned);
+        assert!(
+            admission.retry_budget.retries.len()
+                <= admission.retry_budget.first_attempts.len() / 5 + earned
+        );
     }
     assert!(
         run.away
             .iter()
             .any(|(_, _, reason)| *reason == PermitRefusalReason::RetryBudgetExhausted)
     );
-    assert!(run.admission.extras.len() > 50);
+    assert!(run.admission.retry_budget.retries.len() > 50);
 }
 
 #[test]
 fn an_origin_is_called_only_once_it_has_shown_who_it_is_and_not_while_aside() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.update(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
-    assert_eq!(admission.watches(at(1)).len(), 2);
+    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
+    assert_eq!(admission.connections_to_open(at(1)).len(), 2);
     assert!(
-        admission.probes(at(350)).is_empty(),
+        admission.start_probes(at(350)).is_empty(),
         "no connection stands yet"
     );
-    admission.watched(at(2), origin(1).address, true);
-    admission.watched(at(2), origin(2).address, true);
+    admission.connection_changed(at(2), origin(1).address, true);
+    admission.connection_changed(at(2), origin(2).address, true);
     admission.request_permit(
         at(400),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
     assert!(said(&mut admission).is_empty(), "nothing is proven");
-    let probes = admission.probes(at(500));
+    let probes = admission.start_probes(at(500));
     assert_eq!(probes.len(), 2);
-    admission.probed(at(510), &probes[0], false);
+    admission.probe_completed(at(510), &probes[0], false);
     assert!(said(&mut admission).is_empty());
-    admission.probed(at(520), &probes[1], true);
+    admission.probe_completed(at(520), &probes[1], true);
     let out = said(&mut admission);
     let [(_, Message::Permit(permit))] = out.as_slice() else {
         panic!("{out:?}")
     };
     assert_eq!(permit.origin, probes[1]);
     // The connection ends: the next process there must show itself first.
-    admission.watched(at(600), origin(2).address, false);
+    admission.connection_changed(at(600), origin(2).address, false);
     admission.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
     assert!(said(&mut admission).is_empty());
-    admission.watched(at(620), origin(2).address, true);
-    let probe = admission.probes(at(650)).remove(0);
-    admission.probed(at(660), &probe, true);
+    admission.connection_changed(at(620), origin(2).address, true);
+    let probe = admission.start_probes(at(650)).remove(0);
+    admission.probe_completed(at(660), &probe, true);
     assert!(matches!(
         said(&mut admission).as_slice(),
         [(_, Message::Permit(_))]
@@ -455,9 +458,9 @@
         instance: "new".into(),
         ..origin(2)
     };
-    admission.update(at(2700), &group(100.0, 9), std::slice::from_ref(&other));
+    admission.apply_configuration(at(2700), &group(100.0, 9), std::slice::from_ref(&other));
     assert!(
-        !admission.probed(at(2800), &probes[1], true),
+        !admission.probe_completed(at(2800), &probes[1], true),
         "the old instance's probe counts for nothing"
     );
     assert!(said(&mut admission).is_empty());
@@ -466,10 +469,10 @@
 #[test]
 fn all_origins_failing_is_told_at_once_and_a_leaving_one_gets_no_permit() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.update(at(0), &group(100.0, 9), &[origin(1)]);
-    admission.watched(at(0), origin(1).address, true);
-    let probe = admission.probes(at(400)).remove(0);
-    admission.probed(at(400), &probe, false);
+    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
+    admission.connection_changed(at(0), origin(1).address, true);
+    let probe = admission.start_probes(at(400)).remove(0);
+    admission.probe_completed(at(400), &probe, false);
     admission.request_permit(
         at(410),
         origin(9).address,
@@ -485,9 +488,9 @@
             })
         )]
     ));
-    let probe = admission.probes(at(1000)).remove(0);
-    admission.probed(at(1000), &probe, true);
-    admission.update(
+    let probe = admission.start_probes(at(1000)).remove(0);
+    admission.probe_completed(at(1000), &probe, true);
+    admission.apply_configuration(
         at(1001),
         &group(100.0, 9),
         &[Origin {
@@ -510,7 +513,7 @@
 #[test]
 fn a_new_holder_counts_calls_that_began_under_the_one_before() {
     let mut run = Run::new(0, 5, 1000.0, 2);
-    run.admission.underway(
+    run.admission.add_calls_in_flight(
         at(10),
         CallsInProgress {
             service: "s".into(),
@@ -527,7 +530,7 @@
         run.step(5, &mut ends);
     }
     assert!(run.given.is_empty());
-    run.admission.done(
+    run.admission.call_completed(
         at(run.now),
         CallDone {
             service: "s".into(),
@@ -548,7 +551,7 @@
         proof: Proof::Named,
         ..group(1000.0, 2)
     };
-    admission.update(at(0), &named, &[origin(1)]);
+    admission.apply_configuration(at(0), &named, &[origin(1)]);
     admission
 }
 
@@ -585,7 +588,7 @@
     admission.withdraw(at(1010), origin(8).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
-    admission.done(at(1100), ended(&given[0], CallResult::Success));
+    admission.call_completed(at(1100), ended(&given[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
@@ -604,16 +607,16 @@
     }
     let given = permits(&mut admission);
     assert_eq!(given.len(), 2);
-    admission.done(at(1100), ended(&given[0], CallResult::Cancelled));
+    admission.call_completed(at(1100), ended(&given[0], CallResult::Cancelled));
     assert!(
         permits(&mut admission).is_empty(),
         "its place is not free at once"
     );
-    admission.done(at(1105), ended(&given[0], CallResult::Cancelled));
-    admission.pump(at(1100 + 40));
+    admission.call_completed(at(1105), ended(&given[0], CallResult::Cancelled));
+    admission.dispatch(at(1100 + 40));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [3]);
-    let found = admission.found(at(1141));
+    let found = admission.origin_health(at(1141));
     assert_eq!(found[0].calls, 2, "counted once more, not twice");
     assert_ne!(found[0].condition, OriginCondition::Ejected);
 }
@@ -628,7 +631,7 @@
         total_rate: Some(20.0),
         ..group(1000.0, 32)
     };
-    admission.update(at(0), &limited, &[origin(1)]);
+    admission.apply_configuration(at(0), &limited, &[origin(1)]);
     let mut sent = 0;
     for ms in (0..5000).step_by(5) {
         admission.request_permit(
@@ -639,7 +642,7 @@
         for permit in permits(&mut admission) {
             sent += 1;
             let cancelled = ended(&permit, CallResult::Cancelled);
-            admission.done(at(1000 + ms + 1), cancelled);
+            admission.call_completed(at(1000 + ms + 1), cancelled);
         }
     }
     assert!(
@@ -657,7 +660,7 @@
     }
     let given = permits(&mut admission);
     admission.forget_edges(at(1010), &HashSet::from([origin(9).address]));
-    admission.done(at(1100), ended(&given[0], CallResult::Success));
+    admission.call_completed(at(1100), ended(&given[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -115,7 +115,7 @@
                 .admission_controllers
                 .get_mut(&group.service)
                 .expect("just put");
-            admission.update(now, group, &self.origins);
+            admission.apply_configuration(now, group, &self.origins);
         }
         self.report_calls_in_flight(now, table);
     }
@@ -324,12 +324,12 @@
             }
             Message::CallDone(done) => {
                 if let Some(admission) = self.admission_controllers.get_mut(&done.service) {
-                    admission.done(now, done);
+                    admission.call_completed(now, done);
                 }
             }
             Message::CallsInProgress(told) => {
                 if let Some(admission) = self.admission_controllers.get_mut(&told.service) {
-                    admission.underway(now, told);
+                    admission.add_calls_in_flight(now, told);
                 }
             }
             _ => {}
@@ -343,12 +343,12 @@
         let mut calls = Vec::new();
         let mut watches = Vec::new();
         for admission in self.admission_controllers.values_mut() {
-            admission.pump(now);
+            admission.dispatch(now);
             let Some(group) = table.document.group(&admission.service) else {
                 continue;
             };
-            watches.extend(admission.watches(now));
-            for origin in admission.probes(now) {
+            watches.extend(admission.connections_to_open(now));
+            for origin in admission.start_probes(now) {
                 calls.push((origin, group.key.clone()));
             }
         }
@@ -398,7 +398,7 @@
         let changed = self
             .admission_controllers
             .get_mut(&origin.service)
-            .is_some_and(|admission| admission.probed(now, &origin, good));
+            .is_some_and(|admission| admission.probe_completed(now, &origin, good));
         if changed {
             let text = format!(
                 "{} {} {}: {why}",
@@ -419,7 +419,7 @@
     pub(super) fn flush_assignment_messages(&mut self) {
         let mut told = self.cache_owner.take_out();
         for admission in self.admission_controllers.values_mut() {
-            told.extend(admission.take_out());
+            told.extend(admission.take_outgoing());
         }
         for (to, message) in told {
             self.send(to, message);
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -191,7 +191,7 @@
             self.fallback_quotas
                 .entry(permit.service.clone())
                 .or_default()
-                .failed(now, permit.origin.address);
+                .call_failed(now, permit.origin.address);
         }
         let told = match &result {
             CallOutcome::Success(_) => CallResult::Success,
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -335,7 +335,7 @@
             Input::ConnectionChanged { address, open } => {
                 self.admission_controllers
                     .values_mut()
-                    .for_each(|admission| admission.watched(now, address, open));
+                    .for_each(|admission| admission.connection_changed(now, address, open));
                 // At once: a proof is on the path of the first errands.
                 self.run_admission_controllers(now);
             }
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -26,7 +26,7 @@
         let found = self
             .admission_controllers
             .values()
-            .flat_map(|admission| admission.found(now))
+            .flat_map(|admission| admission.origin_health(now))
             .collect();
         let renew = RenewRequest {
             sent: now,
--- a/data-plane/src/fallback_quota.rs
+++ b/data-plane/src/fallback_quota.rs
@@ -1,28 +1,30 @@
+//! Calls that an edge makes while a group's admission controller does not respond.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// What one edge sends a service by itself while the service's admission controller says
-/// nothing. Invariants:
-/// - Only groups whose origins are named with each call: no proof is missed.
-/// - All edges' shares and the admission controller's part stay within the whole rate: each
-///   edge of the roll has an equal share of `FALLBACK_FRACTION`.
-/// - First tries only: the budget of the others is the admission controller's.
+/// What one edge calls of a service by itself while the service's admission controller
+/// does not respond. Invariants:
+/// - Only groups whose origins are named with each call: no proof is needed.
+/// - The quotas of all edges and the admission controller's fraction stay within the total
+///   rate: each registered edge has an equal quota of `FALLBACK_FRACTION`.
+/// - First attempts only: the retry budget is the admission controller's.
 #[derive(Default)]
 pub struct FallbackQuota {
-    room: Option<TokenBucket>,
-    /// Origins that failed a call of ours, left alone until then.
-    ejected: HashMap<SocketAddr, Duration>,
+    bucket: Option<TokenBucket>,
+    /// Origins that failed a call of this edge, with the end of their ejection.
+    ejected_until: HashMap<SocketAddr, Duration>,
 }
 
-/// Of a whole rate, for all edges that cannot reach the admission controller.
+/// The fraction of a total rate for all edges that cannot reach the admission controller.
 const FALLBACK_FRACTION: f64 = 0.1;
+/// How long an origin is ejected after it failed a call.
 const EJECTION: Duration = Duration::from_secs(1);
 
 impl FallbackQuota {
-    /// An origin to call now without a permit, if the share has room: the
-    /// nearest, then the one with the fewest of our own calls under way.
+    /// An origin to call now without a permit, if the quota permits: the
+    /// nearest, then the one with the fewest calls in flight from this edge.
     pub fn pick(
         &mut self,
         now: Duration,
@@ -30,53 +32,62 @@
         origins: &[Origin],
         locality: &Locality,
         edges: usize,
-        under: &dyn Fn(SocketAddr) -> usize,
+        in_flight: &dyn Fn(SocketAddr) -> usize,
     ) -> Option<Origin> {
-        if group.proof != Proof::Named {
+        let edges = edges.max(1);
+        if group.proof != Proof::Named || !self.has_quota(now, group, edges) {
             return None;
         }
-        if let Some(rate) = group
-            .total_rate
-            .map(|rate| rate * FALLBACK_FRACTION / edges.max(1) as f64)
-        {
-            let room = self
-                .room
-                .get_or_insert_with(|| TokenBucket::with(now, rate, 1.0));
-            room.rate = rate;
-            room.refill(now);
-            if !room.has() {
-                return None;
-            }
-        }
-        self.ejected.retain(|_, until| now < *until);
-        let places = |origin: &Origin| (origin.capacity.max(1) as usize / edges.max(1)).max(1);
+        self.ejected_until.retain(|_, until| now < *until);
+        let slots = |origin: &Origin| (origin.capacity.max(1) as usize / edges).max(1);
         let usable = origins.iter().filter(|origin| {
             origin.service == group.service
                 && !origin.draining
-                && !self.ejected.contains_key(&origin.address)
-                && under(origin.address) < places(origin)
+                && !self.ejected_until.contains_key(&origin.address)
+                && in_flight(origin.address) < slots(origin)
         });
-        let far = |origin: &Origin| {
+        let is_remote = |origin: &Origin| {
             (
                 origin.region != locality.region,
                 origin.zone != locality.zone,
             )
         };
-        let best = usable
-            .min_by_key(|origin| (far(origin), under(origin.address), spread(locality, origin)))?
+        let picked = usable
+            .min_by_key(|origin| {
+                (
+                    is_remote(origin),
+                    in_flight(origin.address),
+                    tie_break(locality, origin),
+                )
+            })?
             .clone();
-        if let Some(room) = &mut self.room {
-            room.take(now);
+        if let Some(bucket) = &mut self.bucket {
+            bucket.take(now);
         }
-        Some(best)
+        Some(picked)
+    }
+
+    /// Whether a total rate, if there is one, leaves this edge a call now.
+    fn has_quota(&mut self, now: Duration, group: &Group, edges: usize) -> bool {
+        let Some(total_rate) = group.total_rate else {
+            return true;
+        };
+        let rate = total_rate * FALLBACK_FRACTION / edges as f64;
+        let bucket = self
+            .bucket
+            .get_or_insert_with(|| TokenBucket::with_tokens(now, rate, 1.0));
+        bucket.rate = rate;
+        bucket.refill(now);
+        bucket.has_token()
     }
 
-    pub fn failed(&mut self, now: Duration, address: SocketAddr) {
-        self.ejected.insert(address, now + EJECTION);
+    /// Ejects an origin that failed a call of this edge.
+    pub fn call_failed(&mut self, now: Duration, address: SocketAddr) {
+        self.ejected_until.insert(address, now + EJECTION);
     }
 }
 
-/// Unlike edges begin with unlike origins.
-fn spread(locality: &Locality, origin: &Origin) -> u32 {
+/// Different edges start with different origins.
+fn tie_break(locality: &Locality, origin: &Origin) -> u32 {
     crc32fast::hash(format!("{}{}", locality.zone, origin.address).as_bytes())
 }
--- a/data-plane/src/fallback_quota/tests.rs
+++ b/data-plane/src/fallback_quota/tests.rs
@@ -106,7 +106,7 @@
         )),
         Some(1)
     );
-    share.failed(now, origins[1].address);
+    share.call_failed(now, origins[1].address);
     assert_eq!(
         port(share.pick(now, &named, &origins, &locality, 4, &|_| 0)),
         Some(1)
