--- /dev/null
+++ b/data-plane/src/cache_owner/handover.rs
@@ -0,0 +1,170 @@
+//! Handover of stored responses to the next owner of a cache partition.
+use super::CacheOwner;
+use super::slot::{CacheSlot, StoredResponse};
+use crate::prelude::*;
+
+/// The stored responses of a partition that is owned by another edge now, as
+/// they were when it was reassigned, purges included.
+pub(super) struct RetainedPartition {
+    pub(super) since: Duration,
+    slots: Vec<(CacheKey, CacheSlot)>,
+}
+
+/// How long a reassigned partition is retained.
+pub(super) const RETENTION: Duration = Duration::from_secs(3);
+/// Responses of one partition are handed over up to this size.
+const MAX_HANDOVER_BYTES: u64 = 16 * 1024 * 1024;
+
+impl CacheOwner {
+    /// Serves on only partitions that are owned under an unchanged epoch; the
+    /// responses of the others are retained for their next owner.
+    pub fn retain_partitions(
+        &mut self,
+        now: Duration,
+        purge_version: u64,
+        is_owned: &dyn Fn(u16) -> bool,
+    ) {
+        let lost: Vec<CacheKey> = self
+            .slots
+            .keys()
+            .filter(|key| !is_owned(cache_partition(key)))
+            .copied()
+            .collect();
+        for key in lost {
+            let mut slot = self.slots.remove(&key).expect("just listed");
+            self.memory.used -= slot.bytes();
+            if let Some(stored) = &mut slot.stored {
+                stored.purge_version = purge_version;
+                self.retained
+                    .entry(cache_partition(&key))
+                    .or_insert(RetainedPartition {
+                        since: now,
+                        slots: Vec::new(),
+                    })
+                    .slots
+                    .push((key, slot));
+            }
+        }
+    }
+
+    /// True while a next owner may still request retained responses.
+    pub fn has_retained_partitions(&self) -> bool {
+        !self.retained.is_empty()
+    }
+
+    /// The retained responses of a partition, the last used first.
+    pub fn hand_over(&mut self, now: Duration, partition: u16) -> Vec<HandedOverResponse> {
+        let Some(RetainedPartition { mut slots, .. }) = self.retained.remove(&partition) else {
+            return Vec::new();
+        };
+        slots.sort_by_key(|(_, slot)| std::cmp::Reverse(slot.last_used));
+        let mut bytes = 0;
+        let fits = |(_, slot): &&(CacheKey, CacheSlot)| {
+            bytes += slot.bytes();
+            let is_valid = |stored: &StoredResponse| now < stored.major_expiry;
+            bytes <= MAX_HANDOVER_BYTES && slot.stored.as_ref().is_some_and(is_valid)
+        };
+        slots
+            .iter()
+            .take_while(fits)
+            .filter_map(|(key, slot)| CacheOwner::handed_over(now, *key, slot))
+            .collect()
+    }
+
+    fn handed_over(now: Duration, key: CacheKey, slot: &CacheSlot) -> Option<HandedOverResponse> {
+        let stored = slot.stored.as_ref()?;
+        Some(HandedOverResponse {
+            key,
+            entry: slot.entry.clone(),
+            host: slot.host.clone(),
+            url: slot.url.clone(),
+            ttl: slot.ttl,
+            reply: stored.reply.clone(),
+            purge_version: stored.purge_version,
+            age: now - stored.fetch_started_at,
+            minor_expiry: stored.minor_expiry.saturating_sub(now),
+            major_expiry: stored.major_expiry - now,
+        })
+    }
+
+    /// Takes over responses from the previous owner, `delay` after they were
+    /// requested: they count as that much older. Responses stored here since go
+    /// first. The number of responses taken.
+    pub fn take_over(
+        &mut self,
+        now: Duration,
+        delay: Duration,
+        responses: Vec<HandedOverResponse>,
+        purge_log: &PurgeLog,
+    ) -> usize {
+        let mut taken = 0;
+        for response in responses {
+            if self.accepts(delay, &response, purge_log) {
+                taken += 1;
+                self.take_over_response(now, delay, response, purge_log.applied);
+            }
+        }
+        self.evict();
+        taken
+    }
+
+    /// Whether a handed over response may be served here.
+    fn accepts(
+        &self,
+        delay: Duration,
+        response: &HandedOverResponse,
+        purge_log: &PurgeLog,
+    ) -> bool {
+        let has_stored = self
+            .slots
+            .get(&response.key)
+            .is_some_and(|slot| slot.stored.is_some());
+        let name = CacheEntryName {
+            entry: &response.entry,
+            host: &response.host,
+            url: &response.url,
+            tags: Some(&response.reply.tags),
+        };
+        !has_stored
+            && response.major_expiry > delay
+            && purge_log.is_clear(response.purge_version, name)
+    }
+
+    fn take_over_response(
+        &mut self,
+        now: Duration,
+        delay: Duration,
+        response: HandedOverResponse,
+        purge_version: u64,
+    ) {
+        let HandedOverResponse {
+            key,
+            entry,
+            host,
+            url,
+            ttl,
+            reply,
+            age,
+            minor_expiry,
+            major_expiry,
+            ..
+        } = response;
+        let slot = self
+            .slots
+            .entry(key)
+            .or_insert_with(|| CacheSlot::new(now, entry, host, url, ttl));
+        slot.stored = Some(StoredResponse {
+            reply,
+            // Older than any fetch started here, whose put may still arrive.
+            serial: 0,
+            purge_version,
+            fetch_started_at: now.saturating_sub(age + delay),
+            minor_expiry: now + minor_expiry.saturating_sub(delay),
+            major_expiry: now + major_expiry - delay,
+        });
+        self.memory.used += slot.bytes();
+        for waiter in std::mem::take(&mut slot.waiters) {
+            self.send_stored(now, key, &waiter, purge_version);
+        }
+    }
+}
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -35,7 +35,7 @@
 /// What the owner says to one get: "copy TEXT", "miss", "wait".
 fn ask(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
     owner.get(at(now), from(1), get(id), 7, 0);
-    match owner.take_out().pop() {
+    match owner.take_outgoing().pop() {
         None => ("wait".into(), None),
         Some((_, Message::CacheCopy(copy))) => (
             format!(
@@ -114,8 +114,8 @@
     for id in 2..6 {
         assert_eq!(ask(&mut owner, 10, id).0, "wait");
     }
-    owner.give_up(at(100), KEY, first, 7, 0, false);
-    let out = owner.take_out();
+    owner.fill_failed(at(100), KEY, first, 7, 0, false);
+    let out = owner.take_outgoing();
     assert!(
         matches!(
             out.as_slice(),
@@ -124,9 +124,9 @@
         "{out:?}"
     );
     owner.tick(at(2099), &|_| 7, 0);
-    assert!(owner.take_out().is_empty());
+    assert!(owner.take_outgoing().is_empty());
     owner.tick(at(2100), &|_| 7, 0);
-    let out = owner.take_out();
+    let out = owner.take_outgoing();
     let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = out.as_slice() else {
         panic!("{out:?}")
     };
@@ -141,7 +141,7 @@
         &PurgeLog::default(),
     );
     assert_eq!(
-        owner.take_out().len(),
+        owner.take_outgoing().len(),
         2,
         "the two that still wait get the copy"
     );
@@ -154,7 +154,7 @@
         ..Purge::default()
     };
     let mut purge_log = PurgeLog::default();
-    purge_log.learn(
+    purge_log.apply(
         Duration::ZERO,
         1,
         &[(
@@ -232,9 +232,9 @@
     let mut owner = CacheOwner::new(1 << 20);
     let token = ask(&mut owner, 0, 1).1.unwrap();
     assert_eq!(ask(&mut owner, 1, 2).0, "wait");
-    owner.give_up(at(10), KEY, token, 7, 0, true);
+    owner.fill_failed(at(10), KEY, token, 7, 0, true);
     assert!(matches!(
-        owner.take_out().as_slice(),
+        owner.take_outgoing().as_slice(),
         [(_, Message::CacheUnavailable(CacheUnavailable { id: 2, .. }))]
     ));
     assert_eq!(ask(&mut owner, 11, 3).0, "CacheUnavailable");
@@ -247,7 +247,7 @@
     for round in 0..100u8 {
         let key = [round; 32];
         owner.get(at(round.into()), from(1), CacheGet { key, ..get(1) }, 7, 0);
-        let Some((_, Message::CacheMiss(miss))) = owner.take_out().pop() else {
+        let Some((_, Message::CacheMiss(miss))) = owner.take_outgoing().pop() else {
             panic!()
         };
         owner.put(
@@ -260,19 +260,19 @@
             7,
             &PurgeLog::default(),
         );
-        assert!(owner.bytes <= 20_000);
+        assert!(owner.memory.used <= 20_000);
     }
-    assert!(owner.keys[&[99; 32]].held.is_some() && owner.keys[&[0; 32]].held.is_none());
+    assert!(owner.slots[&[99; 32]].stored.is_some() && owner.slots[&[0; 32]].stored.is_none());
     owner.clear();
-    assert_eq!(owner.bytes, 0);
+    assert_eq!(owner.memory.used, 0);
 }
 
 #[test]
 fn a_moved_partition_takes_its_copies_along_with_expiries_and_purges() {
     let mut owner = filled(0);
     owner.retain_partitions(at(2000), 3, &|_| false);
-    assert_eq!(owner.bytes, 0);
-    let copies = owner.hand(at(2100), cache_partition(&KEY));
+    assert_eq!(owner.memory.used, 0);
+    let copies = owner.hand_over(at(2100), cache_partition(&KEY));
     assert_eq!(
         (
             copies.len(),
@@ -293,7 +293,7 @@
     assert_eq!(ask(&mut next, 52_800, 2).0, "miss");
     assert_eq!(ask(&mut next, 57_799, 3).0, "copy a");
     next.tick(at(57_800), &|_| 7, 0);
-    assert!(next.keys[&KEY].held.is_none());
+    assert!(next.slots[&KEY].stored.is_none());
     // Too long on the way: over before it came.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
@@ -306,7 +306,7 @@
         ..Purge::default()
     };
     let mut purge_log = PurgeLog::default();
-    purge_log.learn(
+    purge_log.apply(
         Duration::ZERO,
         4,
         &[(
@@ -324,7 +324,8 @@
     owner.retain_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
     assert!(
-        owner.hand(at(5000), cache_partition(&KEY)).is_empty() && !owner.has_retained_partitions()
+        owner.hand_over(at(5000), cache_partition(&KEY)).is_empty()
+            && !owner.has_retained_partitions()
     );
 }
 
@@ -343,7 +344,7 @@
         owner.withdraw(from(1), &[9; 32], 4);
         let purge_log = PurgeLog::default();
         if fails {
-            owner.give_up(at(20), KEY, token, 7, 0, false);
+            owner.fill_failed(at(20), KEY, token, 7, 0, false);
         } else {
             let put = CachePut {
                 key: KEY,
@@ -357,7 +358,7 @@
             Message::CacheMiss(miss) => miss.id,
             other => panic!("{other:?}"),
         };
-        let told: Vec<u64> = owner.take_out().into_iter().map(answered).collect();
+        let told: Vec<u64> = owner.take_outgoing().into_iter().map(answered).collect();
         assert_eq!(told, if fails { vec![3] } else { vec![3, 4] });
     }
 }
--- a/data-plane/src/call_result.rs
+++ b/data-plane/src/call_result.rs
@@ -1,11 +1,11 @@
 //! What the end of a call proves about the request that it carried.
 use crate::prelude::*;
 
-/// Judges how a call ended. Two endings alone prove that the request did not
-/// run: no byte of it was written, or the answer to this very call says so.
-/// Anything else that is not the origin's whole answer proves nothing.
-pub fn judge_call(protocol: &dyn ProtocolAdapter, call: &Call, came: Came) -> CallOutcome {
-    match came {
+/// Judges how a call ended. Two endings alone prove that the request was not
+/// executed: no byte of it was written, or the response to this very call says
+/// so. Anything else that is not the origin's complete response proves nothing.
+pub fn judge_call(protocol: &dyn ProtocolAdapter, call: &Call, ending: Came) -> CallOutcome {
+    match ending {
         Came::Unsent(_) => CallOutcome::Unreachable,
         Came::Lost { why, .. } => CallOutcome::Failure(why),
         Came::Reply {
@@ -16,9 +16,9 @@
         } => match protocol.judge(call, status, &headers, &body) {
             OriginVerdict::NotExecuted => CallOutcome::NotExecuted,
             OriginVerdict::WrongInstance => CallOutcome::WrongInstance,
-            OriginVerdict::Rejected(why) => CallOutcome::Failure(why),
-            OriginVerdict::Accepted { .. } if !whole(call, sized) => {
-                CallOutcome::Failure("the body may have been cut off".into())
+            OriginVerdict::Rejected(reason) => CallOutcome::Failure(reason),
+            OriginVerdict::Accepted { .. } if !is_complete(call, sized) => {
+                CallOutcome::Failure("the body may have been truncated".into())
             }
             OriginVerdict::Accepted { headers, tags } => CallOutcome::Success(Reply {
                 status,
@@ -30,8 +30,8 @@
     }
 }
 
-/// Whether the body is known to be whole: by its framing, or by the digest
-/// that a sealed answer carries.
-fn whole(call: &Call, sized: bool) -> bool {
-    sized || call.proof == Proof::Seal
+/// Whether the body is known to be complete: by its framing, or by the digest
+/// that a signed response carries.
+fn is_complete(call: &Call, is_framed: bool) -> bool {
+    is_framed || call.proof == Proof::Seal
 }
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -79,7 +79,7 @@
                 }
             }
             Proof::Seal => {
-                let seal = ResponseSignature {
+                let signature = ResponseSignature {
                     status,
                     method: &call.method,
                     target: &call.url,
@@ -89,8 +89,8 @@
                     request: &request,
                     body,
                 };
-                if let Err(error) = seal.check(headers, &call.key) {
-                    return OriginVerdict::Rejected(format!("{error:#}"));
+                if let Err(error) = signature.verify(headers, &call.key) {
+                    return OriginVerdict::Rejected(error.to_string());
                 }
             }
         }
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -187,7 +187,7 @@
             epoch,
             sent,
         } = want;
-        let copies = self.cache_owner.hand(now, partition);
+        let copies = self.cache_owner.hand_over(now, partition);
         if !copies.is_empty() {
             self.send(
                 from.address,
@@ -297,7 +297,7 @@
             }) => {
                 if let Some(epoch) = self.owned_partitions.get(&cache_partition(&key)) {
                     self.cache_owner
-                        .give_up(now, key, token, *epoch, purged, private);
+                        .fill_failed(now, key, token, *epoch, purged, private);
                 }
             }
             Message::PermitRequest(request) => {
@@ -417,7 +417,7 @@
 
     /// What the assignments held here have to say goes out.
     pub(super) fn flush_assignment_messages(&mut self) {
-        let mut told = self.cache_owner.take_out();
+        let mut told = self.cache_owner.take_outgoing();
         for admission in self.admission_controllers.values_mut() {
             told.extend(admission.take_outgoing());
         }
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -1,11 +1,11 @@
 //! Requests that are served copies: near ones, or those of the cache owner.
 //!
 //! Of all requests here that miss the same key one asks the owner; the others
-//! follow it (`Coalescer`). What it gets is kept (`NearCache`) and serves them
+//! follow it (`Coalescer`). What it gets is entry (`NearCache`) and serves them
 //! all. An owner that says nothing is done without after `OWNER_TIMEOUT`.
 use super::{EdgeNode, PURGE_GRACE};
 use crate::active_request::{is_cacheable_status, is_shareable};
-use crate::cache_owner::{REFRESH_TIMEOUT, minor_expiry_after};
+use crate::cache_owner::{REFRESH_TIMEOUT, minor_lifetime};
 use crate::prelude::*;
 
 /// An owner that does not even confirm a repeated question for this long after
@@ -32,8 +32,8 @@
         active: &ActiveRequest,
     ) -> Option<ClientResponse> {
         let key = active.cache.key?;
-        let keep = active.request.entry().keep();
-        match self.near_cache.look_up(now, &key, keep) {
+        let ttl = active.request.entry().keep();
+        match self.near_cache.look_up(now, &key, ttl) {
             NearLookup::Fresh { reply, age } => Some(ClientResponse::copy(reply, age)),
             NearLookup::Stale { reply, age } if self.coalescer.is_led(&key) => {
                 Some(ClientResponse::copy(reply, age))
@@ -145,7 +145,7 @@
             purge_version: 0,
         });
         let owner = active.cache.fill_token.take();
-        let keep = active.request.entry().keep();
+        let ttl = active.request.entry().keep();
         let private = !is_shareable(&reply);
         let shared = !private && is_cacheable_status(reply.status);
         if let Some((owner, token)) = owner {
@@ -165,22 +165,22 @@
         // Begun before a purge that reaches it: good for its own caller while
         // that is fresh, then fetched anew.
         let name = self.active_requests[&id].cache_entry_name(&reply);
-        let reached = self.purge_log.reached(fetch.purge_version, name);
+        let reached = self.purge_log.first_match(fetch.purge_version, name);
         if reached.is_some_and(|learned| now >= learned + PURGE_GRACE) {
             return self.lead_group(now, id);
         }
         let age = now.saturating_sub(fetch.started_at);
         let answer = ClientResponse::copy(reply.clone(), age);
         if shared && reached.is_none() {
-            let major = fetch.started_at + keep;
-            let kept = NearCacheEntry {
+            let major_expiry = fetch.started_at + ttl;
+            let entry = NearCacheEntry {
                 name: self.active_requests[&id].cache_entry_name(&reply),
                 reply: &reply,
-                began: fetch.started_at,
-                minor: (now + minor_expiry_after(keep)).min(major),
-                major,
+                fetch_started_at: fetch.started_at,
+                minor_expiry: (now + minor_lifetime(ttl)).min(major_expiry),
+                major_expiry,
             };
-            self.near_cache.put(now, key, kept);
+            self.near_cache.put(now, key, entry);
             self.respond_to_followers(now, id, &key, &answer);
         } else if private {
             // Each of them fetches its own.
@@ -238,7 +238,7 @@
         if way >= copy.remaining_ttl
             || !self
                 .purge_log
-                .clear(copy.purge_version, active.cache_entry_name(&copy.reply))
+                .is_clear(copy.purge_version, active.cache_entry_name(&copy.reply))
         {
             return self.enter_stage(
                 now,
@@ -249,14 +249,14 @@
                 },
             );
         }
-        let kept = NearCacheEntry {
+        let entry = NearCacheEntry {
             name: active.cache_entry_name(&copy.reply),
             reply: &copy.reply,
-            began: now.saturating_sub(copy.age + way),
-            minor: now + copy.fresh_for.saturating_sub(way),
-            major: now + copy.remaining_ttl - way,
+            fetch_started_at: now.saturating_sub(copy.age + way),
+            minor_expiry: now + copy.fresh_for.saturating_sub(way),
+            major_expiry: now + copy.remaining_ttl - way,
         };
-        self.near_cache.put(now, key, kept);
+        self.near_cache.put(now, key, entry);
         let answer = ClientResponse::copy(copy.reply, copy.age + way);
         self.respond_to_followers(now, id, &key, &answer);
         self.finish(now, id, answer);
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -288,7 +288,7 @@
             && (idle || now >= since + HANDOVER_TIMEOUT)
         {
             self.departed = true;
-            self.leases.drop_all();
+            self.leases.clear();
             for seed in self.control_nodes.clone() {
                 self.send(seed, SessionClose {});
             }
--- a/data-plane/src/edge_node/operations.rs
+++ b/data-plane/src/edge_node/operations.rs
@@ -14,7 +14,7 @@
         };
         let first = self
             .leases
-            .best()
+            .last_renewed()
             .and_then(|best| self.control_nodes.iter().position(|seed| *seed == best))
             .unwrap_or(0);
         let seed = self.control_nodes[(first + round.saturating_sub(1)) % self.control_nodes.len()];
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -13,7 +13,7 @@
 
     pub(super) fn renew_with(&mut self, now: Duration, seeds: Vec<SocketAddr>) {
         let usage = Usage {
-            cache_hits: self.cache_owner.given,
+            cache_hits: self.cache_owner.hits,
             pending: self.active_requests.len() as u64,
             ..self.usage.clone()
         };
@@ -83,7 +83,7 @@
             return; // It has not heard of the new generation yet.
         }
         if renewed.updates.is_empty() {
-            let delay = self.link_delay_estimator.measured(
+            let delay = self.link_delay_estimator.record(
                 now,
                 from.address,
                 now.saturating_sub(renewed.sent),
@@ -127,7 +127,7 @@
         }
         // What is taken anew may be older at one control node than what was
         // known here: as at a start, two must have told theirs.
-        self.leases.drop_all();
+        self.leases.clear();
         // Fenced before anything of the new generation is shown.
         self.update_liveness(now);
         self.version_vector = vec![0; PUBLISHED_PARTITIONS.into()];
@@ -179,12 +179,12 @@
         self.known_rows[usize::from(updates.partition)].extend(rows.iter().cloned());
         match updates.partition {
             PURGES_PARTITION => {
-                let (fresh, missed) = self.purge_log.learn(now, updates.version, &rows);
-                if missed {
+                let applied = self.purge_log.apply(now, updates.version, &rows);
+                if applied.has_gap {
                     self.cache_owner.clear();
                     self.near_cache.clear();
                 }
-                for purge in &fresh {
+                for purge in &applied.new {
                     self.cache_owner.purge(purge);
                     self.near_cache.purge(purge);
                 }
@@ -245,7 +245,7 @@
                 // Renewals of who no longer holds a slot count for nothing.
                 self.control_nodes = places.iter().map(|peer| peer.address).collect();
                 self.control_slots = places.len();
-                self.leases.keep(&self.control_nodes);
+                self.leases.retain(&self.control_nodes);
             }
             Value::Purge { .. }
             | Value::Operation(_)
@@ -259,7 +259,7 @@
     }
 
     pub(super) fn update_liveness(&mut self, now: Duration) {
-        let until = self.leases.until(self.control_slots);
+        let until = self.leases.live_until(self.control_slots);
         let live = now < until && !self.departed;
         if live != self.live {
             self.live = live;
@@ -276,6 +276,6 @@
     }
 
     pub(super) fn is_live(&self, now: Duration) -> bool {
-        !self.departed && now < self.leases.until(self.control_slots)
+        !self.departed && now < self.leases.live_until(self.control_slots)
     }
 }
--- a/data-plane/src/http_frontend.rs
+++ b/data-plane/src/http_frontend.rs
@@ -315,7 +315,7 @@
             };
             let words = handler.protocol.tell(&headers, &answer);
             if matches!(answer, ClientResponse::Reply { .. }) {
-                handler.response_sizes.saw(&route, words.body.len());
+                handler.response_sizes.record(&route, words.body.len());
             }
             handler.tell(line, words);
         };
--- a/data-plane/src/leases/tests.rs
+++ b/data-plane/src/leases/tests.rs
@@ -7,15 +7,15 @@
     let seed = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let mut leases = Leases::default();
     leases.renewed(seed(1), at(500));
-    assert_eq!(leases.until(3), Duration::ZERO, "one is no majority");
+    assert_eq!(leases.live_until(3), Duration::ZERO, "one is no majority");
     leases.renewed(seed(2), at(700));
-    assert_eq!(leases.until(3), at(1100));
+    assert_eq!(leases.live_until(3), at(1100));
     leases.renewed(seed(3), at(900));
     leases.renewed(seed(3), at(600));
-    assert_eq!(leases.until(3), at(1300));
+    assert_eq!(leases.live_until(3), at(1300));
     // Of five or eight slots more are needed, of a table not known all.
     assert_eq!(
-        [0, 4, 5, 8].map(|slots| leases.until(slots)),
+        [0, 4, 5, 8].map(|slots| leases.live_until(slots)),
         [at(0), at(1300), at(1100), at(0)]
     );
     // It fences itself before a control node counts it lapsed, even if
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -12,6 +12,7 @@
 mod http_frontend;
 mod leases;
 mod link_delay_estimator;
+mod memory_budget;
 mod near_cache;
 pub mod prelude;
 mod purge_log;
--- a/data-plane/src/link_delay_estimator.rs
+++ b/data-plane/src/link_delay_estimator.rs
@@ -1,29 +1,41 @@
-//! How long small messages wait on this machine's link.
+//! Estimates how long small messages queue at this machine's link.
 use crate::prelude::*;
 
-/// Measures the queue on the way of this edge's renewals: the round trip less
-/// the shortest one known to the same control node. What all control nodes have
-/// in common is the own link, so the shortest wait among those measured of late
-/// counts: one that is slow by itself says nothing of the link.
+/// Measures the queueing delay of this edge's renewals: the round trip less the
+/// shortest one observed with the same control node. What all control nodes
+/// have in common is the edge's own link, so the shortest delay among the recent
+/// ones counts: a control node that is slow by itself says nothing of the link.
 #[derive(Debug, Default)]
 pub struct LinkDelayEstimator {
-    shortest: HashMap<SocketAddr, Duration>,
-    recent: HashMap<SocketAddr, (Duration, Duration)>,
+    shortest_round_trip: HashMap<SocketAddr, Duration>,
+    recent: HashMap<SocketAddr, Measurement>,
+}
+
+#[derive(Debug)]
+struct Measurement {
+    taken_at: Duration,
+    queueing_delay: Duration,
 }
 
 /// Older measurements do not count; two renewals fit in.
-const RECENT: Duration = Duration::from_millis(400);
+const MEASUREMENT_VALIDITY: Duration = Duration::from_millis(400);
 
 impl LinkDelayEstimator {
-    /// The delay of the link, with a round trip to this control node just
-    /// measured.
-    pub fn measured(&mut self, now: Duration, node: SocketAddr, round_trip: Duration) -> Duration {
-        let shortest = self.shortest.entry(node).or_insert(round_trip);
+    /// Records a round trip to a control node; the present delay of the link.
+    pub fn record(&mut self, now: Duration, node: SocketAddr, round_trip: Duration) -> Duration {
+        let shortest = self.shortest_round_trip.entry(node).or_insert(round_trip);
         *shortest = round_trip.min(*shortest);
-        let wait = round_trip - *shortest;
-        self.recent.insert(node, (now, wait));
-        self.recent.retain(|_, (at, _)| now < *at + RECENT);
-        let waits = self.recent.values().map(|(_, wait)| *wait);
-        waits.min().unwrap_or_default()
+        let measurement = Measurement {
+            taken_at: now,
+            queueing_delay: round_trip - *shortest,
+        };
+        self.recent.insert(node, measurement);
+        self.recent
+            .retain(|_, measurement| now < measurement.taken_at + MEASUREMENT_VALIDITY);
+        self.recent
+            .values()
+            .map(|measurement| measurement.queueing_delay)
+            .min()
+            .unwrap_or_default()
     }
 }
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -1,66 +1,76 @@
-//! Copies that an edge keeps of what cache owners handed it.
+//! Responses that an edge stores of what it was served by cache owners and origins.
+use crate::memory_budget::{MemoryBudget, eviction_order};
 use crate::prelude::*;
 
-/// Replies that this edge served lately, to be served again without asking
-/// their owner. Invariants:
-/// - A copy is served only before its major expiry, and never longer than the
-///   route's keep time, as it is now, counted from the start of its fetch.
-/// - Each copy is clear of every purge known to this edge: callers of `put`
-///   check it against the purge book, and `purge` removes what a later one
-///   reaches. A fenced edge serves nothing, so the lease that settles a purge
-///   covers these copies as it covers the owner's.
-/// - A copy gives way only to one whose fetch began later.
-/// - `bytes` is the sum over all copies and is at most `limit` after each put:
-///   over it, the copies that were asked for longest ago go first.
+/// Responses that this edge served recently, to be served again without a
+/// request to their owner. Invariants:
+/// - A response is served only before its major expiry, and never longer than
+///   the route's time-to-live, as it is now, counted from the start of its fetch.
+/// - Each response is clear of every purge known to this edge: callers of `put`
+///   check it against the purge log, and `purge` removes what a later one
+///   matches. A fenced edge serves nothing, so the lease that commits a purge
+///   covers these responses as it covers the owner's.
+/// - A response is replaced only by one whose fetch started later.
+/// - `memory` counts all responses and is within its limit after each put: over
+///   it, the least recently used are evicted.
 pub struct NearCache {
-    copies: HashMap<CacheKey, NearCopy>,
-    bytes: u64,
-    limit: u64,
+    responses: HashMap<CacheKey, StoredResponse>,
+    memory: MemoryBudget,
 }
 
-struct NearCopy {
+struct StoredResponse {
     entry: String,
     host: String,
     url: String,
     reply: Reply,
-    /// When its fetch began at the latest, on this edge's clock.
-    began: Duration,
-    /// Minor expiry: from then on its owner is asked again.
-    minor: Duration,
-    /// Major expiry.
-    major: Duration,
-    used: Duration,
+    /// When its fetch started at the latest, on this edge's clock.
+    fetch_started_at: Duration,
+    /// From then on its owner is asked for a newer one.
+    minor_expiry: Duration,
+    /// From then on it is not served.
+    major_expiry: Duration,
+    last_used: Duration,
 }
 
-/// A copy to be kept, with its expiries on this edge's clock.
+/// A response to be stored, with its expiries on this edge's clock.
 pub struct NearCacheEntry<'a> {
+    /// The name under which purges match it.
     pub name: CacheEntryName<'a>,
+    /// The response.
     pub reply: &'a Reply,
-    pub began: Duration,
-    pub minor: Duration,
-    pub major: Duration,
+    /// When its fetch started at the latest.
+    pub fetch_started_at: Duration,
+    /// From then on it is stale.
+    pub minor_expiry: Duration,
+    /// From then on it is not served.
+    pub major_expiry: Duration,
 }
 
-/// What is kept of a key.
+/// What is stored for a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NearLookup {
-    /// Serve it.
+    /// A response to be served.
     Fresh {
+        /// The response.
         reply: Reply,
+        /// The time since its fetch started.
         age: Duration,
     },
-    /// Serve it only while the owner is being asked, or is silent.
+    /// A response to be served only while the owner is being asked, or does not respond.
     Stale {
+        /// The response.
         reply: Reply,
+        /// The time since its fetch started.
         age: Duration,
     },
+    /// Nothing that may be served.
     Missing,
 }
 
-/// Counted for each copy beside its body, headers and name.
+/// Counted for each response beside its body, headers and name.
 const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
-impl NearCopy {
+impl StoredResponse {
     fn bytes(&self) -> u64 {
         let names = self.entry.len() + self.host.len() + self.url.len();
         (self.reply.bytes() + names) as u64 + ENTRY_OVERHEAD_BYTES
@@ -77,103 +87,107 @@
 }
 
 impl NearCache {
-    /// `limit` in bytes.
+    /// An empty cache of `limit` bytes.
     pub fn new(limit: u64) -> NearCache {
         NearCache {
-            copies: HashMap::new(),
-            bytes: 0,
-            limit,
+            responses: HashMap::new(),
+            memory: MemoryBudget::new(limit),
         }
     }
 
+    /// Bytes of all responses.
     pub fn bytes(&self) -> u64 {
-        self.bytes
+        self.memory.used
     }
 
-    /// `keep`: the keep time of the route as it is configured now.
-    pub fn look_up(&mut self, now: Duration, key: &CacheKey, keep: Duration) -> NearLookup {
-        let Some(copy) = self.copies.get_mut(key) else {
+    /// Looks up a key; `ttl` is the route's time-to-live as it is configured now.
+    pub fn look_up(&mut self, now: Duration, key: &CacheKey, ttl: Duration) -> NearLookup {
+        let Some(stored) = self.responses.get_mut(key) else {
             return NearLookup::Missing;
         };
-        if now >= copy.major.min(copy.began + keep) {
+        if now >= stored.major_expiry.min(stored.fetch_started_at + ttl) {
             self.remove(key);
             return NearLookup::Missing;
         }
-        copy.used = now;
-        let reply = copy.reply.clone();
-        let age = now - copy.began;
-        if now < copy.minor {
+        stored.last_used = now;
+        let reply = stored.reply.clone();
+        let age = now - stored.fetch_started_at;
+        if now < stored.minor_expiry {
             NearLookup::Fresh { reply, age }
         } else {
             NearLookup::Stale { reply, age }
         }
     }
 
-    /// Keeps the copy, unless a later one is there: then that one is only
-    /// trusted for as long as the owner trusts its own.
-    pub fn put(&mut self, now: Duration, key: CacheKey, copy: NearCacheEntry) {
-        if now >= copy.major {
+    /// Stores the response, unless a later one is stored: then that one is only
+    /// fresh for as long as the owner takes its own to be.
+    pub fn put(&mut self, now: Duration, key: CacheKey, entry: NearCacheEntry) {
+        if now >= entry.major_expiry {
             return;
         }
-        if let Some(known) = self.copies.get_mut(&key)
-            && known.began > copy.began
-            && now < known.major
+        if let Some(known) = self.responses.get_mut(&key)
+            && known.fetch_started_at > entry.fetch_started_at
+            && now < known.major_expiry
         {
-            known.minor = known.minor.max(copy.minor).min(known.major);
+            known.minor_expiry = known
+                .minor_expiry
+                .max(entry.minor_expiry)
+                .min(known.major_expiry);
             return;
         }
         self.remove(&key);
-        let kept = NearCopy {
-            entry: copy.name.entry.into(),
-            host: copy.name.host.into(),
-            url: copy.name.url.into(),
-            reply: copy.reply.clone(),
-            began: copy.began,
-            minor: copy.minor,
-            major: copy.major,
-            used: now,
+        let stored = StoredResponse {
+            entry: entry.name.entry.into(),
+            host: entry.name.host.into(),
+            url: entry.name.url.into(),
+            reply: entry.reply.clone(),
+            fetch_started_at: entry.fetch_started_at,
+            minor_expiry: entry.minor_expiry,
+            major_expiry: entry.major_expiry,
+            last_used: now,
         };
-        self.bytes += kept.bytes();
-        self.copies.insert(key, kept);
+        self.memory.used += stored.bytes();
+        self.responses.insert(key, stored);
         self.evict(now);
     }
 
-    /// Removes every copy that the purge reaches.
+    /// Removes every response that the purge matches.
     pub fn purge(&mut self, purge: &Purge) {
-        let bytes = &mut self.bytes;
-        self.copies.retain(|_, copy| {
-            let reached = purge.matches(copy.name());
-            if reached {
-                *bytes -= copy.bytes();
+        let memory = &mut self.memory;
+        self.responses.retain(|_, stored| {
+            let is_matched = purge.matches(stored.name());
+            if is_matched {
+                memory.used -= stored.bytes();
             }
-            !reached
+            !is_matched
         });
     }
 
+    /// Removes all responses.
     pub fn clear(&mut self) {
-        self.copies.clear();
-        self.bytes = 0;
+        self.responses.clear();
+        self.memory.used = 0;
     }
 
     fn remove(&mut self, key: &CacheKey) {
-        if let Some(copy) = self.copies.remove(key) {
-            self.bytes -= copy.bytes();
+        if let Some(stored) = self.responses.remove(key) {
+            self.memory.used -= stored.bytes();
         }
     }
 
-    /// A tenth more than needed goes, so that not every put sorts anew.
+    /// Removes expired responses, then the least recently used, once the limit
+    /// is exceeded.
     fn evict(&mut self, now: Duration) {
-        if self.bytes <= self.limit {
+        if !self.memory.is_exceeded() {
             return;
         }
-        let mut keys: Vec<(bool, Duration, CacheKey)> = self
-            .copies
+        let rank = |stored: &StoredResponse| (now < stored.major_expiry, stored.last_used);
+        let ranked = self
+            .responses
             .iter()
-            .map(|(key, copy)| (now < copy.major, copy.used, *key))
-            .collect();
-        keys.sort_unstable();
-        for (_, _, key) in keys {
-            if self.bytes <= self.limit / 10 * 9 {
+            .map(|(key, stored)| (rank(stored), *key));
+        for key in eviction_order(ranked) {
+            if self.memory.has_headroom() {
                 break;
             }
             self.remove(&key);
--- a/data-plane/src/purge_log.rs
+++ b/data-plane/src/purge_log.rs
@@ -1,61 +1,83 @@
+//! The purges that an edge has applied.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// The purges an edge knows. Invariant: `applied` is the version of the last
-/// one; those above `floor` are listed, older ones are not kept, so a copy
-/// known clear only up to below `floor` counts as purged.
+/// The purges that an edge knows. Invariant: `applied` is the version of the
+/// last one; those above `floor` are listed, older ones are not retained, so a
+/// response known to be clear only up to below `floor` counts as purged.
 #[derive(Debug, Default)]
 pub struct PurgeLog {
+    /// The version of the last purge that was applied.
     pub applied: u64,
     floor: u64,
-    /// With the time each was learned here: before its acknowledgement, since
-    /// that waits for this edge.
-    list: BTreeMap<u64, (Duration, Purge)>,
+    by_version: BTreeMap<u64, KnownPurge>,
+}
+
+#[derive(Debug)]
+struct KnownPurge {
+    /// When it was applied here: before its acknowledgement, since that waits
+    /// for this edge.
+    applied_at: Duration,
+    purge: Purge,
+}
+
+/// What an update brought.
+#[derive(Debug, Default)]
+pub struct AppliedPurges {
+    /// The purges that were not known before, oldest first.
+    pub new: Vec<Purge>,
+    /// Some purges were missed, so that every stored response must be dropped.
+    pub has_gap: bool,
 }
 
 impl PurgeLog {
-    /// Takes updates; returns what is new, and whether some were missed so that
-    /// every copy must go.
-    pub fn learn(
-        &mut self,
-        now: Duration,
-        version: u64,
-        rows: &[(String, Row)],
-    ) -> (Vec<Purge>, bool) {
+    /// Applies the rows of an update up to `version`.
+    pub fn apply(&mut self, now: Duration, version: u64, rows: &[(String, Row)]) -> AppliedPurges {
         let before = self.applied;
-        let mut fresh = Vec::new();
+        let mut new = Vec::new();
         for (_, row) in rows.iter().filter(|(_, row)| row.version > before) {
             if let Value::Purge { purge, .. } = &row.value {
-                self.list.insert(row.version, (now, purge.clone()));
-                fresh.push(purge.clone());
+                let known = KnownPurge {
+                    applied_at: now,
+                    purge: purge.clone(),
+                };
+                self.by_version.insert(row.version, known);
+                new.push(purge.clone());
             }
         }
         self.applied = version.max(before);
-        let missed = version.saturating_sub(before) > MAX_RETAINED_PURGES;
-        if missed {
+        let has_gap = version.saturating_sub(before) > MAX_RETAINED_PURGES;
+        if has_gap {
             self.floor = version - MAX_RETAINED_PURGES;
         }
-        while self.list.len() as u64 > MAX_RETAINED_PURGES {
-            self.floor = self.floor.max(self.list.pop_first().expect("not empty").0);
+        self.drop_oldest();
+        AppliedPurges { new, has_gap }
+    }
+
+    fn drop_oldest(&mut self) {
+        while self.by_version.len() as u64 > MAX_RETAINED_PURGES {
+            let (dropped, _) = self.by_version.pop_first().expect("not empty");
+            self.floor = self.floor.max(dropped);
         }
-        (fresh, missed)
     }
 
-    /// Whether a copy known clear up to `purged` is still clear.
-    pub fn clear(&self, purged: u64, copy: CacheEntryName) -> bool {
-        self.reached(purged, copy).is_none()
+    /// Whether a response known to be clear up to `purge_version` is still clear.
+    pub fn is_clear(&self, purge_version: u64, response: CacheEntryName) -> bool {
+        self.first_match(purge_version, response).is_none()
     }
 
-    /// When the first purge was learned that reaches such a copy.
-    pub fn reached(&self, purged: u64, copy: CacheEntryName) -> Option<Duration> {
-        if purged < self.floor {
+    /// When the first purge after `purge_version` that matches such a response
+    /// was applied; zero if that is not known any more.
+    pub fn first_match(&self, purge_version: u64, response: CacheEntryName) -> Option<Duration> {
+        if purge_version < self.floor {
             return Some(Duration::ZERO);
         }
-        let mut later = self.list.range(purged + 1..).map(|(_, known)| known);
-        later
-            .find(|(_, purge)| purge.matches(copy))
-            .map(|(learned, _)| *learned)
+        self.by_version
+            .range(purge_version + 1..)
+            .map(|(_, known)| known)
+            .find(|known| known.purge.matches(response))
+            .map(|known| known.applied_at)
     }
 }
--- a/data-plane/src/purge_log/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -30,23 +30,23 @@
 #[test]
 fn a_copy_is_clear_of_purges_known_when_its_fetch_began_and_of_no_later_one() {
     let mut purge_log = PurgeLog::default();
-    purge_log.learn(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
-    assert!(!purge_log.clear(0, name("/a/1")));
-    assert!(purge_log.clear(1, name("/a/1")));
-    assert!(!purge_log.clear(1, name("/b/1")));
-    assert!(purge_log.clear(2, name("/b/1")));
+    purge_log.apply(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
+    assert!(!purge_log.is_clear(0, name("/a/1")));
+    assert!(purge_log.is_clear(1, name("/a/1")));
+    assert!(!purge_log.is_clear(1, name("/b/1")));
+    assert!(purge_log.is_clear(2, name("/b/1")));
 }
 
 #[test]
 fn an_edge_that_missed_more_purges_than_are_kept_drops_everything_older() {
     let mut purge_log = PurgeLog::default();
-    assert!(!purge_log.learn(Duration::ZERO, 1, &[row(1, "/a")]).1);
-    let (_, missed) = purge_log.learn(
+    assert!(!purge_log.apply(Duration::ZERO, 1, &[row(1, "/a")]).has_gap);
+    let applied = purge_log.apply(
         Duration::ZERO,
         MAX_RETAINED_PURGES + 5,
         &[row(MAX_RETAINED_PURGES + 5, "/z")],
     );
-    assert!(missed);
-    assert!(!purge_log.clear(4, name("/other")));
-    assert!(purge_log.clear(5, name("/other")));
+    assert!(applied.has_gap);
+    assert!(!purge_log.is_clear(4, name("/other")));
+    assert!(purge_log.is_clear(5, name("/other")));
 }
--- a/data-plane/src/response_signature.rs
+++ b/data-plane/src/response_signature.rs
@@ -1,24 +1,66 @@
+//! Signatures by which origins prove their identity.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
 /// What an origin signs, in the manner of RFC 9421: status and digest of its
-/// answer, who it is, and the request it answers. The request's part is
-/// rebuilt by whoever checks, so an answer to anything else does not pass.
+/// response, its identity, and the request that it responds to. The verifier
+/// fills in the request's fields, so that a response to any other request fails.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResponseSignature<'a> {
+    /// The status of the response.
     pub status: u16,
+    /// The method of the request.
     pub method: &'a str,
+    /// The target of the request.
     pub target: &'a str,
+    /// The service that the origin provides.
     pub service: &'a str,
+    /// The instance of the origin.
     pub instance: &'a str,
+    /// The operation key of the request, or empty.
     pub operation: &'a str,
+    /// The id of the request.
     pub request: &'a str,
+    /// The body of the response.
     pub body: &'a [u8],
 }
 
-const PARTS: &str = "(\"@status\" \"content-digest\" \"otterslip-service\" \"otterslip-instance\" \
+/// Why a signature was not accepted.
+#[derive(Debug, thiserror::Error)]
+pub enum SignatureError {
+    /// A header of the signature is missing.
+    #[error("no {0}")]
+    MissingHeader(&'static str),
+    /// The response names another service or instance.
+    #[error("from another service or instance")]
+    WrongOrigin,
+    /// The digest is not that of the body.
+    #[error("body does not match its digest")]
+    DigestMismatch,
+    /// Other components, another algorithm or another key were used.
+    #[error("signed over other parts")]
+    WrongComponents,
+    /// The header does not contain a signature.
+    #[error("no signature")]
+    MalformedSignature,
+    /// The signature or the key is not valid base64.
+    #[error("{0}")]
+    InvalidBase64(String),
+    /// The key has not the length of an Ed25519 key.
+    #[error("key has another length")]
+    InvalidKeyLength,
+    /// The signature or the key is not one of Ed25519.
+    #[error(transparent)]
+    Malformed(#[from] ed25519_dalek::SignatureError),
+    /// The signature is not that of the key over these fields.
+    #[error("signature does not verify: {0}")]
+    Invalid(ed25519_dalek::SignatureError),
+}
+
+/// The signed components, in order.
+const COMPONENTS: &str = "(\"@status\" \"content-digest\" \"otterslip-service\" \"otterslip-instance\" \
     \"@method\";req \"@request-target\";req \"operation-key\";req \"otterslip-errand\";req)";
 
 impl ResponseSignature<'_> {
@@ -27,9 +69,10 @@
     }
 
     fn params(&self) -> String {
-        format!("{PARTS};alg=\"ed25519\";keyid=\"{}\"", self.service)
+        format!("{COMPONENTS};alg=\"ed25519\";keyid=\"{}\"", self.service)
     }
 
+    /// The signature base of RFC 9421.
     fn base(&self) -> String {
         format!(
             "\"@status\": {}\n\"content-digest\": {}\n\"otterslip-service\": {}\n\"otterslip-instance\": {}\n\
@@ -47,7 +90,7 @@
         )
     }
 
-    /// The headers an origin adds.
+    /// The headers that an origin adds to its response.
     pub fn sign(&self, key: &SigningKey) -> Vec<(String, String)> {
         let signature = BASE64.encode(key.sign(self.base().as_bytes()).to_bytes());
         [
@@ -61,30 +104,43 @@
         .into()
     }
 
-    /// Checks an answer's headers against what was asked of whom.
-    pub fn check(&self, headers: &[(String, String)], key: &str) -> Result<()> {
-        let get = |name: &str| header(headers, name).with_context(|| format!("no {name}"));
+    /// Verifies a response's headers with the service's public key in base64.
+    ///
+    /// # Errors
+    /// The first check that failed.
+    pub fn verify(&self, headers: &[(String, String)], key: &str) -> Result<(), SignatureError> {
+        let get =
+            |name: &'static str| header(headers, name).ok_or(SignatureError::MissingHeader(name));
         if get("otterslip-service")? != self.service || get("otterslip-instance")? != self.instance
         {
-            bail!("from another service or instance");
+            return Err(SignatureError::WrongOrigin);
         }
         if get("content-digest")? != self.digest() {
-            bail!("body does not match its digest");
+            return Err(SignatureError::DigestMismatch);
         }
         if get("signature-input")?.strip_prefix("sig=") != Some(self.params().as_str()) {
-            bail!("signed over other parts");
+            return Err(SignatureError::WrongComponents);
         }
         let text = get("signature")?
             .strip_prefix("sig=:")
             .and_then(|rest| rest.strip_suffix(':'))
-            .context("no signature")?;
-        let signature = Signature::from_slice(&BASE64.decode(text)?)?;
-        let key: [u8; 32] = BASE64
-            .decode(key)?
-            .try_into()
-            .map_err(|_| anyhow!("key has another length"))?;
-        VerifyingKey::from_bytes(&key)?
+            .ok_or(SignatureError::MalformedSignature)?;
+        let signature = Signature::from_slice(&decode(text)?)?;
+        public_key(key)?
             .verify_strict(self.base().as_bytes(), &signature)
-            .context("signature does not verify")
+            .map_err(SignatureError::Invalid)
     }
 }
+
+fn public_key(key: &str) -> Result<VerifyingKey, SignatureError> {
+    let bytes: [u8; 32] = decode(key)?
+        .try_into()
+        .map_err(|_| SignatureError::InvalidKeyLength)?;
+    Ok(VerifyingKey::from_bytes(&bytes)?)
+}
+
+fn decode(text: &str) -> Result<Vec<u8>, SignatureError> {
+    BASE64
+        .decode(text)
+        .map_err(|error| SignatureError::InvalidBase64(error.to_string()))
+}
--- a/data-plane/src/response_signature/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `seal`.
+//! Tests of `signature`.
 use crate::prelude::*;
 
 #[test]
 fn an_answer_passes_only_for_the_very_request_service_and_key_it_was_signed_for() {
     let key = SigningKey::from_bytes(&[7; 32]);
     let public = BASE64.encode(key.verifying_key().to_bytes());
-    let seal = ResponseSignature {
+    let signature = ResponseSignature {
         status: 200,
         method: "POST",
         target: "/book?x=1",
@@ -15,50 +15,54 @@
         request: "9",
         body: b"done",
     };
-    let headers = seal.sign(&key);
-    assert!(seal.check(&headers, &public).is_ok());
+    let headers = signature.sign(&key);
+    assert!(signature.verify(&headers, &public).is_ok());
     let others = [
         ResponseSignature {
             status: 201,
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             method: "GET",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             target: "/book?x=2",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             service: "other",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             instance: "b2",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             operation: "k2",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             request: "8",
-            ..seal.clone()
+            ..signature.clone()
         },
         ResponseSignature {
             body: b"don",
-            ..seal.clone()
+            ..signature.clone()
         },
     ];
     for other in others {
-        assert!(other.check(&headers, &public).is_err(), "{other:?}");
+        assert!(other.verify(&headers, &public).is_err(), "{other:?}");
     }
     let stranger = SigningKey::from_bytes(&[8; 32]);
-    assert!(seal.check(&seal.sign(&stranger), &public).is_err());
+    assert!(
+        signature
+            .verify(&signature.sign(&stranger), &public)
+            .is_err()
+    );
     for gone in 0..headers.len() {
         let mut fewer = headers.clone();
         fewer.remove(gone);
-        assert!(seal.check(&fewer, &public).is_err());
+        assert!(signature.verify(&fewer, &public).is_err());
     }
 }
--- a/data-plane/src/response_sizes.rs
+++ b/data-plane/src/response_sizes.rs
@@ -1,29 +1,30 @@
-//! How large the answers of each route are.
+//! The usual sizes of responses by route.
 use crate::prelude::*;
 
-/// A moving average of the answers' bodies in bytes, by route.
+/// The moving average of the responses' bodies in bytes, by route.
 #[derive(Debug, Default)]
 pub struct ResponseSizes {
-    by_route: Mutex<HashMap<String, f64>>,
+    mean_by_route: Mutex<HashMap<String, f64>>,
 }
 
-/// The weight of the latest answer.
-const LATEST: f64 = 0.1;
+/// The weight of the latest response.
+const LATEST_WEIGHT: f64 = 0.1;
 
 impl ResponseSizes {
-    pub fn saw(&self, route: &str, bytes: usize) {
-        let mut known = self.by_route.lock().expect("no holder panics");
-        match known.get_mut(route) {
-            Some(mean) => *mean += (bytes as f64 - *mean) * LATEST,
+    /// Records the size of a response.
+    pub fn record(&self, route: &str, bytes: usize) {
+        let mut means = self.mean_by_route.lock().expect("no holder panics");
+        match means.get_mut(route) {
+            Some(mean) => *mean += (bytes as f64 - *mean) * LATEST_WEIGHT,
             None => {
-                known.insert(route.into(), bytes as f64);
+                means.insert(route.into(), bytes as f64);
             }
         }
     }
 
-    /// 0 for a route of which no answer was seen.
+    /// The expected size; 0 for a route without any recorded response.
     pub fn expected(&self, route: &str) -> f64 {
-        let known = self.by_route.lock().expect("no holder panics");
-        known.get(route).copied().unwrap_or(0.0)
+        let means = self.mean_by_route.lock().expect("no holder panics");
+        means.get(route).copied().unwrap_or(0.0)
     }
 }
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -40,19 +40,19 @@
     const EPOCH: u64 = 7;
     let mut owner = CacheOwner::new(1 << 20);
     owner.get(at(0), asker(1), get(1), EPOCH, 0);
-    let current = token(&owner.take_out()).expect("the first is told to fetch");
+    let current = token(&owner.take_outgoing()).expect("the first is told to fetch");
     owner.get(at(1), asker(2), get(2), EPOCH, 0);
-    assert_eq!(token(&owner.take_out()), None, "the second waits");
+    assert_eq!(token(&owner.take_outgoing()), None, "the second waits");
     let earlier = FillToken {
         epoch: EPOCH - 1,
         ..current
     };
     for private in [false, true] {
-        owner.give_up(at(2), KEY, earlier, EPOCH, 0, private);
-        assert!(owner.take_out().is_empty());
+        owner.fill_failed(at(2), KEY, earlier, EPOCH, 0, private);
+        assert!(owner.take_outgoing().is_empty());
     }
-    owner.give_up(at(3), KEY, current, EPOCH, 0, false);
-    let next = token(&owner.take_out()).expect("the second fetches now");
+    owner.fill_failed(at(3), KEY, current, EPOCH, 0, false);
+    let next = token(&owner.take_outgoing()).expect("the second fetches now");
     assert_ne!(next.serial, current.serial);
 }
 
@@ -68,11 +68,11 @@
 fn a_repeated_question_is_told_that_its_copy_is_on_the_way() {
     let mut owner = CacheOwner::new(1 << 20);
     owner.get(at(0), asker(1), get(1), 7, 0);
-    let token = token(&owner.take_out()).expect("the first is told to fetch");
+    let token = token(&owner.take_outgoing()).expect("the first is told to fetch");
     for _ in 0..3 {
         owner.get(at(50), asker(2), get(2), 7, 0);
     }
-    let queued = owner.take_out();
+    let queued = owner.take_outgoing();
     assert_eq!(copies(&queued), 0);
     assert_eq!(queued.len(), 2, "each repeat is told that it waits");
     let reply = Reply {
@@ -82,14 +82,18 @@
     let key = KEY;
     let put = CachePut { key, token, reply };
     assert!(owner.put(at(100), put, 7, &PurgeLog::default()));
-    assert_eq!(copies(&owner.take_out()), 1);
+    assert_eq!(copies(&owner.take_outgoing()), 1);
     let mut sent = 0;
     for now in (200..4000).step_by(200) {
         owner.tick(at(now), &|_| 7, 0);
         owner.get(at(now), asker(2), get(2), 7, 0);
-        sent += copies(&owner.take_out());
+        sent += copies(&owner.take_outgoing());
     }
     assert_eq!(sent, 1, "in four seconds once more, for one that was lost");
     owner.get(at(4000), asker(3), get(3), 7, 0);
-    assert_eq!(copies(&owner.take_out()), 1, "others are not held back");
+    assert_eq!(
+        copies(&owner.take_outgoing()),
+        1,
+        "others are not held back"
+    );
 }
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -2,7 +2,7 @@
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
-const REQUEST_ID_HEADER: u64 = 9;
+const REQUEST_ID: u64 = 9;
 
 fn call(proof: Proof) -> Call {
     Call {
@@ -23,7 +23,7 @@
         body: Arc::default(),
         operation: None,
         request_id: None,
-        request: REQUEST_ID_HEADER,
+        request: REQUEST_ID,
         key: String::new(),
         proof,
         timeout: Duration::from_secs(1),
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -66,7 +66,7 @@
                 1,
                 0,
             );
-            for (_, message) in owner.take_out() {
+            for (_, message) in owner.take_outgoing() {
                 if let Message::CacheMiss(miss) = message {
                     crowd.two_phase += 1;
                     puts.push_back((now + fetch, miss.token));
