--- a/data-plane/src/active_request.rs
+++ b/data-plane/src/active_request.rs
@@ -65,14 +65,23 @@
 pub struct CacheUse {
     /// Set if the response may be served from a cache.
     pub key: Option<CacheKey>,
-    /// The cache owner that made this request its refresher, with the token.
-    pub fill_token: Option<(SocketAddr, FillToken)>,
+    /// Set if the cache owner made this request its refresher.
+    pub fill_grant: Option<FillGrant>,
     /// The last fetch of a response that others may be served.
     pub fetch: Option<Fetch>,
     /// The response if no cached response of any age is available either.
     pub pending_rejection: Option<Rejection>,
 }
 
+/// A cache owner's token for the refresher of a key.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FillGrant {
+    /// The cache owner that issued the token.
+    pub owner: SocketAddr,
+    /// The token for the put.
+    pub token: FillToken,
+}
+
 /// Connections to one origin from this edge, if its group sets no limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 256;
 /// Calls for one request, the first included, if its route sets no limit.
@@ -150,6 +159,31 @@
         )
     }
 
+    /// Whether a request in this stage may be rejected in favour of a higher rank.
+    pub fn may_be_displaced(&self) -> bool {
+        matches!(
+            self,
+            Stage::AwaitingPermit
+                | Stage::Following
+                | Stage::AwaitingCachedResponse {
+                    accepts_any_age: false,
+                    ..
+                }
+        )
+    }
+
+    /// Whether the request waits for a peer or for another request, so that no
+    /// call of it is in flight and nothing remains to be recorded.
+    pub fn is_waiting(&self) -> bool {
+        matches!(
+            self,
+            Stage::AwaitingClaim
+                | Stage::AwaitingCachedResponse { .. }
+                | Stage::Following
+                | Stage::AwaitingPermit
+        )
+    }
+
     /// What the request waits for, for the log.
     pub fn name(&self) -> &'static str {
         match self {
@@ -214,6 +248,29 @@
         self.deadline.saturating_sub(now)
     }
 
+    /// Whether its response may be shared with other clients.
+    pub fn is_cacheable(&self) -> bool {
+        self.request.entry().kind == Kind::Cached
+            && !self.request.personal()
+            && self.request.method == "GET"
+    }
+
+    /// Whether a call of it to this origin is in flight.
+    pub fn is_calling(&self, origin: SocketAddr) -> bool {
+        matches!(&self.stage, Stage::Calling { permit, .. } if permit.origin.address == origin)
+    }
+
+    /// The change that the request's stage asks of the ledger, if it does.
+    pub fn ledger_change(&self) -> Option<Change> {
+        let claim = || self.claim.clone().expect("it has an operation key");
+        match &self.stage {
+            Stage::AwaitingClaim => Some(Change::Claim(claim())),
+            Stage::Recording { reply, .. } => Some(Change::Record(claim(), reply.clone())),
+            Stage::Releasing { .. } => Some(Change::Release(claim())),
+            _ => None,
+        }
+    }
+
     /// Whether it may be called again after it was sent.
     pub fn is_idempotent(&self) -> bool {
         match self.request.entry().kind {
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -263,7 +263,7 @@
 
     /// An edge reports the end of a call.
     pub fn call_completed(&mut self, now: Duration, done: CallDone) {
-        if done.epoch == 0
+        if done.epoch == FALLBACK_EPOCH
             && let Some(bucket) = &mut self.total_rate
         {
             // An edge called within its fallback quota.
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -1,17 +1,28 @@
 //! What is assigned to this edge: cache partitions and admission control of origin groups.
-use super::{EdgeNode, MAX_HANDOVER_REQUESTS, PROBE_PATH, PROBE_TIMEOUT, RESEND_INTERVAL};
+use super::{EdgeNode, RESEND_INTERVAL};
 use crate::prelude::*;
 
+/// The edges that have a session, as far as it is known here.
+pub(super) struct EdgeRegistry<'a> {
+    /// Edges whose sessions are valid.
+    pub(super) members: &'a [Peer],
+    /// Edges whose sessions have ended.
+    pub(super) departed: &'a [Peer],
+}
+
+/// The key of the row that holds the edge registry.
+const EDGE_REGISTRY_KEY: &str = "roll";
+
 impl EdgeNode {
-    /// The epoch under which an assignment is granted to this life.
-    pub(super) fn granted_epoch(&self, assignment: &str) -> Option<u64> {
+    /// The epoch under which an assignment is granted to this incarnation.
+    fn granted_epoch(&self, assignment: &str) -> Option<u64> {
         self.assignments
             .get(assignment)
             .filter(|assignment| assignment.owner == Some(self.local_peer))
             .map(|assignment| assignment.epoch)
     }
 
-    /// Where an assignment is done now.
+    /// The edge that owns an assignment now.
     pub(super) fn assignment_owner(&self, assignment: &str) -> Option<SocketAddr> {
         self.assignments
             .get(assignment)
@@ -19,212 +30,156 @@
             .map(|peer| peer.address)
     }
 
-    pub(super) fn sync_assignments(&mut self, now: Duration) {
-        let mut partitions = BTreeMap::new();
-        for partition in 0..CACHE_PARTITIONS {
-            if let Some(epoch) =
-                self.granted_epoch(&cache_assignment(&self.locality.ring, partition))
-            {
-                partitions.insert(partition, epoch);
-            }
-        }
-        if partitions != self.owned_partitions {
-            self.cache_owner
-                .retain_partitions(now, self.purge_log.applied, &|partition| {
-                    self.owned_partitions.contains_key(&partition)
-                        && partitions.get(&partition) == self.owned_partitions.get(&partition)
-                });
-            let (before, after) = (self.owned_partitions.len(), partitions.len());
-            self.pending_handovers
-                .retain(|partition, _| partitions.contains_key(partition));
-            for partition in partitions
-                .iter()
-                .filter(|(partition, epoch)| self.owned_partitions.get(partition) != Some(epoch))
-                .map(|(partition, _)| *partition)
-            {
-                let last = self
-                    .assignments
-                    .get(&cache_assignment(&self.locality.ring, partition))
-                    .and_then(|assignment| assignment.previous_owner);
-                if let Some(last) = last.filter(|last| last.address != self.local_peer.address) {
-                    self.pending_handovers.insert(partition, (last.address, 0));
-                }
-            }
-            self.owned_partitions = partitions;
-            self.request_handovers(now);
-            self.log_event(
-                Event::AssignmentAcquired,
-                format!("{after} cache slices, before {before}"),
-            );
+    /// The registry of edges, once it is known.
+    pub(super) fn edge_registry(&self) -> Option<EdgeRegistry<'_>> {
+        let row = self.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get(EDGE_REGISTRY_KEY)?;
+        match &row.value {
+            Value::EdgeRegistry {
+                members, departed, ..
+            } => Some(EdgeRegistry { members, departed }),
+            _ => None,
         }
-        if let Some(table) = self.routes.clone() {
-            self.sync_admission_controllers(now, &table);
+    }
+
+    /// Takes up and drops assignments as they are granted now.
+    pub(super) fn sync_assignments(&mut self, now: Duration) {
+        self.sync_partitions(now);
+        if let Some(routes) = self.routes.clone() {
+            self.sync_admission_controllers(now, &routes);
         }
         let admissions = self
             .admission_controllers
             .keys()
             .map(|service| admission_assignment(service));
-        let list = self
+        let held = self
             .owned_partitions
             .keys()
             .map(|partition| cache_assignment(&self.locality.ring, *partition))
             .chain(admissions)
             .collect();
         self.outputs
-            .push(Output::Publish(PublishedState::Assignments(list)));
+            .push(Output::Publish(PublishedState::Assignments(held)));
+    }
+
+    fn sync_partitions(&mut self, now: Duration) {
+        let granted: BTreeMap<u16, u64> = (0..CACHE_PARTITIONS)
+            .filter_map(|partition| {
+                let assignment = cache_assignment(&self.locality.ring, partition);
+                Some((partition, self.granted_epoch(&assignment)?))
+            })
+            .collect();
+        if granted == self.owned_partitions {
+            return;
+        }
+        let before = std::mem::replace(&mut self.owned_partitions, granted);
+        let owned = &self.owned_partitions;
+        self.cache_owner
+            .retain_partitions(now, self.purge_log.applied, &|partition| {
+                before.contains_key(&partition) && owned.get(&partition) == before.get(&partition)
+            });
+        self.pending_handovers
+            .retain(|partition, _| owned.contains_key(partition));
+        let gained: Vec<u16> = owned
+            .iter()
+            .filter(|(partition, epoch)| before.get(partition) != Some(epoch))
+            .map(|(partition, _)| *partition)
+            .collect();
+        for partition in gained {
+            self.plan_handover(partition);
+        }
+        self.request_handovers(now);
+        let text = format!(
+            "{} cache slices, before {}",
+            self.owned_partitions.len(),
+            before.len()
+        );
+        self.log_event(Event::AssignmentAcquired, text);
     }
 
-    pub(super) fn sync_admission_controllers(&mut self, now: Duration, table: &RouteTable) {
-        let wanted: Vec<(&Group, u64)> = table
+    fn sync_admission_controllers(&mut self, now: Duration, routes: &RouteTable) {
+        let granted: Vec<(&Group, u64)> = routes
             .document
             .groups
             .iter()
             .filter_map(|group| {
-                Some((
-                    group,
-                    self.granted_epoch(&admission_assignment(&group.service))?,
-                ))
+                let assignment = admission_assignment(&group.service);
+                Some((group, self.granted_epoch(&assignment)?))
             })
             .collect();
-        let held: Vec<(String, u64)> = self
-            .admission_controllers
-            .values()
-            .map(|admission| (admission.service.clone(), admission.epoch))
-            .collect();
-        for (service, epoch) in held {
-            if !wanted
-                .iter()
-                .any(|(group, granted)| group.service == service && *granted == epoch)
-            {
-                self.admission_controllers.remove(&service);
-                self.log_event(Event::AssignmentDropped, admission_assignment(&service));
-            }
-        }
-        for (group, epoch) in wanted {
+        self.drop_admission_controllers(&granted);
+        for (group, epoch) in granted {
             if !self.admission_controllers.contains_key(&group.service) {
-                self.admission_controllers.insert(
-                    group.service.clone(),
-                    AdmissionController::new(now, &group.service, epoch, self.retry_allowance),
-                );
-                self.log_event(
-                    Event::AssignmentAcquired,
-                    format!("{} epoch {epoch}", admission_assignment(&group.service)),
-                );
+                let admission =
+                    AdmissionController::new(now, &group.service, epoch, self.retry_allowance);
+                self.admission_controllers
+                    .insert(group.service.clone(), admission);
+                let assignment = admission_assignment(&group.service);
+                let text = format!("{assignment} epoch {epoch}");
+                self.log_event(Event::AssignmentAcquired, text);
             }
             let admission = self
                 .admission_controllers
                 .get_mut(&group.service)
-                .expect("just put");
+                .expect("just inserted");
             admission.apply_configuration(now, group, &self.origins);
         }
-        self.report_calls_in_flight(now, table);
+        self.report_calls_in_flight(now, routes);
     }
 
-    /// Nothing is kept for edges whose sessions have ended: neither places in line
-    /// for permits nor waits for copies.
+    /// Drops the admission controllers that are not granted under their epoch.
+    fn drop_admission_controllers(&mut self, granted: &[(&Group, u64)]) {
+        let is_granted = |admission: &AdmissionController| {
+            granted.iter().any(|(group, epoch)| {
+                group.service == admission.service && *epoch == admission.epoch
+            })
+        };
+        let dropped: Vec<String> = self
+            .admission_controllers
+            .values()
+            .filter(|admission| !is_granted(admission))
+            .map(|admission| admission.service.clone())
+            .collect();
+        for service in dropped {
+            self.admission_controllers.remove(&service);
+            self.log_event(Event::AssignmentDropped, admission_assignment(&service));
+        }
+    }
+
+    /// Drops the queued requests of edges whose sessions have ended.
     pub(super) fn forget_departed_edges(&mut self, now: Duration) {
-        let Some(Row {
-            value:
-                Value::EdgeRegistry {
-                    members,
-                    departed: gone,
-                    ..
-                },
-            ..
-        }) = self.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get("roll")
-        else {
+        let Some(registry) = self.edge_registry() else {
             return;
         };
-        let back = |peer: &Peer| members.iter().any(|member| member.address == peer.address);
-        let gone: HashSet<SocketAddr> = gone
+        let has_returned = |peer: &Peer| {
+            registry
+                .members
+                .iter()
+                .any(|member| member.address == peer.address)
+        };
+        let departed: HashSet<SocketAddr> = registry
+            .departed
             .iter()
-            .filter(|peer| !back(peer))
+            .filter(|peer| !has_returned(peer))
             .map(|peer| peer.address)
             .collect();
-        if gone.is_empty() {
+        if departed.is_empty() {
             return;
         }
-        self.cache_owner.forget_edges(&gone);
+        self.cache_owner.forget_edges(&departed);
         for admission in self.admission_controllers.values_mut() {
-            admission.forget_edges(now, &gone);
-        }
-    }
-
-    /// Asks last holders for copies, a few times.
-    pub(super) fn request_handovers(&mut self, now: Duration) {
-        self.pending_handovers
-            .retain(|_, (_, asked)| *asked < MAX_HANDOVER_REQUESTS);
-        let due: Vec<(u16, SocketAddr)> = self
-            .pending_handovers
-            .iter()
-            .map(|(partition, (last, _))| (*partition, *last))
-            .collect();
-        for (partition, last) in due {
-            self.pending_handovers
-                .get_mut(&partition)
-                .expect("just listed")
-                .1 += 1;
-            let epoch = self.owned_partitions.get(&partition).copied().unwrap_or(0);
-            self.send(
-                last,
-                HandoverRequest {
-                    partition,
-                    epoch,
-                    sent: now,
-                },
-            );
+            admission.forget_edges(now, &departed);
         }
     }
 
-    pub(super) fn handle_handover_request(
-        &mut self,
-        now: Duration,
-        from: Peer,
-        want: HandoverRequest,
-    ) {
-        let HandoverRequest {
-            partition,
-            epoch,
-            sent,
-        } = want;
-        let copies = self.cache_owner.hand_over(now, partition);
-        if !copies.is_empty() {
-            self.send(
-                from.address,
-                HandoverReply {
-                    partition,
-                    epoch,
-                    sent,
-                    copies,
-                },
-            );
-        }
-    }
-
-    pub(super) fn handle_handover_reply(&mut self, now: Duration, handed: HandoverReply) {
-        let HandoverReply {
-            partition,
-            epoch,
-            sent,
-            copies,
-        } = handed;
-        if self.owned_partitions.get(&partition) == Some(&epoch)
-            && self.pending_handovers.remove(&partition).is_some()
-            && sent <= now
-        {
-            self.cache_owner
-                .take_over(now, now - sent, copies, &self.purge_log);
-        }
-    }
-
-    /// New admission controller holders hear of our calls under way by earlier permits.
-    pub(super) fn report_calls_in_flight(&mut self, now: Duration, table: &RouteTable) {
-        for group in &table.document.groups {
+    /// Reports this edge's calls in flight under earlier permits to new admission controllers.
+    fn report_calls_in_flight(&mut self, now: Duration, routes: &RouteTable) {
+        for group in &routes.document.groups {
+            let assignment = self.assignments.get(&admission_assignment(&group.service));
             let Some(Assignment {
-                owner: Some(holder),
+                owner: Some(controller),
                 epoch,
                 ..
-            }) = self.assignments.get(&admission_assignment(&group.service))
+            }) = assignment
             else {
                 continue;
             };
@@ -235,29 +190,20 @@
                     Stage::Calling { permit, .. }
                         if permit.service == group.service && permit.epoch < *epoch =>
                     {
-                        Some((
-                            permit.epoch,
-                            permit.serial,
-                            permit.origin.address,
-                            active.remaining(now),
-                        ))
+                        let origin = permit.origin.address;
+                        Some((permit.epoch, permit.serial, origin, active.remaining(now)))
                     }
                     _ => None,
                 })
                 .collect();
             if !calls.is_empty() {
-                let to = holder.address;
-                self.send(
-                    to,
-                    CallsInProgress {
-                        service: group.service.clone(),
-                        calls,
-                    },
-                );
+                let service = group.service.clone();
+                self.send(controller.address, CallsInProgress { service, calls });
             }
         }
     }
 
+    /// A message for one of the assignments that this edge may hold.
     pub(super) fn handle_assignment_message(
         &mut self,
         now: Duration,
@@ -267,161 +213,93 @@
         if !self.is_live(now) {
             return;
         }
-        let purged = self.purge_log.applied;
         match message {
-            Message::CacheGet(get) => {
-                match self.owned_partitions.get(&cache_partition(&get.key)) {
-                    Some(epoch) => self.cache_owner.get(now, from.address, get, *epoch, purged),
-                    // Between two owners: whoever asks fetches for itself.
-                    None => self.send(
-                        from.address,
-                        CacheUnavailable {
-                            id: get.id,
-                            key: get.key,
-                        },
-                    ),
-                }
-            }
-            Message::CachePut(put) => {
-                if let Some(epoch) = self.owned_partitions.get(&cache_partition(&put.key)) {
-                    let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
-                    if !self.cache_owner.put(now, put, *epoch, &self.purge_log) {
-                        self.log_event(Event::PutDropped, text);
-                    }
-                }
-            }
-            Message::CacheFillFailed(CacheFillFailed {
-                key,
-                token,
-                private,
-            }) => {
-                if let Some(epoch) = self.owned_partitions.get(&cache_partition(&key)) {
-                    self.cache_owner
-                        .fill_failed(now, key, token, *epoch, purged, private);
-                }
-            }
-            Message::PermitRequest(request) => {
-                match self.admission_controllers.get_mut(&request.service) {
-                    Some(admission) => admission.request_permit(now, from.address, request),
-                    None => self.send(
-                        from.address,
-                        PermitRefused {
-                            id: request.id,
-                            reason: PermitRefusalReason::NotOwner,
-                            back: RESEND_INTERVAL,
-                        },
-                    ),
-                }
+            Message::CacheGet(get) => self.handle_cache_get(now, from, get),
+            Message::CachePut(put) => self.handle_cache_put(now, put),
+            Message::CacheFillFailed(failed) => self.handle_fill_failed(now, failed),
+            Message::CacheGetWithdrawn(withdrawn) => {
+                self.cache_owner
+                    .withdraw(from.address, &withdrawn.key, withdrawn.id);
             }
+            Message::PermitRequest(request) => self.handle_permit_request(now, from, request),
             Message::PermitWithdrawn(withdrawn) => {
                 if let Some(admission) = self.admission_controllers.get_mut(&withdrawn.service) {
                     admission.withdraw(now, from.address, withdrawn.id);
                 }
             }
-            Message::CacheGetWithdrawn(withdrawn) => {
-                self.cache_owner
-                    .withdraw(from.address, &withdrawn.key, withdrawn.id);
-            }
             Message::CallDone(done) => {
                 if let Some(admission) = self.admission_controllers.get_mut(&done.service) {
                     admission.call_completed(now, done);
                 }
             }
-            Message::CallsInProgress(told) => {
-                if let Some(admission) = self.admission_controllers.get_mut(&told.service) {
-                    admission.add_calls_in_flight(now, told);
+            Message::CallsInProgress(reported) => {
+                if let Some(admission) = self.admission_controllers.get_mut(&reported.service) {
+                    admission.add_calls_in_flight(now, reported);
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn run_admission_controllers(&mut self, now: Duration) {
-        let Some(table) = self.routes.clone() else {
-            return;
-        };
-        let mut calls = Vec::new();
-        let mut watches = Vec::new();
-        for admission in self.admission_controllers.values_mut() {
-            admission.dispatch(now);
-            let Some(group) = table.document.group(&admission.service) else {
-                continue;
-            };
-            watches.extend(admission.connections_to_open(now));
-            for origin in admission.start_probes(now) {
-                calls.push((origin, group.key.clone()));
+    fn handle_cache_get(&mut self, now: Duration, from: Peer, get: CacheGet) {
+        match self.owned_partitions.get(&cache_partition(&get.key)) {
+            Some(epoch) => {
+                let applied = self.purge_log.applied;
+                self.cache_owner
+                    .get(now, from.address, get, *epoch, applied)
+            }
+            // The partition is being moved: each request fetches for itself.
+            None => {
+                let CacheGet { id, key, .. } = get;
+                self.send(from.address, CacheUnavailable { id, key })
             }
-        }
-        self.outputs.extend(
-            watches
-                .into_iter()
-                .map(|address| Output::WatchConnection { address }),
-        );
-        for (origin, key) in calls {
-            let id = self.next_id();
-            self.probes_in_flight.insert(id, origin.clone());
-            let call = Call {
-                origin,
-                method: "GET".into(),
-                url: PROBE_PATH.into(),
-                host: String::new(),
-                headers: vec![],
-                body: Arc::default(),
-                operation: None,
-                request_id: None,
-                request: id,
-                key,
-                proof: Proof::Seal,
-                timeout: PROBE_TIMEOUT,
-                max_connections: 1,
-                purpose: CallPurpose::Probe,
-            };
-            self.outputs.push(Output::Call { id, call });
         }
     }
 
-    pub(super) fn handle_probe_result(&mut self, now: Duration, id: u64, result: CallOutcome) {
-        let Some(origin) = self.probes_in_flight.remove(&id) else {
+    fn handle_cache_put(&mut self, now: Duration, put: CachePut) {
+        let Some(epoch) = self.owned_partitions.get(&cache_partition(&put.key)) else {
             return;
         };
-        let (good, why) = match result {
-            CallOutcome::Success(reply) => {
-                (reply.status == 200, format!("status {}", reply.status))
-            }
-            CallOutcome::Unreachable => (false, "refused".into()),
-            CallOutcome::NotSent => (false, "withheld".into()),
-            CallOutcome::NotExecuted | CallOutcome::WrongInstance => {
-                (false, "another, or not willing".into())
+        let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
+        if !self.cache_owner.put(now, put, *epoch, &self.purge_log) {
+            self.log_event(Event::PutDropped, text);
+        }
+    }
+
+    fn handle_fill_failed(&mut self, now: Duration, failed: CacheFillFailed) {
+        let CacheFillFailed {
+            key,
+            token,
+            private,
+        } = failed;
+        if let Some(epoch) = self.owned_partitions.get(&cache_partition(&key)) {
+            let applied = self.purge_log.applied;
+            self.cache_owner
+                .fill_failed(now, key, token, *epoch, applied, private);
+        }
+    }
+
+    fn handle_permit_request(&mut self, now: Duration, from: Peer, request: PermitRequest) {
+        match self.admission_controllers.get_mut(&request.service) {
+            Some(admission) => admission.request_permit(now, from.address, request),
+            None => {
+                let refused = PermitRefused {
+                    id: request.id,
+                    reason: PermitRefusalReason::NotOwner,
+                    back: RESEND_INTERVAL,
+                };
+                self.send(from.address, refused);
             }
-            CallOutcome::Failure(why) => (false, why),
-        };
-        let changed = self
-            .admission_controllers
-            .get_mut(&origin.service)
-            .is_some_and(|admission| admission.probe_completed(now, &origin, good));
-        if changed {
-            let text = format!(
-                "{} {} {}: {why}",
-                origin.address, origin.service, origin.instance
-            );
-            self.log_event(
-                if good {
-                    Event::OriginProven
-                } else {
-                    Event::OriginEjected
-                },
-                text,
-            );
         }
     }
 
-    /// What the assignments held here have to say goes out.
+    /// Sends the messages of the cache owner and the admission controllers.
     pub(super) fn flush_assignment_messages(&mut self) {
-        let mut told = self.cache_owner.take_outgoing();
+        let mut outgoing = self.cache_owner.take_outgoing();
         for admission in self.admission_controllers.values_mut() {
-            told.extend(admission.take_outgoing());
+            outgoing.extend(admission.take_outgoing());
         }
-        for (to, message) in told {
+        for (to, message) in outgoing {
             self.send(to, message);
         }
     }
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -1,30 +1,33 @@
-//! Requests that are served copies: near ones, or those of the cache owner.
+//! Requests that are served cached responses: from the near cache, or by the cache owner.
 //!
 //! Of all requests here that miss the same key one asks the owner; the others
-//! follow it (`Coalescer`). What it gets is entry (`NearCache`) and serves them
-//! all. An owner that says nothing is done without after `OWNER_TIMEOUT`.
+//! follow it (`Coalescer`). What it gets is stored (`NearCache`) and serves them
+//! all. An owner that does not respond is bypassed.
 use super::{EdgeNode, PURGE_GRACE};
 use crate::active_request::{is_cacheable_status, is_shareable};
 use crate::cache_owner::{REFRESH_TIMEOUT, minor_lifetime};
 use crate::prelude::*;
 
-/// An owner that does not even confirm a repeated question for this long after
-/// it was sent is done without. Less than this is common on a full link, and each
-/// fetch without the owner takes the place of another's.
-pub(super) const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first question to the owner is repeated after this time, the next ones
-/// each after twice as long as the one before, up to `MAX_BACKOFF`.
-const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
-const MAX_BACKOFF: Duration = Duration::from_millis(1600);
+/// What a request that waits for a cached response waits for.
+struct CacheWait {
+    since: Duration,
+    accepts_any_age: bool,
+}
 
-/// When the question that was asked `round` times is asked again.
-pub(super) fn resend_backoff(round: usize) -> Duration {
-    let doubled = INITIAL_BACKOFF * (1 << round.saturating_sub(1).min(4));
-    doubled.min(MAX_BACKOFF)
+/// A response that an origin sent for a key.
+struct FetchedResponse {
+    key: CacheKey,
+    reply: Reply,
+    fetch: Fetch,
+    ttl: Duration,
+    /// It may not be served to other clients.
+    is_private: bool,
+    /// It may be stored in a cache.
+    is_cacheable: bool,
 }
 
 impl EdgeNode {
-    /// The near copy that this request is served at once, if there is one: a
+    /// The near response that this request is served at once, if there is one: a
     /// fresh one, or any while another request asks the owner for it.
     pub(super) fn near_cache_response(
         &mut self,
@@ -42,14 +45,12 @@
         }
     }
 
-    /// Any near copy that may still be served, for a request whose owner or
-    /// origin does not answer.
+    /// Any near response that may still be served, for a request whose owner or
+    /// origin does not respond.
     pub(super) fn any_near_response(&mut self, now: Duration, id: u64) -> Option<ClientResponse> {
         let active = self.active_requests.get(&id)?;
-        match self
-            .near_cache
-            .look_up(now, &active.cache.key?, active.request.entry().keep())
-        {
+        let ttl = active.request.entry().keep();
+        match self.near_cache.look_up(now, &active.cache.key?, ttl) {
             NearLookup::Fresh { reply, age } | NearLookup::Stale { reply, age } => {
                 Some(ClientResponse::copy(reply, age))
             }
@@ -57,10 +58,11 @@
         }
     }
 
-    /// A near copy, or the origin, in place of an owner that does not answer.
+    /// Serves a near response, or calls the origin, in place of an owner that
+    /// does not respond.
     pub(super) fn fetch_without_owner(&mut self, now: Duration, id: u64) {
-        if let Some(copy) = self.any_near_response(now, id) {
-            return self.finish(now, id, copy);
+        if let Some(response) = self.any_near_response(now, id) {
+            return self.finish(now, id, response);
         }
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
@@ -76,8 +78,8 @@
         }
     }
 
-    /// The request asks for its group from now on.
-    pub(super) fn lead_group(&mut self, now: Duration, id: u64) {
+    /// The request asks the owner for its group from now on.
+    fn lead_group(&mut self, now: Duration, id: u64) {
         let stage = Stage::AwaitingCachedResponse {
             since: now,
             accepts_any_age: false,
@@ -85,33 +87,33 @@
         self.enter_stage(now, id, stage);
     }
 
-    /// All that follow this request are answered as it is.
-    pub(super) fn respond_to_followers(
+    /// Sends all followers of this request its response.
+    fn respond_to_followers(
         &mut self,
         now: Duration,
         id: u64,
         key: &CacheKey,
-        answer: &ClientResponse,
+        response: &ClientResponse,
     ) {
         for follower in self.coalescer.dissolve(key, id) {
-            self.finish(now, follower, answer.clone());
+            self.finish(now, follower, response.clone());
         }
     }
 
-    /// The request has ended: who follows it is refused as it was, if it was
-    /// turned away unsent and in time; else the next one asks.
+    /// The request has ended: its followers are rejected as it was, if it was
+    /// rejected uncalled and in time; else the next one leads.
     pub(super) fn leave_group(
         &mut self,
         now: Duration,
         id: u64,
         active: &ActiveRequest,
-        answer: &ClientResponse,
+        response: &ClientResponse,
     ) {
         let Some(key) = active.cache.key else { return };
-        let turned_away =
-            matches!(answer, ClientResponse::Rejection(_)) && active.attempts.count == 0;
-        if turned_away && now < active.deadline && self.coalescer.leads(&key, id) {
-            self.respond_to_followers(now, id, &key, answer);
+        let is_rejected_uncalled =
+            matches!(response, ClientResponse::Rejection(_)) && active.attempts.count == 0;
+        if is_rejected_uncalled && now < active.deadline && self.coalescer.leads(&key, id) {
+            self.respond_to_followers(now, id, &key, response);
         } else if let Some(next) = self.coalescer.leave(&key, id) {
             self.lead_group(now, next);
         } else if let Some(leader) = self.coalescer.leader(&key) {
@@ -120,13 +122,13 @@
         }
     }
 
-    /// Those that follow a request whose call goes on for long ask themselves.
+    /// The followers of a request whose call takes too long get another leader.
     pub(super) fn replace_stalled_leaders(&mut self, now: Duration) {
-        let stalled = |active: &ActiveRequest| matches!(&active.stage, Stage::Calling { since, .. } if now >= *since + REFRESH_TIMEOUT);
+        let is_stalled = |active: &ActiveRequest| matches!(&active.stage, Stage::Calling { since, .. } if now >= *since + REFRESH_TIMEOUT);
         let stalled: Vec<(u64, CacheKey)> = self
             .active_requests
             .iter()
-            .filter(|(_, active)| stalled(active))
+            .filter(|(_, active)| is_stalled(active))
             .filter_map(|(id, active)| Some((*id, active.cache.key?)))
             .filter(|(id, key)| self.coalescer.leads(key, *id) && self.coalescer.has_followers(key))
             .collect();
@@ -137,187 +139,195 @@
         }
     }
 
-    /// An origin's answer to a request that others may be served, too.
+    /// An origin's response to a cacheable request.
     pub(super) fn handle_fetched(&mut self, now: Duration, id: u64, key: CacheKey, reply: Reply) {
-        let active = self.active_requests.get_mut(&id).expect("just seen");
-        let fetch = active.cache.fetch.unwrap_or(Fetch {
-            started_at: active.started_at,
-            purge_version: 0,
-        });
-        let owner = active.cache.fill_token.take();
-        let ttl = active.request.entry().keep();
-        let private = !is_shareable(&reply);
-        let shared = !private && is_cacheable_status(reply.status);
-        if let Some((owner, token)) = owner {
-            let result: Message = if shared {
-                let reply = reply.clone();
-                CachePut { key, token, reply }.into()
-            } else {
-                CacheFillFailed {
-                    key,
-                    token,
-                    private,
-                }
-                .into()
-            };
-            self.send(owner, result);
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        let is_private = !is_shareable(&reply);
+        let fetched = FetchedResponse {
+            key,
+            fetch: active.cache.fetch.unwrap_or(Fetch {
+                started_at: active.started_at,
+                purge_version: 0,
+            }),
+            ttl: active.request.entry().keep(),
+            is_private,
+            is_cacheable: !is_private && is_cacheable_status(reply.status),
+            reply,
+        };
+        let grant = active.cache.fill_grant.take();
+        // A response fetched before a purge that matches it is good for its own
+        // client while the purge is recent, then it is fetched anew.
+        let name = active.cache_entry_name(&fetched.reply);
+        let purged_at = self
+            .purge_log
+            .first_match(fetched.fetch.purge_version, name);
+        if let Some(grant) = grant {
+            self.report_fill(grant, &fetched);
         }
-        // Begun before a purge that reaches it: good for its own caller while
-        // that is fresh, then fetched anew.
-        let name = self.active_requests[&id].cache_entry_name(&reply);
-        let reached = self.purge_log.first_match(fetch.purge_version, name);
-        if reached.is_some_and(|learned| now >= learned + PURGE_GRACE) {
+        if purged_at.is_some_and(|purged_at| now >= purged_at + PURGE_GRACE) {
             return self.lead_group(now, id);
         }
-        let age = now.saturating_sub(fetch.started_at);
-        let answer = ClientResponse::copy(reply.clone(), age);
-        if shared && reached.is_none() {
-            let major_expiry = fetch.started_at + ttl;
-            let entry = NearCacheEntry {
-                name: self.active_requests[&id].cache_entry_name(&reply),
-                reply: &reply,
-                fetch_started_at: fetch.started_at,
-                minor_expiry: (now + minor_lifetime(ttl)).min(major_expiry),
-                major_expiry,
-            };
-            self.near_cache.put(now, key, entry);
-            self.respond_to_followers(now, id, &key, &answer);
-        } else if private {
+        let age = now.saturating_sub(fetched.fetch.started_at);
+        let response = ClientResponse::copy(fetched.reply.clone(), age);
+        if fetched.is_cacheable && purged_at.is_none() {
+            self.store_fetched(now, id, &fetched);
+            self.respond_to_followers(now, id, &key, &response);
+        } else if fetched.is_private {
             // Each of them fetches its own.
             for follower in self.coalescer.dissolve(&key, id) {
                 self.lead_group(now, follower);
             }
         }
-        self.finish(now, id, answer);
+        self.finish(now, id, response);
     }
 
-    pub(super) fn handle_get_queued(&mut self, now: Duration, queued: CacheGetQueued) {
-        let asker = self.request_awaiting(queued.id);
-        if let Some(active) = asker.and_then(|id| self.active_requests.get_mut(&id)) {
-            active.exchange.last_contact = now;
+    /// Sends the cache owner what its refresher fetched.
+    fn report_fill(&mut self, grant: FillGrant, fetched: &FetchedResponse) {
+        let FillGrant { owner, token } = grant;
+        let key = fetched.key;
+        if fetched.is_cacheable {
+            let reply = fetched.reply.clone();
+            self.send(owner, CachePut { key, token, reply });
+        } else {
+            let private = fetched.is_private;
+            let failed = CacheFillFailed {
+                key,
+                token,
+                private,
+            };
+            self.send(owner, failed);
         }
     }
 
-    /// The job this cache message is for, if it still waits for it.
-    pub(super) fn awaiting_cached_response(
-        &self,
-        id: u64,
-        key: CacheKey,
-    ) -> Option<(Duration, bool)> {
-        match self.active_requests.get(&id) {
-            Some(ActiveRequest {
-                stage:
-                    Stage::AwaitingCachedResponse {
-                        since,
-                        accepts_any_age,
-                    },
-                cache: CacheUse {
-                    key: Some(awaited), ..
-                },
-                ..
-            }) if *awaited == key => Some((*since, *accepts_any_age)),
+    fn store_fetched(&mut self, now: Duration, id: u64, fetched: &FetchedResponse) {
+        let fetch_started_at = fetched.fetch.started_at;
+        let major_expiry = fetch_started_at + fetched.ttl;
+        let entry = NearCacheEntry {
+            name: self.active_requests[&id].cache_entry_name(&fetched.reply),
+            reply: &fetched.reply,
+            fetch_started_at,
+            minor_expiry: (now + minor_lifetime(fetched.ttl)).min(major_expiry),
+            major_expiry,
+        };
+        self.near_cache.put(now, fetched.key, entry);
+    }
+
+    /// The owner confirms that the request waits there.
+    pub(super) fn handle_get_queued(&mut self, now: Duration, queued: CacheGetQueued) {
+        self.record_contact(now, queued.id);
+    }
+
+    /// What the request waits for, if it waits for a cached response of this key.
+    fn cache_wait(&self, id: u64, key: CacheKey) -> Option<CacheWait> {
+        let active = self.active_requests.get(&id)?;
+        match active.stage {
+            Stage::AwaitingCachedResponse {
+                since,
+                accepts_any_age,
+            } if active.cache.key == Some(key) => Some(CacheWait {
+                since,
+                accepts_any_age,
+            }),
             _ => None,
         }
     }
 
+    /// The owner sends the cached response.
     pub(super) fn handle_cache_copy(&mut self, now: Duration, copy: CacheCopy) {
         let CacheCopy {
-            id: question,
+            id: exchange,
             key,
-            response: copy,
+            response: cached,
             ..
         } = copy;
-        let Some(id) = self.complete_exchange(question) else {
+        let Some(id) = self.complete_exchange(exchange) else {
             return;
         };
-        let Some((since, accepts_any_age)) = self.awaiting_cached_response(id, key) else {
+        let Some(wait) = self.cache_wait(id, key) else {
             return;
         };
         let active = &self.active_requests[&id];
-        let way = (now - since).saturating_sub(copy.owner_delay);
-        if way >= copy.remaining_ttl
-            || !self
-                .purge_log
-                .is_clear(copy.purge_version, active.cache_entry_name(&copy.reply))
+        let name = active.cache_entry_name(&cached.reply);
+        let network_delay = (now - wait.since).saturating_sub(cached.owner_delay);
+        if network_delay >= cached.remaining_ttl
+            || !self.purge_log.is_clear(cached.purge_version, name)
         {
-            return self.enter_stage(
-                now,
-                id,
-                Stage::AwaitingCachedResponse {
-                    since: now,
-                    accepts_any_age,
-                },
-            );
+            let stage = Stage::AwaitingCachedResponse {
+                since: now,
+                accepts_any_age: wait.accepts_any_age,
+            };
+            return self.enter_stage(now, id, stage);
         }
         let entry = NearCacheEntry {
-            name: active.cache_entry_name(&copy.reply),
-            reply: &copy.reply,
-            fetch_started_at: now.saturating_sub(copy.age + way),
-            minor_expiry: now + copy.fresh_for.saturating_sub(way),
-            major_expiry: now + copy.remaining_ttl - way,
+            name,
+            reply: &cached.reply,
+            fetch_started_at: now.saturating_sub(cached.age + network_delay),
+            minor_expiry: now + cached.fresh_for.saturating_sub(network_delay),
+            major_expiry: now + cached.remaining_ttl - network_delay,
         };
         self.near_cache.put(now, key, entry);
-        let answer = ClientResponse::copy(copy.reply, copy.age + way);
-        self.respond_to_followers(now, id, &key, &answer);
-        self.finish(now, id, answer);
+        let response = ClientResponse::copy(cached.reply, cached.age + network_delay);
+        self.respond_to_followers(now, id, &key, &response);
+        self.finish(now, id, response);
     }
 
+    /// The owner makes the request the refresher of the key.
     pub(super) fn handle_cache_miss(&mut self, now: Duration, from: Peer, miss: CacheMiss) {
         let CacheMiss {
-            id: question,
+            id: exchange,
             key,
             token,
         } = miss;
-        let held = Some((from.address, token));
-        if self
+        let grant = FillGrant {
+            owner: from.address,
+            token,
+        };
+        let is_duplicate = self
             .active_requests
             .values()
-            .any(|active| active.cache.fill_token == held)
-        {
-            return; // Said twice.
+            .any(|active| active.cache.fill_grant == Some(grant));
+        if is_duplicate {
+            return;
         }
         let waiting = self
-            .complete_exchange(question)
-            .filter(|id| self.awaiting_cached_response(*id, key).is_some());
+            .complete_exchange(exchange)
+            .filter(|id| self.cache_wait(*id, key).is_some());
         let Some(id) = waiting else {
-            return self.send(
-                from.address,
-                CacheFillFailed {
-                    key,
-                    token,
-                    private: false,
-                },
-            );
+            let failed = CacheFillFailed {
+                key,
+                token,
+                private: false,
+            };
+            return self.send(from.address, failed);
         };
-        self.active_requests
-            .get_mut(&id)
-            .expect("just seen")
-            .cache
-            .fill_token = held;
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        active.cache.fill_grant = Some(grant);
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
 
-    pub(super) fn handle_cache_unavailable(&mut self, now: Duration, no_copy: CacheUnavailable) {
-        let Some(id) = self.complete_exchange(no_copy.id) else {
-            return;
-        };
-        let Some((_, accepts_any_age)) = self.awaiting_cached_response(id, no_copy.key) else {
+    /// The owner has no response to share.
+    pub(super) fn handle_cache_unavailable(
+        &mut self,
+        now: Duration,
+        unavailable: CacheUnavailable,
+    ) {
+        let Some(id) = self.complete_exchange(unavailable.id) else {
             return;
         };
-        if accepts_any_age {
-            self.finish_failed_fallback(now, id);
-        } else {
-            self.enter_stage(now, id, Stage::AwaitingPermit);
+        match self.cache_wait(id, unavailable.key) {
+            Some(wait) if wait.accepts_any_age => self.finish_failed_fallback(now, id),
+            Some(_) => self.enter_stage(now, id, Stage::AwaitingPermit),
+            None => {}
         }
     }
 
+    /// No cached response of any age is available for a request that failed.
     pub(super) fn finish_failed_fallback(&mut self, now: Duration, id: u64) {
         let rejection = self
             .active_requests
             .get_mut(&id)
-            .and_then(|active| active.cache.pending_rejection.take());
-        let rejection =
-            rejection.unwrap_or_else(|| Rejection::not_run(503, "no_copy", "no copy came in time"));
-        self.finish(now, id, ClientResponse::Rejection(rejection));
+            .and_then(|active| active.cache.pending_rejection.take())
+            .unwrap_or_else(|| Rejection::not_run(503, "no_copy", "no copy came in time"));
+        self.finish_rejected(now, id, rejection);
     }
 }
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -1,48 +1,58 @@
-//! Calls to origins: permits, their endings and further tries.
+//! Calls to origins: permits, the ends of calls and retries.
 use super::EdgeNode;
 use crate::prelude::*;
 
 impl EdgeNode {
+    /// An admission controller grants a permit.
     pub(super) fn handle_permit(&mut self, now: Duration, from: Peer, permit: Permit) {
-        let fresh =
-            now.saturating_sub(permit.sent).saturating_sub(permit.held) < lease::PERMIT_VALIDITY;
-        let live = self.is_live(now);
-        let listed = self
+        let waiting = self
+            .complete_exchange(permit.id)
+            .filter(|id| self.awaits_permit(now, *id, &permit.service));
+        match waiting {
+            Some(id) if self.is_usable(now, &permit) => self.send_call(now, id, permit),
+            _ => {
+                self.return_permit(from.address, permit);
+                if let Some(active) = waiting.and_then(|id| self.active_requests.get_mut(&id)) {
+                    // With the next tick, not at once: an admission controller that does not know
+                    // of a draining origin yet would grant it again and again.
+                    active.exchange.resend_at = now;
+                }
+            }
+        }
+    }
+
+    fn awaits_permit(&self, now: Duration, id: u64, service: &str) -> bool {
+        let active = &self.active_requests[&id];
+        matches!(active.stage, Stage::AwaitingPermit)
+            && active.request.service == service
+            && now < active.deadline
+    }
+
+    /// Whether a call may be sent under this permit now.
+    fn is_usable(&self, now: Duration, permit: &Permit) -> bool {
+        let age = now.saturating_sub(permit.sent).saturating_sub(permit.held);
+        let is_listed = self
             .origins
             .iter()
             .any(|origin| *origin == permit.origin && !origin.draining);
-        let asker = self.complete_exchange(permit.id).filter(|id| {
-            let active = &self.active_requests[id];
-            matches!(active.stage, Stage::AwaitingPermit)
-                && active.request.service == permit.service
-                && now < active.deadline
-        });
-        let Some(id) = asker.filter(|_| fresh && live && listed) else {
-            let (service, epoch, serial) = (permit.service, permit.epoch, permit.serial);
-            self.send(
-                from.address,
-                CallDone {
-                    service,
-                    epoch,
-                    serial,
-                    result: CallResult::Unused,
-                    took: Duration::ZERO,
-                },
-            );
-            if let Some(active) = asker.and_then(|id| self.active_requests.get_mut(&id)) {
-                // With the next tick, not at once: an admission controller that has not heard
-                // of a leaving origin yet would give it again and again.
-                active.exchange.resend_at = now;
-            }
-            return;
+        age < lease::PERMIT_VALIDITY && self.is_live(now) && is_listed
+    }
+
+    fn return_permit(&mut self, controller: SocketAddr, permit: Permit) {
+        let unused = CallDone {
+            service: permit.service,
+            epoch: permit.epoch,
+            serial: permit.serial,
+            result: CallResult::Unused,
+            took: Duration::ZERO,
         };
-        self.send_call(now, id, permit);
+        self.send(controller, unused);
     }
 
-    /// The request's call leaves, under an id of its own.
-    pub(super) fn send_call(&mut self, now: Duration, id: u64, permit: Permit) {
-        let question = self.start_exchange(now, id);
-        let ending = self.shutdown_requested_at.is_some();
+    /// Sends the request's call, under an id of its own.
+    fn send_call(&mut self, now: Duration, id: u64, permit: Permit) {
+        let exchange = self.start_exchange(now, id);
+        let is_shutting_down = self.shutdown_requested_at.is_some();
         let purpose = self
             .active_requests
             .get(&id)
@@ -51,9 +61,8 @@
             return;
         };
         let mut call = active.call(now, id, permit.origin.clone(), permit.takes, purpose);
-        if ending {
-            // An origin at work is not given up any more: another one may not
-            // be reached in time.
+        if is_shutting_down {
+            // No retry follows: another origin may not be reached in time.
             call.timeout = active.remaining(now);
         }
         active.attempts.count += 1;
@@ -61,11 +70,11 @@
         self.usage.calls += 1;
         self.usage.retries += u64::from(active.attempts.count > 1);
         active.stage = Stage::Calling { permit, since: now };
-        self.outputs.push(Output::Call { id: question, call });
+        self.outputs.push(Output::Call { id: exchange, call });
     }
 
-    /// Calls under way are given all the time that is left: after a warning no
-    /// origin at work is given up.
+    /// Gives calls in flight all the time that is left: after a shutdown request
+    /// none is retried.
     pub(super) fn extend_call_timeouts(&mut self, now: Duration) {
         let calls = self
             .active_requests
@@ -80,14 +89,13 @@
         self.outputs.extend(calls);
     }
 
-    pub(super) fn handle_permit_queued(&mut self, now: Duration, question: u64) {
-        let asker = self.request_awaiting(question);
-        if let Some(active) = asker.and_then(|id| self.active_requests.get_mut(&id)) {
-            active.exchange.last_contact = now;
-        }
+    /// The admission controller confirms that the request is queued.
+    pub(super) fn handle_permit_queued(&mut self, now: Duration, exchange: u64) {
+        self.record_contact(now, exchange);
     }
 
-    /// Calls without a permit, within our own share, where the admission controller is silent.
+    /// Sends a first call without a permit, within the fallback quota, where the admission
+    /// controller does not respond.
     pub(super) fn call_without_permit(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get(&id).filter(|active| {
             active.attempts.count == 0
@@ -99,33 +107,31 @@
         if !self.is_live(now) {
             return;
         }
-        let service = active.request.service.clone();
-        let under = |address: SocketAddr| {
-            let there = |active: &&ActiveRequest| matches!(&active.stage, Stage::Calling { permit, .. } if permit.origin.address == address);
-            self.active_requests.values().filter(there).count()
+        let Some(edges) = self.edge_registry().map(|registry| registry.members.len()) else {
+            return;
         };
-        let edges = match self.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get("roll") {
-            Some(Row {
-                value: Value::EdgeRegistry { members, .. },
-                ..
-            }) => members.len(),
-            _ => return,
+        let service = active.request.service.clone();
+        let in_flight = |origin: SocketAddr| {
+            self.active_requests
+                .values()
+                .filter(|active| active.is_calling(origin))
+                .count()
         };
-        let share = self.fallback_quotas.entry(service.clone()).or_default();
-        let Some(origin) = share.pick(
+        let quota = self.fallback_quotas.entry(service.clone()).or_default();
+        let Some(origin) = quota.pick(
             now,
             active.request.group(),
             &self.origins,
             &self.locality,
             edges,
-            &under,
+            &in_flight,
         ) else {
             return;
         };
         let permit = Permit {
             id,
             service,
-            epoch: 0,
+            epoch: FALLBACK_EPOCH,
             serial: 0,
             origin,
             sent: now,
@@ -135,19 +141,18 @@
         self.send_call(now, id, permit);
     }
 
-    pub(super) fn handle_permit_refused(&mut self, now: Duration, away: PermitRefused) {
-        let Some(id) = self.complete_exchange(away.id) else {
+    /// An admission controller refuses a permit.
+    pub(super) fn handle_permit_refused(&mut self, now: Duration, refused: PermitRefused) {
+        let Some(id) = self.complete_exchange(refused.id) else {
             return;
         };
         let active = &self.active_requests[&id];
         if !matches!(active.stage, Stage::AwaitingPermit) {
             return;
         }
-        if away.reason == PermitRefusalReason::NotOwner {
-            // Between two holders.
-            return self.call_without_permit(now, id);
-        }
-        let rejection = match away.reason {
+        let rejection = match refused.reason {
+            // The assignment is being moved.
+            PermitRefusalReason::NotOwner => return self.call_without_permit(now, id),
             PermitRefusalReason::Overloaded => active.reject(
                 429,
                 "over_capacity",
@@ -158,26 +163,27 @@
                 "no_more_tries",
                 "the call failed and the budget for further tries is spent",
             ),
-            _ => active.reject(
+            PermitRefusalReason::NoHealthyOrigin => active.reject(
                 503,
                 "no_origin",
                 "no origin of the service can be called now",
             ),
         };
-        self.fail_request(now, id, rejection.with_retry_after(away.back));
+        self.fail_request(now, id, rejection.with_retry_after(refused.back));
     }
 
-    pub(super) fn handle_call_completed(&mut self, now: Duration, id: u64, result: CallOutcome) {
+    /// A call or a probe has ended.
+    pub(super) fn handle_call_completed(&mut self, now: Duration, id: u64, outcome: CallOutcome) {
         if self.probes_in_flight.contains_key(&id) {
-            return self.handle_probe_result(now, id, result);
+            return self.handle_probe_result(now, id, outcome);
         }
         if let Some(id) = self.request_awaiting(id) {
-            self.complete_call(now, id, result);
+            self.complete_call(now, id, outcome);
         }
     }
 
-    /// The call that a job waits for has ended.
-    pub(super) fn complete_call(&mut self, now: Duration, id: u64, result: CallOutcome) {
+    /// The call that a request waits for has ended.
+    pub(super) fn complete_call(&mut self, now: Duration, id: u64, outcome: CallOutcome) {
         let Some(ActiveRequest {
             stage: Stage::Calling { permit, since },
             ..
@@ -186,77 +192,34 @@
             return;
         };
         let (permit, took) = (permit.clone(), now - *since);
-        let judged = !matches!(result, CallOutcome::Success(_) | CallOutcome::NotSent);
-        if permit.epoch == 0 && judged {
+        let origin = permit.origin.address;
+        let has_failed = !matches!(outcome, CallOutcome::Success(_) | CallOutcome::NotSent);
+        if permit.epoch == FALLBACK_EPOCH && has_failed {
             self.fallback_quotas
                 .entry(permit.service.clone())
                 .or_default()
-                .call_failed(now, permit.origin.address);
+                .call_failed(now, origin);
         }
-        let told = match &result {
-            CallOutcome::Success(_) => CallResult::Success,
-            CallOutcome::NotSent => CallResult::Unused,
-            CallOutcome::Unreachable => CallResult::Unreachable,
-            CallOutcome::NotExecuted => CallResult::NotExecuted,
-            CallOutcome::WrongInstance => CallResult::WrongInstance,
-            CallOutcome::Failure(_) => CallResult::Failure,
-        };
-        self.report_call_done(&permit, told, took);
-        match result {
+        self.report_call_done(&permit, call_result(&outcome), took);
+        match outcome {
             CallOutcome::Success(reply) if reply.status >= 500 && self.may_retry(now, id) => {
-                let active = self.active_requests.get_mut(&id).expect("just seen");
-                active.attempts.may_have_run = true;
-                active.attempts.failed_origins.push(permit.origin.address);
-                active.attempts.origin_failure = Some(reply);
-                self.enter_stage(now, id, Stage::AwaitingPermit);
+                self.retry_after_error_response(now, id, origin, reply)
             }
             CallOutcome::Success(reply) => self.handle_success(now, id, reply),
-            CallOutcome::NotSent => {
-                let active = self.active_requests.get_mut(&id).expect("just seen");
-                active.attempts.sent = active.attempts.may_have_run;
-                // It was no try.
-                active.attempts.count -= 1;
-                let why = "the call was withheld";
-                self.retry_or_fail(now, id, true, 503, "no_origin", why);
-            }
+            CallOutcome::NotSent => self.retry_unsent(now, id),
             CallOutcome::Unreachable | CallOutcome::NotExecuted | CallOutcome::WrongInstance => {
-                let active = self.active_requests.get_mut(&id).expect("just seen");
-                // It did not run this time; an earlier call may have.
-                active.attempts.sent = active.attempts.may_have_run;
-                active.attempts.failed_origins.push(permit.origin.address);
-                self.retry_or_fail(
-                    now,
-                    id,
-                    true,
-                    503,
-                    "no_origin",
-                    "the origin did not take it",
-                );
+                self.retry_unexecuted(now, id, origin)
             }
-            CallOutcome::Failure(why) => {
-                self.log_event(
-                    Event::ResponseRejected,
-                    format!("{}: {why}", permit.origin.address),
-                );
-                let active = self.active_requests.get_mut(&id).expect("just seen");
-                active.attempts.may_have_run = true;
-                active.attempts.failed_origins.push(permit.origin.address);
-                let again = active.is_idempotent();
-                self.retry_or_fail(
-                    now,
-                    id,
-                    again,
-                    502,
-                    "bad_origin_answer",
-                    "no acceptable answer came from the origin",
-                );
+            CallOutcome::Failure(reason) => {
+                self.log_event(Event::ResponseRejected, format!("{origin}: {reason}"));
+                self.retry_failed(now, id, origin)
             }
         }
     }
 
-    /// The admission controller hears how a call by its permit has ended.
+    /// Reports to the admission controller how a call under its permit has ended.
     pub(super) fn report_call_done(&mut self, permit: &Permit, result: CallResult, took: Duration) {
-        if let Some(holder) = self.assignment_owner(&admission_assignment(&permit.service)) {
+        if let Some(controller) = self.assignment_owner(&admission_assignment(&permit.service)) {
             let done = CallDone {
                 service: permit.service.clone(),
                 epoch: permit.epoch,
@@ -264,49 +227,82 @@
                 result,
                 took,
             };
-            self.send(holder, done);
+            self.send(controller, done);
         }
     }
 
-    /// Whether another origin may be asked after one ran it and failed.
-    pub(super) fn may_retry(&self, now: Duration, id: u64) -> bool {
+    /// Whether another origin may be called after one executed it and failed.
+    fn may_retry(&self, now: Duration, id: u64) -> bool {
         let active = &self.active_requests[&id];
         active.is_idempotent() && active.may_attempt(now)
     }
 
-    pub(super) fn retry_or_fail(
+    fn retry_after_error_response(
         &mut self,
         now: Duration,
         id: u64,
-        may: bool,
-        status: u16,
-        code: &str,
-        text: &str,
+        origin: SocketAddr,
+        reply: Reply,
     ) {
-        let active = &self.active_requests[&id];
-        let rejection = active.reject(status, code, text);
-        if may && active.may_attempt(now) {
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        active.attempts.may_have_run = true;
+        active.attempts.failed_origins.push(origin);
+        active.attempts.origin_failure = Some(reply);
+        self.enter_stage(now, id, Stage::AwaitingPermit);
+    }
+
+    /// The call was not sent: it does not count as an attempt.
+    fn retry_unsent(&mut self, now: Duration, id: u64) {
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        active.attempts.sent = active.attempts.may_have_run;
+        active.attempts.count -= 1;
+        let rejection = active.reject(503, "no_origin", "the call was withheld");
+        self.retry_or_fail(now, id, rejection);
+    }
+
+    /// The call was not executed; an earlier one may have been.
+    fn retry_unexecuted(&mut self, now: Duration, id: u64, origin: SocketAddr) {
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        active.attempts.sent = active.attempts.may_have_run;
+        active.attempts.failed_origins.push(origin);
+        let rejection = active.reject(503, "no_origin", "the origin did not take it");
+        self.retry_or_fail(now, id, rejection);
+    }
+
+    /// The call may have been executed.
+    fn retry_failed(&mut self, now: Duration, id: u64, origin: SocketAddr) {
+        let active = self.active_requests.get_mut(&id).expect("just found");
+        active.attempts.may_have_run = true;
+        active.attempts.failed_origins.push(origin);
+        let rejection = active.reject(
+            502,
+            "bad_origin_answer",
+            "no acceptable answer came from the origin",
+        );
+        if active.is_idempotent() {
+            self.retry_or_fail(now, id, rejection);
+        } else {
+            self.fail_request(now, id, rejection);
+        }
+    }
+
+    fn retry_or_fail(&mut self, now: Duration, id: u64, rejection: Rejection) {
+        if self.active_requests[&id].may_attempt(now) {
             self.enter_stage(now, id, Stage::AwaitingPermit);
         } else {
             self.fail_request(now, id, rejection);
         }
     }
 
-    pub(super) fn handle_success(&mut self, now: Duration, id: u64, reply: Reply) {
-        let active = self.active_requests.get_mut(&id).expect("just seen");
+    /// The origin's response is passed on, after it was recorded or stored.
+    fn handle_success(&mut self, now: Duration, id: u64, reply: Reply) {
+        let active = &self.active_requests[&id];
         if active.claim.is_some() {
-            let answer = ClientResponse::Reply {
-                reply: reply.clone(),
-                age: None,
+            let stage = Stage::Recording {
+                reply: Some(Arc::new(reply.clone())),
+                response: ClientResponse::Reply { reply, age: None },
             };
-            return self.enter_stage(
-                now,
-                id,
-                Stage::Recording {
-                    reply: Some(Arc::new(reply)),
-                    response: answer,
-                },
-            );
+            return self.enter_stage(now, id, stage);
         }
         match active.cache.key {
             Some(key) => self.handle_fetched(now, id, key, reply),
@@ -314,3 +310,15 @@
         }
     }
 }
+
+/// What the admission controller is told of a call's outcome.
+fn call_result(outcome: &CallOutcome) -> CallResult {
+    match outcome {
+        CallOutcome::Success(_) => CallResult::Success,
+        CallOutcome::NotSent => CallResult::Unused,
+        CallOutcome::Unreachable => CallResult::Unreachable,
+        CallOutcome::NotExecuted => CallResult::NotExecuted,
+        CallOutcome::WrongInstance => CallResult::WrongInstance,
+        CallOutcome::Failure(_) => CallResult::Failure,
+    }
+}
--- /dev/null
+++ b/data-plane/src/edge_node/deadlines.rs
@@ -0,0 +1,110 @@
+//! Requests whose deadline has passed, or whose edge is about to exit.
+use super::{EdgeNode, RECORDING_GRACE};
+use crate::prelude::*;
+
+const NO_LEDGER_TEXT: &str = "the ledger could not be reached";
+
+impl EdgeNode {
+    /// The request's deadline has passed, or the edge is about to exit.
+    pub(super) fn handle_deadline(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get(&id) else {
+            return;
+        };
+        let is_grace_over = now >= active.deadline + RECORDING_GRACE;
+        match &active.stage {
+            Stage::AwaitingClaim => self.abandon_claim(now, id),
+            Stage::AwaitingCachedResponse {
+                accepts_any_age: true,
+                ..
+            } => self.finish_failed_fallback(now, id),
+            Stage::AwaitingCachedResponse { .. } | Stage::Following => {
+                let rejection = active.reject(503, "no_copy", "no copy came in time");
+                self.finish_rejected(now, id, rejection);
+            }
+            Stage::AwaitingPermit => self.abandon_permit(now, id),
+            Stage::Calling { .. } if is_grace_over => {
+                let outcome = CallOutcome::Failure("no answer in time".into());
+                self.complete_call(now, id, outcome);
+            }
+            Stage::Recording { .. } if is_grace_over => {
+                let rejection = Rejection::unknown(
+                    503,
+                    "outcome_unrecorded",
+                    "the outcome could not be recorded in time",
+                );
+                self.finish_unrecorded(now, id, rejection);
+            }
+            Stage::Releasing { .. } if is_grace_over => {
+                let rejection = Rejection::unknown(503, "no_ledger", NO_LEDGER_TEXT);
+                self.finish_unrecorded(now, id, rejection);
+            }
+            _ => {}
+        }
+    }
+
+    /// The claim may be held by now: it is released later.
+    fn abandon_claim(&mut self, now: Duration, id: u64) {
+        let active = &self.active_requests[&id];
+        let change = Change::Release(active.claim.clone().expect("keyed"));
+        let rejection = if active.exchange.sends > 1 {
+            Rejection::unknown(
+                409,
+                "in_progress",
+                "this operation is being run, or its ledger cannot be reached; ask again",
+            )
+        } else {
+            Rejection::unknown(503, "no_ledger", NO_LEDGER_TEXT).with_nothing_sent()
+        };
+        self.send_until_confirmed(now, change);
+        self.finish_rejected(now, id, rejection);
+    }
+
+    fn abandon_permit(&mut self, now: Duration, id: u64) {
+        let active = &self.active_requests[&id];
+        let rejection = active.reject(
+            429,
+            "over_capacity",
+            "the service could not be called in time",
+        );
+        let is_refresher = active.cache.fill_grant.is_some();
+        self.fail_request(now, id, rejection);
+        if is_refresher {
+            // No time is left to get a cached response.
+            self.finish_failed_fallback(now, id);
+        }
+    }
+
+    /// The ledger is told later.
+    fn finish_unrecorded(&mut self, now: Duration, id: u64, rejection: Rejection) {
+        let change = self.active_requests[&id].ledger_change();
+        self.send_until_confirmed(now, change.expect("it is being recorded"));
+        self.finish_rejected(now, id, rejection);
+    }
+
+    /// Whether the process exits so soon that unsent requests are rejected: the
+    /// second half of the grace time is for calls in flight and for responses to
+    /// be written.
+    pub(super) fn is_rejecting_unsent(&self, now: Duration) -> bool {
+        self.shutdown_requested_at
+            .is_some_and(|since| now >= since + self.shutdown_grace / 2)
+    }
+
+    /// Every request gets a response before the process exits: those that still
+    /// wait are rejected in time. Calls in flight go on.
+    pub(super) fn reject_waiting_before_exit(&mut self, now: Duration) {
+        if !self.is_rejecting_unsent(now) {
+            return;
+        }
+        let waiting: Vec<u64> = self
+            .active_requests
+            .iter()
+            .filter(|(_, active)| active.stage.is_waiting())
+            .map(|(id, _)| *id)
+            .collect();
+        for id in waiting {
+            if self.active_requests.contains_key(&id) {
+                self.handle_deadline(now, id);
+            }
+        }
+    }
+}
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -1,26 +1,23 @@
-//! Requests whose callers have left before their answer.
+//! Requests whose clients have disconnected before their response.
 //!
-//! What was not sent for such a request is not sent any more, and a call that
-//! may be repeated is broken off, unless others gain by it: requests that wait
-//! for the same copy, or the cache owner that made this one its refresher. An
-//! operation that may have run goes on until its outcome is recorded.
+//! No further message or call is sent for such a request, and a call that may be
+//! retried is cancelled, unless others gain by it: requests that wait for the
+//! same response, or the cache owner that made this one its refresher. An
+//! operation that may have been executed goes on until its outcome is recorded.
 use super::{EdgeNode, LOCAL_ID_BIT};
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// The close of the caller's connection was read.
+    /// The close of the client's connection was read.
     pub(super) fn handle_client_disconnect(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
         active.client_disconnected = true;
-        let text = format!(
-            "request {id} {} {}",
-            active.request.service,
-            active.stage.name()
-        );
+        let service = &active.request.service;
+        let text = format!("request {id} {service} {}", active.stage.name());
         self.usage.client_disconnects += 1;
-        self.abandoned_work.caller_left(now, id);
+        self.abandoned_work.client_disconnected(now, id);
         self.log_event(Event::ClientDisconnected, text);
         self.stop_if_abandoned(now, id);
     }
@@ -34,12 +31,12 @@
         else {
             return false;
         };
-        let followed =
+        let is_followed =
             |key: CacheKey| self.coalescer.leads(&key, id) && self.coalescer.has_followers(&key);
-        active.cache.fill_token.is_none() && !active.cache.key.is_some_and(followed)
+        active.cache.fill_grant.is_none() && !active.cache.key.is_some_and(is_followed)
     }
 
-    /// Ends what the request waits for, if that is for nobody.
+    /// Ends what the request waits for, if nobody gains by it.
     pub(super) fn stop_if_abandoned(&mut self, now: Duration, id: u64) {
         if !self.is_abandoned(id) {
             return;
@@ -58,15 +55,15 @@
                     self.finish_abandoned(now, id);
                 }
             }
-            // A claim that is under way is released once it is known to be held.
+            // A claim in flight is released once it is known to be held.
             Stage::AwaitingClaim => {}
-            // The ledger must hear how it ended.
+            // The ledger must be told the outcome.
             Stage::Recording { .. } | Stage::Releasing { .. } => {}
         }
     }
 
-    /// Ends a request that nobody waits for; a claim is given back first. The
-    /// answer is for a caller that only shut its writing side.
+    /// Ends a request that nobody waits for; a claim is released first. The
+    /// response is for a client that only shut down its writing side.
     pub(super) fn finish_abandoned(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
         let rejection = active.reject(
@@ -77,29 +74,29 @@
         if active.claim.is_some() {
             self.fail_request(now, id, rejection);
         } else {
-            self.finish(now, id, ClientResponse::Rejection(rejection));
+            self.finish_rejected(now, id, rejection);
         }
     }
 
-    /// Takes back the question to the admission controller or cache owner that has not answered
-    /// yet.
+    /// Withdraws the request's message from an admission controller or cache owner that has not
+    /// responded yet.
     pub(super) fn withdraw_exchange(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        let asked_of = active.exchange.peer.take();
         // After the deadline it does not count there any more.
-        let Some(holder) = asked_of.filter(|_| now < active.deadline) else {
+        let peer = active.exchange.peer.take();
+        let Some(peer) = peer.filter(|_| now < active.deadline) else {
             return;
         };
         let id = active.exchange.id;
         match (&active.stage, active.cache.key) {
             (Stage::AwaitingPermit, _) => {
                 let service = active.request.service.clone();
-                self.send(holder, PermitWithdrawn { service, id });
+                self.send(peer, PermitWithdrawn { service, id });
             }
             (Stage::AwaitingCachedResponse { .. }, Some(key)) => {
-                self.send(holder, CacheGetWithdrawn { key, id })
+                self.send(peer, CacheGetWithdrawn { key, id })
             }
             _ => {}
         }
@@ -109,7 +106,7 @@
     pub(super) fn call_purpose(&self, active: &ActiveRequest) -> CallPurpose {
         match active.cache.key {
             Some(key)
-                if active.cache.fill_token.is_some() || self.coalescer.has_followers(&key) =>
+                if active.cache.fill_grant.is_some() || self.coalescer.has_followers(&key) =>
             {
                 CallPurpose::SharedCopy
             }
@@ -119,31 +116,30 @@
         }
     }
 
-    /// Shows the calls that leave and end with this step to the check of abandoned
-    /// work.
+    /// Shows the check of abandoned work the calls that start and end with this step.
     pub(super) fn observe_calls(&mut self, now: Duration) {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for output in &self.outputs {
             match output {
                 Output::Call { id, call } if call.request & LOCAL_ID_BIT == 0 => {
                     let (request, purpose) = (call.request, call.purpose);
-                    let violation = self.abandoned_work.call_begun(now, *id, request, purpose);
-                    found.extend(violation);
+                    let violation = self.abandoned_work.call_started(now, *id, request, purpose);
+                    violations.extend(violation);
                 }
                 Output::CancelCall { id } => self.abandoned_work.call_ended(*id),
                 _ => {}
             }
         }
-        self.report_abandoned_work(found);
+        self.report_abandoned_work(violations);
     }
 
     /// Looks for calls that go on for too long for nobody.
     pub(super) fn check_abandoned_work(&mut self, now: Duration) {
         let active_requests = &self.active_requests;
-        let found = self
+        let violations = self
             .abandoned_work
             .overdue(now, &|request| active_requests.contains_key(&request));
-        self.report_abandoned_work(found);
+        self.report_abandoned_work(violations);
     }
 
     fn report_abandoned_work(&mut self, violations: Vec<AbandonedWorkViolation>) {
@@ -156,7 +152,7 @@
                 since,
             } = violation;
             let text = format!(
-                "request {request} {purpose:?} call {kind:?} {} ms after its caller left",
+                "request {request} {purpose:?} call {kind:?} {} ms after its client disconnected",
                 since.as_millis(),
             );
             self.log_event(Event::AbandonedWork, text);
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -2,137 +2,145 @@
 mod assignments;
 mod cached;
 mod calls;
+mod deadlines;
 mod departures;
-mod operations;
+mod handover;
+mod ledger_changes;
+mod probes;
 mod renewal;
 mod requests;
+mod stage_messages;
+mod updates;
 
 use crate::prelude::*;
+use handover::PendingHandover;
+use ledger_changes::{CompletedOperation, UnconfirmedChange};
 
 /// An edge node without its I/O. Invariants:
-/// - `vector` holds, for each updates partition, the version that was applied whole;
-///   it never goes down in a life.
-/// - Assignments are exercised only while live and only under the epoch the updates
-///   granted to this very life.
-/// - A call leaves only while live, under a permit younger than
-///   `lease::PERMIT_VALIDITY`, to an origin that is listed and not leaving.
+/// - `version_vector` holds, for each partition of the published state, the
+///   version that was applied completely; it never decreases within a generation.
+/// - Assignments are exercised only while live and only under the epoch that the
+///   updates granted to this very incarnation.
+/// - A call is sent only while live, under a permit younger than
+///   `lease::PERMIT_VALIDITY`, to an origin that is listed and not draining.
 pub struct EdgeNode {
     local_peer: Peer,
     locality: Locality,
-    /// Who is renewed with: those who hold the slots, as far as that is known.
+    /// The control nodes that hold the slots, as far as it is known.
     control_nodes: Vec<SocketAddr>,
-    /// How many slots there are; 0 before that is known.
+    /// How many control slots there are; 0 before that is known.
     control_slots: usize,
-    /// The generation the updates is of; 0 before the first.
+
+    /// The generation of the replicated state; 0 before the first update.
     generation: u64,
+    generation_entered_at: Duration,
     version_vector: Vec<u64>,
-    /// The last mark of each control node, to be given back.
+    /// The last token of each control node, sent with the next renewal.
     renewal_tokens: HashMap<SocketAddr, RenewalToken>,
-    /// Every row shown to us, to tell it back if the control plane lost it.
-    known_rows: Vec<BTreeMap<String, Row>>,
-    /// Own operations that ended lately, for the same reason.
-    completed_operations: VecDeque<(Duration, Claim, Option<Arc<Reply>>)>,
-    recall_requested: bool,
-    /// When the generation was entered.
-    generation_entered_at: Duration,
     leases: Leases,
     link_delay_estimator: LinkDelayEstimator,
     next_renewal: Duration,
     live: bool,
+
+    /// Every row that was received, by partition, in case the control plane loses it.
+    known_rows: Vec<BTreeMap<String, Row>>,
+    completed_operations: VecDeque<CompletedOperation>,
+    recall_requested: bool,
+
     routes: Option<Arc<RouteTable>>,
-    /// The parts of the configuration the table was made of.
+    /// The configuration items that the routes were built of.
     configuration_items: Items,
     origins: Arc<Vec<Origin>>,
     assignments: HashMap<String, Assignment>,
     purge_log: PurgeLog,
+
     cache_owner: CacheOwner,
-    /// Copies served here lately, whoever owns them.
     near_cache: NearCache,
     coalescer: Coalescer,
-    /// Cache partitions held here, with the epoch they were granted under.
+    /// Cache partitions owned here, with the epoch they were granted under.
     owned_partitions: BTreeMap<u16, u64>,
-    /// Partitions just taken whose copies the last holder may have: asked so often.
-    pending_handovers: BTreeMap<u16, (SocketAddr, u32)>,
+    pending_handovers: BTreeMap<u16, PendingHandover>,
     admission_controllers: BTreeMap<String, AdmissionController>,
+    /// Retries of a service in ten seconds beside a fifth of the first attempts.
     retry_allowance: usize,
-    /// From a warning to the end of the process at the latest.
-    shutdown_grace: Duration,
-    /// What is sent by ourselves while an admission controller says nothing.
     fallback_quotas: BTreeMap<String, FallbackQuota>,
+    probes_in_flight: HashMap<u64, Origin>,
+
     active_requests: BTreeMap<u64, ActiveRequest>,
-    /// Which job waits for the answer to a question or call, by its own id.
+    /// Which request waits for the response to a message or call, by its own id.
     exchanges: HashMap<u64, u64>,
-    /// Endings of claims that the ledger has not confirmed yet.
-    unconfirmed_changes: BTreeMap<u64, Loose>,
-    probes_in_flight: HashMap<u64, Origin>,
-    /// The number of the last id drawn here.
+    /// Changes that no request waits for any more.
+    unconfirmed_changes: BTreeMap<u64, UnconfirmedChange>,
+    /// The last id that was drawn here.
     last_id: u64,
+
     usage: Usage,
     abandoned_work: AbandonedWork,
+    /// From a shutdown request to the end of the process at the latest.
+    shutdown_grace: Duration,
     shutdown_requested_at: Option<Duration>,
+    /// The sessions were closed for shutdown.
     departed: bool,
     outputs: Vec<Output>,
 }
 
-struct Loose {
-    change: Change,
-    again: Duration,
-    round: usize,
-}
-
+/// When a message without a response is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// A request whose deadline passed gets this much more to tell the ledger.
+/// A request whose deadline has passed gets this much more to tell the ledger.
 const RECORDING_GRACE: Duration = Duration::from_secs(1);
-/// A warned edge waits this long for its assignments to be taken.
+/// An edge that shuts down waits this long for its assignments to be taken over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Errands of one service pending at one edge at most.
+/// The limit of requests of one service pending at one edge.
 const MAX_PENDING_PER_SERVICE: usize = 256;
-/// Own ended operations remembered at most.
+/// The limit of completed operations that are remembered.
 const MAX_COMPLETED_OPERATIONS: usize = 10_000;
-/// How long after a purge was learned (so, before it was acknowledged) an
-/// answer that was under way may still go to the caller who waited for it.
+/// How long after a purge was applied (so, before it was acknowledged) a
+/// response in flight may still go to the client that waited for it.
 const PURGE_GRACE: Duration = Duration::from_secs(1);
-/// A last holder is asked so often for its copies, a tick apart.
-const MAX_HANDOVER_REQUESTS: u32 = 4;
-/// Near copies take this part of what owned copies may take, beside them.
+/// The near cache may use this part (one in so many) of the cache owner's memory, beside it.
 const NEAR_CACHE_DIVISOR: u64 = 2;
-/// Where nothing is said of it.
+/// The default of `with_shutdown_grace`.
 const DEFAULT_SHUTDOWN_GRACE: Duration = Duration::from_secs(20);
+/// The default of `with_retry_allowance`.
 const DEFAULT_RETRY_ALLOWANCE: usize = 3;
-/// An admission controller that says nothing for this long is done without.
+/// An admission controller that does not respond for this long is bypassed.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(250);
-const PROBE_PATH: &str = "/.well-known/otterslip-identity";
-const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Set in the ids drawn here; those of errands come from the host without it.
+/// Set in the ids drawn here; those of client requests come from the host without it.
 const LOCAL_ID_BIT: u64 = 1 << 63;
-/// An odd number that spreads lives over all ids.
+/// An odd number that spreads incarnations over all ids.
 const INCARNATION_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl EdgeNode {
-    /// The seeds hold the slots, unless it is `asked` who does.
+    /// An edge without leases. `control_nodes` hold the control slots, unless
+    /// the edge `discovers_control_nodes` through them. `cache_bytes`: the
+    /// memory of the cache owner.
     pub fn new(
-        me: Peer,
+        local_peer: Peer,
         locality: Locality,
-        seeds: Vec<SocketAddr>,
-        asked: bool,
+        control_nodes: Vec<SocketAddr>,
+        discovers_control_nodes: bool,
         cache_bytes: u64,
     ) -> EdgeNode {
         EdgeNode {
-            control_slots: if asked { 0 } else { seeds.len() },
-            local_peer: me,
+            control_slots: if discovers_control_nodes {
+                0
+            } else {
+                control_nodes.len()
+            },
+            local_peer,
             locality,
-            control_nodes: seeds,
+            control_nodes,
             generation: 0,
+            generation_entered_at: Duration::ZERO,
             version_vector: vec![0; PUBLISHED_PARTITIONS.into()],
             renewal_tokens: HashMap::new(),
-            known_rows: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
-            completed_operations: VecDeque::new(),
-            recall_requested: false,
-            generation_entered_at: Duration::ZERO,
             leases: Leases::default(),
             link_delay_estimator: LinkDelayEstimator::default(),
             next_renewal: Duration::ZERO,
             live: false,
+            known_rows: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
+            completed_operations: VecDeque::new(),
+            recall_requested: false,
             routes: None,
             configuration_items: Items::default(),
             origins: Arc::default(),
@@ -145,72 +153,80 @@
             pending_handovers: BTreeMap::new(),
             admission_controllers: BTreeMap::new(),
             retry_allowance: DEFAULT_RETRY_ALLOWANCE,
-            shutdown_grace: DEFAULT_SHUTDOWN_GRACE,
             fallback_quotas: BTreeMap::new(),
+            probes_in_flight: HashMap::new(),
             active_requests: BTreeMap::new(),
             exchanges: HashMap::new(),
             unconfirmed_changes: BTreeMap::new(),
-            probes_in_flight: HashMap::new(),
-            // Not where another life at this address began: answers to its
-            // questions may still be on their way.
-            last_id: me.incarnation.wrapping_mul(INCARNATION_SPREAD),
+            // Not where another incarnation at this address started: responses
+            // to its messages may still be in flight.
+            last_id: local_peer.incarnation.wrapping_mul(INCARNATION_SPREAD),
             usage: Usage::default(),
             abandoned_work: AbandonedWork::default(),
+            shutdown_grace: DEFAULT_SHUTDOWN_GRACE,
             shutdown_requested_at: None,
             departed: false,
             outputs: Vec::new(),
         }
     }
 
-    /// Extra tries a service may get in ten seconds beside a fifth of the
-    /// first ones.
-    pub fn with_extra_tries(self, most: Option<u32>) -> EdgeNode {
+    /// Sets the retries that a service may get in ten seconds beside a fifth of
+    /// the first attempts.
+    pub fn with_retry_allowance(self, retries: Option<u32>) -> EdgeNode {
         EdgeNode {
-            retry_allowance: most.map_or(DEFAULT_RETRY_ALLOWANCE, |most| most as usize),
+            retry_allowance: retries.map_or(DEFAULT_RETRY_ALLOWANCE, |retries| retries as usize),
             ..self
         }
     }
 
-    /// How long the process goes on after a warning at most.
-    pub fn with_grace(self, grace: Duration) -> EdgeNode {
+    /// Sets how long the process goes on after a shutdown request at most.
+    pub fn with_shutdown_grace(self, grace: Duration) -> EdgeNode {
         EdgeNode {
             shutdown_grace: grace,
             ..self
         }
     }
 
-    /// An id for one question or call, unlike all before in this life.
+    /// An id for one message or call, different from all before in this incarnation.
     fn next_id(&mut self) -> u64 {
         self.last_id = self.last_id.wrapping_add(1);
         LOCAL_ID_BIT | self.last_id
     }
 
-    /// The job's next question or call: answers to earlier ones are no longer
-    /// taken for it.
+    /// Starts the request's next message exchange or call: responses to earlier
+    /// ones are no longer accepted for it.
     fn start_exchange(&mut self, now: Duration, id: u64) -> u64 {
         self.withdraw_exchange(now, id);
-        let question = self.next_id();
+        let exchange = self.next_id();
         if let Some(active) = self.active_requests.get_mut(&id) {
             self.exchanges.remove(&active.exchange.id);
-            self.exchanges.insert(question, id);
-            active.exchange.id = question;
+            self.exchanges.insert(exchange, id);
+            active.exchange.id = exchange;
         }
-        question
+        exchange
     }
 
-    /// The job that this answer of an admission controller or cache owner is for, which is asked
-    /// no more.
-    fn complete_exchange(&mut self, question: u64) -> Option<u64> {
-        let id = self.request_awaiting(question)?;
+    /// The request that this response of an admission controller or cache owner
+    /// is for; nothing is to be withdrawn there any more.
+    fn complete_exchange(&mut self, exchange: u64) -> Option<u64> {
+        let id = self.request_awaiting(exchange)?;
         if let Some(active) = self.active_requests.get_mut(&id) {
             active.exchange.peer = None;
         }
         Some(id)
     }
 
-    /// The job that waits for the answer to this question or call.
-    fn request_awaiting(&self, question: u64) -> Option<u64> {
-        self.exchanges.get(&question).copied()
+    /// The request that waits for the response to this message or call.
+    fn request_awaiting(&self, exchange: u64) -> Option<u64> {
+        self.exchanges.get(&exchange).copied()
+    }
+
+    /// The peer of this exchange has confirmed that the request waits there.
+    fn record_contact(&mut self, now: Duration, exchange: u64) {
+        let waiting = self.request_awaiting(exchange);
+        if let Some(active) = waiting.and_then(|id| self.active_requests.get_mut(&id)) {
+            active.exchange.last_contact = now;
+        }
     }
 
     fn log_event(&mut self, event: Event, text: String) {
@@ -231,94 +247,107 @@
         self.update_liveness(now);
         self.request_handovers(now);
         if self.is_live(now) {
-            let epochs = &self.owned_partitions;
-            self.cache_owner.tick(
-                now,
-                &|partition| epochs.get(&partition).copied().unwrap_or(0),
-                self.purge_log.applied,
-            );
+            self.tick_cache_owner(now);
             self.run_admission_controllers(now);
         }
+        self.tick_requests(now);
+        self.replace_stalled_leaders(now);
+        self.reject_waiting_before_exit(now);
+        self.resend_unconfirmed_changes(now);
+        self.check_abandoned_work(now);
+        self.finish_shutdown(now);
+    }
+
+    fn tick_cache_owner(&mut self, now: Duration) {
+        let epochs = &self.owned_partitions;
+        self.cache_owner.tick(
+            now,
+            &|partition| epochs.get(&partition).copied().unwrap_or(0),
+            self.purge_log.applied,
+        );
+    }
+
+    /// Sends the messages that are due again, then ends overdue requests.
+    fn tick_requests(&mut self, now: Duration) {
         let mut overdue = Vec::new();
-        let mut again = Vec::new();
+        let mut to_resend = Vec::new();
         for (id, active) in &self.active_requests {
             if now >= active.deadline {
                 overdue.push(*id);
             } else if now >= active.exchange.resend_at {
-                again.push(*id);
+                to_resend.push(*id);
             }
         }
-        again
-            .into_iter()
-            .for_each(|id| self.fall_back_or_resend(now, id));
-        overdue
-            .into_iter()
-            .for_each(|id| self.handle_deadline(now, id));
-        self.replace_stalled_leaders(now);
-        self.reject_waiting_before_exit(now);
-        let due: Vec<u64> = self
-            .unconfirmed_changes
-            .iter()
-            .filter(|(_, loose)| now >= loose.again)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in due {
-            let loose = self.unconfirmed_changes.get_mut(&id).expect("just listed");
-            loose.again = now + RESEND_INTERVAL;
-            loose.round += 1;
-            let (round, change) = (loose.round, loose.change.clone());
-            self.send_change(id, round, change);
+        for id in to_resend {
+            self.fall_back_or_resend(now, id);
+        }
+        for id in overdue {
+            self.handle_deadline(now, id);
         }
-        self.check_abandoned_work(now);
-        self.finish_shutdown(now);
     }
 
-    /// After a warning: assignments are taken by others, what was read is
-    /// answered, then the session is left.
+    /// After a shutdown request: assignments are taken over by others, active
+    /// requests are finished, then the sessions are closed.
     fn finish_shutdown(&mut self, now: Duration) {
         let Some(since) = self.shutdown_requested_at else {
             return;
         };
-        let idle = self.owned_partitions.is_empty()
+        let is_handed_over = self.owned_partitions.is_empty()
             && self.admission_controllers.is_empty()
             && !self.cache_owner.has_retained_partitions();
-        if !self.departed
-            && self.active_requests.is_empty()
-            && self.unconfirmed_changes.is_empty()
-            && (idle || now >= since + HANDOVER_TIMEOUT)
-        {
-            self.departed = true;
-            self.leases.clear();
-            for seed in self.control_nodes.clone() {
-                self.send(seed, SessionClose {});
-            }
-            self.update_liveness(now);
-            self.outputs.push(Output::ShutdownComplete);
+        let is_idle = self.active_requests.is_empty() && self.unconfirmed_changes.is_empty();
+        if self.departed || !is_idle || !(is_handed_over || now >= since + HANDOVER_TIMEOUT) {
+            return;
+        }
+        self.departed = true;
+        self.leases.clear();
+        for control_node in self.control_nodes.clone() {
+            self.send(control_node, SessionClose {});
         }
+        self.update_liveness(now);
+        self.outputs.push(Output::ShutdownComplete);
     }
 
     fn handle_message(&mut self, now: Duration, from: Peer, message: Message) {
         match message {
-            Message::RenewReply(renewed) => self.handle_renew_reply(now, from, renewed),
-            Message::UpdateNotice(nudge) => self.handle_update_notice(now, from, &nudge),
-            Message::RenewPrompt(who) => {
-                self.renewal_tokens.insert(from.address, who.renewal_token);
+            Message::RenewReply(reply) => self.handle_renew_reply(now, from, reply),
+            Message::UpdateNotice(notice) => self.handle_update_notice(now, from, &notice),
+            Message::RenewPrompt(prompt) => {
+                self.renewal_tokens
+                    .insert(from.address, prompt.renewal_token);
                 self.renew(now);
             }
-            Message::HandoverRequest(want) => self.handle_handover_request(now, from, want),
-            Message::HandoverReply(handed) => self.handle_handover_reply(now, handed),
+            Message::HandoverRequest(request) => self.handle_handover_request(now, from, request),
+            Message::HandoverReply(reply) => self.handle_handover_reply(now, reply),
             Message::RecallRequest(recall) => self.handle_recall_request(from, recall.partition),
-            Message::ChangeReply(told) => self.handle_change_reply(now, told),
+            Message::ChangeReply(reply) => self.handle_change_reply(now, reply),
             Message::CacheCopy(copy) => self.handle_cache_copy(now, copy),
             Message::CacheMiss(miss) => self.handle_cache_miss(now, from, miss),
             Message::CacheGetQueued(queued) => self.handle_get_queued(now, queued),
-            Message::CacheUnavailable(no_copy) => self.handle_cache_unavailable(now, no_copy),
+            Message::CacheUnavailable(unavailable) => {
+                self.handle_cache_unavailable(now, unavailable)
+            }
             Message::Permit(permit) => self.handle_permit(now, from, permit),
-            Message::PermitRefused(away) => self.handle_permit_refused(now, away),
-            Message::PermitQueued(line) => self.handle_permit_queued(now, line.id),
+            Message::PermitRefused(refused) => self.handle_permit_refused(now, refused),
+            Message::PermitQueued(queued) => self.handle_permit_queued(now, queued.id),
             other => self.handle_assignment_message(now, from, other),
         }
     }
+
+    fn handle_connection_changed(&mut self, now: Duration, address: SocketAddr, open: bool) {
+        for admission in self.admission_controllers.values_mut() {
+            admission.connection_changed(now, address, open);
+        }
+        // At once: the first requests wait for a proof.
+        self.run_admission_controllers(now);
+    }
+
+    fn handle_shutdown_request(&mut self, now: Duration) {
+        self.shutdown_requested_at.get_or_insert(now);
+        self.extend_call_timeouts(now);
+        self.update_liveness(now);
+        self.renew(now);
+    }
 }
 
 impl StateMachine for EdgeNode {
@@ -333,25 +362,13 @@
                 self.handle_call_completed(now, id, result);
             }
             Input::ConnectionChanged { address, open } => {
-                self.admission_controllers
-                    .values_mut()
-                    .for_each(|admission| admission.connection_changed(now, address, open));
-                // At once: a proof is on the path of the first errands.
-                self.run_admission_controllers(now);
-            }
-            Input::ShutdownRequested => {
-                self.shutdown_requested_at.get_or_insert(now);
-                self.extend_call_timeouts(now);
-                self.update_liveness(now);
-                self.renew(now);
-            }
-            Input::Operator { id, .. } => {
-                let answer = OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown);
-                self.outputs.push(Output::OperatorResponse {
-                    id,
-                    response: answer,
-                });
+                self.handle_connection_changed(now, address, open)
             }
+            Input::ShutdownRequested => self.handle_shutdown_request(now),
+            Input::Operator { id, .. } => self.outputs.push(Output::OperatorResponse {
+                id,
+                response: OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown),
+            }),
             Input::Stored { .. } | Input::StoreFailed => {}
         }
         self.flush_assignment_messages();
--- /dev/null
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -0,0 +1,146 @@
+//! The message that each stage of a request sends, and sends again.
+use super::{ADMISSION_TIMEOUT, EdgeNode, RESEND_INTERVAL};
+use crate::prelude::*;
+
+/// An owner that does not even confirm a repeated request for this long after
+/// it was sent is bypassed. Less than this is common on a full link, and each
+/// fetch without the owner displaces another request's.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The first request to the owner is repeated after this time, the next ones
+/// each after twice as long as the one before, up to `MAX_BACKOFF`.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_millis(1600);
+/// Doublings after which the backoff no longer grows.
+const MAX_DOUBLINGS: usize = 4;
+
+/// The time after which a request that was sent `sends` times is sent again.
+fn resend_backoff(sends: usize) -> Duration {
+    let doubled = INITIAL_BACKOFF * (1 << sends.saturating_sub(1).min(MAX_DOUBLINGS));
+    doubled.min(MAX_BACKOFF)
+}
+
+/// The time after which the message of a stage is due again.
+fn resend_interval(stage: &Stage, sends: usize) -> Duration {
+    match stage {
+        Stage::AwaitingCachedResponse { .. } if sends > 1 => OWNER_TIMEOUT,
+        Stage::AwaitingCachedResponse { .. } => resend_backoff(sends),
+        _ => RESEND_INTERVAL,
+    }
+}
+
+impl EdgeNode {
+    /// Sends the message of a request's stage, for the first time or again.
+    pub(super) fn send_stage_message(&mut self, now: Duration, id: u64) {
+        let Some(active) = self.active_requests.get_mut(&id) else {
+            return;
+        };
+        active.exchange.sends += 1;
+        active.exchange.sent_at = now;
+        active.exchange.resend_at = now + resend_interval(&active.stage, active.exchange.sends);
+        active.exchange.peer = None;
+        if let Some(change) = active.ledger_change() {
+            let (exchange, sends) = (active.exchange.id, active.exchange.sends);
+            return self.send_change(exchange, sends, change);
+        }
+        match active.stage {
+            Stage::AwaitingCachedResponse {
+                accepts_any_age, ..
+            } => self.send_cache_get(now, id, accepts_any_age),
+            Stage::AwaitingPermit => self.send_permit_request(now, id),
+            _ => {}
+        }
+    }
+
+    /// Asks the cache owner; without one, the request fetches for itself.
+    fn send_cache_get(&mut self, now: Duration, id: u64, accepts_any_age: bool) {
+        let active = &self.active_requests[&id];
+        let key = active.cache.key.expect("cached");
+        let assignment = cache_assignment(&self.locality.ring, cache_partition(&key));
+        match self.assignment_owner(&assignment) {
+            Some(owner) => {
+                let get = CacheGet {
+                    id: active.exchange.id,
+                    key,
+                    entry: active.request.entry().name.clone(),
+                    host: active.request.entry_host().into(),
+                    url: active.request.url.clone(),
+                    ttl: active.request.entry().keep(),
+                    max_wait: active.remaining(now),
+                    accepts_any_age,
+                };
+                self.send_request(id, owner, get);
+            }
+            None if !accepts_any_age => self.enter_stage(now, id, Stage::AwaitingPermit),
+            None => {}
+        }
+    }
+
+    /// Asks the admission controller; without one, the request is called within
+    /// the fallback quota.
+    fn send_permit_request(&mut self, now: Duration, id: u64) {
+        let active = &self.active_requests[&id];
+        let service = active.request.service.clone();
+        match self.assignment_owner(&admission_assignment(&service)) {
+            Some(controller) => {
+                let request = PermitRequest {
+                    service,
+                    id: active.exchange.id,
+                    rank: active.request.entry().rank,
+                    max_wait: active.remaining(now),
+                    sent: now,
+                    is_retry: active.attempts.count > 0,
+                    call_timeout: active.call_timeout(now, Duration::ZERO),
+                    latency_target: active.latency_target.saturating_sub(now),
+                    zone: self.locality.zone.clone(),
+                    region: self.locality.region.clone(),
+                    excluded_origins: active.attempts.failed_origins.clone(),
+                };
+                self.send_request(id, controller, request);
+            }
+            None => self.call_without_permit(now, id),
+        }
+    }
+
+    /// Sends a message whose response the request waits for.
+    fn send_request(&mut self, id: u64, peer: SocketAddr, message: impl Into<Message>) {
+        self.send(peer, message);
+        if let Some(active) = self.active_requests.get_mut(&id) {
+            active.exchange.peer = Some(peer);
+        }
+    }
+
+    /// The message of the request's stage is due again. An owner that does not
+    /// respond even to a repeated request, or has no response for half the time,
+    /// is bypassed, as in the paper: a request that cannot get a cached response
+    /// goes to the origin.
+    pub(super) fn fall_back_or_resend(&mut self, now: Duration, id: u64) {
+        let is_live = self.is_live(now);
+        let Some(active) = self.active_requests.get_mut(&id) else {
+            return;
+        };
+        let half_time = active.started_at + (active.deadline - active.started_at) / 2;
+        let exchange = &mut active.exchange;
+        let backoff_end = exchange.sent_at + resend_backoff(exchange.sends);
+        let is_owner_unresponsive = exchange.sends > 1
+            && exchange.last_contact < exchange.sent_at
+            && now >= exchange.sent_at + OWNER_TIMEOUT;
+        match active.stage {
+            Stage::AwaitingPermit if now >= exchange.last_contact + ADMISSION_TIMEOUT => {
+                self.call_without_permit(now, id);
+                self.send_stage_message(now, id);
+            }
+            Stage::AwaitingCachedResponse {
+                accepts_any_age: false,
+                ..
+            } if now >= half_time || is_owner_unresponsive => self.fetch_without_owner(now, id),
+            Stage::AwaitingCachedResponse { .. } if now < backoff_end => {
+                exchange.resend_at = backoff_end;
+            }
+            Stage::Recording { .. } | Stage::Releasing { .. } | Stage::AwaitingClaim => {
+                self.send_stage_message(now, id)
+            }
+            _ if is_live => self.send_stage_message(now, id),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/data-plane/src/edge_node/updates.rs
@@ -0,0 +1,160 @@
+//! Updates of the replicated state that this edge uses.
+use super::EdgeNode;
+use crate::prelude::*;
+
+impl EdgeNode {
+    /// Applies the updates that are newer than what is known. True if any was.
+    pub(super) fn apply_updates(&mut self, now: Duration, updates: SharedUpdates) -> bool {
+        let mut has_applied = false;
+        for update in updates.into_updates() {
+            if update.version > self.version_vector[usize::from(update.partition)] {
+                has_applied = true;
+                self.apply_update(now, update);
+            }
+        }
+        has_applied
+    }
+
+    fn apply_update(&mut self, now: Duration, update: PartitionUpdate) {
+        let PartitionUpdate {
+            partition,
+            version,
+            rows,
+        } = update;
+        let index = usize::from(partition);
+        let applied = self.version_vector[index];
+        let rows: Vec<(String, Row)> = rows
+            .into_iter()
+            .filter(|(_, row)| row.version > applied)
+            .collect();
+        self.known_rows[index].extend(rows.iter().cloned());
+        match partition {
+            PURGES_PARTITION => self.apply_purges(now, version, &rows),
+            CONFIGURATION_PARTITION => self.apply_configuration_rows(version, rows),
+            _ => self.apply_rows(rows),
+        }
+        self.version_vector[index] = version;
+        // The assignments held here depend on these three partitions.
+        let affects_assignments = [
+            CONFIGURATION_PARTITION,
+            ORIGINS_PARTITION,
+            ASSIGNMENTS_PARTITION,
+        ];
+        if affects_assignments.contains(&partition) {
+            self.sync_assignments(now);
+        }
+        if partition == ASSIGNMENTS_PARTITION {
+            self.forget_departed_edges(now);
+        }
+    }
+
+    fn apply_purges(&mut self, now: Duration, version: u64, rows: &[(String, Row)]) {
+        let applied = self.purge_log.apply(now, version, rows);
+        if applied.has_gap {
+            self.cache_owner.clear();
+            self.near_cache.clear();
+        }
+        for purge in &applied.new {
+            self.cache_owner.purge(purge);
+            self.near_cache.purge(purge);
+        }
+    }
+
+    fn apply_configuration_rows(&mut self, version: u64, rows: Vec<(String, Row)>) {
+        let has_items = rows
+            .iter()
+            .any(|(_, row)| matches!(row.value, Value::Configuration { .. } | Value::Item(_)));
+        self.apply_rows(rows);
+        if has_items {
+            self.rebuild_routes(version);
+        }
+    }
+
+    /// Builds the route table of all configuration items. What was acknowledged
+    /// fits together; updates contain complete versions only.
+    fn rebuild_routes(&mut self, version: u64) {
+        if let Ok((document, bounds)) = self.configuration_items.merged() {
+            let routes = Arc::new(RouteTable::new(version, document).within(bounds));
+            self.routes = Some(routes.clone());
+            self.log_event(Event::ConfigurationTaken, format!("version {version}"));
+            self.outputs
+                .push(Output::Publish(PublishedState::Configuration(routes)));
+        }
+    }
+
+    fn apply_rows(&mut self, rows: Vec<(String, Row)>) {
+        for (key, row) in rows {
+            self.apply_row(key, row);
+        }
+    }
+
+    fn apply_row(&mut self, key: String, row: Row) {
+        match row.value {
+            // It was checked before it was acknowledged.
+            Value::Configuration { .. } | Value::Item(_) => {
+                let _ = self.configuration_items.learn(&key, &row);
+            }
+            Value::Origins { list, .. } => self.origins = list,
+            Value::Assignment(assignment) => {
+                self.assignments.insert(key, assignment);
+            }
+            Value::Members(slots) => {
+                // Leases from control nodes that hold no slot any more do not count.
+                self.control_nodes = slots.iter().map(|peer| peer.address).collect();
+                self.control_slots = slots.len();
+                self.leases.retain(&self.control_nodes);
+            }
+            Value::Purge { .. }
+            | Value::Operation(_)
+            | Value::Founded { .. }
+            | Value::EdgeRegistry { .. }
+            | Value::Enrolled { .. }
+            | Value::Opened { .. }
+            | Value::Accepted(_)
+            | Value::Applied(_) => {}
+        }
+    }
+
+    /// Enters a new generation: the state of the old one is dropped, but for
+    /// what is recalled, and all updates are applied anew. Assignments of the
+    /// old one are void.
+    pub(super) fn enter_generation(&mut self, now: Duration, generation: u64) {
+        let before = std::mem::replace(&mut self.generation, generation);
+        self.generation_entered_at = now;
+        if before == 0 {
+            return;
+        }
+        // The new state may be older at one control node than what was known
+        // here: as at a start, a quorum must have sent theirs.
+        self.leases.clear();
+        // Fenced before anything of the new generation is published.
+        self.update_liveness(now);
+        self.version_vector = vec![0; PUBLISHED_PARTITIONS.into()];
+        self.known_rows = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
+        self.configuration_items = Items::default();
+        self.assignments.clear();
+        self.cache_owner.clear();
+        self.near_cache.clear();
+        self.purge_log = PurgeLog::default();
+        self.sync_assignments(now);
+        self.resend_completed_operations();
+    }
+
+    /// Sends all known rows of a partition to a control plane that lost its state.
+    pub(super) fn handle_recall_request(&mut self, from: Peer, partition: u8) {
+        let index = usize::from(partition);
+        let Some(known) = self.known_rows.get(index) else {
+            return;
+        };
+        let rows = known
+            .iter()
+            .map(|(key, row)| (key.clone(), row.clone()))
+            .collect();
+        let reply = RecallReply {
+            partition,
+            version: self.version_vector[index],
+            rows,
+        };
+        self.send(from.address, reply);
+    }
+}
--- a/data-plane/src/fallback_quota.rs
+++ b/data-plane/src/fallback_quota.rs
@@ -17,6 +17,9 @@
     ejected_until: HashMap<SocketAddr, Duration>,
 }
 
+/// The epoch in the permit of a call within the fallback quota: no admission
+/// controller granted it.
+pub const FALLBACK_EPOCH: u64 = 0;
 /// The fraction of a total rate for all edges that cannot reach the admission controller.
 const FALLBACK_FRACTION: f64 = 0.1;
 /// How long an origin is ejected after it failed a call.
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -586,22 +586,26 @@
     ];
     for (purpose, counts_begun, counts_kept) in purposes {
         let mut check = AbandonedWork::default();
-        check.caller_left(left, 1);
-        assert_eq!(check.call_begun(after, 7, 2, purpose), None, "not its own");
-        let begun = check.call_begun(after, 8, 1, purpose);
+        check.client_disconnected(left, 1);
+        assert_eq!(
+            check.call_started(after, 7, 2, purpose),
+            None,
+            "not its own"
+        );
+        let begun = check.call_started(after, 8, 1, purpose);
         assert_eq!(begun.is_some(), counts_begun, "{purpose:?}");
 
         let mut check = AbandonedWork::default();
-        assert_eq!(check.call_begun(before, 8, 1, purpose), None);
-        check.caller_left(left, 1);
+        assert_eq!(check.call_started(before, 8, 1, purpose), None);
+        check.client_disconnected(left, 1);
         assert!(check.overdue(after, &nobody_pending).is_empty());
         let kept = check.overdue(late, &nobody_pending);
         assert_eq!(kept.len(), usize::from(counts_kept), "{purpose:?}");
         assert!(check.overdue(late, &nobody_pending).is_empty(), "once");
 
         let mut check = AbandonedWork::default();
-        check.call_begun(before, 8, 1, purpose);
-        check.caller_left(left, 1);
+        check.call_started(before, 8, 1, purpose);
+        check.client_disconnected(left, 1);
         check.call_ended(8);
         assert!(check.overdue(late, &nobody_pending).is_empty());
     }
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -10,7 +10,7 @@
 /// or the ledger waited on until the process was gone.
 #[test]
 fn whatever_waits_is_given_back_in_the_first_half_of_the_grace_time() {
-    let mut edge = live(1000).with_grace(at(GRACE_MS));
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], true);
     let urls = [("/copy", "GET"), ("/low", "GET"), ("/k", "POST")];
     for id in 0..30u64 {
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_request_that_comes_late_in_the_grace_time_is_refused_at_once_and_a_call_goes_on() {
-    let mut edge = live(1000).with_grace(at(GRACE_MS));
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let once = client_request("/once", "POST");
     let begun = edge.handle(
@@ -82,7 +82,7 @@
 fn after_the_warning_a_call_has_all_the_time_that_is_left() {
     const PATIENCE_MS: u64 = 4000;
     for warned in [false, true] {
-        let mut edge = live(1000).with_grace(at(GRACE_MS));
+        let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
         updates(&mut edge, 1000, &[origin(50)], false);
         if warned {
             edge.handle(at(1000), Input::ShutdownRequested);
@@ -106,7 +106,7 @@
 #[test]
 fn at_the_warning_calls_under_way_are_given_all_the_time_that_is_left() {
     const PATIENCE_MS: u64 = 4000;
-    let mut edge = live(1000).with_grace(at(GRACE_MS));
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let mut request = client_request("/low", "GET");
     request.timeout = Some(at(PATIENCE_MS));
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -21,8 +21,8 @@
         startup.gather_ms.is_some(),
         bytes,
     )
-    .with_extra_tries(startup.extra_tries)
-    .with_grace(startup.grace());
+    .with_retry_allowance(startup.extra_tries)
+    .with_shutdown_grace(startup.grace());
     let frontend = Box::new(HttpFrontend::new("edge-node", protocol));
     let host = NodeHost {
         me,
