--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -32,14 +32,14 @@
     }
 }
 
-fn permit_request(id: u64, rank: u32, wait: u64, extra: bool) -> PermitRequest {
+fn permit_request(id: u64, rank: u32, wait: u64, is_retry: bool) -> PermitRequest {
     PermitRequest {
         service: "s".into(),
         id,
         rank,
         max_wait: at(wait),
         sent: at(0),
-        is_retry: extra,
+        is_retry: is_retry,
         call_timeout: at(2000),
         latency_target: at(wait),
         zone: String::new(),
@@ -49,7 +49,7 @@
 }
 
 /// All but that somebody stands in line.
-fn said(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
+fn outcomes(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
     admission
         .take_outgoing()
         .into_iter()
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn who_waits_is_told_so_each_time_it_asks() {
+fn repeated_permit_request_is_confirmed_as_queued() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
     for ms in [400, 600] {
@@ -80,28 +80,35 @@
 /// Many errands of two seconds, calls of a quarter: the higher ones just
 /// wait for the next place, and none stays empty for them.
 #[test]
-fn where_calls_are_short_no_place_is_kept_and_who_can_be_in_its_aim_goes_first() {
-    let mut ends = vec![];
-    let mut run = Run::new(0, 1, 1000.0, 4);
+fn short_calls_reserve_no_slots_and_honor_latency_targets() {
+    let mut call_ends = vec![];
+    let mut simulation = Simulation::new(0, 1, 1000.0, 4);
     for id in 0..3000u64 {
         // 4 a second of the high rank, 14 of the low one, where 16 fit.
         if id % 25 == 0 || id % 7 == 1 {
-            let aim = if id % 2 == 0 { at(100) } else { at(800) };
-            run.admission.request_permit(
-                at(run.now),
+            let latency_target = if id % 2 == 0 { at(100) } else { at(800) };
+            simulation.admission.request_permit(
+                at(simulation.now),
                 origin(9).address,
                 PermitRequest {
-                    latency_target: aim,
+                    latency_target: latency_target,
                     ..permit_request(id, u32::from(id % 25 == 0) * 8 + 1, 2000, false)
                 },
             );
         }
-        run.step(250, &mut ends);
+        simulation.step(250, &mut call_ends);
     }
-    let given = run.given.iter().filter(|(when, _)| *when > 5000).count();
-    assert!(given >= 24 * 16, "{given} in 25 s on four places of 250 ms");
-    let high: Vec<u64> = run
-        .given
+    let granted = simulation
+        .granted
+        .iter()
+        .filter(|(when, _)| *when > 5000)
+        .count();
+    assert!(
+        granted >= 24 * 16,
+        "{granted} in 25 s on four places of 250 ms"
+    );
+    let high: Vec<u64> = simulation
+        .granted
         .iter()
         .filter(|(_, id)| id % 25 == 0)
         .map(|(when, id)| when - id * 10)
@@ -114,7 +121,7 @@
 }
 
 #[test]
-fn all_origins_of_a_service_share_its_whole_rate_and_what_edges_send_alone_counts() {
+fn total_rate_includes_fallback_calls() {
     let named = Group {
         proof: Proof::Named,
         total_rate: Some(100.0),
@@ -139,7 +146,7 @@
                 },
             );
         }
-        for (_, message) in said(&mut admission) {
+        for (_, message) in outcomes(&mut admission) {
             if let Message::Permit(permit) = message {
                 calls.push(id * 5);
                 admission.call_completed(
@@ -155,43 +162,43 @@
             }
         }
     }
-    let most = most_in(&calls, 5000);
+    let most = max_calls_within(&calls, 5000);
     assert!((470..=530).contains(&most), "{most} in 5 s at 100/s in all");
 }
 
-struct Run {
+struct Simulation {
     admission: AdmissionController,
     now: u64,
-    given: Vec<(u64, u64)>,
-    away: Vec<(u64, u64, PermitRefusalReason)>,
+    granted: Vec<(u64, u64)>,
+    refused: Vec<(u64, u64, PermitRefusalReason)>,
     calls: Vec<u64>,
 }
 
-impl Run {
-    fn new(began: u64, epoch: u64, rate: f64, concurrency: u32) -> Run {
-        let mut admission = AdmissionController::new(at(began), "s", epoch, 3);
-        admission.apply_configuration(at(began), &group(rate, concurrency), &[origin(1)]);
-        admission.connection_changed(at(began), origin(1).address, true);
-        Run {
+impl Simulation {
+    fn new(started_at: u64, epoch: u64, rate: f64, concurrency: u32) -> Simulation {
+        let mut admission = AdmissionController::new(at(started_at), "s", epoch, 3);
+        admission.apply_configuration(at(started_at), &group(rate, concurrency), &[origin(1)]);
+        admission.connection_changed(at(started_at), origin(1).address, true);
+        Simulation {
             admission,
-            now: began,
-            given: vec![],
-            away: vec![],
+            now: started_at,
+            granted: vec![],
+            refused: vec![],
             calls: vec![],
         }
     }
 
     /// One step of 10 ms; every permit is used at once and ends after `took`.
-    fn step(&mut self, took: u64, ends: &mut Vec<(u64, CallDone)>) {
+    fn step(&mut self, took: u64, call_ends: &mut Vec<(u64, CallDone)>) {
         self.now += 10;
         for probe in self.admission.start_probes(at(self.now)) {
             self.calls.push(self.now);
             self.admission.probe_completed(at(self.now), &probe, true);
         }
-        let (due, later) = std::mem::take(ends)
+        let (due, later) = std::mem::take(call_ends)
             .into_iter()
             .partition(|(when, _)| *when <= self.now);
-        *ends = later;
+        *call_ends = later;
         for (_, done) in due as Vec<(u64, CallDone)> {
             self.admission.call_completed(at(self.now), done);
         }
@@ -199,7 +206,7 @@
         for (_, message) in self.admission.take_outgoing() {
             match message {
                 Message::Permit(permit) => {
-                    self.given.push((self.now, permit.id));
+                    self.granted.push((self.now, permit.id));
                     self.calls.push(self.now);
                     let done = CallDone {
                         service: "s".into(),
@@ -208,9 +215,11 @@
                         result: CallResult::Success,
                         took: at(took),
                     };
-                    ends.push((self.now + took, done));
+                    call_ends.push((self.now + took, done));
+                }
+                Message::PermitRefused(refused) => {
+                    self.refused.push((self.now, refused.id, refused.reason))
                 }
-                Message::PermitRefused(away) => self.away.push((self.now, away.id, away.reason)),
                 Message::PermitQueued(_) => {}
                 other => panic!("{other:?}"),
             }
@@ -218,7 +227,7 @@
     }
 }
 
-fn most_in(calls: &[u64], span: u64) -> usize {
+fn max_calls_within(calls: &[u64], span: u64) -> usize {
     calls
         .iter()
         .map(|from| {
@@ -232,28 +241,28 @@
 }
 
 #[test]
-fn any_five_seconds_stay_within_the_rate_also_over_a_change_of_holder() {
-    let mut ends = vec![];
-    let mut first = Run::new(0, 1, 20.0, 50);
+fn rate_holds_across_change_of_controller() {
+    let mut call_ends = vec![];
+    let mut first = Simulation::new(0, 1, 20.0, 50);
     for id in 0..2000 {
         first.admission.request_permit(
             at(first.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
         );
-        first.step(5, &mut ends);
+        first.step(5, &mut call_ends);
     }
-    let mut next = Run::new(first.now + 100, 3, 20.0, 50);
+    let mut next = Simulation::new(first.now + 100, 3, 20.0, 50);
     for id in 0..2000 {
         next.admission.request_permit(
             at(next.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
         );
-        next.step(5, &mut ends);
+        next.step(5, &mut call_ends);
     }
     let calls = [first.calls, next.calls].concat();
-    let most = most_in(&calls, 5000);
+    let most = max_calls_within(&calls, 5000);
     assert!(
         (95..=104).contains(&most),
         "{most} calls in 5 s at 20/s, probes included"
@@ -261,34 +270,45 @@
 }
 
 #[test]
-fn a_higher_rank_keeps_its_share_and_the_lower_is_told_at_once() {
-    let mut ends = vec![];
-    let mut run = Run::new(0, 1, 20.0, 50);
+fn higher_rank_is_granted_and_lower_is_refused_early() {
+    let mut call_ends = vec![];
+    let mut simulation = Simulation::new(0, 1, 20.0, 50);
     // 33 a second are asked where 20 may be called, half of high rank.
     for id in 0..6000u64 {
         if id % 3 == 0 {
-            run.admission.request_permit(
-                at(run.now),
+            simulation.admission.request_permit(
+                at(simulation.now),
                 origin(9).address,
                 permit_request(id, if id % 6 == 0 { 9 } else { 1 }, 2000, false),
             );
         }
-        run.step(5, &mut ends);
+        simulation.step(5, &mut call_ends);
     }
-    let share = |high: bool| {
-        let mine = |id: &u64| id.is_multiple_of(6) == high && *id > 500;
-        let asked = (0..6000u64).filter(|id| id % 3 == 0 && mine(id)).count();
-        run.given.iter().filter(|(_, id)| mine(id)).count() as f64 / asked as f64
+    let granted_fraction = |high: bool| {
+        let is_of_rank = |id: &u64| id.is_multiple_of(6) == high && *id > 500;
+        let requested = (0..6000u64)
+            .filter(|id| id % 3 == 0 && is_of_rank(id))
+            .count();
+        simulation
+            .granted
+            .iter()
+            .filter(|(_, id)| is_of_rank(id))
+            .count() as f64
+            / requested as f64
     };
-    assert!(share(true) > 0.97, "high {}", share(true));
     assert!(
-        share(false) < 0.3 && share(false) > 0.1,
+        granted_fraction(true) > 0.97,
+        "high {}",
+        granted_fraction(true)
+    );
+    assert!(
+        granted_fraction(false) < 0.3 && granted_fraction(false) > 0.1,
         "low {}",
-        share(false)
+        granted_fraction(false)
     );
     // Those turned away in the steady state hear it well before their deadline.
-    let waited = run
-        .away
+    let waited = simulation
+        .refused
         .iter()
         .filter(|(_, id, _)| *id > 1000)
         .map(|(when, id, _)| when - id * 10);
@@ -297,19 +317,23 @@
 }
 
 #[test]
-fn slow_origins_are_bounded_by_concurrency_and_rank_still_goes_first() {
-    let mut ends = vec![];
-    let mut run = Run::new(0, 1, 1000.0, 2);
+fn slow_origins_are_limited_by_concurrency_and_rank() {
+    let mut call_ends = vec![];
+    let mut simulation = Simulation::new(0, 1, 1000.0, 2);
     for id in 0..3000u64 {
-        run.admission.request_permit(
-            at(run.now),
+        simulation.admission.request_permit(
+            at(simulation.now),
             origin(9).address,
             permit_request(id, if id % 50 == 0 { 9 } else { 1 }, 2000, false),
         );
-        run.step(400, &mut ends);
-        assert!(run.admission.calls.len() <= 2);
+        simulation.step(400, &mut call_ends);
+        assert!(simulation.admission.calls.len() <= 2);
     }
-    let high = run.given.iter().filter(|(_, id)| id % 50 == 0).count();
+    let high = simulation
+        .granted
+        .iter()
+        .filter(|(_, id)| id % 50 == 0)
+        .count();
     assert!(
         high >= 55,
         "{high} of 60 of the high rank, with two calls of 400 ms at a time"
@@ -320,96 +344,97 @@
 /// seconds: those the lower rank took before the higher came are gone for
 /// that long, so it may not take them all.
 #[test]
-fn slow_origins_are_not_filled_by_the_lower_rank_while_the_higher_keeps_coming() {
-    let mut ends = vec![];
-    let mut run = Run::new(0, 1, 1000.0, 8);
+fn slow_origins_reserve_slots_for_higher_rank() {
+    let mut call_ends = vec![];
+    let mut simulation = Simulation::new(0, 1, 1000.0, 8);
     for id in 0..4000u64 {
         // 3 a second of the high rank, 30 of the low one.
         let high = id % 33 == 0;
         if high || id % 3 == 1 {
-            run.admission.request_permit(
-                at(run.now),
+            simulation.admission.request_permit(
+                at(simulation.now),
                 origin(9).address,
                 permit_request(id, if high { 9 } else { 1 }, 1500, false),
             );
         }
-        run.step(if id < 500 { 10 } else { 2000 }, &mut ends);
+        simulation.step(if id < 500 { 10 } else { 2000 }, &mut call_ends);
     }
-    let asked = (0..3800u64).filter(|id| id % 33 == 0).count();
-    let given: Vec<u64> = run
-        .given
+    let requested = (0..3800u64).filter(|id| id % 33 == 0).count();
+    let granted: Vec<u64> = simulation
+        .granted
         .iter()
         .filter(|(_, id)| id % 33 == 0)
         .map(|(when, id)| when - id * 10)
         .collect();
     assert!(
-        given.len() >= asked * 95 / 100,
-        "{} of {asked} of the high rank",
-        given.len()
+        granted.len() >= requested * 95 / 100,
+        "{} of {requested} of the high rank",
+        granted.len()
     );
-    let late = run
-        .away
+    let late = simulation
+        .refused
         .iter()
         .filter(|(when, id, _)| *id > 600 && when - id * 10 > 1000)
         .count();
     assert!(
-        late * 10 <= run.away.len(),
+        late * 10 <= simulation.refused.len(),
         "{late} of {} heard late",
-        run.away.len()
+        simulation.refused.len()
     );
 }
 
 #[test]
-fn a_rate_of_one_a_second_is_kept_in_any_five_seconds_too() {
+fn low_rates_hold_in_any_five_seconds() {
     for (rate, bound) in [(1.0, 5), (0.2, 1), (7.0, 38)] {
-        let mut ends = vec![];
-        let mut run = Run::new(0, 1, rate, 50);
+        let mut call_ends = vec![];
+        let mut simulation = Simulation::new(0, 1, rate, 50);
         for id in 0..6000 {
-            run.admission.request_permit(
-                at(run.now),
+            simulation.admission.request_permit(
+                at(simulation.now),
                 origin(9).address,
                 permit_request(id, 1, 60_000, false),
             );
-            run.step(5, &mut ends);
+            simulation.step(5, &mut call_ends);
         }
         // Each may be used up to a `PERMIT` late.
         assert!(
-            most_in(&run.calls, 5200) <= bound,
+            max_calls_within(&simulation.calls, 5200) <= bound,
             "{} in 5 s at {rate}/s",
-            most_in(&run.calls, 5200)
+            max_calls_within(&simulation.calls, 5200)
         );
-        assert!(run.calls.len() > 10);
+        assert!(simulation.calls.len() > 10);
     }
 }
 
 #[test]
-fn extra_tries_stay_within_a_fifth_and_the_allowance_is_earned_first() {
-    let mut run = Run::new(0, 1, 1000.0, 500);
-    let mut ends = vec![];
+fn retries_stay_within_budget() {
+    let mut simulation = Simulation::new(0, 1, 1000.0, 500);
+    let mut call_ends = vec![];
     for id in 0..1000u64 {
-        run.admission.request_permit(
-            at(run.now),
+        simulation.admission.request_permit(
+            at(simulation.now),
             origin(9).address,
             permit_request(id, 1, 2000, id % 2 == 0),
         );
-        run.step(5, &mut ends);
-        let admission = &run.admission;
-        let earned = if run.now >= 10_000 { 3 } else { 0 };
+        simulation.step(5, &mut call_ends);
+        let admission = &simulation.admission;
+        let earned = if simulation.now >= 10_000 { 3 } else { 0 };
         assert!(
             admission.retry_budget.retries.len()
                 <= admission.retry_budget.first_attempts.len() / 5 + earned
         );
     }
     assert!(
-        run.away
+        simulation
+            .refused
             .iter()
             .any(|(_, _, reason)| *reason == PermitRefusalReason::RetryBudgetExhausted)
     );
-    assert!(run.admission.retry_budget.retries.len() > 50);
+    assert!(simulation.admission.retry_budget.retries.len() > 50);
 }
 
 #[test]
-fn an_origin_is_called_only_once_it_has_shown_who_it_is_and_not_while_aside() {
+fn origin_is_granted_only_while_proven_and_not_ejected() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
     assert_eq!(admission.connections_to_open(at(1)).len(), 2);
@@ -424,13 +449,13 @@
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
-    assert!(said(&mut admission).is_empty(), "nothing is proven");
+    assert!(outcomes(&mut admission).is_empty(), "nothing is proven");
     let probes = admission.start_probes(at(500));
     assert_eq!(probes.len(), 2);
     admission.probe_completed(at(510), &probes[0], false);
-    assert!(said(&mut admission).is_empty());
+    assert!(outcomes(&mut admission).is_empty());
     admission.probe_completed(at(520), &probes[1], true);
-    let out = said(&mut admission);
+    let out = outcomes(&mut admission);
     let [(_, Message::Permit(permit))] = out.as_slice() else {
         panic!("{out:?}")
     };
@@ -438,12 +463,12 @@
     // The connection ends: the next process there must show itself first.
     admission.connection_changed(at(600), origin(2).address, false);
     admission.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
-    assert!(said(&mut admission).is_empty());
+    assert!(outcomes(&mut admission).is_empty());
     admission.connection_changed(at(620), origin(2).address, true);
     let probe = admission.start_probes(at(650)).remove(0);
     admission.probe_completed(at(660), &probe, true);
     assert!(matches!(
-        said(&mut admission).as_slice(),
+        outcomes(&mut admission).as_slice(),
         [(_, Message::Permit(_))]
     ));
     // The proof ages; without a newer one no more permits.
@@ -452,7 +477,7 @@
         origin(9).address,
         permit_request(2, 1, 5000, false),
     );
-    assert!(said(&mut admission).is_empty());
+    assert!(outcomes(&mut admission).is_empty());
     // Listed under another instance it must be proven again.
     let other = Origin {
         instance: "new".into(),
@@ -463,11 +488,11 @@
         !admission.probe_completed(at(2800), &probes[1], true),
         "the old instance's probe counts for nothing"
     );
-    assert!(said(&mut admission).is_empty());
+    assert!(outcomes(&mut admission).is_empty());
 }
 
 #[test]
-fn all_origins_failing_is_told_at_once_and_a_leaving_one_gets_no_permit() {
+fn failed_origins_are_refused_at_once_and_draining_ones_skipped() {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
     admission.connection_changed(at(0), origin(1).address, true);
@@ -479,7 +504,7 @@
         permit_request(1, 1, 5000, false),
     );
     assert!(matches!(
-        said(&mut admission).as_slice(),
+        outcomes(&mut admission).as_slice(),
         [(
             _,
             Message::PermitRefused(PermitRefused {
@@ -504,16 +529,16 @@
         permit_request(2, 1, 5000, false),
     );
     assert!(
-        !said(&mut admission)
+        !outcomes(&mut admission)
             .iter()
             .any(|(_, message)| matches!(message, Message::Permit(_)))
     );
 }
 
 #[test]
-fn a_new_holder_counts_calls_that_began_under_the_one_before() {
-    let mut run = Run::new(0, 5, 1000.0, 2);
-    run.admission.add_calls_in_flight(
+fn new_controller_counts_calls_of_its_predecessor() {
+    let mut simulation = Simulation::new(0, 5, 1000.0, 2);
+    simulation.admission.add_calls_in_flight(
         at(10),
         CallsInProgress {
             service: "s".into(),
@@ -523,15 +548,18 @@
             ],
         },
     );
-    let mut ends = vec![];
-    run.admission
-        .request_permit(at(10), origin(9).address, permit_request(1, 1, 5000, false));
+    let mut call_ends = vec![];
+    simulation.admission.request_permit(
+        at(10),
+        origin(9).address,
+        permit_request(1, 1, 5000, false),
+    );
     for _ in 0..60 {
-        run.step(5, &mut ends);
+        simulation.step(5, &mut call_ends);
     }
-    assert!(run.given.is_empty());
-    run.admission.call_completed(
-        at(run.now),
+    assert!(simulation.granted.is_empty());
+    simulation.admission.call_completed(
+        at(simulation.now),
         CallDone {
             service: "s".into(),
             epoch: 3,
@@ -540,12 +568,12 @@
             took: at(600),
         },
     );
-    run.step(5, &mut ends);
-    assert_eq!(run.given.len(), 1);
+    simulation.step(5, &mut call_ends);
+    assert_eq!(simulation.granted.len(), 1);
 }
 
 /// An admission controller with one origin of two places, in use from now on.
-fn admission_of_two_places() -> AdmissionController {
+fn admission_with_two_slots() -> AdmissionController {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     let named = Group {
         proof: Proof::Named,
@@ -560,10 +588,10 @@
         Message::Permit(permit) => Some(permit),
         _ => None,
     };
-    said(admission).into_iter().filter_map(one).collect()
+    outcomes(admission).into_iter().filter_map(one).collect()
 }
 
-fn ended(permit: &Permit, result: CallResult) -> CallDone {
+fn call_done(permit: &Permit, result: CallResult) -> CallDone {
     CallDone {
         service: "s".into(),
         epoch: permit.epoch,
@@ -574,8 +602,8 @@
 }
 
 #[test]
-fn a_withdrawn_question_is_not_granted_and_the_next_has_its_turn() {
-    let mut admission = admission_of_two_places();
+fn withdrawn_permit_request_is_skipped() {
+    let mut admission = admission_with_two_slots();
     for id in 1..=4 {
         admission.request_permit(
             at(1000),
@@ -583,12 +611,12 @@
             permit_request(id, 1, 5000, false),
         );
     }
-    let given = permits(&mut admission);
-    assert_eq!(given.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2]);
+    let granted = permits(&mut admission);
+    assert_eq!(granted.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2]);
     admission.withdraw(at(1010), origin(8).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
     admission.withdraw(at(1010), origin(9).address, 3);
-    admission.call_completed(at(1100), ended(&given[0], CallResult::Success));
+    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
@@ -596,8 +624,8 @@
 /// The origin may not have seen yet that the call was broken off, and it did
 /// nothing wrong.
 #[test]
-fn the_place_of_a_cancelled_call_is_free_a_moment_later_and_judges_no_origin() {
-    let mut admission = admission_of_two_places();
+fn cancelled_call_frees_its_slot_without_ejection() {
+    let mut admission = admission_with_two_slots();
     for id in 1..=3 {
         admission.request_permit(
             at(1000),
@@ -605,14 +633,14 @@
             permit_request(id, 1, 5000, false),
         );
     }
-    let given = permits(&mut admission);
-    assert_eq!(given.len(), 2);
-    admission.call_completed(at(1100), ended(&given[0], CallResult::Cancelled));
+    let granted = permits(&mut admission);
+    assert_eq!(granted.len(), 2);
+    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Cancelled));
     assert!(
         permits(&mut admission).is_empty(),
         "its place is not free at once"
     );
-    admission.call_completed(at(1105), ended(&given[0], CallResult::Cancelled));
+    admission.call_completed(at(1105), call_done(&granted[0], CallResult::Cancelled));
     admission.dispatch(at(1100 + 40));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [3]);
@@ -624,8 +652,8 @@
 /// However many give up, no more calls reach the origins than their rate allows:
 /// a call that was broken off counts.
 #[test]
-fn cancelled_calls_count_for_the_rate() {
-    let mut admission = admission_of_two_places();
+fn cancelled_calls_count_toward_rate() {
+    let mut admission = admission_with_two_slots();
     let limited = Group {
         proof: Proof::Named,
         total_rate: Some(20.0),
@@ -641,7 +669,7 @@
         );
         for permit in permits(&mut admission) {
             sent += 1;
-            let cancelled = ended(&permit, CallResult::Cancelled);
+            let cancelled = call_done(&permit, CallResult::Cancelled);
             admission.call_completed(at(1000 + ms + 1), cancelled);
         }
     }
@@ -652,15 +680,15 @@
 }
 
 #[test]
-fn edges_that_are_gone_have_no_place_in_line() {
-    let mut admission = admission_of_two_places();
+fn departed_edges_lose_their_queue_positions() {
+    let mut admission = admission_with_two_slots();
     for (id, port) in [(1, 8), (2, 8), (3, 9), (4, 8)] {
-        let ask = permit_request(id, 1, 5000, false);
-        admission.request_permit(at(1000), origin(port).address, ask);
+        let request = permit_request(id, 1, 5000, false);
+        admission.request_permit(at(1000), origin(port).address, request);
     }
-    let given = permits(&mut admission);
+    let granted = permits(&mut admission);
     admission.forget_edges(at(1010), &HashSet::from([origin(9).address]));
-    admission.call_completed(at(1100), ended(&given[0], CallResult::Success));
+    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -33,7 +33,7 @@
 }
 
 /// What the owner says to one get: "copy TEXT", "miss", "wait".
-fn ask(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
+fn request(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
     owner.get(at(now), from(1), get(id), 7, 0);
     match owner.take_outgoing().pop() {
         None => ("wait".into(), None),
@@ -49,9 +49,9 @@
     }
 }
 
-fn filled(now: u64) -> CacheOwner {
+fn owner_with_response(now: u64) -> CacheOwner {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, now, 1).1.unwrap();
+    let token = request(&mut owner, now, 1).1.unwrap();
     assert!(owner.put(
         at(now),
         CachePut {
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn one_refresher_a_delta_and_a_put_resets_both_expiries() {
-    let mut owner = filled(0);
-    assert_eq!(ask(&mut owner, 4999, 2).0, "copy a");
-    let token = ask(&mut owner, 5000, 3).1.unwrap();
+fn put_resets_both_expiries_with_one_refresher() {
+    let mut owner = owner_with_response(0);
+    assert_eq!(request(&mut owner, 4999, 2).0, "copy a");
+    let token = request(&mut owner, 5000, 3).1.unwrap();
     for id in 4..50 {
-        assert_eq!(ask(&mut owner, 5001, id).0, "copy a");
+        assert_eq!(request(&mut owner, 5001, id).0, "copy a");
     }
     owner.put(
         at(5100),
@@ -83,14 +83,14 @@
         7,
         &PurgeLog::default(),
     );
-    assert_eq!(ask(&mut owner, 10_050, 50).0, "copy b");
-    assert_eq!(ask(&mut owner, 10_100, 51).0, "miss");
+    assert_eq!(request(&mut owner, 10_050, 50).0, "copy b");
+    assert_eq!(request(&mut owner, 10_100, 51).0, "miss");
 }
 
 #[test]
-fn without_a_put_the_copy_ends_with_its_keep_time_from_the_start_of_the_fetch() {
+fn unrefreshed_response_expires_ttl_after_fetch_start() {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, 0, 1).1.unwrap();
+    let token = request(&mut owner, 0, 1).1.unwrap();
     owner.put(
         at(1500),
         CachePut {
@@ -101,18 +101,18 @@
         7,
         &PurgeLog::default(),
     );
-    assert_eq!(ask(&mut owner, 6500, 2).0, "miss");
-    assert_eq!(ask(&mut owner, 9999, 3).0, "copy a");
+    assert_eq!(request(&mut owner, 6500, 2).0, "miss");
+    assert_eq!(request(&mut owner, 9999, 3).0, "copy a");
     // Major has passed: no copy any more; the refresher of 6500 stalled.
-    assert_eq!(ask(&mut owner, 10_000, 4).0, "miss");
+    assert_eq!(request(&mut owner, 10_000, 4).0, "miss");
 }
 
 #[test]
-fn a_cold_key_has_one_refresher_and_the_next_when_it_fails_or_stalls() {
+fn cold_key_gets_next_refresher_on_failure_or_timeout() {
     let mut owner = CacheOwner::new(1 << 20);
-    let first = ask(&mut owner, 0, 1).1.unwrap();
+    let first = request(&mut owner, 0, 1).1.unwrap();
     for id in 2..6 {
-        assert_eq!(ask(&mut owner, 10, id).0, "wait");
+        assert_eq!(request(&mut owner, 10, id).0, "wait");
     }
     owner.fill_failed(at(100), KEY, first, 7, 0, false);
     let out = owner.take_outgoing();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_late_put_is_dropped_after_a_purge_a_move_or_a_newer_put() {
+fn late_put_is_dropped_after_purge_move_or_newer_put() {
     let purge = Purge {
         url: Some("/u".into()),
         ..Purge::default()
@@ -168,8 +168,8 @@
             },
         )],
     );
-    let mut owner = filled(0);
-    let token = ask(&mut owner, 5000, 2).1.unwrap();
+    let mut owner = owner_with_response(0);
+    let token = request(&mut owner, 5000, 2).1.unwrap();
     owner.purge(&purge);
     assert!(!owner.put(
         at(5100),
@@ -182,13 +182,13 @@
         &purge_log
     ));
     assert_eq!(
-        ask(&mut owner, 5200, 3).0,
+        request(&mut owner, 5200, 3).0,
         "miss",
         "the purged copy is gone and the late one was not taken"
     );
 
-    let mut owner = filled(0);
-    let token = ask(&mut owner, 5000, 2).1.unwrap();
+    let mut owner = owner_with_response(0);
+    let token = request(&mut owner, 5000, 2).1.unwrap();
     assert!(!owner.put(
         at(5100),
         CachePut {
@@ -200,10 +200,10 @@
         &PurgeLog::default()
     ));
 
-    let mut owner = filled(0);
-    let slow = ask(&mut owner, 5000, 2).1.unwrap();
+    let mut owner = owner_with_response(0);
+    let slow = request(&mut owner, 5000, 2).1.unwrap();
     // It stalls (its minor extension is over), another refreshes.
-    let quick = ask(&mut owner, 10_000, 3).1.unwrap();
+    let quick = request(&mut owner, 10_000, 3).1.unwrap();
     owner.put(
         at(10_100),
         CachePut {
@@ -224,25 +224,25 @@
         7,
         &PurgeLog::default()
     ));
-    assert_eq!(ask(&mut owner, 10_300, 4).0, "copy new");
+    assert_eq!(request(&mut owner, 10_300, 4).0, "copy new");
 }
 
 #[test]
-fn what_may_not_be_shared_is_not_held_and_nobody_waits_for_it() {
+fn private_response_is_not_stored_or_awaited() {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, 0, 1).1.unwrap();
-    assert_eq!(ask(&mut owner, 1, 2).0, "wait");
+    let token = request(&mut owner, 0, 1).1.unwrap();
+    assert_eq!(request(&mut owner, 1, 2).0, "wait");
     owner.fill_failed(at(10), KEY, token, 7, 0, true);
     assert!(matches!(
         owner.take_outgoing().as_slice(),
         [(_, Message::CacheUnavailable(CacheUnavailable { id: 2, .. }))]
     ));
-    assert_eq!(ask(&mut owner, 11, 3).0, "CacheUnavailable");
-    assert_eq!(ask(&mut owner, 5010, 4).0, "miss");
+    assert_eq!(request(&mut owner, 11, 3).0, "CacheUnavailable");
+    assert_eq!(request(&mut owner, 5010, 4).0, "miss");
 }
 
 #[test]
-fn memory_is_bounded_and_the_longest_unasked_go_first() {
+fn least_recently_used_responses_are_evicted() {
     let mut owner = CacheOwner::new(20_000);
     for round in 0..100u8 {
         let key = [round; 32];
@@ -268,36 +268,41 @@
 }
 
 #[test]
-fn a_moved_partition_takes_its_copies_along_with_expiries_and_purges() {
-    let mut owner = filled(0);
+fn handover_preserves_expiries_and_purges() {
+    let mut owner = owner_with_response(0);
     owner.retain_partitions(at(2000), 3, &|_| false);
     assert_eq!(owner.memory.used, 0);
-    let copies = owner.hand_over(at(2100), cache_partition(&KEY));
+    let responses = owner.hand_over(at(2100), cache_partition(&KEY));
     assert_eq!(
         (
-            copies.len(),
-            copies[0].age,
-            copies[0].minor_expiry,
-            copies[0].major_expiry,
-            copies[0].purge_version
+            responses.len(),
+            responses[0].age,
+            responses[0].minor_expiry,
+            responses[0].major_expiry,
+            responses[0].purge_version
         ),
         (1, at(2100), at(2900), at(7900), 3)
     );
     // Its clock is its own; the way there counts against the copy.
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
-        next.take_over(at(50_000), at(100), copies.clone(), &PurgeLog::default()),
+        next.take_over(at(50_000), at(100), responses.clone(), &PurgeLog::default()),
         1
     );
-    assert_eq!(ask(&mut next, 52_799, 1).0, "copy a");
-    assert_eq!(ask(&mut next, 52_800, 2).0, "miss");
-    assert_eq!(ask(&mut next, 57_799, 3).0, "copy a");
+    assert_eq!(request(&mut next, 52_799, 1).0, "copy a");
+    assert_eq!(request(&mut next, 52_800, 2).0, "miss");
+    assert_eq!(request(&mut next, 57_799, 3).0, "copy a");
     next.tick(at(57_800), &|_| 7, 0);
     assert!(next.slots[&KEY].stored.is_none());
     // Too long on the way: over before it came.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
-        late.take_over(at(50_000), at(7900), copies.clone(), &PurgeLog::default()),
+        late.take_over(
+            at(50_000),
+            at(7900),
+            responses.clone(),
+            &PurgeLog::default()
+        ),
         0
     );
     // A purge that the last holder did not know yet.
@@ -318,9 +323,12 @@
         )],
     );
     let mut next = CacheOwner::new(1 << 20);
-    assert_eq!(next.take_over(at(50_000), at(100), copies, &purge_log), 0);
+    assert_eq!(
+        next.take_over(at(50_000), at(100), responses, &purge_log),
+        0
+    );
     // Set aside too long, it is gone.
-    let mut owner = filled(0);
+    let mut owner = owner_with_response(0);
     owner.retain_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
     assert!(
@@ -332,12 +340,12 @@
 /// A copy is sent to nobody who took the question back, and whose refresher
 /// fails passes over them.
 #[test]
-fn a_withdrawn_question_is_neither_answered_nor_made_a_refresher() {
+fn withdrawn_get_is_not_served_or_made_refresher() {
     for fails in [false, true] {
         let mut owner = CacheOwner::new(1 << 20);
-        let token = ask(&mut owner, 0, 1).1.unwrap();
+        let token = request(&mut owner, 0, 1).1.unwrap();
         for id in 2..=4 {
-            assert_eq!(ask(&mut owner, 10, id).0, "wait");
+            assert_eq!(request(&mut owner, 10, id).0, "wait");
         }
         owner.withdraw(from(1), &KEY, 2);
         owner.withdraw(from(2), &KEY, 3);
@@ -353,12 +361,12 @@
             };
             assert!(owner.put(at(20), put, 7, &purge_log));
         }
-        let answered = |(_, message)| match message {
+        let recipient = |(_, message)| match message {
             Message::CacheCopy(copy) => copy.id,
             Message::CacheMiss(miss) => miss.id,
             other => panic!("{other:?}"),
         };
-        let told: Vec<u64> = owner.take_outgoing().into_iter().map(answered).collect();
-        assert_eq!(told, if fails { vec![3] } else { vec![3, 4] });
+        let recipients: Vec<u64> = owner.take_outgoing().into_iter().map(recipient).collect();
+        assert_eq!(recipients, if fails { vec![3] } else { vec![3, 4] });
     }
 }
--- a/data-plane/src/fallback_quota/tests.rs
+++ b/data-plane/src/fallback_quota/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn all_edges_shares_and_the_admissions_part_stay_within_the_whole_rate() {
+fn fallback_quotas_stay_within_total_rate() {
     let locality = Locality {
         zone: "a".into(),
         region: "r".into(),
@@ -38,11 +38,11 @@
         weight: 1,
     };
     let origins = [origin(1, "a"), origin(2, "b")];
-    let mut share = FallbackQuota::default();
-    let mut given = 0;
+    let mut quota = FallbackQuota::default();
+    let mut granted = 0;
     for ms in (0..5000).step_by(10) {
-        given += usize::from(
-            share
+        granted += usize::from(
+            quota
                 .pick(
                     Duration::from_millis(ms),
                     &group(Proof::Named, Some(300.0)),
@@ -55,9 +55,9 @@
         );
     }
     // 300 a second, a tenth of it, by ten: 3 a second, and a tenth more.
-    assert!((15..=17).contains(&given), "{given}");
+    assert!((15..=17).contains(&granted), "{granted}");
     assert!(
-        share
+        quota
             .pick(
                 Duration::from_secs(9),
                 &group(Proof::Seal, None),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_nearest_goes_first_and_what_failed_or_is_full_is_left_alone() {
+fn nearest_origin_is_picked_unless_ejected_or_full() {
     let locality = Locality {
         zone: "b".into(),
         region: "r".into(),
@@ -87,16 +87,16 @@
             ..origin(3, "b")
         },
     ];
-    let mut share = FallbackQuota::default();
+    let mut quota = FallbackQuota::default();
     let named = group(Proof::Named, None);
     let now = Duration::from_secs(1);
     let port = |origin: Option<Origin>| origin.map(|origin| origin.address.port());
     assert_eq!(
-        port(share.pick(now, &named, &origins, &locality, 4, &|_| 0)),
+        port(quota.pick(now, &named, &origins, &locality, 4, &|_| 0)),
         Some(2)
     );
     assert_eq!(
-        port(share.pick(
+        port(quota.pick(
             now,
             &named,
             &origins,
@@ -106,13 +106,13 @@
         )),
         Some(1)
     );
-    share.call_failed(now, origins[1].address);
+    quota.call_failed(now, origins[1].address);
     assert_eq!(
-        port(share.pick(now, &named, &origins, &locality, 4, &|_| 0)),
+        port(quota.pick(now, &named, &origins, &locality, 4, &|_| 0)),
         Some(1)
     );
     assert_eq!(
-        port(share.pick(
+        port(quota.pick(
             now + Duration::from_secs(2),
             &named,
             &origins,
--- a/data-plane/src/filter/tests.rs
+++ b/data-plane/src/filter/tests.rs
@@ -30,49 +30,49 @@
 }
 
 #[test]
-fn each_filter_answers_for_itself_and_a_good_request_passes_all() {
+fn filters_reject_in_order_and_valid_request_passes() {
     let long = "x".repeat(129);
-    let told = |mut arrival: Arrival| {
+    let rejection_of = |mut arrival: Arrival| {
         chain(&mut arrival).map(|refusal| (refusal.status, refusal.code, refusal.outcome))
     };
     let not_run = |status, code: &str| Some((status, code.to_string(), RunState::NotRun));
-    assert_eq!(told(arrival("GET", "/p/1", &[], true)), None);
+    assert_eq!(rejection_of(arrival("GET", "/p/1", &[], true)), None);
     assert_eq!(
-        told(arrival("POST", "/k", &[("Operation-Key", "a-1")], true)),
+        rejection_of(arrival("POST", "/k", &[("Operation-Key", "a-1")], true)),
         None
     );
     assert_eq!(
-        told(arrival("GET", &format!("/{}", "x".repeat(2048)), &[], true)),
+        rejection_of(arrival("GET", &format!("/{}", "x".repeat(2048)), &[], true)),
         not_run(414, "url_too_long")
     );
     assert_eq!(
-        told(arrival("GET", "p", &[], true)),
+        rejection_of(arrival("GET", "p", &[], true)),
         not_run(400, "url_malformed")
     );
     assert_eq!(
-        told(arrival("GET", "/p", &[("a", &"x".repeat(16400))], true)),
+        rejection_of(arrival("GET", "/p", &[("a", &"x".repeat(16400))], true)),
         not_run(431, "headers_too_large")
     );
     assert_eq!(
-        told(arrival("GET", "/none", &[], true)),
+        rejection_of(arrival("GET", "/none", &[], true)),
         not_run(404, "no_entry")
     );
     assert_eq!(
-        told(arrival("POST", "/k", &[], true)),
+        rejection_of(arrival("POST", "/k", &[], true)),
         not_run(400, "operation_key_missing")
     );
     assert_eq!(
-        told(arrival("POST", "/k", &[("operation-key", &long)], true)),
+        rejection_of(arrival("POST", "/k", &[("operation-key", &long)], true)),
         not_run(400, "operation_key_malformed")
     );
     assert_eq!(
-        told(arrival("GET", "/p", &[], false)),
+        rejection_of(arrival("GET", "/p", &[], false)),
         not_run(503, "fenced")
     );
     assert_eq!(
-        told(arrival("GET", "/none", &[], false)),
+        rejection_of(arrival("GET", "/none", &[], false)),
         not_run(503, "fenced")
     );
-    let keyed = told(arrival("POST", "/k", &[("operation-key", "a")], false));
+    let keyed = rejection_of(arrival("POST", "/k", &[("operation-key", "a")], false));
     assert_eq!(keyed, Some((503, "fenced".into(), RunState::Unknown)));
 }
--- a/data-plane/src/leases/tests.rs
+++ b/data-plane/src/leases/tests.rs
@@ -2,16 +2,16 @@
 use crate::prelude::*;
 
 #[test]
-fn an_edge_is_live_until_the_second_longest_lease_ends() {
+fn edge_is_live_until_quorum_of_leases_expires() {
     let at = Duration::from_millis;
-    let seed = |port| SocketAddr::from(([127, 0, 0, 1], port));
+    let control_node = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let mut leases = Leases::default();
-    leases.renewed(seed(1), at(500));
+    leases.renewed(control_node(1), at(500));
     assert_eq!(leases.live_until(3), Duration::ZERO, "one is no majority");
-    leases.renewed(seed(2), at(700));
+    leases.renewed(control_node(2), at(700));
     assert_eq!(leases.live_until(3), at(1100));
-    leases.renewed(seed(3), at(900));
-    leases.renewed(seed(3), at(600));
+    leases.renewed(control_node(3), at(900));
+    leases.renewed(control_node(3), at(600));
     assert_eq!(leases.live_until(3), at(1300));
     // Of five or eight slots more are needed, of a table not known all.
     assert_eq!(
--- a/data-plane/src/purge_log/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_copy_is_clear_of_purges_known_when_its_fetch_began_and_of_no_later_one() {
+fn response_is_clear_of_purges_before_its_fetch_only() {
     let mut purge_log = PurgeLog::default();
     purge_log.apply(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
     assert!(!purge_log.is_clear(0, name("/a/1")));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_edge_that_missed_more_purges_than_are_kept_drops_everything_older() {
+fn missed_purges_invalidate_older_responses() {
     let mut purge_log = PurgeLog::default();
     assert!(!purge_log.apply(Duration::ZERO, 1, &[row(1, "/a")]).has_gap);
     let applied = purge_log.apply(
--- a/data-plane/src/response_signature/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 #[test]
-fn an_answer_passes_only_for_the_very_request_service_and_key_it_was_signed_for() {
+fn signature_is_valid_only_for_its_request_service_and_key() {
     let key = SigningKey::from_bytes(&[7; 32]);
     let public = BASE64.encode(key.verifying_key().to_bytes());
     let signature = ResponseSignature {
@@ -17,7 +17,7 @@
     };
     let headers = signature.sign(&key);
     assert!(signature.verify(&headers, &public).is_ok());
-    let others = [
+    let altered = [
         ResponseSignature {
             status: 201,
             ..signature.clone()
@@ -51,18 +51,21 @@
             ..signature.clone()
         },
     ];
-    for other in others {
-        assert!(other.verify(&headers, &public).is_err(), "{other:?}");
+    for altered_signature in altered {
+        assert!(
+            altered_signature.verify(&headers, &public).is_err(),
+            "{altered_signature:?}"
+        );
     }
-    let stranger = SigningKey::from_bytes(&[8; 32]);
+    let other_key = SigningKey::from_bytes(&[8; 32]);
     assert!(
         signature
-            .verify(&signature.sign(&stranger), &public)
+            .verify(&signature.sign(&other_key), &public)
             .is_err()
     );
-    for gone in 0..headers.len() {
+    for removed in 0..headers.len() {
         let mut fewer = headers.clone();
-        fewer.remove(gone);
+        fewer.remove(removed);
         assert!(signature.verify(&fewer, &public).is_err());
     }
 }
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 const KEY: CacheKey = [1; 32];
-const KEEP: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn asker(port: u16) -> SocketAddr {
+fn edge_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -20,7 +20,7 @@
         entry: "e".into(),
         host: String::new(),
         url: "/u".into(),
-        ttl: KEEP,
+        ttl: TTL,
         max_wait: at(5000),
         accepts_any_age: false,
     }
@@ -36,12 +36,12 @@
 /// Serials begin anew with each process, so that a refresher of an earlier
 /// epoch, or of an earlier process at this address, may hold the same one.
 #[test]
-fn a_failure_told_under_another_epoch_does_not_end_the_refresher_at_work() {
+fn fill_failure_of_other_epoch_is_ignored() {
     const EPOCH: u64 = 7;
     let mut owner = CacheOwner::new(1 << 20);
-    owner.get(at(0), asker(1), get(1), EPOCH, 0);
+    owner.get(at(0), edge_address(1), get(1), EPOCH, 0);
     let current = token(&owner.take_outgoing()).expect("the first is told to fetch");
-    owner.get(at(1), asker(2), get(2), EPOCH, 0);
+    owner.get(at(1), edge_address(2), get(2), EPOCH, 0);
     assert_eq!(token(&owner.take_outgoing()), None, "the second waits");
     let earlier = FillToken {
         epoch: EPOCH - 1,
@@ -65,12 +65,12 @@
 /// A question is repeated because its answer has not come yet, mostly since the
 /// link is full: before, each repeat put one more whole copy into that queue.
 #[test]
-fn a_repeated_question_is_told_that_its_copy_is_on_the_way() {
+fn repeated_get_is_confirmed_and_not_sent_twice() {
     let mut owner = CacheOwner::new(1 << 20);
-    owner.get(at(0), asker(1), get(1), 7, 0);
+    owner.get(at(0), edge_address(1), get(1), 7, 0);
     let token = token(&owner.take_outgoing()).expect("the first is told to fetch");
     for _ in 0..3 {
-        owner.get(at(50), asker(2), get(2), 7, 0);
+        owner.get(at(50), edge_address(2), get(2), 7, 0);
     }
     let queued = owner.take_outgoing();
     assert_eq!(copies(&queued), 0);
@@ -86,11 +86,11 @@
     let mut sent = 0;
     for now in (200..4000).step_by(200) {
         owner.tick(at(now), &|_| 7, 0);
-        owner.get(at(now), asker(2), get(2), 7, 0);
+        owner.get(at(now), edge_address(2), get(2), 7, 0);
         sent += copies(&owner.take_outgoing());
     }
     assert_eq!(sent, 1, "in four seconds once more, for one that was lost");
-    owner.get(at(4000), asker(3), get(3), 7, 0);
+    owner.get(at(4000), edge_address(3), get(3), 7, 0);
     assert_eq!(
         copies(&owner.take_outgoing()),
         1,
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -44,34 +44,34 @@
     }
 }
 
-const OWN: [(&str, &str); 2] = [("otterslip-instance", "i1"), ("otterslip-errand", "9")];
-const REFUSED: [(&str, &str); 3] = [
+const MATCHING: [(&str, &str); 2] = [("otterslip-instance", "i1"), ("otterslip-errand", "9")];
+const NOT_EXECUTED: [(&str, &str); 3] = [
     ("otterslip-instance", "i1"),
     ("otterslip-errand", "9"),
     ("otterslip-not-run", "1"),
 ];
-const REFUSED_ANOTHER: [(&str, &str); 3] = [
+const NOT_EXECUTED_OTHER: [(&str, &str); 3] = [
     ("otterslip-instance", "i1"),
     ("otterslip-errand", "8"),
     ("otterslip-not-run", "1"),
 ];
 
-fn judged(came: Came) -> CallOutcome {
-    judge_call(&DefaultProtocol, &call(Proof::Named), came)
+fn judged(ending: Came) -> CallOutcome {
+    judge_call(&DefaultProtocol, &call(Proof::Named), ending)
 }
 
 #[test]
-fn only_an_unsent_call_and_the_origins_own_word_prove_that_nothing_ran() {
+fn non_execution_is_proven_only_by_unsent_call_or_origin() {
     let proofs = [
         Came::Unsent("connect: refused".into()),
-        reply(503, &REFUSED, true),
-        reply(421, &OWN, true),
+        reply(503, &NOT_EXECUTED, true),
+        reply(421, &MATCHING, true),
     ];
-    for came in proofs {
-        let text = format!("{came:?}");
+    for ending in proofs {
+        let text = format!("{ending:?}");
         assert!(
             matches!(
-                judged(came),
+                judged(ending),
                 CallOutcome::Unreachable | CallOutcome::NotExecuted | CallOutcome::WrongInstance
             ),
             "{text}"
@@ -84,30 +84,30 @@
     let no_proofs = [
         lost(false),
         lost(true),
-        reply(503, &REFUSED_ANOTHER, true),
-        reply(421, &REFUSED_ANOTHER[..2], true),
+        reply(503, &NOT_EXECUTED_OTHER, true),
+        reply(421, &NOT_EXECUTED_OTHER[..2], true),
         reply(421, &[], true),
         reply(503, &[("otterslip-not-run", "1")], true),
-        reply(200, &OWN, false),
+        reply(200, &MATCHING, false),
     ];
-    for came in no_proofs {
-        let text = format!("{came:?}");
-        assert!(matches!(judged(came), CallOutcome::Failure(_)), "{text}");
+    for ending in no_proofs {
+        let text = format!("{ending:?}");
+        assert!(matches!(judged(ending), CallOutcome::Failure(_)), "{text}");
     }
 }
 
 #[test]
-fn a_body_of_unknown_end_passes_only_under_a_seal() {
+fn unframed_body_requires_signature() {
     assert!(matches!(
-        judged(reply(200, &OWN, true)),
+        judged(reply(200, &MATCHING, true)),
         CallOutcome::Success(Reply { status: 200, .. })
     ));
     let key = SigningKey::from_bytes(&[7; 32]);
-    let sealed = Call {
+    let signed = Call {
         key: BASE64.encode(key.verifying_key().to_bytes()),
         ..call(Proof::Seal)
     };
-    let seal = ResponseSignature {
+    let signature = ResponseSignature {
         status: 200,
         method: "POST",
         target: "/u",
@@ -117,18 +117,18 @@
         request: "9",
         body: b"x",
     };
-    let came = |body: &[u8]| Came::Reply {
+    let ending = |body: &[u8]| Came::Reply {
         status: 200,
-        headers: seal.sign(&key),
+        headers: signature.sign(&key),
         body: body.to_vec(),
         sized: false,
     };
     assert!(matches!(
-        judge_call(&DefaultProtocol, &sealed, came(b"x")),
+        judge_call(&DefaultProtocol, &signed, ending(b"x")),
         CallOutcome::Success(_)
     ));
     assert!(matches!(
-        judge_call(&DefaultProtocol, &sealed, came(b"")),
+        judge_call(&DefaultProtocol, &signed, ending(b"")),
         CallOutcome::Failure(_)
     ));
 }
--- a/data-plane/tests/default_protocol.rs
+++ b/data-plane/tests/default_protocol.rs
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_named_answer_counts_only_from_the_instance_and_for_the_errand_that_were_named() {
-    let told = |headers: &[(&str, &str)], status| {
+fn named_response_requires_matching_instance_and_request() {
+    let verdict = |headers: &[(&str, &str)], status| {
         let headers: Vec<(String, String)> = headers
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
@@ -50,16 +50,16 @@
         ("x-own", "2"),
     ];
     assert_eq!(
-        told(&good, 200),
+        verdict(&good, 200),
         OriginVerdict::Accepted {
             headers: vec![("etag".into(), "1".into())],
             tags: vec!["a".into(), "b".into()]
         }
     );
     let other = [("otterslip-instance", "i2"), ("otterslip-errand", "9")];
-    assert_eq!(told(&good, 421), OriginVerdict::WrongInstance);
-    assert_eq!(told(&other, 421), OriginVerdict::WrongInstance);
-    for (headers, status, why) in [
+    assert_eq!(verdict(&good, 421), OriginVerdict::WrongInstance);
+    assert_eq!(verdict(&other, 421), OriginVerdict::WrongInstance);
+    for (headers, status, reason) in [
         (
             &other[..],
             200,
@@ -76,19 +76,19 @@
         ),
     ] {
         assert!(
-            matches!(told(headers, status), OriginVerdict::Rejected(_)),
-            "{why}"
+            matches!(verdict(headers, status), OriginVerdict::Rejected(_)),
+            "{reason}"
         );
     }
     assert!(matches!(
-        told(
+        verdict(
             &[("otterslip-instance", "i1"), ("otterslip-errand", "8")],
             200
         ),
         OriginVerdict::Rejected(_)
     ));
     assert_eq!(
-        told(
+        verdict(
             &[
                 ("otterslip-instance", "i1"),
                 ("otterslip-errand", "9"),
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -8,50 +8,50 @@
 /// Time that the drawn sequences begin at, in milliseconds.
 const START_MS: u64 = 1000;
 /// What is under way for nobody has ended this long after its caller left.
-const SOON_MS: u64 = 300;
+const CANCELLATION_BOUND_MS: u64 = 300;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Sort {
+enum RequestKind {
     Repeatable,
     Once,
     Keyed,
     Cached,
 }
 
-impl Sort {
-    fn words(self) -> (&'static str, &'static str) {
+impl RequestKind {
+    fn target(self) -> (&'static str, &'static str) {
         match self {
-            Sort::Repeatable => ("/low", "GET"),
-            Sort::Once => ("/once", "POST"),
-            Sort::Keyed => ("/k", "POST"),
-            Sort::Cached => ("/copy", "GET"),
+            RequestKind::Repeatable => ("/low", "GET"),
+            RequestKind::Once => ("/once", "POST"),
+            RequestKind::Keyed => ("/k", "POST"),
+            RequestKind::Cached => ("/copy", "GET"),
         }
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Comes(Sort),
+    Arrives(RequestKind),
     /// The caller of the so-many-th request leaves.
-    Leaves(usize),
+    Disconnects(usize),
     Permit(usize),
     Refused(usize),
-    Called(usize, End),
-    Ledger(usize, Word),
-    Owner(usize, Kept),
+    Called(usize, CallEnding),
+    Ledger(usize, LedgerReply),
+    Owner(usize, OwnerReply),
     Wait(u64),
 }
 
 #[derive(Debug, Clone, Copy)]
-enum End {
-    Good,
+enum CallEnding {
+    Success,
     Failure,
-    NotRun,
+    NotExecuted,
     Lost,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum LedgerReply {
     Claimed,
     Running,
     Released,
@@ -59,48 +59,48 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Kept {
+enum OwnerReply {
     Copy,
     Miss,
-    NoCopy,
+    Unavailable,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let sort = prop_oneof![
-        Just(Sort::Repeatable),
-        Just(Sort::Once),
-        Just(Sort::Keyed),
-        Just(Sort::Cached)
+    let kind = prop_oneof![
+        Just(RequestKind::Repeatable),
+        Just(RequestKind::Once),
+        Just(RequestKind::Keyed),
+        Just(RequestKind::Cached)
     ];
     let end = prop_oneof![
-        Just(End::Good),
-        Just(End::Failure),
-        Just(End::NotRun),
-        Just(End::Lost)
+        Just(CallEnding::Success),
+        Just(CallEnding::Failure),
+        Just(CallEnding::NotExecuted),
+        Just(CallEnding::Lost)
     ];
     let word = prop_oneof![
-        3 => Just(Word::Claimed),
-        1 => Just(Word::Running),
-        1 => Just(Word::Released),
-        1 => Just(Word::Recorded)
+        3 => Just(LedgerReply::Claimed),
+        1 => Just(LedgerReply::Running),
+        1 => Just(LedgerReply::Released),
+        1 => Just(LedgerReply::Recorded)
     ];
-    let kept = prop_oneof![1 => Just(Kept::Copy), 2 => Just(Kept::Miss), 1 => Just(Kept::NoCopy)];
+    let owner_reply = prop_oneof![1 => Just(OwnerReply::Copy), 2 => Just(OwnerReply::Miss), 1 => Just(OwnerReply::Unavailable)];
     prop_oneof![
-        3 => sort.prop_map(Step::Comes),
-        3 => (0usize..12).prop_map(Step::Leaves),
+        3 => kind.prop_map(Step::Arrives),
+        3 => (0usize..12).prop_map(Step::Disconnects),
         4 => (0usize..4).prop_map(Step::Permit),
         1 => (0usize..4).prop_map(Step::Refused),
         3 => (0usize..4, end).prop_map(|(at, end)| Step::Called(at, end)),
         3 => (0usize..4, word).prop_map(|(at, word)| Step::Ledger(at, word)),
-        3 => (0usize..4, kept).prop_map(|(at, kept)| Step::Owner(at, kept)),
-        3 => prop_oneof![Just(50u64), Just(250), Just(SOON_MS), Just(1_300)].prop_map(Step::Wait),
+        3 => (0usize..4, owner_reply).prop_map(|(at, owner_reply)| Step::Owner(at, owner_reply)),
+        3 => prop_oneof![Just(50u64), Just(250), Just(CANCELLATION_BOUND_MS), Just(1_300)].prop_map(Step::Wait),
     ]
 }
 
 struct Request {
-    sort: Sort,
-    left: bool,
-    answered: bool,
+    kind: RequestKind,
+    disconnected: bool,
+    responded: bool,
 }
 
 /// An edge with requests of all kinds; admission controller, owner and ledger are the test's.
@@ -141,32 +141,32 @@
     fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
         let now = self.now;
         let out = match step {
-            Step::Comes(sort) => {
+            Step::Arrives(kind) => {
                 let id = self.requests.len() as u64;
                 let request = Request {
-                    sort,
-                    left: false,
-                    answered: false,
+                    kind,
+                    disconnected: false,
+                    responded: false,
                 };
                 self.requests.insert(id, request);
-                let (url, method) = sort.words();
+                let (url, method) = kind.target();
                 let request = client_request(url, method);
                 self.edge
                     .handle(at(now), Input::ClientRequest { id, request })
             }
-            Step::Leaves(which) => {
+            Step::Disconnects(which) => {
                 let waiting = |(id, request): (&u64, &Request)| {
-                    (!request.left && !request.answered).then_some(*id)
+                    (!request.disconnected && !request.responded).then_some(*id)
                 };
                 let mut waiting: Vec<u64> = self.requests.iter().filter_map(waiting).collect();
                 let Some(id) = take(&mut waiting, which) else {
                     return Ok(());
                 };
-                self.requests.get_mut(&id).unwrap().left = true;
+                self.requests.get_mut(&id).unwrap().disconnected = true;
                 self.edge.handle(at(now), Input::ClientDisconnected { id })
             }
             Step::Permit(which) => match take(&mut self.permits, which) {
-                Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
+                Some(id) => deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
                 None => return Ok(()),
             },
             Step::Refused(which) => match take(&mut self.permits, which) {
@@ -176,17 +176,17 @@
                         reason: PermitRefusalReason::Overloaded,
                         back: at(100),
                     };
-                    heard(&mut self.edge, now, ADMISSION, refused)
+                    deliver(&mut self.edge, now, ADMISSION, refused)
                 }
                 None => return Ok(()),
             },
             Step::Called(which, end) => match take(&mut self.calls, which) {
                 Some((id, _)) => {
                     let result = match end {
-                        End::Good => CallOutcome::Success(reply(200)),
-                        End::Failure => CallOutcome::Success(reply(500)),
-                        End::NotRun => CallOutcome::NotExecuted,
-                        End::Lost => CallOutcome::Failure("reset".into()),
+                        CallEnding::Success => CallOutcome::Success(reply(200)),
+                        CallEnding::Failure => CallOutcome::Success(reply(500)),
+                        CallEnding::NotExecuted => CallOutcome::NotExecuted,
+                        CallEnding::Lost => CallOutcome::Failure("reset".into()),
                     };
                     self.edge
                         .handle(at(now), Input::CallCompleted { id, result })
@@ -196,20 +196,20 @@
             Step::Ledger(which, word) => match take(&mut self.ledger, which) {
                 Some(id) => {
                     let outcome = match word {
-                        Word::Claimed => ChangeOutcome::Claimed,
-                        Word::Running => ChangeOutcome::AlreadyClaimed {
+                        LedgerReply::Claimed => ChangeOutcome::Claimed,
+                        LedgerReply::Running => ChangeOutcome::AlreadyClaimed {
                             same: true,
                             state: OperationState::Running,
                         },
-                        Word::Released => ChangeOutcome::Released,
-                        Word::Recorded => ChangeOutcome::Recorded,
+                        LedgerReply::Released => ChangeOutcome::Released,
+                        LedgerReply::Recorded => ChangeOutcome::Recorded,
                     };
-                    told(&mut self.edge, now, id, outcome)
+                    ledger_responds(&mut self.edge, now, id, outcome)
                 }
                 None => return Ok(()),
             },
-            Step::Owner(which, kept) => match take(&mut self.gets, which) {
-                Some(id) => self.owner_says(id, kept),
+            Step::Owner(which, owner_reply) => match take(&mut self.gets, which) {
+                Some(id) => self.owner_replies(id, owner_reply),
                 None => return Ok(()),
             },
             Step::Wait(ms) => {
@@ -218,17 +218,17 @@
                 self.edge.handle(at(self.now), Input::Tick)
             }
         };
-        self.judge(out)?;
-        if matches!(step, Step::Wait(ms) if ms >= SOON_MS) {
-            self.nothing_is_under_way_for_nobody()?;
+        self.check_outputs(out)?;
+        if matches!(step, Step::Wait(ms) if ms >= CANCELLATION_BOUND_MS) {
+            self.check_no_abandoned_call()?;
         }
         Ok(())
     }
 
-    fn owner_says(&mut self, id: u64, kept: Kept) -> Vec<Output> {
+    fn owner_replies(&mut self, id: u64, owner_reply: OwnerReply) -> Vec<Output> {
         let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
-        let message: Message = match kept {
-            Kept::Copy => {
+        let message: Message = match owner_reply {
+            OwnerReply::Copy => {
                 let copy = CachedResponse {
                     reply: reply(200),
                     purge_version: 0,
@@ -246,7 +246,7 @@
                 }
                 .into()
             }
-            Kept::Miss => {
+            OwnerReply::Miss => {
                 self.tokens += 1;
                 let token = FillToken {
                     serial: self.tokens,
@@ -255,26 +255,28 @@
                 };
                 CacheMiss { id, key, token }.into()
             }
-            Kept::NoCopy => CacheUnavailable { id, key }.into(),
+            OwnerReply::Unavailable => CacheUnavailable { id, key }.into(),
         };
-        heard(&mut self.edge, self.now, OWNER, message)
+        deliver(&mut self.edge, self.now, OWNER, message)
     }
 
-    fn judge(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
+    fn check_outputs(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
         for output in out {
             match output {
                 Output::Send { message, .. } => match message {
-                    Message::PermitRequest(ask) => self.permits.push(ask.id),
-                    Message::ChangeRequest(ask) => self.ledger.push(ask.id),
+                    Message::PermitRequest(request_message) => {
+                        self.permits.push(request_message.id)
+                    }
+                    Message::ChangeRequest(request_message) => self.ledger.push(request_message.id),
                     Message::CacheGet(get) => self.gets.push(get.id),
                     _ => {}
                 },
                 Output::Call { id, call } => {
                     let request = &self.requests[&call.request];
                     prop_assert!(
-                        !request.left || request.sort == Sort::Cached,
+                        !request.disconnected || request.kind == RequestKind::Cached,
                         "a call is begun for a caller that has left: {:?}",
-                        request.sort
+                        request.kind
                     );
                     self.calls.push((id, call.request));
                 }
@@ -282,15 +284,17 @@
                     let request = self.calls.iter().find(|(call, _)| *call == id);
                     let request = request.map(|(_, request)| &self.requests[request]);
                     prop_assert!(
-                        request.is_some_and(|one| one.left && one.sort == Sort::Repeatable),
+                        request.is_some_and(
+                            |found| found.disconnected && found.kind == RequestKind::Repeatable
+                        ),
                         "a call is broken off that must go on"
                     );
                     self.calls.retain(|(call, _)| *call != id);
                 }
                 Output::ClientResponse { id, .. } => {
                     let request = self.requests.get_mut(&id).unwrap();
-                    prop_assert!(!request.answered, "answered twice");
-                    request.answered = true;
+                    prop_assert!(!request.responded, "answered twice");
+                    request.responded = true;
                 }
                 Output::Log {
                     event: Event::AbandonedWork,
@@ -302,11 +306,11 @@
         Ok(())
     }
 
-    fn nothing_is_under_way_for_nobody(&self) -> Result<(), TestCaseError> {
+    fn check_no_abandoned_call(&self) -> Result<(), TestCaseError> {
         for (_, id) in &self.calls {
             let request = &self.requests[id];
             prop_assert!(
-                !request.left || request.sort != Sort::Repeatable,
+                !request.disconnected || request.kind != RequestKind::Repeatable,
                 "a repeatable call goes on for a caller that has left"
             );
         }
@@ -316,20 +320,20 @@
     /// Everybody leaves; the rest of the system answers what it is asked.
     fn end(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..self.requests.len() {
-            self.play(Step::Leaves(0))?;
+            self.play(Step::Disconnects(0))?;
         }
         for _ in 0..120 {
             let (ledger, calls) = (self.ledger.len(), self.calls.len());
             for _ in 0..ledger {
-                self.play(Step::Ledger(0, Word::Released))?;
+                self.play(Step::Ledger(0, LedgerReply::Released))?;
             }
             for _ in 0..calls {
-                self.play(Step::Called(0, End::Good))?;
+                self.play(Step::Called(0, CallEnding::Success))?;
             }
             self.play(Step::Wait(100))?;
         }
         for (id, request) in &self.requests {
-            prop_assert!(request.answered, "request {} was forgotten", id);
+            prop_assert!(request.responded, "request {} was forgotten", id);
         }
         Ok(())
     }
@@ -352,7 +356,7 @@
     /// Wherever a request is when its caller leaves, no call is begun for it, none
     /// that may be broken off goes on, and it comes to its end.
     #[test]
-    fn no_work_goes_on_for_callers_that_have_left(
+    fn no_work_continues_for_disconnected_clients(
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut model = Model::new();
@@ -364,7 +368,7 @@
 }
 
 fn withdrawn(out: &[Output]) -> Vec<u64> {
-    let one = |output: &Output| match output {
+    let found = |output: &Output| match output {
         Output::Send { message, .. } => match message {
             Message::PermitWithdrawn(withdrawn) => Some(withdrawn.id),
             Message::CacheGetWithdrawn(withdrawn) => Some(withdrawn.id),
@@ -372,7 +376,7 @@
         },
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    out.iter().filter_map(found).collect()
 }
 
 fn begin(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
@@ -387,123 +391,139 @@
 }
 
 /// The call of the request, begun by a permit.
-fn called(edge: &mut EdgeNode, begun: &[Output]) -> u64 {
-    let out = heard(
+fn start_call(edge: &mut EdgeNode, started: &[Output]) -> u64 {
+    let out = deliver(
         edge,
         1010,
         ADMISSION,
-        permit(question(begun), origin(50), 1005),
+        permit(last_exchange(started), origin(50), 1005),
     );
-    question(&out)
+    last_exchange(&out)
 }
 
 fn call_results(out: &[Output]) -> Vec<CallResult> {
-    let one = |output: &Output| match output {
+    let found = |output: &Output| match output {
         Output::Send {
             message: Message::CallDone(done),
             ..
         } => Some(done.result),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    out.iter().filter_map(found).collect()
 }
 
 fn cancelled(out: &[Output]) -> Vec<u64> {
-    let one = |output: &Output| match output {
+    let found = |output: &Output| match output {
         Output::CancelCall { id } => Some(*id),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    out.iter().filter_map(found).collect()
 }
 
 #[test]
-fn a_wait_for_a_permit_is_taken_back_and_a_permit_on_its_way_is_given_back() {
+fn disconnect_withdraws_permit_request_and_returns_permit() {
     let mut edge = ready_edge();
-    let asked = question(&begin(&mut edge, 1, "/low", "GET"));
+    let requested = last_exchange(&begin(&mut edge, 1, "/low", "GET"));
     let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert_eq!(withdrawn(&out), [asked]);
-    let left = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(answers(out), [left]);
-    let out = heard(&mut edge, 1301, ADMISSION, permit(asked, origin(50), 1299));
+    assert_eq!(withdrawn(&out), [requested]);
+    let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(out), [disconnected]);
+    let out = deliver(
+        &mut edge,
+        1301,
+        ADMISSION,
+        permit(requested, origin(50), 1299),
+    );
     assert_eq!(call_results(&out), [CallResult::Unused]);
 }
 
 #[test]
-fn a_call_that_may_be_repeated_is_broken_off_at_once() {
+fn idempotent_call_is_cancelled_on_disconnect() {
     let mut edge = ready_edge();
-    let begun = begin(&mut edge, 1, "/low", "GET");
-    let call = called(&mut edge, &begun);
+    let started = begin(&mut edge, 1, "/low", "GET");
+    let call = start_call(&mut edge, &started);
     let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(cancelled(&out), [call]);
     assert_eq!(call_results(&out), [CallResult::Cancelled]);
     // It may have run: a caller that still reads is not told that it did not.
-    let left = (1, 503, "caller_left".to_string(), RunState::Unknown);
-    assert_eq!(answers(out), [left]);
-    let again = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
-    assert!(again.is_empty(), "{again:?}");
+    let disconnected = (1, 503, "caller_left".to_string(), RunState::Unknown);
+    assert_eq!(rejections_in(out), [disconnected]);
+    let repeated = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
+    assert!(repeated.is_empty(), "{repeated:?}");
 }
 
 /// Its outcome is recorded, and the next who asks gets it.
 #[test]
-fn an_operation_that_may_have_run_goes_on_until_it_is_recorded() {
+fn called_operation_is_recorded_after_disconnect() {
     let mut edge = ready_edge();
-    let claim = question(&begin(&mut edge, 1, "/k", "POST"));
-    let claimed = told(&mut edge, 1005, claim, ChangeOutcome::Claimed);
-    let call = called(&mut edge, &claimed);
+    let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
+    let claimed = ledger_responds(&mut edge, 1005, claim, ChangeOutcome::Claimed);
+    let call = start_call(&mut edge, &claimed);
     let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert!(cancelled(&out).is_empty() && answers(out).is_empty());
+    assert!(cancelled(&out).is_empty() && rejections_in(out).is_empty());
     let result = CallOutcome::Success(reply(200));
     let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
-    assert!(matches!(asked(&out)[..], [Change::Record(_, Some(_))]));
+    assert!(matches!(changes_in(&out)[..], [Change::Record(_, Some(_))]));
 }
 
 /// Nothing was sent under its claim: the next who asks may run it at once.
 #[test]
-fn a_claim_of_an_operation_that_was_not_sent_is_given_back() {
+fn uncalled_claim_is_released_on_disconnect() {
     for claimed_before in [false, true] {
         let mut edge = ready_edge();
-        let claim = question(&begin(&mut edge, 1, "/k", "POST"));
+        let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
         let mut out = Vec::new();
         if !claimed_before {
             out.extend(edge.handle(at(1002), Input::ClientDisconnected { id: 1 }));
         }
-        out.extend(told(&mut edge, 1005, claim, ChangeOutcome::Claimed));
+        out.extend(ledger_responds(
+            &mut edge,
+            1005,
+            claim,
+            ChangeOutcome::Claimed,
+        ));
         if claimed_before {
             out.extend(edge.handle(at(1010), Input::ClientDisconnected { id: 1 }));
         }
         let released = |change: &Change| matches!(change, Change::Release(_));
-        assert_eq!(asked(&out).iter().filter(|one| released(one)).count(), 1);
-        assert!(asked(&out).last().is_some_and(released));
+        assert_eq!(
+            changes_in(&out)
+                .iter()
+                .filter(|found| released(found))
+                .count(),
+            1
+        );
+        assert!(changes_in(&out).last().is_some_and(released));
     }
 }
 
 /// What may run once only and was sent goes on; one that the origin did not take
 /// is not sent again.
 #[test]
-fn what_may_run_once_is_neither_broken_off_nor_sent_again() {
+fn non_idempotent_call_is_not_cancelled_or_retried() {
     let mut edge = ready_edge();
-    let begun = begin(&mut edge, 1, "/once", "POST");
-    let call = called(&mut edge, &begun);
+    let started = begin(&mut edge, 1, "/once", "POST");
+    let call = start_call(&mut edge, &started);
     let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert!(cancelled(&out).is_empty() && answers(out).is_empty());
+    assert!(cancelled(&out).is_empty() && rejections_in(out).is_empty());
     let result = CallOutcome::NotExecuted;
     let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
-    let asks = |output: &Output| {
+    let requests_permit = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
         };
         matches!(message, Message::PermitRequest(_))
     };
-    assert!(!out.iter().any(asks));
-    let left = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(answers(out), [left]);
+    assert!(!out.iter().any(requests_permit));
+    let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(out), [disconnected]);
 }
 
 /// A leader whose caller has left asks on for its followers, and no longer.
 #[test]
-fn who_asks_for_others_goes_on_until_the_last_of_them_has_left() {
+fn leader_continues_until_last_follower_disconnects() {
     let mut edge = ready_edge();
-    let get = question(&begin(&mut edge, 1, "/copy", "GET"));
+    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
     for id in 2..=3 {
         begin(&mut edge, id, "/copy", "GET");
     }
@@ -513,23 +533,23 @@
     }
     let out = edge.handle(at(1120), Input::ClientDisconnected { id: 2 });
     assert_eq!(withdrawn(&out), [get]);
-    let mut ended: Vec<u64> = answers(out).into_iter().map(|(id, ..)| id).collect();
+    let mut ended: Vec<u64> = rejections_in(out).into_iter().map(|(id, ..)| id).collect();
     ended.sort_unstable();
     assert_eq!(ended, [1, 2]);
 }
 
 /// The owner counts on its refresher: others wait for the copy there.
 #[test]
-fn the_refresher_of_a_cache_owner_goes_on() {
+fn refresher_continues_after_disconnect() {
     let mut edge = ready_edge();
-    let get = question(&begin(&mut edge, 1, "/copy", "GET"));
+    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
     let token = FillToken {
         serial: 1,
         epoch: 1,
         purge_version: 0,
     };
     let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
-    let out = heard(
+    let out = deliver(
         &mut edge,
         1005,
         OWNER,
@@ -539,11 +559,16 @@
             token,
         },
     );
-    let asked = question(&out);
+    let requested = last_exchange(&out);
     let out = edge.handle(at(1050), Input::ClientDisconnected { id: 1 });
     assert!(withdrawn(&out).is_empty());
-    let out = heard(&mut edge, 1060, ADMISSION, permit(asked, origin(50), 1059));
-    let call = question(&out);
+    let out = deliver(
+        &mut edge,
+        1060,
+        ADMISSION,
+        permit(requested, origin(50), 1059),
+    );
+    let call = last_exchange(&out);
     let result = CallOutcome::Success(reply(200));
     let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
     let puts = |output: &Output| {
@@ -558,25 +583,25 @@
 /// The same class with other words: who goes on without an owner that says
 /// nothing takes its question back, and no copy is sent for it later.
 #[test]
-fn who_does_without_a_silent_owner_takes_its_question_back() {
+fn bypassed_owner_request_is_withdrawn() {
     let mut edge = ready_edge();
-    let get = question(&begin(&mut edge, 1, "/copy", "GET"));
-    let mut taken_back = Vec::new();
+    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
+    let mut withdrawn_ids = Vec::new();
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        taken_back.extend(withdrawn(&edge.handle(at(now), Input::Tick)));
-        if !taken_back.is_empty() {
+        withdrawn_ids.extend(withdrawn(&edge.handle(at(now), Input::Tick)));
+        if !withdrawn_ids.is_empty() {
             break;
         }
     }
-    assert_eq!(taken_back, [get]);
+    assert_eq!(withdrawn_ids, [get]);
 }
 
 /// The check itself: it counts what it is there for, once each, and nothing else.
 #[test]
-fn the_check_of_abandoned_work_sees_calls_begun_and_kept_for_nobody() {
-    let (before, left, after) = (at(10), at(20), at(30));
-    let late = left + at(SOON_MS);
+fn abandoned_work_check_reports_started_and_continued_calls() {
+    let (before, disconnected, after) = (at(10), at(20), at(30));
+    let late = disconnected + at(CANCELLATION_BOUND_MS);
     let nobody_pending = |_: u64| false;
     let purposes = [
         (CallPurpose::Caller, true, true),
@@ -584,28 +609,32 @@
         (CallPurpose::Copy, true, false),
         (CallPurpose::SharedCopy, false, false),
     ];
-    for (purpose, counts_begun, counts_kept) in purposes {
+    for (purpose, reports_started, reports_continued) in purposes {
         let mut check = AbandonedWork::default();
-        check.client_disconnected(left, 1);
+        check.client_disconnected(disconnected, 1);
         assert_eq!(
             check.call_started(after, 7, 2, purpose),
             None,
             "not its own"
         );
-        let begun = check.call_started(after, 8, 1, purpose);
-        assert_eq!(begun.is_some(), counts_begun, "{purpose:?}");
+        let started = check.call_started(after, 8, 1, purpose);
+        assert_eq!(started.is_some(), reports_started, "{purpose:?}");
 
         let mut check = AbandonedWork::default();
         assert_eq!(check.call_started(before, 8, 1, purpose), None);
-        check.client_disconnected(left, 1);
+        check.client_disconnected(disconnected, 1);
         assert!(check.overdue(after, &nobody_pending).is_empty());
-        let kept = check.overdue(late, &nobody_pending);
-        assert_eq!(kept.len(), usize::from(counts_kept), "{purpose:?}");
+        let owner_reply = check.overdue(late, &nobody_pending);
+        assert_eq!(
+            owner_reply.len(),
+            usize::from(reports_continued),
+            "{purpose:?}"
+        );
         assert!(check.overdue(late, &nobody_pending).is_empty(), "once");
 
         let mut check = AbandonedWork::default();
         check.call_started(before, 8, 1, purpose);
-        check.client_disconnected(left, 1);
+        check.client_disconnected(disconnected, 1);
         check.call_ended(8);
         assert!(check.overdue(late, &nobody_pending).is_empty());
     }
@@ -613,8 +642,8 @@
 
 /// An edge that died has no place in line at the admission controller that this edge holds.
 #[test]
-fn a_admission_forgets_what_a_gone_edge_asked_for() {
-    const GONE: u16 = 60;
+fn admission_forgets_requests_of_departed_edge() {
+    const DEPARTED: u16 = 60;
     let mut edge = live(START_MS);
     let row = |value| Row { version: 1, value };
     let me = Peer::new(address(9), 5);
@@ -624,13 +653,13 @@
         previous_owner: None,
     };
     let list = Arc::new(Vec::new());
-    let roll = |members: Vec<Peer>, gone| Value::EdgeRegistry {
+    let registry = |members: Vec<Peer>, departed| Value::EdgeRegistry {
         members,
-        departed: gone,
+        departed: departed,
         complete: true,
     };
-    let dead = Peer::new(address(GONE), 1);
-    let learn = |edge: &mut EdgeNode, version, rows: Vec<(String, Row)>, partition| {
+    let departed_edge = Peer::new(address(DEPARTED), 1);
+    let apply_update = |edge: &mut EdgeNode, version, rows: Vec<(String, Row)>, partition| {
         let updates = PartitionUpdate {
             partition,
             version,
@@ -644,7 +673,7 @@
             recall_requested: false,
             updates: vec![updates].into(),
         };
-        heard(edge, START_MS, 1, renewed);
+        deliver(edge, START_MS, 1, renewed);
     };
     let text = table().document.clone();
     let configuration = Value::Configuration {
@@ -652,13 +681,13 @@
         change: 1,
     };
     let origins = Value::Origins { list, change: 1 };
-    learn(
+    apply_update(
         &mut edge,
         1,
         vec![("configuration".into(), row(configuration))],
         CONFIGURATION_PARTITION,
     );
-    learn(
+    apply_update(
         &mut edge,
         1,
         vec![("origins".into(), row(origins))],
@@ -669,10 +698,13 @@
             admission_assignment("slow"),
             row(Value::Assignment(assignment)),
         ),
-        ("roll".into(), row(roll(vec![me, dead], vec![]))),
+        (
+            "roll".into(),
+            row(registry(vec![me, departed_edge], vec![])),
+        ),
     ];
-    learn(&mut edge, 1, assignments, ASSIGNMENTS_PARTITION);
-    let ask = PermitRequest {
+    apply_update(&mut edge, 1, assignments, ASSIGNMENTS_PARTITION);
+    let request_message = PermitRequest {
         service: "slow".into(),
         id: 1,
         rank: 1,
@@ -685,28 +717,31 @@
         region: String::new(),
         excluded_origins: vec![],
     };
-    heard(&mut edge, START_MS, GONE, ask);
-    learn(
+    deliver(&mut edge, START_MS, DEPARTED, request_message);
+    apply_update(
         &mut edge,
         2,
         vec![(
             "roll".into(),
             Row {
                 version: 2,
-                value: roll(vec![me], vec![dead]),
+                value: registry(vec![me], vec![departed_edge]),
             },
         )],
         ASSIGNMENTS_PARTITION,
     );
-    let mut told = Vec::new();
+    let mut rejections = Vec::new();
     for now in (START_MS + 50..START_MS + 3000).step_by(50) {
         renew(&mut edge, now);
-        told.extend(edge.handle(at(now), Input::Tick));
+        rejections.extend(edge.handle(at(now), Input::Tick));
     }
-    let to_dead =
-        |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(GONE));
+    let to_departed =
+        |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(DEPARTED));
     assert_eq!(
-        told.iter().find(to_dead).map(|one| format!("{one:?}")),
+        rejections
+            .iter()
+            .find(to_departed)
+            .map(|found| format!("{found:?}")),
         None
     );
 }
@@ -714,41 +749,41 @@
 /// A call that the edge itself held back says nothing of its origin, and is no
 /// try.
 #[test]
-fn a_withheld_call_gives_its_permit_back_unused() {
+fn withheld_call_returns_its_permit_unused() {
     let mut edge = ready_edge();
-    let mut asked = begin(&mut edge, 1, "/low", "GET");
+    let mut requested = begin(&mut edge, 1, "/low", "GET");
     for _ in 0..5 {
-        let call = called(&mut edge, &asked);
+        let call = start_call(&mut edge, &requested);
         let result = CallOutcome::NotSent;
-        asked = edge.handle(at(1020), Input::CallCompleted { id: call, result });
-        assert_eq!(call_results(&asked), [CallResult::Unused]);
+        requested = edge.handle(at(1020), Input::CallCompleted { id: call, result });
+        assert_eq!(call_results(&requested), [CallResult::Unused]);
     }
-    let begun = begin(&mut edge, 2, "/once", "POST");
-    let call = called(&mut edge, &begun);
+    let started = begin(&mut edge, 2, "/once", "POST");
+    let call = start_call(&mut edge, &started);
     edge.handle(at(1015), Input::ClientDisconnected { id: 2 });
     let result = CallOutcome::NotSent;
     let out = edge.handle(at(1020), Input::CallCompleted { id: call, result });
     assert_eq!(call_results(&out), [CallResult::Unused]);
-    let left = (2, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(answers(out), [left]);
+    let disconnected = (2, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(out), [disconnected]);
 }
 
 /// An operation that runs elsewhere: nobody is left to be told of its end.
 #[test]
-fn a_claim_that_another_holds_is_not_asked_for_on() {
+fn claim_held_elsewhere_is_not_resent_after_disconnect() {
     let mut edge = ready_edge();
-    let claim = question(&begin(&mut edge, 1, "/k", "POST"));
+    let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
     edge.handle(at(1002), Input::ClientDisconnected { id: 1 });
     let running = ChangeOutcome::AlreadyClaimed {
         same: true,
         state: OperationState::Running,
     };
-    let mut out = told(&mut edge, 1005, claim, running);
+    let mut out = ledger_responds(&mut edge, 1005, claim, running);
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
         out.extend(edge.handle(at(now), Input::Tick));
     }
     let claims = |change: &Change| matches!(change, Change::Claim(_));
-    assert!(!asked(&out).iter().any(claims));
-    assert_eq!(answers(out).len(), 1);
+    assert!(!changes_in(&out).iter().any(claims));
+    assert_eq!(rejections_in(out).len(), 1);
 }
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -78,7 +78,7 @@
             recall_requested: false,
             updates: SharedUpdates::default(),
         };
-        heard(edge, now, seed, renewed);
+        deliver(edge, now, seed, renewed);
     }
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-pub fn answers(out: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
+pub fn rejections_in(out: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
     let one = |output| match output {
         Output::ClientResponse {
             id,
@@ -114,23 +114,23 @@
 }
 
 /// Plays the ledger: what the edge asks, and an answer to it.
-pub fn asked(out: &[Output]) -> Vec<Change> {
+pub fn changes_in(out: &[Output]) -> Vec<Change> {
     let one = |output: &Output| match output {
         Output::Send {
-            message: Message::ChangeRequest(ask),
+            message: Message::ChangeRequest(request_message),
             ..
-        } => Some(ask.change.clone()),
+        } => Some(request_message.change.clone()),
         _ => None,
     };
     out.iter().filter_map(one).collect()
 }
 
 /// The id of the last question among the outputs, or of the last call.
-pub fn question(out: &[Output]) -> u64 {
+pub fn last_exchange(out: &[Output]) -> u64 {
     let one = |output: &Output| match output {
         Output::Send { message, .. } => match message {
-            Message::ChangeRequest(ask) => Some(ask.id),
-            Message::PermitRequest(ask) => Some(ask.id),
+            Message::ChangeRequest(request_message) => Some(request_message.id),
+            Message::PermitRequest(request_message) => Some(request_message.id),
             Message::CacheGet(get) => Some(get.id),
             _ => None,
         },
@@ -140,12 +140,21 @@
     out.iter().rev().find_map(one).expect("a question")
 }
 
-pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: ChangeOutcome) -> Vec<Output> {
+pub fn ledger_responds(
+    edge: &mut EdgeNode,
+    now: u64,
+    id: u64,
+    rejections: ChangeOutcome,
+) -> Vec<Output> {
     edge.handle(
         at(now),
         Input::MessageReceived {
             from: Peer::new(address(1), 1),
-            message: ChangeReply { id, outcome: told }.into(),
+            message: ChangeReply {
+                id,
+                outcome: rejections,
+            }
+            .into(),
         },
     )
 }
@@ -198,14 +207,19 @@
         ]
         .into(),
     };
-    heard(edge, now, 1, renewed)
+    deliver(edge, now, 1, renewed)
 }
 
 /// Who holds the admission controller of "slow", and who the cache partitions.
 pub const ADMISSION: u16 = 8;
 pub const OWNER: u16 = 7;
 
-pub fn heard(edge: &mut EdgeNode, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
+pub fn deliver(
+    edge: &mut EdgeNode,
+    now: u64,
+    port: u16,
+    message: impl Into<Message>,
+) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
     edge.handle(at(now), Input::MessageReceived { from, message })
@@ -224,10 +238,10 @@
     }
 }
 
-/// A permit for the question, sent and held so that it is fresh at `now`.
-pub fn permit(question: u64, origin: Origin, now: u64) -> Permit {
+/// A permit for the exchange, sent and held so that it is fresh at `now`.
+pub fn permit(exchange: u64, origin: Origin, now: u64) -> Permit {
     Permit {
-        id: question,
+        id: exchange,
         service: "slow".into(),
         epoch: 1,
         serial: 1,
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -4,11 +4,11 @@
 use edge::*;
 
 #[test]
-fn a_slow_service_is_bounded_lowest_rank_first_and_takes_nothing_from_others() {
+fn pending_limit_displaces_lowest_rank_per_service() {
     let mut edge = live(1000);
     for id in 0..256 {
         assert!(
-            answers(edge.handle(
+            rejections_in(edge.handle(
                 at(1100),
                 Input::ClientRequest {
                     id,
@@ -18,7 +18,7 @@
             .is_empty()
         );
     }
-    let told = answers(edge.handle(
+    let rejections = rejections_in(edge.handle(
         at(1100),
         Input::ClientRequest {
             id: 300,
@@ -26,10 +26,10 @@
         },
     ));
     assert_eq!(
-        told,
+        rejections,
         [(300, 429, "over_capacity".to_string(), RunState::NotRun)]
     );
-    let told = answers(edge.handle(
+    let rejections = rejections_in(edge.handle(
         at(1100),
         Input::ClientRequest {
             id: 301,
@@ -37,12 +37,12 @@
         },
     ));
     assert_eq!(
-        told,
+        rejections,
         [(255, 429, "over_capacity".to_string(), RunState::NotRun)],
         "the last of the lowest makes room"
     );
     assert!(
-        answers(edge.handle(
+        rejections_in(edge.handle(
             at(1100),
             Input::ClientRequest {
                 id: 302,
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn without_two_renewals_nothing_is_begun_and_of_a_keyed_errand_nothing_is_said() {
+fn fenced_edge_rejects_and_reports_keyed_as_unknown() {
     let mut edge = live(1000);
-    let told = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
-        answers(edge.handle(
+    let rejected = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
+        rejections_in(edge.handle(
             at(now),
             Input::ClientRequest {
                 id,
@@ -65,19 +65,19 @@
             },
         ))
     };
-    assert!(told(&mut edge, 1599, 1, "/quick", "GET").is_empty());
+    assert!(rejected(&mut edge, 1599, 1, "/quick", "GET").is_empty());
     assert_eq!(
-        told(&mut edge, 1600, 2, "/quick", "GET"),
+        rejected(&mut edge, 1600, 2, "/quick", "GET"),
         [(2, 503, "fenced".to_string(), RunState::NotRun)]
     );
     assert_eq!(
-        told(&mut edge, 1600, 3, "/k", "POST"),
+        rejected(&mut edge, 1600, 3, "/k", "POST"),
         [(3, 503, "fenced".to_string(), RunState::Unknown)]
     );
 }
 
 #[test]
-fn a_renewal_of_an_earlier_incarnation_or_a_stranger_counts_for_nothing() {
+fn renewal_of_other_incarnation_or_node_is_ignored() {
     for (incarnation, seed) in [(4, 3), (5, 7)] {
         let mut edge = live(1000);
         let renewed = RenewReply {
@@ -97,22 +97,22 @@
                 },
             );
         }
-        let told = answers(edge.handle(
+        let rejections = rejections_in(edge.handle(
             at(2500),
             Input::ClientRequest {
                 id: 1,
                 request: client_request("/quick", "GET"),
             },
         ));
-        assert_eq!(told.len(), 1, "life {incarnation}, seed {seed}");
+        assert_eq!(rejections.len(), 1, "life {incarnation}, seed {seed}");
     }
 }
 
 /// With twelve control nodes each change was renewed 144 times an edge.
 #[test]
-fn what_is_known_already_is_not_renewed_for_and_a_nudge_asks_the_nudger_alone() {
+fn update_notice_renews_only_with_its_sender() {
     let mut edge = live(1000);
-    let said = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
+    let renewed_with = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
         let out = edge.handle(
             at(1010),
             Input::MessageReceived {
@@ -144,7 +144,7 @@
         .into(),
     };
     assert_eq!(
-        said(
+        renewed_with(
             &mut edge,
             2,
             UpdateNotice {
@@ -157,13 +157,13 @@
         [address(2)]
     );
     assert_eq!(
-        said(&mut edge, 2, updates().into()).len(),
+        renewed_with(&mut edge, 2, updates().into()).len(),
         3,
         "all are told that it is applied"
     );
-    assert!(said(&mut edge, 3, updates().into()).is_empty());
+    assert!(renewed_with(&mut edge, 3, updates().into()).is_empty());
     assert!(
-        said(
+        renewed_with(
             &mut edge,
             3,
             UpdateNotice {
@@ -176,7 +176,7 @@
         .is_empty()
     );
     assert_eq!(
-        said(
+        renewed_with(
             &mut edge,
             3,
             UpdateNotice {
@@ -191,16 +191,16 @@
 }
 
 #[test]
-fn the_lease_of_who_lost_its_slot_ends_with_the_updates_of_it() {
+fn lease_of_replaced_control_node_does_not_count() {
     let mut edge = live(1000);
-    let places = [
+    let slots = [
         Peer::new(address(4), 8),
         Peer::new(address(2), 0),
         Peer::new(address(3), 0),
     ];
     let row = Row {
         version: 1,
-        value: Value::Members(places.to_vec()),
+        value: Value::Members(slots.to_vec()),
     };
     let updates = vec![PartitionUpdate {
         partition: MEMBERSHIP_PARTITION,
@@ -222,14 +222,18 @@
             message: renewed(1100, updates.into()).into(),
         },
     );
-    let told = answers(edge.handle(
+    let rejections = rejections_in(edge.handle(
         at(1200),
         Input::ClientRequest {
             id: 1,
             request: client_request("/quick", "GET"),
         },
     ));
-    assert_eq!(told.len(), 1, "one renewal of the new three is no majority");
+    assert_eq!(
+        rejections.len(),
+        1,
+        "one renewal of the new three is no majority"
+    );
     edge.handle(
         at(1300),
         Input::MessageReceived {
@@ -238,7 +242,7 @@
         },
     );
     assert!(
-        answers(edge.handle(
+        rejections_in(edge.handle(
             at(1400),
             Input::ClientRequest {
                 id: 2,
@@ -250,7 +254,7 @@
 }
 
 #[test]
-fn not_run_is_said_of_a_keyed_errand_only_once_its_release_is_recorded() {
+fn keyed_rejection_awaits_release_of_its_claim() {
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], false);
     let out = edge.handle(
@@ -260,10 +264,10 @@
             request: client_request("/k", "POST"),
         },
     );
-    assert!(matches!(asked(&out).as_slice(), [Change::Claim(_)]));
-    let out = told(&mut edge, 1010, question(&out), ChangeOutcome::Claimed);
-    let away = PermitRefused {
-        id: question(&out),
+    assert!(matches!(changes_in(&out).as_slice(), [Change::Claim(_)]));
+    let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
+    let refused = PermitRefused {
+        id: last_exchange(&out),
         reason: PermitRefusalReason::Overloaded,
         back: at(2000),
     };
@@ -271,21 +275,21 @@
         at(1020),
         Input::MessageReceived {
             from: Peer::new(address(8), 1),
-            message: away.into(),
+            message: refused.into(),
         },
     );
-    assert!(matches!(asked(&out).as_slice(), [Change::Release(_)]));
-    let release = question(&out);
-    assert!(answers(out).is_empty());
-    let out = told(&mut edge, 1030, release, ChangeOutcome::Released);
+    assert!(matches!(changes_in(&out).as_slice(), [Change::Release(_)]));
+    let release = last_exchange(&out);
+    assert!(rejections_in(out).is_empty());
+    let out = ledger_responds(&mut edge, 1030, release, ChangeOutcome::Released);
     assert_eq!(
-        answers(out),
+        rejections_in(out),
         [(1, 429, "over_capacity".to_string(), RunState::NotRun)]
     );
 }
 
 #[test]
-fn what_was_sent_and_not_answered_is_unknown_and_recorded_before_it_is_said() {
+fn failed_keyed_call_is_recorded_as_unknown_first() {
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
@@ -296,43 +300,46 @@
             request: client_request("/k", "POST"),
         },
     );
-    let out = told(&mut edge, 1010, question(&out), ChangeOutcome::Claimed);
-    let asked_for = question(&out);
-    let permitted = |edge: &mut EdgeNode, permit: Permit| heard(edge, 1300, ADMISSION, permit);
-    let called = |out: &[Output]| {
+    let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
+    let exchange = last_exchange(&out);
+    let permitted = |edge: &mut EdgeNode, permit: Permit| deliver(edge, 1300, ADMISSION, permit);
+    let has_call = |out: &[Output]| {
         out.iter()
             .any(|output| matches!(output, Output::Call { .. }))
     };
     assert!(
-        !called(&permitted(
+        !has_call(&permitted(
             &mut edge,
-            permit(asked_for, listed.clone(), 1010)
+            permit(exchange, listed.clone(), 1010)
         )),
         "a permit that was too long on the way lapses"
     );
-    let left = Origin {
+    let replaced = Origin {
         instance: "gone".into(),
         ..listed.clone()
     };
     assert!(
-        !called(&permitted(&mut edge, permit(asked_for, left, 1290))),
+        !has_call(&permitted(&mut edge, permit(exchange, replaced, 1290))),
         "nor is an origin called that is not listed so (any more)"
     );
-    let out = permitted(&mut edge, permit(asked_for, listed, 1290));
-    assert!(called(&out));
+    let out = permitted(&mut edge, permit(exchange, listed, 1290));
+    assert!(has_call(&out));
     let out = edge.handle(
         at(1400),
         Input::CallCompleted {
-            id: question(&out),
+            id: last_exchange(&out),
             result: CallOutcome::Failure("cut off".into()),
         },
     );
-    assert!(matches!(asked(&out).as_slice(), [Change::Record(_, None)]));
-    let record = question(&out);
-    assert!(answers(out).is_empty());
-    let out = told(&mut edge, 1410, record, ChangeOutcome::Recorded);
+    assert!(matches!(
+        changes_in(&out).as_slice(),
+        [Change::Record(_, None)]
+    ));
+    let record = last_exchange(&out);
+    assert!(rejections_in(out).is_empty());
+    let out = ledger_responds(&mut edge, 1410, record, ChangeOutcome::Recorded);
     assert_eq!(
-        answers(out),
+        rejections_in(out),
         [(1, 502, "bad_origin_answer".to_string(), RunState::Unknown)]
     );
 }
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -12,13 +12,13 @@
 const KEYS: u64 = 4;
 /// Requests a second at each edge.
 const REQUESTS_S: u64 = 20;
-const SPAN_MS: u64 = 20_000;
-const AIM_MS: u64 = 800;
+const DURATION_MS: u64 = 20_000;
+const LATENCY_TARGET_MS: u64 = 800;
 /// Requests that count: before, the first copies go out.
-const COUNTED_MS: std::ops::Range<u64> = 9_000..SPAN_MS - AIM_MS;
-const PATIENCE_MS: u64 = 8_000;
+const COUNTED_MS: std::ops::Range<u64> = 9_000..DURATION_MS - LATENCY_TARGET_MS;
+const TIMEOUT_MS: u64 = 8_000;
 const ORIGIN_MS: u64 = 100;
-const WAY_MS: u64 = 1;
+const NETWORK_DELAY_MS: u64 = 1;
 /// Larger messages wait behind small ones, as on a node's own links.
 const URGENT_BYTES: usize = 4096;
 
@@ -46,7 +46,7 @@
         body: Arc::default(),
         caller: String::new(),
         operation: None,
-        timeout: Some(at(PATIENCE_MS)),
+        timeout: Some(at(TIMEOUT_MS)),
         request_id: None,
         service: image.document.entries[entry].group.clone(),
         routes: image.clone(),
@@ -54,21 +54,21 @@
     }
 }
 
-enum Happening {
+enum SimulatedEvent {
     Tick(usize),
     Request(usize),
-    Heard(usize, Peer, Box<Message>),
-    Called(usize, u64),
+    Delivered(usize, Peer, Box<Message>),
+    CallEnded(usize, u64),
 }
 
 /// When a link is free again: for what is urgent, and for all.
 #[derive(Clone, Copy, Default)]
-struct Link {
+struct EdgeLink {
     urgent_until: f64,
     until: f64,
 }
 
-impl Link {
+impl EdgeLink {
     /// When the last byte has passed.
     fn carry(&mut self, now: f64, bytes: usize) -> f64 {
         let takes = bytes as f64 / LINK_BYTES_S * 1000.0;
@@ -76,8 +76,8 @@
             self.urgent_until = self.urgent_until.max(now) + takes;
             self.until = self.until.max(now) + takes;
             // One piece of a large message may be under way.
-            let piece = 16.0 * 1024.0 / LINK_BYTES_S * 1000.0;
-            let behind = (self.until - self.urgent_until).clamp(0.0, piece);
+            let chunk = 16.0 * 1024.0 / LINK_BYTES_S * 1000.0;
+            let behind = (self.until - self.urgent_until).clamp(0.0, chunk);
             return self.urgent_until + behind;
         }
         self.until = self.until.max(self.urgent_until).max(now) + takes;
@@ -87,42 +87,42 @@
 
 struct Fleet {
     edges: Vec<EdgeNode>,
-    links: Vec<Link>,
-    queue: BTreeMap<(u64, u64), Happening>,
+    links: Vec<EdgeLink>,
+    queue: BTreeMap<(u64, u64), SimulatedEvent>,
     serial: u64,
-    began: BTreeMap<u64, u64>,
-    in_aim: u64,
-    asked: u64,
+    started_at: BTreeMap<u64, u64>,
+    on_time: u64,
+    requested: u64,
     fencings: u64,
     /// Bytes of copies that the owner said.
     owner_bytes: usize,
 }
 
 impl Fleet {
-    fn push(&mut self, at: u64, event: Happening) {
+    fn push(&mut self, at: u64, event: SimulatedEvent) {
         self.serial += 1;
         self.queue.insert((at, self.serial), event);
     }
 
-    fn answered(&mut self, now: u64, edge: usize, id: u64, answer: &ClientResponse) {
-        let Some(began) = self.began.remove(&id) else {
+    fn count_response(&mut self, now: u64, edge: usize, id: u64, answer: &ClientResponse) {
+        let Some(started_at) = self.started_at.remove(&id) else {
             return;
         };
         let ClientResponse::Reply { reply, .. } = answer else {
             return;
         };
         let done = self.links[edge].carry(now as f64, reply.body.len());
-        let counts = COUNTED_MS.contains(&began);
-        self.in_aim += u64::from(counts && done <= (began + AIM_MS) as f64);
+        let counts = COUNTED_MS.contains(&started_at);
+        self.on_time += u64::from(counts && done <= (started_at + LATENCY_TARGET_MS) as f64);
     }
 
-    fn tell(&mut self, now: u64, edge: usize, to: SocketAddr, message: Message) {
+    fn send(&mut self, now: u64, edge: usize, to: SocketAddr, message: Message) {
         let from = Peer::new(edge_address(edge), edge as u64 + 1);
         let bytes = bincode::serialized_size(&message).unwrap() as usize;
         if edge == 0 && matches!(message, Message::CacheCopy(_)) {
             self.owner_bytes += bytes;
         }
-        let left = self.links[edge].carry(now as f64, bytes) as u64 + WAY_MS;
+        let sent_at = self.links[edge].carry(now as f64, bytes) as u64 + NETWORK_DELAY_MS;
         match message {
             Message::RenewRequest(renew) => {
                 let reply = RenewReply {
@@ -133,54 +133,59 @@
                     recall_requested: false,
                     updates: SharedUpdates::default(),
                 };
-                let came = self.links[edge].carry(left as f64, 200) as u64 + WAY_MS;
+                let arrives_at =
+                    self.links[edge].carry(sent_at as f64, 200) as u64 + NETWORK_DELAY_MS;
                 self.push(
-                    came,
-                    Happening::Heard(edge, Peer::new(to, 1), Box::new(reply.into())),
+                    arrives_at,
+                    SimulatedEvent::Delivered(edge, Peer::new(to, 1), Box::new(reply.into())),
                 );
             }
-            Message::PermitRequest(ask) => {
+            Message::PermitRequest(request_message) => {
                 let permit = Permit {
-                    id: ask.id,
-                    service: ask.service,
+                    id: request_message.id,
+                    service: request_message.service,
                     epoch: 1,
-                    serial: ask.id,
+                    serial: request_message.id,
                     origin: origin(50),
-                    sent: ask.sent,
+                    sent: request_message.sent,
                     held: at(0),
                     takes: at(ORIGIN_MS),
                 };
-                let came = self.links[edge].carry(left as f64, 200) as u64 + WAY_MS;
+                let arrives_at =
+                    self.links[edge].carry(sent_at as f64, 200) as u64 + NETWORK_DELAY_MS;
                 self.push(
-                    came,
-                    Happening::Heard(edge, Peer::new(to, 1), Box::new(permit.into())),
+                    arrives_at,
+                    SimulatedEvent::Delivered(edge, Peer::new(to, 1), Box::new(permit.into())),
                 );
             }
             message => {
-                let Some(there) = (0..EDGES).find(|at| edge_address(*at) == to) else {
+                let Some(receiver) = (0..EDGES).find(|at| edge_address(*at) == to) else {
                     return;
                 };
-                let came = match there == edge {
+                let arrives_at = match receiver == edge {
                     true => now,
-                    false => self.links[there].carry(left as f64, bytes) as u64,
+                    false => self.links[receiver].carry(sent_at as f64, bytes) as u64,
                 };
-                self.push(came, Happening::Heard(there, from, Box::new(message)));
+                self.push(
+                    arrives_at,
+                    SimulatedEvent::Delivered(receiver, from, Box::new(message)),
+                );
             }
         }
     }
 
-    fn take(&mut self, now: u64, edge: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, now: u64, edge: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Send { to, message } => self.tell(now, edge, to, message),
+                Output::Send { to, message } => self.send(now, edge, to, message),
                 Output::ClientResponse {
                     id,
                     response: answer,
-                } => self.answered(now, edge, id, &answer),
+                } => self.count_response(now, edge, id, &answer),
                 Output::Call { id, .. } => {
-                    let came = (now + ORIGIN_MS) as f64;
-                    let came = self.links[edge].carry(came, OBJECT_BYTES) as u64;
-                    self.push(came, Happening::Called(edge, id));
+                    let arrives_at = (now + ORIGIN_MS) as f64;
+                    let arrives_at = self.links[edge].carry(arrives_at, OBJECT_BYTES) as u64;
+                    self.push(arrives_at, SimulatedEvent::CallEnded(edge, id));
                 }
                 Output::Log {
                     event: Event::Fenced,
@@ -194,10 +199,10 @@
     /// Edge 0 owns all keys.
     fn updates(incarnation: u64) -> RenewReply {
         let assignment = |name: String, peer: Peer| {
-            let holder = Some(peer);
+            let owner = Some(peer);
             let assignment = Assignment {
                 epoch: 1,
-                owner: holder,
+                owner: owner,
                 previous_owner: None,
             };
             let value = Value::Assignment(assignment);
@@ -242,54 +247,58 @@
         };
         let mut fleet = Fleet {
             edges: (0..EDGES).map(edge).collect(),
-            links: vec![Link::default(); EDGES],
+            links: vec![EdgeLink::default(); EDGES],
             queue: BTreeMap::new(),
             serial: 0,
-            began: BTreeMap::new(),
-            in_aim: 0,
-            asked: 0,
+            started_at: BTreeMap::new(),
+            on_time: 0,
+            requested: 0,
             fencings: 0,
             owner_bytes: 0,
         };
-        let mut dice = seed;
+        let mut random = seed;
         let mut below = move |most: u64| {
-            dice = dice.wrapping_mul(6364136223846793005).wrapping_add(1);
-            (dice >> 33) % most
+            random = random.wrapping_mul(6364136223846793005).wrapping_add(1);
+            (random >> 33) % most
         };
         for index in 0..EDGES {
             for seed in [1, 2] {
                 let message = Box::new(Fleet::updates(index as u64 + 1).into());
-                let heard = Happening::Heard(index, Peer::new(address(seed), 1), message);
-                fleet.push(0, heard);
+                let delivery =
+                    SimulatedEvent::Delivered(index, Peer::new(address(seed), 1), message);
+                fleet.push(0, delivery);
             }
-            fleet.push(below(50), Happening::Tick(index));
-            fleet.push(100 + below(50), Happening::Request(index));
+            fleet.push(below(50), SimulatedEvent::Tick(index));
+            fleet.push(100 + below(50), SimulatedEvent::Request(index));
         }
         let image = route_table();
         let mut next = 0;
         while let Some(((now, _), event)) = fleet.queue.pop_first() {
-            if now > SPAN_MS {
+            if now > DURATION_MS {
                 break;
             }
             let (index, input) = match event {
-                Happening::Tick(index) => {
-                    fleet.push(now + 50, Happening::Tick(index));
+                SimulatedEvent::Tick(index) => {
+                    fleet.push(now + 50, SimulatedEvent::Tick(index));
                     (index, Input::Tick)
                 }
-                Happening::Request(index) => {
-                    let pause = 2000 / REQUESTS_S;
-                    fleet.push(now + 1 + below(pause), Happening::Request(index));
+                SimulatedEvent::Request(index) => {
+                    let mean_interval = 2000 / REQUESTS_S;
+                    fleet.push(
+                        now + 1 + below(mean_interval),
+                        SimulatedEvent::Request(index),
+                    );
                     next += 1;
-                    fleet.began.insert(next, now);
-                    fleet.asked += u64::from(COUNTED_MS.contains(&now));
+                    fleet.started_at.insert(next, now);
+                    fleet.requested += u64::from(COUNTED_MS.contains(&now));
                     let request = client_request(&image, below(KEYS));
                     (index, Input::ClientRequest { id: next, request })
                 }
-                Happening::Heard(index, from, message) => {
+                SimulatedEvent::Delivered(index, from, message) => {
                     let message = *message;
                     (index, Input::MessageReceived { from, message })
                 }
-                Happening::Called(index, id) => {
+                SimulatedEvent::CallEnded(index, id) => {
                     let reply = Reply {
                         status: 200,
                         body: Arc::new(vec![1; OBJECT_BYTES]),
@@ -300,7 +309,7 @@
                 }
             };
             let out = fleet.edges[index].handle(at(now), input);
-            fleet.take(now, index, out);
+            fleet.handle_outputs(now, index, out);
         }
         fleet
     }
@@ -309,17 +318,17 @@
 /// Before near copies, and with one more copy for each repeat, none of the
 /// requests was served in its aim and the owner said 2.6 GB of copies, not 3 MB.
 #[test]
-fn a_crowd_on_a_few_keys_does_not_fill_the_link_of_their_owner() {
+fn hot_keys_do_not_saturate_owner_link() {
     for seed in 0..10 {
         let fleet = Fleet::run(seed);
-        let share = fleet.in_aim as f64 / fleet.asked as f64;
+        let fraction = fleet.on_time as f64 / fleet.requested as f64;
         println!(
-            "seed {seed}: {share:.3} of {} in aim, {} fencings, owner said {} KB of copies",
-            fleet.asked,
+            "seed {seed}: {fraction:.3} of {} in aim, {} fencings, owner said {} KB of copies",
+            fleet.requested,
             fleet.fencings,
             fleet.owner_bytes / 1024
         );
-        assert!(share >= 0.95, "seed {seed}: {share:.3} in aim");
+        assert!(fraction >= 0.95, "seed {seed}: {fraction:.3} in aim");
         assert_eq!(fleet.fencings, 0, "seed {seed}");
         let first_copies = EDGES * KEYS as usize * OBJECT_BYTES;
         assert!(
--- a/data-plane/tests/http_frontend.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -6,19 +6,19 @@
 use std::net::TcpListener;
 
 /// How long something that comes is waited for, and something that must not.
-const WAIT: Duration = Duration::from_secs(10);
-const QUIET: Duration = Duration::from_millis(200);
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// The lease of the edge.
 const LEASE: Duration = Duration::from_secs(60);
 
-struct Rig {
+struct TestEdge {
     frontend: HttpFrontend,
     inputs: flume::Receiver<Input>,
     http: SocketAddr,
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl TestEdge {
+    fn new() -> TestEdge {
         let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let http = free.local_addr().unwrap();
         drop(free);
@@ -26,13 +26,13 @@
             http: Some(http),
             ..Startup::default()
         };
-        let (give, inputs) = flume::unbounded();
-        let port = Arc::new(Port::new(give, startup).unwrap());
+        let (inputs_sender, inputs) = flume::unbounded();
+        let port = Arc::new(Port::new(inputs_sender, startup).unwrap());
         port.image.store(Arc::new(Some(table())));
         port.set_fence(port.now() + LEASE, true);
         let mut frontend = HttpFrontend::new("test", Arc::new(DefaultProtocol));
         frontend.open(&port).unwrap();
-        Rig {
+        TestEdge {
             frontend,
             inputs,
             http,
@@ -40,20 +40,20 @@
     }
 
     /// A caller whose request the part was given.
-    fn asks(&self) -> (TcpStream, u64, ClientRequest) {
-        let mut caller = TcpStream::connect(self.http).unwrap();
-        caller
+    fn send_request(&self) -> (TcpStream, u64, ClientRequest) {
+        let mut client = TcpStream::connect(self.http).unwrap();
+        client
             .write_all(b"GET /low HTTP/1.1\r\nHost: h\r\n\r\n")
             .unwrap();
-        match self.inputs.recv_timeout(WAIT) {
-            Ok(Input::ClientRequest { id, request }) => (caller, id, request),
+        match self.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
+            Ok(Input::ClientRequest { id, request }) => (client, id, request),
             other => panic!("{other:?}"),
         }
     }
 
-    fn leaves(&self, caller: TcpStream, id: u64) {
-        drop(caller);
-        match self.inputs.recv_timeout(WAIT) {
+    fn disconnect(&self, client: TcpStream, id: u64) {
+        drop(client);
+        match self.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
             Ok(Input::ClientDisconnected { id: left }) => assert_eq!(left, id),
             other => panic!("{other:?}"),
         }
@@ -72,15 +72,17 @@
 /// Between the close and the moment at which the part hears of it, the part may
 /// still send: the line does not.
 #[test]
-fn no_call_leaves_for_a_caller_whose_close_was_read() {
-    let rig = Rig::new();
+fn call_for_disconnected_client_is_not_sent() {
+    let edge_under_test = TestEdge::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let at = origin.local_addr().unwrap();
     for purpose in [CallPurpose::Caller, CallPurpose::RunOnce] {
-        let (caller, id, request) = rig.asks();
-        rig.leaves(caller, id);
-        rig.frontend.call(7, call(id, &request, at, purpose));
-        match rig.inputs.recv_timeout(WAIT) {
+        let (client, id, request) = edge_under_test.send_request();
+        edge_under_test.disconnect(client, id);
+        edge_under_test
+            .frontend
+            .call(7, call(id, &request, at, purpose));
+        match edge_under_test.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
             Ok(Input::CallCompleted { id: 7, result }) => {
                 assert!(matches!(result, CallOutcome::NotSent), "{result:?}")
             }
@@ -88,44 +90,47 @@
         }
     }
     origin.set_nonblocking(true).unwrap();
-    thread::sleep(QUIET);
+    thread::sleep(QUIET_PERIOD);
     assert!(origin.accept().is_err(), "something was sent");
 }
 
 /// What others wait for leaves all the same, and so does what is for a caller
 /// that stays.
 #[test]
-fn calls_for_others_and_for_who_stays_leave() {
-    let rig = Rig::new();
+fn shared_call_and_call_for_connected_client_are_sent() {
+    let edge_under_test = TestEdge::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let at = origin.local_addr().unwrap();
-    let (caller, id, request) = rig.asks();
-    rig.leaves(caller, id);
-    rig.frontend
+    let (client, id, request) = edge_under_test.send_request();
+    edge_under_test.disconnect(client, id);
+    edge_under_test
+        .frontend
         .call(7, call(id, &request, at, CallPurpose::SharedCopy));
     let _shared = origin.accept().unwrap();
-    let (_caller, id, request) = rig.asks();
-    rig.frontend
+    let (_client, id, request) = edge_under_test.send_request();
+    edge_under_test
+        .frontend
         .call(8, call(id, &request, at, CallPurpose::Caller));
     origin.accept().unwrap();
 }
 
 #[test]
-fn a_cancelled_call_ends_its_connection_and_nothing_comes_of_it() {
-    let rig = Rig::new();
+fn cancelled_call_closes_its_connection() {
+    let edge_under_test = TestEdge::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let at = origin.local_addr().unwrap();
-    let (_caller, id, request) = rig.asks();
-    rig.frontend
+    let (_client, id, request) = edge_under_test.send_request();
+    edge_under_test
+        .frontend
         .call(7, call(id, &request, at, CallPurpose::Caller));
     let mut session = origin.accept().unwrap().0;
-    session.set_read_timeout(Some(WAIT)).unwrap();
+    session.set_read_timeout(Some(ARRIVAL_TIMEOUT)).unwrap();
     session.read_exact(&mut [0; 4]).unwrap();
-    rig.frontend.cancel_call(7);
+    edge_under_test.frontend.cancel_call(7);
     // Far before the call's own limit.
-    session.set_read_timeout(Some(QUIET * 2)).unwrap();
+    session.set_read_timeout(Some(QUIET_PERIOD * 2)).unwrap();
     let mut rest = Vec::new();
     let end = session.read_to_end(&mut rest).unwrap_err();
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
-    assert!(rig.inputs.recv_timeout(QUIET).is_err());
+    assert!(edge_under_test.inputs.recv_timeout(QUIET_PERIOD).is_err());
 }
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -4,9 +4,9 @@
 use edge::*;
 use std::collections::BTreeMap;
 
-const KEEP_MS: u64 = 4000;
+const TTL_MS: u64 = 4000;
 /// How long a caller waits.
-const PATIENCE_MS: u64 = 2500;
+const TIMEOUT_MS: u64 = 2500;
 
 fn key() -> CacheKey {
     ActiveRequest::cache_key(&client_request("/copy", "GET"))
@@ -14,7 +14,7 @@
 
 fn begin(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
     let mut request = client_request("/copy", "GET");
-    request.timeout = Some(at(PATIENCE_MS));
+    request.timeout = Some(at(TIMEOUT_MS));
     edge.handle(at(now), Input::ClientRequest { id, request })
 }
 
@@ -36,8 +36,8 @@
             reply: reply(text),
             purge_version: 0,
             age: at(age),
-            fresh_for: at((KEEP_MS / 2).saturating_sub(age)),
-            remaining_ttl: at(KEEP_MS - age),
+            fresh_for: at((TTL_MS / 2).saturating_sub(age)),
+            remaining_ttl: at(TTL_MS - age),
             owner_delay: at(0),
         },
     }
@@ -54,7 +54,7 @@
     out.iter().filter_map(one).collect()
 }
 
-fn permits_asked(out: &[Output]) -> usize {
+fn permit_requests(out: &[Output]) -> usize {
     let one = |output: &&Output| {
         matches!(
             output,
@@ -98,20 +98,20 @@
 /// An edge that has a copy since 1000.
 fn filled() -> EdgeNode {
     let mut edge = ready();
-    let question = question(&begin(&mut edge, 1000, 1));
-    heard(&mut edge, 1000, OWNER, copy(question, "a", 0));
+    let exchange = last_exchange(&begin(&mut edge, 1000, 1));
+    deliver(&mut edge, 1000, OWNER, copy(exchange, "a", 0));
     edge
 }
 
 #[test]
-fn many_requests_for_a_key_are_one_question_and_all_get_its_copy() {
+fn concurrent_requests_for_a_key_are_coalesced() {
     let mut edge = ready();
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for id in 0..100 {
-        asked.extend(gets(&begin(&mut edge, 1000, id)));
+        requested.extend(gets(&begin(&mut edge, 1000, id)));
     }
-    assert_eq!(asked.len(), 1);
-    let out = heard(&mut edge, 1020, OWNER, copy(asked[0], "a", 0));
+    assert_eq!(requested.len(), 1);
+    let out = deliver(&mut edge, 1020, OWNER, copy(requested[0], "a", 0));
     assert_eq!(served(&out).len(), 100);
     let out = begin(&mut edge, 1030, 200);
     assert!(gets(&out).is_empty());
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn after_the_minor_expiry_one_asks_and_the_others_are_served_what_is_there() {
+fn stale_response_is_served_while_one_request_refreshes() {
     let mut edge = filled();
     run(&mut edge, 1000, 3000);
     assert_eq!(gets(&begin(&mut edge, 3000, 2)).len(), 1);
@@ -131,19 +131,19 @@
 }
 
 #[test]
-fn no_copy_is_served_past_its_keep_time_even_if_its_owner_is_silent() {
+fn response_is_not_served_past_its_ttl() {
     let mut edge = filled();
-    run(&mut edge, 1000, 1000 + KEEP_MS);
-    let out = begin(&mut edge, 1000 + KEEP_MS, 2);
+    run(&mut edge, 1000, 1000 + TTL_MS);
+    let out = begin(&mut edge, 1000 + TTL_MS, 2);
     assert!(served(&out).is_empty());
     assert_eq!(gets(&out).len(), 1);
     // Nor while another asks for it, when an older one would do.
-    let out = begin(&mut edge, 1000 + KEEP_MS, 3);
+    let out = begin(&mut edge, 1000 + TTL_MS, 3);
     assert!(served(&out).is_empty());
 }
 
 #[test]
-fn a_purge_that_is_known_here_reaches_near_copies() {
+fn purge_removes_near_response() {
     let mut edge = filled();
     let purge = Purge {
         url: Some("/copy".into()),
@@ -164,22 +164,22 @@
         }]
         .into(),
     };
-    heard(&mut edge, 1100, 1, renewed);
+    deliver(&mut edge, 1100, 1, renewed);
     let out = begin(&mut edge, 1100, 2);
     assert!(served(&out).is_empty());
     // The owner's answer was on its way: it does not know the purge.
-    let out = heard(&mut edge, 1110, OWNER, copy(gets(&out)[0], "a", 100));
+    let out = deliver(&mut edge, 1110, OWNER, copy(gets(&out)[0], "a", 100));
     assert!(served(&out).is_empty());
     assert_eq!(gets(&out).len(), 1, "asked again");
 }
 
 #[test]
-fn a_near_copy_does_not_give_way_to_an_older_one() {
+fn near_response_is_not_replaced_by_older_one() {
     let mut edge = filled();
     run(&mut edge, 1000, 3000);
-    let asked = gets(&begin(&mut edge, 3000, 2));
+    let requested = gets(&begin(&mut edge, 3000, 2));
     // Fetched 3 s ago, so a second before the one that is kept.
-    heard(&mut edge, 3010, OWNER, copy(asked[0], "older", 3010));
+    deliver(&mut edge, 3010, OWNER, copy(requested[0], "older", 3010));
     begin(&mut edge, 3020, 3);
     let out = begin(&mut edge, 3030, 4);
     assert_eq!(served(&out)[&4], "a", "while another asks");
@@ -188,31 +188,31 @@
 /// Before, a silent owner held requests for half of their deadline, and each
 /// repeat of a question was answered with one more copy.
 #[test]
-fn a_silent_owner_is_done_without_and_one_that_says_it_is_under_way_is_not() {
+fn unresponsive_owner_is_bypassed_unless_it_confirms() {
     let mut edge = ready();
     begin(&mut edge, 1000, 1);
     let out = run(&mut edge, 1050, 1800);
     assert_eq!(
-        permits_asked(&out[..]).min(1),
+        permit_requests(&out[..]).min(1),
         1,
         "fetched without the owner"
     );
 
     let mut edge = ready();
-    let asked = question(&begin(&mut edge, 1000, 1));
-    let mut repeats = 0;
+    let requested = last_exchange(&begin(&mut edge, 1000, 1));
+    let mut resends = 0;
     for now in (1050..2200).step_by(50) {
         renew(&mut edge, now);
         let out = edge.handle(at(now), Input::Tick);
-        repeats += gets(&out).len();
-        assert_eq!(permits_asked(&out), 0, "at {now}");
-        heard(&mut edge, now, OWNER, CacheGetQueued { id: asked });
+        resends += gets(&out).len();
+        assert_eq!(permit_requests(&out), 0, "at {now}");
+        deliver(&mut edge, now, OWNER, CacheGetQueued { id: requested });
     }
-    assert!(repeats <= 4, "{repeats} repeats in 1.2 s");
+    assert!(resends <= 4, "{resends} repeats in 1.2 s");
 }
 
 #[test]
-fn a_silent_owner_costs_nothing_where_a_near_copy_is_there() {
+fn stale_near_response_covers_unresponsive_owner() {
     let mut edge = filled();
     run(&mut edge, 1000, 3000);
     begin(&mut edge, 3000, 2);
@@ -221,35 +221,35 @@
 }
 
 #[test]
-fn who_follows_one_that_is_turned_away_is_told_so_at_once() {
+fn followers_are_rejected_with_their_leader() {
     let mut edge = ready();
-    let asked = question(&begin(&mut edge, 1000, 1));
+    let requested = last_exchange(&begin(&mut edge, 1000, 1));
     for id in 2..10 {
         begin(&mut edge, 1000, id);
     }
-    let out = heard(
+    let out = deliver(
         &mut edge,
         1010,
         OWNER,
         CacheUnavailable {
-            id: asked,
+            id: requested,
             key: key(),
         },
     );
     let refused = PermitRefused {
-        id: question(&out),
+        id: last_exchange(&out),
         reason: PermitRefusalReason::Overloaded,
         back: at(100),
     };
-    let told = answers(heard(&mut edge, 1020, ADMISSION, refused));
-    assert_eq!(told.len(), 9);
-    assert!(told.iter().all(|(_, status, _, _)| *status == 429));
+    let rejections = rejections_in(deliver(&mut edge, 1020, ADMISSION, refused));
+    assert_eq!(rejections.len(), 9);
+    assert!(rejections.iter().all(|(_, status, _, _)| *status == 429));
 }
 
 #[test]
-fn who_follows_one_whose_call_fails_asks_itself() {
+fn follower_replaces_stalled_leader() {
     let mut edge = ready();
-    let asked = question(&begin(&mut edge, 1000, 1));
+    let requested = last_exchange(&begin(&mut edge, 1000, 1));
     begin(&mut edge, 1000, 2);
     let token = FillToken {
         serial: 1,
@@ -257,18 +257,18 @@
         purge_version: 0,
     };
     let miss = CacheMiss {
-        id: asked,
+        id: requested,
         key: key(),
         token,
     };
-    let out = heard(&mut edge, 1010, OWNER, miss);
-    let out = heard(
+    let out = deliver(&mut edge, 1010, OWNER, miss);
+    let out = deliver(
         &mut edge,
         1020,
         ADMISSION,
-        permit(question(&out), origin(50), 1015),
+        permit(last_exchange(&out), origin(50), 1015),
     );
-    let call = question(&out);
+    let call = last_exchange(&out);
     // For long without an answer: the second does not wait for it.
     let mut out = Vec::new();
     for now in (1050..3100).step_by(50) {
@@ -284,12 +284,12 @@
 /// Once, a follower that was turned away to make room stayed in its group, led it
 /// when the leader's time was over, and nobody asked for that key any more.
 #[test]
-fn a_follower_that_is_turned_away_does_not_lead_its_group_later() {
+fn displaced_follower_leaves_its_group() {
     const MAX_PENDING_PER_SERVICE: u64 = 256;
     let mut edge = ready();
-    let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, patience: u64| {
+    let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, timeout: u64| {
         let mut request = client_request(url, "GET");
-        request.timeout = Some(at(patience));
+        request.timeout = Some(at(timeout));
         edge.handle(at(now), Input::ClientRequest { id, request })
     };
     request(&mut edge, 1000, 0, "/copy-low", 500);
@@ -304,9 +304,9 @@
 
 /// What an origin answers to the one that fetches is for all, and is put.
 #[test]
-fn what_is_fetched_serves_all_that_wait_and_is_put_to_the_owner() {
+fn fetched_response_serves_followers_and_is_put_to_owner() {
     let mut edge = ready();
-    let asked = question(&begin(&mut edge, 1000, 1));
+    let requested = last_exchange(&begin(&mut edge, 1000, 1));
     for id in 2..10 {
         begin(&mut edge, 1000, id);
     }
@@ -316,13 +316,13 @@
         purge_version: 0,
     };
     let miss = CacheMiss {
-        id: asked,
+        id: requested,
         key: key(),
         token,
     };
-    let out = heard(&mut edge, 1010, OWNER, miss);
-    let ask = permit(question(&out), origin(50), 1015);
-    let call = question(&heard(&mut edge, 1020, ADMISSION, ask));
+    let out = deliver(&mut edge, 1010, OWNER, miss);
+    let request_message = permit(last_exchange(&out), origin(50), 1015);
+    let call = last_exchange(&deliver(&mut edge, 1020, ADMISSION, request_message));
     let result = CallOutcome::Success(reply("x"));
     let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&out).len(), 9);
@@ -339,9 +339,9 @@
 }
 
 /// Small numbers that hang on a seed alone.
-struct Dice(u64);
+struct Random(u64);
 
-impl Dice {
+impl Random {
     fn below(&mut self, most: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1);
         (self.0 >> 33) % most
@@ -352,16 +352,16 @@
 /// way, with purges: whatever happens, each request is answered once, no copy is
 /// served past its keep time and none that a purge known here reaches.
 #[test]
-fn over_many_seeds_every_request_is_answered_once_and_no_copy_is_too_old() {
+fn random_runs_respond_once_and_never_serve_expired() {
     for seed in 0..300 {
-        let mut dice = Dice(seed);
+        let mut random = Random(seed);
         let mut edge = ready();
         let (mut version, mut purges) = (0u64, 0u64);
         // When each version was replaced.
         let mut replaced: BTreeMap<u64, u64> = BTreeMap::new();
         let mut purged_at: BTreeMap<u64, u64> = BTreeMap::new();
         let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut coming: Vec<(u64, Message)> = Vec::new();
+        let mut in_flight: Vec<(u64, Message)> = Vec::new();
         let mut next = 1;
         for now in (1000..16_000).step_by(10) {
             let mut out = Vec::new();
@@ -369,11 +369,11 @@
                 renew(&mut edge, now);
                 out.extend(edge.handle(at(now), Input::Tick));
             }
-            if dice.below(200) == 0 {
+            if random.below(200) == 0 {
                 replaced.insert(version, now);
                 version += 1;
             }
-            if dice.below(400) == 0 {
+            if random.below(400) == 0 {
                 purges += 1;
                 purged_at.insert(version, now);
                 let purge = Purge {
@@ -399,47 +399,47 @@
                     }]
                     .into(),
                 };
-                out.extend(heard(&mut edge, now, 1, renewed));
+                out.extend(deliver(&mut edge, now, 1, renewed));
             }
-            if now < 13_000 && dice.below(4) == 0 {
+            if now < 13_000 && random.below(4) == 0 {
                 waiting.insert(next, now);
                 out.extend(begin(&mut edge, now, next));
                 next += 1;
             }
             let due: Vec<Message> = {
-                let (due, later) = coming.drain(..).partition(|(at, _)| *at <= now);
-                coming = later;
+                let (due, later) = in_flight.drain(..).partition(|(at, _)| *at <= now);
+                in_flight = later;
                 let due: Vec<(u64, Message)> = due;
                 due.into_iter().map(|(_, message)| message).collect()
             };
             for message in due {
-                out.extend(heard(&mut edge, now, OWNER, message));
+                out.extend(deliver(&mut edge, now, OWNER, message));
             }
             for output in out {
                 match output {
                     Output::Send {
                         message: Message::CacheGet(get),
                         ..
-                    } if dice.below(5) > 0 => {
+                    } if random.below(5) > 0 => {
                         let mut answer = copy(get.id, &version.to_string(), 0);
                         answer.response.purge_version = purges;
-                        coming.push((now + dice.below(600), answer.into()));
+                        in_flight.push((now + random.below(600), answer.into()));
                     }
                     Output::ClientResponse {
                         id,
                         response: answer,
                     } => {
-                        let began = waiting.remove(&id).expect("answered once");
+                        let started_at = waiting.remove(&id).expect("answered once");
                         if let ClientResponse::Reply { reply, .. } = answer {
                             let body = String::from_utf8_lossy(&reply.body).into_owned();
                             let served: u64 = body.parse().unwrap();
                             let what = format!("seed {seed}, at {now}");
-                            if let Some(gone) = replaced.get(&served) {
-                                assert!(now <= gone + KEEP_MS + 10, "{what}: too old");
+                            if let Some(replaced_at) = replaced.get(&served) {
+                                assert!(now <= replaced_at + TTL_MS + 10, "{what}: too old");
                             }
                             let newer = purged_at.range(served + 1..).map(|(_, at)| *at).min();
                             if let Some(purged) = newer {
-                                assert!(now <= purged.max(began), "{what}: purged");
+                                assert!(now <= purged.max(started_at), "{what}: purged");
                             }
                         }
                     }
@@ -447,7 +447,10 @@
                 }
             }
         }
-        let left: Vec<u64> = waiting.keys().copied().collect();
-        assert!(left.is_empty(), "seed {seed}: {left:?} without an answer");
+        let unanswered: Vec<u64> = waiting.keys().copied().collect();
+        assert!(
+            unanswered.is_empty(),
+            "seed {seed}: {unanswered:?} without an answer"
+        );
     }
 }
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -10,7 +10,7 @@
 const REQUEST: u64 = 1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Sort {
+enum RequestKind {
     /// May run more than once.
     Repeatable,
     /// At most once, though it is a GET.
@@ -27,20 +27,20 @@
     },
     Refused {
         back: usize,
-        busy: bool,
+        overloaded: bool,
     },
     /// The call of now ends, or an earlier one does so (again).
     Called {
         back: usize,
-        end: End,
+        end: CallEnding,
     },
     Ledger {
         back: usize,
-        outcome: Word,
+        outcome: LedgerReply,
     },
     Wait(u64),
     /// Time passes and no control node renews the lease.
-    Silence(u64),
+    MissedRenewals(u64),
     /// The process is asked to end.
     Shutdown,
     /// The caller closes its connection.
@@ -48,105 +48,110 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum End {
-    Good,
+enum CallEnding {
+    Success,
     Failure,
     Unsent,
     Withheld,
-    NotRun,
-    Stranger,
+    NotExecuted,
+    WrongInstance,
     Lost,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum LedgerReply {
     Claimed,
     Released,
     Recorded,
-    Lost,
+    Unknown,
     Running,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let back = || prop_oneof![5 => Just(0usize), 1 => 1usize..4];
     let end = prop_oneof![
-        Just(End::Good),
-        Just(End::Failure),
-        Just(End::Unsent),
-        Just(End::Withheld),
-        Just(End::NotRun),
-        Just(End::Stranger),
-        Just(End::Lost),
+        Just(CallEnding::Success),
+        Just(CallEnding::Failure),
+        Just(CallEnding::Unsent),
+        Just(CallEnding::Withheld),
+        Just(CallEnding::NotExecuted),
+        Just(CallEnding::WrongInstance),
+        Just(CallEnding::Lost),
     ];
     let word = prop_oneof![
-        3 => Just(Word::Claimed),
-        1 => Just(Word::Released),
-        1 => Just(Word::Recorded),
-        1 => Just(Word::Lost),
-        1 => Just(Word::Running),
+        3 => Just(LedgerReply::Claimed),
+        1 => Just(LedgerReply::Released),
+        1 => Just(LedgerReply::Recorded),
+        1 => Just(LedgerReply::Unknown),
+        1 => Just(LedgerReply::Running),
     ];
     prop_oneof![
         4 => back().prop_map(|back| Step::Permit { back }),
-        1 => (back(), any::<bool>()).prop_map(|(back, busy)| Step::Refused { back, busy }),
+        1 => (back(), any::<bool>()).prop_map(|(back, overloaded)| Step::Refused { back, overloaded }),
         4 => (back(), end).prop_map(|(back, end)| Step::Called { back, end }),
         4 => (back(), word).prop_map(|(back, outcome)| Step::Ledger { back, outcome }),
         2 => prop_oneof![Just(50u64), Just(250), Just(5_000)].prop_map(Step::Wait),
-        1 => prop_oneof![Just(250u64), Just(700)].prop_map(Step::Silence),
+        1 => prop_oneof![Just(250u64), Just(700)].prop_map(Step::MissedRenewals),
         1 => Just(Step::Shutdown),
         1 => Just(Step::ClientDisconnected),
     ]
 }
 
-struct CallMade {
+struct SentCall {
     id: u64,
     /// How it first ended, as told to the edge.
-    ended: Option<End>,
+    ended: Option<CallEnding>,
 }
 
-impl CallMade {
+impl SentCall {
     /// Whether its request may have run at the origin.
     fn may_have_run(&self) -> bool {
         !matches!(
             self.ended,
-            Some(End::Unsent | End::Withheld | End::NotRun | End::Stranger)
+            Some(
+                CallEnding::Unsent
+                    | CallEnding::Withheld
+                    | CallEnding::NotExecuted
+                    | CallEnding::WrongInstance
+            )
         )
     }
 }
 
 struct Model {
-    sort: Sort,
+    kind: RequestKind,
     edge: EdgeNode,
     now: u64,
     permits: Vec<u64>,
     ledger: Vec<u64>,
-    calls: Vec<CallMade>,
-    answered: bool,
-    left: bool,
+    calls: Vec<SentCall>,
+    responded: bool,
+    disconnected: bool,
 }
 
-fn earlier(ids: &[u64], back: usize) -> Option<u64> {
+fn nth_last(ids: &[u64], back: usize) -> Option<u64> {
     ids.len().checked_sub(back + 1).map(|at| ids[at])
 }
 
 impl Model {
-    fn new(sort: Sort) -> Result<Model, TestCaseError> {
+    fn new(kind: RequestKind) -> Result<Model, TestCaseError> {
         let mut edge = live(1000);
         updates(&mut edge, 1000, &[origin(50)], false);
         let mut model = Model {
-            sort,
+            kind,
             edge,
             now: 1000,
             permits: Vec::new(),
             ledger: Vec::new(),
             calls: Vec::new(),
-            answered: false,
-            left: false,
+            responded: false,
+            disconnected: false,
         };
-        let (url, method) = match sort {
-            Sort::Repeatable => ("/low", "GET"),
-            Sort::Once => ("/once", "GET"),
-            Sort::Post => ("/post", "POST"),
-            Sort::Keyed => ("/k", "POST"),
+        let (url, method) = match kind {
+            RequestKind::Repeatable => ("/low", "GET"),
+            RequestKind::Once => ("/once", "GET"),
+            RequestKind::Post => ("/post", "POST"),
+            RequestKind::Keyed => ("/k", "POST"),
         };
         let request = client_request(url, method);
         let out = model.edge.handle(
@@ -156,7 +161,7 @@
                 request,
             },
         );
-        model.judge(out)?;
+        model.check_outputs(out)?;
         Ok(model)
     }
 
@@ -170,26 +175,26 @@
                 recall_requested: false,
                 updates: SharedUpdates::default(),
             };
-            heard(&mut self.edge, self.now, seed, renewed);
+            deliver(&mut self.edge, self.now, seed, renewed);
         }
     }
 
     fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
         let now = self.now;
         let out = match step {
-            Step::Permit { back } => match earlier(&self.permits, back) {
-                Some(id) => heard(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
+            Step::Permit { back } => match nth_last(&self.permits, back) {
+                Some(id) => deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
                 None => return Ok(()),
             },
-            Step::Refused { back, busy } => match earlier(&self.permits, back) {
+            Step::Refused { back, overloaded } => match nth_last(&self.permits, back) {
                 Some(id) => {
-                    let reason = if busy {
+                    let reason = if overloaded {
                         PermitRefusalReason::Overloaded
                     } else {
                         PermitRefusalReason::RetryBudgetExhausted
                     };
                     let back = at(1000);
-                    heard(
+                    deliver(
                         &mut self.edge,
                         now,
                         ADMISSION,
@@ -199,19 +204,19 @@
                 None => return Ok(()),
             },
             Step::Called { back, end } => match self.calls.len().checked_sub(back + 1) {
-                Some(at) => self.call_ends(at, end),
+                Some(at) => self.end_call(at, end),
                 None => return Ok(()),
             },
-            Step::Ledger { back, outcome } => match earlier(&self.ledger, back) {
-                Some(id) => self.ledger_says(id, outcome),
+            Step::Ledger { back, outcome } => match nth_last(&self.ledger, back) {
+                Some(id) => self.ledger_replies(id, outcome),
                 None => return Ok(()),
             },
-            Step::Silence(ms) => {
+            Step::MissedRenewals(ms) => {
                 self.now += ms;
                 self.edge.handle(at(self.now), Input::Tick)
             }
             Step::ClientDisconnected => {
-                self.left = true;
+                self.disconnected = true;
                 self.edge
                     .handle(at(now), Input::ClientDisconnected { id: REQUEST })
             }
@@ -222,10 +227,10 @@
                 self.edge.handle(at(self.now), Input::Tick)
             }
         };
-        self.judge(out)
+        self.check_outputs(out)
     }
 
-    fn call_ends(&mut self, call: usize, end: End) -> Vec<Output> {
+    fn end_call(&mut self, call: usize, end: CallEnding) -> Vec<Output> {
         let made = &mut self.calls[call];
         made.ended.get_or_insert(end);
         let reply = |status| {
@@ -236,52 +241,54 @@
             })
         };
         let result = match end {
-            End::Good => reply(200),
-            End::Failure => reply(500),
-            End::Unsent => CallOutcome::Unreachable,
-            End::Withheld => CallOutcome::NotSent,
-            End::NotRun => CallOutcome::NotExecuted,
-            End::Stranger => CallOutcome::WrongInstance,
-            End::Lost => CallOutcome::Failure("reset".into()),
+            CallEnding::Success => reply(200),
+            CallEnding::Failure => reply(500),
+            CallEnding::Unsent => CallOutcome::Unreachable,
+            CallEnding::Withheld => CallOutcome::NotSent,
+            CallEnding::NotExecuted => CallOutcome::NotExecuted,
+            CallEnding::WrongInstance => CallOutcome::WrongInstance,
+            CallEnding::Lost => CallOutcome::Failure("reset".into()),
         };
         let id = made.id;
         self.edge
             .handle(at(self.now), Input::CallCompleted { id, result })
     }
 
-    fn ledger_says(&mut self, id: u64, word: Word) -> Vec<Output> {
+    fn ledger_replies(&mut self, id: u64, word: LedgerReply) -> Vec<Output> {
         let outcome = match word {
-            Word::Claimed => ChangeOutcome::Claimed,
-            Word::Released => ChangeOutcome::Released,
-            Word::Recorded => ChangeOutcome::Recorded,
-            Word::Lost => ChangeOutcome::Unknown,
-            Word::Running => ChangeOutcome::AlreadyClaimed {
+            LedgerReply::Claimed => ChangeOutcome::Claimed,
+            LedgerReply::Released => ChangeOutcome::Released,
+            LedgerReply::Recorded => ChangeOutcome::Recorded,
+            LedgerReply::Unknown => ChangeOutcome::Unknown,
+            LedgerReply::Running => ChangeOutcome::AlreadyClaimed {
                 same: true,
                 state: OperationState::Running,
             },
         };
-        told(&mut self.edge, self.now, id, outcome)
+        ledger_responds(&mut self.edge, self.now, id, outcome)
     }
 
-    fn judge(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
+    fn check_outputs(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
         for output in out {
             match output {
                 Output::Send { message, .. } => match message {
-                    Message::PermitRequest(ask) => self.permits.push(ask.id),
-                    Message::ChangeRequest(ask) => {
-                        if matches!(ask.change, Change::Release(_)) {
+                    Message::PermitRequest(request_message) => {
+                        self.permits.push(request_message.id)
+                    }
+                    Message::ChangeRequest(request_message) => {
+                        if matches!(request_message.change, Change::Release(_)) {
                             prop_assert!(
-                                !self.calls.iter().any(CallMade::may_have_run),
+                                !self.calls.iter().any(SentCall::may_have_run),
                                 "a key is released whose operation may have run"
                             );
                         }
-                        self.ledger.push(ask.id);
+                        self.ledger.push(request_message.id);
                     }
                     _ => {}
                 },
-                Output::Call { id, .. } => self.call_leaves(id)?,
+                Output::Call { id, .. } => self.check_call(id)?,
                 Output::CancelCall { .. } => {
-                    prop_assert!(self.left && self.sort == Sort::Repeatable);
+                    prop_assert!(self.disconnected && self.kind == RequestKind::Repeatable);
                 }
                 Output::Log { event, text } => {
                     prop_assert!(event != Event::AbandonedWork, "{}", text);
@@ -299,27 +306,30 @@
         Ok(())
     }
 
-    fn call_leaves(&mut self, id: u64) -> Result<(), TestCaseError> {
-        prop_assert!(!self.answered, "called after its answer");
-        prop_assert!(!self.left, "called after its caller left");
+    fn check_call(&mut self, id: u64) -> Result<(), TestCaseError> {
+        prop_assert!(!self.responded, "called after its answer");
+        prop_assert!(!self.disconnected, "called after its caller left");
         prop_assert!(self.calls.iter().all(|call| call.id != id), "an id twice");
         // One that the edge's own line held back reached no origin.
-        let withheld = |call: &&CallMade| matches!(call.ended, Some(End::Withheld));
-        let tries = self.calls.len() - self.calls.iter().filter(withheld).count();
-        prop_assert!(tries < DEFAULT_MAX_ATTEMPTS, "more calls than it may make");
-        if self.sort != Sort::Repeatable {
+        let withheld = |call: &&SentCall| matches!(call.ended, Some(CallEnding::Withheld));
+        let attempts = self.calls.len() - self.calls.iter().filter(withheld).count();
+        prop_assert!(
+            attempts < DEFAULT_MAX_ATTEMPTS,
+            "more calls than it may make"
+        );
+        if self.kind != RequestKind::Repeatable {
             prop_assert!(
-                !self.calls.iter().any(CallMade::may_have_run),
+                !self.calls.iter().any(SentCall::may_have_run),
                 "called again without proof"
             );
         }
-        self.calls.push(CallMade { id, ended: None });
+        self.calls.push(SentCall { id, ended: None });
         Ok(())
     }
 
     fn answer(&mut self, answer: ClientResponse) -> Result<(), TestCaseError> {
-        prop_assert!(!self.answered, "answered twice");
-        self.answered = true;
+        prop_assert!(!self.responded, "answered twice");
+        self.responded = true;
         match answer {
             ClientResponse::Reply { reply, .. } => {
                 let text = String::from_utf8_lossy(&reply.body).into_owned();
@@ -328,8 +338,11 @@
                     .iter()
                     .find(|call| text == format!("call {}", call.id));
                 let own = own.expect("the answer to a call that was made");
-                prop_assert!(matches!(own.ended, Some(End::Good | End::Failure)));
-                if self.sort != Sort::Repeatable {
+                prop_assert!(matches!(
+                    own.ended,
+                    Some(CallEnding::Success | CallEnding::Failure)
+                ));
+                if self.kind != RequestKind::Repeatable {
                     prop_assert_eq!(Some(own.id), self.calls.last().map(|call| call.id));
                 }
             }
@@ -337,7 +350,7 @@
                 let promised = refusal.nothing_sent || refusal.outcome == RunState::NotRun;
                 if promised {
                     prop_assert!(
-                        !self.calls.iter().any(CallMade::may_have_run),
+                        !self.calls.iter().any(SentCall::may_have_run),
                         "promised that it did not run: {:?}",
                         refusal
                     );
@@ -355,20 +368,20 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes late, twice or for an earlier question: a request that
+    /// Whatever comes late, twice or for an earlier exchange: a request that
     /// may run once is called again only on proof, "not run" is said only on
     /// proof, and the answer is that of the call under way.
     #[test]
-    fn a_request_runs_again_only_on_proof(
-        sort in prop_oneof![
-            Just(Sort::Repeatable),
-            Just(Sort::Once),
-            Just(Sort::Post),
-            Just(Sort::Keyed),
+    fn request_is_retried_only_on_proof(
+        kind in prop_oneof![
+            Just(RequestKind::Repeatable),
+            Just(RequestKind::Once),
+            Just(RequestKind::Post),
+            Just(RequestKind::Keyed),
         ],
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        let mut model = Model::new(sort)?;
+        let mut model = Model::new(kind)?;
         for step in steps {
             model.play(step)?;
         }
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -9,7 +9,7 @@
 /// left for the answers to be written: before, what waited for a copy, a permit
 /// or the ledger waited on until the process was gone.
 #[test]
-fn whatever_waits_is_given_back_in_the_first_half_of_the_grace_time() {
+fn waiting_requests_are_rejected_in_first_half_of_grace() {
     let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], true);
     let urls = [("/copy", "GET"), ("/low", "GET"), ("/k", "POST")];
@@ -20,51 +20,57 @@
         edge.handle(at(1000), Input::ClientRequest { id, request });
     }
     edge.handle(at(1100), Input::ShutdownRequested);
-    let mut told = Vec::new();
+    let mut rejections = Vec::new();
     let mut last = 0;
     for now in (1150..1100 + GRACE_MS).step_by(50) {
         renew(&mut edge, now);
-        let out = answers(edge.handle(at(now), Input::Tick));
+        let out = rejections_in(edge.handle(at(now), Input::Tick));
         if !out.is_empty() {
             last = now;
         }
-        told.extend(out);
+        rejections.extend(out);
     }
-    let mut ids: Vec<u64> = told.iter().map(|(id, ..)| *id).collect();
+    let mut ids: Vec<u64> = rejections.iter().map(|(id, ..)| *id).collect();
     ids.sort_unstable();
     assert_eq!(ids, (0..30).collect::<Vec<u64>>(), "each once");
     assert!(last <= 1100 + GRACE_MS / 2 + 50, "the last at {last}");
 }
 
 #[test]
-fn a_request_that_comes_late_in_the_grace_time_is_refused_at_once_and_a_call_goes_on() {
+fn late_request_is_rejected_and_call_in_flight_completes() {
     let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let once = client_request("/once", "POST");
-    let begun = edge.handle(
+    let started = edge.handle(
         at(1000),
         Input::ClientRequest {
             id: 1,
             request: once,
         },
     );
-    let out = heard(
+    let out = deliver(
         &mut edge,
         1010,
         ADMISSION,
-        permit(question(&begun), origin(50), 1005),
+        permit(last_exchange(&started), origin(50), 1005),
     );
-    let call = question(&out);
+    let call = last_exchange(&out);
     edge.handle(at(1100), Input::ShutdownRequested);
     let late = 1100 + GRACE_MS / 2 + 100;
     for now in (1150..=late).step_by(50) {
         renew(&mut edge, now);
-        let told = answers(edge.handle(at(now), Input::Tick));
-        assert!(told.is_empty(), "its origin is at work: {told:?}");
+        let rejections = rejections_in(edge.handle(at(now), Input::Tick));
+        assert!(
+            rejections.is_empty(),
+            "its origin is at work: {rejections:?}"
+        );
     }
     let request = client_request("/low", "GET");
-    let told = answers(edge.handle(at(late), Input::ClientRequest { id: 2, request }));
-    assert_eq!(told, [(2, 503, "ending".to_string(), RunState::NotRun)]);
+    let rejections = rejections_in(edge.handle(at(late), Input::ClientRequest { id: 2, request }));
+    assert_eq!(
+        rejections,
+        [(2, 503, "ending".to_string(), RunState::NotRun)]
+    );
     let result = CallOutcome::Success(Reply::default());
     let out = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
     assert!(out.iter().any(|output| matches!(
@@ -79,44 +85,48 @@
 /// Once, a call begun after the warning was ended at half of the time left, while
 /// its origin was at work, and the caller was told of a failure.
 #[test]
-fn after_the_warning_a_call_has_all_the_time_that_is_left() {
-    const PATIENCE_MS: u64 = 4000;
-    for warned in [false, true] {
+fn call_after_shutdown_request_gets_full_timeout() {
+    const TIMEOUT_MS: u64 = 4000;
+    for shutting_down in [false, true] {
         let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
         updates(&mut edge, 1000, &[origin(50)], false);
-        if warned {
+        if shutting_down {
             edge.handle(at(1000), Input::ShutdownRequested);
         }
         let mut request = client_request("/low", "GET");
-        request.timeout = Some(at(PATIENCE_MS));
-        let begun = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
-        let permit = permit(question(&begun), origin(50), 1005);
-        let out = heard(&mut edge, 1010, ADMISSION, permit);
+        request.timeout = Some(at(TIMEOUT_MS));
+        let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+        let permit = permit(last_exchange(&started), origin(50), 1005);
+        let out = deliver(&mut edge, 1010, ADMISSION, permit);
         let limit = out.iter().find_map(|output| match output {
             Output::Call { call, .. } => Some(call.timeout),
             _ => None,
         });
-        let left = at(PATIENCE_MS - 10);
-        let expected = if warned { left } else { left / 2 };
-        assert_eq!(limit, Some(expected), "warned: {warned}");
+        let remaining = at(TIMEOUT_MS - 10);
+        let expected = if shutting_down {
+            remaining
+        } else {
+            remaining / 2
+        };
+        assert_eq!(limit, Some(expected), "warned: {shutting_down}");
     }
 }
 
 /// The same for calls that were begun before the warning.
 #[test]
-fn at_the_warning_calls_under_way_are_given_all_the_time_that_is_left() {
-    const PATIENCE_MS: u64 = 4000;
+fn shutdown_request_extends_calls_in_flight() {
+    const TIMEOUT_MS: u64 = 4000;
     let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
     updates(&mut edge, 1000, &[origin(50)], false);
     let mut request = client_request("/low", "GET");
-    request.timeout = Some(at(PATIENCE_MS));
-    let begun = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
-    let permit = permit(question(&begun), origin(50), 1005);
-    let call = question(&heard(&mut edge, 1010, ADMISSION, permit));
+    request.timeout = Some(at(TIMEOUT_MS));
+    let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+    let permit = permit(last_exchange(&started), origin(50), 1005);
+    let call = last_exchange(&deliver(&mut edge, 1010, ADMISSION, permit));
     let out = edge.handle(at(1500), Input::ShutdownRequested);
     let extended = out.iter().find_map(|output| match output {
         Output::ExtendCall { id, limit } => Some((*id, *limit)),
         _ => None,
     });
-    assert_eq!(extended, Some((call, at(PATIENCE_MS - 500))));
+    assert_eq!(extended, Some((call, at(TIMEOUT_MS - 500))));
 }
--- a/data-plane/tests/stale_responses.rs
+++ b/data-plane/tests/stale_responses.rs
@@ -15,7 +15,7 @@
     )
 }
 
-fn called(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
+fn complete_call(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
     edge.handle(at(now), Input::CallCompleted { id, result })
 }
 
@@ -25,7 +25,7 @@
         .count()
 }
 
-fn good(text: &str) -> CallOutcome {
+fn success(text: &str) -> CallOutcome {
     CallOutcome::Success(Reply {
         status: 200,
         body: Arc::new(text.as_bytes().to_vec()),
@@ -44,23 +44,28 @@
 }
 
 #[test]
-fn a_permit_for_an_earlier_try_is_not_used_for_the_next() {
+fn stale_permit_is_returned_unused() {
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let first = question(&begin(&mut edge, 1000, 1, "/low", "GET"));
-    let out = heard(
+    let first = last_exchange(&begin(&mut edge, 1000, 1, "/low", "GET"));
+    let out = deliver(
         &mut edge,
         1010,
         ADMISSION,
         permit(first, listed.clone(), 1005),
     );
     assert_eq!(calls(&out), 1);
-    let out = called(&mut edge, 1020, question(&out), CallOutcome::NotExecuted);
-    let second = question(&out);
+    let out = complete_call(
+        &mut edge,
+        1020,
+        last_exchange(&out),
+        CallOutcome::NotExecuted,
+    );
+    let second = last_exchange(&out);
     assert_ne!(first, second);
     // The admission controller was asked twice for the first try: it counted both as such.
-    let out = heard(
+    let out = deliver(
         &mut edge,
         1030,
         ADMISSION,
@@ -72,48 +77,48 @@
             if done.result == CallResult::Unused)
     };
     assert!(out.iter().any(unused), "it is given back");
-    let out = heard(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
+    let out = deliver(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
     assert_eq!(calls(&out), 1);
 }
 
 #[test]
-fn the_end_of_an_earlier_call_says_nothing_of_the_one_under_way() {
+fn stale_call_ending_is_ignored() {
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let asked_for = question(&begin(&mut edge, 1000, 1, "/once", "POST"));
-    let out = heard(
+    let exchange = last_exchange(&begin(&mut edge, 1000, 1, "/once", "POST"));
+    let out = deliver(
         &mut edge,
         1010,
         ADMISSION,
-        permit(asked_for, listed.clone(), 1005),
+        permit(exchange, listed.clone(), 1005),
     );
-    let first = question(&out);
-    let out = called(&mut edge, 1020, first, CallOutcome::NotExecuted);
-    let out = heard(
+    let first = last_exchange(&out);
+    let out = complete_call(&mut edge, 1020, first, CallOutcome::NotExecuted);
+    let out = deliver(
         &mut edge,
         1030,
         ADMISSION,
-        permit(question(&out), listed, 1025),
+        permit(last_exchange(&out), listed, 1025),
     );
-    let second = question(&out);
+    let second = last_exchange(&out);
     for result in [
         CallOutcome::NotExecuted,
         CallOutcome::WrongInstance,
-        good("first"),
+        success("first"),
     ] {
-        let out = called(&mut edge, 1040, first, result);
-        assert!(calls(&out) == 0 && body(&out).is_none() && answers(out).is_empty());
+        let out = complete_call(&mut edge, 1040, first, result);
+        assert!(calls(&out) == 0 && body(&out).is_none() && rejections_in(out).is_empty());
     }
-    let out = called(&mut edge, 1050, second, good("second"));
+    let out = complete_call(&mut edge, 1050, second, success("second"));
     assert_eq!(body(&out), Some("second".into()));
 }
 
 #[test]
-fn a_copy_that_was_asked_for_earlier_does_not_pass_as_a_fresh_one() {
+fn stale_cached_response_is_not_served() {
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], true);
-    let first = question(&begin(&mut edge, 1000, 1, "/copy", "GET"));
+    let first = last_exchange(&begin(&mut edge, 1000, 1, "/copy", "GET"));
     let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
     let copy = |id, left| CacheCopy {
         id,
@@ -129,23 +134,23 @@
         },
     };
     // It was 300 ms on the way and had less than that left.
-    let out = heard(&mut edge, 1300, OWNER, copy(first, 200));
+    let out = deliver(&mut edge, 1300, OWNER, copy(first, 200));
     assert_eq!(body(&out), None);
-    let second = question(&out);
+    let second = last_exchange(&out);
     // The same answer, said twice: it is older than the second question.
-    let out = heard(&mut edge, 1310, OWNER, copy(first, 200));
+    let out = deliver(&mut edge, 1310, OWNER, copy(first, 200));
     assert_eq!(body(&out), None);
-    let out = heard(&mut edge, 1320, OWNER, copy(second, 200));
+    let out = deliver(&mut edge, 1320, OWNER, copy(second, 200));
     assert!(body(&out).is_some());
 }
 
 #[test]
-fn ids_of_two_incarnations_at_one_address_do_not_meet() {
+fn exchange_ids_are_unique_across_incarnations() {
     let ids = |incarnation: u64| -> HashSet<u64> {
         let mut edge = live_as(1000, incarnation);
         updates_as(&mut edge, 1000, &[], false, incarnation);
         (0..200)
-            .map(|id| question(&begin(&mut edge, 1000, id, "/low", "GET")))
+            .map(|id| last_exchange(&begin(&mut edge, 1000, id, "/low", "GET")))
             .collect()
     };
     let incarnations: Vec<HashSet<u64>> = [5, 6, 7, 1 << 40, u64::MAX].map(ids).into();
