--- a/data-plane/src/coalescer.rs
+++ b/data-plane/src/coalescer.rs
@@ -1,32 +1,33 @@
-//! Requests of one edge that wait for the same key.
+//! Coalesces the requests of one edge that wait for the same key.
 use crate::prelude::*;
 
-/// For each key the one request that asks for it, and those that wait for what
+/// For each key the one request that fetches it, and those that wait for what
 /// it gets. Invariants:
-/// - A request stands in at most one group, as its leader or as a follower.
-/// - A group lasts while its leader does: who takes a leader out is told who
-///   leads next, or gets all followers.
+/// - A request is in at most one group, as its leader or as a follower.
+/// - A group lasts while it has a leader: whoever removes a leader is given the
+///   next one, or all followers.
 #[derive(Debug, Default)]
 pub struct Coalescer {
-    groups: HashMap<CacheKey, Group>,
+    groups: HashMap<CacheKey, RequestGroup>,
 }
 
 #[derive(Debug)]
-struct Group {
+struct RequestGroup {
     leader: u64,
     followers: VecDeque<u64>,
 }
 
-/// What a request is to its group.
+/// The role of a request in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupRole {
-    /// It asks.
+    /// It fetches.
     Leader,
     /// It waits for what the leader gets.
     Follower,
 }
 
 impl Coalescer {
+    /// Adds a request to the group of its key.
     pub fn join(&mut self, key: CacheKey, request: u64) -> GroupRole {
         match self.groups.get_mut(&key) {
             Some(group) => {
@@ -34,7 +35,7 @@
                 GroupRole::Follower
             }
             None => {
-                let group = Group {
+                let group = RequestGroup {
                     leader: request,
                     followers: VecDeque::new(),
                 };
@@ -44,30 +45,30 @@
         }
     }
 
-    /// The request that asks for this key.
+    /// The request that fetches this key.
     pub fn leader(&self, key: &CacheKey) -> Option<u64> {
         self.groups.get(key).map(|group| group.leader)
     }
 
-    /// Whether anybody asks for this key.
+    /// Whether any request fetches this key.
     pub fn is_led(&self, key: &CacheKey) -> bool {
         self.groups.contains_key(key)
     }
 
+    /// Whether this request fetches this key.
     pub fn leads(&self, key: &CacheKey, request: u64) -> bool {
-        self.groups
-            .get(key)
-            .is_some_and(|group| group.leader == request)
+        self.leader(key) == Some(request)
     }
 
+    /// Whether requests wait for this key's leader.
     pub fn has_followers(&self, key: &CacheKey) -> bool {
         self.groups
             .get(key)
             .is_some_and(|group| !group.followers.is_empty())
     }
 
-    /// The request is out of its group; who leads it now, if that changed.
-    pub fn leave(&mut self, key: &CacheKey, request: u64) -> Option<u64> {
+    /// Removes the request from its group; the next leader, if that changed.
+    pub fn remove(&mut self, key: &CacheKey, request: u64) -> Option<u64> {
         let group = self.groups.get_mut(key)?;
         if group.leader != request {
             group.followers.retain(|follower| *follower != request);
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -1,10 +1,11 @@
+//! otterslip's own protocol towards clients and origins.
 use crate::prelude::*;
 
-/// otterslip's own words: `otterslip-*` headers towards origins, whose answers
-/// are sealed, and refusals as JSON towards callers.
+/// otterslip's own protocol: `otterslip-*` headers towards origins, whose
+/// responses are signed, and rejections as JSON towards clients.
 pub struct DefaultProtocol;
 
-/// Headers of an answer that go on to the caller; all else stays here.
+/// Headers of an origin's response that are passed on to the client.
 const FORWARDED_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
@@ -15,12 +16,15 @@
     "content-language",
     "vary",
 ];
+const OPERATION_KEY_HEADER: &str = "operation-key";
 const REQUEST_ID_HEADER: &str = "otterslip-errand";
+const SERVICE_HEADER: &str = "otterslip-service";
 const INSTANCE_HEADER: &str = "otterslip-instance";
-/// The status of an instance that was not the one named, and ran nothing.
-const MISDIRECTED_REQUEST: u16 = 421;
-/// Of an origin's answer that it did not run the request.
+const TAGS_HEADER: &str = "otterslip-tags";
+/// In an origin's response that it did not execute the request.
 const NOT_EXECUTED_HEADER: &str = "otterslip-not-run";
+/// The status of an instance that is not the one named, and executed nothing.
+const MISDIRECTED_REQUEST: u16 = 421;
 
 impl ProtocolAdapter for DefaultProtocol {
     fn patience(&self, _: &[(String, String)]) -> Option<Duration> {
@@ -28,7 +32,7 @@
     }
 
     fn operation<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str> {
-        header(headers, "operation-key")
+        header(headers, OPERATION_KEY_HEADER)
     }
 
     fn name<'a>(&self, _: &'a [(String, String)]) -> Option<&'a str> {
@@ -38,16 +42,13 @@
     fn call(&self, call: &Call) -> CallHeaders {
         let mut headers = vec![
             ("Host".to_string(), call.origin.address.to_string()),
-            ("otterslip-service".into(), call.origin.service.clone()),
+            (SERVICE_HEADER.into(), call.origin.service.clone()),
             (INSTANCE_HEADER.into(), call.origin.instance.clone()),
             (REQUEST_ID_HEADER.into(), call.request.to_string()),
             ("x-forwarded-host".into(), call.host.clone()),
         ];
-        headers.extend(
-            call.operation
-                .iter()
-                .map(|key| ("operation-key".to_string(), key.clone())),
-        );
+        let operation_key = call.operation.iter();
+        headers.extend(operation_key.map(|key| (OPERATION_KEY_HEADER.to_string(), key.clone())));
         headers.extend(call.headers.iter().cloned());
         CallHeaders {
             headers,
@@ -62,83 +63,111 @@
         headers: &[(String, String)],
         body: &[u8],
     ) -> OriginVerdict {
-        let request = call.request.to_string();
-        match call.proof {
-            Proof::Named => {
-                // Before all else: an answer to another call proves nothing of
-                // this one.
-                if header(headers, REQUEST_ID_HEADER) != Some(request.as_str()) {
-                    return OriginVerdict::Rejected("the answer is to another request".into());
-                }
-                if status == MISDIRECTED_REQUEST {
-                    return OriginVerdict::WrongInstance;
-                }
-                // Without the refusal, another instance may have run it.
-                if header(headers, INSTANCE_HEADER) != Some(call.origin.instance.as_str()) {
-                    return OriginVerdict::Rejected("the answer of another instance".into());
-                }
-            }
-            Proof::Seal => {
-                let signature = ResponseSignature {
-                    status,
-                    method: &call.method,
-                    target: &call.url,
-                    service: &call.origin.service,
-                    instance: &call.origin.instance,
-                    operation: call.operation.as_deref().unwrap_or(""),
-                    request: &request,
-                    body,
-                };
-                if let Err(error) = signature.verify(headers, &call.key) {
-                    return OriginVerdict::Rejected(error.to_string());
-                }
-            }
+        let is_from_origin = match call.proof {
+            Proof::Named => check_named(call, status, headers),
+            Proof::Seal => check_signed(call, status, headers, body),
+        };
+        if let Err(verdict) = is_from_origin {
+            return verdict;
         }
         if header(headers, NOT_EXECUTED_HEADER).is_some() {
             return OriginVerdict::NotExecuted;
         }
-        let tags = header(headers, "otterslip-tags").map(|text| {
-            text.split(' ')
-                .filter(|tag| !tag.is_empty())
-                .map(Into::into)
-                .collect()
-        });
-        let passed = |(name, _): &&(String, String)| {
+        let is_forwarded = |(name, _): &&(String, String)| {
             FORWARDED_HEADERS
                 .iter()
                 .any(|known| name.eq_ignore_ascii_case(known))
         };
         OriginVerdict::Accepted {
-            headers: headers.iter().filter(passed).cloned().collect(),
-            tags: tags.unwrap_or_default(),
+            headers: headers.iter().filter(is_forwarded).cloned().collect(),
+            tags: tags(headers),
         }
     }
 
-    fn tell(&self, _: &[(String, String)], answer: &ClientResponse) -> HttpResponse {
-        match answer {
-            ClientResponse::Reply { reply, age } => {
-                let mut headers = reply.headers.clone();
-                headers.extend(age.map(|age| ("Age".to_string(), age.as_secs().to_string())));
-                HttpResponse {
-                    status: reply.status,
-                    headers,
-                    body: reply.body.clone(),
-                }
-            }
-            ClientResponse::Rejection(refusal) => {
-                let mut headers =
-                    vec![("Content-Type".to_string(), "application/json".to_string())];
-                let back = refusal.retry_after_s.map(|span| span.ceil().max(1.0));
-                headers.extend(
-                    back.map(|span| ("Retry-After".to_string(), (span as u64).to_string())),
-                );
-                let body = serde_json::to_vec(refusal).unwrap_or_default();
-                HttpResponse {
-                    status: refusal.status,
-                    headers,
-                    body: Arc::new(body),
-                }
-            }
+    fn tell(&self, _: &[(String, String)], response: &ClientResponse) -> HttpResponse {
+        match response {
+            ClientResponse::Reply { reply, age } => write_reply(reply, *age),
+            ClientResponse::Rejection(rejection) => write_rejection(rejection),
         }
     }
 }
+
+/// Checks that the response names the called instance and the request. The
+/// error is the verdict on a response that does not.
+fn check_named(
+    call: &Call,
+    status: u16,
+    headers: &[(String, String)],
+) -> Result<(), OriginVerdict> {
+    // First: a response to another call proves nothing about this one.
+    if header(headers, REQUEST_ID_HEADER) != Some(call.request.to_string().as_str()) {
+        let reason = "the answer is to another request".into();
+        return Err(OriginVerdict::Rejected(reason));
+    }
+    if status == MISDIRECTED_REQUEST {
+        return Err(OriginVerdict::WrongInstance);
+    }
+    // Unless it refused, another instance may have executed it.
+    if header(headers, INSTANCE_HEADER) != Some(call.origin.instance.as_str()) {
+        let reason = "the answer of another instance".into();
+        return Err(OriginVerdict::Rejected(reason));
+    }
+    Ok(())
+}
+
+/// Checks that the response is signed for this call. The error is the verdict
+/// on a response that is not.
+fn check_signed(
+    call: &Call,
+    status: u16,
+    headers: &[(String, String)],
+    body: &[u8],
+) -> Result<(), OriginVerdict> {
+    let signature = ResponseSignature {
+        status,
+        method: &call.method,
+        target: &call.url,
+        service: &call.origin.service,
+        instance: &call.origin.instance,
+        operation: call.operation.as_deref().unwrap_or(""),
+        request: &call.request.to_string(),
+        body,
+    };
+    signature
+        .verify(headers, &call.key)
+        .map_err(|error| OriginVerdict::Rejected(error.to_string()))
+}
+
+/// The tags by which purges match the response.
+fn tags(headers: &[(String, String)]) -> Vec<String> {
+    header(headers, TAGS_HEADER)
+        .unwrap_or_default()
+        .split(' ')
+        .filter(|tag| !tag.is_empty())
+        .map(Into::into)
+        .collect()
+}
+
+fn write_reply(reply: &Reply, age: Option<Duration>) -> HttpResponse {
+    let mut headers = reply.headers.clone();
+    headers.extend(age.map(|age| ("Age".to_string(), age.as_secs().to_string())));
+    HttpResponse {
+        status: reply.status,
+        headers,
+        body: reply.body.clone(),
+    }
+}
+
+fn write_rejection(rejection: &Rejection) -> HttpResponse {
+    let mut headers = vec![("Content-Type".to_string(), "application/json".to_string())];
+    let retry_after = rejection
+        .retry_after_s
+        .map(|seconds| seconds.ceil().max(1.0) as u64);
+    headers.extend(retry_after.map(|seconds| ("Retry-After".to_string(), seconds.to_string())));
+    let body = serde_json::to_vec(rejection).unwrap_or_default();
+    HttpResponse {
+        status: rejection.status,
+        headers,
+        body: Arc::new(body),
+    }
+}
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -114,7 +114,7 @@
             matches!(response, ClientResponse::Rejection(_)) && active.attempts.count == 0;
         if is_rejected_uncalled && now < active.deadline && self.coalescer.leads(&key, id) {
             self.respond_to_followers(now, id, &key, response);
-        } else if let Some(next) = self.coalescer.leave(&key, id) {
+        } else if let Some(next) = self.coalescer.remove(&key, id) {
             self.lead_group(now, next);
         } else if let Some(leader) = self.coalescer.leader(&key) {
             // It may have gone on for this follower only.
@@ -133,7 +133,7 @@
             .filter(|(id, key)| self.coalescer.leads(key, *id) && self.coalescer.has_followers(key))
             .collect();
         for (id, key) in stalled {
-            if let Some(next) = self.coalescer.leave(&key, id) {
+            if let Some(next) = self.coalescer.remove(&key, id) {
                 self.lead_group(now, next);
             }
         }
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -1,85 +1,95 @@
+//! Filters that check a request before the edge acts on it.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// A request on its way in, before it has passed the filters.
+/// A request as it was received, before it has passed the filters.
 #[derive(Debug, Clone)]
-pub struct Arrival {
+pub struct IncomingRequest {
+    /// The method.
     pub method: String,
+    /// The `Host` header.
     pub host: String,
+    /// Path and query.
     pub url: String,
+    /// All headers as received.
     pub headers: Vec<(String, String)>,
+    /// The body.
     pub body: Arc<Vec<u8>>,
-    /// The key under which it runs once, in whatever words it came.
-    pub operation: Option<String>,
-    /// How long the caller waits, if it said so.
-    pub patience: Option<Duration>,
-    /// What the caller calls its request, if it does.
-    pub name: Option<String>,
+    /// The key under which it runs once, in whatever header it was sent.
+    pub operation_key: Option<String>,
+    /// How long the client waits, if it said so.
+    pub timeout: Option<Duration>,
+    /// The client's own id of the request, if it has one.
+    pub request_id: Option<String>,
+    /// Whether the edge is live.
     pub live: bool,
-    pub image: Option<Arc<RouteTable>>,
-    /// Set by the filter that matches.
+    /// The routes in force, if any are known.
+    pub routes: Option<Arc<RouteTable>>,
+    /// The index of the matching route, set by a filter.
     pub entry: Option<usize>,
 }
 
-impl Arrival {
+impl IncomingRequest {
     fn kind(&self) -> Option<Kind> {
-        Some(self.image.as_ref()?.document.entries[self.entry?].kind)
+        Some(self.routes.as_ref()?.document.entries[self.entry?].kind)
     }
 }
 
-pub type Filtered = Option<Rejection>;
-
-/// One link of the chain; any may answer, and then the rest is not asked.
+/// One filter of the chain. The first one that rejects a request ends the chain.
 pub trait Filter: Sync {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered;
+    /// The rejection of a request that does not pass.
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection>;
 }
 
-/// A filter that registers itself, with its place in the chain.
+/// A filter that registers itself, with its position in the chain.
 pub struct FilterPlugIn {
+    /// Filters run in ascending order.
     pub order: u32,
+    /// The filter.
     pub filter: &'static dyn Filter,
 }
 
 inventory::collect!(FilterPlugIn);
 
-/// Sends an arrival through all filters, in order.
-pub fn chain(arrival: &mut Arrival) -> Filtered {
-    static LIST: std::sync::OnceLock<Vec<&FilterPlugIn>> = std::sync::OnceLock::new();
-    let list = LIST.get_or_init(|| {
-        let mut list: Vec<&FilterPlugIn> = inventory::iter::<FilterPlugIn>().collect();
-        list.sort_by_key(|one| one.order);
-        list
+/// Runs all filters in order; the rejection of the first that the request does not pass.
+pub fn run_filters(request: &mut IncomingRequest) -> Option<Rejection> {
+    static CHAIN: OnceLock<Vec<&FilterPlugIn>> = OnceLock::new();
+    let chain = CHAIN.get_or_init(|| {
+        let mut chain: Vec<&FilterPlugIn> = inventory::iter::<FilterPlugIn>().collect();
+        chain.sort_by_key(|plug_in| plug_in.order);
+        chain
     });
-    list.iter().find_map(|one| one.filter.pass(arrival))
+    chain
+        .iter()
+        .find_map(|plug_in| plug_in.filter.reject(request))
 }
 
-pub const URL_BYTES: usize = 2048;
-pub const HEADER_BYTES: usize = 16 * 1024;
-pub const OPERATION_KEY_BYTES: usize = 128;
+/// The longest URL in bytes.
+const MAX_URL_BYTES: usize = 2048;
+/// The largest headers in bytes, if the configuration sets no limit.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+/// The longest operation key in bytes.
+const MAX_OPERATION_KEY_BYTES: usize = 128;
 
-struct Bounds;
+/// Rejects URLs and headers that are too large or malformed.
+struct SizeAndSyntax;
 inventory::submit!(FilterPlugIn {
     order: 10,
-    filter: &Bounds
+    filter: &SizeAndSyntax
 });
 
-impl Filter for Bounds {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered {
-        let bytes: usize = arrival
-            .headers
-            .iter()
-            .map(|(name, value)| name.len() + value.len())
-            .sum();
-        if arrival.url.len() > URL_BYTES {
+impl Filter for SizeAndSyntax {
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
+        if request.url.len() > MAX_URL_BYTES {
             return Some(Rejection::not_run(
                 414,
                 "url_too_long",
                 "the URL is longer than 2048 bytes",
             ));
         }
-        if !arrival.url.starts_with('/') || !arrival.url.bytes().all(|byte| byte.is_ascii_graphic())
+        if !request.url.starts_with('/') || !request.url.bytes().all(|byte| byte.is_ascii_graphic())
         {
             return Some(Rejection::not_run(
                 400,
@@ -87,69 +97,78 @@
                 "the target must be a path of printable ASCII",
             ));
         }
-        let most = arrival
-            .image
+        let header_bytes: usize = request
+            .headers
+            .iter()
+            .map(|(name, value)| name.len() + value.len())
+            .sum();
+        let max_header_bytes = request
+            .routes
             .as_ref()
-            .and_then(|image| image.bounds.as_ref())
-            .map_or(HEADER_BYTES, |bounds| bounds.head_bytes as usize);
-        (bytes > most)
+            .and_then(|routes| routes.bounds.as_ref())
+            .map_or(DEFAULT_MAX_HEADER_BYTES, |bounds| {
+                bounds.head_bytes as usize
+            });
+        (header_bytes > max_header_bytes)
             .then(|| Rejection::not_run(431, "headers_too_large", "headers are over the limit"))
     }
 }
 
-/// Without a configuration nothing can be told apart yet.
-struct Known;
+/// Rejects requests before the first configuration is known.
+struct Configured;
 inventory::submit!(FilterPlugIn {
     order: 20,
-    filter: &Known
+    filter: &Configured
 });
 
-impl Filter for Known {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered {
-        let none = arrival.image.is_none();
-        none.then(|| {
+impl Filter for Configured {
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
+        request.routes.is_none().then(|| {
             Rejection::unknown(503, "not_ready", "this node has no configuration yet")
                 .with_nothing_sent()
         })
     }
 }
 
-/// A fenced node says nothing that hangs on its image, not even that there is
-/// no such entry. What carries an operation key may have run elsewhere.
-struct Fence;
+/// Rejects requests while the edge is fenced: nothing that depends on its
+/// configuration is reported, not even that there is no such route. A request
+/// with an operation key may have run elsewhere.
+struct Live;
 inventory::submit!(FilterPlugIn {
     order: 25,
-    filter: &Fence
+    filter: &Live
 });
 
-impl Filter for Fence {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered {
-        let outcome = if arrival.operation.is_some() {
+impl Filter for Live {
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
+        let outcome = if request.operation_key.is_some() {
             RunState::Unknown
         } else {
             RunState::NotRun
         };
-        (!arrival.live).then(|| Rejection::fenced(outcome))
+        (!request.live).then(|| Rejection::fenced(outcome))
     }
 }
 
-struct Match;
+/// Matches the request to a route.
+struct RouteMatch;
 inventory::submit!(FilterPlugIn {
     order: 30,
-    filter: &Match
+    filter: &RouteMatch
 });
 
-impl Filter for Match {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered {
-        let image = arrival.image.as_ref()?;
-        arrival.entry = image.find(&arrival.host, &arrival.url, &arrival.method);
-        arrival
+impl Filter for RouteMatch {
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
+        let routes = request.routes.as_ref()?;
+        request.entry = routes.find(&request.host, &request.url, &request.method);
+        request
             .entry
             .is_none()
             .then(|| Rejection::not_run(404, "no_entry", "no entry matches host, path and method"))
     }
 }
 
+/// Rejects requests of keyed routes without a valid operation key.
 struct OperationKey;
 inventory::submit!(FilterPlugIn {
     order: 40,
@@ -157,28 +176,27 @@
 });
 
 impl Filter for OperationKey {
-    fn pass(&self, arrival: &mut Arrival) -> Filtered {
-        if arrival.kind() != Some(Kind::Keyed) {
+    fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
+        if request.kind() != Some(Kind::Keyed) {
             return None;
         }
-        match arrival.operation.as_deref() {
+        match request.operation_key.as_deref() {
             None => Some(Rejection::not_run(
                 400,
                 "operation_key_missing",
                 "this entry needs an Operation-Key header",
             )),
-            Some(key)
-                if key.is_empty()
-                    || key.len() > OPERATION_KEY_BYTES
-                    || !key.bytes().all(|byte| byte.is_ascii_graphic()) =>
-            {
-                Some(Rejection::not_run(
-                    400,
-                    "operation_key_malformed",
-                    "an operation key is 1 to 128 printable ASCII characters",
-                ))
-            }
+            Some(key) if !is_valid_operation_key(key) => Some(Rejection::not_run(
+                400,
+                "operation_key_malformed",
+                "an operation key is 1 to 128 printable ASCII characters",
+            )),
             Some(_) => None,
         }
     }
 }
+
+fn is_valid_operation_key(key: &str) -> bool {
+    (1..=MAX_OPERATION_KEY_BYTES).contains(&key.len())
+        && key.bytes().all(|byte| byte.is_ascii_graphic())
+}
--- /dev/null
+++ b/data-plane/src/http_frontend/handler.rs
@@ -0,0 +1,318 @@
+//! Handles what the HTTP event loop receives.
+use super::LIMITS;
+use crate::prelude::*;
+
+/// Passes clients' requests and the ends of calls to the edge's state machine,
+/// and the responses back. An HTTP exchange is one request and its response on
+/// a client's connection; its id is never used twice.
+pub(super) struct ConnectionHandler {
+    port: Arc<Port>,
+    protocol: Arc<dyn ProtocolAdapter>,
+    plug_ins: Vec<&'static PlugIn>,
+    /// Set once the event loop runs.
+    pub(super) http_line: OnceLock<HttpLine>,
+    /// Calls in flight.
+    calls: Mutex<HashMap<u64, Call>>,
+    /// Requests without a response, by their exchanges.
+    requests: Mutex<HashMap<u64, u64>>,
+    /// Requests without a response whose clients have disconnected: the state
+    /// machine learns of it only after the inputs that were queued before.
+    disconnected: Mutex<HashSet<u64>>,
+    /// Itself, for responses that arrive later.
+    this: Weak<ConnectionHandler>,
+    response_sizes: ResponseSizes,
+    /// The limits for clients that were last set.
+    bounds: Mutex<Option<Arc<Bounds>>>,
+}
+
+/// Routes whose responses are usually larger, in bytes, wait for the link.
+const LARGE_RESPONSE_BYTES: f64 = 16.0 * 1024.0;
+/// A client rejected for a full link retries after this, at any edge.
+const LINK_FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// The index of the listener on which the platform checks whether the edge is
+/// ready for clients.
+const READINESS_LISTENER: usize = 1;
+/// The prefix of the paths that plug-ins serve.
+const PLUG_IN_PREFIX: &str = "/.otterslip/";
+
+impl ConnectionHandler {
+    pub(super) fn new(
+        port: &Arc<Port>,
+        protocol: &Arc<dyn ProtocolAdapter>,
+        plug_ins: Vec<&'static PlugIn>,
+    ) -> Arc<ConnectionHandler> {
+        Arc::new_cyclic(|this| ConnectionHandler {
+            this: this.clone(),
+            port: port.clone(),
+            protocol: protocol.clone(),
+            plug_ins,
+            http_line: OnceLock::new(),
+            calls: Mutex::default(),
+            requests: Mutex::default(),
+            disconnected: Mutex::default(),
+            response_sizes: ResponseSizes::default(),
+            bounds: Mutex::default(),
+        })
+    }
+
+    /// Whether a call may be sent now. The process may have been suspended since
+    /// the state machine decided: its state is valid only while the lease is.
+    pub(super) fn may_send(&self, call: &Call) -> bool {
+        self.port.live() && !self.is_abandoned(call)
+    }
+
+    /// Whether the call is for a disconnected client alone.
+    fn is_abandoned(&self, call: &Call) -> bool {
+        let serves_one_client = matches!(call.purpose, CallPurpose::Caller | CallPurpose::RunOnce);
+        let disconnected = self.disconnected.lock().expect("no holder panics");
+        serves_one_client && disconnected.contains(&call.request)
+    }
+
+    pub(super) fn register_call(&self, id: u64, call: Call) {
+        let mut calls = self.calls.lock().expect("no holder panics");
+        calls.insert(id, call);
+    }
+
+    pub(super) fn forget_call(&self, id: u64) -> Option<Call> {
+        let mut calls = self.calls.lock().expect("no holder panics");
+        calls.remove(&id)
+    }
+
+    /// Passes the end of a call to the state machine.
+    pub(super) fn complete_call(&self, id: u64, result: CallOutcome) {
+        let _ = self.port.give.send(Input::CallCompleted { id, result });
+    }
+
+    fn respond(&self, exchange: u64, response: HttpResponse) {
+        let HttpResponse {
+            status,
+            headers,
+            body,
+        } = response;
+        let told = http_line::Told {
+            status,
+            headers,
+            body: body.into(),
+            close: false,
+        };
+        self.http_line.wait().tell(exchange, told);
+    }
+
+    fn reject(&self, exchange: u64, headers: &[(String, String)], rejection: Rejection) {
+        let response = ClientResponse::Rejection(rejection);
+        self.respond(exchange, self.protocol.tell(headers, &response));
+    }
+
+    /// Serves operators and the platform.
+    fn serve_plug_in(&self, exchange: u64, received: Asked) {
+        let request = rouille::Request::fake_http(
+            received.method,
+            received.target,
+            received.headers,
+            received.body,
+        );
+        let response = serve_plug_ins(&self.plug_ins, &self.port, &request);
+        let headers = response
+            .headers
+            .iter()
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+            .collect();
+        let (mut reader, _) = response.data.into_reader_and_size();
+        let mut body = Vec::new();
+        let _ = reader.read_to_end(&mut body);
+        let response = HttpResponse {
+            status: response.status_code,
+            headers,
+            body: Arc::new(body),
+        };
+        self.respond(exchange, response);
+    }
+
+    /// Sets the limits of the configuration in force, if they have changed.
+    fn apply_bounds(&self, routes: &Option<Arc<RouteTable>>) {
+        let Some(bounds) = routes.as_ref().and_then(|routes| routes.bounds.clone()) else {
+            return;
+        };
+        let mut applied = self.bounds.lock().expect("no holder panics");
+        if applied.as_ref() != Some(&bounds) {
+            self.http_line.wait().set_limits(Limits {
+                head_bytes: bounds.head_bytes as usize,
+                body_bytes: bounds.body_bytes as usize,
+                head_time: Duration::from_millis(bounds.head_ms),
+                idle_time: Duration::from_millis(bounds.idle_ms),
+                ..LIMITS
+            });
+            *applied = Some(bounds);
+        }
+    }
+
+    /// Rejects a request for a large response at once if the responses queued
+    /// before it take the link for longer than its latency target: other edges
+    /// may be idle. Small responses are written before large ones, so that the
+    /// link is never full for them.
+    fn reject_if_link_is_full(&self, request: &ClientRequest) -> Option<Rejection> {
+        let entry = request.entry();
+        let latency_target = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
+        let is_large = self.response_sizes.expected(&entry.name) > LARGE_RESPONSE_BYTES;
+        let is_full = is_large && self.http_line.wait().backlog() > latency_target;
+        is_full.then(|| {
+            let text = "the link of this edge is full";
+            Rejection::not_run(429, "link_full", text).with_retry_after(LINK_FULL_RETRY_AFTER)
+        })
+    }
+
+    /// The request of this exchange, if it has no response yet; it is forgotten.
+    fn take_request(&self, exchange: u64) -> Option<u64> {
+        let mut requests = self.requests.lock().expect("no holder panics");
+        requests.remove(&exchange)
+    }
+
+    /// Filters a client's request and passes it to the state machine.
+    fn handle_client_request(self: &Arc<Self>, exchange: u64, received: Asked) {
+        let routes = (**self.port.image.load()).clone();
+        self.apply_bounds(&routes);
+        let mut incoming = self.incoming_request(received, routes);
+        if let Some(rejection) = run_filters(&mut incoming) {
+            return self.reject(exchange, &incoming.headers, rejection);
+        }
+        let Some(request) = client_request_of(incoming) else {
+            return;
+        };
+        if let Some(rejection) = self.reject_if_link_is_full(&request) {
+            return self.reject(exchange, &request.headers, rejection);
+        }
+        self.submit(exchange, request);
+    }
+
+    fn incoming_request(
+        &self,
+        received: Asked,
+        routes: Option<Arc<RouteTable>>,
+    ) -> IncomingRequest {
+        let headers = &received.headers;
+        IncomingRequest {
+            host: header(headers, "host").unwrap_or_default().to_string(),
+            operation_key: self.protocol.operation(headers).map(Into::into),
+            timeout: self.protocol.patience(headers),
+            request_id: self.protocol.name(headers).map(Into::into),
+            method: received.method,
+            url: received.target,
+            headers: received.headers,
+            body: Arc::new(received.body),
+            live: self.port.live(),
+            routes,
+            entry: None,
+        }
+    }
+
+    /// Passes the request to the state machine; its response is written later.
+    fn submit(self: &Arc<Self>, exchange: u64, request: ClientRequest) {
+        let pending = PendingResponse {
+            exchange,
+            is_keyed: request.entry().kind == Kind::Keyed,
+            route: request.entry().name.clone(),
+            headers: request.headers.clone(),
+        };
+        let handler = self.clone();
+        let respond = move |output: Output| handler.finish_request(&pending, output);
+        let request = Mutex::new(Some(request));
+        let input = |id| {
+            let mut requests = self.requests.lock().expect("no holder panics");
+            requests.insert(exchange, id);
+            let request = request.lock().expect("no holder panics").take();
+            Input::ClientRequest {
+                id,
+                request: request.expect("made once"),
+            }
+        };
+        self.port.begin(&input, Box::new(respond));
+    }
+
+    /// Writes the state machine's response.
+    fn finish_request(&self, pending: &PendingResponse, output: Output) {
+        self.take_request(pending.exchange);
+        let Output::ClientResponse { id, response } = output else {
+            return;
+        };
+        let mut disconnected = self.disconnected.lock().expect("no holder panics");
+        disconnected.remove(&id);
+        drop(disconnected);
+        // The process may have been suspended since the state machine responded:
+        // a cached response is only as good as the lease.
+        let is_cached = matches!(response, ClientResponse::Reply { age: Some(_), .. });
+        let response = if is_cached && !pending.is_keyed && !self.port.live() {
+            ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
+        } else {
+            response
+        };
+        let written = self.protocol.tell(&pending.headers, &response);
+        if matches!(response, ClientResponse::Reply { .. }) {
+            self.response_sizes
+                .record(&pending.route, written.body.len());
+        }
+        self.respond(pending.exchange, written);
+    }
+}
+
+/// What is needed to write the response to a request.
+struct PendingResponse {
+    exchange: u64,
+    is_keyed: bool,
+    /// The name of the route.
+    route: String,
+    /// The headers of the request.
+    headers: Vec<(String, String)>,
+}
+
+/// Called on the thread of the event loop.
+impl Taker for ConnectionHandler {
+    fn asked(&self, exchange: u64, listener: usize, received: Asked) {
+        if listener == READINESS_LISTENER {
+            let status = if self.port.ready() { 200 } else { 503 };
+            let response = HttpResponse {
+                status,
+                ..HttpResponse::default()
+            };
+            return self.respond(exchange, response);
+        }
+        if received.target.starts_with(PLUG_IN_PREFIX) {
+            return self.serve_plug_in(exchange, received);
+        }
+        // The handler is shared by its own responses.
+        if let Some(handler) = self.this.upgrade() {
+            handler.handle_client_request(exchange, received);
+        }
+    }
+
+    fn came(&self, id: u64, ending: Came) {
+        if let Some(call) = self.forget_call(id) {
+            self.complete_call(id, judge_call(self.protocol.as_ref(), &call, ending));
+        }
+    }
+
+    fn gone(&self, exchange: u64) {
+        if let Some(id) = self.take_request(exchange) {
+            let mut disconnected = self.disconnected.lock().expect("no holder panics");
+            disconnected.insert(id);
+            drop(disconnected);
+            let _ = self.port.give.send(Input::ClientDisconnected { id });
+        }
+    }
+
+    fn refused(&self, status: u16, why: &str) -> http_line::Told {
+        let code = match status {
+            408 => "request_late",
+            413 => "body_unreadable",
+            431 => "head_too_large",
+            _ => "request_malformed",
+        };
+        let rejection = ClientResponse::Rejection(Rejection::not_run(status, code, why));
+        let response = self.protocol.tell(&[], &rejection);
+        http_line::Told {
+            status: response.status,
+            headers: response.headers,
+            body: response.body.into(),
+            close: true,
+        }
+    }
+}
--- a/data-plane/src/request_conversion.rs
+++ b/data-plane/src/request_conversion.rs
@@ -1,29 +1,30 @@
+//! From a filtered request to the edge's input.
 use crate::prelude::*;
 
-/// The request of an arrival that passed all filters.
-pub fn client_request_of(arrival: Arrival) -> Option<ClientRequest> {
-    let caller = header(&arrival.headers, "authorization")
+/// The client request of an incoming request that passed all filters.
+pub fn client_request_of(incoming: IncomingRequest) -> Option<ClientRequest> {
+    let caller = header(&incoming.headers, "authorization")
         .unwrap_or_default()
         .to_string();
-    let image = arrival.image?;
-    let entry = arrival.entry?;
-    // What must run once, or be held once, goes by its own key.
-    let key = arrival.operation.as_deref().unwrap_or(&arrival.url);
-    let service = image.document.entries[entry]
+    let routes = incoming.routes?;
+    let entry = incoming.entry?;
+    // Requests that must run once, or be cached once, are distributed by their own key.
+    let key = incoming.operation_key.as_deref().unwrap_or(&incoming.url);
+    let service = routes.document.entries[entry]
         .aim_at(key.as_bytes())
         .to_string();
     Some(ClientRequest {
         caller,
-        method: arrival.method,
-        host: arrival.host,
-        url: arrival.url,
-        headers: arrival.headers,
-        body: arrival.body,
-        operation: arrival.operation,
-        timeout: arrival.patience,
-        request_id: arrival.name,
+        method: incoming.method,
+        host: incoming.host,
+        url: incoming.url,
+        headers: incoming.headers,
+        body: incoming.body,
+        operation: incoming.operation_key,
+        timeout: incoming.timeout,
+        request_id: incoming.request_id,
         service,
-        routes: image,
+        routes,
         entry,
     })
 }
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -10,7 +10,7 @@
 pub use crate::world::{FounderEnd, Report, World, WorldPlan};
 pub use crate::world_orders::{ItemOrder, OrderRecord};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
-pub use data_plane::prelude::{Arrival, chain};
+pub use data_plane::prelude::{IncomingRequest, run_filters};
 pub use data_plane::{EdgeNode, client_request_of};
 pub use stand_ins::deployment::Mix;
 pub use stand_ins::prelude::*;
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -134,20 +134,20 @@
                 ]
             })
             .collect();
-        let mut arrival = Arrival {
+        let mut arrival = IncomingRequest {
             method: method.into(),
             host: "sim".into(),
             url: path.into(),
             headers,
             body: Arc::new(operation.unwrap_or("").into()),
-            operation: operation.map(Into::into),
-            patience: None,
-            name: None,
+            operation_key: operation.map(Into::into),
+            timeout: None,
+            request_id: None,
             live: node.live(self.now),
-            image: node.image.clone(),
+            routes: node.image.clone(),
             entry: None,
         };
-        match chain(&mut arrival) {
+        match run_filters(&mut arrival) {
             Some(refusal) => Err(refusal),
             None => client_request_of(arrival)
                 .ok_or_else(|| Rejection::not_run(500, "filters", "an unmatched arrival passed")),
