--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -7,7 +7,7 @@
 
 /// An idempotent call for a disconnected client ends within this time after the
 /// close was read.
-pub const MAX_ABANDONED_CALL: Duration = Duration::from_millis(250);
+const MAX_ABANDONED_CALL: Duration = Duration::from_millis(250);
 
 /// Requests whose clients have disconnected, and the calls in flight to origins.
 /// Invariants that it checks:
--- a/data-plane/src/active_request.rs
+++ b/data-plane/src/active_request.rs
@@ -435,7 +435,7 @@
 }
 
 /// Whether a response may be served to other clients.
-pub fn is_shareable(reply: &Reply) -> bool {
+pub(crate) fn is_shareable(reply: &Reply) -> bool {
     let mut cache_control = reply
         .headers
         .iter()
@@ -450,6 +450,6 @@
 }
 
 /// Whether responses of this status are cached: transient errors are not.
-pub fn is_cacheable_status(status: u16) -> bool {
+pub(crate) fn is_cacheable_status(status: u16) -> bool {
     [200, 203, 204, 301, 308, 404, 410].contains(&status)
 }
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -39,7 +39,7 @@
         rank,
         max_wait: at(wait),
         sent: at(0),
-        is_retry: is_retry,
+        is_retry,
         call_timeout: at(2000),
         latency_target: at(wait),
         zone: String::new(),
@@ -91,7 +91,7 @@
                 at(simulation.now),
                 origin(9).address,
                 PermitRequest {
-                    latency_target: latency_target,
+                    latency_target,
                     ..permit_request(id, u32::from(id % 25 == 0) * 8 + 1, 2000, false)
                 },
             );
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -1,4 +1,5 @@
 //! The data plane: filters, cache owners, admission controllers, calls to origins.
+#![warn(missing_docs, unreachable_pub)]
 mod abandoned_work;
 mod active_request;
 mod admission;
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -1,3 +1,4 @@
+//! The names that the crate's modules share.
 pub use crate::abandoned_work::{AbandonedWork, AbandonedWorkViolation, ViolationKind};
 pub use crate::active_request::{ActiveRequest, CacheUse, Fetch, FillGrant, Stage};
 pub use crate::admission::{AdmissionController, TokenBucket};
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -655,7 +655,7 @@
     let list = Arc::new(Vec::new());
     let registry = |members: Vec<Peer>, departed| Value::EdgeRegistry {
         members,
-        departed: departed,
+        departed,
         complete: true,
     };
     let departed_edge = Peer::new(address(DEPARTED), 1);
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -202,7 +202,7 @@
             let owner = Some(peer);
             let assignment = Assignment {
                 epoch: 1,
-                owner: owner,
+                owner,
                 previous_owner: None,
             };
             let value = Value::Assignment(assignment);
