--- a/data-plane/src/active_request.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -1,5 +1,11 @@
 //! One client request in progress: its stage, its deadline and what was tried for it.
+mod cacheability;
+mod outgoing_call;
+mod stage;
+
 use crate::prelude::*;
+pub(crate) use cacheability::{is_cacheable_status, is_shareable};
+pub use stage::Stage;
 
 /// A request being executed. Invariants:
 /// - `request.routes` is the one configuration this request ever uses.
@@ -82,27 +88,8 @@
     pub token: FillToken,
 }
 
-/// Connections to one origin from this edge, if its group sets no limit.
-const DEFAULT_MAX_CONNECTIONS: usize = 256;
 /// Calls for one request, the first included, if its route sets no limit.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
-/// An attempt that can be retried may take this many times the usual duration.
-const USUAL_DURATIONS_PER_ATTEMPT: u32 = 6;
-/// Headers that belong to the client's connection or are set by this edge.
-const UNFORWARDED_HEADERS: [&str; 12] = [
-    "connection",
-    "host",
-    "content-length",
-    "transfer-encoding",
-    "te",
-    "upgrade",
-    "keep-alive",
-    "expect",
-    "operation-key",
-    "proxy-connection",
-    "trailer",
-    "accept-encoding",
-];
 
 /// What is known of a shared response before it arrives.
 #[derive(Debug, Clone, Copy)]
@@ -113,98 +100,6 @@
     pub purge_version: u64,
 }
 
-/// What an active request waits for.
-#[derive(Debug, Clone)]
-pub enum Stage {
-    /// The ledger's response to the claim.
-    AwaitingClaim,
-    /// The cache owner's response.
-    AwaitingCachedResponse {
-        /// When the stage was entered.
-        since: Duration,
-        /// A stale response is as good as a fresh one.
-        accepts_any_age: bool,
-    },
-    /// Another request at this edge fetches the same key.
-    Following,
-    /// A permit of the admission controller.
-    AwaitingPermit,
-    /// The origin's response.
-    Calling {
-        /// The permit of the call.
-        permit: Permit,
-        /// When the call was sent.
-        since: Duration,
-    },
-    /// The outcome goes to the ledger, then the response to the client.
-    Recording {
-        /// The origin's response, if one arrived.
-        reply: Option<Arc<Reply>>,
-        /// The client's response.
-        response: ClientResponse,
-    },
-    /// The claim is released, then the client is sent the rejection.
-    Releasing {
-        /// The client's response.
-        rejection: Rejection,
-    },
-}
-
-impl Stage {
-    /// Whether entering this stage sends a request to a peer.
-    pub fn starts_work(&self) -> bool {
-        matches!(
-            self,
-            Stage::AwaitingClaim | Stage::AwaitingCachedResponse { .. } | Stage::AwaitingPermit
-        )
-    }
-
-    /// Whether a request in this stage may be rejected in favour of a higher rank.
-    pub fn may_be_displaced(&self) -> bool {
-        matches!(
-            self,
-            Stage::AwaitingPermit
-                | Stage::Following
-                | Stage::AwaitingCachedResponse {
-                    accepts_any_age: false,
-                    ..
-                }
-        )
-    }
-
-    /// Whether the request waits for a peer or for another request, so that no
-    /// call of it is in flight and nothing remains to be recorded.
-    pub fn is_waiting(&self) -> bool {
-        matches!(
-            self,
-            Stage::AwaitingClaim
-                | Stage::AwaitingCachedResponse { .. }
-                | Stage::Following
-                | Stage::AwaitingPermit
-        )
-    }
-
-    /// What the request waits for, for the log.
-    pub fn name(&self) -> &'static str {
-        match self {
-            Stage::AwaitingClaim => "awaiting its claim",
-            Stage::AwaitingCachedResponse {
-                accepts_any_age: false,
-                ..
-            } => "awaiting the cache owner",
-            Stage::AwaitingCachedResponse {
-                accepts_any_age: true,
-                ..
-            } => "awaiting a cached response of any age",
-            Stage::Following => "following another request",
-            Stage::AwaitingPermit => "awaiting a permit",
-            Stage::Calling { .. } => "awaiting its origin",
-            Stage::Recording { .. } => "awaiting its record",
-            Stage::Releasing { .. } => "awaiting the release of its claim",
-        }
-    }
-}
-
 impl Exchange {
     fn new(now: Duration) -> Exchange {
         Exchange {
@@ -319,26 +214,6 @@
         }
     }
 
-    /// The hash of route, service and URL: requests with one key share a response.
-    pub fn cache_key(request: &ClientRequest) -> CacheKey {
-        hash_of(&[
-            request.entry().name.as_bytes(),
-            request.entry_host().as_bytes(),
-            request.service.as_bytes(),
-            request.url.as_bytes(),
-        ])
-    }
-
-    /// The name under which purges match this request's response.
-    pub fn cache_entry_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
-        CacheEntryName {
-            entry: &self.request.entry().name,
-            host: self.request.entry_host(),
-            url: &self.request.url,
-            tags: Some(&reply.tags),
-        }
-    }
-
     /// The claim on the request's operation key, made by this edge.
     pub fn claim_of(request: &ClientRequest, claimant: Peer, id: u64) -> Claim {
         // Neither entry nor service: a changed configuration makes no new
@@ -362,66 +237,6 @@
             request: id,
         }
     }
-
-    /// The timeout of the next call. A call that may be retried leaves time for
-    /// a retry: an unresponsive origin costs half of the remaining time, unless
-    /// calls usually take so long that several of `usual_duration` need more, of
-    /// which three quarters are the limit.
-    pub fn call_timeout(&self, now: Duration, usual_duration: Duration) -> Duration {
-        let remaining = self.remaining(now);
-        let may_retry = self.is_idempotent() && self.attempts.count + 1 < self.max_attempts();
-        if may_retry {
-            (remaining / 2)
-                .max((usual_duration * USUAL_DURATIONS_PER_ATTEMPT).min(remaining / 4 * 3))
-        } else {
-            remaining
-        }
-    }
-
-    /// The call to an origin. A response to be shared is fetched without any
-    /// header of the client, so that it is the same for all clients.
-    pub fn call(
-        &self,
-        now: Duration,
-        id: u64,
-        origin: Origin,
-        usual_duration: Duration,
-        purpose: CallPurpose,
-    ) -> Call {
-        let request = &self.request;
-        let headers = request.headers.iter().filter(|(name, _)| {
-            self.cache.key.is_none() && is_forwarded(&name.to_ascii_lowercase())
-        });
-        Call {
-            origin,
-            method: request.method.clone(),
-            url: request.url.clone(),
-            host: request.host.clone(),
-            headers: headers.cloned().collect(),
-            body: request.body.clone(),
-            operation: self
-                .claim
-                .as_ref()
-                .and(request.operation_key().map(Into::into)),
-            request_id: request.request_id.clone(),
-            request: id,
-            key: request.group().key.clone(),
-            proof: request.group().proof,
-            timeout: self.call_timeout(now, usual_duration),
-            max_connections: request
-                .group()
-                .sessions
-                .map_or(DEFAULT_MAX_CONNECTIONS, |limit| limit as usize),
-            purpose,
-        }
-    }
-}
-
-/// Whether a client's header goes on to the origin.
-fn is_forwarded(lowercase_name: &str) -> bool {
-    !UNFORWARDED_HEADERS.contains(&lowercase_name)
-        && !lowercase_name.starts_with("otterslip-")
-        && lowercase_name != "x-forwarded-host"
 }
 
 /// A hash of length-prefixed fields, so that none can run into the next.
@@ -433,23 +248,3 @@
     }
     hash.finalize().into()
 }
-
-/// Whether a response may be served to other clients.
-pub(crate) fn is_shareable(reply: &Reply) -> bool {
-    let mut cache_control = reply
-        .headers
-        .iter()
-        .filter(|(name, _)| name.eq_ignore_ascii_case("cache-control"));
-    let forbids_sharing = |(_, value): &(String, String)| {
-        let value = value.to_ascii_lowercase();
-        ["private", "no-store", "no-cache"]
-            .iter()
-            .any(|directive| value.contains(directive))
-    };
-    !cache_control.any(forbids_sharing) && header(&reply.headers, "set-cookie").is_none()
-}
-
-/// Whether responses of this status are cached: transient errors are not.
-pub(crate) fn is_cacheable_status(status: u16) -> bool {
-    [200, 203, 204, 301, 308, 404, 410].contains(&status)
-}
--- /dev/null
+++ b/data-plane/src/active_request/outgoing_call.rs
@@ -0,0 +1,84 @@
+//! The calls that a request makes to origins.
+use crate::prelude::*;
+
+/// Connections to one origin from this edge, if its group sets no limit.
+const DEFAULT_MAX_CONNECTIONS: usize = 256;
+/// An attempt that can be retried may take this many times the usual duration.
+const USUAL_DURATIONS_PER_ATTEMPT: u32 = 6;
+/// Headers that belong to the client's connection or are set by this edge.
+const UNFORWARDED_HEADERS: [&str; 12] = [
+    "connection",
+    "host",
+    "content-length",
+    "transfer-encoding",
+    "te",
+    "upgrade",
+    "keep-alive",
+    "expect",
+    "operation-key",
+    "proxy-connection",
+    "trailer",
+    "accept-encoding",
+];
+
+impl ActiveRequest {
+    /// The timeout of the next call. A call that may be retried leaves time for
+    /// a retry: an unresponsive origin costs half of the remaining time, unless
+    /// calls usually take so long that several of `usual_duration` need more, of
+    /// which three quarters are the limit.
+    pub fn call_timeout(&self, now: Duration, usual_duration: Duration) -> Duration {
+        let remaining = self.remaining(now);
+        let may_retry = self.is_idempotent() && self.attempts.count + 1 < self.max_attempts();
+        if may_retry {
+            (remaining / 2)
+                .max((usual_duration * USUAL_DURATIONS_PER_ATTEMPT).min(remaining / 4 * 3))
+        } else {
+            remaining
+        }
+    }
+
+    /// The call to an origin. A response to be shared is fetched without any
+    /// header of the client, so that it is the same for all clients.
+    pub fn call(
+        &self,
+        now: Duration,
+        id: u64,
+        origin: Origin,
+        usual_duration: Duration,
+        purpose: CallPurpose,
+    ) -> Call {
+        let request = &self.request;
+        let headers = request.headers.iter().filter(|(name, _)| {
+            self.cache.key.is_none() && is_forwarded(&name.to_ascii_lowercase())
+        });
+        Call {
+            origin,
+            method: request.method.clone(),
+            url: request.url.clone(),
+            host: request.host.clone(),
+            headers: headers.cloned().collect(),
+            body: request.body.clone(),
+            operation: self
+                .claim
+                .as_ref()
+                .and(request.operation_key().map(Into::into)),
+            request_id: request.request_id.clone(),
+            request: id,
+            key: request.group().key.clone(),
+            proof: request.group().proof,
+            timeout: self.call_timeout(now, usual_duration),
+            max_connections: request
+                .group()
+                .sessions
+                .map_or(DEFAULT_MAX_CONNECTIONS, |limit| limit as usize),
+            purpose,
+        }
+    }
+}
+
+/// Whether a client's header goes on to the origin.
+fn is_forwarded(lowercase_name: &str) -> bool {
+    !UNFORWARDED_HEADERS.contains(&lowercase_name)
+        && !lowercase_name.starts_with("otterslip-")
+        && lowercase_name != "x-forwarded-host"
+}
--- a/data-plane/src/admission/origin_health.rs
+++ b/data-plane/src/admission/origin_health.rs
@@ -74,7 +74,7 @@
         self.consecutive_failures > 0 && self.is_ejected(now)
     }
 
-    pub(super) fn ejection_left(&self, now: Duration) -> Duration {
+    pub(super) fn remaining_ejection(&self, now: Duration) -> Duration {
         self.ejected_until.saturating_sub(now)
     }
 
--- a/data-plane/src/admission/permits.rs
+++ b/data-plane/src/admission/permits.rs
@@ -165,7 +165,7 @@
         let soonest = self
             .origins
             .values()
-            .map(|state| state.ejection_left(now))
+            .map(|state| state.remaining_ejection(now))
             .min();
         Some(soonest.unwrap_or(EJECTION))
     }
--- a/data-plane/src/admission/retry_budget.rs
+++ b/data-plane/src/admission/retry_budget.rs
@@ -21,7 +21,7 @@
 /// First attempts that earn one retry.
 const FIRST_ATTEMPTS_PER_RETRY: usize = 5;
 /// Two sevenths of an allowance of at least seven are available at once.
-const ALLOWANCE_SHARES: usize = 7;
+const ALLOWANCE_DIVISOR: usize = 7;
 
 impl RetryBudget {
     pub(super) fn new(now: Duration, allowance: usize) -> RetryBudget {
@@ -52,10 +52,10 @@
 
     /// The controller may change twice within the window.
     fn available_allowance(&self, now: Duration) -> usize {
-        let at_once = if self.allowance < ALLOWANCE_SHARES {
+        let at_once = if self.allowance < ALLOWANCE_DIVISOR {
             0
         } else {
-            self.allowance * 2 / ALLOWANCE_SHARES
+            self.allowance * 2 / ALLOWANCE_DIVISOR
         };
         if now >= self.started_at + WINDOW {
             self.allowance - 2 * at_once
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Permits by rank, rate, places and budget.
+//! Permits by rank, rate, slots and retry budget.
 use crate::prelude::*;
 
 fn at(ms: u64) -> Duration {
@@ -48,7 +48,7 @@
     }
 }
 
-/// All but that somebody stands in line.
+/// All messages but the confirmations of queued requests.
 fn outcomes(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
     admission
         .take_outgoing()
@@ -77,14 +77,14 @@
     ));
 }
 
-/// Many errands of two seconds, calls of a quarter: the higher ones just
-/// wait for the next place, and none stays empty for them.
+/// Requests may wait for two seconds, calls take a quarter: higher ranks just wait
+/// for the next slot, and none is reserved for them.
 #[test]
 fn short_calls_reserve_no_slots_and_honor_latency_targets() {
     let mut call_ends = vec![];
     let mut simulation = Simulation::new(0, 1, 1000.0, 4);
     for id in 0..3000u64 {
-        // 4 a second of the high rank, 14 of the low one, where 16 fit.
+        // 4 a second of the high rank, 14 of the low one, where 16 can be called.
         if id % 25 == 0 || id % 7 == 1 {
             let latency_target = if id % 2 == 0 { at(100) } else { at(800) };
             simulation.admission.request_permit(
@@ -273,7 +273,7 @@
 fn higher_rank_is_granted_and_lower_is_refused_early() {
     let mut call_ends = vec![];
     let mut simulation = Simulation::new(0, 1, 20.0, 50);
-    // 33 a second are asked where 20 may be called, half of high rank.
+    // 33 a second are requested where 20 may be called, half of high rank.
     for id in 0..6000u64 {
         if id % 3 == 0 {
             simulation.admission.request_permit(
@@ -306,7 +306,7 @@
         "low {}",
         granted_fraction(false)
     );
-    // Those turned away in the steady state hear it well before their deadline.
+    // In the steady state requests are refused well before their deadline.
     let waited = simulation
         .refused
         .iter()
@@ -340,9 +340,9 @@
     );
 }
 
-/// The origins are suddenly so slow that a call holds its place for
-/// seconds: those the lower rank took before the higher came are gone for
-/// that long, so it may not take them all.
+/// The origins are suddenly so slow that a call uses its slot for seconds: the
+/// slots that the lower rank took are in use for that long, so it may not take
+/// all of them.
 #[test]
 fn slow_origins_reserve_slots_for_higher_rank() {
     let mut call_ends = vec![];
@@ -396,7 +396,7 @@
             );
             simulation.step(5, &mut call_ends);
         }
-        // Each may be used up to a `PERMIT` late.
+        // Each may be used up to a `PERMIT_VALIDITY` late.
         assert!(
             max_calls_within(&simulation.calls, 5200) <= bound,
             "{} in 5 s at {rate}/s",
@@ -460,7 +460,7 @@
         panic!("{out:?}")
     };
     assert_eq!(permit.origin, probes[1]);
-    // The connection ends: the next process there must show itself first.
+    // The connection ends: the next process there must prove its identity first.
     admission.connection_changed(at(600), origin(2).address, false);
     admission.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
     assert!(outcomes(&mut admission).is_empty());
@@ -471,7 +471,7 @@
         outcomes(&mut admission).as_slice(),
         [(_, Message::Permit(_))]
     ));
-    // The proof ages; without a newer one no more permits.
+    // The proof expires; without a newer one no more permits are granted.
     admission.request_permit(
         at(2700),
         origin(9).address,
@@ -572,7 +572,7 @@
     assert_eq!(simulation.granted.len(), 1);
 }
 
-/// An admission controller with one origin of two places, in use from now on.
+/// An admission controller with one origin of two slots.
 fn admission_with_two_slots() -> AdmissionController {
     let mut admission = AdmissionController::new(at(0), "s", 1, 3);
     let named = Group {
@@ -621,8 +621,7 @@
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
 }
 
-/// The origin may not have seen yet that the call was broken off, and it did
-/// nothing wrong.
+/// The origin may not have observed the cancellation yet, and it has not failed.
 #[test]
 fn cancelled_call_frees_its_slot_without_ejection() {
     let mut admission = admission_with_two_slots();
@@ -649,8 +648,8 @@
     assert_ne!(found[0].condition, OriginCondition::Ejected);
 }
 
-/// However many give up, no more calls reach the origins than their rate allows:
-/// a call that was broken off counts.
+/// However many clients disconnect, no more calls reach the origins than their rate
+/// allows: a cancelled call counts.
 #[test]
 fn cancelled_calls_count_toward_rate() {
     let mut admission = admission_with_two_slots();
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cache_owner`.
+//! Expiries, refreshers, eviction and handover of a cache owner.
 use crate::prelude::*;
 
 const KEY: CacheKey = [1; 32];
@@ -32,7 +32,7 @@
     }
 }
 
-/// What the owner says to one get: "copy TEXT", "miss", "wait".
+/// The owner's response to one get: "copy TEXT", "miss", "wait".
 fn request(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
     owner.get(at(now), from(1), get(id), 7, 0);
     match owner.take_outgoing().pop() {
@@ -103,7 +103,7 @@
     );
     assert_eq!(request(&mut owner, 6500, 2).0, "miss");
     assert_eq!(request(&mut owner, 9999, 3).0, "copy a");
-    // Major has passed: no copy any more; the refresher of 6500 stalled.
+    // The major expiry has passed; the refresher of 6500 timed out.
     assert_eq!(request(&mut owner, 10_000, 4).0, "miss");
 }
 
@@ -202,7 +202,7 @@
 
     let mut owner = owner_with_response(0);
     let slow = request(&mut owner, 5000, 2).1.unwrap();
-    // It stalls (its minor extension is over), another refreshes.
+    // It times out (its minor extension is over), another request refreshes.
     let quick = request(&mut owner, 10_000, 3).1.unwrap();
     owner.put(
         at(10_100),
@@ -283,7 +283,7 @@
         ),
         (1, at(2100), at(2900), at(7900), 3)
     );
-    // Its clock is its own; the way there counts against the copy.
+    // Its clock is its own; the network delay counts against the response.
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
         next.take_over(at(50_000), at(100), responses.clone(), &PurgeLog::default()),
@@ -294,7 +294,7 @@
     assert_eq!(request(&mut next, 57_799, 3).0, "copy a");
     next.tick(at(57_800), &|_| 7, 0);
     assert!(next.slots[&KEY].stored.is_none());
-    // Too long on the way: over before it came.
+    // In flight for too long: it expired before it arrived.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
         late.take_over(
@@ -305,7 +305,7 @@
         ),
         0
     );
-    // A purge that the last holder did not know yet.
+    // A purge that the previous owner did not know yet.
     let purge = Purge {
         url: Some("/u".into()),
         ..Purge::default()
@@ -327,7 +327,7 @@
         next.take_over(at(50_000), at(100), responses, &purge_log),
         0
     );
-    // Set aside too long, it is gone.
+    // Retained for too long, it is dropped.
     let mut owner = owner_with_response(0);
     owner.retain_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
@@ -337,8 +337,7 @@
     );
 }
 
-/// A copy is sent to nobody who took the question back, and whose refresher
-/// fails passes over them.
+/// No response is sent to a withdrawn request, and none becomes the refresher.
 #[test]
 fn withdrawn_get_is_not_served_or_made_refresher() {
     for fails in [false, true] {
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -16,7 +16,8 @@
 impl EdgeNode {
     /// The epoch under which an assignment is granted to this incarnation.
     fn granted_epoch(&self, assignment: &str) -> Option<u64> {
-        self.assignments
+        self.state
+            .assignments
             .get(assignment)
             .filter(|assignment| assignment.owner == Some(self.local_peer))
             .map(|assignment| assignment.epoch)
@@ -24,7 +25,8 @@
 
     /// The edge that owns an assignment now.
     pub(super) fn assignment_owner(&self, assignment: &str) -> Option<SocketAddr> {
-        self.assignments
+        self.state
+            .assignments
             .get(assignment)
             .and_then(|assignment| assignment.owner)
             .map(|peer| peer.address)
@@ -32,7 +34,8 @@
 
     /// The registry of edges, once it is known.
     pub(super) fn edge_registry(&self) -> Option<EdgeRegistry<'_>> {
-        let row = self.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get(EDGE_REGISTRY_KEY)?;
+        let row =
+            self.state.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get(EDGE_REGISTRY_KEY)?;
         match &row.value {
             Value::EdgeRegistry {
                 members, departed, ..
@@ -44,7 +47,7 @@
     /// Takes up and drops assignments as they are granted now.
     pub(super) fn sync_assignments(&mut self, now: Duration) {
         self.sync_partitions(now);
-        if let Some(routes) = self.routes.clone() {
+        if let Some(routes) = self.state.routes.clone() {
             self.sync_admission_controllers(now, &routes);
         }
         let admissions = self
@@ -74,7 +77,7 @@
         let before = std::mem::replace(&mut self.owned_partitions, granted);
         let owned = &self.owned_partitions;
         self.cache_owner
-            .retain_partitions(now, self.purge_log.applied, &|partition| {
+            .retain_partitions(now, self.state.purge_log.applied, &|partition| {
                 before.contains_key(&partition) && owned.get(&partition) == before.get(&partition)
             });
         self.pending_handovers
@@ -121,7 +124,7 @@
                 .admission_controllers
                 .get_mut(&group.service)
                 .expect("just inserted");
-            admission.apply_configuration(now, group, &self.origins);
+            admission.apply_configuration(now, group, &self.state.origins);
         }
         self.report_calls_in_flight(now, routes);
     }
@@ -174,7 +177,10 @@
     /// Reports this edge's calls in flight under earlier permits to new admission controllers.
     fn report_calls_in_flight(&mut self, now: Duration, routes: &RouteTable) {
         for group in &routes.document.groups {
-            let assignment = self.assignments.get(&admission_assignment(&group.service));
+            let assignment = self
+                .state
+                .assignments
+                .get(&admission_assignment(&group.service));
             let Some(Assignment {
                 owner: Some(controller),
                 epoch,
@@ -244,7 +250,7 @@
     fn handle_cache_get(&mut self, now: Duration, from: Peer, get: CacheGet) {
         match self.owned_partitions.get(&cache_partition(&get.key)) {
             Some(epoch) => {
-                let applied = self.purge_log.applied;
+                let applied = self.state.purge_log.applied;
                 self.cache_owner
                     .get(now, from.address, get, *epoch, applied)
             }
@@ -261,7 +267,10 @@
             return;
         };
         let text = format!("token {} epoch {}", put.token.serial, put.token.epoch);
-        if !self.cache_owner.put(now, put, *epoch, &self.purge_log) {
+        if !self
+            .cache_owner
+            .put(now, put, *epoch, &self.state.purge_log)
+        {
             self.log_event(Event::PutDropped, text);
         }
     }
@@ -273,7 +282,7 @@
             private,
         } = failed;
         if let Some(epoch) = self.owned_partitions.get(&cache_partition(&key)) {
-            let applied = self.purge_log.applied;
+            let applied = self.state.purge_log.applied;
             self.cache_owner
                 .fill_failed(now, key, token, *epoch, applied, private);
         }
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -102,7 +102,7 @@
 
     /// The request has ended: its followers are rejected as it was, if it was
     /// rejected uncalled and in time; else the next one leads.
-    pub(super) fn leave_group(
+    pub(super) fn remove_from_group(
         &mut self,
         now: Duration,
         id: u64,
@@ -159,6 +159,7 @@
         // client while the purge is recent, then it is fetched anew.
         let name = active.cache_entry_name(&fetched.reply);
         let purged_at = self
+            .state
             .purge_log
             .first_match(fetched.fetch.purge_version, name);
         if let Some(grant) = grant {
@@ -250,7 +251,7 @@
         let name = active.cache_entry_name(&cached.reply);
         let network_delay = (now - wait.since).saturating_sub(cached.owner_delay);
         if network_delay >= cached.remaining_ttl
-            || !self.purge_log.is_clear(cached.purge_version, name)
+            || !self.state.purge_log.is_clear(cached.purge_version, name)
         {
             let stage = Stage::AwaitingCachedResponse {
                 since: now,
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -32,6 +32,7 @@
     fn is_usable(&self, now: Duration, permit: &Permit) -> bool {
         let age = now.saturating_sub(permit.sent).saturating_sub(permit.held);
         let is_listed = self
+            .state
             .origins
             .iter()
             .any(|origin| *origin == permit.origin && !origin.draining);
@@ -121,7 +122,7 @@
         let Some(origin) = quota.pick(
             now,
             active.request.group(),
-            &self.origins,
+            &self.state.origins,
             &self.locality,
             edges,
             &in_flight,
--- a/data-plane/src/edge_node/handover.rs
+++ b/data-plane/src/edge_node/handover.rs
@@ -16,6 +16,7 @@
     /// Notes to request a partition's responses from its previous owner.
     pub(super) fn plan_handover(&mut self, partition: u16) {
         let previous_owner = self
+            .state
             .assignments
             .get(&cache_assignment(&self.locality.ring, partition))
             .and_then(|assignment| assignment.previous_owner)
@@ -86,7 +87,7 @@
             && sent <= now
         {
             self.cache_owner
-                .take_over(now, now - sent, copies, &self.purge_log);
+                .take_over(now, now - sent, copies, &self.state.purge_log);
         }
     }
 }
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -8,6 +8,7 @@
 mod ledger_changes;
 mod probes;
 mod renewal;
+mod replicated_state;
 mod requests;
 mod stage_messages;
 mod updates;
@@ -15,9 +16,10 @@
 use crate::prelude::*;
 use handover::PendingHandover;
 use ledger_changes::{CompletedOperation, UnconfirmedChange};
+use replicated_state::ReplicatedState;
 
 /// An edge node without its I/O. Invariants:
-/// - `version_vector` holds, for each partition of the published state, the
+/// - `state.version_vector` holds, for each partition of the published state, the
 ///   version that was applied completely; it never decreases within a generation.
 /// - Assignments are exercised only while live and only under the epoch that the
 ///   updates granted to this very incarnation.
@@ -31,29 +33,17 @@
     /// How many control slots there are; 0 before that is known.
     control_slots: usize,
 
-    /// The generation of the replicated state; 0 before the first update.
-    generation: u64,
-    generation_entered_at: Duration,
-    version_vector: Vec<u64>,
+    /// The replicated state, as far as it is known here.
+    state: ReplicatedState,
     /// The last token of each control node, sent with the next renewal.
     renewal_tokens: HashMap<SocketAddr, RenewalToken>,
     leases: Leases,
     link_delay_estimator: LinkDelayEstimator,
     next_renewal: Duration,
     live: bool,
-
-    /// Every row that was received, by partition, in case the control plane loses it.
-    known_rows: Vec<BTreeMap<String, Row>>,
     completed_operations: VecDeque<CompletedOperation>,
     recall_requested: bool,
 
-    routes: Option<Arc<RouteTable>>,
-    /// The configuration items that the routes were built of.
-    configuration_items: Items,
-    origins: Arc<Vec<Origin>>,
-    assignments: HashMap<String, Assignment>,
-    purge_log: PurgeLog,
-
     cache_owner: CacheOwner,
     near_cache: NearCache,
     coalescer: Coalescer,
@@ -130,22 +120,14 @@
             local_peer,
             locality,
             control_nodes,
-            generation: 0,
-            generation_entered_at: Duration::ZERO,
-            version_vector: vec![0; PUBLISHED_PARTITIONS.into()],
+            state: ReplicatedState::default(),
             renewal_tokens: HashMap::new(),
             leases: Leases::default(),
             link_delay_estimator: LinkDelayEstimator::default(),
             next_renewal: Duration::ZERO,
             live: false,
-            known_rows: vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()],
             completed_operations: VecDeque::new(),
             recall_requested: false,
-            routes: None,
-            configuration_items: Items::default(),
-            origins: Arc::default(),
-            assignments: HashMap::new(),
-            purge_log: PurgeLog::default(),
             cache_owner: CacheOwner::new(cache_bytes),
             near_cache: NearCache::new(cache_bytes / NEAR_CACHE_DIVISOR),
             coalescer: Coalescer::default(),
@@ -263,7 +245,7 @@
         self.cache_owner.tick(
             now,
             &|partition| epochs.get(&partition).copied().unwrap_or(0),
-            self.purge_log.applied,
+            self.state.purge_log.applied,
         );
     }
 
--- a/data-plane/src/edge_node/probes.rs
+++ b/data-plane/src/edge_node/probes.rs
@@ -11,7 +11,7 @@
 impl EdgeNode {
     /// Dispatches the admission controllers' queues and starts their probes.
     pub(super) fn run_admission_controllers(&mut self, now: Duration) {
-        let Some(routes) = self.routes.clone() else {
+        let Some(routes) = self.state.routes.clone() else {
             return;
         };
         let mut probes = Vec::new();
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -39,9 +39,9 @@
         RenewRequest {
             sent: now,
             last_token: None,
-            generation: self.generation,
+            generation: self.state.generation,
             recall_complete: self.is_recall_complete(),
-            version_vector: self.version_vector.clone(),
+            version_vector: self.state.version_vector.clone(),
             zone: self.locality.zone.clone(),
             ring: self.locality.ring.clone(),
             weight: self.locality.weight,
@@ -54,7 +54,7 @@
     /// Whether the ledger knows of all keyed requests of an earlier generation.
     fn is_recall_complete(&self) -> bool {
         let is_unrecorded = |active: &ActiveRequest| {
-            active.claim.is_some() && active.started_at < self.generation_entered_at
+            active.claim.is_some() && active.started_at < self.state.generation_entered_at
         };
         self.unconfirmed_changes.is_empty() && !self.active_requests.values().any(is_unrecorded)
     }
@@ -70,6 +70,7 @@
         self.renewal_tokens
             .insert(from.address, notice.renewal_token);
         let is_applied = self
+            .state
             .version_vector
             .get(usize::from(notice.partition))
             .is_some_and(|applied| *applied >= notice.version);
@@ -91,7 +92,7 @@
         {
             return;
         }
-        if Generation::older(reply.generation, self.generation) && reply.generation != 0 {
+        if Generation::older(reply.generation, self.state.generation) && reply.generation != 0 {
             return; // It does not know of the new generation yet.
         }
         if reply.updates.is_empty() {
@@ -100,7 +101,7 @@
         self.renewal_tokens
             .insert(from.address, reply.renewal_token);
         let was_requested = std::mem::replace(&mut self.recall_requested, reply.recall_requested);
-        if reply.generation != 0 && reply.generation != self.generation {
+        if reply.generation != 0 && reply.generation != self.state.generation {
             self.enter_generation(now, reply.generation);
         } else if reply.recall_requested && !was_requested {
             self.resend_completed_operations();
@@ -133,9 +134,9 @@
         if live != self.live {
             self.live = live;
             let event = if live { Event::Live } else { Event::Fenced };
-            self.log_event(event, format!("vector {:?}", self.version_vector));
+            self.log_event(event, format!("vector {:?}", self.state.version_vector));
         }
-        let ready = self.shutdown_requested_at.is_none() && self.routes.is_some();
+        let ready = self.shutdown_requested_at.is_none() && self.state.routes.is_some();
         self.outputs.push(Output::Publish(PublishedState::Fence {
             until: if self.departed { Duration::ZERO } else { until },
             ready,
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -93,7 +93,7 @@
         if let Stage::Recording { reply, .. } = &stage {
             self.remember_completed(now, id, reply);
         }
-        let applied = self.purge_log.applied;
+        let applied = self.state.purge_log.applied;
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
@@ -147,7 +147,7 @@
             }
             (response, _) => response,
         };
-        self.leave_group(now, id, &active, &response);
+        self.remove_from_group(now, id, &active, &response);
         self.respond(now, id, &active, response);
     }
 
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -7,7 +7,7 @@
     pub(super) fn apply_updates(&mut self, now: Duration, updates: SharedUpdates) -> bool {
         let mut has_applied = false;
         for update in updates.into_updates() {
-            if update.version > self.version_vector[usize::from(update.partition)] {
+            if update.version > self.state.version_vector[usize::from(update.partition)] {
                 has_applied = true;
                 self.apply_update(now, update);
             }
@@ -22,18 +22,18 @@
             rows,
         } = update;
         let index = usize::from(partition);
-        let applied = self.version_vector[index];
+        let applied = self.state.version_vector[index];
         let rows: Vec<(String, Row)> = rows
             .into_iter()
             .filter(|(_, row)| row.version > applied)
             .collect();
-        self.known_rows[index].extend(rows.iter().cloned());
+        self.state.known_rows[index].extend(rows.iter().cloned());
         match partition {
             PURGES_PARTITION => self.apply_purges(now, version, &rows),
             CONFIGURATION_PARTITION => self.apply_configuration_rows(version, rows),
             _ => self.apply_rows(rows),
         }
-        self.version_vector[index] = version;
+        self.state.version_vector[index] = version;
         // The assignments held here depend on these three partitions.
         let affects_assignments = [
             CONFIGURATION_PARTITION,
@@ -49,7 +49,7 @@
     }
 
     fn apply_purges(&mut self, now: Duration, version: u64, rows: &[(String, Row)]) {
-        let applied = self.purge_log.apply(now, version, rows);
+        let applied = self.state.purge_log.apply(now, version, rows);
         if applied.has_gap {
             self.cache_owner.clear();
             self.near_cache.clear();
@@ -73,9 +73,9 @@
     /// Builds the route table of all configuration items. What was acknowledged
     /// fits together; updates contain complete versions only.
     fn rebuild_routes(&mut self, version: u64) {
-        if let Ok((document, bounds)) = self.configuration_items.merged() {
+        if let Ok((document, bounds)) = self.state.configuration_items.merged() {
             let routes = Arc::new(RouteTable::new(version, document).within(bounds));
-            self.routes = Some(routes.clone());
+            self.state.routes = Some(routes.clone());
             self.log_event(Event::ConfigurationTaken, format!("version {version}"));
             self.outputs
                 .push(Output::Publish(PublishedState::Configuration(routes)));
@@ -92,11 +92,11 @@
         match row.value {
             // It was checked before it was acknowledged.
             Value::Configuration { .. } | Value::Item(_) => {
-                let _ = self.configuration_items.learn(&key, &row);
+                let _ = self.state.configuration_items.learn(&key, &row);
             }
-            Value::Origins { list, .. } => self.origins = list,
+            Value::Origins { list, .. } => self.state.origins = list,
             Value::Assignment(assignment) => {
-                self.assignments.insert(key, assignment);
+                self.state.assignments.insert(key, assignment);
             }
             Value::Members(slots) => {
                 // Leases from control nodes that hold no slot any more do not count.
@@ -119,8 +119,8 @@
     /// what is recalled, and all updates are applied anew. Assignments of the
     /// old one are void.
     pub(super) fn enter_generation(&mut self, now: Duration, generation: u64) {
-        let before = std::mem::replace(&mut self.generation, generation);
-        self.generation_entered_at = now;
+        let before = std::mem::replace(&mut self.state.generation, generation);
+        self.state.generation_entered_at = now;
         if before == 0 {
             return;
         }
@@ -129,13 +129,9 @@
         self.leases.clear();
         // Fenced before anything of the new generation is published.
         self.update_liveness(now);
-        self.version_vector = vec![0; PUBLISHED_PARTITIONS.into()];
-        self.known_rows = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
-        self.configuration_items = Items::default();
-        self.assignments.clear();
+        self.state.reset();
         self.cache_owner.clear();
         self.near_cache.clear();
-        self.purge_log = PurgeLog::default();
         self.sync_assignments(now);
         self.resend_completed_operations();
     }
@@ -143,7 +139,7 @@
     /// Sends all known rows of a partition to a control plane that lost its state.
     pub(super) fn handle_recall_request(&mut self, from: Peer, partition: u8) {
         let index = usize::from(partition);
-        let Some(known) = self.known_rows.get(index) else {
+        let Some(known) = self.state.known_rows.get(index) else {
             return;
         };
         let rows = known
@@ -152,7 +148,7 @@
             .collect();
         let reply = RecallReply {
             partition,
-            version: self.version_vector[index],
+            version: self.state.version_vector[index],
             rows,
         };
         self.send(from.address, reply);
--- a/data-plane/src/fallback_quota/tests.rs
+++ b/data-plane/src/fallback_quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fallback_quota`.
+//! The rate and the choice of origins of a fallback quota.
 use crate::prelude::*;
 
 fn origin(port: u16, zone: &str) -> Origin {
@@ -54,7 +54,7 @@
                 .is_some(),
         );
     }
-    // 300 a second, a tenth of it, by ten: 3 a second, and a tenth more.
+    // A tenth of 300 a second for ten edges: 3 a second, and a tenth more.
     assert!((15..=17).contains(&granted), "{granted}");
     assert!(
         quota
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -133,13 +133,13 @@
 /// Rejects requests while the edge is fenced: nothing that depends on its
 /// configuration is reported, not even that there is no such route. A request
 /// with an operation key may have run elsewhere.
-struct Live;
+struct NotFenced;
 inventory::submit!(FilterPlugIn {
     order: 25,
-    filter: &Live
+    filter: &NotFenced
 });
 
-impl Filter for Live {
+impl Filter for NotFenced {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         let outcome = if request.operation_key.is_some() {
             RunState::Unknown
--- a/data-plane/src/filter/tests.rs
+++ b/data-plane/src/filter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `filter`.
+//! The rejections of each filter.
 use crate::prelude::*;
 
 fn incoming(method: &str, url: &str, headers: &[(&str, &str)], live: bool) -> IncomingRequest {
--- a/data-plane/src/leases/tests.rs
+++ b/data-plane/src/leases/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `leases`.
+//! How long an edge is live.
 use crate::prelude::*;
 
 #[test]
@@ -13,12 +13,12 @@
     leases.renewed(control_node(3), at(900));
     leases.renewed(control_node(3), at(600));
     assert_eq!(leases.live_until(3), at(1300));
-    // Of five or eight slots more are needed, of a table not known all.
+    // With five or eight slots more are needed, with none known none suffice.
     assert_eq!(
         [0, 4, 5, 8].map(|slots| leases.live_until(slots)),
         [at(0), at(1300), at(1100), at(0)]
     );
-    // It fences itself before a control node counts it lapsed, even if
-    // the renewal was heard the moment it was sent.
+    // It fences itself before a control node takes its session to be expired,
+    // even if the renewal was received the moment it was sent.
     assert!(lease::EDGE_LEASE < lease::SESSION_LEASE);
 }
--- a/data-plane/src/purge_log/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `purge_log`.
+//! Which responses the purge log takes to be clear.
 use crate::prelude::*;
 
 fn row(version: u64, prefix: &str) -> (String, Row) {
--- a/data-plane/src/response_signature/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `signature`.
+//! What a response signature covers.
 use crate::prelude::*;
 
 #[test]
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -1,4 +1,4 @@
-//! Which answers of refreshers a cache owner takes.
+//! Which results of refreshers a cache owner accepts.
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
@@ -33,8 +33,8 @@
     })
 }
 
-/// Serials begin anew with each process, so that a refresher of an earlier
-/// epoch, or of an earlier process at this address, may hold the same one.
+/// Serials start anew with each process, so that a refresher of an earlier epoch,
+/// or of an earlier process at this address, may have the same one.
 #[test]
 fn fill_failure_of_other_epoch_is_ignored() {
     const EPOCH: u64 = 7;
@@ -62,8 +62,8 @@
         .count()
 }
 
-/// A question is repeated because its answer has not come yet, mostly since the
-/// link is full: before, each repeat put one more whole copy into that queue.
+/// A request is resent because its response has not arrived yet, mostly since the
+/// link is full. Regression: each resend queued one more response on that link.
 #[test]
 fn repeated_get_is_confirmed_and_not_sent_twice() {
     let mut owner = CacheOwner::new(1 << 20);
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -1,4 +1,4 @@
-//! Which endings of a call prove that its request did not run.
+//! Which endings of a call prove that its request was not executed.
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
--- a/data-plane/tests/default_protocol.rs
+++ b/data-plane/tests/default_protocol.rs
@@ -1,4 +1,4 @@
-//! How the answers of origins are judged in otterslip's own words.
+//! How the default protocol judges the responses of origins.
 use data_plane::prelude::*;
 
 fn call(proof: Proof) -> Call {
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -1,13 +1,13 @@
-//! Callers that leave before their answer, wherever their requests are.
+//! Clients that disconnect before their response, at any stage of their requests.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Time that the drawn sequences begin at, in milliseconds.
+/// The start of the random sequences, in milliseconds.
 const START_MS: u64 = 1000;
-/// What is under way for nobody has ended this long after its caller left.
+/// Work for a disconnected client alone has ended this long after the close.
 const CANCELLATION_BOUND_MS: u64 = 300;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Arrives(RequestKind),
-    /// The caller of the so-many-th request leaves.
+    /// The client of the n-th waiting request disconnects.
     Disconnects(usize),
     Permit(usize),
     Refused(usize),
@@ -103,21 +103,22 @@
     responded: bool,
 }
 
-/// An edge with requests of all kinds; admission controller, owner and ledger are the test's.
+/// An edge with requests of all kinds; the test simulates admission controller, owner and
+/// ledger.
 struct Model {
     edge: EdgeNode,
     now: u64,
     requests: BTreeMap<u64, Request>,
-    /// Questions not answered yet, oldest first.
+    /// Exchanges without a response, oldest first.
     permits: Vec<u64>,
     ledger: Vec<u64>,
     gets: Vec<u64>,
-    /// Calls under way, and the requests that they are for.
+    /// Calls in flight, and the requests that they are for.
     calls: Vec<(u64, u64)>,
     tokens: u64,
 }
 
-/// Takes one out, if there are any.
+/// Removes an element, if there are any.
 fn take<T>(list: &mut Vec<T>, at: usize) -> Option<T> {
     (!list.is_empty()).then(|| list.remove(at % list.len()))
 }
@@ -317,7 +318,7 @@
         Ok(())
     }
 
-    /// Everybody leaves; the rest of the system answers what it is asked.
+    /// All clients disconnect; the rest of the system responds.
     fn end(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..self.requests.len() {
             self.play(Step::Disconnects(0))?;
@@ -353,10 +354,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Wherever a request is when its caller leaves, no call is begun for it, none
-    /// that may be broken off goes on, and it comes to its end.
+    /// At whatever stage its client disconnects, no call is started for a request,
+    /// none that may be cancelled continues, and the request ends.
     #[test]
-    fn no_work_continues_for_disconnected_clients(
+    fn work_for_disconnected_clients_ends(
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut model = Model::new();
@@ -390,7 +391,7 @@
     edge
 }
 
-/// The call of the request, begun by a permit.
+/// Grants the request a permit; the id of its call.
 fn start_call(edge: &mut EdgeNode, started: &[Output]) -> u64 {
     let out = deliver(
         edge,
@@ -445,14 +446,14 @@
     let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(cancelled(&out), [call]);
     assert_eq!(call_results(&out), [CallResult::Cancelled]);
-    // It may have run: a caller that still reads is not told that it did not.
+    // It may have been executed: a client that still reads is told so.
     let disconnected = (1, 503, "caller_left".to_string(), RunState::Unknown);
     assert_eq!(rejections_in(out), [disconnected]);
     let repeated = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
     assert!(repeated.is_empty(), "{repeated:?}");
 }
 
-/// Its outcome is recorded, and the next who asks gets it.
+/// Its outcome is recorded for the next request with its operation key.
 #[test]
 fn called_operation_is_recorded_after_disconnect() {
     let mut edge = ready_edge();
@@ -466,7 +467,7 @@
     assert!(matches!(changes_in(&out)[..], [Change::Record(_, Some(_))]));
 }
 
-/// Nothing was sent under its claim: the next who asks may run it at once.
+/// Nothing was sent under its claim: the next request may run the operation at once.
 #[test]
 fn uncalled_claim_is_released_on_disconnect() {
     for claimed_before in [false, true] {
@@ -497,8 +498,8 @@
     }
 }
 
-/// What may run once only and was sent goes on; one that the origin did not take
-/// is not sent again.
+/// A non-idempotent call continues; one that the origin did not execute is not
+/// retried.
 #[test]
 fn non_idempotent_call_is_not_cancelled_or_retried() {
     let mut edge = ready_edge();
@@ -519,7 +520,7 @@
     assert_eq!(rejections_in(out), [disconnected]);
 }
 
-/// A leader whose caller has left asks on for its followers, and no longer.
+/// A leader whose client has disconnected continues for its followers only.
 #[test]
 fn leader_continues_until_last_follower_disconnects() {
     let mut edge = ready_edge();
@@ -538,7 +539,7 @@
     assert_eq!(ended, [1, 2]);
 }
 
-/// The owner counts on its refresher: others wait for the copy there.
+/// The owner relies on its refresher: other requests wait for the response there.
 #[test]
 fn refresher_continues_after_disconnect() {
     let mut edge = ready_edge();
@@ -580,8 +581,8 @@
     assert!(out.iter().any(puts));
 }
 
-/// The same class with other words: who goes on without an owner that says
-/// nothing takes its question back, and no copy is sent for it later.
+/// A request that bypasses an unresponsive owner withdraws its message, so that no
+/// response is sent for it later.
 #[test]
 fn bypassed_owner_request_is_withdrawn() {
     let mut edge = ready_edge();
@@ -597,7 +598,7 @@
     assert_eq!(withdrawn_ids, [get]);
 }
 
-/// The check itself: it counts what it is there for, once each, and nothing else.
+/// The check itself: it reports each violation once, and nothing else.
 #[test]
 fn abandoned_work_check_reports_started_and_continued_calls() {
     let (before, disconnected, after) = (at(10), at(20), at(30));
@@ -640,7 +641,8 @@
     }
 }
 
-/// An edge that died has no place in line at the admission controller that this edge holds.
+/// A departed edge's requests are removed from the queue of the admission controller that this
+/// edge owns.
 #[test]
 fn admission_forgets_requests_of_departed_edge() {
     const DEPARTED: u16 = 60;
@@ -665,14 +667,7 @@
             version,
             rows,
         };
-        let renewed = RenewReply {
-            incarnation: 5,
-            renewal_token: RenewalToken::default(),
-            sent: at(START_MS),
-            generation: 0,
-            recall_requested: false,
-            updates: vec![updates].into(),
-        };
+        let renewed = renew_reply(5, START_MS, vec![updates].into());
         deliver(edge, START_MS, 1, renewed);
     };
     let text = table().document.clone();
@@ -746,8 +741,8 @@
     );
 }
 
-/// A call that the edge itself held back says nothing of its origin, and is no
-/// try.
+/// A call that the edge itself withheld is no failure of its origin, and no
+/// attempt.
 #[test]
 fn withheld_call_returns_its_permit_unused() {
     let mut edge = ready_edge();
@@ -768,7 +763,7 @@
     assert_eq!(rejections_in(out), [disconnected]);
 }
 
-/// An operation that runs elsewhere: nobody is left to be told of its end.
+/// The operation runs elsewhere, and no client waits for its outcome.
 #[test]
 fn claim_held_elsewhere_is_not_resent_after_disconnect() {
     let mut edge = ready_edge();
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -1,4 +1,4 @@
-//! An edge whose peers are played by the test.
+//! An edge whose peers are simulated by the test.
 #![allow(dead_code)]
 use data_plane::prelude::*;
 use std::net::SocketAddr;
@@ -31,12 +31,12 @@
     Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
-/// An edge with two renewals at `now`, whose peers are played by the test.
+/// An edge with two confirmed renewals at `now`.
 pub fn live(now: u64) -> EdgeNode {
     live_as(now, 5)
 }
 
-/// The same, in a life of the test's choice.
+/// The same, of another incarnation.
 pub fn live_as(now: u64, incarnation: u64) -> EdgeNode {
     let me = Peer::new(address(9), incarnation);
     let mut edge = EdgeNode::new(
@@ -48,14 +48,7 @@
     );
     edge.handle(at(now), Input::Tick);
     for seed in [1, 2] {
-        let renewed = RenewReply {
-            incarnation,
-            renewal_token: RenewalToken::default(),
-            sent: at(now),
-            generation: 0,
-            recall_requested: false,
-            updates: SharedUpdates::default(),
-        };
+        let renewed = renew_reply(incarnation, now, SharedUpdates::default());
         edge.handle(
             at(now),
             Input::MessageReceived {
@@ -67,21 +60,32 @@
     edge
 }
 
-/// Renewals with two control nodes, so that an edge of life 5 stays live.
+/// Renewals with two control nodes, so that an edge of incarnation 5 stays live.
 pub fn renew(edge: &mut EdgeNode, now: u64) {
     for seed in [1, 2] {
-        let renewed = RenewReply {
-            incarnation: 5,
-            renewal_token: RenewalToken::default(),
-            sent: at(now),
-            generation: 0,
-            recall_requested: false,
-            updates: SharedUpdates::default(),
-        };
+        let renewed = renew_reply(5, now, SharedUpdates::default());
         deliver(edge, now, seed, renewed);
     }
 }
 
+/// A renewal that was sent at `sent_ms` is confirmed, with these updates.
+pub fn renew_reply(incarnation: u64, sent_ms: u64, updates: SharedUpdates) -> RenewReply {
+    RenewReply {
+        incarnation,
+        renewal_token: RenewalToken::default(),
+        sent: at(sent_ms),
+        generation: 0,
+        recall_requested: false,
+        updates,
+    }
+}
+
+/// A client sends a request.
+pub fn submit(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
+    let request = client_request(url, method);
+    edge.handle(at(now), Input::ClientRequest { id, request })
+}
+
 pub fn client_request(url: &str, method: &str) -> ClientRequest {
     let image = table();
     let entry = image.find("h", url, method).unwrap();
@@ -113,7 +117,7 @@
     out.into_iter().filter_map(one).collect()
 }
 
-/// Plays the ledger: what the edge asks, and an answer to it.
+/// The changes that the edge asks of the ledger.
 pub fn changes_in(out: &[Output]) -> Vec<Change> {
     let one = |output: &Output| match output {
         Output::Send {
@@ -125,7 +129,7 @@
     out.iter().filter_map(one).collect()
 }
 
-/// The id of the last question among the outputs, or of the last call.
+/// The id of the last message or call among the outputs that awaits a response.
 pub fn last_exchange(out: &[Output]) -> u64 {
     let one = |output: &Output| match output {
         Output::Send { message, .. } => match message {
@@ -137,7 +141,7 @@
         Output::Call { id, .. } => Some(*id),
         _ => None,
     };
-    out.iter().rev().find_map(one).expect("a question")
+    out.iter().rev().find_map(one).expect("an exchange")
 }
 
 pub fn ledger_responds(
@@ -159,13 +163,13 @@
     )
 }
 
-/// Updates that names an origin of "slow" and the peers that hold its admission controller and,
-/// if `cache` is set, all cache partitions.
+/// Delivers updates with the origins of "slow" and the peers that own its admission control
+/// and, if `cache` is set, all cache partitions.
 pub fn updates(edge: &mut EdgeNode, now: u64, origins: &[Origin], cache: bool) -> Vec<Output> {
     updates_as(edge, now, origins, cache, 5)
 }
 
-/// The same, to an edge of another life.
+/// The same, to an edge of another incarnation.
 pub fn updates_as(
     edge: &mut EdgeNode,
     now: u64,
@@ -195,22 +199,19 @@
         version: 1,
         rows,
     };
-    let renewed = RenewReply {
+    let renewed = renew_reply(
         incarnation,
-        renewal_token: RenewalToken::default(),
-        sent: at(now),
-        generation: 0,
-        recall_requested: false,
-        updates: vec![
+        now,
+        vec![
             updates(ORIGINS_PARTITION, vec![("origins".into(), origins)]),
             updates(ASSIGNMENTS_PARTITION, assignments),
         ]
         .into(),
-    };
+    );
     deliver(edge, now, 1, renewed)
 }
 
-/// Who holds the admission controller of "slow", and who the cache partitions.
+/// The ports of the admission controller of "slow" and of the cache owner.
 pub const ADMISSION: u16 = 8;
 pub const OWNER: u16 = 7;
 
@@ -238,7 +239,7 @@
     }
 }
 
-/// A permit for the exchange, sent and held so that it is fresh at `now`.
+/// A permit for the exchange that is fresh at `now`.
 pub fn permit(exchange: u64, origin: Origin, now: u64) -> Permit {
     Permit {
         id: exchange,
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -1,4 +1,4 @@
-//! An edge's bounds, sessions and what it says of keyed requests.
+//! An edge's limits and leases, and the outcomes that it reports of keyed requests.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
@@ -7,63 +7,27 @@
 fn pending_limit_displaces_lowest_rank_per_service() {
     let mut edge = live(1000);
     for id in 0..256 {
-        assert!(
-            rejections_in(edge.handle(
-                at(1100),
-                Input::ClientRequest {
-                    id,
-                    request: client_request("/low", "GET")
-                }
-            ))
-            .is_empty()
-        );
+        assert!(rejections_in(submit(&mut edge, 1100, id, "/low", "GET")).is_empty());
     }
-    let rejections = rejections_in(edge.handle(
-        at(1100),
-        Input::ClientRequest {
-            id: 300,
-            request: client_request("/low", "GET"),
-        },
-    ));
+    let rejections = rejections_in(submit(&mut edge, 1100, 300, "/low", "GET"));
     assert_eq!(
         rejections,
         [(300, 429, "over_capacity".to_string(), RunState::NotRun)]
     );
-    let rejections = rejections_in(edge.handle(
-        at(1100),
-        Input::ClientRequest {
-            id: 301,
-            request: client_request("/high", "GET"),
-        },
-    ));
+    let rejections = rejections_in(submit(&mut edge, 1100, 301, "/high", "GET"));
     assert_eq!(
         rejections,
         [(255, 429, "over_capacity".to_string(), RunState::NotRun)],
         "the last of the lowest makes room"
     );
-    assert!(
-        rejections_in(edge.handle(
-            at(1100),
-            Input::ClientRequest {
-                id: 302,
-                request: client_request("/quick", "GET")
-            }
-        ))
-        .is_empty()
-    );
+    assert!(rejections_in(submit(&mut edge, 1100, 302, "/quick", "GET")).is_empty());
 }
 
 #[test]
 fn fenced_edge_rejects_and_reports_keyed_as_unknown() {
     let mut edge = live(1000);
     let rejected = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
-        rejections_in(edge.handle(
-            at(now),
-            Input::ClientRequest {
-                id,
-                request: client_request(url, method),
-            },
-        ))
+        rejections_in(submit(edge, now, id, url, method))
     };
     assert!(rejected(&mut edge, 1599, 1, "/quick", "GET").is_empty());
     assert_eq!(
@@ -80,35 +44,16 @@
 fn renewal_of_other_incarnation_or_node_is_ignored() {
     for (incarnation, seed) in [(4, 3), (5, 7)] {
         let mut edge = live(1000);
-        let renewed = RenewReply {
-            incarnation,
-            renewal_token: RenewalToken::default(),
-            sent: at(5000),
-            generation: 0,
-            recall_requested: false,
-            updates: SharedUpdates::default(),
-        };
+        let renewed = renew_reply(incarnation, 5000, SharedUpdates::default());
         for _ in 0..2 {
-            edge.handle(
-                at(1500),
-                Input::MessageReceived {
-                    from: Peer::new(address(seed), 1),
-                    message: renewed.clone().into(),
-                },
-            );
+            deliver(&mut edge, 1500, seed, renewed.clone());
         }
-        let rejections = rejections_in(edge.handle(
-            at(2500),
-            Input::ClientRequest {
-                id: 1,
-                request: client_request("/quick", "GET"),
-            },
-        ));
+        let rejections = rejections_in(submit(&mut edge, 2500, 1, "/quick", "GET"));
         assert_eq!(rejections.len(), 1, "life {incarnation}, seed {seed}");
     }
 }
 
-/// With twelve control nodes each change was renewed 144 times an edge.
+/// Regression: with twelve control nodes each edge renewed 144 times for a change.
 #[test]
 fn update_notice_renews_only_with_its_sender() {
     let mut edge = live(1000);
@@ -130,18 +75,17 @@
             })
             .collect()
     };
-    let updates = || RenewReply {
-        incarnation: 5,
-        renewal_token: RenewalToken::default(),
-        sent: at(1010),
-        generation: 0,
-        recall_requested: false,
-        updates: vec![PartitionUpdate {
-            partition: PURGES_PARTITION,
-            version: 4,
-            rows: vec![],
-        }]
-        .into(),
+    let updates = || {
+        renew_reply(
+            5,
+            1010,
+            vec![PartitionUpdate {
+                partition: PURGES_PARTITION,
+                version: 4,
+                rows: vec![],
+            }]
+            .into(),
+        )
     };
     assert_eq!(
         renewed_with(
@@ -207,28 +151,9 @@
         version: 1,
         rows: vec![("places".into(), row)],
     }];
-    let renewed = |sent, updates| RenewReply {
-        incarnation: 5,
-        renewal_token: RenewalToken::default(),
-        sent: at(sent),
-        generation: 0,
-        recall_requested: false,
-        updates,
-    };
-    edge.handle(
-        at(1100),
-        Input::MessageReceived {
-            from: Peer::new(address(2), 1),
-            message: renewed(1100, updates.into()).into(),
-        },
-    );
-    let rejections = rejections_in(edge.handle(
-        at(1200),
-        Input::ClientRequest {
-            id: 1,
-            request: client_request("/quick", "GET"),
-        },
-    ));
+    let renewed = |sent, updates| renew_reply(5, sent, updates);
+    deliver(&mut edge, 1100, 2, renewed(1100, updates.into()));
+    let rejections = rejections_in(submit(&mut edge, 1200, 1, "/quick", "GET"));
     assert_eq!(
         rejections.len(),
         1,
@@ -241,29 +166,14 @@
             message: renewed(1300, SharedUpdates::default()).into(),
         },
     );
-    assert!(
-        rejections_in(edge.handle(
-            at(1400),
-            Input::ClientRequest {
-                id: 2,
-                request: client_request("/quick", "GET")
-            }
-        ))
-        .is_empty()
-    );
+    assert!(rejections_in(submit(&mut edge, 1400, 2, "/quick", "GET")).is_empty());
 }
 
 #[test]
 fn keyed_rejection_awaits_release_of_its_claim() {
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], false);
-    let out = edge.handle(
-        at(1000),
-        Input::ClientRequest {
-            id: 1,
-            request: client_request("/k", "POST"),
-        },
-    );
+    let out = submit(&mut edge, 1000, 1, "/k", "POST");
     assert!(matches!(changes_in(&out).as_slice(), [Change::Claim(_)]));
     let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
     let refused = PermitRefused {
@@ -271,13 +181,7 @@
         reason: PermitRefusalReason::Overloaded,
         back: at(2000),
     };
-    let out = edge.handle(
-        at(1020),
-        Input::MessageReceived {
-            from: Peer::new(address(8), 1),
-            message: refused.into(),
-        },
-    );
+    let out = deliver(&mut edge, 1020, 8, refused);
     assert!(matches!(changes_in(&out).as_slice(), [Change::Release(_)]));
     let release = last_exchange(&out);
     assert!(rejections_in(out).is_empty());
@@ -293,13 +197,7 @@
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let out = edge.handle(
-        at(1000),
-        Input::ClientRequest {
-            id: 1,
-            request: client_request("/k", "POST"),
-        },
-    );
+    let out = submit(&mut edge, 1000, 1, "/k", "POST");
     let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
     let exchange = last_exchange(&out);
     let permitted = |edge: &mut EdgeNode, permit: Permit| deliver(edge, 1300, ADMISSION, permit);
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -1,5 +1,5 @@
-//! A crowd on a few keys whose owner has a narrow link, which it shares with its
-//! leases: many edges in virtual time, each with a link of so many bytes a second.
+//! Load bursts on a few keys whose owner has a narrow link, shared by responses
+//! and lease renewals: many edges in virtual time, each with a limited link.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
@@ -14,12 +14,12 @@
 const REQUESTS_S: u64 = 20;
 const DURATION_MS: u64 = 20_000;
 const LATENCY_TARGET_MS: u64 = 800;
-/// Requests that count: before, the first copies go out.
+/// Requests that count: before, the caches are filled.
 const COUNTED_MS: std::ops::Range<u64> = 9_000..DURATION_MS - LATENCY_TARGET_MS;
 const TIMEOUT_MS: u64 = 8_000;
 const ORIGIN_MS: u64 = 100;
 const NETWORK_DELAY_MS: u64 = 1;
-/// Larger messages wait behind small ones, as on a node's own links.
+/// Larger messages queue behind small ones, as on a node's own links.
 const URGENT_BYTES: usize = 4096;
 
 fn edge_address(at: usize) -> SocketAddr {
@@ -61,7 +61,7 @@
     CallEnded(usize, u64),
 }
 
-/// When a link is free again: for what is urgent, and for all.
+/// When a link is idle again: for urgent messages, and for all.
 #[derive(Clone, Copy, Default)]
 struct EdgeLink {
     urgent_until: f64,
@@ -75,7 +75,7 @@
         if bytes <= URGENT_BYTES {
             self.urgent_until = self.urgent_until.max(now) + takes;
             self.until = self.until.max(now) + takes;
-            // One piece of a large message may be under way.
+            // One chunk of a large message may be in flight.
             let chunk = 16.0 * 1024.0 / LINK_BYTES_S * 1000.0;
             let behind = (self.until - self.urgent_until).clamp(0.0, chunk);
             return self.urgent_until + behind;
@@ -94,7 +94,7 @@
     on_time: u64,
     requested: u64,
     fencings: u64,
-    /// Bytes of copies that the owner said.
+    /// Bytes of the cached responses that the owner sent.
     owner_bytes: usize,
 }
 
@@ -225,18 +225,15 @@
             version: 1,
             rows,
         };
-        RenewReply {
+        renew_reply(
             incarnation,
-            renewal_token: RenewalToken::default(),
-            sent: at(0),
-            generation: 0,
-            recall_requested: false,
-            updates: vec![
+            0,
+            vec![
                 updates(ORIGINS_PARTITION, vec![origins]),
                 updates(ASSIGNMENTS_PARTITION, assignments),
             ]
             .into(),
-        }
+        )
     }
 
     fn run(seed: u64) -> Fleet {
@@ -315,8 +312,8 @@
     }
 }
 
-/// Before near copies, and with one more copy for each repeat, none of the
-/// requests was served in its aim and the owner said 2.6 GB of copies, not 3 MB.
+/// Regression: without the near cache, and with one more response for each resend,
+/// no request met its latency target and the owner sent 2.6 GB, not 3 MB.
 #[test]
 fn hot_keys_do_not_saturate_owner_link() {
     for seed in 0..10 {
--- a/data-plane/tests/http_frontend.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -1,11 +1,11 @@
-//! The face of an edge over 127.0.0.1: the test plays the part behind it.
+//! The HTTP frontend of an edge over loopback: the test simulates the state machine.
 mod edge;
 use data_plane::HttpFrontend;
 use data_plane::prelude::*;
 use edge::table;
 use std::net::TcpListener;
 
-/// How long something that comes is waited for, and something that must not.
+/// How long an expected event is awaited, and one that must not happen.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
 const QUIET_PERIOD: Duration = Duration::from_millis(200);
 /// The lease of the edge.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A caller whose request the part was given.
+    /// A client whose request the state machine was given.
     fn send_request(&self) -> (TcpStream, u64, ClientRequest) {
         let mut client = TcpStream::connect(self.http).unwrap();
         client
@@ -69,8 +69,8 @@
     active.call(Duration::ZERO, id, origin, Duration::ZERO, purpose)
 }
 
-/// Between the close and the moment at which the part hears of it, the part may
-/// still send: the line does not.
+/// Until the state machine learns of the close it may still send calls: the
+/// frontend withholds them.
 #[test]
 fn call_for_disconnected_client_is_not_sent() {
     let edge_under_test = TestEdge::new();
@@ -94,8 +94,8 @@
     assert!(origin.accept().is_err(), "something was sent");
 }
 
-/// What others wait for leaves all the same, and so does what is for a caller
-/// that stays.
+/// A call that others wait for is sent all the same, and so is one for a client
+/// that is still connected.
 #[test]
 fn shared_call_and_call_for_connected_client_are_sent() {
     let edge_under_test = TestEdge::new();
@@ -127,7 +127,7 @@
     session.set_read_timeout(Some(ARRIVAL_TIMEOUT)).unwrap();
     session.read_exact(&mut [0; 4]).unwrap();
     edge_under_test.frontend.cancel_call(7);
-    // Far before the call's own limit.
+    // Far before the call's own timeout.
     session.set_read_timeout(Some(QUIET_PERIOD * 2)).unwrap();
     let mut rest = Vec::new();
     let end = session.read_to_end(&mut rest).unwrap_err();
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -1,11 +1,11 @@
-//! Copies that an edge keeps, and the one question for all that wait.
+//! The near cache of an edge, and the coalescing of requests for a key.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
 use std::collections::BTreeMap;
 
 const TTL_MS: u64 = 4000;
-/// How long a caller waits.
+/// How long a client waits.
 const TIMEOUT_MS: u64 = 2500;
 
 fn key() -> CacheKey {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A copy as the owner hands it out, its fetch just begun.
+/// A cached response of the owner whose fetch started `age` ms ago.
 fn copy(id: u64, text: &str, age: u64) -> CacheCopy {
     CacheCopy {
         id,
@@ -67,7 +67,7 @@
     out.iter().filter(one).count()
 }
 
-/// Whom the outputs answer, and with what body.
+/// The requests that the outputs respond to, with the bodies.
 fn served(out: &[Output]) -> BTreeMap<u64, String> {
     let one = |output: &Output| match output {
         Output::ClientResponse {
@@ -79,7 +79,7 @@
     out.iter().filter_map(one).collect()
 }
 
-/// Steps of 50 ms with renewals; everything that comes out.
+/// Ticks every 50 ms with renewals; all outputs.
 fn run(edge: &mut EdgeNode, from: u64, to: u64) -> Vec<Output> {
     let mut out = Vec::new();
     for now in (from..=to).step_by(50) {
@@ -95,7 +95,7 @@
     edge
 }
 
-/// An edge that has a copy since 1000.
+/// An edge that has stored a response at 1000.
 fn filled() -> EdgeNode {
     let mut edge = ready();
     let exchange = last_exchange(&begin(&mut edge, 1000, 1));
@@ -137,7 +137,7 @@
     let out = begin(&mut edge, 1000 + TTL_MS, 2);
     assert!(served(&out).is_empty());
     assert_eq!(gets(&out).len(), 1);
-    // Nor while another asks for it, when an older one would do.
+    // Nor while another request fetches it, when a stale one would do.
     let out = begin(&mut edge, 1000 + TTL_MS, 3);
     assert!(served(&out).is_empty());
 }
@@ -151,23 +151,20 @@
     };
     let value = Value::Purge { purge, change: 1 };
     let row = Row { version: 2, value };
-    let renewed = RenewReply {
-        incarnation: 5,
-        renewal_token: RenewalToken::default(),
-        sent: at(1100),
-        generation: 0,
-        recall_requested: false,
-        updates: vec![PartitionUpdate {
+    let renewed = renew_reply(
+        5,
+        1100,
+        vec![PartitionUpdate {
             partition: PURGES_PARTITION,
             version: 2,
             rows: vec![("p".into(), row)],
         }]
         .into(),
-    };
+    );
     deliver(&mut edge, 1100, 1, renewed);
     let out = begin(&mut edge, 1100, 2);
     assert!(served(&out).is_empty());
-    // The owner's answer was on its way: it does not know the purge.
+    // The owner's response was in flight: it does not know the purge.
     let out = deliver(&mut edge, 1110, OWNER, copy(gets(&out)[0], "a", 100));
     assert!(served(&out).is_empty());
     assert_eq!(gets(&out).len(), 1, "asked again");
@@ -178,15 +175,15 @@
     let mut edge = filled();
     run(&mut edge, 1000, 3000);
     let requested = gets(&begin(&mut edge, 3000, 2));
-    // Fetched 3 s ago, so a second before the one that is kept.
+    // Fetched 3 s ago, before the one that is stored.
     deliver(&mut edge, 3010, OWNER, copy(requested[0], "older", 3010));
     begin(&mut edge, 3020, 3);
     let out = begin(&mut edge, 3030, 4);
     assert_eq!(served(&out)[&4], "a", "while another asks");
 }
 
-/// Before, a silent owner held requests for half of their deadline, and each
-/// repeat of a question was answered with one more copy.
+/// Regression: an unresponsive owner delayed requests for half of their deadline,
+/// and each resend was responded to with one more cached response.
 #[test]
 fn unresponsive_owner_is_bypassed_unless_it_confirms() {
     let mut edge = ready();
@@ -269,7 +266,7 @@
         permit(last_exchange(&out), origin(50), 1015),
     );
     let call = last_exchange(&out);
-    // For long without an answer: the second does not wait for it.
+    // No response for long: the second request does not wait for it.
     let mut out = Vec::new();
     for now in (1050..3100).step_by(50) {
         renew(&mut edge, now);
@@ -281,8 +278,8 @@
     assert_eq!(served(&out)[&1], "late");
 }
 
-/// Once, a follower that was turned away to make room stayed in its group, led it
-/// when the leader's time was over, and nobody asked for that key any more.
+/// Regression: a displaced follower stayed in its group and became its leader when
+/// the leader timed out, so that no request fetched that key any more.
 #[test]
 fn displaced_follower_leaves_its_group() {
     const MAX_PENDING_PER_SERVICE: u64 = 256;
@@ -302,7 +299,7 @@
     assert_eq!(gets(&out).len(), 1, "it asks itself");
 }
 
-/// What an origin answers to the one that fetches is for all, and is put.
+/// The response to the leader serves all followers, and is put to the owner.
 #[test]
 fn fetched_response_serves_followers_and_is_put_to_owner() {
     let mut edge = ready();
@@ -338,7 +335,7 @@
     assert_eq!(puts.count(), 1);
 }
 
-/// Small numbers that hang on a seed alone.
+/// Pseudo-random numbers, determined by the seed.
 struct Random(u64);
 
 impl Random {
@@ -348,9 +345,9 @@
     }
 }
 
-/// An owner of one object that changes, asked by one edge over a slow and lossy
-/// way, with purges: whatever happens, each request is answered once, no copy is
-/// served past its keep time and none that a purge known here reaches.
+/// One edge requests an object that changes and is purged from its owner over a
+/// slow and lossy network: each request is responded to once, no response is served
+/// past its time-to-live and none that a known purge matches.
 #[test]
 fn random_runs_respond_once_and_never_serve_expired() {
     for seed in 0..300 {
@@ -386,19 +383,16 @@
                     version: purges,
                     value,
                 };
-                let renewed = RenewReply {
-                    incarnation: 5,
-                    renewal_token: RenewalToken::default(),
-                    sent: at(now),
-                    generation: 0,
-                    recall_requested: false,
-                    updates: vec![PartitionUpdate {
+                let renewed = renew_reply(
+                    5,
+                    now,
+                    vec![PartitionUpdate {
                         partition: PURGES_PARTITION,
                         version: purges,
                         rows: vec![(format!("p{purges}"), row)],
                     }]
                     .into(),
-                };
+                );
                 out.extend(deliver(&mut edge, now, 1, renewed));
             }
             if now < 13_000 && random.below(4) == 0 {
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -1,5 +1,5 @@
-//! Drawn sequences of permits, call endings, ledger answers and delays for one
-//! request, judged against which of its calls may have run.
+//! Random sequences of permits, call endings, ledger responses and delays for one
+//! request, checked against which of its calls may have been executed.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A permit for the question of now, or for an earlier one.
+    /// A permit for the current exchange, or for an earlier one.
     Permit {
         back: usize,
     },
@@ -29,7 +29,7 @@
         back: usize,
         overloaded: bool,
     },
-    /// The call of now ends, or an earlier one does so (again).
+    /// The current call ends, or an earlier one does so (again).
     Called {
         back: usize,
         end: CallEnding,
@@ -41,9 +41,9 @@
     Wait(u64),
     /// Time passes and no control node renews the lease.
     MissedRenewals(u64),
-    /// The process is asked to end.
+    /// The process is requested to shut down.
     Shutdown,
-    /// The caller closes its connection.
+    /// The client closes its connection.
     ClientDisconnected,
 }
 
@@ -99,12 +99,12 @@
 
 struct SentCall {
     id: u64,
-    /// How it first ended, as told to the edge.
+    /// How it first ended, as reported to the edge.
     ended: Option<CallEnding>,
 }
 
 impl SentCall {
-    /// Whether its request may have run at the origin.
+    /// Whether the origin may have executed its request.
     fn may_have_run(&self) -> bool {
         !matches!(
             self.ended,
@@ -167,14 +167,7 @@
 
     fn renew(&mut self) {
         for seed in [1, 2] {
-            let renewed = RenewReply {
-                incarnation: 5,
-                renewal_token: RenewalToken::default(),
-                sent: at(self.now),
-                generation: 0,
-                recall_requested: false,
-                updates: SharedUpdates::default(),
-            };
+            let renewed = renew_reply(5, self.now, SharedUpdates::default());
             deliver(&mut self.edge, self.now, seed, renewed);
         }
     }
@@ -310,7 +303,7 @@
         prop_assert!(!self.responded, "called after its answer");
         prop_assert!(!self.disconnected, "called after its caller left");
         prop_assert!(self.calls.iter().all(|call| call.id != id), "an id twice");
-        // One that the edge's own line held back reached no origin.
+        // A call that the edge itself withheld reached no origin.
         let withheld = |call: &&SentCall| matches!(call.ended, Some(CallEnding::Withheld));
         let attempts = self.calls.len() - self.calls.iter().filter(withheld).count();
         prop_assert!(
@@ -368,9 +361,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes late, twice or for an earlier exchange: a request that
-    /// may run once is called again only on proof, "not run" is said only on
-    /// proof, and the answer is that of the call under way.
+    /// Whatever arrives late, twice or for an earlier exchange: a request that
+    /// may run once is retried only on proof, "not run" is reported only on
+    /// proof, and the response is that of the call in flight.
     #[test]
     fn request_is_retried_only_on_proof(
         kind in prop_oneof![
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -1,13 +1,13 @@
-//! What an edge that is told to end does with requests.
+//! Requests at an edge that shuts down.
 mod edge;
 use data_plane::prelude::*;
 use edge::*;
 
 const GRACE_MS: u64 = 6000;
 
-/// Everything that was read is answered before the process is killed, with time
-/// left for the answers to be written: before, what waited for a copy, a permit
-/// or the ledger waited on until the process was gone.
+/// Every request gets a response before the process is killed, with time left
+/// for the responses to be written. Regression: requests that waited for a cached
+/// response, a permit or the ledger waited until the process had exited.
 #[test]
 fn waiting_requests_are_rejected_in_first_half_of_grace() {
     let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
@@ -82,8 +82,8 @@
     )));
 }
 
-/// Once, a call begun after the warning was ended at half of the time left, while
-/// its origin was at work, and the caller was told of a failure.
+/// Regression: a call sent after the shutdown request timed out at half of the
+/// remaining time, while its origin was executing it.
 #[test]
 fn call_after_shutdown_request_gets_full_timeout() {
     const TIMEOUT_MS: u64 = 4000;
@@ -112,7 +112,7 @@
     }
 }
 
-/// The same for calls that were begun before the warning.
+/// The same for calls that were sent before the shutdown request.
 #[test]
 fn shutdown_request_extends_calls_in_flight() {
     const TIMEOUT_MS: u64 = 4000;
--- a/data-plane/tests/stale_responses.rs
+++ b/data-plane/tests/stale_responses.rs
@@ -1,4 +1,4 @@
-//! Answers that come late, twice or for an earlier question of the same
+//! Responses that arrive late, twice or for an earlier exchange of the same
 //! request.
 mod edge;
 use data_plane::prelude::*;
@@ -6,13 +6,7 @@
 use std::collections::HashSet;
 
 fn begin(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
-    edge.handle(
-        at(now),
-        Input::ClientRequest {
-            id,
-            request: client_request(url, method),
-        },
-    )
+    submit(edge, now, id, url, method)
 }
 
 fn complete_call(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
@@ -64,7 +58,7 @@
     );
     let second = last_exchange(&out);
     assert_ne!(first, second);
-    // The admission controller was asked twice for the first try: it counted both as such.
+    // The admission controller received the first request twice and granted both.
     let out = deliver(
         &mut edge,
         1030,
@@ -133,11 +127,11 @@
             owner_delay: at(0),
         },
     };
-    // It was 300 ms on the way and had less than that left.
+    // It was in flight for 300 ms, longer than its remaining time-to-live.
     let out = deliver(&mut edge, 1300, OWNER, copy(first, 200));
     assert_eq!(body(&out), None);
     let second = last_exchange(&out);
-    // The same answer, said twice: it is older than the second question.
+    // A duplicate of the same response: it is older than the second exchange.
     let out = deliver(&mut edge, 1310, OWNER, copy(first, 200));
     assert_eq!(body(&out), None);
     let out = deliver(&mut edge, 1320, OWNER, copy(second, 200));
