--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -49,19 +49,44 @@
     }
 }
 
+/// The refresher's put of a response with this body.
+fn put(
+    owner: &mut CacheOwner,
+    now: u64,
+    token: FillToken,
+    body: &str,
+    epoch: u64,
+    purge_log: &PurgeLog,
+) -> bool {
+    let key = KEY;
+    let reply = reply(body);
+    let put = CachePut { key, token, reply };
+    owner.put(at(now), put, epoch, purge_log)
+}
+
+fn url_purge() -> Purge {
+    Purge {
+        url: Some("/u".into()),
+        ..Purge::default()
+    }
+}
+
+/// A log of one purge of `/u`.
+fn log_of_purge(version: u64) -> PurgeLog {
+    let mut purge_log = PurgeLog::default();
+    let value = Value::Purge {
+        purge: url_purge(),
+        change: 1,
+    };
+    let row = Row { version, value };
+    purge_log.apply(Duration::ZERO, version, &[("p".into(), row)]);
+    purge_log
+}
+
 fn owner_with_response(now: u64) -> CacheOwner {
     let mut owner = CacheOwner::new(1 << 20);
     let token = request(&mut owner, now, 1).1.unwrap();
-    assert!(owner.put(
-        at(now),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("a")
-        },
-        7,
-        &PurgeLog::default()
-    ));
+    assert!(put(&mut owner, now, token, "a", 7, &PurgeLog::default()));
     owner
 }
 
@@ -73,16 +98,7 @@
     for id in 4..50 {
         assert_eq!(request(&mut owner, 5001, id).0, "copy a");
     }
-    owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("b"),
-        },
-        7,
-        &PurgeLog::default(),
-    );
+    put(&mut owner, 5100, token, "b", 7, &PurgeLog::default());
     assert_eq!(request(&mut owner, 10_050, 50).0, "copy b");
     assert_eq!(request(&mut owner, 10_100, 51).0, "miss");
 }
@@ -91,16 +107,7 @@
 fn unrefreshed_response_expires_ttl_after_fetch_start() {
     let mut owner = CacheOwner::new(1 << 20);
     let token = request(&mut owner, 0, 1).1.unwrap();
-    owner.put(
-        at(1500),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("a"),
-        },
-        7,
-        &PurgeLog::default(),
-    );
+    put(&mut owner, 1500, token, "a", 7, &PurgeLog::default());
     assert_eq!(request(&mut owner, 6500, 2).0, "miss");
     assert_eq!(request(&mut owner, 9999, 3).0, "copy a");
     // The major expiry has passed; the refresher of 6500 timed out.
@@ -130,16 +137,7 @@
     let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = out.as_slice() else {
         panic!("{out:?}")
     };
-    owner.put(
-        at(2200),
-        CachePut {
-            key: KEY,
-            token: *token,
-            reply: reply("c"),
-        },
-        7,
-        &PurgeLog::default(),
-    );
+    put(&mut owner, 2200, *token, "c", 7, &PurgeLog::default());
     assert_eq!(
         owner.take_outgoing().len(),
         2,
@@ -149,38 +147,12 @@
 
 #[test]
 fn late_put_is_dropped_after_purge_move_or_newer_put() {
-    let purge = Purge {
-        url: Some("/u".into()),
-        ..Purge::default()
-    };
-    let mut purge_log = PurgeLog::default();
-    purge_log.apply(
-        Duration::ZERO,
-        1,
-        &[(
-            "p".into(),
-            Row {
-                version: 1,
-                value: Value::Purge {
-                    purge: purge.clone(),
-                    change: 1,
-                },
-            },
-        )],
-    );
+    let purge = url_purge();
+    let purge_log = log_of_purge(1);
     let mut owner = owner_with_response(0);
     let token = request(&mut owner, 5000, 2).1.unwrap();
     owner.purge(&purge);
-    assert!(!owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("old")
-        },
-        7,
-        &purge_log
-    ));
+    assert!(!put(&mut owner, 5100, token, "old", 7, &purge_log));
     assert_eq!(
         request(&mut owner, 5200, 3).0,
         "miss",
@@ -189,13 +161,11 @@
 
     let mut owner = owner_with_response(0);
     let token = request(&mut owner, 5000, 2).1.unwrap();
-    assert!(!owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("old")
-        },
+    assert!(!put(
+        &mut owner,
+        5100,
+        token,
+        "old",
         8,
         &PurgeLog::default()
     ));
@@ -204,23 +174,12 @@
     let slow = request(&mut owner, 5000, 2).1.unwrap();
     // It times out (its minor extension is over), another request refreshes.
     let quick = request(&mut owner, 10_000, 3).1.unwrap();
-    owner.put(
-        at(10_100),
-        CachePut {
-            key: KEY,
-            token: quick,
-            reply: reply("new"),
-        },
-        7,
-        &PurgeLog::default(),
-    );
-    assert!(!owner.put(
-        at(10_200),
-        CachePut {
-            key: KEY,
-            token: slow,
-            reply: reply("old")
-        },
+    put(&mut owner, 10_100, quick, "new", 7, &PurgeLog::default());
+    assert!(!put(
+        &mut owner,
+        10_200,
+        slow,
+        "old",
         7,
         &PurgeLog::default()
     ));
@@ -306,22 +265,7 @@
         0
     );
     // A purge that the previous owner did not know yet.
-    let purge = Purge {
-        url: Some("/u".into()),
-        ..Purge::default()
-    };
-    let mut purge_log = PurgeLog::default();
-    purge_log.apply(
-        Duration::ZERO,
-        4,
-        &[(
-            "p".into(),
-            Row {
-                version: 4,
-                value: Value::Purge { purge, change: 1 },
-            },
-        )],
-    );
+    let purge_log = log_of_purge(4);
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
         next.take_over(at(50_000), at(100), responses, &purge_log),
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -140,90 +140,74 @@
     }
 
     fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+        let outputs = self.outputs_of(step);
+        self.check_outputs(outputs)?;
+        if matches!(step, Step::Wait(ms) if ms >= CANCELLATION_BOUND_MS) {
+            self.check_no_abandoned_call()?;
+        }
+        Ok(())
+    }
+
+    /// The edge's outputs in this step; none if the step does not apply now.
+    fn outputs_of(&mut self, step: Step) -> Vec<Output> {
         let now = self.now;
-        let out = match step {
-            Step::Arrives(kind) => {
-                let id = self.requests.len() as u64;
-                let request = Request {
-                    kind,
-                    disconnected: false,
-                    responded: false,
+        let outputs = match step {
+            Step::Arrives(kind) => Some(self.arrive(kind)),
+            Step::Disconnects(which) => self.disconnect(which),
+            Step::Permit(which) => take(&mut self.permits, which)
+                .map(|id| deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now))),
+            Step::Refused(which) => take(&mut self.permits, which).map(|id| {
+                let refused = PermitRefused {
+                    id,
+                    reason: PermitRefusalReason::Overloaded,
+                    back: at(100),
                 };
-                self.requests.insert(id, request);
-                let (url, method) = kind.target();
-                let request = client_request(url, method);
+                deliver(&mut self.edge, now, ADMISSION, refused)
+            }),
+            Step::Called(which, ending) => take(&mut self.calls, which).map(|(id, _)| {
+                let result = call_outcome(ending);
                 self.edge
-                    .handle(at(now), Input::ClientRequest { id, request })
-            }
-            Step::Disconnects(which) => {
-                let waiting = |(id, request): (&u64, &Request)| {
-                    (!request.disconnected && !request.responded).then_some(*id)
-                };
-                let mut waiting: Vec<u64> = self.requests.iter().filter_map(waiting).collect();
-                let Some(id) = take(&mut waiting, which) else {
-                    return Ok(());
-                };
-                self.requests.get_mut(&id).unwrap().disconnected = true;
-                self.edge.handle(at(now), Input::ClientDisconnected { id })
-            }
-            Step::Permit(which) => match take(&mut self.permits, which) {
-                Some(id) => deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
-                None => return Ok(()),
-            },
-            Step::Refused(which) => match take(&mut self.permits, which) {
-                Some(id) => {
-                    let refused = PermitRefused {
-                        id,
-                        reason: PermitRefusalReason::Overloaded,
-                        back: at(100),
-                    };
-                    deliver(&mut self.edge, now, ADMISSION, refused)
-                }
-                None => return Ok(()),
-            },
-            Step::Called(which, end) => match take(&mut self.calls, which) {
-                Some((id, _)) => {
-                    let result = match end {
-                        CallEnding::Success => CallOutcome::Success(reply(200)),
-                        CallEnding::Failure => CallOutcome::Success(reply(500)),
-                        CallEnding::NotExecuted => CallOutcome::NotExecuted,
-                        CallEnding::Lost => CallOutcome::Failure("reset".into()),
-                    };
-                    self.edge
-                        .handle(at(now), Input::CallCompleted { id, result })
-                }
-                None => return Ok(()),
-            },
-            Step::Ledger(which, word) => match take(&mut self.ledger, which) {
-                Some(id) => {
-                    let outcome = match word {
-                        LedgerReply::Claimed => ChangeOutcome::Claimed,
-                        LedgerReply::Running => ChangeOutcome::AlreadyClaimed {
-                            same: true,
-                            state: OperationState::Running,
-                        },
-                        LedgerReply::Released => ChangeOutcome::Released,
-                        LedgerReply::Recorded => ChangeOutcome::Recorded,
-                    };
-                    ledger_responds(&mut self.edge, now, id, outcome)
-                }
-                None => return Ok(()),
-            },
-            Step::Owner(which, owner_reply) => match take(&mut self.gets, which) {
-                Some(id) => self.owner_replies(id, owner_reply),
-                None => return Ok(()),
-            },
-            Step::Wait(ms) => {
-                self.now += ms;
-                renew(&mut self.edge, self.now);
-                self.edge.handle(at(self.now), Input::Tick)
+                    .handle(at(now), Input::CallCompleted { id, result })
+            }),
+            Step::Ledger(which, reply) => take(&mut self.ledger, which)
+                .map(|id| ledger_responds(&mut self.edge, now, id, change_outcome(reply))),
+            Step::Owner(which, reply) => {
+                take(&mut self.gets, which).map(|id| self.owner_replies(id, reply))
             }
+            Step::Wait(ms) => Some(self.wait(ms)),
         };
-        self.check_outputs(out)?;
-        if matches!(step, Step::Wait(ms) if ms >= CANCELLATION_BOUND_MS) {
-            self.check_no_abandoned_call()?;
-        }
-        Ok(())
+        outputs.unwrap_or_default()
+    }
+
+    fn arrive(&mut self, kind: RequestKind) -> Vec<Output> {
+        let id = self.requests.len() as u64;
+        let request = Request {
+            kind,
+            disconnected: false,
+            responded: false,
+        };
+        self.requests.insert(id, request);
+        let (url, method) = kind.target();
+        submit(&mut self.edge, self.now, id, url, method)
+    }
+
+    fn disconnect(&mut self, which: usize) -> Option<Vec<Output>> {
+        let mut waiting: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.disconnected && !request.responded)
+            .map(|(id, _)| *id)
+            .collect();
+        let id = take(&mut waiting, which)?;
+        self.requests.get_mut(&id).unwrap().disconnected = true;
+        let disconnected = Input::ClientDisconnected { id };
+        Some(self.edge.handle(at(self.now), disconnected))
+    }
+
+    fn wait(&mut self, ms: u64) -> Vec<Output> {
+        self.now += ms;
+        renew(&mut self.edge, self.now);
+        self.edge.handle(at(self.now), Input::Tick)
     }
 
     fn owner_replies(&mut self, id: u64, owner_reply: OwnerReply) -> Vec<Output> {
@@ -340,6 +324,27 @@
     }
 }
 
+fn call_outcome(ending: CallEnding) -> CallOutcome {
+    match ending {
+        CallEnding::Success => CallOutcome::Success(reply(200)),
+        CallEnding::Failure => CallOutcome::Success(reply(500)),
+        CallEnding::NotExecuted => CallOutcome::NotExecuted,
+        CallEnding::Lost => CallOutcome::Failure("reset".into()),
+    }
+}
+
+fn change_outcome(reply: LedgerReply) -> ChangeOutcome {
+    match reply {
+        LedgerReply::Claimed => ChangeOutcome::Claimed,
+        LedgerReply::Running => ChangeOutcome::AlreadyClaimed {
+            same: true,
+            state: OperationState::Running,
+        },
+        LedgerReply::Released => ChangeOutcome::Released,
+        LedgerReply::Recorded => ChangeOutcome::Recorded,
+    }
+}
+
 fn reply(status: u16) -> Reply {
     Reply {
         status,
@@ -641,65 +646,68 @@
     }
 }
 
-/// A departed edge's requests are removed from the queue of the admission controller that this
-/// edge owns.
-#[test]
-fn admission_forgets_requests_of_departed_edge() {
-    const DEPARTED: u16 = 60;
-    let mut edge = live(START_MS);
-    let row = |value| Row { version: 1, value };
-    let me = Peer::new(address(9), 5);
-    let assignment = Assignment {
-        epoch: 1,
-        owner: Some(me),
-        previous_owner: None,
+/// Delivers rows of one partition to an edge of incarnation 5.
+fn apply_update(edge: &mut EdgeNode, version: u64, rows: Vec<(String, Row)>, partition: u8) {
+    let update = PartitionUpdate {
+        partition,
+        version,
+        rows,
     };
-    let list = Arc::new(Vec::new());
-    let registry = |members: Vec<Peer>, departed| Value::EdgeRegistry {
+    let reply = renew_reply(5, START_MS, vec![update].into());
+    deliver(edge, START_MS, 1, reply);
+}
+
+/// The registry of edges as a row.
+fn registry_row(version: u64, members: Vec<Peer>, departed: Vec<Peer>) -> (String, Row) {
+    let value = Value::EdgeRegistry {
         members,
         departed,
         complete: true,
     };
-    let departed_edge = Peer::new(address(DEPARTED), 1);
-    let apply_update = |edge: &mut EdgeNode, version, rows: Vec<(String, Row)>, partition| {
-        let updates = PartitionUpdate {
-            partition,
-            version,
-            rows,
-        };
-        let renewed = renew_reply(5, START_MS, vec![updates].into());
-        deliver(edge, START_MS, 1, renewed);
-    };
-    let text = table().document.clone();
+    ("roll".into(), Row { version, value })
+}
+
+/// An edge that runs the admission controller of "slow", among these members.
+fn edge_with_admission(members: Vec<Peer>) -> EdgeNode {
+    let mut edge = live(START_MS);
+    let row = |value| Row { version: 1, value };
     let configuration = Value::Configuration {
-        text: serde_json::to_string(&text).unwrap().into(),
+        text: serde_json::to_string(&table().document).unwrap().into(),
         change: 1,
     };
-    let origins = Value::Origins { list, change: 1 };
-    apply_update(
-        &mut edge,
-        1,
-        vec![("configuration".into(), row(configuration))],
-        CONFIGURATION_PARTITION,
-    );
-    apply_update(
-        &mut edge,
-        1,
-        vec![("origins".into(), row(origins))],
-        ORIGINS_PARTITION,
-    );
+    let origins = Value::Origins {
+        list: Arc::default(),
+        change: 1,
+    };
+    let assignment = Assignment {
+        epoch: 1,
+        owner: Some(members[0]),
+        previous_owner: None,
+    };
     let assignments = vec![
         (
             admission_assignment("slow"),
             row(Value::Assignment(assignment)),
         ),
-        (
-            "roll".into(),
-            row(registry(vec![me, departed_edge], vec![])),
-        ),
+        registry_row(1, members, vec![]),
     ];
+    let configuration = vec![("configuration".into(), row(configuration))];
+    apply_update(&mut edge, 1, configuration, CONFIGURATION_PARTITION);
+    let origins = vec![("origins".into(), row(origins))];
+    apply_update(&mut edge, 1, origins, ORIGINS_PARTITION);
     apply_update(&mut edge, 1, assignments, ASSIGNMENTS_PARTITION);
-    let request_message = PermitRequest {
+    edge
+}
+
+/// A departed edge's requests are removed from the queue of the admission controller that this
+/// edge owns.
+#[test]
+fn admission_forgets_requests_of_departed_edge() {
+    const DEPARTED: u16 = 60;
+    let this_edge = Peer::new(address(9), 5);
+    let departed_edge = Peer::new(address(DEPARTED), 1);
+    let mut edge = edge_with_admission(vec![this_edge, departed_edge]);
+    let permit_request = PermitRequest {
         service: "slow".into(),
         id: 1,
         rank: 1,
@@ -712,28 +720,18 @@
         region: String::new(),
         excluded_origins: vec![],
     };
-    deliver(&mut edge, START_MS, DEPARTED, request_message);
-    apply_update(
-        &mut edge,
-        2,
-        vec![(
-            "roll".into(),
-            Row {
-                version: 2,
-                value: registry(vec![me], vec![departed_edge]),
-            },
-        )],
-        ASSIGNMENTS_PARTITION,
-    );
-    let mut rejections = Vec::new();
+    deliver(&mut edge, START_MS, DEPARTED, permit_request);
+    let registry = registry_row(2, vec![this_edge], vec![departed_edge]);
+    apply_update(&mut edge, 2, vec![registry], ASSIGNMENTS_PARTITION);
+    let mut outputs = Vec::new();
     for now in (START_MS + 50..START_MS + 3000).step_by(50) {
         renew(&mut edge, now);
-        rejections.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(at(now), Input::Tick));
     }
     let to_departed =
         |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(DEPARTED));
     assert_eq!(
-        rejections
+        outputs
             .iter()
             .find(to_departed)
             .map(|found| format!("{found:?}")),
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -53,6 +53,14 @@
     }
 }
 
+fn purge_notice(version: u64) -> UpdateNotice {
+    UpdateNotice {
+        partition: PURGES_PARTITION,
+        version,
+        renewal_token: RenewalToken::default(),
+    }
+}
+
 /// Regression: with twelve control nodes each edge renewed 144 times for a change.
 #[test]
 fn update_notice_renews_only_with_its_sender() {
@@ -88,16 +96,7 @@
         )
     };
     assert_eq!(
-        renewed_with(
-            &mut edge,
-            2,
-            UpdateNotice {
-                partition: PURGES_PARTITION,
-                version: 4,
-                renewal_token: RenewalToken::default()
-            }
-            .into()
-        ),
+        renewed_with(&mut edge, 2, purge_notice(4).into()),
         [address(2)]
     );
     assert_eq!(
@@ -106,30 +105,9 @@
         "all are told that it is applied"
     );
     assert!(renewed_with(&mut edge, 3, updates().into()).is_empty());
-    assert!(
-        renewed_with(
-            &mut edge,
-            3,
-            UpdateNotice {
-                partition: PURGES_PARTITION,
-                version: 4,
-                renewal_token: RenewalToken::default()
-            }
-            .into()
-        )
-        .is_empty()
-    );
+    assert!(renewed_with(&mut edge, 3, purge_notice(4).into()).is_empty());
     assert_eq!(
-        renewed_with(
-            &mut edge,
-            3,
-            UpdateNotice {
-                partition: PURGES_PARTITION,
-                version: 5,
-                renewal_token: RenewalToken::default()
-            }
-            .into()
-        ),
+        renewed_with(&mut edge, 3, purge_notice(5).into()),
         [address(3)]
     );
 }
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -345,106 +345,142 @@
     }
 }
 
-/// One edge requests an object that changes and is purged from its owner over a
-/// slow and lossy network: each request is responded to once, no response is served
-/// past its time-to-live and none that a known purge matches.
+/// One edge, the owner of one object that changes and is purged, and a slow and
+/// lossy network between them.
+struct RandomRun {
+    seed: u64,
+    random: Random,
+    edge: EdgeNode,
+    /// The present version of the object.
+    version: u64,
+    purges: u64,
+    /// When each version was replaced.
+    replaced: BTreeMap<u64, u64>,
+    /// When each version was last purged.
+    purged_at: BTreeMap<u64, u64>,
+    /// Requests without a response, and when they were started.
+    waiting: BTreeMap<u64, u64>,
+    /// Messages of the owner, and when they arrive.
+    in_flight: Vec<(u64, Message)>,
+    next_id: u64,
+}
+
+impl RandomRun {
+    /// No request is started after this time, so that all get a response.
+    const LAST_REQUEST_MS: u64 = 13_000;
+
+    fn new(seed: u64) -> RandomRun {
+        RandomRun {
+            seed,
+            random: Random(seed),
+            edge: ready(),
+            version: 0,
+            purges: 0,
+            replaced: BTreeMap::new(),
+            purged_at: BTreeMap::new(),
+            waiting: BTreeMap::new(),
+            in_flight: Vec::new(),
+            next_id: 1,
+        }
+    }
+
+    fn step(&mut self, now: u64) {
+        let mut outputs = Vec::new();
+        if now % 50 == 0 {
+            renew(&mut self.edge, now);
+            outputs.extend(self.edge.handle(at(now), Input::Tick));
+        }
+        if self.random.below(200) == 0 {
+            self.replaced.insert(self.version, now);
+            self.version += 1;
+        }
+        if self.random.below(400) == 0 {
+            outputs.extend(self.purge(now));
+        }
+        if now < Self::LAST_REQUEST_MS && self.random.below(4) == 0 {
+            self.waiting.insert(self.next_id, now);
+            outputs.extend(begin(&mut self.edge, now, self.next_id));
+            self.next_id += 1;
+        }
+        let (due, later) = self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        self.in_flight = later;
+        let due: Vec<(u64, Message)> = due;
+        for (_, message) in due {
+            outputs.extend(deliver(&mut self.edge, now, OWNER, message));
+        }
+        for output in outputs {
+            self.handle(now, output);
+        }
+    }
+
+    fn purge(&mut self, now: u64) -> Vec<Output> {
+        self.purges += 1;
+        self.purged_at.insert(self.version, now);
+        let purge = Purge {
+            url: Some("/copy".into()),
+            ..Purge::default()
+        };
+        let change = self.purges;
+        let row = Row {
+            version: self.purges,
+            value: Value::Purge { purge, change },
+        };
+        let update = PartitionUpdate {
+            partition: PURGES_PARTITION,
+            version: self.purges,
+            rows: vec![(format!("p{}", self.purges), row)],
+        };
+        let reply = renew_reply(5, now, vec![update].into());
+        deliver(&mut self.edge, now, 1, reply)
+    }
+
+    fn handle(&mut self, now: u64, output: Output) {
+        match output {
+            Output::Send {
+                message: Message::CacheGet(get),
+                ..
+            } if self.random.below(5) > 0 => {
+                let mut response = copy(get.id, &self.version.to_string(), 0);
+                response.response.purge_version = self.purges;
+                let delay = self.random.below(600);
+                self.in_flight.push((now + delay, response.into()));
+            }
+            Output::ClientResponse { id, response } => {
+                let started_at = self.waiting.remove(&id).expect("responded once");
+                if let ClientResponse::Reply { reply, .. } = response {
+                    self.check_reply(now, started_at, &reply);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn check_reply(&self, now: u64, started_at: u64, reply: &Reply) {
+        let served: u64 = String::from_utf8_lossy(&reply.body).parse().unwrap();
+        let context = format!("seed {}, at {now}", self.seed);
+        if let Some(replaced_at) = self.replaced.get(&served) {
+            assert!(now <= replaced_at + TTL_MS + 10, "{context}: too old");
+        }
+        let purged_at = self.purged_at.range(served + 1..).map(|(_, at)| *at).min();
+        if let Some(purged_at) = purged_at {
+            assert!(now <= purged_at.max(started_at), "{context}: purged");
+        }
+    }
+}
+
+/// Each request is responded to once, no response is served past its time-to-live
+/// and none that a known purge matches.
 #[test]
 fn random_runs_respond_once_and_never_serve_expired() {
     for seed in 0..300 {
-        let mut random = Random(seed);
-        let mut edge = ready();
-        let (mut version, mut purges) = (0u64, 0u64);
-        // When each version was replaced.
-        let mut replaced: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut purged_at: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut in_flight: Vec<(u64, Message)> = Vec::new();
-        let mut next = 1;
+        let mut run = RandomRun::new(seed);
         for now in (1000..16_000).step_by(10) {
-            let mut out = Vec::new();
-            if now % 50 == 0 {
-                renew(&mut edge, now);
-                out.extend(edge.handle(at(now), Input::Tick));
-            }
-            if random.below(200) == 0 {
-                replaced.insert(version, now);
-                version += 1;
-            }
-            if random.below(400) == 0 {
-                purges += 1;
-                purged_at.insert(version, now);
-                let purge = Purge {
-                    url: Some("/copy".into()),
-                    ..Purge::default()
-                };
-                let change = purges;
-                let value = Value::Purge { purge, change };
-                let row = Row {
-                    version: purges,
-                    value,
-                };
-                let renewed = renew_reply(
-                    5,
-                    now,
-                    vec![PartitionUpdate {
-                        partition: PURGES_PARTITION,
-                        version: purges,
-                        rows: vec![(format!("p{purges}"), row)],
-                    }]
-                    .into(),
-                );
-                out.extend(deliver(&mut edge, now, 1, renewed));
-            }
-            if now < 13_000 && random.below(4) == 0 {
-                waiting.insert(next, now);
-                out.extend(begin(&mut edge, now, next));
-                next += 1;
-            }
-            let due: Vec<Message> = {
-                let (due, later) = in_flight.drain(..).partition(|(at, _)| *at <= now);
-                in_flight = later;
-                let due: Vec<(u64, Message)> = due;
-                due.into_iter().map(|(_, message)| message).collect()
-            };
-            for message in due {
-                out.extend(deliver(&mut edge, now, OWNER, message));
-            }
-            for output in out {
-                match output {
-                    Output::Send {
-                        message: Message::CacheGet(get),
-                        ..
-                    } if random.below(5) > 0 => {
-                        let mut answer = copy(get.id, &version.to_string(), 0);
-                        answer.response.purge_version = purges;
-                        in_flight.push((now + random.below(600), answer.into()));
-                    }
-                    Output::ClientResponse {
-                        id,
-                        response: answer,
-                    } => {
-                        let started_at = waiting.remove(&id).expect("answered once");
-                        if let ClientResponse::Reply { reply, .. } = answer {
-                            let body = String::from_utf8_lossy(&reply.body).into_owned();
-                            let served: u64 = body.parse().unwrap();
-                            let what = format!("seed {seed}, at {now}");
-                            if let Some(replaced_at) = replaced.get(&served) {
-                                assert!(now <= replaced_at + TTL_MS + 10, "{what}: too old");
-                            }
-                            let newer = purged_at.range(served + 1..).map(|(_, at)| *at).min();
-                            if let Some(purged) = newer {
-                                assert!(now <= purged.max(started_at), "{what}: purged");
-                            }
-                        }
-                    }
-                    _ => {}
-                }
-            }
+            run.step(now);
         }
-        let unanswered: Vec<u64> = waiting.keys().copied().collect();
+        let unanswered: Vec<u64> = run.waiting.keys().copied().collect();
         assert!(
             unanswered.is_empty(),
-            "seed {seed}: {unanswered:?} without an answer"
+            "seed {seed}: {unanswered:?} without a response"
         );
     }
 }
