--- a/data-plane/src/active_request/mod.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -17,13 +17,13 @@
     pub request: ClientRequest,
     /// When it was received.
     pub started_at: Duration,
-    /// When it must have been answered.
+    /// When it must have a response.
     pub deadline: Duration,
     /// The time before which a response is worth most to the client.
     pub latency_target: Duration,
     /// What the request waits for.
     pub stage: Stage,
-    /// The client closed its connection: nobody waits for the response.
+    /// The client closed its connection and does not wait for the response.
     pub client_disconnected: bool,
     /// The claim on its operation key, if it has one.
     pub claim: Option<Claim>,
@@ -155,7 +155,7 @@
         matches!(&self.stage, Stage::Calling { permit, .. } if permit.origin.address == origin)
     }
 
-    /// The change that the request's stage asks of the ledger, if it does.
+    /// The ledger change of the request's stage, if it has one.
     pub fn ledger_change(&self) -> Option<Change> {
         let claim = || self.claim.clone().expect("it has an operation key");
         match &self.stage {
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -455,9 +455,9 @@
     admission.probe_completed(at(510), &probes[0], false);
     assert!(outcomes(&mut admission).is_empty());
     admission.probe_completed(at(520), &probes[1], true);
-    let out = outcomes(&mut admission);
-    let [(_, Message::Permit(permit))] = out.as_slice() else {
-        panic!("{out:?}")
+    let outputs = outcomes(&mut admission);
+    let [(_, Message::Permit(permit))] = outputs.as_slice() else {
+        panic!("{outputs:?}")
     };
     assert_eq!(permit.origin, probes[1]);
     // The connection ends: the next process there must prove its identity first.
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -122,20 +122,20 @@
         assert_eq!(request(&mut owner, 10, id).0, "wait");
     }
     owner.fill_failed(at(100), KEY, first, 7, 0, false);
-    let out = owner.take_outgoing();
+    let outputs = owner.take_outgoing();
     assert!(
         matches!(
-            out.as_slice(),
+            outputs.as_slice(),
             [(_, Message::CacheMiss(CacheMiss { id: 2, .. }))]
         ),
-        "{out:?}"
+        "{outputs:?}"
     );
     owner.tick(at(2099), &|_| 7, 0);
     assert!(owner.take_outgoing().is_empty());
     owner.tick(at(2100), &|_| 7, 0);
-    let out = owner.take_outgoing();
-    let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = out.as_slice() else {
-        panic!("{out:?}")
+    let outputs = owner.take_outgoing();
+    let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = outputs.as_slice() else {
+        panic!("{outputs:?}")
     };
     put(&mut owner, 2200, *token, "c", 7, &PurgeLog::default());
     assert_eq!(
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -54,14 +54,14 @@
             .admission_controllers
             .keys()
             .map(|service| admission_assignment(service));
-        let held = self
+        let owned = self
             .owned_partitions
             .keys()
             .map(|partition| cache_assignment(&self.locality.ring, *partition))
             .chain(admissions)
             .collect();
         self.outputs
-            .push(Output::Publish(PublishedState::Assignments(held)));
+            .push(Output::Publish(PublishedState::Assignments(owned)));
     }
 
     fn sync_partitions(&mut self, now: Duration) {
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -1,6 +1,6 @@
 //! Requests that are served cached responses: from the near cache, or by the cache owner.
 //!
-//! Of all requests here that miss the same key one asks the owner; the others
+//! Of all requests here that miss the same key one is sent to the owner; the others
 //! follow it (`Coalescer`). What it gets is stored (`NearCache`) and serves them
 //! all. An owner that does not respond is bypassed.
 use super::{EdgeNode, PURGE_GRACE};
@@ -28,7 +28,7 @@
 
 impl EdgeNode {
     /// The near response that this request is served at once, if there is one: a
-    /// fresh one, or any while another request asks the owner for it.
+    /// fresh one, or any while another request is at the owner.
     pub(super) fn near_cache_response(
         &mut self,
         now: Duration,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The request asks the owner for its group from now on.
+    /// The request leads its group from now on.
     fn lead_group(&mut self, now: Duration, id: u64) {
         let stage = Stage::AwaitingCachedResponse {
             since: now,
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -312,7 +312,7 @@
     }
 }
 
-/// What the admission controller is told of a call's outcome.
+/// A call's outcome as it is reported to the admission controller.
 fn call_result(outcome: &CallOutcome) -> CallResult {
     match outcome {
         CallOutcome::Success(_) => CallResult::Success,
--- a/data-plane/src/edge_node/deadlines.rs
+++ b/data-plane/src/edge_node/deadlines.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The ledger is told later.
+    /// The ledger is notified later.
     fn finish_unrecorded(&mut self, now: Duration, id: u64, rejection: Rejection) {
         let change = self.active_requests[&id].ledger_change();
         self.send_until_confirmed(now, change.expect("it is being recorded"));
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -22,7 +22,7 @@
         self.stop_if_abandoned(now, id);
     }
 
-    /// Whether nobody gains any more by what this request waits for.
+    /// Whether no client or peer gains any more by what this request waits for.
     pub(super) fn is_abandoned(&self, id: u64) -> bool {
         let Some(active) = self
             .active_requests
@@ -36,7 +36,7 @@
         active.cache.fill_grant.is_none() && !active.cache.key.is_some_and(is_followed)
     }
 
-    /// Ends what the request waits for, if nobody gains by it.
+    /// Ends what the request waits for, if none gains by it.
     pub(super) fn stop_if_abandoned(&mut self, now: Duration, id: u64) {
         if !self.is_abandoned(id) {
             return;
@@ -57,12 +57,12 @@
             }
             // A claim in flight is released once it is known to be held.
             Stage::AwaitingClaim => {}
-            // The ledger must be told the outcome.
+            // The ledger must be notified of the outcome.
             Stage::Recording { .. } | Stage::Releasing { .. } => {}
         }
     }
 
-    /// Ends a request that nobody waits for; a claim is released first. The
+    /// Ends an abandoned request; a claim is released first. The
     /// response is for a client that only shut down its writing side.
     pub(super) fn finish_abandoned(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
@@ -133,7 +133,7 @@
         self.report_abandoned_work(violations);
     }
 
-    /// Looks for calls that go on for too long for nobody.
+    /// Looks for abandoned calls that go on for too long.
     pub(super) fn check_abandoned_work(&mut self, now: Duration) {
         let active_requests = &self.active_requests;
         let violations = self
--- a/data-plane/src/edge_node/handover.rs
+++ b/data-plane/src/edge_node/handover.rs
@@ -9,7 +9,7 @@
     requests: u32,
 }
 
-/// A previous owner is asked so often for its responses, a tick apart.
+/// The limit of requests to a previous owner, a tick apart.
 const MAX_HANDOVER_REQUESTS: u32 = 4;
 
 impl EdgeNode {
--- a/data-plane/src/edge_node/ledger_changes.rs
+++ b/data-plane/src/edge_node/ledger_changes.rs
@@ -1,4 +1,4 @@
-//! Changes that keyed requests ask of the ledger.
+//! Changes of keyed requests in the ledger.
 use super::{EdgeNode, MAX_COMPLETED_OPERATIONS, RESEND_INTERVAL};
 use crate::prelude::*;
 
@@ -17,7 +17,7 @@
 }
 
 impl EdgeNode {
-    /// Asks the ledger, first through the control node that responded last, then
+    /// Sends the ledger a change, first through the control node that responded last, then
     /// through the others in turn.
     pub(super) fn send_change(&mut self, exchange: u64, sends: usize, change: Change) {
         let partition = match &change {
@@ -97,7 +97,8 @@
         };
         let active = &self.active_requests[&id];
         match &active.stage {
-            // The control node is partitioned: the next one is asked at once, each once.
+            // The control node is partitioned: the change is sent to the next one at once,
+            // once to each.
             Stage::AwaitingClaim | Stage::Recording { .. } | Stage::Releasing { .. }
                 if matches!(outcome, ChangeOutcome::NoMajority)
                     && active.exchange.sends < self.control_nodes.len() =>
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -76,7 +76,7 @@
 
 /// When a message without a response is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// A request whose deadline has passed gets this much more to tell the ledger.
+/// A request whose deadline has passed gets this much more to notify the ledger.
 const RECORDING_GRACE: Duration = Duration::from_secs(1);
 /// An edge that shuts down waits this long for its assignments to be taken over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -59,8 +59,8 @@
         self.unconfirmed_changes.is_empty() && !self.active_requests.values().any(is_unrecorded)
     }
 
-    /// A control node has an update that this edge lacks: it is asked alone, the
-    /// others are told once the update is applied.
+    /// A control node has an update that this edge lacks: only it is sent a renewal;
+    /// the others are notified once the update is applied.
     pub(super) fn handle_update_notice(
         &mut self,
         now: Duration,
--- a/data-plane/src/edge_node/stage_messages.rs
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Asks the cache owner; without one, the request fetches for itself.
+    /// Requests the response from the cache owner; without one, the request fetches for itself.
     fn send_cache_get(&mut self, now: Duration, id: u64, accepts_any_age: bool) {
         let active = &self.active_requests[&id];
         let key = active.cache.key.expect("cached");
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Asks the admission controller; without one, the request is called within
+    /// Requests a permit from the admission controller; without one, the request is called within
     /// the fallback quota.
     fn send_permit_request(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -34,7 +34,7 @@
             _ => self.apply_rows(rows),
         }
         self.state.version_vector[index] = version;
-        // The assignments held here depend on these three partitions.
+        // The assignments owned here depend on these three partitions.
         let affects_assignments = [
             CONFIGURATION_PARTITION,
             ORIGINS_PARTITION,
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -19,7 +19,7 @@
     pub body: Arc<Vec<u8>>,
     /// The key under which it runs once, in whatever header it was sent.
     pub operation_key: Option<String>,
-    /// How long the client waits, if it said so.
+    /// How long the client waits, if it sent a timeout.
     pub timeout: Option<Duration>,
     /// The client's own id of the request, if it has one.
     pub request_id: Option<String>,
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -26,8 +26,8 @@
     }
 }
 
-fn token(out: &[(SocketAddr, Message)]) -> Option<FillToken> {
-    out.iter().find_map(|(_, message)| match message {
+fn token(outputs: &[(SocketAddr, Message)]) -> Option<FillToken> {
+    outputs.iter().find_map(|(_, message)| match message {
         Message::CacheMiss(miss) => Some(miss.token),
         _ => None,
     })
@@ -56,8 +56,9 @@
     assert_ne!(next.serial, current.serial);
 }
 
-fn copies(out: &[(SocketAddr, Message)]) -> usize {
-    out.iter()
+fn copies(outputs: &[(SocketAddr, Message)]) -> usize {
+    outputs
+        .iter()
         .filter(|(_, message)| matches!(message, Message::CacheCopy(_)))
         .count()
 }
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -72,13 +72,13 @@
         Just(RequestKind::Keyed),
         Just(RequestKind::Cached)
     ];
-    let end = prop_oneof![
+    let ending = prop_oneof![
         Just(CallEnding::Success),
         Just(CallEnding::Failure),
         Just(CallEnding::NotExecuted),
         Just(CallEnding::Lost)
     ];
-    let word = prop_oneof![
+    let ledger_reply = prop_oneof![
         3 => Just(LedgerReply::Claimed),
         1 => Just(LedgerReply::Running),
         1 => Just(LedgerReply::Released),
@@ -90,8 +90,8 @@
         3 => (0usize..12).prop_map(Step::Disconnects),
         4 => (0usize..4).prop_map(Step::Permit),
         1 => (0usize..4).prop_map(Step::Refused),
-        3 => (0usize..4, end).prop_map(|(at, end)| Step::Called(at, end)),
-        3 => (0usize..4, word).prop_map(|(at, word)| Step::Ledger(at, word)),
+        3 => (0usize..4, ending).prop_map(|(at, ending)| Step::Called(at, ending)),
+        3 => (0usize..4, ledger_reply).prop_map(|(at, ledger_reply)| Step::Ledger(at, ledger_reply)),
         3 => (0usize..4, owner_reply).prop_map(|(at, owner_reply)| Step::Owner(at, owner_reply)),
         3 => prop_oneof![Just(50u64), Just(250), Just(CANCELLATION_BOUND_MS), Just(1_300)].prop_map(Step::Wait),
     ]
@@ -245,8 +245,8 @@
         deliver(&mut self.edge, self.now, OWNER, message)
     }
 
-    fn check_outputs(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
-        for output in out {
+    fn check_outputs(&mut self, outputs: Vec<Output>) -> Result<(), TestCaseError> {
+        for output in outputs {
             match output {
                 Output::Send { message, .. } => match message {
                     Message::PermitRequest(request_message) => {
@@ -373,7 +373,7 @@
     }
 }
 
-fn withdrawn(out: &[Output]) -> Vec<u64> {
+fn withdrawn(outputs: &[Output]) -> Vec<u64> {
     let found = |output: &Output| match output {
         Output::Send { message, .. } => match message {
             Message::PermitWithdrawn(withdrawn) => Some(withdrawn.id),
@@ -382,7 +382,7 @@
         },
         _ => None,
     };
-    out.iter().filter_map(found).collect()
+    outputs.iter().filter_map(found).collect()
 }
 
 fn begin(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
@@ -398,16 +398,16 @@
 
 /// Grants the request a permit; the id of its call.
 fn start_call(edge: &mut EdgeNode, started: &[Output]) -> u64 {
-    let out = deliver(
+    let outputs = deliver(
         edge,
         1010,
         ADMISSION,
         permit(last_exchange(started), origin(50), 1005),
     );
-    last_exchange(&out)
+    last_exchange(&outputs)
 }
 
-fn call_results(out: &[Output]) -> Vec<CallResult> {
+fn call_results(outputs: &[Output]) -> Vec<CallResult> {
     let found = |output: &Output| match output {
         Output::Send {
             message: Message::CallDone(done),
@@ -415,32 +415,32 @@
         } => Some(done.result),
         _ => None,
     };
-    out.iter().filter_map(found).collect()
+    outputs.iter().filter_map(found).collect()
 }
 
-fn cancelled(out: &[Output]) -> Vec<u64> {
+fn cancelled(outputs: &[Output]) -> Vec<u64> {
     let found = |output: &Output| match output {
         Output::CancelCall { id } => Some(*id),
         _ => None,
     };
-    out.iter().filter_map(found).collect()
+    outputs.iter().filter_map(found).collect()
 }
 
 #[test]
 fn disconnect_withdraws_permit_request_and_returns_permit() {
     let mut edge = ready_edge();
     let requested = last_exchange(&begin(&mut edge, 1, "/low", "GET"));
-    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert_eq!(withdrawn(&out), [requested]);
+    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    assert_eq!(withdrawn(&outputs), [requested]);
     let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(out), [disconnected]);
-    let out = deliver(
+    assert_eq!(rejections_in(outputs), [disconnected]);
+    let outputs = deliver(
         &mut edge,
         1301,
         ADMISSION,
         permit(requested, origin(50), 1299),
     );
-    assert_eq!(call_results(&out), [CallResult::Unused]);
+    assert_eq!(call_results(&outputs), [CallResult::Unused]);
 }
 
 #[test]
@@ -448,12 +448,12 @@
     let mut edge = ready_edge();
     let started = begin(&mut edge, 1, "/low", "GET");
     let call = start_call(&mut edge, &started);
-    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert_eq!(cancelled(&out), [call]);
-    assert_eq!(call_results(&out), [CallResult::Cancelled]);
+    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    assert_eq!(cancelled(&outputs), [call]);
+    assert_eq!(call_results(&outputs), [CallResult::Cancelled]);
     // It may have been executed: a client that still reads is told so.
     let disconnected = (1, 503, "caller_left".to_string(), RunState::Unknown);
-    assert_eq!(rejections_in(out), [disconnected]);
+    assert_eq!(rejections_in(outputs), [disconnected]);
     let repeated = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
     assert!(repeated.is_empty(), "{repeated:?}");
 }
@@ -465,11 +465,14 @@
     let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
     let claimed = ledger_responds(&mut edge, 1005, claim, ChangeOutcome::Claimed);
     let call = start_call(&mut edge, &claimed);
-    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert!(cancelled(&out).is_empty() && rejections_in(out).is_empty());
+    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    assert!(cancelled(&outputs).is_empty() && rejections_in(outputs).is_empty());
     let result = CallOutcome::Success(reply(200));
-    let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
-    assert!(matches!(changes_in(&out)[..], [Change::Record(_, Some(_))]));
+    let outputs = edge.handle(at(1400), Input::CallCompleted { id: call, result });
+    assert!(matches!(
+        changes_in(&outputs)[..],
+        [Change::Record(_, Some(_))]
+    ));
 }
 
 /// Nothing was sent under its claim: the next request may run the operation at once.
@@ -478,28 +481,28 @@
     for claimed_before in [false, true] {
         let mut edge = ready_edge();
         let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         if !claimed_before {
-            out.extend(edge.handle(at(1002), Input::ClientDisconnected { id: 1 }));
+            outputs.extend(edge.handle(at(1002), Input::ClientDisconnected { id: 1 }));
         }
-        out.extend(ledger_responds(
+        outputs.extend(ledger_responds(
             &mut edge,
             1005,
             claim,
             ChangeOutcome::Claimed,
         ));
         if claimed_before {
-            out.extend(edge.handle(at(1010), Input::ClientDisconnected { id: 1 }));
+            outputs.extend(edge.handle(at(1010), Input::ClientDisconnected { id: 1 }));
         }
         let released = |change: &Change| matches!(change, Change::Release(_));
         assert_eq!(
-            changes_in(&out)
+            changes_in(&outputs)
                 .iter()
                 .filter(|found| released(found))
                 .count(),
             1
         );
-        assert!(changes_in(&out).last().is_some_and(released));
+        assert!(changes_in(&outputs).last().is_some_and(released));
     }
 }
 
@@ -510,19 +513,19 @@
     let mut edge = ready_edge();
     let started = begin(&mut edge, 1, "/once", "POST");
     let call = start_call(&mut edge, &started);
-    let out = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
-    assert!(cancelled(&out).is_empty() && rejections_in(out).is_empty());
+    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    assert!(cancelled(&outputs).is_empty() && rejections_in(outputs).is_empty());
     let result = CallOutcome::NotExecuted;
-    let out = edge.handle(at(1400), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(at(1400), Input::CallCompleted { id: call, result });
     let requests_permit = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
         };
         matches!(message, Message::PermitRequest(_))
     };
-    assert!(!out.iter().any(requests_permit));
+    assert!(!outputs.iter().any(requests_permit));
     let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(out), [disconnected]);
+    assert_eq!(rejections_in(outputs), [disconnected]);
 }
 
 /// A leader whose client has disconnected continues for its followers only.
@@ -534,12 +537,18 @@
         begin(&mut edge, id, "/copy", "GET");
     }
     for (id, ms) in [(1, 1100), (3, 1110)] {
-        let out = edge.handle(at(ms), Input::ClientDisconnected { id });
-        assert!(withdrawn(&out).is_empty(), "request 2 waits for the copy");
+        let outputs = edge.handle(at(ms), Input::ClientDisconnected { id });
+        assert!(
+            withdrawn(&outputs).is_empty(),
+            "request 2 waits for the copy"
+        );
     }
-    let out = edge.handle(at(1120), Input::ClientDisconnected { id: 2 });
-    assert_eq!(withdrawn(&out), [get]);
-    let mut ended: Vec<u64> = rejections_in(out).into_iter().map(|(id, ..)| id).collect();
+    let outputs = edge.handle(at(1120), Input::ClientDisconnected { id: 2 });
+    assert_eq!(withdrawn(&outputs), [get]);
+    let mut ended: Vec<u64> = rejections_in(outputs)
+        .into_iter()
+        .map(|(id, ..)| id)
+        .collect();
     ended.sort_unstable();
     assert_eq!(ended, [1, 2]);
 }
@@ -555,7 +564,7 @@
         purge_version: 0,
     };
     let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1005,
         OWNER,
@@ -565,25 +574,25 @@
             token,
         },
     );
-    let requested = last_exchange(&out);
-    let out = edge.handle(at(1050), Input::ClientDisconnected { id: 1 });
-    assert!(withdrawn(&out).is_empty());
-    let out = deliver(
+    let requested = last_exchange(&outputs);
+    let outputs = edge.handle(at(1050), Input::ClientDisconnected { id: 1 });
+    assert!(withdrawn(&outputs).is_empty());
+    let outputs = deliver(
         &mut edge,
         1060,
         ADMISSION,
         permit(requested, origin(50), 1059),
     );
-    let call = last_exchange(&out);
+    let call = last_exchange(&outputs);
     let result = CallOutcome::Success(reply(200));
-    let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(at(1100), Input::CallCompleted { id: call, result });
     let puts = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
         };
         matches!(message, Message::CachePut(_))
     };
-    assert!(out.iter().any(puts));
+    assert!(outputs.iter().any(puts));
 }
 
 /// A request that bypasses an unresponsive owner withdraws its message, so that no
@@ -755,10 +764,10 @@
     let call = start_call(&mut edge, &started);
     edge.handle(at(1015), Input::ClientDisconnected { id: 2 });
     let result = CallOutcome::NotSent;
-    let out = edge.handle(at(1020), Input::CallCompleted { id: call, result });
-    assert_eq!(call_results(&out), [CallResult::Unused]);
+    let outputs = edge.handle(at(1020), Input::CallCompleted { id: call, result });
+    assert_eq!(call_results(&outputs), [CallResult::Unused]);
     let disconnected = (2, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(out), [disconnected]);
+    assert_eq!(rejections_in(outputs), [disconnected]);
 }
 
 /// The operation runs elsewhere, and no client waits for its outcome.
@@ -771,12 +780,12 @@
         same: true,
         state: OperationState::Running,
     };
-    let mut out = ledger_responds(&mut edge, 1005, claim, running);
+    let mut outputs = ledger_responds(&mut edge, 1005, claim, running);
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        out.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(at(now), Input::Tick));
     }
     let claims = |change: &Change| matches!(change, Change::Claim(_));
-    assert!(!changes_in(&out).iter().any(claims));
-    assert_eq!(rejections_in(out).len(), 1);
+    assert!(!changes_in(&outputs).iter().any(claims));
+    assert_eq!(rejections_in(outputs).len(), 1);
 }
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -47,12 +47,12 @@
         1 << 20,
     );
     edge.handle(at(now), Input::Tick);
-    for seed in [1, 2] {
+    for control_node in [1, 2] {
         let renewed = renew_reply(incarnation, now, SharedUpdates::default());
         edge.handle(
             at(now),
             Input::MessageReceived {
-                from: Peer::new(address(seed), 1),
+                from: Peer::new(address(control_node), 1),
                 message: renewed.into(),
             },
         );
@@ -62,9 +62,9 @@
 
 /// Renewals with two control nodes, so that an edge of incarnation 5 stays live.
 pub fn renew(edge: &mut EdgeNode, now: u64) {
-    for seed in [1, 2] {
+    for control_node in [1, 2] {
         let renewed = renew_reply(5, now, SharedUpdates::default());
-        deliver(edge, now, seed, renewed);
+        deliver(edge, now, control_node, renewed);
     }
 }
 
@@ -87,8 +87,8 @@
 }
 
 pub fn client_request(url: &str, method: &str) -> ClientRequest {
-    let image = table();
-    let entry = image.find("h", url, method).unwrap();
+    let routes = table();
+    let entry = routes.find("h", url, method).unwrap();
     let headers = vec![("operation-key".to_string(), "key".to_string())];
     ClientRequest {
         method: method.into(),
@@ -100,13 +100,13 @@
         operation: Some("key".into()),
         timeout: None,
         request_id: None,
-        service: image.document.entries[entry].group.clone(),
-        routes: image,
+        service: routes.document.entries[entry].group.clone(),
+        routes,
         entry,
     }
 }
 
-pub fn rejections_in(out: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
+pub fn rejections_in(outputs: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
     let one = |output| match output {
         Output::ClientResponse {
             id,
@@ -114,11 +114,11 @@
         } => Some((id, refusal.status, refusal.code, refusal.outcome)),
         _ => None,
     };
-    out.into_iter().filter_map(one).collect()
+    outputs.into_iter().filter_map(one).collect()
 }
 
 /// The changes that the edge asks of the ledger.
-pub fn changes_in(out: &[Output]) -> Vec<Change> {
+pub fn changes_in(outputs: &[Output]) -> Vec<Change> {
     let one = |output: &Output| match output {
         Output::Send {
             message: Message::ChangeRequest(request_message),
@@ -126,11 +126,11 @@
         } => Some(request_message.change.clone()),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    outputs.iter().filter_map(one).collect()
 }
 
 /// The id of the last message or call among the outputs that awaits a response.
-pub fn last_exchange(out: &[Output]) -> u64 {
+pub fn last_exchange(outputs: &[Output]) -> u64 {
     let one = |output: &Output| match output {
         Output::Send { message, .. } => match message {
             Message::ChangeRequest(request_message) => Some(request_message.id),
@@ -141,7 +141,7 @@
         Output::Call { id, .. } => Some(*id),
         _ => None,
     };
-    out.iter().rev().find_map(one).expect("an exchange")
+    outputs.iter().rev().find_map(one).expect("an exchange")
 }
 
 pub fn ledger_responds(
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -66,14 +66,15 @@
 fn update_notice_renews_only_with_its_sender() {
     let mut edge = live(1000);
     let renewed_with = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
-        let out = edge.handle(
+        let outputs = edge.handle(
             at(1010),
             Input::MessageReceived {
                 from: Peer::new(address(seed), 1),
                 message,
             },
         );
-        out.iter()
+        outputs
+            .iter()
             .filter_map(|one| match one {
                 Output::Send {
                     to,
@@ -151,21 +152,32 @@
 fn keyed_rejection_awaits_release_of_its_claim() {
     let mut edge = live(1000);
     updates(&mut edge, 1000, &[], false);
-    let out = submit(&mut edge, 1000, 1, "/k", "POST");
-    assert!(matches!(changes_in(&out).as_slice(), [Change::Claim(_)]));
-    let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
+    let outputs = submit(&mut edge, 1000, 1, "/k", "POST");
+    assert!(matches!(
+        changes_in(&outputs).as_slice(),
+        [Change::Claim(_)]
+    ));
+    let outputs = ledger_responds(
+        &mut edge,
+        1010,
+        last_exchange(&outputs),
+        ChangeOutcome::Claimed,
+    );
     let refused = PermitRefused {
-        id: last_exchange(&out),
+        id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
         back: at(2000),
     };
-    let out = deliver(&mut edge, 1020, 8, refused);
-    assert!(matches!(changes_in(&out).as_slice(), [Change::Release(_)]));
-    let release = last_exchange(&out);
-    assert!(rejections_in(out).is_empty());
-    let out = ledger_responds(&mut edge, 1030, release, ChangeOutcome::Released);
+    let outputs = deliver(&mut edge, 1020, 8, refused);
+    assert!(matches!(
+        changes_in(&outputs).as_slice(),
+        [Change::Release(_)]
+    ));
+    let release = last_exchange(&outputs);
+    assert!(rejections_in(outputs).is_empty());
+    let outputs = ledger_responds(&mut edge, 1030, release, ChangeOutcome::Released);
     assert_eq!(
-        rejections_in(out),
+        rejections_in(outputs),
         [(1, 429, "over_capacity".to_string(), RunState::NotRun)]
     );
 }
@@ -175,12 +187,18 @@
     let mut edge = live(1000);
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let out = submit(&mut edge, 1000, 1, "/k", "POST");
-    let out = ledger_responds(&mut edge, 1010, last_exchange(&out), ChangeOutcome::Claimed);
-    let exchange = last_exchange(&out);
+    let outputs = submit(&mut edge, 1000, 1, "/k", "POST");
+    let outputs = ledger_responds(
+        &mut edge,
+        1010,
+        last_exchange(&outputs),
+        ChangeOutcome::Claimed,
+    );
+    let exchange = last_exchange(&outputs);
     let permitted = |edge: &mut EdgeNode, permit: Permit| deliver(edge, 1300, ADMISSION, permit);
-    let has_call = |out: &[Output]| {
-        out.iter()
+    let has_call = |outputs: &[Output]| {
+        outputs
+            .iter()
             .any(|output| matches!(output, Output::Call { .. }))
     };
     assert!(
@@ -198,24 +216,24 @@
         !has_call(&permitted(&mut edge, permit(exchange, replaced, 1290))),
         "nor is an origin called that is not listed so (any more)"
     );
-    let out = permitted(&mut edge, permit(exchange, listed, 1290));
-    assert!(has_call(&out));
-    let out = edge.handle(
+    let outputs = permitted(&mut edge, permit(exchange, listed, 1290));
+    assert!(has_call(&outputs));
+    let outputs = edge.handle(
         at(1400),
         Input::CallCompleted {
-            id: last_exchange(&out),
+            id: last_exchange(&outputs),
             result: CallOutcome::Failure("cut off".into()),
         },
     );
     assert!(matches!(
-        changes_in(&out).as_slice(),
+        changes_in(&outputs).as_slice(),
         [Change::Record(_, None)]
     ));
-    let record = last_exchange(&out);
-    assert!(rejections_in(out).is_empty());
-    let out = ledger_responds(&mut edge, 1410, record, ChangeOutcome::Recorded);
+    let record = last_exchange(&outputs);
+    assert!(rejections_in(outputs).is_empty());
+    let outputs = ledger_responds(&mut edge, 1410, record, ChangeOutcome::Recorded);
     assert_eq!(
-        rejections_in(out),
+        rejections_in(outputs),
         [(1, 502, "bad_origin_answer".to_string(), RunState::Unknown)]
     );
 }
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -22,6 +22,9 @@
 /// Larger messages queue behind small ones, as on a node's own links.
 const URGENT_BYTES: usize = 4096;
 
+/// The size of a reply of a control node or the admission controller.
+const REPLY_BYTES: usize = 200;
+
 fn edge_address(at: usize) -> SocketAddr {
     address(1000 + at as u16)
 }
@@ -35,9 +38,9 @@
     Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
-fn client_request(image: &Arc<RouteTable>, key: u64) -> ClientRequest {
+fn client_request(routes: &Arc<RouteTable>, key: u64) -> ClientRequest {
     let url = format!("/{key}");
-    let entry = image.find("h", &url, "GET").unwrap();
+    let entry = routes.find("h", &url, "GET").unwrap();
     ClientRequest {
         method: "GET".into(),
         host: "h".into(),
@@ -48,8 +51,8 @@
         operation: None,
         timeout: Some(at(TIMEOUT_MS)),
         request_id: None,
-        service: image.document.entries[entry].group.clone(),
-        routes: image.clone(),
+        service: routes.document.entries[entry].group.clone(),
+        routes: routes.clone(),
         entry,
     }
 }
@@ -90,6 +93,10 @@
     links: Vec<EdgeLink>,
     queue: BTreeMap<(u64, u64), SimulatedEvent>,
     serial: u64,
+    /// The state of the random number generator.
+    random: u64,
+    routes: Arc<RouteTable>,
+    last_id: u64,
     started_at: BTreeMap<u64, u64>,
     on_time: u64,
     requested: u64,
@@ -126,37 +133,23 @@
         match message {
             Message::RenewRequest(renew) => {
                 let reply = RenewReply {
-                    incarnation: edge as u64 + 1,
-                    renewal_token: RenewalToken::default(),
                     sent: renew.sent,
-                    generation: 0,
-                    recall_requested: false,
-                    updates: SharedUpdates::default(),
+                    ..renew_reply(edge as u64 + 1, 0, SharedUpdates::default())
                 };
-                let arrives_at =
-                    self.links[edge].carry(sent_at as f64, 200) as u64 + NETWORK_DELAY_MS;
-                self.push(
-                    arrives_at,
-                    SimulatedEvent::Delivered(edge, Peer::new(to, 1), Box::new(reply.into())),
-                );
+                self.reply(sent_at, edge, to, reply.into());
             }
-            Message::PermitRequest(request_message) => {
+            Message::PermitRequest(request) => {
                 let permit = Permit {
-                    id: request_message.id,
-                    service: request_message.service,
+                    id: request.id,
+                    service: request.service,
                     epoch: 1,
-                    serial: request_message.id,
+                    serial: request.id,
                     origin: origin(50),
-                    sent: request_message.sent,
+                    sent: request.sent,
                     held: at(0),
                     takes: at(ORIGIN_MS),
                 };
-                let arrives_at =
-                    self.links[edge].carry(sent_at as f64, 200) as u64 + NETWORK_DELAY_MS;
-                self.push(
-                    arrives_at,
-                    SimulatedEvent::Delivered(edge, Peer::new(to, 1), Box::new(permit.into())),
-                );
+                self.reply(sent_at, edge, to, permit.into());
             }
             message => {
                 let Some(receiver) = (0..EDGES).find(|at| edge_address(*at) == to) else {
@@ -166,16 +159,21 @@
                     true => now,
                     false => self.links[receiver].carry(sent_at as f64, bytes) as u64,
                 };
-                self.push(
-                    arrives_at,
-                    SimulatedEvent::Delivered(receiver, from, Box::new(message)),
-                );
+                let delivery = SimulatedEvent::Delivered(receiver, from, Box::new(message));
+                self.push(arrives_at, delivery);
             }
         }
     }
 
-    fn handle_outputs(&mut self, now: u64, edge: usize, out: Vec<Output>) {
-        for output in out {
+    /// A control node or the admission controller replies at once.
+    fn reply(&mut self, now: u64, edge: usize, from: SocketAddr, message: Message) {
+        let arrives_at = self.links[edge].carry(now as f64, REPLY_BYTES) as u64 + NETWORK_DELAY_MS;
+        let delivery = SimulatedEvent::Delivered(edge, Peer::new(from, 1), Box::new(message));
+        self.push(arrives_at, delivery);
+    }
+
+    fn handle_outputs(&mut self, now: u64, edge: usize, outputs: Vec<Output>) {
+        for output in outputs {
             match output {
                 Output::Send { to, message } => self.send(now, edge, to, message),
                 Output::ClientResponse {
@@ -236,80 +234,99 @@
         )
     }
 
-    fn run(seed: u64) -> Fleet {
+    fn new(seed: u64) -> Fleet {
         let edge = |index: usize| {
-            let me = Peer::new(edge_address(index), index as u64 + 1);
-            let seeds = vec![address(1), address(2), address(3)];
-            EdgeNode::new(me, Locality::default(), seeds, false, 1 << 24)
+            let peer = Peer::new(edge_address(index), index as u64 + 1);
+            let control_nodes = vec![address(1), address(2), address(3)];
+            EdgeNode::new(peer, Locality::default(), control_nodes, false, 1 << 24)
         };
-        let mut fleet = Fleet {
+        Fleet {
             edges: (0..EDGES).map(edge).collect(),
             links: vec![EdgeLink::default(); EDGES],
             queue: BTreeMap::new(),
             serial: 0,
+            random: seed,
+            routes: route_table(),
+            last_id: 0,
             started_at: BTreeMap::new(),
             on_time: 0,
             requested: 0,
             fencings: 0,
             owner_bytes: 0,
-        };
-        let mut random = seed;
-        let mut below = move |most: u64| {
-            random = random.wrapping_mul(6364136223846793005).wrapping_add(1);
-            (random >> 33) % most
-        };
+        }
+    }
+
+    /// A pseudo-random number below `limit`.
+    fn below(&mut self, limit: u64) -> u64 {
+        self.random = self
+            .random
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1);
+        (self.random >> 33) % limit
+    }
+
+    /// Leases, updates and first events of all edges.
+    fn start(&mut self) {
         for index in 0..EDGES {
-            for seed in [1, 2] {
+            for control_node in [1, 2] {
                 let message = Box::new(Fleet::updates(index as u64 + 1).into());
-                let delivery =
-                    SimulatedEvent::Delivered(index, Peer::new(address(seed), 1), message);
-                fleet.push(0, delivery);
+                let from = Peer::new(address(control_node), 1);
+                self.push(0, SimulatedEvent::Delivered(index, from, message));
             }
-            fleet.push(below(50), SimulatedEvent::Tick(index));
-            fleet.push(100 + below(50), SimulatedEvent::Request(index));
+            let tick_at = self.below(50);
+            self.push(tick_at, SimulatedEvent::Tick(index));
+            let request_at = 100 + self.below(50);
+            self.push(request_at, SimulatedEvent::Request(index));
         }
-        let image = route_table();
-        let mut next = 0;
+    }
+
+    fn run(seed: u64) -> Fleet {
+        let mut fleet = Fleet::new(seed);
+        fleet.start();
         while let Some(((now, _), event)) = fleet.queue.pop_first() {
             if now > DURATION_MS {
                 break;
             }
-            let (index, input) = match event {
-                SimulatedEvent::Tick(index) => {
-                    fleet.push(now + 50, SimulatedEvent::Tick(index));
-                    (index, Input::Tick)
-                }
-                SimulatedEvent::Request(index) => {
-                    let mean_interval = 2000 / REQUESTS_S;
-                    fleet.push(
-                        now + 1 + below(mean_interval),
-                        SimulatedEvent::Request(index),
-                    );
-                    next += 1;
-                    fleet.started_at.insert(next, now);
-                    fleet.requested += u64::from(COUNTED_MS.contains(&now));
-                    let request = client_request(&image, below(KEYS));
-                    (index, Input::ClientRequest { id: next, request })
-                }
-                SimulatedEvent::Delivered(index, from, message) => {
-                    let message = *message;
-                    (index, Input::MessageReceived { from, message })
-                }
-                SimulatedEvent::CallEnded(index, id) => {
-                    let reply = Reply {
-                        status: 200,
-                        body: Arc::new(vec![1; OBJECT_BYTES]),
-                        ..Reply::default()
-                    };
-                    let result = CallOutcome::Success(reply);
-                    (index, Input::CallCompleted { id, result })
-                }
-            };
-            let out = fleet.edges[index].handle(at(now), input);
-            fleet.handle_outputs(now, index, out);
+            let (index, input) = fleet.input(now, event);
+            let outputs = fleet.edges[index].handle(at(now), input);
+            fleet.handle_outputs(now, index, outputs);
         }
         fleet
     }
+
+    /// The edge that an event concerns, and its input.
+    fn input(&mut self, now: u64, event: SimulatedEvent) -> (usize, Input) {
+        match event {
+            SimulatedEvent::Tick(index) => {
+                self.push(now + 50, SimulatedEvent::Tick(index));
+                (index, Input::Tick)
+            }
+            SimulatedEvent::Request(index) => {
+                let next_at = now + 1 + self.below(2000 / REQUESTS_S);
+                self.push(next_at, SimulatedEvent::Request(index));
+                self.last_id += 1;
+                let id = self.last_id;
+                self.started_at.insert(id, now);
+                self.requested += u64::from(COUNTED_MS.contains(&now));
+                let key = self.below(KEYS);
+                let request = client_request(&self.routes, key);
+                (index, Input::ClientRequest { id, request })
+            }
+            SimulatedEvent::Delivered(index, from, message) => {
+                let message = *message;
+                (index, Input::MessageReceived { from, message })
+            }
+            SimulatedEvent::CallEnded(index, id) => {
+                let reply = Reply {
+                    status: 200,
+                    body: Arc::new(vec![1; OBJECT_BYTES]),
+                    ..Reply::default()
+                };
+                let result = CallOutcome::Success(reply);
+                (index, Input::CallCompleted { id, result })
+            }
+        }
+    }
 }
 
 /// Regression: without the near cache, and with one more response for each resend,
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn gets(out: &[Output]) -> Vec<u64> {
+fn gets(outputs: &[Output]) -> Vec<u64> {
     let one = |output: &Output| match output {
         Output::Send {
             message: Message::CacheGet(get),
@@ -51,10 +51,10 @@
         } => Some(get.id),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    outputs.iter().filter_map(one).collect()
 }
 
-fn permit_requests(out: &[Output]) -> usize {
+fn permit_requests(outputs: &[Output]) -> usize {
     let one = |output: &&Output| {
         matches!(
             output,
@@ -64,11 +64,11 @@
             }
         )
     };
-    out.iter().filter(one).count()
+    outputs.iter().filter(one).count()
 }
 
 /// The requests that the outputs respond to, with the bodies.
-fn served(out: &[Output]) -> BTreeMap<u64, String> {
+fn served(outputs: &[Output]) -> BTreeMap<u64, String> {
     let one = |output: &Output| match output {
         Output::ClientResponse {
             id,
@@ -76,17 +76,17 @@
         } => Some((*id, String::from_utf8_lossy(&reply.body).into_owned())),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    outputs.iter().filter_map(one).collect()
 }
 
 /// Ticks every 50 ms with renewals; all outputs.
 fn run(edge: &mut EdgeNode, from: u64, to: u64) -> Vec<Output> {
-    let mut out = Vec::new();
+    let mut outputs = Vec::new();
     for now in (from..=to).step_by(50) {
         renew(edge, now);
-        out.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(at(now), Input::Tick));
     }
-    out
+    outputs
 }
 
 fn ready() -> EdgeNode {
@@ -111,11 +111,11 @@
         requested.extend(gets(&begin(&mut edge, 1000, id)));
     }
     assert_eq!(requested.len(), 1);
-    let out = deliver(&mut edge, 1020, OWNER, copy(requested[0], "a", 0));
-    assert_eq!(served(&out).len(), 100);
-    let out = begin(&mut edge, 1030, 200);
-    assert!(gets(&out).is_empty());
-    assert_eq!(served(&out)[&200], "a", "from the near copy");
+    let outputs = deliver(&mut edge, 1020, OWNER, copy(requested[0], "a", 0));
+    assert_eq!(served(&outputs).len(), 100);
+    let outputs = begin(&mut edge, 1030, 200);
+    assert!(gets(&outputs).is_empty());
+    assert_eq!(served(&outputs)[&200], "a", "from the near copy");
 }
 
 #[test]
@@ -124,9 +124,9 @@
     run(&mut edge, 1000, 3000);
     assert_eq!(gets(&begin(&mut edge, 3000, 2)).len(), 1);
     for id in 3..20 {
-        let out = begin(&mut edge, 3001, id);
-        assert!(gets(&out).is_empty());
-        assert_eq!(served(&out)[&id], "a");
+        let outputs = begin(&mut edge, 3001, id);
+        assert!(gets(&outputs).is_empty());
+        assert_eq!(served(&outputs)[&id], "a");
     }
 }
 
@@ -134,12 +134,12 @@
 fn response_is_not_served_past_its_ttl() {
     let mut edge = filled();
     run(&mut edge, 1000, 1000 + TTL_MS);
-    let out = begin(&mut edge, 1000 + TTL_MS, 2);
-    assert!(served(&out).is_empty());
-    assert_eq!(gets(&out).len(), 1);
+    let outputs = begin(&mut edge, 1000 + TTL_MS, 2);
+    assert!(served(&outputs).is_empty());
+    assert_eq!(gets(&outputs).len(), 1);
     // Nor while another request fetches it, when a stale one would do.
-    let out = begin(&mut edge, 1000 + TTL_MS, 3);
-    assert!(served(&out).is_empty());
+    let outputs = begin(&mut edge, 1000 + TTL_MS, 3);
+    assert!(served(&outputs).is_empty());
 }
 
 #[test]
@@ -162,12 +162,12 @@
         .into(),
     );
     deliver(&mut edge, 1100, 1, renewed);
-    let out = begin(&mut edge, 1100, 2);
-    assert!(served(&out).is_empty());
+    let outputs = begin(&mut edge, 1100, 2);
+    assert!(served(&outputs).is_empty());
     // The owner's response was in flight: it does not know the purge.
-    let out = deliver(&mut edge, 1110, OWNER, copy(gets(&out)[0], "a", 100));
-    assert!(served(&out).is_empty());
-    assert_eq!(gets(&out).len(), 1, "asked again");
+    let outputs = deliver(&mut edge, 1110, OWNER, copy(gets(&outputs)[0], "a", 100));
+    assert!(served(&outputs).is_empty());
+    assert_eq!(gets(&outputs).len(), 1, "asked again");
 }
 
 #[test]
@@ -178,8 +178,8 @@
     // Fetched 3 s ago, before the one that is stored.
     deliver(&mut edge, 3010, OWNER, copy(requested[0], "older", 3010));
     begin(&mut edge, 3020, 3);
-    let out = begin(&mut edge, 3030, 4);
-    assert_eq!(served(&out)[&4], "a", "while another asks");
+    let outputs = begin(&mut edge, 3030, 4);
+    assert_eq!(served(&outputs)[&4], "a", "while another asks");
 }
 
 /// Regression: an unresponsive owner delayed requests for half of their deadline,
@@ -188,9 +188,9 @@
 fn unresponsive_owner_is_bypassed_unless_it_confirms() {
     let mut edge = ready();
     begin(&mut edge, 1000, 1);
-    let out = run(&mut edge, 1050, 1800);
+    let outputs = run(&mut edge, 1050, 1800);
     assert_eq!(
-        permit_requests(&out[..]).min(1),
+        permit_requests(&outputs[..]).min(1),
         1,
         "fetched without the owner"
     );
@@ -200,9 +200,9 @@
     let mut resends = 0;
     for now in (1050..2200).step_by(50) {
         renew(&mut edge, now);
-        let out = edge.handle(at(now), Input::Tick);
-        resends += gets(&out).len();
-        assert_eq!(permit_requests(&out), 0, "at {now}");
+        let outputs = edge.handle(at(now), Input::Tick);
+        resends += gets(&outputs).len();
+        assert_eq!(permit_requests(&outputs), 0, "at {now}");
         deliver(&mut edge, now, OWNER, CacheGetQueued { id: requested });
     }
     assert!(resends <= 4, "{resends} repeats in 1.2 s");
@@ -213,8 +213,8 @@
     let mut edge = filled();
     run(&mut edge, 1000, 3000);
     begin(&mut edge, 3000, 2);
-    let out = run(&mut edge, 3050, 3800);
-    assert_eq!(served(&out)[&2], "a");
+    let outputs = run(&mut edge, 3050, 3800);
+    assert_eq!(served(&outputs)[&2], "a");
 }
 
 #[test]
@@ -224,7 +224,7 @@
     for id in 2..10 {
         begin(&mut edge, 1000, id);
     }
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1010,
         OWNER,
@@ -234,7 +234,7 @@
         },
     );
     let refused = PermitRefused {
-        id: last_exchange(&out),
+        id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
         back: at(100),
     };
@@ -258,24 +258,24 @@
         key: key(),
         token,
     };
-    let out = deliver(&mut edge, 1010, OWNER, miss);
-    let out = deliver(
+    let outputs = deliver(&mut edge, 1010, OWNER, miss);
+    let outputs = deliver(
         &mut edge,
         1020,
         ADMISSION,
-        permit(last_exchange(&out), origin(50), 1015),
+        permit(last_exchange(&outputs), origin(50), 1015),
     );
-    let call = last_exchange(&out);
+    let call = last_exchange(&outputs);
     // No response for long: the second request does not wait for it.
-    let mut out = Vec::new();
+    let mut outputs = Vec::new();
     for now in (1050..3100).step_by(50) {
         renew(&mut edge, now);
-        out.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(at(now), Input::Tick));
     }
-    assert_eq!(gets(&out).len().min(1), 1, "the second asks");
+    assert_eq!(gets(&outputs).len().min(1), 1, "the second asks");
     let result = CallOutcome::Success(reply("late"));
-    let out = edge.handle(at(3100), Input::CallCompleted { id: call, result });
-    assert_eq!(served(&out)[&1], "late");
+    let outputs = edge.handle(at(3100), Input::CallCompleted { id: call, result });
+    assert_eq!(served(&outputs)[&1], "late");
 }
 
 /// Regression: a displaced follower stayed in its group and became its leader when
@@ -295,8 +295,8 @@
         request(&mut edge, 1000, id, "/high", 400);
     }
     run(&mut edge, 1050, 1550);
-    let out = request(&mut edge, 1600, 1000, "/copy-low", 1000);
-    assert_eq!(gets(&out).len(), 1, "it asks itself");
+    let outputs = request(&mut edge, 1600, 1000, "/copy-low", 1000);
+    assert_eq!(gets(&outputs).len(), 1, "it asks itself");
 }
 
 /// The response to the leader serves all followers, and is put to the owner.
@@ -317,13 +317,13 @@
         key: key(),
         token,
     };
-    let out = deliver(&mut edge, 1010, OWNER, miss);
-    let request_message = permit(last_exchange(&out), origin(50), 1015);
+    let outputs = deliver(&mut edge, 1010, OWNER, miss);
+    let request_message = permit(last_exchange(&outputs), origin(50), 1015);
     let call = last_exchange(&deliver(&mut edge, 1020, ADMISSION, request_message));
     let result = CallOutcome::Success(reply("x"));
-    let out = edge.handle(at(1100), Input::CallCompleted { id: call, result });
-    assert_eq!(served(&out).len(), 9);
-    let puts = out.iter().filter(|output| {
+    let outputs = edge.handle(at(1100), Input::CallCompleted { id: call, result });
+    assert_eq!(served(&outputs).len(), 9);
+    let puts = outputs.iter().filter(|output| {
         matches!(
             output,
             Output::Send {
@@ -386,7 +386,7 @@
 
     fn step(&mut self, now: u64) {
         let mut outputs = Vec::new();
-        if now % 50 == 0 {
+        if now.is_multiple_of(50) {
             renew(&mut self.edge, now);
             outputs.extend(self.edge.handle(at(now), Input::Tick));
         }
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -32,7 +32,7 @@
     /// The current call ends, or an earlier one does so (again).
     Called {
         back: usize,
-        end: CallEnding,
+        ending: CallEnding,
     },
     Ledger {
         back: usize,
@@ -69,7 +69,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let back = || prop_oneof![5 => Just(0usize), 1 => 1usize..4];
-    let end = prop_oneof![
+    let ending = prop_oneof![
         Just(CallEnding::Success),
         Just(CallEnding::Failure),
         Just(CallEnding::Unsent),
@@ -78,7 +78,7 @@
         Just(CallEnding::WrongInstance),
         Just(CallEnding::Lost),
     ];
-    let word = prop_oneof![
+    let ledger_reply = prop_oneof![
         3 => Just(LedgerReply::Claimed),
         1 => Just(LedgerReply::Released),
         1 => Just(LedgerReply::Recorded),
@@ -88,8 +88,8 @@
     prop_oneof![
         4 => back().prop_map(|back| Step::Permit { back }),
         1 => (back(), any::<bool>()).prop_map(|(back, overloaded)| Step::Refused { back, overloaded }),
-        4 => (back(), end).prop_map(|(back, end)| Step::Called { back, end }),
-        4 => (back(), word).prop_map(|(back, outcome)| Step::Ledger { back, outcome }),
+        4 => (back(), ending).prop_map(|(back, ending)| Step::Called { back, ending }),
+        4 => (back(), ledger_reply).prop_map(|(back, outcome)| Step::Ledger { back, outcome }),
         2 => prop_oneof![Just(50u64), Just(250), Just(5_000)].prop_map(Step::Wait),
         1 => prop_oneof![Just(250u64), Just(700)].prop_map(Step::MissedRenewals),
         1 => Just(Step::Shutdown),
@@ -154,14 +154,14 @@
             RequestKind::Keyed => ("/k", "POST"),
         };
         let request = client_request(url, method);
-        let out = model.edge.handle(
+        let outputs = model.edge.handle(
             at(1000),
             Input::ClientRequest {
                 id: REQUEST,
                 request,
             },
         );
-        model.check_outputs(out)?;
+        model.check_outputs(outputs)?;
         Ok(model)
     }
 
@@ -174,7 +174,7 @@
 
     fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
         let now = self.now;
-        let out = match step {
+        let outputs = match step {
             Step::Permit { back } => match nth_last(&self.permits, back) {
                 Some(id) => deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now)),
                 None => return Ok(()),
@@ -196,8 +196,8 @@
                 }
                 None => return Ok(()),
             },
-            Step::Called { back, end } => match self.calls.len().checked_sub(back + 1) {
-                Some(at) => self.end_call(at, end),
+            Step::Called { back, ending } => match self.calls.len().checked_sub(back + 1) {
+                Some(at) => self.end_call(at, ending),
                 None => return Ok(()),
             },
             Step::Ledger { back, outcome } => match nth_last(&self.ledger, back) {
@@ -220,12 +220,12 @@
                 self.edge.handle(at(self.now), Input::Tick)
             }
         };
-        self.check_outputs(out)
+        self.check_outputs(outputs)
     }
 
-    fn end_call(&mut self, call: usize, end: CallEnding) -> Vec<Output> {
+    fn end_call(&mut self, call: usize, ending: CallEnding) -> Vec<Output> {
         let made = &mut self.calls[call];
-        made.ended.get_or_insert(end);
+        made.ended.get_or_insert(ending);
         let reply = |status| {
             CallOutcome::Success(Reply {
                 status,
@@ -233,7 +233,7 @@
                 ..Reply::default()
             })
         };
-        let result = match end {
+        let result = match ending {
             CallEnding::Success => reply(200),
             CallEnding::Failure => reply(500),
             CallEnding::Unsent => CallOutcome::Unreachable,
@@ -247,8 +247,8 @@
             .handle(at(self.now), Input::CallCompleted { id, result })
     }
 
-    fn ledger_replies(&mut self, id: u64, word: LedgerReply) -> Vec<Output> {
-        let outcome = match word {
+    fn ledger_replies(&mut self, id: u64, ledger_reply: LedgerReply) -> Vec<Output> {
+        let outcome = match ledger_reply {
             LedgerReply::Claimed => ChangeOutcome::Claimed,
             LedgerReply::Released => ChangeOutcome::Released,
             LedgerReply::Recorded => ChangeOutcome::Recorded,
@@ -261,8 +261,8 @@
         ledger_responds(&mut self.edge, self.now, id, outcome)
     }
 
-    fn check_outputs(&mut self, out: Vec<Output>) -> Result<(), TestCaseError> {
-        for output in out {
+    fn check_outputs(&mut self, outputs: Vec<Output>) -> Result<(), TestCaseError> {
+        for output in outputs {
             match output {
                 Output::Send { message, .. } => match message {
                     Message::PermitRequest(request_message) => {
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -24,11 +24,11 @@
     let mut last = 0;
     for now in (1150..1100 + GRACE_MS).step_by(50) {
         renew(&mut edge, now);
-        let out = rejections_in(edge.handle(at(now), Input::Tick));
-        if !out.is_empty() {
+        let outputs = rejections_in(edge.handle(at(now), Input::Tick));
+        if !outputs.is_empty() {
             last = now;
         }
-        rejections.extend(out);
+        rejections.extend(outputs);
     }
     let mut ids: Vec<u64> = rejections.iter().map(|(id, ..)| *id).collect();
     ids.sort_unstable();
@@ -48,13 +48,13 @@
             request: once,
         },
     );
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1010,
         ADMISSION,
         permit(last_exchange(&started), origin(50), 1005),
     );
-    let call = last_exchange(&out);
+    let call = last_exchange(&outputs);
     edge.handle(at(1100), Input::ShutdownRequested);
     let late = 1100 + GRACE_MS / 2 + 100;
     for now in (1150..=late).step_by(50) {
@@ -72,8 +72,8 @@
         [(2, 503, "ending".to_string(), RunState::NotRun)]
     );
     let result = CallOutcome::Success(Reply::default());
-    let out = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
-    assert!(out.iter().any(|output| matches!(
+    let outputs = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
+    assert!(outputs.iter().any(|output| matches!(
         output,
         Output::ClientResponse {
             id: 1,
@@ -97,8 +97,8 @@
         request.timeout = Some(at(TIMEOUT_MS));
         let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
         let permit = permit(last_exchange(&started), origin(50), 1005);
-        let out = deliver(&mut edge, 1010, ADMISSION, permit);
-        let limit = out.iter().find_map(|output| match output {
+        let outputs = deliver(&mut edge, 1010, ADMISSION, permit);
+        let limit = outputs.iter().find_map(|output| match output {
             Output::Call { call, .. } => Some(call.timeout),
             _ => None,
         });
@@ -123,8 +123,8 @@
     let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
     let permit = permit(last_exchange(&started), origin(50), 1005);
     let call = last_exchange(&deliver(&mut edge, 1010, ADMISSION, permit));
-    let out = edge.handle(at(1500), Input::ShutdownRequested);
-    let extended = out.iter().find_map(|output| match output {
+    let outputs = edge.handle(at(1500), Input::ShutdownRequested);
+    let extended = outputs.iter().find_map(|output| match output {
         Output::ExtendCall { id, limit } => Some((*id, *limit)),
         _ => None,
     });
--- a/data-plane/tests/stale_responses.rs
+++ b/data-plane/tests/stale_responses.rs
@@ -13,8 +13,9 @@
     edge.handle(at(now), Input::CallCompleted { id, result })
 }
 
-fn calls(out: &[Output]) -> usize {
-    out.iter()
+fn calls(outputs: &[Output]) -> usize {
+    outputs
+        .iter()
         .filter(|output| matches!(output, Output::Call { .. }))
         .count()
 }
@@ -27,8 +28,8 @@
     })
 }
 
-fn body(out: &[Output]) -> Option<String> {
-    out.iter().find_map(|output| match output {
+fn body(outputs: &[Output]) -> Option<String> {
+    outputs.iter().find_map(|output| match output {
         Output::ClientResponse {
             response: ClientResponse::Reply { reply, .. },
             ..
@@ -43,36 +44,36 @@
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let first = last_exchange(&begin(&mut edge, 1000, 1, "/low", "GET"));
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1010,
         ADMISSION,
         permit(first, listed.clone(), 1005),
     );
-    assert_eq!(calls(&out), 1);
-    let out = complete_call(
+    assert_eq!(calls(&outputs), 1);
+    let outputs = complete_call(
         &mut edge,
         1020,
-        last_exchange(&out),
+        last_exchange(&outputs),
         CallOutcome::NotExecuted,
     );
-    let second = last_exchange(&out);
+    let second = last_exchange(&outputs);
     assert_ne!(first, second);
     // The admission controller received the first request twice and granted both.
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1030,
         ADMISSION,
         permit(first, listed.clone(), 1025),
     );
-    assert_eq!(calls(&out), 0);
+    assert_eq!(calls(&outputs), 0);
     let unused = |output: &Output| {
         matches!(output, Output::Send { message: Message::CallDone(done), .. }
             if done.result == CallResult::Unused)
     };
-    assert!(out.iter().any(unused), "it is given back");
-    let out = deliver(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
-    assert_eq!(calls(&out), 1);
+    assert!(outputs.iter().any(unused), "it is given back");
+    let outputs = deliver(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
+    assert_eq!(calls(&outputs), 1);
 }
 
 #[test]
@@ -81,31 +82,33 @@
     let listed = origin(50);
     updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let exchange = last_exchange(&begin(&mut edge, 1000, 1, "/once", "POST"));
-    let out = deliver(
+    let outputs = deliver(
         &mut edge,
         1010,
         ADMISSION,
         permit(exchange, listed.clone(), 1005),
     );
-    let first = last_exchange(&out);
-    let out = complete_call(&mut edge, 1020, first, CallOutcome::NotExecuted);
-    let out = deliver(
+    let first = last_exchange(&outputs);
+    let outputs = complete_call(&mut edge, 1020, first, CallOutcome::NotExecuted);
+    let outputs = deliver(
         &mut edge,
         1030,
         ADMISSION,
-        permit(last_exchange(&out), listed, 1025),
+        permit(last_exchange(&outputs), listed, 1025),
     );
-    let second = last_exchange(&out);
+    let second = last_exchange(&outputs);
     for result in [
         CallOutcome::NotExecuted,
         CallOutcome::WrongInstance,
         success("first"),
     ] {
-        let out = complete_call(&mut edge, 1040, first, result);
-        assert!(calls(&out) == 0 && body(&out).is_none() && rejections_in(out).is_empty());
+        let outputs = complete_call(&mut edge, 1040, first, result);
+        assert!(
+            calls(&outputs) == 0 && body(&outputs).is_none() && rejections_in(outputs).is_empty()
+        );
     }
-    let out = complete_call(&mut edge, 1050, second, success("second"));
-    assert_eq!(body(&out), Some("second".into()));
+    let outputs = complete_call(&mut edge, 1050, second, success("second"));
+    assert_eq!(body(&outputs), Some("second".into()));
 }
 
 #[test]
@@ -128,14 +131,14 @@
         },
     };
     // It was in flight for 300 ms, longer than its remaining time-to-live.
-    let out = deliver(&mut edge, 1300, OWNER, copy(first, 200));
-    assert_eq!(body(&out), None);
-    let second = last_exchange(&out);
+    let outputs = deliver(&mut edge, 1300, OWNER, copy(first, 200));
+    assert_eq!(body(&outputs), None);
+    let second = last_exchange(&outputs);
     // A duplicate of the same response: it is older than the second exchange.
-    let out = deliver(&mut edge, 1310, OWNER, copy(first, 200));
-    assert_eq!(body(&out), None);
-    let out = deliver(&mut edge, 1320, OWNER, copy(second, 200));
-    assert!(body(&out).is_some());
+    let outputs = deliver(&mut edge, 1310, OWNER, copy(first, 200));
+    assert_eq!(body(&outputs), None);
+    let outputs = deliver(&mut edge, 1320, OWNER, copy(second, 200));
+    assert!(body(&outputs).is_some());
 }
 
 #[test]
