--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -1,12 +1,14 @@
-//! Partitions on disks: taking a partition under a new epoch, keeping rows as a replica, recovering a blank disk.
+//! Replication: standing for partitions under new epochs, storing rows as a replica, and counting replies as a leader.
 
 use super::*;
 
-/// Without a loss for this long, a leader's pauses start short again.
-const STALE_EPOCH_CALM: Duration = Duration::from_secs(10);
+/// Rounds of recall before a leader serves: in the configuration's partition one more, since the generation is named
+/// last, when all have listened.
+const RECALL_ROUNDS: u32 = 1;
+const CONFIGURATION_RECALL_ROUNDS: u32 = 2;
 
-/// Of a request whose rows are held already, maybe with later ones over them:
-/// a whole state that comes late must not take those away.
+/// An append whose rows are held already, maybe with later ones over them: a full state that comes late must not take
+/// those away.
 fn without_rows(request: AppendRequest) -> AppendRequest {
     AppendRequest {
         full_state: false,
@@ -18,348 +20,226 @@
 }
 
 impl ControlNode {
-    pub(super) fn take_partitions(&mut self, now: Duration) {
+    /// Stands for the partitions that this node shall lead, and gives up candidacies for others.
+    pub(super) fn campaign(&mut self, now: Duration) {
         if !self.may_lead(now) {
             return;
         }
-        let eligible = self.eligible(now);
+        let eligible = self.eligible_leaders(now);
         for partition in 0..PARTITIONS {
-            if self.chosen_among(eligible, partition) != Some(self.slot) {
-                if self
-                    .leaders
-                    .get(&partition)
-                    .is_some_and(|leader| leader.active_since.is_none())
-                {
-                    self.leaders.remove(&partition);
-                }
-                continue;
-            }
-            let (met, soonest, _) = self.superseded.get(&partition).copied().unwrap_or_default();
-            if self.leaders.contains_key(&partition) || now < soonest {
-                continue;
+            if self.preferred_leader_among(eligible, partition) != Some(self.slot) {
+                self.withdraw_candidacy(partition);
+            } else if !self.leaders.contains_key(&partition)
+                && !self.stale_epochs.backs_off(now, partition)
+            {
+                self.stand_for(partition);
             }
-            let highest = met.max(self.replica.held(partition).promised);
-            let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(self.slot);
-            // On our own disk before others are asked: an epoch that others
-            // promised and we forgot over a restart would be taken twice.
-            self.store(&Record::Promise { partition, epoch });
-            self.leaders.insert(
-                partition,
-                PartitionLeader::new(
-                    partition,
-                    epoch,
-                    self.members.len(),
-                    self.membership_version,
-                )
-                .holding(self.replica.held(partition).image.clone()),
-            );
         }
     }
 
-    pub(super) fn handle_prepare_request(&mut self, from: Peer, request: PrepareRequest) {
-        let PrepareRequest {
-            partition,
-            epoch,
-            requester_state: held,
-            ..
-        } = request;
-        let promised = self.replica.held(partition).promised;
+    fn withdraw_candidacy(&mut self, partition: u8) {
+        let leader = self.leaders.get(&partition);
+        if leader.is_some_and(|leader| leader.active_since.is_none()) {
+            self.leaders.remove(&partition);
+        }
+    }
+
+    fn stand_for(&mut self, partition: u8) {
+        let promised = self.replica.partition(partition).promised_epoch;
+        let highest = promised.max(self.stale_epochs.promised_epoch(partition));
+        // Epochs of one slot differ from those of all others.
+        let slots = MAX_SLOTS as u64;
+        let epoch = (highest / slots + 1) * slots + u64::from(self.slot);
+        // On the own disk before promises are requested: an epoch that others promised and this node forgot over a restart
+        // would be taken twice.
+        self.store(&Record::Promise { partition, epoch });
+        let local_state = self.replica.partition(partition).state.clone();
+        let slots = self.members.len();
+        let leader = PartitionLeader::new(partition, epoch, slots, self.membership_version)
+            .with_local_state(local_state);
+        self.leaders.insert(partition, leader);
+    }
+
+    /// A candidate requests a promise.
+    pub(super) fn handle_prepare_request(&mut self, from: Peer, request: &PrepareRequest) {
+        let (partition, epoch) = (request.partition, request.epoch);
+        let promised = self.replica.partition(partition).promised_epoch;
         if epoch < promised {
-            return self.tell_synced(
-                from.address,
-                StaleEpoch {
-                    partition,
-                    epoch,
-                    promised,
-                },
-            );
+            return self.refuse_stale_epoch(from, partition, epoch);
         }
         if epoch > promised {
             self.store(&Record::Promise { partition, epoch });
         }
-        let state = self.replica.held(partition).promised_state(partition, held);
-        self.tell_synced(
-            from.address,
-            PrepareReply {
-                partition,
-                epoch,
-                lost_generation: self.lost(),
-                retired_incarnations: self.retired_incarnations(),
-                state,
-            },
-        );
+        let stored = self.replica.partition(partition);
+        let reply = PrepareReply {
+            partition,
+            epoch,
+            lost_generation: self.lost_generation(),
+            retired_incarnations: self.retired_incarnations(),
+            state: stored.prepared_state(partition, request.requester_state),
+        };
+        self.send_after_sync(from.address, reply);
     }
 
-    pub(super) fn handle_append_request(&mut self, now: Duration, from: Peer, keep: AppendRequest) {
-        let AppendRequest {
+    fn refuse_stale_epoch(&mut self, from: Peer, partition: u8, epoch: u64) {
+        let promised = self.replica.partition(partition).promised_epoch;
+        let refusal = StaleEpoch {
             partition,
             epoch,
-            round,
-            to_version: to,
-            ..
-        } = keep;
-        let held = self.replica.held(partition);
-        if epoch < held.promised {
-            let promised = held.promised;
-            return self.tell_synced(
-                from.address,
-                StaleEpoch {
-                    partition,
-                    epoch,
-                    promised,
-                },
-            );
-        }
-        if !held.fits(&keep) {
-            return self.tell(
-                from.address,
-                AppendGap {
-                    partition,
-                    epoch,
-                    round,
-                },
-            );
-        }
-        let published = held.image.published;
-        let current = held.image.epoch == epoch && held.promised == epoch;
-        // Taken again, rows of a request that was overtaken or came twice would
-        // undo what was acknowledged since.
-        let is_held = current && held.image.version >= to;
-        if !is_held {
-            self.store(&Record::Appended { keep });
-        } else if keep.published > published {
-            let keep = without_rows(keep);
-            self.store(&Record::Appended { keep });
-        }
-        let held = self.replica.held(partition);
-        let clear = if partition < PUBLISHED_PARTITIONS {
-            self.sessions.clear(now, partition, held.image.published)
-        } else {
-            None
+            promised,
         };
-        let version = held.image.published;
-        self.tell_synced(
-            from.address,
-            AppendReply {
+        self.send_after_sync(from.address, refusal);
+    }
+
+    /// A leader sends rows.
+    pub(super) fn handle_append_request(
+        &mut self,
+        now: Duration,
+        from: Peer,
+        request: AppendRequest,
+    ) {
+        let (partition, epoch, round) = (request.partition, request.epoch, request.round);
+        let stored = self.replica.partition(partition);
+        if epoch < stored.promised_epoch {
+            return self.refuse_stale_epoch(from, partition, epoch);
+        }
+        if !stored.accepts(&request) {
+            let gap = AppendGap {
                 partition,
                 epoch,
                 round,
-                synced_version: to,
-                sessions_confirmed: clear,
-                retired_incarnations: self.retired_incarnations(),
-            },
-        );
-        if version > published && partition < PUBLISHED_PARTITIONS {
-            let renewal_token = self.sessions.renewal_token();
-            for edge in self
-                .sessions
-                .lacking(self.replica.generation(), partition, version)
-            {
-                self.tell(
-                    edge,
-                    UpdateNotice {
-                        partition,
-                        version,
-                        renewal_token,
-                    },
-                );
-            }
+            };
+            return self.send(from.address, gap);
+        }
+        let published_before = stored.state.published;
+        let synced_version = request.to_version;
+        self.store_append(request);
+        let published = self.replica.partition(partition).state.published;
+        let is_published_partition = partition < PUBLISHED_PARTITIONS;
+        let sessions_confirmed = is_published_partition
+            .then(|| self.sessions.confirmed_version(now, partition, published))
+            .flatten();
+        let reply = AppendReply {
+            partition,
+            epoch,
+            round,
+            synced_version,
+            sessions_confirmed,
+            retired_incarnations: self.retired_incarnations(),
+        };
+        self.send_after_sync(from.address, reply);
+        if published > published_before && is_published_partition {
+            self.send_update_notices(partition, published);
+        }
+    }
+
+    /// Stores what of an accepted append is new. Applied again, rows of a request that was overtaken or came twice
+    /// would undo what was acknowledged since.
+    fn store_append(&mut self, request: AppendRequest) {
+        let stored = self.replica.partition(request.partition);
+        let is_current =
+            stored.state.epoch == request.epoch && stored.promised_epoch == request.epoch;
+        let is_stored = is_current && stored.state.version >= request.to_version;
+        if !is_stored {
+            self.store(&Record::Appended { request });
+        } else if request.published > stored.state.published {
+            let request = without_rows(request);
+            self.store(&Record::Appended { request });
         }
     }
 
-    pub(super) fn handle_stale_epoch(&mut self, now: Duration, superseded: StaleEpoch) {
-        if self
-            .leaders
-            .get(&superseded.partition)
-            .is_none_or(|leader| leader.epoch != superseded.epoch)
-        {
+    /// A replica promised a higher epoch: another node leads the partition, or stands for it.
+    pub(super) fn handle_stale_epoch(&mut self, now: Duration, stale: &StaleEpoch) {
+        let partition = stale.partition;
+        if self.leader_under(partition, stale.epoch).is_none() {
             return;
         }
-        self.leaders.remove(&superseded.partition);
+        self.leaders.remove(&partition);
         self.pending_replies
-            .retain(|wait| wait.partition != superseded.partition);
-        // Two that both think themselves chosen do not chase each other:
-        // each pending_replies longer after each loss, and unlike long.
-        let recent = |known: &&(u64, Duration, u32)| now < known.1 + STALE_EPOCH_CALM;
-        let spell = self
-            .superseded
-            .get(&superseded.partition)
-            .filter(recent)
-            .map_or(0, |known| (known.2 + 1).min(5));
-        let pause = Duration::from_millis((40 + 30 * u64::from(self.slot)) << spell);
-        self.superseded.insert(
-            superseded.partition,
-            (superseded.promised, now + pause, spell),
-        );
-        self.note(
-            Event::PartitionLost,
-            format!(
-                "slice {} epoch {} to {}",
-                superseded.partition, superseded.epoch, superseded.promised
-            ),
-        );
+            .retain(|reply| reply.partition != partition);
+        self.stale_epochs.on_loss(now, self.slot, stale);
+        let (epoch, promised) = (stale.epoch, stale.promised);
+        let text = format!("slice {partition} epoch {epoch} to {promised}");
+        self.log_event(Event::PartitionLost, text);
     }
 
-    pub(super) fn finish_step(&mut self, now: Duration, tick: bool) {
-        let mut told = Vec::new();
-        for (partition, leader) in &mut self.leaders {
-            for (slot, message) in leader.flush(now, tick) {
-                told.push((self.members[usize::from(slot)].address, message));
+    /// Sends what the leaders here have to send after a step, and the replies that are due thereby.
+    pub(super) fn flush_leaders(&mut self, now: Duration, tick: bool) {
+        let mut messages = Vec::new();
+        for leader in self.leaders.values_mut() {
+            for (slot, message) in leader.due_messages(now, tick) {
+                messages.push((self.members[usize::from(slot)].address, message));
             }
-            let (committed, settled, round) = (
-                leader.committed(),
-                leader.settled(),
-                leader.confirmed_round(),
-            );
-            self.pending_replies.retain(|wait| {
-                let done = wait.partition == *partition
-                    && wait.commit <= committed
-                    && wait.settle <= settled
-                    && wait.round <= round;
-                if done {
-                    told.push((
-                        wait.asker,
-                        ChangeReply {
-                            id: wait.id,
-                            outcome: wait.told.clone(),
-                        }
-                        .into(),
-                    ));
-                }
-                !done
-            });
+            let due = self
+                .pending_replies
+                .extract_if(.., |reply| reply.is_due(leader));
+            messages.extend(due.map(PendingReply::into_message));
         }
-        for (to, message) in told {
+        for (to, message) in messages {
             match message {
-                Message::PrepareRequest(_) => self.tell_synced(to, message),
-                _ => self.tell(to, message),
+                Message::PrepareRequest(_) => self.send_after_sync(to, message),
+                _ => self.send(to, message),
             }
         }
     }
 
-    /// A blank disk asks for all that ours holds.
-    pub(super) fn handle_snapshot_request(&mut self, from: Peer, request: &SnapshotRequest) {
-        // In the first round nothing that is told counts.
-        let held = if request.round == 0 {
-            vec![]
-        } else {
-            self.replica.copy_out()
-        };
-        // A first disk holds all that it ever acknowledged: nothing.
-        let full = self.replica.full || self.replica.founding;
-        // After a loss of everything no table is shown by anybody, and no edge
-        // is renewed that might go by another.
-        let none_shown = self.replica.held(MEMBERSHIP_PARTITION).image.version == 0;
-        let membership_version = if none_shown {
-            self.membership_version
-        } else {
-            self.replica.members().map_or(0, |(version, _)| version)
-        };
-        let reply = SnapshotReply {
-            slot: self.slot,
-            requester_incarnation: from.incarnation,
-            round: request.round,
-            full,
-            lost_generation: self.lost(),
-            membership_version,
-            partitions: held,
-        };
-        self.tell_synced(from.address, reply);
-    }
-
-    pub(super) fn handle_snapshot_reply(&mut self, now: Duration, reply: SnapshotReply) {
-        if reply.requester_incarnation != self.replica.incarnation {
-            return; // To an earlier disk of this slot, which acknowledged since.
-        }
-        let merged = self.recovery.as_mut().and_then(|one| one.heard(reply));
-        if let Some(merged) = merged {
-            self.finish_recovery(now, merged);
-        }
-    }
-
-    /// Our blank disk got all that it needs to count.
-    pub(super) fn finish_recovery(&mut self, now: Duration, merged: Merged) {
-        self.recovery = None;
-        self.sessions.begin(now);
-        self.store(&Record::Recovered {
-            held: merged.held,
-            lost: merged.lost,
-        });
-        for incarnation in self.retired_incarnations() {
-            if !self.replica.retired.contains(&incarnation) {
-                self.store(&Record::Retired { incarnation });
-            }
-        }
-        self.generation = self.replica.generation();
-        if merged.lost {
-            self.refound = Some(self.generation);
-        }
-        // A generation met for the first time may have a ledger that is not complete.
-        self.entered = now;
-        if merged.lost || self.generation != 0 && self.replica.opened() != self.generation {
-            self.majority_lost(now);
-        }
-        self.note(Event::DiskRefilled, format!("slot {}", self.slot));
-    }
-
+    /// A replica promised an epoch of this node's.
     pub(super) fn handle_prepare_reply(&mut self, now: Duration, slot: u8, reply: PrepareReply) {
-        self.note_loss(now, reply.lost_generation);
-        self.note_retired(&reply.retired_incarnations);
-        let Some(leader) = self.leader_of(reply.partition, reply.epoch) else {
+        self.on_loss_reported(now, reply.lost_generation);
+        self.on_retired_reported(&reply.retired_incarnations);
+        let Some(leader) = self.leader_under(reply.partition, reply.epoch) else {
             return;
         };
         let was_active = leader.active_since.is_some();
-        leader.raised(now, slot, reply.state);
+        leader.on_prepare_reply(now, slot, reply.state);
         if !was_active && leader.active_since.is_some() {
-            self.begin_leading(now, reply.partition);
+            self.on_leadership_won(now, reply.partition);
         }
     }
 
-    /// A majority promised our epoch.
-    fn begin_leading(&mut self, now: Duration, partition: u8) {
-        let closed = now < self.closed;
+    /// A majority promised the epoch.
+    fn on_leadership_won(&mut self, now: Duration, partition: u8) {
+        let is_ledger_closed = now < self.generation.ledger_closed_until;
         let Some(leader) = self.leaders.get_mut(&partition) else {
             return;
         };
-        // Also one whose founding another began and did not end.
-        if closed || !leader.rows.contains_key("founded") {
-            // The generation is named last, when all have listened.
+        // Also a partition whose founding another leader began and did not end.
+        if is_ledger_closed || !leader.rows.contains_key("founded") {
             let rounds = if partition == CONFIGURATION_PARTITION {
-                2
+                CONFIGURATION_RECALL_ROUNDS
             } else {
-                1
+                RECALL_ROUNDS
             };
-            leader.wary = Some(now + lease::RECALL_PERIOD * rounds);
+            leader.recall_until = Some(now + lease::RECALL_PERIOD * rounds);
         }
-        let text = format!(
-            "slice {partition} epoch {} version {}",
-            leader.epoch, leader.version
-        );
-        self.granted = self.sessions.renewal_tokens();
-        self.finished_since.remove(&partition);
-        self.note(Event::PartitionAcquired, text);
+        let (epoch, version) = (leader.epoch, leader.version);
+        self.assignments.tokens_at_grant = self.sessions.issued_tokens();
+        self.finished_operations.forget(partition);
+        let text = format!("slice {partition} epoch {epoch} version {version}");
+        self.log_event(Event::PartitionAcquired, text);
         if partition == ASSIGNMENTS_PARTITION {
-            // Which of the holders are still there?
-            self.ask_all();
+            // Which of the owners are still there?
+            self.request_renewals();
         }
     }
 
+    /// A replica synced rows.
     pub(super) fn handle_append_reply(&mut self, slot: u8, reply: &AppendReply) {
-        self.note_retired(&reply.retired_incarnations);
-        if let Some(leader) = self.leader_of(reply.partition, reply.epoch) {
-            leader.kept(slot, reply);
+        self.on_retired_reported(&reply.retired_incarnations);
+        if let Some(leader) = self.leader_under(reply.partition, reply.epoch) {
+            leader.on_append_reply(slot, reply);
         }
     }
 
-    /// The replica has not what we thought: it gets everything.
+    /// The replica does not hold what was assumed: it gets everything.
     pub(super) fn handle_append_gap(&mut self, slot: u8, gap: &AppendGap) {
-        if let Some(leader) = self.leader_of(gap.partition, gap.epoch) {
-            leader.forget(slot);
+        if let Some(leader) = self.leader_under(gap.partition, gap.epoch) {
+            leader.reset_replica(slot);
         }
     }
 
-    /// Our own leadership of a partition, if it is under this epoch.
-    fn leader_of(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
+    /// This node's own leadership of a partition, if it is under this epoch.
+    fn leader_under(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
         let leader = self.leaders.get_mut(&partition)?;
         Some(leader).filter(|leader| leader.epoch == epoch)
     }
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -10,7 +10,7 @@
     protocol: Arc<dyn ProtocolAdapter>,
     plug_ins: Vec<&'static PlugIn>,
     /// Set once the event loop runs.
-    pub(super) http_line: OnceLock<HttpLine>,
+    pub(super) event_loop: OnceLock<EventLoopHandle>,
     /// Calls in flight.
     calls: Mutex<HashMap<u64, Call>>,
     /// Requests without a response, by their exchanges.
@@ -46,7 +46,7 @@
             port: port.clone(),
             protocol: protocol.clone(),
             plug_ins,
-            http_line: OnceLock::new(),
+            event_loop: OnceLock::new(),
             calls: Mutex::default(),
             requests: Mutex::default(),
             disconnected: Mutex::default(),
@@ -89,13 +89,13 @@
             headers,
             body,
         } = response;
-        let told = http_line::Told {
+        let response = http_line::Response {
             status,
             headers,
             body: body.into(),
             close: false,
         };
-        self.http_line.wait().tell(exchange, told);
+        self.event_loop.wait().respond(exchange, response);
     }
 
     fn reject(&self, exchange: u64, headers: &[(String, String)], rejection: Rejection) {
@@ -104,7 +104,7 @@
     }
 
     /// Serves operators and the platform.
-    fn serve_plug_in(&self, exchange: u64, received: Asked) {
+    fn serve_plug_in(&self, exchange: u64, received: Request) {
         let request = rouille::Request::fake_http(
             received.method,
             received.target,
@@ -135,11 +135,11 @@
         };
         let mut applied = self.bounds.lock().expect("no holder panics");
         if applied.as_ref() != Some(&bounds) {
-            self.http_line.wait().set_limits(Limits {
+            self.event_loop.wait().set_limits(Limits {
                 head_bytes: bounds.head_bytes as usize,
                 body_bytes: bounds.body_bytes as usize,
-                head_time: Duration::from_millis(bounds.head_ms),
-                idle_time: Duration::from_millis(bounds.idle_ms),
+                head_timeout: Duration::from_millis(bounds.head_ms),
+                idle_timeout: Duration::from_millis(bounds.idle_ms),
                 ..LIMITS
             });
             *applied = Some(bounds);
@@ -154,7 +154,7 @@
         let entry = request.entry();
         let latency_target = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
         let is_large = self.response_sizes.expected(&entry.name) > LARGE_RESPONSE_BYTES;
-        let is_full = is_large && self.http_line.wait().backlog() > latency_target;
+        let is_full = is_large && self.event_loop.wait().backlog() > latency_target;
         is_full.then(|| {
             let text = "the link of this edge is full";
             Rejection::not_run(429, "link_full", text).with_retry_after(LINK_FULL_RETRY_AFTER)
@@ -168,7 +168,7 @@
     }
 
     /// Filters a client's request and passes it to the state machine.
-    fn handle_client_request(self: &Arc<Self>, exchange: u64, received: Asked) {
+    fn handle_client_request(self: &Arc<Self>, exchange: u64, received: Request) {
         let routes = (**self.port.image.load()).clone();
         self.apply_bounds(&routes);
         let mut incoming = self.incoming_request(received, routes);
@@ -186,7 +186,7 @@
 
     fn incoming_request(
         &self,
-        received: Asked,
+        received: Request,
         routes: Option<Arc<RouteTable>>,
     ) -> IncomingRequest {
         let headers = &received.headers;
@@ -265,8 +265,8 @@
 }
 
 /// Called on the thread of the event loop.
-impl Taker for ConnectionHandler {
-    fn asked(&self, exchange: u64, listener: usize, received: Asked) {
+impl Handler for ConnectionHandler {
+    fn on_request(&self, exchange: u64, listener: usize, received: Request) {
         if listener == READINESS_LISTENER {
             let status = if self.port.ready() { 200 } else { 503 };
             let response = HttpResponse {
@@ -284,13 +284,13 @@
         }
     }
 
-    fn came(&self, id: u64, ending: Came) {
+    fn on_response(&self, id: u64, ending: ExchangeOutcome) {
         if let Some(call) = self.forget_call(id) {
             self.complete_call(id, judge_call(self.protocol.as_ref(), &call, ending));
         }
     }
 
-    fn gone(&self, exchange: u64) {
+    fn on_disconnect(&self, exchange: u64) {
         if let Some(id) = self.take_request(exchange) {
             let mut disconnected = self.disconnected.lock().expect("no holder panics");
             disconnected.insert(id);
@@ -299,7 +299,7 @@
         }
     }
 
-    fn refused(&self, status: u16, why: &str) -> http_line::Told {
+    fn rejection_response(&self, status: u16, why: &str) -> http_line::Response {
         let code = match status {
             408 => "request_late",
             413 => "body_unreadable",
@@ -308,7 +308,7 @@
         };
         let rejection = ClientResponse::Rejection(Rejection::not_run(status, code, why));
         let response = self.protocol.tell(&[], &rejection);
-        http_line::Told {
+        http_line::Response {
             status: response.status,
             headers: response.headers,
             body: response.body.into(),
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -18,11 +18,11 @@
 const LIMITS: Limits = Limits {
     head_bytes: 32 * 1024,
     body_bytes: 1024 * 1024,
-    head_time: Duration::from_secs(5),
-    idle_time: Duration::from_secs(60),
+    head_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_secs(60),
     pipeline: 16,
-    answer_bytes: 16 * 1024 * 1024,
-    send_bytes_s: None,
+    response_bytes: 16 * 1024 * 1024,
+    link_bytes_per_second: None,
 };
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
@@ -36,8 +36,8 @@
         }
     }
 
-    fn http_line(&self) -> Option<&HttpLine> {
-        self.handler.as_ref()?.http_line.get()
+    fn event_loop(&self) -> Option<&EventLoopHandle> {
+        self.handler.as_ref()?.event_loop.get()
     }
 }
 
@@ -60,17 +60,17 @@
         let listeners = listen(port)?;
         let handler = ConnectionHandler::new(port, &self.protocol, PlugIn::of(self.program));
         let limits = Limits {
-            send_bytes_s: port.startup.link_mbps.map(|link| link * BYTES_PER_MEGABIT),
+            link_bytes_per_second: port.startup.link_mbps.map(|link| link * BYTES_PER_MEGABIT),
             ..LIMITS
         };
-        let http_line = HttpLine::open(listeners, limits, handler.clone())?;
-        let _ = handler.http_line.set(http_line);
+        let event_loop = EventLoopHandle::open(listeners, limits, handler.clone())?;
+        let _ = handler.event_loop.set(event_loop);
         self.handler = Some(handler);
         Ok(())
     }
 
     fn call(&self, id: u64, call: Call) {
-        let (Some(handler), Some(http_line)) = (&self.handler, self.http_line()) else {
+        let (Some(handler), Some(event_loop)) = (&self.handler, self.event_loop()) else {
             return;
         };
         if !handler.may_send(&call) {
@@ -79,53 +79,53 @@
         let CallHeaders { headers, echo } = self.protocol.call(&call);
         let outgoing = http_line::Call {
             id,
-            to: call.origin.address,
+            address: call.origin.address,
             method: call.method.clone(),
             target: call.url.clone(),
             headers,
             body: call.body.clone(),
-            limit: call.timeout,
+            timeout: call.timeout,
             request: Some(call.request),
             echo,
-            sessions: call.max_connections,
+            max_connections: call.max_connections,
         };
         handler.register_call(id, call);
-        http_line.call(outgoing);
+        event_loop.call(outgoing);
     }
 
     fn cancel_call(&self, id: u64) {
-        let (Some(handler), Some(http_line)) = (&self.handler, self.http_line()) else {
+        let (Some(handler), Some(event_loop)) = (&self.handler, self.event_loop()) else {
             return;
         };
         handler.forget_call(id);
-        http_line.drop_call(id);
+        event_loop.cancel_call(id);
     }
 
     fn extend_call(&self, id: u64, limit: Duration) {
-        if let Some(http_line) = self.http_line() {
-            http_line.extend_call(id, limit);
+        if let Some(event_loop) = self.event_loop() {
+            event_loop.extend_call(id, limit);
         }
     }
 
     fn link_delay(&self, delay: Duration) {
-        if let Some(http_line) = self.http_line() {
-            http_line.link_delay(delay);
+        if let Some(event_loop) = self.event_loop() {
+            event_loop.link_delay(delay);
         }
     }
 
     fn warn(&self) {
-        if let Some(http_line) = self.http_line() {
-            http_line.drain();
+        if let Some(event_loop) = self.event_loop() {
+            event_loop.drain();
         }
     }
 
     fn stop(&self) {
-        if let Some(http_line) = self.http_line() {
-            http_line.stop();
+        if let Some(event_loop) = self.event_loop() {
+            event_loop.stop();
         }
     }
 
     fn done(&self) -> bool {
-        self.http_line().is_none_or(HttpLine::finished)
+        self.event_loop().is_none_or(EventLoopHandle::is_finished)
     }
 }
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -32,16 +32,16 @@
     }
 }
 
-fn reply(status: u16, headers: &[(&str, &str)], sized: bool) -> Came {
-    Came::Reply {
+fn reply(status: u16, headers: &[(&str, &str)], delimited: bool) -> ExchangeOutcome {
+    Ok(ReceivedResponse {
         status,
         headers: headers
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect(),
         body: b"x".to_vec(),
-        sized,
-    }
+        delimited,
+    })
 }
 
 const MATCHING: [(&str, &str); 2] = [("otterslip-instance", "i1"), ("otterslip-errand", "9")];
@@ -56,14 +56,14 @@
     ("otterslip-not-run", "1"),
 ];
 
-fn judged(ending: Came) -> CallOutcome {
+fn judged(ending: ExchangeOutcome) -> CallOutcome {
     judge_call(&DefaultProtocol, &call(Proof::Named), ending)
 }
 
 #[test]
 fn non_execution_is_proven_only_by_unsent_call_or_origin() {
     let proofs = [
-        Came::Unsent("connect: refused".into()),
+        Err(ExchangeError::NotSent("connect: refused".into())),
         reply(503, &NOT_EXECUTED, true),
         reply(421, &MATCHING, true),
     ];
@@ -77,9 +77,11 @@
             "{text}"
         );
     }
-    let lost = |reused| Came::Lost {
-        why: "connection reset".into(),
-        reused,
+    let lost = |reused| {
+        Err(ExchangeError::Interrupted {
+            reason: "connection reset".into(),
+            reused,
+        })
     };
     let no_proofs = [
         lost(false),
@@ -117,11 +119,13 @@
         request: "9",
         body: b"x",
     };
-    let ending = |body: &[u8]| Came::Reply {
-        status: 200,
-        headers: signature.sign(&key),
-        body: body.to_vec(),
-        sized: false,
+    let ending = |body: &[u8]| {
+        Ok(ReceivedResponse {
+            status: 200,
+            headers: signature.sign(&key),
+            body: body.to_vec(),
+            delimited: false,
+        })
     };
     assert!(matches!(
         judge_call(&DefaultProtocol, &signed, ending(b"x")),
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -1,11 +1,23 @@
+//! The numbered events of the log.
+#[cfg(test)]
+mod tests;
+
 /// Declares the numbered events of the log; docs/events.md lists them all and
 /// a test holds the two against each other.
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident;)*) => {
+        /// A numbered event of the log.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Event { $($name = $number),* }
+        pub enum Event {
+            $(
+                #[doc = concat!("E", stringify!($number), " in docs/events.md, written as ", stringify!($level), ".")]
+                $name = $number,
+            )*
+        }
         impl Event {
+            /// All events.
             pub const ALL: &[Event] = &[$(Event::$name),*];
+            /// The level at which it is written.
             pub fn level(self) -> log::Level {
                 match self { $(Event::$name => log::Level::$level),* }
             }
@@ -62,35 +74,3 @@
 pub fn log_event(event: Event, text: &str) {
     log::log!(event.level(), "E{:03} {:?} {text}", event as u32, event);
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn the_catalogue_lists_exactly_the_events_of_the_code() {
-        let page = std::fs::read_to_string("../docs/events.md").unwrap();
-        let listed: Vec<String> = page
-            .lines()
-            .filter_map(|line| line.strip_prefix("| E"))
-            .map(|rest| {
-                rest.split('|')
-                    .take(3)
-                    .map(str::trim)
-                    .collect::<Vec<_>>()
-                    .join(" ")
-            })
-            .collect();
-        let known: Vec<String> = Event::ALL
-            .iter()
-            .map(|event| {
-                format!(
-                    "{:03} {event:?} {}",
-                    *event as u32,
-                    event.level().to_string().to_lowercase()
-                )
-            })
-            .collect();
-        assert_eq!(listed, known);
-    }
-}
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -1,3 +1,4 @@
+//! Starts a control node: opens its log, and recovers or begins its replica.
 use crate::prelude::*;
 
 /// Runs a control node until it has handed over.
@@ -10,7 +11,7 @@
         None => (Replica::blank(new_incarnation()?), true),
     };
     let mesh = startup.mesh.context("mesh address")?;
-    let part = ControlNode::new(
+    let control = ControlNode::new(
         mesh,
         startup.seeds.clone(),
         replica,
@@ -18,10 +19,12 @@
         startup.gather_span().map(|span| bootstrap(&startup, span)),
         new_incarnation()?,
     )
-    .with_log(loaded.log_bytes, loaded.image_bytes);
-    let history = Some(History::keep(startup.data.clone().context("data folder")?));
+    .with_log(loaded.log_bytes, loaded.snapshot_bytes);
+    let history = Some(History::spawn_writer(
+        startup.data.clone().context("data folder")?,
+    ));
     let host = NodeHost {
-        me: part.me(),
+        me: control.me(),
         program: "control-node",
         startup,
         tick: lease::CONTROL_TICK,
@@ -29,7 +32,7 @@
         frontend: Box::new(OperatorServer::new("control-node")),
         history,
     };
-    host.run(Box::new(part))
+    Ok(host.run(Box::new(control))?)
 }
 
 fn bootstrap(startup: &Startup, span: Duration) -> Bootstrap {
@@ -41,11 +44,11 @@
 }
 
 /// The slot of this disk went to another node while it was away, so what it holds
-/// counts for nothing: it goes on as an empty one, which may be given a slot.
+/// counts for nothing: it continues as an empty one, which may get a slot.
 fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
-    let renewed = removed.renewed(new_incarnation()?);
-    let image = Record::Image(Box::new(renewed.clone()));
-    log.image(&image.bytes())?;
+    let renewed = removed.for_rejoin(new_incarnation()?);
+    let image = Record::Snapshot(Box::new(renewed.clone()));
+    log.write_snapshot(&image.bytes())?;
     log.sync()?;
     Ok(renewed)
 }
@@ -56,18 +59,21 @@
 fn open(folder: &Path) -> Result<Loaded> {
     let loaded = match SegmentLog::open(folder) {
         Ok(loaded) => loaded,
-        Err(error) if error.refillable() => {
-            let aside = SegmentLog::set_aside(folder)?;
+        Err(error) if error.is_recoverable_from_peers() => {
+            let aside = SegmentLog::quarantine(folder)?;
             log_event(
                 Event::LogCorrupt,
                 &format!("{error}; set aside as {}", aside.display()),
             );
             SegmentLog::open(folder)?
         }
-        Err(error) => refuse(&error.to_string()),
+        Err(error) => exit_with_unreadable_log(&error.to_string()),
     };
-    if loaded.cut > 0 {
-        log_event(Event::LogTailCut, &format!("{} bytes", loaded.cut));
+    if loaded.truncated_bytes > 0 {
+        log_event(
+            Event::LogTailCut,
+            &format!("{} bytes", loaded.truncated_bytes),
+        );
     }
     Ok(loaded)
 }
@@ -75,12 +81,13 @@
 /// The replica of this log, if there is one. Records that are whole and do not
 /// read were written by another version.
 fn read_back(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
-    Replica::replay(records)
-        .unwrap_or_else(|error| refuse(&format!("{}: {error:#}", folder.display())))
+    Replica::replay(records).unwrap_or_else(|error| {
+        exit_with_unreadable_log(&format!("{}: {:#}", folder.display(), anyhow!(error)))
+    })
 }
 
-fn refuse(why: &str) -> ! {
-    log_event(Event::LogRefused, why);
-    eprintln!("control-node: {why}");
+fn exit_with_unreadable_log(reason: &str) -> ! {
+    log_event(Event::LogRefused, reason);
+    eprintln!("control-node: {reason}");
     std::process::exit(2)
 }
--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -5,10 +5,10 @@
 
 const SPAN: Duration = Duration::from_secs(12);
 /// Below this, too little happened to be a soak.
-const LEAST_LEFT: usize = 50;
+const MIN_REMAINING: usize = 50;
 
 #[test]
-fn no_work_goes_on_for_callers_that_have_left_a_fleet_of_processes() {
+fn disconnected_clients_leave_no_work_in_a_process_fleet() {
     for seed in [1, 2] {
         let name = format!("otterslip-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -23,7 +23,7 @@
             "seed {seed}: {:#?}",
             verdict.broken
         );
-        assert!(verdict.left > LEAST_LEFT, "seed {seed}: {verdict}");
+        assert!(verdict.left > MIN_REMAINING, "seed {seed}: {verdict}");
         assert!(verdict.sent_before > 0, "seed {seed}: {verdict}");
         let _ = fs::remove_dir_all(folder);
     }
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -1,3 +1,4 @@
+//! Scenarios: scripted faults, and what must hold under them.
 use crate::prelude::*;
 
 /// A fleet of another number of control nodes, whose table is gathered.
@@ -32,7 +33,7 @@
 /// The founding with the first seed killed at each moment of it; and a node
 /// that comes late gets a slot of its own.
 #[test]
-fn a_table_is_founded_once_and_grows_by_who_came_late() {
+fn membership_is_founded_once_and_grows_with_late_nodes() {
     for control in [4, 5, 8] {
         for founder in [
             FounderEnd::Incarnations,
@@ -79,15 +80,15 @@
 /// As many disks as may be go the moment something is acknowledged, and all
 /// others lose power with them.
 #[test]
-fn disks_are_wiped_the_moment_something_is_acknowledged_while_all_others_lose_power() {
+fn acknowledged_rows_survive_wipe_and_power_loss() {
     for control in [3, 4, 5, 8] {
         for seed in 1..=9 {
-            let moment = Moment::ALL[seed as usize % 3];
+            let trigger = Trigger::ALL[seed as usize % 3];
             let slot = (seed as usize / 3 * 2) % control;
             let faults = vec![
                 (
                     10_000,
-                    Fault::Trap(moment, Loss::Disks(slot, Schedule::borne(control))),
+                    Fault::LossOnTrigger(trigger, Loss::Disks(slot, Schedule::borne(control))),
                 ),
                 (10_010 + seed * 7, Fault::Configure),
                 (10_015 + seed * 7, Fault::Content),
@@ -116,11 +117,11 @@
 }
 
 #[test]
-fn an_empty_node_elsewhere_takes_a_lost_slot_of_four_five_and_eight() {
+fn lost_slot_is_replaced_in_tables_of_four_five_and_eight() {
     for control in [4, 5, 8] {
         for slot in [0, control - 1] {
-            let (lost, spare) = (Place::Control(slot), Place::Control(control));
-            let next = Place::Control((slot + 1) % control);
+            let (lost, spare) = (NodeId::Control(slot), NodeId::Control(control));
+            let next = NodeId::Control((slot + 1) % control);
             let faults = vec![
                 (8_000, Fault::Start(spare)),
                 (9_000, Fault::Kill(lost)),
@@ -129,8 +130,8 @@
                 (21_000, Fault::Start(next)),
                 (24_000, Fault::Start(lost)),
                 (26_000, Fault::Configure),
-                (28_000, Fault::Kill(Place::Edge(1))),
-                (29_000, Fault::Start(Place::Edge(1))),
+                (28_000, Fault::Kill(NodeId::Edge(1))),
+                (29_000, Fault::Start(NodeId::Edge(1))),
                 (30_000, Fault::ReadBack),
             ];
             let report = run(of(control, slot as u64 + 1, 45, faults));
@@ -151,14 +152,14 @@
 }
 
 #[test]
-fn random_schedules_of_four_five_and_eight_break_nothing() {
+fn random_schedules_hold_with_four_five_and_eight_slots() {
     let span = Duration::from_secs(60);
     for control in [4, 5, 8] {
         for seed in 1..=12 {
             let deployment = Deployment::find("small").unwrap();
             let faults = Schedule::random(&deployment, control, seed, span);
             let plan = WorldPlan {
-                callers_leave: true,
+                clients_disconnect: true,
                 ..WorldPlan::new(deployment, seed, span, faults).of(control)
             };
             let report = World::new(plan).run();
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn a_quiet_minute_serves_everything() {
+fn quiet_minute_serves_everything() {
     let faults = vec![
         (8_000, Fault::Content),
         (8_100, Fault::Purge("/".into())),
@@ -234,7 +235,7 @@
     assert!(served(&report) > 0.999, "{}", served(&report));
 }
 
-const CONTROL: [Place; 3] = [Place::Control(0), Place::Control(1), Place::Control(2)];
+const CONTROL: [NodeId; 3] = [NodeId::Control(0), NodeId::Control(1), NodeId::Control(2)];
 
 /// Share of errands that began within a span (in seconds) and were served.
 pub(crate) fn served_within(report: &Report, from: f64, to: f64) -> f64 {
@@ -248,14 +249,14 @@
 }
 
 #[test]
-fn random_schedules_break_nothing() {
+fn random_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
     let span = Duration::from_secs(60);
     let mut exercised = BTreeSet::new();
     for seed in 1..=60 {
         let faults = Schedule::random(&deployment, 3, seed, span);
         let plan = WorldPlan {
-            callers_leave: true,
+            clients_disconnect: true,
             ..WorldPlan::new(deployment.clone(), seed, span, faults)
         };
         let report = World::new(plan).run();
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn the_same_seed_repeats_the_same_run() {
+fn same_seed_reproduces_the_run() {
     let deployment = Deployment::find("small").unwrap();
     let span = Duration::from_secs(40);
     let run = || {
@@ -289,13 +290,13 @@
 }
 
 #[test]
-fn power_fails_everywhere_and_all_that_was_acknowledged_is_there() {
+fn acknowledged_rows_survive_total_power_loss() {
     let mut faults = vec![
         (6_000, Fault::Configure),
         (9_000, Fault::Content),
         (9_001, Fault::Purge("/".into())),
     ];
-    for place in CONTROL.into_iter().chain((0..4).map(Place::Edge)) {
+    for place in CONTROL.into_iter().chain((0..4).map(NodeId::Edge)) {
         faults.extend([(15_000, Fault::Kill(place)), (18_000, Fault::Start(place))]);
     }
     faults.extend([(18_000, Fault::Returned), (20_000, Fault::ReadBack)]);
@@ -309,13 +310,13 @@
 }
 
 #[test]
-fn a_control_node_is_replaced_by_an_empty_one_and_then_another_goes() {
+fn replaced_control_node_tolerates_next_loss() {
     for slot in 0..3 {
-        let next = Place::Control((slot + 1) % 3);
+        let next = NodeId::Control((slot + 1) % 3);
         let faults = vec![
             (6_000, Fault::Configure),
-            (10_000, Fault::Wipe(Place::Control(slot))),
-            (14_000, Fault::Start(Place::Control(slot))),
+            (10_000, Fault::Wipe(NodeId::Control(slot))),
+            (14_000, Fault::Start(NodeId::Control(slot))),
             (20_000, Fault::Kill(next)),
             (22_000, Fault::Configure),
             (24_000, Fault::ReadBack),
@@ -327,7 +328,7 @@
 }
 
 #[test]
-fn each_control_node_may_be_killed_paused_or_isolated_and_service_goes_on() {
+fn service_survives_loss_of_each_control_node() {
     for place in CONTROL {
         let faults = vec![
             (8_000, Fault::Kill(place)),
@@ -354,8 +355,8 @@
 }
 
 #[test]
-fn an_isolated_edge_fences_itself_and_changes_settle_without_it() {
-    let edge = Place::Edge(2);
+fn isolated_edge_fences_and_changes_settle() {
+    let edge = NodeId::Edge(2);
     let faults = vec![
         (8_000, Fault::Isolate(edge)),
         (8_100, Fault::Configure),
@@ -388,7 +389,7 @@
 }
 
 #[test]
-fn an_edge_paused_with_answers_in_hand_sends_nothing_old() {
+fn paused_edge_sends_no_stale_response() {
     for seed in 1..6 {
         let mut faults = Vec::new();
         for round in 0..5u64 {
@@ -396,7 +397,7 @@
             faults.push((
                 at,
                 Fault::Pause(
-                    Place::Edge(round as usize % 4),
+                    NodeId::Edge(round as usize % 4),
                     Duration::from_millis(3_800),
                 ),
             ));
@@ -408,11 +409,11 @@
 }
 
 #[test]
-fn a_rolling_restart_of_every_machine_drops_nothing_that_was_read() {
+fn rolling_restart_drops_no_request() {
     let mut faults = Vec::new();
     for (at, place) in CONTROL
         .into_iter()
-        .chain((0..4).map(Place::Edge))
+        .chain((0..4).map(NodeId::Edge))
         .enumerate()
     {
         faults.push((8_000 + at as u64 * 5_000, Fault::Restart(place)));
@@ -424,21 +425,21 @@
 }
 
 #[test]
-fn origins_fail_in_every_way_and_nothing_runs_twice() {
+fn failing_origins_never_run_a_key_twice() {
     let faults = vec![
-        (8_000, Fault::Origin(2, Mood::Mute)),
-        (8_000, Fault::Origin(3, Mood::Mute)),
-        (8_700, Fault::Origin(3, Mood::Good)),
-        (13_000, Fault::Origin(2, Mood::Good)),
-        (14_000, Fault::Origin(3, Mood::WrongBytes)),
-        (18_000, Fault::Origin(3, Mood::Good)),
-        (19_000, Fault::Origin(2, Mood::Down)),
-        (23_000, Fault::Origin(2, Mood::Good)),
-        (24_000, Fault::Origin(0, Mood::Slow)),
-        (28_000, Fault::Origin(0, Mood::Good)),
+        (8_000, Fault::Origin(2, OriginBehavior::Mute)),
+        (8_000, Fault::Origin(3, OriginBehavior::Mute)),
+        (8_700, Fault::Origin(3, OriginBehavior::Good)),
+        (13_000, Fault::Origin(2, OriginBehavior::Good)),
+        (14_000, Fault::Origin(3, OriginBehavior::WrongBytes)),
+        (18_000, Fault::Origin(3, OriginBehavior::Good)),
+        (19_000, Fault::Origin(2, OriginBehavior::Down)),
+        (23_000, Fault::Origin(2, OriginBehavior::Good)),
+        (24_000, Fault::Origin(0, OriginBehavior::Slow)),
+        (28_000, Fault::Origin(0, OriginBehavior::Good)),
         (30_000, Fault::Replace(2)),
-        (34_000, Fault::Leave(3)),
-        (38_000, Fault::Origin(3, Mood::Down)),
+        (34_000, Fault::DrainOrigin(3)),
+        (38_000, Fault::Origin(3, OriginBehavior::Down)),
     ];
     let report = small(7, 55, faults);
     judge(&report, &[1, 3, 8]);
@@ -453,26 +454,26 @@
 }
 
 #[test]
-fn an_address_that_went_to_another_service_gets_no_errand() {
+fn reassigned_origin_address_gets_no_request() {
     for seed in 1..8 {
         let faults = vec![
-            (9_000, Fault::Origin(3, Mood::Down)),
-            (9_400, Fault::Usurp(3)),
-            (9_401, Fault::Origin(3, Mood::Good)),
+            (9_000, Fault::Origin(3, OriginBehavior::Down)),
+            (9_400, Fault::ReuseAddress(3)),
+            (9_401, Fault::Origin(3, OriginBehavior::Good)),
         ];
         judge(&small(seed, 30, faults), &[3]);
     }
 }
 
 #[test]
-fn a_full_disk_takes_its_node_out_and_a_restart_with_room_brings_it_back() {
-    let place = Place::Control(1);
+fn node_with_full_disk_returns_after_restart() {
+    let place = NodeId::Control(1);
     let faults = vec![
         (8_000, Fault::DiskFull(place)),
         (10_000, Fault::Configure),
         (15_000, Fault::Kill(place)),
         (16_000, Fault::Start(place)),
-        (22_000, Fault::Kill(Place::Control(0))),
+        (22_000, Fault::Kill(NodeId::Control(0))),
         (24_000, Fault::Configure),
         (26_000, Fault::ReadBack),
     ];
@@ -491,7 +492,7 @@
 }
 
 #[test]
-fn with_origins_capped_at_half_the_demand_the_higher_rank_is_served_and_the_lower_told_at_once() {
+fn overload_serves_high_rank_and_rejects_low_at_once() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 120;
     // Applications get 36 errands a second, of which 18 are of rank 9.
@@ -538,11 +539,11 @@
 }
 
 #[test]
-fn power_goes_the_moment_something_is_acknowledged_and_it_is_still_there() {
+fn acknowledged_row_survives_immediate_power_loss() {
     for seed in 1..=30 {
-        let moment = [Moment::Configured, Moment::Purged, Moment::Booked][seed as usize % 3];
+        let trigger = [Trigger::Configured, Trigger::Purged, Trigger::Booked][seed as usize % 3];
         let faults = vec![
-            (8_000, Fault::Trap(moment, Loss::Power)),
+            (8_000, Fault::LossOnTrigger(trigger, Loss::Power)),
             (8_010 + seed * 7, Fault::Configure),
             (8_015 + seed * 7, Fault::Content),
             (8_016 + seed * 7, Fault::Purge("/".into())),
@@ -555,12 +556,12 @@
 }
 
 #[test]
-fn an_empty_node_elsewhere_takes_a_lost_slot_and_the_old_one_comes_back_fenced() {
+fn replaced_member_returns_fenced() {
     for slot in 0..3 {
         let (lost, next, spare) = (
-            Place::Control(slot),
-            Place::Control((slot + 1) % 3),
-            Place::Control(3),
+            NodeId::Control(slot),
+            NodeId::Control((slot + 1) % 3),
+            NodeId::Control(3),
         );
         let faults = vec![
             (6_000, Fault::Start(spare)),
@@ -571,8 +572,8 @@
             (24_000, Fault::Start(lost)),
             (26_000, Fault::Content),
             (26_001, Fault::Purge("/".into())),
-            (28_000, Fault::Kill(Place::Edge(1))),
-            (29_000, Fault::Start(Place::Edge(1))),
+            (28_000, Fault::Kill(NodeId::Edge(1))),
+            (29_000, Fault::Start(NodeId::Edge(1))),
             (30_000, Fault::ReadBack),
         ];
         let report = small(slot as u64 + 1, 45, faults);
@@ -597,14 +598,14 @@
 }
 
 #[test]
-fn a_slot_that_was_only_cut_off_is_replaced_and_fenced_under_load_and_weather() {
+fn partitioned_member_is_replaced_and_fenced_under_load() {
     for seed in 1..=12 {
-        let lost = Place::Control(seed as usize % 3);
+        let lost = NodeId::Control(seed as usize % 3);
         let faults = vec![
-            (5_000, Fault::Start(Place::Control(3))),
+            (5_000, Fault::Start(NodeId::Control(3))),
             (
                 6_000,
-                Fault::Weather {
+                Fault::LossyNetwork {
                     lost: 5,
                     doubled: 5,
                     late: 20,
@@ -613,11 +614,11 @@
             // Edges still hear it; the other control nodes do not.
             (
                 8_000,
-                Fault::Cut(lost, Place::Control((seed as usize + 1) % 3)),
+                Fault::DropLink(lost, NodeId::Control((seed as usize + 1) % 3)),
             ),
             (
                 8_000,
-                Fault::Cut(lost, Place::Control((seed as usize + 2) % 3)),
+                Fault::DropLink(lost, NodeId::Control((seed as usize + 2) % 3)),
             ),
             (12_000, Fault::Content),
             (12_001, Fault::Purge("/".into())),
@@ -628,7 +629,7 @@
             (24_000, Fault::Configure),
             (
                 26_000,
-                Fault::Weather {
+                Fault::LossyNetwork {
                     lost: 0,
                     doubled: 0,
                     late: 0,
@@ -648,14 +649,14 @@
 /// Seed 199 of the random schedules, once: a blank disk went by the seeds,
 /// did not find the slot that had moved, and struck its new holder.
 #[test]
-fn a_blank_disk_learns_where_a_moved_slot_is_and_strikes_nobody() {
+fn blank_disk_learns_moved_slot_and_removes_nobody() {
     let faults = vec![
-        (5_000, Fault::Start(Place::Control(3))),
-        (6_000, Fault::Kill(Place::Control(2))),
-        (13_000, Fault::Start(Place::Control(2))),
-        (17_800, Fault::Wipe(Place::Control(1))),
-        (19_400, Fault::Start(Place::Control(1))),
-        (23_000, Fault::Kill(Place::Control(0))),
+        (5_000, Fault::Start(NodeId::Control(3))),
+        (6_000, Fault::Kill(NodeId::Control(2))),
+        (13_000, Fault::Start(NodeId::Control(2))),
+        (17_800, Fault::Wipe(NodeId::Control(1))),
+        (19_400, Fault::Start(NodeId::Control(1))),
+        (23_000, Fault::Kill(NodeId::Control(0))),
         (25_000, Fault::Configure),
         (28_000, Fault::ReadBack),
     ];
@@ -682,23 +683,23 @@
         (6_000, Fault::Configure),
         (8_000, Fault::Content),
         (8_001, Fault::Purge("/".into())),
-        (9_000, Fault::Leave(3)),
+        (9_000, Fault::DrainOrigin(3)),
     ];
     for slot in slots {
         faults.extend([
-            (15_000, Fault::Wipe(Place::Control(*slot))),
-            (17_000, Fault::Start(Place::Control(*slot))),
+            (15_000, Fault::Wipe(NodeId::Control(*slot))),
+            (17_000, Fault::Start(NodeId::Control(*slot))),
         ]);
     }
     // One that was away for a while and came back in the same life knows all.
     faults.push((
         10_000,
-        Fault::Pause(Place::Edge(1), Duration::from_millis(2_500)),
+        Fault::Pause(NodeId::Edge(1), Duration::from_millis(2_500)),
     ));
     if lost_edge {
         faults.extend([
-            (14_900, Fault::Kill(Place::Edge(0))),
-            (17_000, Fault::Start(Place::Edge(0))),
+            (14_900, Fault::Kill(NodeId::Edge(0))),
+            (17_000, Fault::Start(NodeId::Edge(0))),
         ]);
     }
     faults.extend([
@@ -721,7 +722,7 @@
 }
 
 #[test]
-fn a_wiped_majority_is_rebuilt_from_the_edges_and_nothing_runs_twice() {
+fn wiped_majority_recovers_from_edges() {
     for slots in [&[0, 1, 2][..], &[0, 1], &[1, 2], &[0, 2]] {
         for lost_edge in [false, true] {
             let report = wiped(slots, lost_edge, 3 + slots[0] as u64);
@@ -793,7 +794,7 @@
 }
 
 #[test]
-fn the_core_cut_off_fences_and_comes_back() {
+fn isolated_control_plane_fences_and_recovers() {
     let mut faults: Vec<(u64, Fault)> = CONTROL
         .into_iter()
         .map(|place| (10_000, Fault::Isolate(place)))
@@ -814,10 +815,10 @@
 }
 
 #[test]
-fn half_of_the_edges_die_at_once() {
+fn service_survives_loss_of_half_the_edges() {
     let mut faults: Vec<(u64, Fault)> = [0, 2]
         .into_iter()
-        .map(|at| (10_000, Fault::Kill(Place::Edge(at))))
+        .map(|at| (10_000, Fault::Kill(NodeId::Edge(at))))
         .collect();
     faults.extend([
         (10_100, Fault::Configure),
@@ -844,9 +845,9 @@
 }
 
 #[test]
-fn a_zone_is_lost_with_its_control_node() {
+fn service_survives_loss_of_a_zone() {
     // Zone a: control 0, edges 0 and 3.
-    let zone = [Place::Control(0), Place::Edge(0), Place::Edge(3)];
+    let zone = [NodeId::Control(0), NodeId::Edge(0), NodeId::Edge(3)];
     let mut faults: Vec<(u64, Fault)> = zone
         .into_iter()
         .map(|place| (10_000, Fault::Isolate(place)))
@@ -868,12 +869,12 @@
 }
 
 #[test]
-fn two_that_cannot_hear_each_other_do_not_starve_a_partition() {
+fn control_nodes_without_mutual_contact_do_not_starve_a_partition() {
     // Control 0 and 1 both hear 2, and each thinks itself chosen for much.
-    let (one, two) = (Place::Control(0), Place::Control(1));
+    let (one, two) = (NodeId::Control(0), NodeId::Control(1));
     let mut faults = vec![
-        (8_000, Fault::Cut(one, two)),
-        (8_000, Fault::Cut(two, one)),
+        (8_000, Fault::DropLink(one, two)),
+        (8_000, Fault::DropLink(two, one)),
         (28_000, Fault::Heal),
     ];
     faults.extend((0..6).map(|round| (10_000 + round * 3_000, Fault::Configure)));
@@ -891,8 +892,8 @@
 }
 
 #[test]
-fn a_storm_of_purges_settles_and_one_who_missed_it_serves_nothing_old() {
-    let mut faults = vec![(8_000, Fault::Isolate(Place::Edge(1)))];
+fn purge_burst_settles_and_lagging_edge_serves_nothing_stale() {
+    let mut faults = vec![(8_000, Fault::Isolate(NodeId::Edge(1)))];
     for round in 0..1500u64 {
         let at = 9_000 + round * 2;
         if round % 100 == 0 {
@@ -918,7 +919,7 @@
 }
 
 #[test]
-fn the_log_on_disk_is_bounded_by_images() {
+fn log_on_disk_is_bounded_by_snapshots() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 200;
     deployment.mix[2].share = 60;
@@ -962,7 +963,7 @@
 /// Schedules that once broke a never, made short by `--shrink`; each with the
 /// seeds that follow, too, since the code they broke has moved since.
 #[test]
-fn schedules_that_once_broke_a_never_break_nothing() {
+fn recorded_failing_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
     let scripts = kept_scripts();
     assert!(scripts.len() >= 9);
@@ -986,7 +987,7 @@
 }
 
 #[test]
-fn everything_is_lost_at_once_and_a_repeat_still_does_not_run_again() {
+fn retry_after_total_loss_does_not_run_again() {
     for seed in 1..=6 {
         let faults = vec![(20_000, Fault::LoseAll)];
         let report = small(seed, 120, faults);
@@ -1012,11 +1013,11 @@
 /// The closing is read from the disk again: control nodes that lose power in
 /// the minute after a loss do not open the ledger by it.
 #[test]
-fn the_ledger_stays_closed_when_control_loses_power_again_after_a_loss() {
+fn ledger_stays_closed_over_power_loss_after_total_loss() {
     for seed in 1..=4 {
         let mut faults = vec![
-            (19_900, Fault::Kill(Place::Edge(0))),
-            (21_000, Fault::Start(Place::Edge(0))),
+            (19_900, Fault::Kill(NodeId::Edge(0))),
+            (21_000, Fault::Start(NodeId::Edge(0))),
         ];
         for place in CONTROL {
             faults.extend([
@@ -1041,14 +1042,14 @@
 /// An edge that was just enrolled runs operations and is lost together with
 /// every disk: the edges that are left must miss it.
 #[test]
-fn an_edge_lost_with_the_disks_right_after_it_was_enrolled_is_missed() {
+fn edge_lost_right_after_enrollment_is_accounted_for() {
     let mut ran = 0;
     for step in 0..40 {
         let at = 20_150 + step * 20;
         let mut faults = vec![
-            (15_000, Fault::Kill(Place::Edge(0))),
-            (20_000, Fault::Start(Place::Edge(0))),
-            (at, Fault::Kill(Place::Edge(0))),
+            (15_000, Fault::Kill(NodeId::Edge(0))),
+            (20_000, Fault::Start(NodeId::Edge(0))),
+            (at, Fault::Kill(NodeId::Edge(0))),
         ];
         for place in CONTROL {
             faults.extend([(at, Fault::Wipe(place)), (at + 1_000, Fault::Start(place))]);
@@ -1069,12 +1070,12 @@
 /// Callers' and operators' clocks play no part, and the nodes' own may start
 /// anywhere and run unlike fast: leases are judged at a tenth off.
 #[test]
-fn clocks_a_tenth_off_break_no_lease_and_the_checker_notices_a_third() {
+fn lease_bears_clock_drift_of_a_tenth_but_not_a_third() {
     let run = |drift: u64, seed: u64| {
         let mut faults = Vec::new();
         for round in 0..8u64 {
             let at = 8_000 + round * 4_000;
-            faults.push((at, Fault::Isolate(Place::Edge(round as usize % 4))));
+            faults.push((at, Fault::Isolate(NodeId::Edge(round as usize % 4))));
             faults.push((at + 20, Fault::Configure));
             faults.push((at + 30, Fault::Content));
             faults.push((at + 31, Fault::Purge("/".into())));
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -14,8 +14,8 @@
     if control < 5 { 1 } else { 2 }
 }
 
-fn spare(control: usize, number: usize) -> Place {
-    Place::Control(control + number)
+fn spare(control: usize, number: usize) -> NodeId {
+    NodeId::Control(control + number)
 }
 
 fn fleet(control: usize, seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> WorldPlan {
@@ -26,7 +26,7 @@
 }
 
 /// When a node's disk first counted after this moment, in milliseconds.
-fn refilled(report: &Report, place: Place, after: u64) -> Option<u64> {
+fn refilled(report: &Report, place: NodeId, after: u64) -> Option<u64> {
     let first = report.membership.iter().find(|(at, who, event)| {
         *event == Event::DiskRefilled && *who == place && at.as_millis() as u64 >= after
     });
@@ -45,19 +45,19 @@
 /// A machine is gone for good and an empty one starts a second later; once
 /// that has had its time, as many more as may be lost go for good.
 #[test]
-fn after_an_unplanned_replacement_the_next_loss_finds_a_majority() {
+fn unplanned_replacement_leaves_majority_for_next_loss() {
     for control in SIZES {
         for lost in 0..3 {
             let start = 9_000;
             let next = start + CATCH_UP;
             let mut faults = vec![
-                (8_000, Fault::Kill(Place::Control(lost))),
+                (8_000, Fault::Kill(NodeId::Control(lost))),
                 (start, Fault::Start(spare(control, 0))),
                 (14_000, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
             for more in 1..=tolerated(control) {
-                faults.push((next, Fault::Kill(Place::Control((lost + more) % control))));
+                faults.push((next, Fault::Kill(NodeId::Control((lost + more) % control))));
             }
             let report = run(fleet(control, lost as u64 + 1, 30, faults));
             let what = format!("{control} slots, {lost} lost");
@@ -71,7 +71,7 @@
 /// Of five and eight, two machines go at the same moment: one after the other
 /// is replaced, and two more may go.
 #[test]
-fn two_lost_at_once_are_replaced_one_after_the_other() {
+fn two_lost_members_are_replaced_in_sequence() {
     for control in [5, 8] {
         for lost in [0, 2] {
             let (start, second) = (9_000, lost + 1);
@@ -81,12 +81,12 @@
                 lost as u64 + 1,
                 30,
                 vec![
-                    (8_000, Fault::Kill(Place::Control(lost))),
-                    (8_000, Fault::Kill(Place::Control(second))),
+                    (8_000, Fault::Kill(NodeId::Control(lost))),
+                    (8_000, Fault::Kill(NodeId::Control(second))),
                     (start, Fault::Start(spare(control, 0))),
                     (start, Fault::Start(spare(control, 1))),
-                    (next, Fault::Kill(Place::Control((lost + 2) % control))),
-                    (next, Fault::Kill(Place::Control((lost + 3) % control))),
+                    (next, Fault::Kill(NodeId::Control((lost + 2) % control))),
+                    (next, Fault::Kill(NodeId::Control((lost + 3) % control))),
                     (14_000, Fault::Configure),
                     (22_000, Fault::ReadBack),
                 ],
@@ -104,21 +104,21 @@
 /// Planned: the new machine first, then SIGTERM. The leaving one counts as
 /// lost no longer than until its successor has had its time.
 #[test]
-fn a_leaving_member_hands_its_slot_to_a_waiting_newcomer() {
+fn draining_member_hands_slot_to_newcomer() {
     for control in SIZES {
         for leaving in 0..3 {
             let (start, warned) = (8_000, 10_000);
             let next = start + CATCH_UP;
             let mut faults = vec![
                 (start, Fault::Start(spare(control, 0))),
-                (warned, Fault::Retire(Place::Control(leaving))),
+                (warned, Fault::Retire(NodeId::Control(leaving))),
                 (13_500, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
             for more in 1..=tolerated(control) {
                 faults.push((
                     next,
-                    Fault::Kill(Place::Control((leaving + more) % control)),
+                    Fault::Kill(NodeId::Control((leaving + more) % control)),
                 ));
             }
             let report = run(fleet(control, leaving as u64 + 1, 30, faults));
@@ -137,7 +137,7 @@
 /// never counts as lost, and others are lost (cut off or killed) around that
 /// very moment: what the leaving one holds must not go with it.
 #[test]
-fn a_leaving_member_hands_over_while_as_many_as_may_be_are_lost() {
+fn draining_member_hands_over_at_maximum_loss() {
     for control in SIZES {
         for (seed, shift) in [0, 100, 300, 700, 1_500].into_iter().enumerate() {
             for early in [false, true] {
@@ -152,14 +152,14 @@
                     let mut faults = vec![
                         (start, Fault::Start(spare(control, 0))),
                         (warned - 20, Fault::Configure),
-                        (warned, Fault::Retire(Place::Control(leaving))),
+                        (warned, Fault::Retire(NodeId::Control(leaving))),
                         // Callers were served before it; operators ask any node.
                         (18_200, Fault::Heal),
                         (18_500, Fault::Configure),
                         (24_000, Fault::ReadBack),
                     ];
                     for more in 1..=tolerated(control) {
-                        let other = Place::Control((leaving + more) % control);
+                        let other = NodeId::Control((leaving + more) % control);
                         let loss = if cut {
                             Fault::Isolate(other)
                         } else {
@@ -187,12 +187,12 @@
 
 /// One that is only restarted keeps its slot, and is back as soon as ever.
 #[test]
-fn a_restarted_member_keeps_its_slot() {
+fn restarted_member_keeps_its_slot() {
     for control in SIZES {
         let faults = (0..control)
             .map(|slot| {
                 let at = 8_000 + slot as u64 * 3_000;
-                (at, Fault::Restart(Place::Control(slot)))
+                (at, Fault::Restart(NodeId::Control(slot)))
             })
             .chain([(34_000, Fault::Configure), (37_000, Fault::ReadBack)])
             .collect();
@@ -212,20 +212,20 @@
 
 /// Two machines of the core are replaced one right after the other.
 #[test]
-fn two_planned_replacements_in_a_row_leave_room_for_the_next_loss() {
+fn consecutive_planned_replacements_tolerate_next_loss() {
     for control in SIZES {
         let mut faults = vec![
             (8_000, Fault::Start(spare(control, 0))),
-            (9_000, Fault::Retire(Place::Control(0))),
+            (9_000, Fault::Retire(NodeId::Control(0))),
             (9_500, Fault::Configure),
             (12_000, Fault::Start(spare(control, 1))),
-            (13_000, Fault::Retire(Place::Control(1))),
+            (13_000, Fault::Retire(NodeId::Control(1))),
             (13_200, Fault::Configure),
             (18_500, Fault::Configure),
             (22_000, Fault::ReadBack),
         ];
         for more in 0..tolerated(control) {
-            faults.push((16_000, Fault::Kill(Place::Control(control - 1 - more))));
+            faults.push((16_000, Fault::Kill(NodeId::Control(control - 1 - more))));
         }
         let report = run(fleet(control, 3, 30, faults));
         judge_after(&report, &control.to_string(), 20.0, 29.0, 4);
@@ -234,10 +234,10 @@
 
 /// The newcomer is lost at each step of its taking over, and another one comes.
 #[test]
-fn a_newcomer_lost_at_any_step_is_replaced_by_the_next() {
+fn newcomer_lost_at_any_step_is_replaced() {
     for control in SIZES {
         for step in (0..1_500).step_by(150) {
-            let leaving = Place::Control((step / 150) as usize % 3);
+            let leaving = NodeId::Control((step / 150) as usize % 3);
             let report = run(fleet(
                 control,
                 step + 1,
@@ -267,11 +267,11 @@
 /// and comes back when its slot is another's. It then is an empty node that
 /// waits, and takes the slot of the next that leaves.
 #[test]
-fn a_replaced_member_that_was_only_cut_off_comes_back_as_a_newcomer() {
+fn replaced_partitioned_member_returns_as_newcomer() {
     for control in SIZES {
         for slot in 0..3 {
-            let cut = Place::Control(slot);
-            let leaving = Place::Control((slot + 1) % 3);
+            let cut = NodeId::Control(slot);
+            let leaving = NodeId::Control((slot + 1) % 3);
             let report = run(fleet(
                 control,
                 slot as u64 + 1,
@@ -282,7 +282,7 @@
                     (15_000, Fault::Heal),
                     (16_000, Fault::Configure),
                     (18_000, Fault::Retire(leaving)),
-                    (21_000, Fault::Kill(Place::Control((slot + 2) % 3))),
+                    (21_000, Fault::Kill(NodeId::Control((slot + 2) % 3))),
                     (23_000, Fault::Configure),
                     (27_000, Fault::ReadBack),
                 ],
@@ -303,15 +303,15 @@
 /// Right after an acknowledgement a disk is wiped, at every moment of a
 /// replacement from when the newcomer has had its time: nothing is missing.
 #[test]
-fn a_disk_wiped_right_after_a_replacement_takes_nothing_along() {
+fn disk_wiped_after_replacement_loses_nothing() {
     for control in SIZES {
         for planned in [false, true] {
             for (seed, more) in [0, 200, 600, 1_200].into_iter().enumerate() {
                 let leaving = seed % 3;
                 let end = if planned {
-                    Fault::Retire(Place::Control(leaving))
+                    Fault::Retire(NodeId::Control(leaving))
                 } else {
-                    Fault::Kill(Place::Control(leaving))
+                    Fault::Kill(NodeId::Control(leaving))
                 };
                 let first = (leaving + 1) % control;
                 let report = run(fleet(
@@ -323,7 +323,10 @@
                         (9_000, end),
                         (
                             8_000 + CATCH_UP + more,
-                            Fault::Trap(Moment::Configured, Loss::Disks(first, tolerated(control))),
+                            Fault::LossOnTrigger(
+                                Trigger::Configured,
+                                Loss::Disks(first, tolerated(control)),
+                            ),
                         ),
                         (8_010 + CATCH_UP + more, Fault::Configure),
                         (24_000, Fault::ReadBack),
@@ -348,11 +351,11 @@
 /// `--nocapture` the lines of the table in docs/figures.md.
 /// Its name, whose disk is to be full again, when it is lost and when what
 /// replaces it starts (both in ms), and what happens.
-type KindOfLoss = (&'static str, Place, u64, u64, [(u64, Fault); 2]);
+type KindOfLoss = (&'static str, NodeId, u64, u64, [(u64, Fault); 2]);
 
 #[test]
-fn redundancy_is_short_for_less_than_the_time_to_catch_up() {
-    let lost = Place::Control(1);
+fn reduced_redundancy_is_bounded_by_catch_up() {
+    let lost = NodeId::Control(1);
     for control in SIZES {
         let new = spare(control, 0);
         let kinds: [KindOfLoss; 5] = [
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -1,3 +1,7 @@
+//! Shrinks a failing schedule to the faults that it needs.
+#[cfg(test)]
+mod tests;
+
 use crate::prelude::*;
 
 /// Makes a schedule that breaks something short: leaves out parts, halves
@@ -38,13 +42,13 @@
                 .collect()
         };
         let first = broken(&plan.faults).first().copied();
-        let (mends, hurts): (Vec<_>, Vec<_>) = plan
+        let (repairs, hurts): (Vec<_>, Vec<_>) = plan
             .faults
             .iter()
             .cloned()
-            .partition(|(_, fault)| fault.mends());
+            .partition(|(_, fault)| fault.repairs());
         let whole = |hurts: &[(Duration, Fault)]| {
-            let mut list = [mends.as_slice(), hurts].concat();
+            let mut list = [repairs.as_slice(), hurts].concat();
             list.sort_by_key(|(at, _)| *at);
             list
         };
@@ -53,7 +57,7 @@
         let hurts = Shrink::list(hurts.clone(), &|hurts| breaks(&whole(hurts)));
         // Then those mends that mend nothing any more: all of one kind at once.
         let all = whole(&hurts);
-        let kinds: BTreeSet<String> = mends.iter().map(|(_, fault)| fault.kind()).collect();
+        let kinds: BTreeSet<String> = repairs.iter().map(|(_, fault)| fault.kind()).collect();
         kinds
             .into_iter()
             .filter(|kind| kind != "start")
@@ -67,14 +71,3 @@
             })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::prelude::*;
-
-    #[test]
-    fn only_what_is_needed_to_break_is_left() {
-        let needed = |list: &[u32]| list.contains(&3) && list.contains(&77);
-        assert_eq!(Shrink::list((0..100).collect(), &needed), [3, 77]);
-    }
-}
