--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cache_owner`.
+//! Expiries, refreshers, eviction and handover of a cache owner.
 use crate::prelude::*;
 
 const KEY: CacheKey = [1; 32];
@@ -32,10 +32,10 @@
     }
 }
 
-/// What the owner says to one get: "copy TEXT", "miss", "wait".
-fn ask(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
+/// The owner's response to one get: "copy TEXT", "miss", "wait".
+fn request(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
     owner.get(at(now), from(1), get(id), 7, 0);
-    match owner.take_out().pop() {
+    match owner.take_outgoing().pop() {
         None => ("wait".into(), None),
         Some((_, Message::CacheCopy(copy))) => (
             format!(
@@ -49,205 +49,164 @@
     }
 }
 
-fn filled(now: u64) -> CacheOwner {
+/// The refresher's put of a response with this body.
+fn put(
+    owner: &mut CacheOwner,
+    now: u64,
+    token: FillToken,
+    body: &str,
+    epoch: u64,
+    purge_log: &PurgeLog,
+) -> bool {
+    let key = KEY;
+    let reply = reply(body);
+    let put = CachePut { key, token, reply };
+    owner.put(at(now), put, epoch, purge_log)
+}
+
+fn url_purge() -> Purge {
+    Purge {
+        url: Some("/u".into()),
+        ..Purge::default()
+    }
+}
+
+/// A log of one purge of `/u`.
+fn log_of_purge(version: u64) -> PurgeLog {
+    let mut purge_log = PurgeLog::default();
+    let value = Value::Purge {
+        purge: url_purge(),
+        change: 1,
+    };
+    let row = Row { version, value };
+    purge_log.apply(Duration::ZERO, version, &[("p".into(), row)]);
+    purge_log
+}
+
+fn owner_with_response(now: u64) -> CacheOwner {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, now, 1).1.unwrap();
-    assert!(owner.put(
-        at(now),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("a")
-        },
-        7,
-        &PurgeBook::default()
-    ));
+    let token = request(&mut owner, now, 1).1.unwrap();
+    assert!(put(&mut owner, now, token, "a", 7, &PurgeLog::default()));
     owner
 }
 
 #[test]
-fn one_refresher_a_delta_and_a_put_resets_both_expiries() {
-    let mut owner = filled(0);
-    assert_eq!(ask(&mut owner, 4999, 2).0, "copy a");
-    let token = ask(&mut owner, 5000, 3).1.unwrap();
+fn put_resets_both_expiries_with_one_refresher() {
+    let mut owner = owner_with_response(0);
+    assert_eq!(request(&mut owner, 4999, 2).0, "copy a");
+    let token = request(&mut owner, 5000, 3).1.unwrap();
     for id in 4..50 {
-        assert_eq!(ask(&mut owner, 5001, id).0, "copy a");
+        assert_eq!(request(&mut owner, 5001, id).0, "copy a");
     }
-    owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("b"),
-        },
-        7,
-        &PurgeBook::default(),
-    );
-    assert_eq!(ask(&mut owner, 10_050, 50).0, "copy b");
-    assert_eq!(ask(&mut owner, 10_100, 51).0, "miss");
+    put(&mut owner, 5100, token, "b", 7, &PurgeLog::default());
+    assert_eq!(request(&mut owner, 10_050, 50).0, "copy b");
+    assert_eq!(request(&mut owner, 10_100, 51).0, "miss");
 }
 
 #[test]
-fn without_a_put_the_copy_ends_with_its_keep_time_from_the_start_of_the_fetch() {
+fn unrefreshed_response_expires_ttl_after_fetch_start() {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, 0, 1).1.unwrap();
-    owner.put(
-        at(1500),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("a"),
-        },
-        7,
-        &PurgeBook::default(),
-    );
-    assert_eq!(ask(&mut owner, 6500, 2).0, "miss");
-    assert_eq!(ask(&mut owner, 9999, 3).0, "copy a");
-    // Major has passed: no copy any more; the refresher of 6500 stalled.
-    assert_eq!(ask(&mut owner, 10_000, 4).0, "miss");
+    let token = request(&mut owner, 0, 1).1.unwrap();
+    put(&mut owner, 1500, token, "a", 7, &PurgeLog::default());
+    assert_eq!(request(&mut owner, 6500, 2).0, "miss");
+    assert_eq!(request(&mut owner, 9999, 3).0, "copy a");
+    // The major expiry has passed; the refresher of 6500 timed out.
+    assert_eq!(request(&mut owner, 10_000, 4).0, "miss");
 }
 
 #[test]
-fn a_cold_key_has_one_refresher_and_the_next_when_it_fails_or_stalls() {
+fn cold_key_gets_next_refresher_on_failure_or_timeout() {
     let mut owner = CacheOwner::new(1 << 20);
-    let first = ask(&mut owner, 0, 1).1.unwrap();
+    let first = request(&mut owner, 0, 1).1.unwrap();
     for id in 2..6 {
-        assert_eq!(ask(&mut owner, 10, id).0, "wait");
+        assert_eq!(request(&mut owner, 10, id).0, "wait");
     }
-    owner.give_up(at(100), KEY, first, 7, 0, false);
-    let out = owner.take_out();
+    owner.fill_failed(at(100), KEY, first, 7, 0, false);
+    let outputs = owner.take_outgoing();
     assert!(
         matches!(
-            out.as_slice(),
+            outputs.as_slice(),
             [(_, Message::CacheMiss(CacheMiss { id: 2, .. }))]
         ),
-        "{out:?}"
+        "{outputs:?}"
     );
     owner.tick(at(2099), &|_| 7, 0);
-    assert!(owner.take_out().is_empty());
+    assert!(owner.take_outgoing().is_empty());
     owner.tick(at(2100), &|_| 7, 0);
-    let out = owner.take_out();
-    let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = out.as_slice() else {
-        panic!("{out:?}")
+    let outputs = owner.take_outgoing();
+    let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = outputs.as_slice() else {
+        panic!("{outputs:?}")
     };
-    owner.put(
-        at(2200),
-        CachePut {
-            key: KEY,
-            token: *token,
-            reply: reply("c"),
-        },
-        7,
-        &PurgeBook::default(),
-    );
+    put(&mut owner, 2200, *token, "c", 7, &PurgeLog::default());
     assert_eq!(
-        owner.take_out().len(),
+        owner.take_outgoing().len(),
         2,
         "the two that still wait get the copy"
     );
 }
 
 #[test]
-fn a_late_put_is_dropped_after_a_purge_a_move_or_a_newer_put() {
-    let purge = Purge {
-        url: Some("/u".into()),
-        ..Purge::default()
-    };
-    let mut book = PurgeBook::default();
-    book.learn(
-        Duration::ZERO,
-        1,
-        &[(
-            "p".into(),
-            Row {
-                version: 1,
-                value: Value::Purge {
-                    purge: purge.clone(),
-                    change: 1,
-                },
-            },
-        )],
-    );
-    let mut owner = filled(0);
-    let token = ask(&mut owner, 5000, 2).1.unwrap();
+fn late_put_is_dropped_after_purge_move_or_newer_put() {
+    let purge = url_purge();
+    let purge_log = log_of_purge(1);
+    let mut owner = owner_with_response(0);
+    let token = request(&mut owner, 5000, 2).1.unwrap();
     owner.purge(&purge);
-    assert!(!owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("old")
-        },
-        7,
-        &book
-    ));
+    assert!(!put(&mut owner, 5100, token, "old", 7, &purge_log));
     assert_eq!(
-        ask(&mut owner, 5200, 3).0,
+        request(&mut owner, 5200, 3).0,
         "miss",
         "the purged copy is gone and the late one was not taken"
     );
 
-    let mut owner = filled(0);
-    let token = ask(&mut owner, 5000, 2).1.unwrap();
-    assert!(!owner.put(
-        at(5100),
-        CachePut {
-            key: KEY,
-            token,
-            reply: reply("old")
-        },
+    let mut owner = owner_with_response(0);
+    let token = request(&mut owner, 5000, 2).1.unwrap();
+    assert!(!put(
+        &mut owner,
+        5100,
+        token,
+        "old",
         8,
-        &PurgeBook::default()
+        &PurgeLog::default()
     ));
 
-    let mut owner = filled(0);
-    let slow = ask(&mut owner, 5000, 2).1.unwrap();
-    // It stalls (its minor extension is over), another refreshes.
-    let quick = ask(&mut owner, 10_000, 3).1.unwrap();
-    owner.put(
-        at(10_100),
-        CachePut {
-            key: KEY,
-            token: quick,
-            reply: reply("new"),
-        },
-        7,
-        &PurgeBook::default(),
-    );
-    assert!(!owner.put(
-        at(10_200),
-        CachePut {
-            key: KEY,
-            token: slow,
-            reply: reply("old")
-        },
+    let mut owner = owner_with_response(0);
+    let slow = request(&mut owner, 5000, 2).1.unwrap();
+    // It times out (its minor extension is over), another request refreshes.
+    let quick = request(&mut owner, 10_000, 3).1.unwrap();
+    put(&mut owner, 10_100, quick, "new", 7, &PurgeLog::default());
+    assert!(!put(
+        &mut owner,
+        10_200,
+        slow,
+        "old",
         7,
-        &PurgeBook::default()
+        &PurgeLog::default()
     ));
-    assert_eq!(ask(&mut owner, 10_300, 4).0, "copy new");
+    assert_eq!(request(&mut owner, 10_300, 4).0, "copy new");
 }
 
 #[test]
-fn what_may_not_be_shared_is_not_held_and_nobody_waits_for_it() {
+fn private_response_is_not_stored_or_awaited() {
     let mut owner = CacheOwner::new(1 << 20);
-    let token = ask(&mut owner, 0, 1).1.unwrap();
-    assert_eq!(ask(&mut owner, 1, 2).0, "wait");
-    owner.give_up(at(10), KEY, token, 7, 0, true);
+    let token = request(&mut owner, 0, 1).1.unwrap();
+    assert_eq!(request(&mut owner, 1, 2).0, "wait");
+    owner.fill_failed(at(10), KEY, token, 7, 0, true);
     assert!(matches!(
-        owner.take_out().as_slice(),
+        owner.take_outgoing().as_slice(),
         [(_, Message::CacheUnavailable(CacheUnavailable { id: 2, .. }))]
     ));
-    assert_eq!(ask(&mut owner, 11, 3).0, "CacheUnavailable");
-    assert_eq!(ask(&mut owner, 5010, 4).0, "miss");
+    assert_eq!(request(&mut owner, 11, 3).0, "CacheUnavailable");
+    assert_eq!(request(&mut owner, 5010, 4).0, "miss");
 }
 
 #[test]
-fn memory_is_bounded_and_the_longest_unasked_go_first() {
+fn least_recently_used_responses_are_evicted() {
     let mut owner = CacheOwner::new(20_000);
     for round in 0..100u8 {
         let key = [round; 32];
         owner.get(at(round.into()), from(1), CacheGet { key, ..get(1) }, 7, 0);
-        let Some((_, Message::CacheMiss(miss))) = owner.take_out().pop() else {
+        let Some((_, Message::CacheMiss(miss))) = owner.take_outgoing().pop() else {
             panic!()
         };
         owner.put(
@@ -258,104 +217,99 @@
                 reply: reply(&"x".repeat(488)),
             },
             7,
-            &PurgeBook::default(),
+            &PurgeLog::default(),
         );
-        assert!(owner.bytes <= 20_000);
+        assert!(owner.memory.used <= 20_000);
     }
-    assert!(owner.keys[&[99; 32]].held.is_some() && owner.keys[&[0; 32]].held.is_none());
+    assert!(owner.slots[&[99; 32]].stored.is_some() && owner.slots[&[0; 32]].stored.is_none());
     owner.clear();
-    assert_eq!(owner.bytes, 0);
+    assert_eq!(owner.memory.used, 0);
 }
 
 #[test]
-fn a_moved_partition_takes_its_copies_along_with_expiries_and_purges() {
-    let mut owner = filled(0);
-    owner.keep_partitions(at(2000), 3, &|_| false);
-    assert_eq!(owner.bytes, 0);
-    let copies = owner.hand(at(2100), cache_partition(&KEY));
+fn handover_preserves_expiries_and_purges() {
+    let mut owner = owner_with_response(0);
+    owner.retain_partitions(at(2000), 3, &|_| false);
+    assert_eq!(owner.memory.used, 0);
+    let responses = owner.hand_over(at(2100), cache_partition(&KEY));
     assert_eq!(
         (
-            copies.len(),
-            copies[0].age,
-            copies[0].minor_expiry,
-            copies[0].major_expiry,
-            copies[0].purge_version
+            responses.len(),
+            responses[0].age,
+            responses[0].minor_expiry,
+            responses[0].major_expiry,
+            responses[0].purge_version
         ),
         (1, at(2100), at(2900), at(7900), 3)
     );
-    // Its clock is its own; the way there counts against the copy.
+    // Its clock is its own; the network delay counts against the response.
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
-        next.take_over(at(50_000), at(100), copies.clone(), &PurgeBook::default()),
+        next.take_over(at(50_000), at(100), responses.clone(), &PurgeLog::default()),
         1
     );
-    assert_eq!(ask(&mut next, 52_799, 1).0, "copy a");
-    assert_eq!(ask(&mut next, 52_800, 2).0, "miss");
-    assert_eq!(ask(&mut next, 57_799, 3).0, "copy a");
+    assert_eq!(request(&mut next, 52_799, 1).0, "copy a");
+    assert_eq!(request(&mut next, 52_800, 2).0, "miss");
+    assert_eq!(request(&mut next, 57_799, 3).0, "copy a");
     next.tick(at(57_800), &|_| 7, 0);
-    assert!(next.keys[&KEY].held.is_none());
-    // Too long on the way: over before it came.
+    assert!(next.slots[&KEY].stored.is_none());
+    // In flight for too long: it expired before it arrived.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
-        late.take_over(at(50_000), at(7900), copies.clone(), &PurgeBook::default()),
+        late.take_over(
+            at(50_000),
+            at(7900),
+            responses.clone(),
+            &PurgeLog::default()
+        ),
         0
     );
-    // A purge that the last holder did not know yet.
-    let purge = Purge {
-        url: Some("/u".into()),
-        ..Purge::default()
-    };
-    let mut book = PurgeBook::default();
-    book.learn(
-        Duration::ZERO,
-        4,
-        &[(
-            "p".into(),
-            Row {
-                version: 4,
-                value: Value::Purge { purge, change: 1 },
-            },
-        )],
-    );
+    // A purge that the previous owner did not know yet.
+    let purge_log = log_of_purge(4);
     let mut next = CacheOwner::new(1 << 20);
-    assert_eq!(next.take_over(at(50_000), at(100), copies, &book), 0);
-    // Set aside too long, it is gone.
-    let mut owner = filled(0);
-    owner.keep_partitions(at(2000), 3, &|_| false);
+    assert_eq!(
+        next.take_over(at(50_000), at(100), responses, &purge_log),
+        0
+    );
+    // Retained for too long, it is dropped.
+    let mut owner = owner_with_response(0);
+    owner.retain_partitions(at(2000), 3, &|_| false);
     owner.tick(at(5000), &|_| 7, 0);
-    assert!(owner.hand(at(5000), cache_partition(&KEY)).is_empty() && !owner.has_aside());
+    assert!(
+        owner.hand_over(at(5000), cache_partition(&KEY)).is_empty()
+            && !owner.has_retained_partitions()
+    );
 }
 
-/// A copy is sent to nobody who took the question back, and whose refresher
-/// fails passes over them.
+/// No response is sent to a withdrawn request, and none becomes the refresher.
 #[test]
-fn a_withdrawn_question_is_neither_answered_nor_made_a_refresher() {
+fn withdrawn_get_is_not_served_or_made_refresher() {
     for fails in [false, true] {
         let mut owner = CacheOwner::new(1 << 20);
-        let token = ask(&mut owner, 0, 1).1.unwrap();
+        let token = request(&mut owner, 0, 1).1.unwrap();
         for id in 2..=4 {
-            assert_eq!(ask(&mut owner, 10, id).0, "wait");
+            assert_eq!(request(&mut owner, 10, id).0, "wait");
         }
         owner.withdraw(from(1), &KEY, 2);
         owner.withdraw(from(2), &KEY, 3);
         owner.withdraw(from(1), &[9; 32], 4);
-        let book = PurgeBook::default();
+        let purge_log = PurgeLog::default();
         if fails {
-            owner.give_up(at(20), KEY, token, 7, 0, false);
+            owner.fill_failed(at(20), KEY, token, 7, 0, false);
         } else {
             let put = CachePut {
                 key: KEY,
                 token,
                 reply: reply("a"),
             };
-            assert!(owner.put(at(20), put, 7, &book));
+            assert!(owner.put(at(20), put, 7, &purge_log));
         }
-        let answered = |(_, message)| match message {
+        let recipient = |(_, message)| match message {
             Message::CacheCopy(copy) => copy.id,
             Message::CacheMiss(miss) => miss.id,
             other => panic!("{other:?}"),
         };
-        let told: Vec<u64> = owner.take_out().into_iter().map(answered).collect();
-        assert_eq!(told, if fails { vec![3] } else { vec![3, 4] });
+        let recipients: Vec<u64> = owner.take_outgoing().into_iter().map(recipient).collect();
+        assert_eq!(recipients, if fails { vec![3] } else { vec![3, 4] });
     }
 }
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -1,27 +1,28 @@
 //! The data plane: filters, cache owners, admission controllers, calls to origins.
+#![warn(missing_docs, unreachable_pub)]
 mod abandoned_work;
+mod active_request;
 mod admission;
-mod answer_sizes;
 mod cache_owner;
 mod call_result;
 mod coalescer;
 mod default_protocol;
 mod edge_node;
+mod fallback_quota;
 mod filter;
 mod http_frontend;
-mod job;
 mod leases;
-mod link_delay;
+mod link_delay_estimator;
+mod memory_budget;
 mod near_cache;
-mod own_share;
 pub mod prelude;
-mod purge_book;
+mod purge_log;
 mod request_conversion;
-mod room;
-mod seal;
+mod response_signature;
+mod response_sizes;
 pub use call_result::judge_call;
 pub use default_protocol::DefaultProtocol;
 pub use edge_node::EdgeNode;
 pub use http_frontend::HttpFrontend;
 pub use request_conversion::client_request_of;
-pub use seal::Seal;
+pub use response_signature::ResponseSignature;
--- /dev/null
+++ b/data-plane/src/purge_log.rs
@@ -0,0 +1,83 @@
+//! The purges that an edge has applied.
+#[cfg(test)]
+mod tests;
+
+use crate::prelude::*;
+
+/// The purges that an edge knows. Invariant: `applied` is the version of the
+/// last one; those above `floor` are listed, older ones are not retained, so a
+/// response known to be clear only up to below `floor` counts as purged.
+#[derive(Debug, Default)]
+pub struct PurgeLog {
+    /// The version of the last purge that was applied.
+    pub applied: u64,
+    floor: u64,
+    by_version: BTreeMap<u64, KnownPurge>,
+}
+
+#[derive(Debug)]
+struct KnownPurge {
+    /// When it was applied here: before its acknowledgement, since that waits
+    /// for this edge.
+    applied_at: Duration,
+    purge: Purge,
+}
+
+/// What an update brought.
+#[derive(Debug, Default)]
+pub struct AppliedPurges {
+    /// The purges that were not known before, oldest first.
+    pub new: Vec<Purge>,
+    /// Some purges were missed, so that every stored response must be dropped.
+    pub has_gap: bool,
+}
+
+impl PurgeLog {
+    /// Applies the rows of an update up to `version`.
+    pub fn apply(&mut self, now: Duration, version: u64, rows: &[(String, Row)]) -> AppliedPurges {
+        let before = self.applied;
+        let mut new = Vec::new();
+        for (_, row) in rows.iter().filter(|(_, row)| row.version > before) {
+            if let Value::Purge { purge, .. } = &row.value {
+                let known = KnownPurge {
+                    applied_at: now,
+                    purge: purge.clone(),
+                };
+                self.by_version.insert(row.version, known);
+                new.push(purge.clone());
+            }
+        }
+        self.applied = version.max(before);
+        let has_gap = version.saturating_sub(before) > MAX_RETAINED_PURGES;
+        if has_gap {
+            self.floor = version - MAX_RETAINED_PURGES;
+        }
+        self.drop_oldest();
+        AppliedPurges { new, has_gap }
+    }
+
+    fn drop_oldest(&mut self) {
+        while self.by_version.len() as u64 > MAX_RETAINED_PURGES {
+            let (dropped, _) = self.by_version.pop_first().expect("not empty");
+            self.floor = self.floor.max(dropped);
+        }
+    }
+
+    /// Whether a response known to be clear up to `purge_version` is still clear.
+    pub fn is_clear(&self, purge_version: u64, response: CacheEntryName) -> bool {
+        self.first_match(purge_version, response).is_none()
+    }
+
+    /// When the first purge after `purge_version` that matches such a response
+    /// was applied; zero if that is not known any more.
+    pub fn first_match(&self, purge_version: u64, response: CacheEntryName) -> Option<Duration> {
+        if purge_version < self.floor {
+            return Some(Duration::ZERO);
+        }
+        self.by_version
+            .range(purge_version + 1..)
+            .map(|(_, known)| known)
+            .find(|known| known.purge.matches(response))
+            .map(|known| known.applied_at)
+    }
+}
--- a/data-plane/tests/cache_tokens.rs
+++ b/data-plane/tests/cache_tokens.rs
@@ -1,15 +1,15 @@
-//! Which answers of refreshers a cache owner takes.
+//! Which results of refreshers a cache owner accepts.
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
 const KEY: CacheKey = [1; 32];
-const KEEP: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn asker(port: u16) -> SocketAddr {
+fn edge_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -20,59 +20,60 @@
         entry: "e".into(),
         host: String::new(),
         url: "/u".into(),
-        ttl: KEEP,
+        ttl: TTL,
         max_wait: at(5000),
         accepts_any_age: false,
     }
 }
 
-fn token(out: &[(SocketAddr, Message)]) -> Option<FillToken> {
-    out.iter().find_map(|(_, message)| match message {
+fn token(outputs: &[(SocketAddr, Message)]) -> Option<FillToken> {
+    outputs.iter().find_map(|(_, message)| match message {
         Message::CacheMiss(miss) => Some(miss.token),
         _ => None,
     })
 }
 
-/// Serials begin anew with each process, so that a refresher of an earlier
-/// epoch, or of an earlier process at this address, may hold the same one.
+/// Serials start anew with each process, so that a refresher of an earlier epoch,
+/// or of an earlier process at this address, may have the same one.
 #[test]
-fn a_failure_told_under_another_epoch_does_not_end_the_refresher_at_work() {
+fn fill_failure_of_other_epoch_is_ignored() {
     const EPOCH: u64 = 7;
     let mut owner = CacheOwner::new(1 << 20);
-    owner.get(at(0), asker(1), get(1), EPOCH, 0);
-    let current = token(&owner.take_out()).expect("the first is told to fetch");
-    owner.get(at(1), asker(2), get(2), EPOCH, 0);
-    assert_eq!(token(&owner.take_out()), None, "the second waits");
+    owner.get(at(0), edge_address(1), get(1), EPOCH, 0);
+    let current = token(&owner.take_outgoing()).expect("the first is told to fetch");
+    owner.get(at(1), edge_address(2), get(2), EPOCH, 0);
+    assert_eq!(token(&owner.take_outgoing()), None, "the second waits");
     let earlier = FillToken {
         epoch: EPOCH - 1,
         ..current
     };
     for private in [false, true] {
-        owner.give_up(at(2), KEY, earlier, EPOCH, 0, private);
-        assert!(owner.take_out().is_empty());
+        owner.fill_failed(at(2), KEY, earlier, EPOCH, 0, private);
+        assert!(owner.take_outgoing().is_empty());
     }
-    owner.give_up(at(3), KEY, current, EPOCH, 0, false);
-    let next = token(&owner.take_out()).expect("the second fetches now");
+    owner.fill_failed(at(3), KEY, current, EPOCH, 0, false);
+    let next = token(&owner.take_outgoing()).expect("the second fetches now");
     assert_ne!(next.serial, current.serial);
 }
 
-fn copies(out: &[(SocketAddr, Message)]) -> usize {
-    out.iter()
+fn copies(outputs: &[(SocketAddr, Message)]) -> usize {
+    outputs
+        .iter()
         .filter(|(_, message)| matches!(message, Message::CacheCopy(_)))
         .count()
 }
 
-/// A question is repeated because its answer has not come yet, mostly since the
-/// link is full: before, each repeat put one more whole copy into that queue.
+/// A request is resent because its response has not arrived yet, mostly since the
+/// link is full. Regression: each resend queued one more response on that link.
 #[test]
-fn a_repeated_question_is_told_that_its_copy_is_on_the_way() {
+fn repeated_get_is_confirmed_and_not_sent_twice() {
     let mut owner = CacheOwner::new(1 << 20);
-    owner.get(at(0), asker(1), get(1), 7, 0);
-    let token = token(&owner.take_out()).expect("the first is told to fetch");
+    owner.get(at(0), edge_address(1), get(1), 7, 0);
+    let token = token(&owner.take_outgoing()).expect("the first is told to fetch");
     for _ in 0..3 {
-        owner.get(at(50), asker(2), get(2), 7, 0);
+        owner.get(at(50), edge_address(2), get(2), 7, 0);
     }
-    let queued = owner.take_out();
+    let queued = owner.take_outgoing();
     assert_eq!(copies(&queued), 0);
     assert_eq!(queued.len(), 2, "each repeat is told that it waits");
     let reply = Reply {
@@ -81,15 +82,19 @@
     };
     let key = KEY;
     let put = CachePut { key, token, reply };
-    assert!(owner.put(at(100), put, 7, &PurgeBook::default()));
-    assert_eq!(copies(&owner.take_out()), 1);
+    assert!(owner.put(at(100), put, 7, &PurgeLog::default()));
+    assert_eq!(copies(&owner.take_outgoing()), 1);
     let mut sent = 0;
     for now in (200..4000).step_by(200) {
         owner.tick(at(now), &|_| 7, 0);
-        owner.get(at(now), asker(2), get(2), 7, 0);
-        sent += copies(&owner.take_out());
+        owner.get(at(now), edge_address(2), get(2), 7, 0);
+        sent += copies(&owner.take_outgoing());
     }
     assert_eq!(sent, 1, "in four seconds once more, for one that was lost");
-    owner.get(at(4000), asker(3), get(3), 7, 0);
-    assert_eq!(copies(&owner.take_out()), 1, "others are not held back");
+    owner.get(at(4000), edge_address(3), get(3), 7, 0);
+    assert_eq!(
+        copies(&owner.take_outgoing()),
+        1,
+        "others are not held back"
+    );
 }
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -1,4 +1,4 @@
-//! An edge whose peers are played by the test.
+//! An edge whose peers are simulated by the test.
 #![allow(dead_code)]
 use data_plane::prelude::*;
 use std::net::SocketAddr;
@@ -31,12 +31,12 @@
     Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
-/// An edge with two renewals at `now`, whose peers are played by the test.
+/// An edge with two confirmed renewals at `now`.
 pub fn live(now: u64) -> EdgeNode {
     live_as(now, 5)
 }
 
-/// The same, in a life of the test's choice.
+/// The same, of another incarnation.
 pub fn live_as(now: u64, incarnation: u64) -> EdgeNode {
     let me = Peer::new(address(9), incarnation);
     let mut edge = EdgeNode::new(
@@ -47,19 +47,12 @@
         1 << 20,
     );
     edge.handle(at(now), Input::Tick);
-    for seed in [1, 2] {
-        let renewed = RenewReply {
-            incarnation,
-            renewal_token: RenewalToken::default(),
-            sent: at(now),
-            generation: 0,
-            recall_requested: false,
-            updates: SharedUpdates::default(),
-        };
+    for control_node in [1, 2] {
+        let renewed = renew_reply(incarnation, now, SharedUpdates::default());
         edge.handle(
             at(now),
             Input::MessageReceived {
-                from: Peer::new(address(seed), 1),
+                from: Peer::new(address(control_node), 1),
                 message: renewed.into(),
             },
         );
@@ -67,24 +60,35 @@
     edge
 }
 
-/// Renewals with two control nodes, so that an edge of life 5 stays live.
+/// Renewals with two control nodes, so that an edge of incarnation 5 stays live.
 pub fn renew(edge: &mut EdgeNode, now: u64) {
-    for seed in [1, 2] {
-        let renewed = RenewReply {
-            incarnation: 5,
-            renewal_token: RenewalToken::default(),
-            sent: at(now),
-            generation: 0,
-            recall_requested: false,
-            updates: SharedUpdates::default(),
-        };
-        heard(edge, now, seed, renewed);
+    for control_node in [1, 2] {
+        let renewed = renew_reply(5, now, SharedUpdates::default());
+        deliver(edge, now, control_node, renewed);
     }
 }
 
+/// A renewal that was sent at `sent_ms` is confirmed, with these updates.
+pub fn renew_reply(incarnation: u64, sent_ms: u64, updates: SharedUpdates) -> RenewReply {
+    RenewReply {
+        incarnation,
+        renewal_token: RenewalToken::default(),
+        sent: at(sent_ms),
+        generation: 0,
+        recall_requested: false,
+        updates,
+    }
+}
+
+/// A client sends a request.
+pub fn submit(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
+    let request = client_request(url, method);
+    edge.handle(at(now), Input::ClientRequest { id, request })
+}
+
 pub fn client_request(url: &str, method: &str) -> ClientRequest {
-    let image = table();
-    let entry = image.find("h", url, method).unwrap();
+    let routes = table();
+    let entry = routes.find("h", url, method).unwrap();
     let headers = vec![("operation-key".to_string(), "key".to_string())];
     ClientRequest {
         method: method.into(),
@@ -96,13 +100,13 @@
         operation: Some("key".into()),
         timeout: None,
         request_id: None,
-        service: image.document.entries[entry].group.clone(),
-        routes: image,
+        service: routes.document.entries[entry].group.clone(),
+        routes,
         entry,
     }
 }
 
-pub fn answers(out: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
+pub fn rejections_in(outputs: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
     let one = |output| match output {
         Output::ClientResponse {
             id,
@@ -110,53 +114,62 @@
         } => Some((id, refusal.status, refusal.code, refusal.outcome)),
         _ => None,
     };
-    out.into_iter().filter_map(one).collect()
+    outputs.into_iter().filter_map(one).collect()
 }
 
-/// Plays the ledger: what the edge asks, and an answer to it.
-pub fn asked(out: &[Output]) -> Vec<Change> {
+/// The changes that the edge asks of the ledger.
+pub fn changes_in(outputs: &[Output]) -> Vec<Change> {
     let one = |output: &Output| match output {
         Output::Send {
-            message: Message::ChangeRequest(ask),
+            message: Message::ChangeRequest(request_message),
             ..
-        } => Some(ask.change.clone()),
+        } => Some(request_message.change.clone()),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    outputs.iter().filter_map(one).collect()
 }
 
-/// The id of the last question among the outputs, or of the last call.
-pub fn question(out: &[Output]) -> u64 {
+/// The id of the last message or call among the outputs that awaits a response.
+pub fn last_exchange(outputs: &[Output]) -> u64 {
     let one = |output: &Output| match output {
         Output::Send { message, .. } => match message {
-            Message::ChangeRequest(ask) => Some(ask.id),
-            Message::PermitRequest(ask) => Some(ask.id),
+            Message::ChangeRequest(request_message) => Some(request_message.id),
+            Message::PermitRequest(request_message) => Some(request_message.id),
             Message::CacheGet(get) => Some(get.id),
             _ => None,
         },
         Output::Call { id, .. } => Some(*id),
         _ => None,
     };
-    out.iter().rev().find_map(one).expect("a question")
+    outputs.iter().rev().find_map(one).expect("an exchange")
 }
 
-pub fn told(edge: &mut EdgeNode, now: u64, id: u64, told: ChangeOutcome) -> Vec<Output> {
+pub fn ledger_responds(
+    edge: &mut EdgeNode,
+    now: u64,
+    id: u64,
+    rejections: ChangeOutcome,
+) -> Vec<Output> {
     edge.handle(
         at(now),
         Input::MessageReceived {
             from: Peer::new(address(1), 1),
-            message: ChangeReply { id, outcome: told }.into(),
+            message: ChangeReply {
+                id,
+                outcome: rejections,
+            }
+            .into(),
         },
     )
 }
 
-/// Updates that names an origin of "slow" and the peers that hold its admission controller and,
-/// if `cache` is set, all cache partitions.
+/// Delivers updates with the origins of "slow" and the peers that own its admission control
+/// and, if `cache` is set, all cache partitions.
 pub fn updates(edge: &mut EdgeNode, now: u64, origins: &[Origin], cache: bool) -> Vec<Output> {
     updates_as(edge, now, origins, cache, 5)
 }
 
-/// The same, to an edge of another life.
+/// The same, to an edge of another incarnation.
 pub fn updates_as(
     edge: &mut EdgeNode,
     now: u64,
@@ -186,26 +199,28 @@
         version: 1,
         rows,
     };
-    let renewed = RenewReply {
+    let renewed = renew_reply(
         incarnation,
-        renewal_token: RenewalToken::default(),
-        sent: at(now),
-        generation: 0,
-        recall_requested: false,
-        updates: vec![
+        now,
+        vec![
             updates(ORIGINS_PARTITION, vec![("origins".into(), origins)]),
             updates(ASSIGNMENTS_PARTITION, assignments),
         ]
         .into(),
-    };
-    heard(edge, now, 1, renewed)
+    );
+    deliver(edge, now, 1, renewed)
 }
 
-/// Who holds the admission controller of "slow", and who the cache partitions.
+/// The ports of the admission controller of "slow" and of the cache owner.
 pub const ADMISSION: u16 = 8;
 pub const OWNER: u16 = 7;
 
-pub fn heard(edge: &mut EdgeNode, now: u64, port: u16, message: impl Into<Message>) -> Vec<Output> {
+pub fn deliver(
+    edge: &mut EdgeNode,
+    now: u64,
+    port: u16,
+    message: impl Into<Message>,
+) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
     edge.handle(at(now), Input::MessageReceived { from, message })
@@ -224,10 +239,10 @@
     }
 }
 
-/// A permit for the question, sent and held so that it is fresh at `now`.
-pub fn permit(question: u64, origin: Origin, now: u64) -> Permit {
+/// A permit for the exchange that is fresh at `now`.
+pub fn permit(exchange: u64, origin: Origin, now: u64) -> Permit {
     Permit {
-        id: question,
+        id: exchange,
         service: "slow".into(),
         epoch: 1,
         serial: 1,
--- /dev/null
+++ b/data-plane/tests/shutdown.rs
@@ -0,0 +1,132 @@
+//! Requests at an edge that shuts down.
+mod edge;
+use data_plane::prelude::*;
+use edge::*;
+
+const GRACE_MS: u64 = 6000;
+
+/// Every request gets a response before the process is killed, with time left
+/// for the responses to be written. Regression: requests that waited for a cached
+/// response, a permit or the ledger waited until the process had exited.
+#[test]
+fn waiting_requests_are_rejected_in_first_half_of_grace() {
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
+    updates(&mut edge, 1000, &[origin(50)], true);
+    let urls = [("/copy", "GET"), ("/low", "GET"), ("/k", "POST")];
+    for id in 0..30u64 {
+        let (url, method) = urls[id as usize % 3];
+        let mut request = client_request(url, method);
+        request.timeout = Some(at(12_000));
+        edge.handle(at(1000), Input::ClientRequest { id, request });
+    }
+    edge.handle(at(1100), Input::ShutdownRequested);
+    let mut rejections = Vec::new();
+    let mut last = 0;
+    for now in (1150..1100 + GRACE_MS).step_by(50) {
+        renew(&mut edge, now);
+        let outputs = rejections_in(edge.handle(at(now), Input::Tick));
+        if !outputs.is_empty() {
+            last = now;
+        }
+        rejections.extend(outputs);
+    }
+    let mut ids: Vec<u64> = rejections.iter().map(|(id, ..)| *id).collect();
+    ids.sort_unstable();
+    assert_eq!(ids, (0..30).collect::<Vec<u64>>(), "each once");
+    assert!(last <= 1100 + GRACE_MS / 2 + 50, "the last at {last}");
+}
+
+#[test]
+fn late_request_is_rejected_and_call_in_flight_completes() {
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
+    updates(&mut edge, 1000, &[origin(50)], false);
+    let once = client_request("/once", "POST");
+    let started = edge.handle(
+        at(1000),
+        Input::ClientRequest {
+            id: 1,
+            request: once,
+        },
+    );
+    let outputs = deliver(
+        &mut edge,
+        1010,
+        ADMISSION,
+        permit(last_exchange(&started), origin(50), 1005),
+    );
+    let call = last_exchange(&outputs);
+    edge.handle(at(1100), Input::ShutdownRequested);
+    let late = 1100 + GRACE_MS / 2 + 100;
+    for now in (1150..=late).step_by(50) {
+        renew(&mut edge, now);
+        let rejections = rejections_in(edge.handle(at(now), Input::Tick));
+        assert!(
+            rejections.is_empty(),
+            "its origin is at work: {rejections:?}"
+        );
+    }
+    let request = client_request("/low", "GET");
+    let rejections = rejections_in(edge.handle(at(late), Input::ClientRequest { id: 2, request }));
+    assert_eq!(
+        rejections,
+        [(2, 503, "ending".to_string(), RunState::NotRun)]
+    );
+    let result = CallOutcome::Success(Reply::default());
+    let outputs = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
+    assert!(outputs.iter().any(|output| matches!(
+        output,
+        Output::ClientResponse {
+            id: 1,
+            response: ClientResponse::Reply { .. }
+        }
+    )));
+}
+
+/// Regression: a call sent after the shutdown request timed out at half of the
+/// remaining time, while its origin was executing it.
+#[test]
+fn call_after_shutdown_request_gets_full_timeout() {
+    const TIMEOUT_MS: u64 = 4000;
+    for shutting_down in [false, true] {
+        let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
+        updates(&mut edge, 1000, &[origin(50)], false);
+        if shutting_down {
+            edge.handle(at(1000), Input::ShutdownRequested);
+        }
+        let mut request = client_request("/low", "GET");
+        request.timeout = Some(at(TIMEOUT_MS));
+        let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+        let permit = permit(last_exchange(&started), origin(50), 1005);
+        let outputs = deliver(&mut edge, 1010, ADMISSION, permit);
+        let limit = outputs.iter().find_map(|output| match output {
+            Output::Call { call, .. } => Some(call.timeout),
+            _ => None,
+        });
+        let remaining = at(TIMEOUT_MS - 10);
+        let expected = if shutting_down {
+            remaining
+        } else {
+            remaining / 2
+        };
+        assert_eq!(limit, Some(expected), "warned: {shutting_down}");
+    }
+}
+
+/// The same for calls that were sent before the shutdown request.
+#[test]
+fn shutdown_request_extends_calls_in_flight() {
+    const TIMEOUT_MS: u64 = 4000;
+    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
+    updates(&mut edge, 1000, &[origin(50)], false);
+    let mut request = client_request("/low", "GET");
+    request.timeout = Some(at(TIMEOUT_MS));
+    let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+    let permit = permit(last_exchange(&started), origin(50), 1005);
+    let call = last_exchange(&deliver(&mut edge, 1010, ADMISSION, permit));
+    let outputs = edge.handle(at(1500), Input::ShutdownRequested);
+    let extended = outputs.iter().find_map(|output| match output {
+        Output::ExtendCall { id, limit } => Some((*id, *limit)),
+        _ => None,
+    });
+    assert_eq!(extended, Some((call, at(TIMEOUT_MS - 500))));
+}
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -3,7 +3,7 @@
 mod tests;
 
 use crate::prelude::*;
-use data_plane::prelude::{CacheOwner, PurgeBook};
+use data_plane::prelude::{CacheOwner, PurgeLog};
 
 /// The figures of docs/figures.md, in counts and virtual time.
 pub struct Figures;
@@ -50,7 +50,7 @@
                         reply,
                     },
                     1,
-                    &PurgeBook::default(),
+                    &PurgeLog::default(),
                 );
             }
             let wait = Duration::from_secs(4);
@@ -70,7 +70,7 @@
                 1,
                 0,
             );
-            for (_, message) in owner.take_out() {
+            for (_, message) in owner.take_outgoing() {
                 if let Message::CacheMiss(miss) = message {
                     load_burst.two_phase += 1;
                     puts.push_back((now + fetch, miss.token));
