--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -176,7 +176,7 @@
         state.items_version = configuration.state.published;
         for (key, row) in &configuration.published_rows {
             // What is published was validated before.
-            let _ = state.items.learn(key, row);
+            let _ = state.items.apply_row(key, row);
         }
         if let Ok((document, _)) = state.items.merged() {
             let groups = document.groups.into_iter();
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -71,7 +71,7 @@
         leader: &mut PartitionLeader,
         items: Vec<Item>,
     ) -> Option<(usize, u64)> {
-        let change = match ItemsChange::judge(&leader.rows, items) {
+        let change = match ItemsChange::validate(&leader.rows, items) {
             Ok(change) => change,
             Err(refusal) => {
                 self.refuse(leader, outcome_of(refusal));
@@ -199,14 +199,14 @@
             Change::OpenLedger { generation } => {
                 self.open_ledger_by_operator(&mut reply, generation)
             }
-            Change::Refound { after } => self.found_next_generation(after),
+            Change::FoundGeneration { after } => self.found_next_generation(after),
             Change::JoinRequest { peer, founding } => self.assign_slot(now, peer, founding),
             Change::OfferSlot { member } => self.assign_offered_slot(now, member),
             Change::Claim(claim) => self.claim_operation(now, &mut reply, claim),
             Change::Release(claim) => {
                 self.finish_operation(&mut reply, claim, OperationState::Released);
             }
-            Change::Record(claim, response) => {
+            Change::RecordOutcome(claim, response) => {
                 let state = response.map_or(OperationState::Unknown, OperationState::Done);
                 self.finish_operation(&mut reply, claim, state);
             }
@@ -336,7 +336,7 @@
         let left = self.generation.ledger_closed_until.saturating_sub(now);
         let leader = self.leader_for(reply);
         if !left.is_zero() && !Ledger::is_decided(leader, &claim) {
-            reply.outcome = ChangeOutcome::LedgerClosed { left };
+            reply.outcome = ChangeOutcome::LedgerClosed { remaining: left };
         } else {
             reply.report_commit(Ledger::claim(leader, claim));
         }
--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -136,7 +136,7 @@
     /// Whether a majority of the table is in contact with this node. Without it, the node can neither confirm nor
     /// refuse anything.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
-        self.mutual_contacts(now).len() >= self.quorum().most()
+        self.mutual_contacts(now).len() >= self.quorum().majority()
     }
 
     /// Whether this node may lead a partition.
@@ -152,7 +152,7 @@
             Some(peer) => !peer.blank,
             None => true,
         };
-        slots.iter().filter(votes).count() >= self.quorum().most()
+        slots.iter().filter(votes).count() >= self.quorum().majority()
     }
 
     /// Whether the disk of a slot is full and its node goes on.
--- a/control-plane/src/control_node/edge_registry.rs
+++ b/control-plane/src/control_node/edge_registry.rs
@@ -45,7 +45,7 @@
             self.generation.registry_before_loss = None;
         }
         let current = self.generation.current;
-        let is_new = self.generation.first_fleet_start && !Generation::again(current);
+        let is_new = self.generation.first_fleet_start && !Generation::is_successor(current);
         if is_new && current != 0 && !self.is_opened_by_leader() {
             self.open_ledger("the fleet is new");
         }
@@ -74,7 +74,7 @@
         };
         registry.complete
             && now < self.generation.ledger_closed_until
-            && Generation::again(current)
+            && Generation::is_successor(current)
             && registry.departed.is_empty()
             && !registry.members.is_empty()
             && registry.members.iter().all(has_reported)
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -116,7 +116,8 @@
     /// Requests the next generation after a loss, until it is founded.
     pub(super) fn request_next_generation(&mut self) {
         if let Some(after) = self.generation.refound_after {
-            let request = self.own_request(CONFIGURATION_PARTITION, Change::Refound { after });
+            let request =
+                self.own_request(CONFIGURATION_PARTITION, Change::FoundGeneration { after });
             self.send(self.address, request);
         }
     }
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -112,7 +112,7 @@
             bootstrap.note_existing_table();
         }
         let me = self.me();
-        let slot = table.members.iter().position(|peer| peer.names(&me));
+        let slot = table.members.iter().position(|peer| peer.matches(&me));
         let slot = slot.map(|at| at as u8);
         if table.version <= self.membership_version {
             // The founding table, which there is one of, is accepted by the nodes that were there.
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -5,7 +5,7 @@
 impl ControlNode {
     /// The slot that this incarnation of a peer holds by the table.
     pub(super) fn slot_of(&self, peer: &Peer) -> Option<u8> {
-        let at = self.members.iter().position(|known| known.names(peer))?;
+        let at = self.members.iter().position(|known| known.matches(peer))?;
         Some(at as u8)
     }
 
@@ -103,7 +103,7 @@
         self.leaders.clear();
         self.pending_replies.clear();
         let own_member = members.get(usize::from(self.slot));
-        let is_named = own_member.is_some_and(|member| member.names(&self.me()));
+        let is_named = own_member.is_some_and(|member| member.matches(&self.me()));
         if self.slot != NO_SLOT && !is_named {
             self.mark_removed();
         }
@@ -121,7 +121,7 @@
         };
         let stays = old
             .zip(new)
-            .is_some_and(|(old, new)| new.names(&Peer::new(old.address, status.incarnation)));
+            .is_some_and(|(old, new)| new.matches(&Peer::new(old.address, status.incarnation)));
         if !stays {
             self.retire_incarnation(status.incarnation);
         }
--- a/control-plane/src/control_node/recovery.rs
+++ b/control-plane/src/control_node/recovery.rs
@@ -74,7 +74,7 @@
             }
         }
         self.enter_recovered_generation(now, majority_lost);
-        self.log_event(Event::DiskRefilled, format!("slot {}", self.slot));
+        self.log_event(Event::DiskRecovered, format!("slot {}", self.slot));
     }
 
     /// A generation met for the first time may have a ledger that is not complete.
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -86,7 +86,7 @@
         let refusal = StaleEpoch {
             partition,
             epoch,
-            promised,
+            promised_epoch: promised,
         };
         self.send_after_sync(from.address, refusal);
     }
@@ -158,7 +158,7 @@
         self.pending_replies
             .retain(|reply| reply.partition != partition);
         self.stale_epochs.on_loss(now, self.slot, stale);
-        let (epoch, promised) = (stale.epoch, stale.promised);
+        let (epoch, promised) = (stale.epoch, stale.promised_epoch);
         let text = format!("slice {partition} epoch {epoch} to {promised}");
         self.log_event(Event::PartitionLost, text);
     }
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -125,7 +125,7 @@
 
     /// As leader of the table: gives a leaving member's slot to a joiner, if one waits.
     pub(super) fn assign_offered_slot(&mut self, now: Duration, member: Peer) {
-        let Some(slot) = self.members.iter().position(|known| known.names(&member)) else {
+        let Some(slot) = self.members.iter().position(|known| known.matches(&member)) else {
             return;
         };
         let joiner = self
@@ -134,8 +134,8 @@
             .filter(|peer| !self.is_member(peer));
         let outcome = match joiner {
             None if self.may_not_know_joiners(now) => return,
-            None => SlotOfferOutcome::NoNewcomer,
-            Some(_) if !self.membership_is_calm(now) => SlotOfferOutcome::Later,
+            None => SlotOfferOutcome::NoJoiner,
+            Some(_) if !self.membership_is_calm(now) => SlotOfferOutcome::Deferred,
             Some(successor) => {
                 let mut members = self.members.clone();
                 members[slot] = successor;
@@ -170,10 +170,10 @@
             return;
         }
         self.shutdown.handover = match reply.outcome {
-            SlotOfferOutcome::NoNewcomer => Handover::Retained,
+            SlotOfferOutcome::NoJoiner => Handover::Retained,
             // To an offer made again while the table was on its way.
-            SlotOfferOutcome::Later if is_assigned => return,
-            SlotOfferOutcome::Later => Handover::Deferred,
+            SlotOfferOutcome::Deferred if is_assigned => return,
+            SlotOfferOutcome::Deferred => Handover::Deferred,
             SlotOfferOutcome::Assigned { version, successor } => Handover::Assigned {
                 version,
                 successor,
--- a/control-plane/src/control_node/stale_epochs.rs
+++ b/control-plane/src/control_node/stale_epochs.rs
@@ -38,7 +38,7 @@
         let base_millis = MIN_BACKOFF_MILLIS + BACKOFF_MILLIS_PER_SLOT * u64::from(slot);
         let backoff = Duration::from_millis(base_millis << doublings);
         let loss = Loss {
-            promised_epoch: stale.promised,
+            promised_epoch: stale.promised_epoch,
             retry_at: now + backoff,
             doublings,
         };
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -158,13 +158,13 @@
 #[test]
 fn leaving_member_without_joiner_retains_slot_and_ends() {
     let mut node = Node::start(0, true);
-    node.begin_leaving(SlotOfferOutcome::NoNewcomer);
+    node.begin_leaving(SlotOfferOutcome::NoJoiner);
     let (_, ended) = node.step(200, Input::Tick);
     assert!(ended && !node.control_node.removed);
     let mut node = Node::start(0, true);
     node.begin_leaving(assigned());
     let deferred = SlotOfferReply {
-        outcome: SlotOfferOutcome::Later,
+        outcome: SlotOfferOutcome::Deferred,
     };
     node.receive(120, 1, deferred);
     assert!(
--- a/control-plane/src/operator_api.rs
+++ b/control-plane/src/operator_api.rs
@@ -66,7 +66,7 @@
             change: change.clone(),
         },
     };
-    match port.ask(OPERATOR_REQUEST_TIMEOUT, &input) {
+    match port.request(OPERATOR_REQUEST_TIMEOUT, &input) {
         Some(Output::OperatorResponse {
             response: OperatorResponse::ChangeOutcome(outcome),
             ..
@@ -80,7 +80,7 @@
         id,
         request: OperatorRequest::State,
     };
-    match port.ask(OPERATOR_REQUEST_TIMEOUT, &input) {
+    match port.request(OPERATOR_REQUEST_TIMEOUT, &input) {
         Some(Output::OperatorResponse {
             response: OperatorResponse::State(state),
             ..
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -111,7 +111,7 @@
             return;
         }
         self.prepared.insert(slot, state);
-        if self.prepared.len() >= self.quorum.most() {
+        if self.prepared.len() >= self.quorum.majority() {
             self.adopt_newest_state(now);
         }
     }
@@ -141,7 +141,7 @@
     /// Whether requests may be served: a quorum holds the adopted state under this epoch.
     pub fn ready(&self) -> bool {
         let holds_state = |replica: &&ReplicaProgress| replica.synced_version.is_some();
-        self.replicas.iter().filter(holds_state).count() >= self.quorum.most()
+        self.replicas.iter().filter(holds_state).count() >= self.quorum.majority()
     }
 
     /// Whether rows may be read and changed: the leader is ready, and rows that edges may hold were recalled.
@@ -194,7 +194,7 @@
     fn reached_by_quorum(&self, value_of: fn(&ReplicaProgress) -> u64) -> u64 {
         let mut values: Vec<u64> = self.replicas.iter().map(value_of).collect();
         values.sort_unstable();
-        values[values.len() - self.quorum.most()]
+        values[values.len() - self.quorum.majority()]
     }
 
     /// The version up to which rows are on a quorum of disks; 0 while the leader is not ready.
--- a/control-plane/src/replica/partition.rs
+++ b/control-plane/src/replica/partition.rs
@@ -59,7 +59,7 @@
     pub(super) fn snapshot(&self, partition: u8) -> PartitionSnapshot {
         PartitionSnapshot {
             partition,
-            promised: self.promised_epoch,
+            promised_epoch: self.promised_epoch,
             state: self.state.clone(),
             published_rows: self.published_rows.clone(),
         }
@@ -67,7 +67,7 @@
 
     /// Takes over a snapshot of other disks. A promise that was made here stands.
     pub(super) fn restore(&mut self, snapshot: &PartitionSnapshot) {
-        self.promised_epoch = self.promised_epoch.max(snapshot.promised);
+        self.promised_epoch = self.promised_epoch.max(snapshot.promised_epoch);
         self.state = snapshot.state.clone();
         self.published_rows = snapshot.published_rows.clone();
         self.unpublished.clear();
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -113,8 +113,8 @@
             partitions: reply.partitions,
         };
         self.replies.insert(reply.slot, received);
-        let is_recoverable = self.count(|reply| reply.usable) >= self.quorum.rest();
-        let may_become_recoverable = self.count(|reply| reply.full) >= self.quorum.rest();
+        let is_recoverable = self.count(|reply| reply.usable) >= self.quorum.intersecting();
+        let may_become_recoverable = self.count(|reply| reply.full) >= self.quorum.intersecting();
         let all_replied = self.replies.len() + 1 >= self.quorum.slots;
         if !is_recoverable && (may_become_recoverable || !all_replied) {
             return None;
@@ -159,7 +159,7 @@
 
 fn merge_partition(known: &mut PartitionSnapshot, other: PartitionSnapshot) {
     let published = known.state.published.max(other.state.published);
-    known.promised = known.promised.max(other.promised);
+    known.promised_epoch = known.promised_epoch.max(other.promised_epoch);
     if other.state.published > known.state.published {
         known.published_rows = other.published_rows;
     }
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -16,7 +16,7 @@
     };
     vec![PartitionSnapshot {
         partition: 0,
-        promised,
+        promised_epoch: promised,
         state,
         published_rows: BTreeMap::new(),
     }]
@@ -61,7 +61,7 @@
     let recovered = recovered.partitions;
     assert_eq!(
         (
-            recovered[0].promised,
+            recovered[0].promised_epoch,
             recovered[0].state.epoch,
             recovered[0].state.version
         ),
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -239,7 +239,7 @@
         }
         sessions
             .into_values()
-            .filter(|(tables, _)| *tables >= quorum.rest())
+            .filter(|(tables, _)| *tables >= quorum.intersecting())
             .map(|(_, info)| info.clone())
             .collect()
     }
@@ -249,6 +249,6 @@
     /// session for longer than it does; and of `Quorum::most` one is among those.
     pub fn has_departed(&self, now: Duration, peer: Peer, quorum: Quorum) -> bool {
         let lacks_peer = |table: &&Vec<&SessionInfo>| table.iter().all(|info| info.peer != peer);
-        self.current_tables(now).iter().filter(lacks_peer).count() >= quorum.most()
+        self.current_tables(now).iter().filter(lacks_peer).count() >= quorum.majority()
     }
 }
--- a/control-plane/src/sessions/local_sessions.rs
+++ b/control-plane/src/sessions/local_sessions.rs
@@ -41,8 +41,8 @@
         let known = self.sessions.get_mut(&info.peer);
         let unchanged = known
             .as_ref()
-            .filter(|known| known.info.core() == info.core());
-        let checksum = unchanged.map_or_else(|| info.sum(), |known| known.checksum);
+            .filter(|known| known.info.decision_fields() == info.decision_fields());
+        let checksum = unchanged.map_or_else(|| info.checksum(), |known| known.checksum);
         let Some(known) = known else {
             self.open(now, info, checksum, issued_tokens);
             return true;
--- a/control-plane/src/sessions/peer_sessions.rs
+++ b/control-plane/src/sessions/peer_sessions.rs
@@ -61,11 +61,11 @@
         let is_full = delta.from == 0;
         let known = |peer: &Peer| {
             let info = self.sessions.get(peer).filter(|_| !is_full);
-            info.map_or(0, SessionInfo::sum)
+            info.map_or(0, SessionInfo::checksum)
         };
         let mut checksum = if is_full { 0 } else { self.checksum };
         for info in &delta.upserted {
-            checksum ^= known(&info.peer) ^ info.sum();
+            checksum ^= known(&info.peer) ^ info.checksum();
         }
         for peer in &delta.removed {
             checksum ^= known(peer);
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -94,7 +94,9 @@
 }
 
 fn full_delta(sessions: Vec<SessionInfo>) -> SessionsDelta {
-    let sum = sessions.iter().fold(0, |sum, session| sum ^ session.sum());
+    let sum = sessions
+        .iter()
+        .fold(0, |sum, session| sum ^ session.checksum());
     SessionsDelta {
         to: 1,
         checksum: sum,
@@ -254,7 +256,10 @@
             );
             assert_eq!(
                 (live, departed),
-                (tables >= quorum.rest(), slots - tables >= quorum.most()),
+                (
+                    tables >= quorum.intersecting(),
+                    slots - tables >= quorum.majority()
+                ),
                 "{tables} of {slots}"
             );
             assert!(!(live && departed));
--- a/control-plane/tests/recovery_replies.rs
+++ b/control-plane/tests/recovery_replies.rs
@@ -51,7 +51,7 @@
             matches!(
                 output,
                 Output::Log {
-                    event: Event::DiskRefilled,
+                    event: Event::DiskRecovered,
                     ..
                 }
             )
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -150,7 +150,7 @@
     }
 
     fn slot_of(&self, peer: &Peer) -> Option<u8> {
-        let at = self.members.iter().position(|member| member.names(peer));
+        let at = self.members.iter().position(|member| member.matches(peer));
         at.map(|at| at as u8)
     }
 
@@ -211,7 +211,7 @@
                 continue;
             }
             if let Some(incarnation) = self.incarnations.remove(&(slot as u8))
-                && !new.names(&Peer::new(old.address, incarnation))
+                && !new.matches(&Peer::new(old.address, incarnation))
             {
                 self.retire_incarnation(incarnation);
             }
--- a/control-plane/tests/stored_data/records.rs
+++ b/control-plane/tests/stored_data/records.rs
@@ -72,7 +72,7 @@
         Record::Recovered {
             partitions: vec![PartitionSnapshot {
                 partition: 7,
-                promised: 2003,
+                promised_epoch: 2003,
                 state: PartitionState {
                     epoch: 2004,
                     version: 2005,
@@ -86,7 +86,7 @@
         Record::Recovered {
             partitions: vec![PartitionSnapshot {
                 partition: 7,
-                promised: 2003,
+                promised_epoch: 2003,
                 state: PartitionState {
                     epoch: 2004,
                     version: 2005,
--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -76,7 +76,7 @@
         self.calls.insert(call, observed);
         let since = now - *self.disconnected_at.get(&request)?;
         let kind = ViolationKind::Started;
-        (purpose != CallPurpose::SharedCopy).then_some(AbandonedWorkViolation {
+        (purpose != CallPurpose::SharedCacheFill).then_some(AbandonedWorkViolation {
             request,
             purpose,
             kind,
@@ -104,7 +104,7 @@
             let Some(disconnected_at) = self.disconnected_at.get(&call.request) else {
                 continue;
             };
-            let must_end = call.purpose == CallPurpose::Caller && !call.is_reported;
+            let must_end = call.purpose == CallPurpose::Client && !call.is_reported;
             if must_end && now > *disconnected_at + MAX_ABANDONED_CALL {
                 call.is_reported = true;
                 violations.push(AbandonedWorkViolation {
--- a/data-plane/src/active_request/mod.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -146,7 +146,7 @@
     /// Whether its response may be shared with other clients.
     pub fn is_cacheable(&self) -> bool {
         self.request.entry().kind == Kind::Cached
-            && !self.request.personal()
+            && !self.request.carries_credentials()
             && self.request.method == "GET"
     }
 
@@ -160,7 +160,7 @@
         let claim = || self.claim.clone().expect("it has an operation key");
         match &self.stage {
             Stage::AwaitingClaim => Some(Change::Claim(claim())),
-            Stage::Recording { reply, .. } => Some(Change::Record(claim(), reply.clone())),
+            Stage::Recording { reply, .. } => Some(Change::RecordOutcome(claim(), reply.clone())),
             Stage::Releasing { .. } => Some(Change::Release(claim())),
             _ => None,
         }
--- a/data-plane/src/admission/permits.rs
+++ b/data-plane/src/admission/permits.rs
@@ -137,7 +137,7 @@
         let refused = |reason, back| PermitRefused {
             id: waiting.id,
             reason,
-            back,
+            retry_after: back,
         };
         if now < waiting.deadline && !self.is_within_budget(now, waiting) {
             let reason = PermitRefusalReason::RetryBudgetExhausted;
@@ -265,8 +265,10 @@
             serial: self.serial,
             origin: state.origin.clone(),
             sent: waiting.sent,
-            held: now - waiting.queued_at,
-            takes: Duration::from_secs_f64(state.mean_duration.clamp(0.0, MAX_USUAL_DURATION_S)),
+            queued_for: now - waiting.queued_at,
+            expected_latency: Duration::from_secs_f64(
+                state.mean_duration.clamp(0.0, MAX_USUAL_DURATION_S),
+            ),
         };
         self.outgoing.push((waiting.from, permit.into()));
     }
--- a/data-plane/src/call_result.rs
+++ b/data-plane/src/call_result.rs
@@ -17,7 +17,7 @@
             headers,
             body,
             delimited,
-        }) => match protocol.judge(call, status, &headers, &body) {
+        }) => match protocol.classify(call, status, &headers, &body) {
             OriginVerdict::NotExecuted => CallOutcome::NotExecuted,
             OriginVerdict::WrongInstance => CallOutcome::WrongInstance,
             OriginVerdict::Rejected(reason) => CallOutcome::Failure(reason),
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -27,19 +27,19 @@
 const MISDIRECTED_REQUEST: u16 = 421;
 
 impl ProtocolAdapter for DefaultProtocol {
-    fn patience(&self, _: &[(String, String)]) -> Option<Duration> {
+    fn timeout(&self, _: &[(String, String)]) -> Option<Duration> {
         None
     }
 
-    fn operation<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str> {
+    fn operation_key<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str> {
         header(headers, OPERATION_KEY_HEADER)
     }
 
-    fn name<'a>(&self, _: &'a [(String, String)]) -> Option<&'a str> {
+    fn request_id<'a>(&self, _: &'a [(String, String)]) -> Option<&'a str> {
         None
     }
 
-    fn call(&self, call: &Call) -> CallHeaders {
+    fn origin_headers(&self, call: &Call) -> CallHeaders {
         let mut headers = vec![
             ("Host".to_string(), call.origin.address.to_string()),
             (SERVICE_HEADER.into(), call.origin.service.clone()),
@@ -56,7 +56,7 @@
         }
     }
 
-    fn judge(
+    fn classify(
         &self,
         call: &Call,
         status: u16,
@@ -84,7 +84,7 @@
         }
     }
 
-    fn tell(&self, _: &[(String, String)], response: &ClientResponse) -> HttpResponse {
+    fn client_response(&self, _: &[(String, String)], response: &ClientResponse) -> HttpResponse {
         match response {
             ClientResponse::Reply { reply, age } => write_reply(reply, *age),
             ClientResponse::Rejection(rejection) => write_rejection(rejection),
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -295,7 +295,7 @@
                 let refused = PermitRefused {
                     id: request.id,
                     reason: PermitRefusalReason::NotOwner,
-                    back: RESEND_INTERVAL,
+                    retry_after: RESEND_INTERVAL,
                 };
                 self.send(from.address, refused);
             }
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -35,11 +35,11 @@
         active: &ActiveRequest,
     ) -> Option<ClientResponse> {
         let key = active.cache.key?;
-        let ttl = active.request.entry().keep();
+        let ttl = active.request.entry().cache_ttl();
         match self.near_cache.look_up(now, &key, ttl) {
-            NearLookup::Fresh { reply, age } => Some(ClientResponse::copy(reply, age)),
+            NearLookup::Fresh { reply, age } => Some(ClientResponse::cached(reply, age)),
             NearLookup::Stale { reply, age } if self.coalescer.is_led(&key) => {
-                Some(ClientResponse::copy(reply, age))
+                Some(ClientResponse::cached(reply, age))
             }
             _ => None,
         }
@@ -49,10 +49,10 @@
     /// origin does not respond.
     pub(super) fn any_near_response(&mut self, now: Duration, id: u64) -> Option<ClientResponse> {
         let active = self.active_requests.get(&id)?;
-        let ttl = active.request.entry().keep();
+        let ttl = active.request.entry().cache_ttl();
         match self.near_cache.look_up(now, &active.cache.key?, ttl) {
             NearLookup::Fresh { reply, age } | NearLookup::Stale { reply, age } => {
-                Some(ClientResponse::copy(reply, age))
+                Some(ClientResponse::cached(reply, age))
             }
             NearLookup::Missing => None,
         }
@@ -149,7 +149,7 @@
                 started_at: active.started_at,
                 purge_version: 0,
             }),
-            ttl: active.request.entry().keep(),
+            ttl: active.request.entry().cache_ttl(),
             is_private,
             is_cacheable: !is_private && is_cacheable_status(reply.status),
             reply,
@@ -169,7 +169,7 @@
             return self.lead_group(now, id);
         }
         let age = now.saturating_sub(fetched.fetch.started_at);
-        let response = ClientResponse::copy(fetched.reply.clone(), age);
+        let response = ClientResponse::cached(fetched.reply.clone(), age);
         if fetched.is_cacheable && purged_at.is_none() {
             self.store_fetched(now, id, &fetched);
             self.respond_to_followers(now, id, &key, &response);
@@ -267,7 +267,7 @@
             major_expiry: now + cached.remaining_ttl - network_delay,
         };
         self.near_cache.put(now, key, entry);
-        let response = ClientResponse::copy(cached.reply, cached.age + network_delay);
+        let response = ClientResponse::cached(cached.reply, cached.age + network_delay);
         self.respond_to_followers(now, id, &key, &response);
         self.finish(now, id, response);
     }
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -30,7 +30,9 @@
 
     /// Whether a call may be sent under this permit now.
     fn is_usable(&self, now: Duration, permit: &Permit) -> bool {
-        let age = now.saturating_sub(permit.sent).saturating_sub(permit.held);
+        let age = now
+            .saturating_sub(permit.sent)
+            .saturating_sub(permit.queued_for);
         let is_listed = self
             .state
             .origins
@@ -61,7 +63,13 @@
         let (Some(active), Some(purpose)) = (self.active_requests.get_mut(&id), purpose) else {
             return;
         };
-        let mut call = active.call(now, id, permit.origin.clone(), permit.takes, purpose);
+        let mut call = active.call(
+            now,
+            id,
+            permit.origin.clone(),
+            permit.expected_latency,
+            purpose,
+        );
         if is_shutting_down {
             // No retry follows: another origin may not be reached in time.
             call.timeout = active.remaining(now);
@@ -136,8 +144,8 @@
             serial: 0,
             origin,
             sent: now,
-            held: Duration::ZERO,
-            takes: Duration::ZERO,
+            queued_for: Duration::ZERO,
+            expected_latency: Duration::ZERO,
         };
         self.send_call(now, id, permit);
     }
@@ -170,7 +178,7 @@
                 "no origin of the service can be called now",
             ),
         };
-        self.fail_request(now, id, rejection.with_retry_after(refused.back));
+        self.fail_request(now, id, rejection.with_retry_after(refused.retry_after));
     }
 
     /// A call or a probe has ended.
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/departures.rs
@@ -47,7 +47,7 @@
                 self.finish_abandoned(now, id)
             }
             Stage::Calling { permit, since } => {
-                if self.call_purpose(active) == CallPurpose::Caller {
+                if self.call_purpose(active) == CallPurpose::Client {
                     let (permit, took) = (permit.clone(), now - *since);
                     let call = active.exchange.id;
                     self.outputs.push(Output::CancelCall { id: call });
@@ -108,10 +108,10 @@
             Some(key)
                 if active.cache.fill_grant.is_some() || self.coalescer.has_followers(&key) =>
             {
-                CallPurpose::SharedCopy
+                CallPurpose::SharedCacheFill
             }
-            Some(_) => CallPurpose::Copy,
-            None if active.is_idempotent() => CallPurpose::Caller,
+            Some(_) => CallPurpose::CacheFill,
+            None if active.is_idempotent() => CallPurpose::Client,
             None => CallPurpose::RunOnce,
         }
     }
--- a/data-plane/src/edge_node/ledger_changes.rs
+++ b/data-plane/src/edge_node/ledger_changes.rs
@@ -21,7 +21,7 @@
     /// through the others in turn.
     pub(super) fn send_change(&mut self, exchange: u64, sends: usize, change: Change) {
         let partition = match &change {
-            Change::Claim(claim) | Change::Release(claim) | Change::Record(claim, _) => {
+            Change::Claim(claim) | Change::Release(claim) | Change::RecordOutcome(claim, _) => {
                 ledger_partition(&claim.operation)
             }
             _ => return,
@@ -73,7 +73,9 @@
         let changes: Vec<Change> = self
             .completed_operations
             .iter()
-            .map(|operation| Change::Record(operation.claim.clone(), operation.reply.clone()))
+            .map(|operation| {
+                Change::RecordOutcome(operation.claim.clone(), operation.reply.clone())
+            })
             .collect();
         for change in changes {
             self.send_until_confirmed(Duration::ZERO, change);
@@ -128,7 +130,7 @@
             ChangeOutcome::AlreadyClaimed { state, .. } => {
                 self.handle_operation_state(now, id, state)
             }
-            ChangeOutcome::LedgerClosed { left } => {
+            ChangeOutcome::LedgerClosed { remaining: left } => {
                 let rejection = Rejection::unknown(
                     503,
                     "ledger_recovering",
--- a/data-plane/src/edge_node/probes.rs
+++ b/data-plane/src/edge_node/probes.rs
@@ -52,7 +52,7 @@
             proof: Proof::Seal,
             timeout: PROBE_TIMEOUT,
             max_connections: 1,
-            purpose: CallPurpose::Probe,
+            purpose: CallPurpose::HealthCheck,
         };
         self.outputs.push(Output::Call { id, call });
     }
--- a/data-plane/src/edge_node/stage_messages.rs
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -64,7 +64,7 @@
                     entry: active.request.entry().name.clone(),
                     host: active.request.entry_host().into(),
                     url: active.request.url.clone(),
-                    ttl: active.request.entry().keep(),
+                    ttl: active.request.entry().cache_ttl(),
                     max_wait: active.remaining(now),
                     accepts_any_age,
                 };
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -92,7 +92,7 @@
         match row.value {
             // It was checked before it was acknowledged.
             Value::Configuration { .. } | Value::Item(_) => {
-                let _ = self.state.configuration_items.learn(&key, &row);
+                let _ = self.state.configuration_items.apply_row(&key, &row);
             }
             Value::Origins { list, .. } => self.state.origins = list,
             Value::Assignment(assignment) => {
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -63,7 +63,7 @@
 
     /// Whether the call is for a disconnected client alone.
     fn is_abandoned(&self, call: &Call) -> bool {
-        let serves_one_client = matches!(call.purpose, CallPurpose::Caller | CallPurpose::RunOnce);
+        let serves_one_client = matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce);
         let disconnected = self.disconnected.lock().expect("no holder panics");
         serves_one_client && disconnected.contains(&call.request)
     }
@@ -80,7 +80,7 @@
 
     /// Passes the end of a call to the state machine.
     pub(super) fn complete_call(&self, id: u64, result: CallOutcome) {
-        let _ = self.port.give.send(Input::CallCompleted { id, result });
+        let _ = self.port.inputs.send(Input::CallCompleted { id, result });
     }
 
     fn respond(&self, exchange: u64, response: HttpResponse) {
@@ -100,7 +100,7 @@
 
     fn reject(&self, exchange: u64, headers: &[(String, String)], rejection: Rejection) {
         let response = ClientResponse::Rejection(rejection);
-        self.respond(exchange, self.protocol.tell(headers, &response));
+        self.respond(exchange, self.protocol.client_response(headers, &response));
     }
 
     /// Serves operators and the platform.
@@ -169,7 +169,7 @@
 
     /// Filters a client's request and passes it to the state machine.
     fn handle_client_request(self: &Arc<Self>, exchange: u64, received: Request) {
-        let routes = (**self.port.image.load()).clone();
+        let routes = (**self.port.routes.load()).clone();
         self.apply_bounds(&routes);
         let mut incoming = self.incoming_request(received, routes);
         if let Some(rejection) = run_filters(&mut incoming) {
@@ -192,9 +192,9 @@
         let headers = &received.headers;
         IncomingRequest {
             host: header(headers, "host").unwrap_or_default().to_string(),
-            operation_key: self.protocol.operation(headers).map(Into::into),
-            timeout: self.protocol.patience(headers),
-            request_id: self.protocol.name(headers).map(Into::into),
+            operation_key: self.protocol.operation_key(headers).map(Into::into),
+            timeout: self.protocol.timeout(headers),
+            request_id: self.protocol.request_id(headers).map(Into::into),
             method: received.method,
             url: received.target,
             headers: received.headers,
@@ -245,7 +245,7 @@
         } else {
             response
         };
-        let written = self.protocol.tell(&pending.headers, &response);
+        let written = self.protocol.client_response(&pending.headers, &response);
         if matches!(response, ClientResponse::Reply { .. }) {
             self.response_sizes
                 .record(&pending.route, written.body.len());
@@ -295,7 +295,7 @@
             let mut disconnected = self.disconnected.lock().expect("no holder panics");
             disconnected.insert(id);
             drop(disconnected);
-            let _ = self.port.give.send(Input::ClientDisconnected { id });
+            let _ = self.port.inputs.send(Input::ClientDisconnected { id });
         }
     }
 
@@ -307,7 +307,7 @@
             _ => "request_malformed",
         };
         let rejection = ClientResponse::Rejection(Rejection::not_run(status, code, why));
-        let response = self.protocol.tell(&[], &rejection);
+        let response = self.protocol.client_response(&[], &rejection);
         http_line::Response {
             status: response.status,
             headers: response.headers,
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -42,28 +42,33 @@
 }
 
 /// Listens on the addresses of the startup settings, clients' requests first.
-fn listen(port: &Port) -> Result<Vec<TcpListener>> {
+fn listen(port: &Port) -> Result<Vec<TcpListener>, FrontendError> {
     if !port.startup.shield {
-        port.startup.http.context("http address")?;
+        let missing = FrontendError::MissingSetting("http address");
+        port.startup.http.ok_or(missing)?;
     }
     [port.startup.http, port.startup.ready]
         .into_iter()
         .flatten()
         .map(|address| {
-            TcpListener::bind(address).with_context(|| format!("cannot listen on {address}"))
+            TcpListener::bind(address).map_err(|error| FrontendError::Listen {
+                address,
+                source: error.into(),
+            })
         })
         .collect()
 }
 
 impl Frontend for HttpFrontend {
-    fn open(&mut self, port: &Arc<Port>) -> Result<()> {
+    fn open(&mut self, port: &Arc<Port>) -> Result<(), FrontendError> {
         let listeners = listen(port)?;
         let handler = ConnectionHandler::new(port, &self.protocol, PlugIn::of(self.program));
         let limits = Limits {
             link_bytes_per_second: port.startup.link_mbps.map(|link| link * BYTES_PER_MEGABIT),
             ..LIMITS
         };
-        let event_loop = EventLoopHandle::open(listeners, limits, handler.clone())?;
+        let event_loop = EventLoopHandle::open(listeners, limits, handler.clone())
+            .map_err(|error| FrontendError::Start(error.into()))?;
         let _ = handler.event_loop.set(event_loop);
         self.handler = Some(handler);
         Ok(())
@@ -76,7 +81,7 @@
         if !handler.may_send(&call) {
             return handler.complete_call(id, CallOutcome::NotSent);
         }
-        let CallHeaders { headers, echo } = self.protocol.call(&call);
+        let CallHeaders { headers, echo } = self.protocol.origin_headers(&call);
         let outgoing = http_line::Call {
             id,
             address: call.origin.address,
@@ -113,7 +118,7 @@
         }
     }
 
-    fn warn(&self) {
+    fn prepare_shutdown(&self) {
         if let Some(event_loop) = self.event_loop() {
             event_loop.drain();
         }
@@ -125,7 +130,7 @@
         }
     }
 
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.event_loop().is_none_or(EventLoopHandle::is_finished)
     }
 }
--- a/data-plane/src/leases.rs
+++ b/data-plane/src/leases.rs
@@ -26,7 +26,7 @@
     pub fn live_until(&self, control_slots: usize) -> Duration {
         let mut expiries: Vec<Duration> = self.expiry.values().copied().collect();
         expiries.sort_unstable();
-        let required = Quorum::new(control_slots).rest();
+        let required = Quorum::new(control_slots).intersecting();
         expiries
             .len()
             .checked_sub(required)
--- a/data-plane/src/request_conversion.rs
+++ b/data-plane/src/request_conversion.rs
@@ -11,7 +11,7 @@
     // Requests that must run once, or be cached once, are distributed by their own key.
     let key = incoming.operation_key.as_deref().unwrap_or(&incoming.url);
     let service = routes.document.entries[entry]
-        .aim_at(key.as_bytes())
+        .group_for(key.as_bytes())
         .to_string();
     Some(ClientRequest {
         caller,
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_result.rs
@@ -28,7 +28,7 @@
         proof,
         timeout: Duration::from_secs(1),
         max_connections: 1,
-        purpose: CallPurpose::Caller,
+        purpose: CallPurpose::Client,
     }
 }
 
--- a/data-plane/tests/default_protocol.rs
+++ b/data-plane/tests/default_protocol.rs
@@ -29,7 +29,7 @@
         proof,
         timeout: Duration::from_secs(1),
         max_connections: 1,
-        purpose: CallPurpose::Caller,
+        purpose: CallPurpose::Client,
     }
 }
 
@@ -40,7 +40,7 @@
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
             .collect();
-        DefaultProtocol.judge(&call(Proof::Named), status, &headers, b"x")
+        DefaultProtocol.classify(&call(Proof::Named), status, &headers, b"x")
     };
     let good = [
         ("otterslip-instance", "i1"),
@@ -100,7 +100,7 @@
     );
     assert!(
         matches!(
-            DefaultProtocol.judge(&call(Proof::Seal), 200, &[], b"x"),
+            DefaultProtocol.classify(&call(Proof::Seal), 200, &[], b"x"),
             OriginVerdict::Rejected(_)
         ),
         "unsealed"
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/departures.rs
@@ -160,7 +160,7 @@
                 let refused = PermitRefused {
                     id,
                     reason: PermitRefusalReason::Overloaded,
-                    back: at(100),
+                    retry_after: at(100),
                 };
                 deliver(&mut self.edge, now, ADMISSION, refused)
             }),
@@ -471,7 +471,7 @@
     let outputs = edge.handle(at(1400), Input::CallCompleted { id: call, result });
     assert!(matches!(
         changes_in(&outputs)[..],
-        [Change::Record(_, Some(_))]
+        [Change::RecordOutcome(_, Some(_))]
     ));
 }
 
@@ -619,10 +619,10 @@
     let late = disconnected + at(CANCELLATION_BOUND_MS);
     let nobody_pending = |_: u64| false;
     let purposes = [
-        (CallPurpose::Caller, true, true),
+        (CallPurpose::Client, true, true),
         (CallPurpose::RunOnce, true, false),
-        (CallPurpose::Copy, true, false),
-        (CallPurpose::SharedCopy, false, false),
+        (CallPurpose::CacheFill, true, false),
+        (CallPurpose::SharedCacheFill, false, false),
     ];
     for (purpose, reports_started, reports_continued) in purposes {
         let mut check = AbandonedWork::default();
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge/mod.rs
@@ -248,7 +248,7 @@
         serial: 1,
         origin,
         sent: at(now),
-        held: at(0),
-        takes: at(0),
+        queued_for: at(0),
+        expected_latency: at(0),
     }
 }
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -166,7 +166,7 @@
     let refused = PermitRefused {
         id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
-        back: at(2000),
+        retry_after: at(2000),
     };
     let outputs = deliver(&mut edge, 1020, 8, refused);
     assert!(matches!(
@@ -227,7 +227,7 @@
     );
     assert!(matches!(
         changes_in(&outputs).as_slice(),
-        [Change::Record(_, None)]
+        [Change::RecordOutcome(_, None)]
     ));
     let record = last_exchange(&outputs);
     assert!(rejections_in(outputs).is_empty());
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -146,8 +146,8 @@
                     serial: request.id,
                     origin: origin(50),
                     sent: request.sent,
-                    held: at(0),
-                    takes: at(ORIGIN_MS),
+                    queued_for: at(0),
+                    expected_latency: at(ORIGIN_MS),
                 };
                 self.reply(sent_at, edge, to, permit.into());
             }
--- a/data-plane/tests/http_frontend.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -28,7 +28,7 @@
         };
         let (inputs_sender, inputs) = flume::unbounded();
         let port = Arc::new(Port::new(inputs_sender, startup).unwrap());
-        port.image.store(Arc::new(Some(table())));
+        port.routes.store(Arc::new(Some(table())));
         port.set_fence(port.now() + LEASE, true);
         let mut frontend = HttpFrontend::new("test", Arc::new(DefaultProtocol));
         frontend.open(&port).unwrap();
@@ -76,7 +76,7 @@
     let edge_under_test = TestEdge::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let at = origin.local_addr().unwrap();
-    for purpose in [CallPurpose::Caller, CallPurpose::RunOnce] {
+    for purpose in [CallPurpose::Client, CallPurpose::RunOnce] {
         let (client, id, request) = edge_under_test.send_request();
         edge_under_test.disconnect(client, id);
         edge_under_test
@@ -105,12 +105,12 @@
     edge_under_test.disconnect(client, id);
     edge_under_test
         .frontend
-        .call(7, call(id, &request, at, CallPurpose::SharedCopy));
+        .call(7, call(id, &request, at, CallPurpose::SharedCacheFill));
     let _shared = origin.accept().unwrap();
     let (_client, id, request) = edge_under_test.send_request();
     edge_under_test
         .frontend
-        .call(8, call(id, &request, at, CallPurpose::Caller));
+        .call(8, call(id, &request, at, CallPurpose::Client));
     origin.accept().unwrap();
 }
 
@@ -122,7 +122,7 @@
     let (_client, id, request) = edge_under_test.send_request();
     edge_under_test
         .frontend
-        .call(7, call(id, &request, at, CallPurpose::Caller));
+        .call(7, call(id, &request, at, CallPurpose::Client));
     let mut session = origin.accept().unwrap().0;
     session.set_read_timeout(Some(ARRIVAL_TIMEOUT)).unwrap();
     session.read_exact(&mut [0; 4]).unwrap();
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -236,7 +236,7 @@
     let refused = PermitRefused {
         id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
-        back: at(100),
+        retry_after: at(100),
     };
     let rejections = rejections_in(deliver(&mut edge, 1020, ADMISSION, refused));
     assert_eq!(rejections.len(), 9);
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -191,7 +191,11 @@
                         &mut self.edge,
                         now,
                         ADMISSION,
-                        PermitRefused { id, reason, back },
+                        PermitRefused {
+                            id,
+                            reason,
+                            retry_after: back,
+                        },
                     )
                 }
                 None => return Ok(()),
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -38,17 +38,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPurpose {
     /// For one client; it is idempotent, so it may be cancelled.
-    Caller,
+    Client,
     /// It may run once only: once sent, it goes on to its end.
     RunOnce,
     /// To fill the cache, for a response that only this client is known to wait
     /// for.
-    Copy,
+    CacheFill,
     /// To fill the cache, for a response that others wait for, here or at its
     /// owner.
-    SharedCopy,
+    SharedCacheFill,
     /// A health check.
-    Probe,
+    HealthCheck,
 }
 
 /// What came of a call, after the signature was checked.
--- a/kernel/src/client.rs
+++ b/kernel/src/client.rs
@@ -62,7 +62,7 @@
 
     /// Whether it carries credentials: then its response belongs to one client
     /// and is not shared.
-    pub fn personal(&self) -> bool {
+    pub fn carries_credentials(&self) -> bool {
         self.header("authorization").is_some() || self.header("cookie").is_some()
     }
 }
@@ -91,7 +91,7 @@
 
 impl ClientResponse {
     /// A response that others are served too, at most so old.
-    pub fn copy(reply: Reply, age: Duration) -> ClientResponse {
+    pub fn cached(reply: Reply, age: Duration) -> ClientResponse {
         ClientResponse::Reply {
             reply,
             age: Some(age),
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -183,13 +183,13 @@
     }
 
     /// Whether a request of this method is the entry's.
-    pub fn takes(&self, method: &str) -> bool {
+    pub fn accepts(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|known| known == method)
     }
 
     /// The group of one request: by weight, and alike for one key, so that an
     /// object has one source and a retry meets the same service.
-    pub fn aim_at(&self, key: &[u8]) -> &str {
+    pub fn group_for(&self, key: &[u8]) -> &str {
         let whole: f64 = self.split.iter().map(|share| share.weight).sum();
         let mut left = f64::from(crc32fast::hash(key)) / f64::from(u32::MAX) * whole;
         for share in self.split.iter().filter(|share| share.weight > 0.0) {
@@ -208,7 +208,7 @@
 
     /// How long a cached response is kept: the major expiry; the minor one is
     /// half.
-    pub fn keep(&self) -> Duration {
+    pub fn cache_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.cache_ttl_s.unwrap_or(10.0))
     }
 }
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -36,7 +36,7 @@
     PartitionAcquired = 200, Info;
     PartitionLost = 201, Warn;
     DiskBlank = 210, Warn;
-    DiskRefilled = 211, Info;
+    DiskRecovered = 211, Info;
     DiskFailed = 212, Error;
     LogTailCut = 213, Warn;
     LogCorrupt = 214, Error;
--- a/kernel/src/frontend.rs
+++ b/kernel/src/frontend.rs
@@ -1,11 +1,30 @@
 //! The frontend of a process: where it meets clients, operators and origins.
 use crate::prelude::*;
 
+/// Why a frontend cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum FrontendError {
+    /// A setting is missing that it needs.
+    #[error("{0} is not set")]
+    MissingSetting(&'static str),
+    /// An address is taken or is not this machine's.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system or the HTTP library said.
+        source: Box<dyn std::error::Error + Send + Sync>,
+    },
+    /// The thread that serves could not be started.
+    #[error(transparent)]
+    Start(Box<dyn std::error::Error + Send + Sync>),
+}
+
 /// Where a process meets callers, operators, the platform and origins: it puts
 /// inputs to its part through the port and carries the state machine's calls out.
 pub trait Frontend: Send {
     /// Listens and serves until the port says that the process ends.
-    fn open(&mut self, port: &Arc<Port>) -> Result<()>;
+    fn open(&mut self, port: &Arc<Port>) -> Result<(), FrontendError>;
 
     /// Makes a call; `Input::CallCompleted` follows.
     fn call(&self, id: u64, call: Call);
@@ -20,11 +39,11 @@
     fn link_delay(&self, _delay: Duration) {}
 
     /// The process ends soon: no new sessions are begun.
-    fn warn(&self) {}
+    fn prepare_shutdown(&self) {}
 
     /// The part has ended: nothing more is read.
     fn stop(&self) {}
 
     /// After the end: all that was read is answered.
-    fn done(&self) -> bool;
+    fn is_done(&self) -> bool;
 }
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -31,7 +31,7 @@
     Randomness(#[from] RandomnessError),
     /// The frontend could not be opened.
     #[error("cannot open the frontend")]
-    Frontend(#[source] Box<dyn std::error::Error + Send + Sync>),
+    Frontend(#[from] FrontendError),
     /// Signals cannot be received.
     #[error("cannot receive signals")]
     Signals(#[source] std::io::Error),
@@ -91,9 +91,7 @@
         })?;
         let links = Links::open(self.me, listener, give.clone()).map_err(HostError::Links)?;
         let port = Arc::new(Port::new(give.clone(), self.startup.clone())?);
-        self.frontend
-            .open(&port)
-            .map_err(|error| HostError::Frontend(error.into()))?;
+        self.frontend.open(&port)?;
         self.start_sources(&port);
         let store = self
             .store
@@ -131,14 +129,14 @@
     fn drive(&mut self, mut state_machine: Box<dyn StateMachine>) {
         let mut next_tick = self.port.now();
         // After the end, calls that were already read are still answered.
-        while !(self.port.ending.load(Ordering::Acquire) && self.host.frontend.done()) {
+        while !(self.port.ending.load(Ordering::Acquire) && self.host.frontend.is_done()) {
             let Some(input) = self.next_input(&mut next_tick) else {
                 continue;
             };
             let from_peer =
                 matches!(&input, Input::MessageReceived { from, .. } if *from != self.host.me);
             if matches!(input, Input::ShutdownRequested) {
-                self.host.frontend.warn();
+                self.host.frontend.prepare_shutdown();
             }
             for output in state_machine.handle(self.port.now(), input) {
                 self.perform(output);
@@ -200,7 +198,7 @@
             let from = self.host.me;
             let _ = self.give.send(Input::MessageReceived { from, message });
         } else {
-            self.links.tell(to, &message);
+            self.links.send(to, &message);
         }
     }
 
@@ -220,7 +218,7 @@
                     let _ = history.try_send((version, text));
                 }
             }
-            PublishedState::Configuration(routes) => self.port.image.store(Arc::new(Some(routes))),
+            PublishedState::Configuration(routes) => self.port.routes.store(Arc::new(Some(routes))),
         }
     }
 }
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -40,7 +40,7 @@
 
     /// Takes one row of the configuration's partition; others than document and
     /// items are passed over. Findings have places within the item.
-    pub fn learn(&mut self, key: &str, row: &Row) -> Result<bool, Vec<Finding>> {
+    pub fn apply_row(&mut self, key: &str, row: &Row) -> Result<bool, Vec<Finding>> {
         if self
             .parts
             .get(key)
--- a/kernel/src/items_change.rs
+++ b/kernel/src/items_change.rs
@@ -30,7 +30,7 @@
 
 impl ItemsChange {
     /// Judges a call against the rows that stand.
-    pub fn judge(
+    pub fn validate(
         rows: &BTreeMap<String, Row>,
         items: Vec<Item>,
     ) -> Result<ItemsChange, ItemsRejection> {
@@ -122,7 +122,7 @@
         let mut known = Items::default();
         for (key, row) in rows {
             // What stands was judged before.
-            let _ = known.learn(key, row);
+            let _ = known.apply_row(key, row);
         }
         Judgement {
             rows,
--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -45,7 +45,7 @@
 
     /// The number of items put, or why the call was refused.
     fn put(&mut self, items: Vec<Item>) -> Result<usize, ItemsRejection> {
-        let change = ItemsChange::judge(&self.rows, items)?;
+        let change = ItemsChange::validate(&self.rows, items)?;
         let is_item = |(_, value): &&(String, Value)| matches!(value, Value::Item(_));
         let count = change.rows.iter().filter(is_item).count();
         for (key, value) in change.rows {
@@ -215,7 +215,7 @@
     let mut partition = Partition::with_group();
     partition.put(vec![entry("a", 7, "/a/", "s")]).unwrap();
     partition.put(vec![entry("b", 7, "/b/", "s")]).unwrap();
-    let again = ItemsChange::judge(&partition.rows, vec![entry("a", 7, "/a/", "s")]).unwrap();
+    let again = ItemsChange::validate(&partition.rows, vec![entry("a", 7, "/a/", "s")]).unwrap();
     assert!(again.rows.is_empty());
     assert!(again.keys.contains("item/entry/a") && again.keys.contains("accepted/item/entry/a"));
     assert!(!again.keys.contains("item/entry/b"), "of no concern to it");
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -128,7 +128,7 @@
     }
 
     /// Queues a message. It leaves with the next `flush`.
-    pub fn tell(&self, to: SocketAddr, message: &Message) {
+    pub fn send(&self, to: SocketAddr, message: &Message) {
         let Ok(encoded) = EncodedMessage::new(self.shared.me, message) else {
             return;
         };
--- a/kernel/src/message/change.rs
+++ b/kernel/src/message/change.rs
@@ -5,9 +5,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotOfferOutcome {
     /// No empty node waits for a slot.
-    NoNewcomer,
+    NoJoiner,
     /// One waits, but another change of the table must be over first.
-    Later,
+    Deferred,
     /// The slot has a successor.
     Assigned {
         /// The table that says so: it comes directly after the one by which
@@ -80,7 +80,7 @@
         member: Peer,
     },
     /// Acknowledged rows may be lost: begin a new generation.
-    Refound {
+    FoundGeneration {
         /// The generation before it.
         after: u64,
     },
@@ -89,7 +89,7 @@
     /// Nothing was sent under the claim and nothing will be.
     Release(Claim),
     /// What came of the operation; none if that is not known.
-    Record(Claim, Option<Arc<Reply>>),
+    RecordOutcome(Claim, Option<Arc<Reply>>),
 }
 
 /// When a change is acknowledged.
@@ -167,7 +167,7 @@
     /// Acknowledged operations may be lost: unknown keys are not run.
     LedgerClosed {
         /// For how much longer.
-        left: Duration,
+        remaining: Duration,
     },
     /// A revision was accepted before with another content. Nothing of the call
     /// took effect; the findings name the items.
--- a/kernel/src/message/generation.rs
+++ b/kernel/src/message/generation.rs
@@ -14,7 +14,7 @@
     }
 
     /// Whether it is not the first: rows may have been lost before it.
-    pub fn again(generation: u64) -> bool {
+    pub fn is_successor(generation: u64) -> bool {
         generation >> 32 > 1
     }
 
--- a/kernel/src/message/mod.rs
+++ b/kernel/src/message/mod.rs
@@ -197,7 +197,7 @@
         /// The epoch of the request.
         epoch: u64,
         /// The epoch that was promised.
-        promised: u64,
+        promised_epoch: u64,
     }
     /// A change on its way to the leader of its partition.
     ChangeRequest {
@@ -468,9 +468,9 @@
         /// `sent` of the request.
         sent: Duration,
         /// How long the request waited at the admission controller.
-        held: Duration,
+        queued_for: Duration,
         /// How long a call there takes by recent experience.
-        takes: Duration,
+        expected_latency: Duration,
     }
     /// The request waits in the admission controller's queue.
     PermitQueued {
@@ -484,7 +484,7 @@
         /// Why.
         reason: PermitRefusalReason,
         /// When to try again.
-        back: Duration,
+        retry_after: Duration,
     }
     /// Calls in flight by permits of an earlier owner, told to a new one.
     CallsInProgress {
--- a/kernel/src/message/partition_state.rs
+++ b/kernel/src/message/partition_state.rs
@@ -7,7 +7,7 @@
     /// The partition.
     pub partition: u8,
     /// The highest epoch that was promised.
-    pub promised: u64,
+    pub promised_epoch: u64,
     /// The rows and their version.
     pub state: PartitionState,
     /// The rows of a published partition as they were at `state.published`.
--- a/kernel/src/message/session.rs
+++ b/kernel/src/message/session.rs
@@ -58,7 +58,7 @@
 
 impl SessionInfo {
     /// All that others' decisions depend on; the rest is for operators to read.
-    pub fn core(&self) -> (Peer, &str, &str, u32, bool, u64, bool) {
+    pub fn decision_fields(&self) -> (Peer, &str, &str, u32, bool, u64, bool) {
         (
             self.peer,
             &self.zone,
@@ -71,8 +71,8 @@
     }
 
     /// The checksum of its core.
-    pub fn sum(&self) -> u64 {
-        let bytes = bincode::serialize(&self.core()).expect("sessions serialize");
+    pub fn checksum(&self) -> u64 {
+        let bytes = bincode::serialize(&self.decision_fields()).expect("sessions serialize");
         u64::from_be_bytes(Sha256::digest(bytes)[..8].try_into().expect("eight bytes"))
     }
 }
--- a/kernel/src/operator_server.rs
+++ b/kernel/src/operator_server.rs
@@ -21,14 +21,17 @@
 }
 
 impl Frontend for OperatorServer {
-    fn open(&mut self, port: &Arc<Port>) -> Result<()> {
-        let address = port.startup.http.context("http address")?;
+    fn open(&mut self, port: &Arc<Port>) -> Result<(), FrontendError> {
+        let address = port
+            .startup
+            .http
+            .ok_or(FrontendError::MissingSetting("http address"))?;
         let plug_ins = PlugIn::of(self.program);
         let frontend = port.clone();
         let server = rouille::Server::new(address, move |request| {
             serve_plug_ins(&plug_ins, &frontend, request)
         })
-        .map_err(|error| anyhow!("cannot listen on {address}: {error}"))?;
+        .map_err(|source| FrontendError::Listen { address, source })?;
         let port = port.clone();
         self.server = Some(thread::spawn(move || {
             while !port.ending.load(Ordering::Acquire) {
@@ -41,7 +44,7 @@
 
     fn call(&self, _: u64, _: Call) {}
 
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.server
             .as_ref()
             .is_none_or(|server| server.is_finished())
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -34,7 +34,7 @@
 
     /// Whether an entry of the membership table (incarnation 0: whoever is
     /// there) names this peer.
-    pub fn names(&self, peer: &Peer) -> bool {
+    pub fn matches(&self, peer: &Peer) -> bool {
         self.address == peer.address
             && (self.incarnation == 0 || self.incarnation == peer.incarnation)
     }
--- a/kernel/src/port.rs
+++ b/kernel/src/port.rs
@@ -8,13 +8,13 @@
 /// and read what it publishes; tables are replaced as a whole.
 pub struct Port {
     /// Inputs for the state machine.
-    pub give: Sender<Input>,
+    pub inputs: Sender<Input>,
     started_at: Instant,
     next_id: AtomicU64,
     /// Requests that were handed in and are not completed, by id.
     pending: Mutex<HashMap<u64, Continuation>>,
     /// The configuration to route requests by, once there is one.
-    pub image: ArcSwap<Option<Arc<RouteTable>>>,
+    pub routes: ArcSwap<Option<Arc<RouteTable>>>,
     /// When the lease ends, in nanoseconds since the start.
     fence: AtomicU64,
     ready: AtomicBool,
@@ -31,12 +31,12 @@
     /// set. Fails if the system has no randomness.
     pub fn new(give: Sender<Input>, startup: Startup) -> Result<Port, RandomnessError> {
         Ok(Port {
-            give,
+            inputs: give,
             started_at: Instant::now(),
             // Not where an earlier run began: its late answers fit no call of ours.
             next_id: AtomicU64::new(new_incarnation()? >> 1),
             pending: Mutex::default(),
-            image: ArcSwap::from_pointee(None),
+            routes: ArcSwap::from_pointee(None),
             fence: AtomicU64::new(0),
             ready: AtomicBool::new(false),
             ending: AtomicBool::new(false),
@@ -64,7 +64,7 @@
             .lock()
             .expect("no thread panics with the lock")
             .insert(id, then);
-        if self.give.send(make(id)).is_err() {
+        if self.inputs.send(make(id)).is_err() {
             self.forget(id);
         }
         id
@@ -80,7 +80,7 @@
 
     /// Hands `make(id)` to the state machine and waits for the output that
     /// completes it; none after `limit`.
-    pub fn ask(&self, limit: Duration, make: &dyn Fn(u64) -> Input) -> Option<Output> {
+    pub fn request(&self, limit: Duration, make: &dyn Fn(u64) -> Input) -> Option<Output> {
         let (give, take) = flume::bounded(1);
         let id = self.begin(
             make,
@@ -106,7 +106,7 @@
     }
 
     /// Whether this process owns an assignment now, as far as it knows.
-    pub fn holds(&self, assignment: &str) -> bool {
+    pub fn owns(&self, assignment: &str) -> bool {
         self.assignments
             .load()
             .iter()
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -1,5 +1,4 @@
 //! What most files of the product need. The rest is imported by name.
-pub use anyhow::{Context, Result, anyhow, bail};
 pub use arc_swap::ArcSwap;
 pub use base64::Engine as _;
 pub use base64::engine::general_purpose::STANDARD as BASE64;
@@ -25,7 +24,7 @@
 pub use crate::event::{Event, log_event};
 pub use crate::finding::{Finding, exit_with_findings};
 pub use crate::frame;
-pub use crate::frontend::Frontend;
+pub use crate::frontend::{Frontend, FrontendError};
 pub use crate::host::{HostError, NodeHost};
 pub use crate::items::Items;
 pub use crate::items_change::{ItemsChange, ItemsRejection};
--- a/kernel/src/protocol.rs
+++ b/kernel/src/protocol.rs
@@ -6,21 +6,21 @@
 /// what is remembered of it is decided elsewhere.
 pub trait ProtocolAdapter: Send + Sync {
     /// How long the client says it will wait.
-    fn patience(&self, headers: &[(String, String)]) -> Option<Duration>;
+    fn timeout(&self, headers: &[(String, String)]) -> Option<Duration>;
 
     /// The key under which the client's operation runs once.
-    fn operation<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
+    fn operation_key<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
     /// The client's own id of its request, if it has one: it goes on to the
     /// origin.
-    fn name<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
+    fn request_id<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
     /// The headers of a call in order, `Host` among them, and the header that
     /// its response must carry, if any.
-    fn call(&self, call: &Call) -> CallHeaders;
+    fn origin_headers(&self, call: &Call) -> CallHeaders;
 
     /// What a response to `call` is, after it was read completely.
-    fn judge(
+    fn classify(
         &self,
         call: &Call,
         status: u16,
@@ -30,7 +30,7 @@
 
     /// What the client of a request with these headers gets: a reply's own
     /// headers are in it already, a rejection becomes what clients understand.
-    fn tell(&self, asked: &[(String, String)], answer: &ClientResponse) -> HttpResponse;
+    fn client_response(&self, asked: &[(String, String)], answer: &ClientResponse) -> HttpResponse;
 }
 
 /// The headers of a call to an origin.
--- a/kernel/src/quorum.rs
+++ b/kernel/src/quorum.rs
@@ -22,12 +22,12 @@
     }
 
     /// The least number of which any two sets share a slot.
-    pub fn most(self) -> usize {
+    pub fn majority(self) -> usize {
         self.slots / 2 + 1
     }
 
     /// The least number that meets every set of `most`.
-    pub fn rest(self) -> usize {
-        self.slots - self.slots.min(self.most()) + 1
+    pub fn intersecting(self) -> usize {
+        self.slots - self.slots.min(self.majority()) + 1
     }
 }
--- a/kernel/src/quorum/tests.rs
+++ b/kernel/src/quorum/tests.rs
@@ -17,18 +17,26 @@
 fn majorities_intersect_and_are_minimal() {
     for slots in 1..=8 {
         let quorum = Quorum::new(slots);
-        let (most, rest) = (sets(slots, quorum.most()), sets(slots, quorum.rest()));
+        let (most, rest) = (
+            sets(slots, quorum.majority()),
+            sets(slots, quorum.intersecting()),
+        );
         assert!(all_meet(&most, &most) && all_meet(&rest, &most), "{slots}");
         let (fewer, less) = (
-            sets(slots, quorum.most() - 1),
-            sets(slots, quorum.rest() - 1),
+            sets(slots, quorum.majority() - 1),
+            sets(slots, quorum.intersecting() - 1),
         );
         assert!(
             !all_meet(&fewer, &fewer) && !all_meet(&less, &most),
             "{slots}"
         );
     }
-    let known = [3, 4, 5, 8].map(|slots| (Quorum::new(slots).most(), Quorum::new(slots).rest()));
+    let known = [3, 4, 5, 8].map(|slots| {
+        (
+            Quorum::new(slots).majority(),
+            Quorum::new(slots).intersecting(),
+        )
+    });
     assert_eq!(known, [(2, 2), (3, 2), (3, 3), (5, 4)]);
 }
 
@@ -41,16 +49,16 @@
     for slots in 1..8 {
         let (small, large) = (Quorum::new(slots), Quorum::new(slots + 1));
         assert!(all_meet(
-            &sets(slots, small.most()),
-            &sets(slots + 1, large.most())
+            &sets(slots, small.majority()),
+            &sets(slots + 1, large.majority())
         ));
         assert!(all_meet(
-            &sets(slots, small.most()),
-            &sets(slots, large.rest().min(slots))
+            &sets(slots, small.majority()),
+            &sets(slots, large.intersecting().min(slots))
         ));
         assert!(all_meet(
-            &sets(slots, small.rest()),
-            &sets(slots, large.rest().min(slots))
+            &sets(slots, small.intersecting()),
+            &sets(slots, large.intersecting().min(slots))
         ));
     }
 }
@@ -61,11 +69,11 @@
 fn recovery_quorum_intersects_majorities_of_lost_disk() {
     for slots in 2..=8 {
         let quorum = Quorum::new(slots);
-        let others = sets(slots, quorum.rest())
+        let others = sets(slots, quorum.intersecting())
             .into_iter()
             .filter(|set| set & 1 == 0)
             .collect::<Vec<_>>();
-        let without: Vec<u32> = sets(slots, quorum.most())
+        let without: Vec<u32> = sets(slots, quorum.majority())
             .into_iter()
             .filter(|set| set & 1 == 1)
             .map(|set| set & !1)
--- a/kernel/src/route_table.rs
+++ b/kernel/src/route_table.rs
@@ -50,7 +50,7 @@
         for cut in cuts.into_iter().rev() {
             let fits = |at: &&usize| {
                 let entry = &self.document.entries[**at];
-                entry.takes(method)
+                entry.accepts(method)
                     && entry
                         .host
                         .as_deref()
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -37,7 +37,7 @@
     }
 
     fn tell(&self, to: SocketAddr, message: impl Into<Message>) {
-        self.links.tell(to, &message.into());
+        self.links.send(to, &message.into());
         self.links.flush();
     }
 
@@ -317,13 +317,13 @@
         small.set_recv_buffer_size(16 * 1024).unwrap();
         for id in 0..10 {
             node.links
-                .tell(listener.local_addr().unwrap(), &bulk(id, 100_000));
+                .send(listener.local_addr().unwrap(), &bulk(id, 100_000));
         }
     }
     assert!(node.links.queued_bytes() <= 1_000_000 + 100_200);
     assert!(node.links.counters().dropped_bulk.get() >= 180);
     for listener in &peers {
-        node.links.tell(listener.local_addr().unwrap(), &urgent(1));
+        node.links.send(listener.local_addr().unwrap(), &urgent(1));
     }
     assert_eq!(node.links.counters().dropped_urgent.get(), 0);
 }
--- a/kernel/tests/wire_format/messages.rs
+++ b/kernel/tests/wire_format/messages.rs
@@ -160,7 +160,7 @@
             membership_version: 55,
             partitions: vec![PartitionSnapshot {
                 partition: 14,
-                promised: 57,
+                promised_epoch: 57,
                 state: PartitionState {
                     epoch: 58,
                     version: 59,
@@ -180,7 +180,7 @@
             membership_version: 55,
             partitions: vec![PartitionSnapshot {
                 partition: 14,
-                promised: 57,
+                promised_epoch: 57,
                 state: PartitionState {
                     epoch: 58,
                     version: 59,
@@ -303,7 +303,7 @@
         StaleEpoch {
             partition: 11,
             epoch: 96,
-            promised: 97,
+            promised_epoch: 97,
         }
         .into(),
         ChangeRequest {
@@ -534,7 +534,7 @@
             id: 99,
             partition: 16,
             hops: 102,
-            change: Change::Refound { after: 129 },
+            change: Change::FoundGeneration { after: 129 },
         }
         .into(),
         ChangeRequest {
@@ -574,7 +574,7 @@
             id: 99,
             partition: 16,
             hops: 102,
-            change: Change::Record(
+            change: Change::RecordOutcome(
                 Claim {
                     operation: "text 140".into(),
                     fingerprint: [141; 32],
@@ -598,7 +598,7 @@
             id: 99,
             partition: 16,
             hops: 102,
-            change: Change::Record(
+            change: Change::RecordOutcome(
                 Claim {
                     operation: "text 140".into(),
                     fingerprint: [141; 32],
@@ -714,7 +714,7 @@
         ChangeReply {
             id: 151,
             outcome: ChangeOutcome::LedgerClosed {
-                left: Duration::from_micros(166007),
+                remaining: Duration::from_micros(166007),
             },
         }
         .into(),
@@ -745,11 +745,11 @@
         }
         .into(),
         SlotOfferReply {
-            outcome: SlotOfferOutcome::NoNewcomer,
+            outcome: SlotOfferOutcome::NoJoiner,
         }
         .into(),
         SlotOfferReply {
-            outcome: SlotOfferOutcome::Later,
+            outcome: SlotOfferOutcome::Deferred,
         }
         .into(),
         SlotOfferReply {
@@ -769,7 +769,7 @@
             retired_incarnations: vec![180],
             partitions: vec![PartitionSnapshot {
                 partition: 13,
-                promised: 182,
+                promised_epoch: 182,
                 state: PartitionState {
                     epoch: 183,
                     version: 184,
@@ -1096,8 +1096,8 @@
                 cold_ms: 309,
             },
             sent: Duration::from_micros(310007),
-            held: Duration::from_micros(311007),
-            takes: Duration::from_micros(312007),
+            queued_for: Duration::from_micros(311007),
+            expected_latency: Duration::from_micros(312007),
         }
         .into(),
         Permit {
@@ -1116,33 +1116,33 @@
                 cold_ms: 309,
             },
             sent: Duration::from_micros(310007),
-            held: Duration::from_micros(311007),
-            takes: Duration::from_micros(312007),
+            queued_for: Duration::from_micros(311007),
+            expected_latency: Duration::from_micros(312007),
         }
         .into(),
         PermitQueued { id: 313 }.into(),
         PermitRefused {
             id: 314,
             reason: PermitRefusalReason::Overloaded,
-            back: Duration::from_micros(315007),
+            retry_after: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
             reason: PermitRefusalReason::RetryBudgetExhausted,
-            back: Duration::from_micros(315007),
+            retry_after: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
             reason: PermitRefusalReason::NoHealthyOrigin,
-            back: Duration::from_micros(315007),
+            retry_after: Duration::from_micros(315007),
         }
         .into(),
         PermitRefused {
             id: 314,
             reason: PermitRefusalReason::NotOwner,
-            back: Duration::from_micros(315007),
+            retry_after: Duration::from_micros(315007),
         }
         .into(),
         CallsInProgress {
--- a/programs/examples/session_storm.rs
+++ b/programs/examples/session_storm.rs
@@ -9,6 +9,7 @@
 //!
 //! `session_storm CONTROL-NODE EDGES RINGS [SLOW-MS]`: `SLOW-MS` is how long each
 //! edge waits before each read of at most 16 KB, as over a narrow link.
+use anyhow::{Result, bail};
 use kernel::frame::FrameDecoder;
 use kernel::prelude::*;
 use std::process::{Child, Command};
--- a/programs/src/prelude.rs
+++ b/programs/src/prelude.rs
@@ -1,5 +1,6 @@
 //! What the files of this crate need.
 pub use crate::{run_control_node, run_edge_node};
+pub use anyhow::{Context, Result, anyhow, bail};
 pub use control_plane::{Bootstrap, ControlNode, History, Record, Replica};
 pub use data_plane::{DefaultProtocol, EdgeNode, HttpFrontend};
 pub use kernel::prelude::*;
--- a/segment-log/src/power_loss_tests.rs
+++ b/segment-log/src/power_loss_tests.rs
@@ -292,7 +292,7 @@
         self.bounds.resize(done, (self.synced, self.appended));
     }
 
-    fn run(&mut self, step: &Step) -> Result<()> {
+    fn run(&mut self, step: &Step) -> Result<(), Box<dyn std::error::Error>> {
         match step {
             Step::Append(size) => {
                 self.appended += 1;
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -12,6 +12,7 @@
 };
 pub use crate::world::{FounderEnd, Report, World, WorldPlan};
 pub use crate::world_orders::{ItemOrder, OrderRecord};
+pub use anyhow::{Context, Result, anyhow, bail};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
 pub use data_plane::prelude::{IncomingRequest, run_filters};
 pub use data_plane::{EdgeNode, client_request_of};
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -56,7 +56,7 @@
                 let what = format!("{control} {founder:?} late: {late}");
                 judge(&report, &[1, 4, 6, 7]);
                 assert_eq!(
-                    report.notes.get(&Event::DiskRefilled),
+                    report.notes.get(&Event::DiskRecovered),
                     Some(&control),
                     "{what}"
                 );
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -28,7 +28,7 @@
 /// When a node's disk first counted after this moment, in milliseconds.
 fn refilled(report: &Report, place: NodeId, after: u64) -> Option<u64> {
     let first = report.membership.iter().find(|(at, who, event)| {
-        *event == Event::DiskRefilled && *who == place && at.as_millis() as u64 >= after
+        *event == Event::DiskRecovered && *who == place && at.as_millis() as u64 >= after
     });
     first.map(|(at, _, _)| at.as_millis() as u64)
 }
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -336,7 +336,7 @@
 /// Events that are kept with their time.
 const MEMBERSHIP_EVENTS: [Event; 4] = [
     Event::DiskBlank,
-    Event::DiskRefilled,
+    Event::DiskRecovered,
     Event::MemberReplaced,
     Event::MemberRemoved,
 ];
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -176,7 +176,7 @@
             return;
         };
         let since = self.now - *left;
-        if matches!(call.purpose, CallPurpose::Caller | CallPurpose::RunOnce) {
+        if matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce) {
             let subject = format!("request {} sent {since:?} after", call.request);
             self.record("abandoned-work", &subject, 0, since <= CALL_LEAVES);
         }
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -12,6 +12,7 @@
 pub use crate::random::SeededRandom;
 pub use crate::record::*;
 pub use crate::schema_check::SchemaCheck;
+pub use anyhow::{Context, Result, anyhow, bail};
 pub use data_plane::ResponseSignature;
 pub use ed25519_dalek::SigningKey;
 pub use kernel::prelude::*;
