--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -36,7 +36,7 @@
         Node { me, links, take }
     }
 
-    fn tell(&self, to: SocketAddr, message: impl Into<Message>) {
+    fn send(&self, to: SocketAddr, message: impl Into<Message>) {
         self.links.send(to, &message.into());
         self.links.flush();
     }
@@ -54,7 +54,7 @@
     fn send_until_received(&self, to: &Node, id: u64) {
         let until = Instant::now() + SOON;
         while Instant::now() < until {
-            self.tell(to.me.address, PermitQueued { id });
+            self.send(to.me.address, PermitQueued { id });
             if to.take.recv_timeout(Duration::from_millis(50)).is_ok() {
                 to.links.processed();
                 return;
@@ -247,8 +247,8 @@
     const COUNT: u64 = 2_000;
     let (one, other) = (Node::start(), Node::start());
     for id in 0..COUNT {
-        one.tell(other.me.address, PermitQueued { id });
-        other.tell(one.me.address, PermitQueued { id });
+        one.send(other.me.address, PermitQueued { id });
+        other.send(one.me.address, PermitQueued { id });
     }
     for id in 0..COUNT {
         assert_eq!(one.receive(), (other.me, urgent(id)));
@@ -270,10 +270,10 @@
     let to = listener.local_addr().unwrap();
     let small = socket2::SockRef::from(&listener);
     small.set_recv_buffer_size(64 * 1024).unwrap();
-    node.tell(to, urgent(0));
+    node.send(to, urgent(0));
     let (mut stream, _) = listener.accept().unwrap();
     for id in 0..40 {
-        node.tell(to, bulk(id, LARGE));
+        node.send(to, bulk(id, LARGE));
     }
     let dropped = node.links.counters().dropped_bulk.get();
     assert!(dropped >= 20, "{dropped} of 40 times 100 kB found no room");
@@ -283,8 +283,8 @@
         thread::sleep(Duration::from_millis(100));
         node.links.queued_bytes() == before
     });
-    node.tell(to, urgent(1));
-    node.tell(to, urgent(2));
+    node.send(to, urgent(1));
+    node.send(to, urgent(2));
     assert_eq!(node.links.counters().dropped_urgent.get(), 0);
     // It reads again, within the time after which it would be met anew.
     let last = urgent(2);
@@ -343,11 +343,11 @@
     node.send_until_received(&other, 1);
     drop(other.links);
     until("the session has ended", || {
-        node.tell(me.address, PermitQueued { id: 2 });
+        node.send(me.address, PermitQueued { id: 2 });
         node.links.counters().outbound.get() == 0
     });
     for _ in 0..100 {
-        node.tell(me.address, PermitQueued { id: 3 });
+        node.send(me.address, PermitQueued { id: 3 });
         thread::sleep(Duration::from_millis(2));
     }
     assert!(node.links.queued_bytes() < 100_000);
@@ -386,7 +386,7 @@
         sessions
     });
     while !count.is_finished() {
-        node.tell(to, urgent(1));
+        node.send(to, urgent(1));
         thread::sleep(Duration::from_millis(1));
     }
     let sessions = count.join().unwrap();
@@ -405,7 +405,7 @@
     };
     let (one, other) = (Node::start_with(limits), Node::start());
     for id in 0..COUNT {
-        one.tell(other.me.address, bulk(id, LARGE));
+        one.send(other.me.address, bulk(id, LARGE));
     }
     until("reading has paused", || {
         other.links.backlog_bytes() >= 4 * 1024 * 1024
@@ -422,16 +422,16 @@
 
 #[test]
 fn urgent_messages_interleave_with_chunked_bulk() {
-    const PIECES: usize = 200;
+    const CHUNKS: usize = 200;
     let node = Node::start();
     let listener = listen();
     let to = listener.local_addr().unwrap();
     let small = socket2::SockRef::from(&listener);
     small.set_recv_buffer_size(32 * 1024).unwrap();
-    node.tell(to, bulk(0, PIECES * CHUNK_BYTES));
+    node.send(to, bulk(0, CHUNKS * CHUNK_BYTES));
     let (mut stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(100));
-    node.tell(to, urgent(1));
+    node.send(to, urgent(1));
     let found = read_messages(&mut stream, |found| found.len() == 2);
     assert_eq!(found[0], urgent(1), "it did not wait for all of the bulk");
 }
--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -17,14 +17,14 @@
     fn bring_up() -> Path {
         // A port may be taken between its choice and its use: then anew.
         for _ in 0..5 {
-            if let Some(path) = Path::try_up() {
+            if let Some(path) = Path::try_start() {
                 return path;
             }
         }
         panic!("no fleet came up in five tries");
     }
 
-    fn try_up() -> Option<Path> {
+    fn try_start() -> Option<Path> {
         let folder = std::env::temp_dir().join(format!(
             "otterslip-path-{}-{}",
             std::process::id(),
@@ -196,17 +196,17 @@
 #[test]
 fn whole_path_works_across_processes() {
     let mut path = Path::bring_up();
-    a_new_ledger_waits_until_it_is_opened(&path);
-    copies_are_shared(&path);
-    keyed_errands_run_once(&path);
-    bad_requests_are_refused_cleanly(&path);
-    bad_origins_are_never_passed_on(&path);
-    operators_changes_are_whole(&path);
-    the_command_line_and_the_history(&path);
-    a_control_node_and_an_edge_go(&mut path);
+    check_new_ledger_waits_until_opened(&path);
+    check_cached_responses_are_shared(&path);
+    check_keyed_requests_run_once(&path);
+    check_bad_requests_are_rejected(&path);
+    check_bad_responses_are_never_forwarded(&path);
+    check_changes_are_atomic(&path);
+    check_command_line_and_history(&path);
+    lose_a_control_node_and_an_edge(&mut path);
 }
 
-fn a_new_ledger_waits_until_it_is_opened(path: &Path) {
+fn check_new_ledger_waits_until_opened(path: &Path) {
     let heads = [("Operation-Key", "too-soon"), ("Authorization", "Bearer a")];
     let mut told = serde_json::Value::Null;
     Fleet::wait(LONG, &mut || {
@@ -239,7 +239,7 @@
         == 0.0));
 }
 
-fn copies_are_shared(path: &Path) {
+fn check_cached_responses_are_shared(path: &Path) {
     path.until_served(0, "GET", "/listing/1", &[], "");
     path.until_served(1, "GET", "/listing/1", &[], "");
     let before = path.calls();
@@ -265,7 +265,7 @@
     assert_eq!(shared["caller"], serde_json::Value::Null);
 }
 
-fn keyed_errands_run_once(path: &Path) {
+fn check_keyed_requests_run_once(path: &Path) {
     let heads = [("Operation-Key", "k-1"), ("Authorization", "me")];
     let first = path.until_served(0, "POST", "/reservation/1", &heads, "two nights");
     assert_eq!(
@@ -309,7 +309,7 @@
     );
 }
 
-fn bad_requests_are_refused_cleanly(path: &Path) {
+fn check_bad_requests_are_rejected(path: &Path) {
     let told = |method: &str, url: &str, heads: &[(&str, &str)], body: &str| {
         let (status, _, told) = path.call(0, method, url, heads, body);
         assert_eq!(told["outcome"], "not_run");
@@ -363,7 +363,7 @@
     path.until_served(0, "GET", "/listing/1", &[], "");
 }
 
-fn bad_origins_are_never_passed_on(path: &Path) {
+fn check_bad_responses_are_never_forwarded(path: &Path) {
     for (at, fault) in ["short", "unsigned", "foreign-key", "other-request"]
         .iter()
         .enumerate()
@@ -383,7 +383,7 @@
     }
 }
 
-fn operators_changes_are_whole(path: &Path) {
+fn check_changes_are_atomic(path: &Path) {
     // A purge: what is fetched after its acknowledgement is new.
     path.until_served(0, "GET", "/listing/1", &[], "");
     fs::write(path.fleet.folder.join("content-version"), "2").unwrap();
@@ -460,7 +460,7 @@
         200
     );
     assert_eq!(path.call(1, "POST", "/marker/5999", &[], "").0, 404);
-    items_are_set_and_removed(path);
+    check_items_are_set_and_removed(path);
     for what in ["duties", "state", "origins", "live", "ready", "schema"] {
         assert_eq!(path.operate("GET", what, "", None).0, 200);
     }
@@ -468,7 +468,7 @@
 
 /// Named parts beside the document: in force like it, whole calls only, and
 /// what is older than what is known has no effect.
-fn items_are_set_and_removed(path: &Path) {
+fn check_items_are_set_and_removed(path: &Path) {
     let entry = |name: &str, revision: u64, group: &str| {
         json!({ "kind": "entry", "name": name, "revision": revision, "value":
             { "name": name, "path": format!("/{name}/"), "methods": ["POST"], "group": group, "rank": 3, "kind": "keyed", "aim_ms": 200 } })
@@ -544,7 +544,7 @@
     )
 }
 
-fn the_command_line_and_the_history(path: &Path) {
+fn check_command_line_and_history(path: &Path) {
     let before = operate(path, &["get"]).0;
     let versions = |path: &Path| -> Vec<u64> {
         operate(path, &["history"])
@@ -605,7 +605,7 @@
     assert_eq!(operate(path, &["check", "/nowhere/at/all"]).2, 2);
 }
 
-fn a_control_node_and_an_edge_go(path: &mut Path) {
+fn lose_a_control_node_and_an_edge(path: &mut Path) {
     path.fleet.control[0].kill();
     let deployment = Deployment::find("small").unwrap();
     let (status, told) = path.operate("PUT", "configuration", &deployment.document(&[1, 7]), None);
