--- /dev/null
+++ b/simulate-fleet/src/bin/simulate-fleet/capacity_tables.rs
@@ -0,0 +1,48 @@
+//! The tables of `docs/CAPACITY.md`.
+use simulate_fleet::prelude::*;
+
+#[global_allocator]
+static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
+
+/// Measures fleets of so many hollow edges and prints what was measured.
+pub(crate) fn print(sizes: &[usize], control_nodes: usize) -> Result<()> {
+    let mut measured = Vec::new();
+    for edges in sizes {
+        let began = Instant::now();
+        let sized = Capacity::measure(*edges, control_nodes, &allocated_bytes)?;
+        println!(
+            "{edges} edges, {control_nodes} control nodes: {} live, {} regions, run in {:.1} s",
+            sized.live,
+            sized.regions,
+            began.elapsed().as_secs_f64()
+        );
+        print_messages(&sized);
+        measured.push(sized);
+    }
+    println!(
+        "\n{}\n{}",
+        Sized::table(&measured, &Sized::counts),
+        Sized::table(&measured, &Sized::times)
+    );
+    Ok(())
+}
+
+fn allocated_bytes() -> Option<u64> {
+    let stats = ALLOCATOR.stats();
+    Some((stats.bytes_allocated - stats.bytes_deallocated) as u64)
+}
+
+/// What each role sent and handled in the quiet span.
+fn print_messages(sized: &Sized) {
+    for (role, name) in sized.quiet.sent.keys() {
+        let (frames, bytes) = sized.quiet.rate(*role, name);
+        println!("  {role:?} sends {name}: {frames:.0} frames, {bytes:.0} bytes a second");
+    }
+    for ((role, name), (count, took, most)) in &sized.quiet.steps {
+        println!(
+            "  {role:?} takes {name}: {count} steps, {:.1} us each, at most {:.1} us",
+            took.as_secs_f64() * 1e6 / *count as f64,
+            most.as_secs_f64() * 1e6
+        );
+    }
+}
--- /dev/null
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -0,0 +1,309 @@
+//! Command-line flags: what to simulate, and what to print.
+use simulate_fleet::prelude::*;
+
+const HELP: &str = "what-if questions over the real planes, in virtual time
+
+--deployment mombasa|trasa|small   (default small)
+--edges N       number of edges (default: the deployment's)
+--rate N        errands a second (default: the deployment's)
+--seconds N     of virtual time (default 120: repeats come up to 70 s later)
+--seed N        the first seed (default 1)
+--seeds N       how many seeds, one after the other (default 1)
+--control N     control nodes (default 3; others found their table themselves)
+--zones N       spreads the nodes over so many zones
+--service-rate NAME=N   calls a second one origin of a service may get; one
+--lost N --late N --doubled N   of a hundred messages, all the time
+--faults none|random   (default random)
+--script FILE   what happens when, see docs/simulator.md; instead of --faults
+--drift N       clocks are off by up to so many millionths (default 1000)
+--shrink 1      makes the schedule of a broken seed short and prints it as a script
+--trace 1       prints what happens; 2: messages between control nodes, too
+--figures 1     prints the figures of docs/figures.md, nothing else
+--capacity A,B  prints the tables of docs/CAPACITY.md for so many hollow edges
+                (all: 16,64,256,1100) and --control nodes (default 12), nothing else
+
+Prints served shares by rank, origin calls against their rate, moves of duties,
+longest gap without a success, nevers broken, and the seed that repeats it.
+Exit code 1 if a never is broken.";
+
+/// Control nodes of a judged run if the command line names none.
+const DEFAULT_CONTROL_NODES: usize = 3;
+/// The shortest run worth judging, in seconds.
+const MIN_SECONDS: u64 = 20;
+/// The largest share of lost, doubled or late messages, of a hundred.
+const MAX_WEATHER_SHARE: u64 = 90;
+const ZONE_NAMES: [&str; 8] = [
+    "zone-1", "zone-2", "zone-3", "zone-4", "zone-5", "zone-6", "zone-7", "zone-8",
+];
+
+/// What the command line asks for.
+pub(crate) enum Options {
+    /// Runs fleets and judges them.
+    Judge(RunOptions),
+    /// Prints the figures of `docs/figures.md`.
+    Figures,
+    /// Prints the tables of `docs/CAPACITY.md`.
+    Capacity {
+        /// Numbers of hollow edges, one a measurement.
+        sizes: Vec<usize>,
+        control_nodes: usize,
+    },
+}
+
+/// What the judged runs of a fleet are like.
+pub(crate) struct RunOptions {
+    pub(crate) deployment: Deployment,
+    pub(crate) control_nodes: usize,
+    pub(crate) span: Duration,
+    pub(crate) first_seed: u64,
+    pub(crate) seeds: u64,
+    pub(crate) schedule: ScheduleSource,
+    pub(crate) weather: Weather,
+    /// Clocks are off by up to so many millionths.
+    pub(crate) drift: u64,
+    /// Finds a short schedule for a seed that broke a rule.
+    pub(crate) shrink: bool,
+    /// 1: what happens; 2: messages between control nodes, too.
+    pub(crate) trace: u8,
+}
+
+/// Where the faults of a run come from.
+pub(crate) enum ScheduleSource {
+    Empty,
+    /// Drawn from the run's seed.
+    Random,
+    /// Read from a file.
+    Script(Vec<(Duration, Fault)>),
+}
+
+/// What happens to messages all the time, of a hundred.
+#[derive(Clone, Copy)]
+pub(crate) struct Weather {
+    pub(crate) lost: u64,
+    pub(crate) doubled: u64,
+    pub(crate) late: u64,
+}
+
+/// The flags that every kind of run has.
+struct BasicFlags {
+    deployment: String,
+    seconds: u64,
+    first_seed: u64,
+    seeds: u64,
+    /// None if the command line names no number.
+    control_nodes: Option<usize>,
+    edges: usize,
+    rate: u64,
+    faults: String,
+    trace: u8,
+    shrink: bool,
+    drift: u64,
+    capacity_sizes: String,
+    figures: bool,
+}
+
+/// The flags that change a deployment or what happens to it.
+struct FleetFlags {
+    zones: usize,
+    service_rate: String,
+    weather: Weather,
+    script: Option<String>,
+}
+
+impl Options {
+    /// Reads the command line; ends the program if anything is wrong with it.
+    pub(crate) fn from_command_line() -> Options {
+        let mut flags = Flags::gather("simulate-fleet", HELP);
+        let basic = BasicFlags::take(&mut flags);
+        let deployment = basic.check(&mut flags);
+        let fleet = FleetFlags::take(&mut flags);
+        let deployment = fleet.check(&mut flags, &basic, deployment);
+        let control_nodes = basic.control_nodes.unwrap_or(DEFAULT_CONTROL_NODES);
+        let script = fleet
+            .script
+            .as_deref()
+            .and_then(|path| read_script(&mut flags, path, &deployment, control_nodes));
+        let sizes = read_sizes(&mut flags, &basic.capacity_sizes);
+        flags.finish();
+        if !sizes.is_empty() {
+            let control_nodes = basic.control_nodes.unwrap_or(CONTROL);
+            return Options::Capacity {
+                sizes,
+                control_nodes,
+            };
+        }
+        if basic.figures {
+            return Options::Figures;
+        }
+        let schedule = match script {
+            Some(schedule) => ScheduleSource::Script(schedule),
+            None if basic.faults == "random" => ScheduleSource::Random,
+            None => ScheduleSource::Empty,
+        };
+        Options::Judge(RunOptions {
+            deployment,
+            control_nodes,
+            span: Duration::from_secs(basic.seconds),
+            first_seed: basic.first_seed,
+            seeds: basic.seeds,
+            schedule,
+            weather: fleet.weather,
+            drift: basic.drift,
+            shrink: basic.shrink,
+            trace: basic.trace,
+        })
+    }
+}
+
+impl BasicFlags {
+    fn take(flags: &mut Flags) -> BasicFlags {
+        BasicFlags {
+            deployment: flags
+                .take("--deployment", Some("small".to_string()))
+                .unwrap_or_default(),
+            seconds: flags.take("--seconds", Some(120)).unwrap_or(60),
+            first_seed: flags.take("--seed", Some(1)).unwrap_or(1),
+            seeds: flags.take("--seeds", Some(1)).unwrap_or(1),
+            control_nodes: take_control_nodes(flags),
+            edges: flags.take("--edges", Some(0)).unwrap_or(0),
+            rate: flags.take("--rate", Some(0)).unwrap_or(0),
+            faults: flags
+                .take("--faults", Some("random".to_string()))
+                .unwrap_or_default(),
+            trace: flags.take("--trace", Some(0)).unwrap_or(0),
+            shrink: flags.take("--shrink", Some(0u8)).unwrap_or(0) > 0,
+            drift: flags.take("--drift", Some(1000)).unwrap_or(0),
+            capacity_sizes: flags
+                .take("--capacity", Some(String::new()))
+                .unwrap_or_default(),
+            figures: flags.take("--figures", Some(0u8)).unwrap_or(0) > 0,
+        }
+    }
+
+    /// The named deployment, or any other if there is none of this name.
+    fn check(&self, flags: &mut Flags) -> Deployment {
+        let deployment = Deployment::find(&self.deployment);
+        if deployment.is_none() {
+            flags.found("--deployment", "no such deployment");
+        }
+        if !["none", "random"].contains(&self.faults.as_str()) {
+            flags.found("--faults", "no such faults");
+        }
+        if self.seconds < MIN_SECONDS {
+            flags.found("--seconds", "at least 20");
+        }
+        deployment.unwrap_or_else(|| Deployment::find("small").expect("known"))
+    }
+}
+
+impl FleetFlags {
+    fn take(flags: &mut Flags) -> FleetFlags {
+        FleetFlags {
+            zones: flags.take("--zones", Some(0)).unwrap_or(0),
+            service_rate: flags
+                .take("--service-rate", Some(String::new()))
+                .unwrap_or_default(),
+            weather: Weather {
+                lost: flags.take("--lost", Some(0)).unwrap_or(0),
+                doubled: flags.take("--doubled", Some(0)).unwrap_or(0),
+                late: flags.take("--late", Some(0)).unwrap_or(0),
+            },
+            script: flags
+                .take("--script", Some(String::new()))
+                .filter(|path| !path.is_empty()),
+        }
+    }
+
+    /// The deployment with the sizes and rates of the command line.
+    fn check(
+        &self,
+        flags: &mut Flags,
+        basic: &BasicFlags,
+        mut deployment: Deployment,
+    ) -> Deployment {
+        if basic.edges > 0 {
+            deployment.edges = basic.edges;
+        }
+        if basic.rate > 0 {
+            deployment.rate = basic.rate;
+        }
+        if self.zones > 0 {
+            deployment.zones = ZONE_NAMES[..self.zones.min(ZONE_NAMES.len())].to_vec();
+        }
+        let Weather {
+            lost,
+            doubled,
+            late,
+        } = self.weather;
+        if lost.max(doubled).max(late) > MAX_WEATHER_SHARE {
+            flags.found("--lost, --doubled, --late", "at most 90 of a hundred");
+        }
+        if !self.service_rate.is_empty() && set_rate(&mut deployment, &self.service_rate).is_none()
+        {
+            flags.found(
+                "--service-rate",
+                "must be a service of the deployment, = and a number",
+            );
+        }
+        deployment
+    }
+}
+
+/// None if the command line names no number of control nodes.
+fn take_control_nodes(flags: &mut Flags) -> Option<usize> {
+    let count = flags
+        .take("--control", Some(0usize))
+        .filter(|count| *count > 0)?;
+    if !(1..=MAX_SLOTS).contains(&count) {
+        flags.found("--control", "1 to 16");
+    }
+    Some(count)
+}
+
+/// Sets the rate of a service from `NAME=N`; none if there is no such service
+/// or number.
+fn set_rate(deployment: &mut Deployment, text: &str) -> Option<()> {
+    let (name, rate) = text.split_once('=')?;
+    let rate = rate.parse::<f64>().ok()?;
+    let service = deployment
+        .services
+        .iter_mut()
+        .find(|service| service.name == name)?;
+    service.rate = rate;
+    Some(())
+}
+
+fn read_script(
+    flags: &mut Flags,
+    path: &str,
+    deployment: &Deployment,
+    control_nodes: usize,
+) -> Option<Vec<(Duration, Fault)>> {
+    let schedule = fs::read_to_string(path)
+        .map_err(|error| vec![Finding::new("", error.to_string())])
+        .and_then(|text| Script::read(&text, deployment, control_nodes));
+    match schedule {
+        Ok(schedule) => Some(schedule),
+        Err(findings) => {
+            for finding in findings {
+                flags.found(&format!("{path}{}", finding.place), &finding.text);
+            }
+            None
+        }
+    }
+}
+
+/// Numbers of hollow edges to measure; empty if no capacity is asked for.
+fn read_sizes(flags: &mut Flags, text: &str) -> Vec<usize> {
+    let sizes: Vec<usize> = if text == "all" {
+        SIZES.to_vec()
+    } else {
+        text.split(',')
+            .filter_map(|size| size.trim().parse().ok())
+            .collect()
+    };
+    if !text.is_empty() && (sizes.is_empty() || sizes.contains(&0)) {
+        flags.found("--capacity", "all, or numbers of edges, as 16,64");
+    }
+    sizes
+}
--- /dev/null
+++ b/simulate-fleet/src/bin/simulate-fleet/runs.rs
@@ -0,0 +1,99 @@
+//! Runs a fleet for each seed and prints what broke.
+use crate::options::{RunOptions, ScheduleSource};
+use crate::summary::Summary;
+use simulate_fleet::prelude::*;
+
+/// When the weather of the command line sets in.
+const WEATHER_BEGINS: Duration = Duration::from_secs(3);
+
+/// Runs all seeds; how many broke a rule.
+pub(crate) fn judge_seeds(options: &RunOptions) -> usize {
+    let mut broken = 0;
+    let mut summary = Summary::default();
+    for seed in options.first_seed..options.first_seed + options.seeds {
+        if run_seed(seed, options, &mut summary) {
+            broken += 1;
+        }
+    }
+    summary.print();
+    println!("{broken} of {} seeds broke a never", options.seeds);
+    broken
+}
+
+/// Whether the run of this seed broke a rule.
+fn run_seed(seed: u64, options: &RunOptions, summary: &mut Summary) -> bool {
+    let plan = plan(seed, options);
+    let began = Instant::now();
+    let mut world = World::new(plan.clone());
+    world.trace = options.trace > 0;
+    world.trace_messages = options.trace > 1;
+    let report = world.run();
+    print_run(seed, &report, began.elapsed());
+    let verbose = options.seeds == 1;
+    if verbose {
+        print_events(&report);
+    }
+    let broken = summary.add(seed, &report.checker, verbose);
+    if broken && options.shrink {
+        println!(
+            "seed {seed}, made short:\n{}",
+            Script::write(&Shrink::plan(&plan), &plan.deployment)
+        );
+    }
+    broken
+}
+
+fn plan(seed: u64, options: &RunOptions) -> WorldPlan {
+    let (deployment, span) = (&options.deployment, options.span);
+    let mut schedule = match &options.schedule {
+        ScheduleSource::Empty => vec![],
+        ScheduleSource::Random => Schedule::random(deployment, options.control_nodes, seed, span),
+        ScheduleSource::Script(schedule) => schedule.clone(),
+    };
+    let weather = options.weather;
+    if weather.lost.max(weather.doubled).max(weather.late) > 0 {
+        let network = Fault::LossyNetwork {
+            lost: weather.lost,
+            doubled: weather.doubled,
+            late: weather.late,
+        };
+        schedule.insert(0, (WEATHER_BEGINS, network));
+    }
+    WorldPlan {
+        drift: options.drift,
+        clients_disconnect: matches!(options.schedule, ScheduleSource::Random),
+        ..WorldPlan::new(deployment.clone(), seed, span, schedule).of(options.control_nodes)
+    }
+}
+
+fn print_run(seed: u64, report: &Report, took: Duration) {
+    let checker = &report.checker;
+    let shares: Vec<String> = checker
+        .shares()
+        .into_iter()
+        .map(|(rank, (good, all))| format!("rank {rank} {:.1} %", 100.0 * good as f64 / all as f64))
+        .collect();
+    println!(
+        "seed {seed}: {} errands, {}, {} origin calls, {} steps in {} ms",
+        checker.callers.len(),
+        shares.join(", "),
+        checker.origins.len(),
+        report.steps,
+        took.as_millis()
+    );
+    let moves = report.notes.get(&Event::AssignmentRevoked).unwrap_or(&0);
+    println!(
+        "  duties moved {moves}; longest gap without a success {:.2} s; {}",
+        checker.longest_gap(),
+        checker.calls_against_rate()
+    );
+}
+
+fn print_events(report: &Report) {
+    println!(
+        "other answers: {:?}\nevents: {:?}\nlog at most {} bytes",
+        report.checker.other_answers(),
+        report.notes,
+        report.log_bytes
+    );
+}
