--- /dev/null
+++ b/stand-ins/src/bin/run-fleet/options.rs
@@ -0,0 +1,71 @@
+//! Command-line flags of the runner.
+use stand_ins::prelude::*;
+
+const HELP: &str = "starts a fleet on loopback, plays its traffic and its faults, and judges
+
+--deployment mombasa|trasa|small   (default small)
+--seconds N     of traffic (default 60; the whole script needs 60)
+--folder DIR    for data, logs and records; must not exist
+--faults none|script|power|disks|turn|core   (default script)
+                script: changes, races, purges, single kills and restarts
+                power: all nodes killed at once and started again
+                disks: nodes frozen, one disk removed, then all three
+                turn: every machine drained and started again, one by one
+                core: the core frozen in part and whole, an address handed to
+                another service, a lost slot taken by an empty node elsewhere
+--seed N        of the traffic (default 1)
+--keep-up 1     leaves the fleet running until a line is read
+
+Prints a verdict for each of the brief's twelve nevers. Exit code 1 if one is broken.";
+
+const FAULTS: [&str; 6] = ["none", "script", "power", "disks", "turn", "core"];
+
+/// What the command line asks for.
+pub(crate) struct Options {
+    pub(crate) deployment: Deployment,
+    pub(crate) folder: PathBuf,
+    /// Of traffic.
+    pub(crate) seconds: u64,
+    /// One of `FAULTS`.
+    pub(crate) faults: String,
+    /// Of the traffic.
+    pub(crate) seed: u64,
+    /// The fleet runs until a line is read; no traffic, no faults.
+    pub(crate) keep_up: bool,
+}
+
+impl Options {
+    /// Reads the command line; ends the program if anything is wrong with it.
+    pub(crate) fn from_command_line() -> Result<Options> {
+        let mut flags = Flags::gather("run-fleet", HELP);
+        let name = flags
+            .take("--deployment", Some("small".to_string()))
+            .unwrap_or_default();
+        let seconds = flags.take("--seconds", Some(60)).unwrap_or(60);
+        let folder = flags.take::<String>("--folder", None).map(PathBuf::from);
+        let faults = flags
+            .take("--faults", Some("script".to_string()))
+            .unwrap_or_default();
+        let seed = flags.take("--seed", Some(1)).unwrap_or(1);
+        let keep_up = flags.take("--keep-up", Some(0u8)).unwrap_or(0) > 0;
+        let deployment = Deployment::find(&name);
+        if deployment.is_none() {
+            flags.found("--deployment", "no such deployment");
+        }
+        if !FAULTS.contains(&faults.as_str()) {
+            flags.found("--faults", "no such faults");
+        }
+        if folder.as_ref().is_some_and(|folder| folder.exists()) {
+            flags.found("--folder", "exists already");
+        }
+        flags.finish();
+        Ok(Options {
+            deployment: deployment.context("deployment")?,
+            folder: folder.context("folder")?,
+            seconds,
+            faults,
+            seed,
+            keep_up,
+        })
+    }
+}
--- /dev/null
+++ b/stand-ins/src/bin/run-fleet/traffic.rs
@@ -0,0 +1,52 @@
+//! Brings the fleet up and starts its traffic.
+use crate::Run;
+use stand_ins::prelude::*;
+
+/// Nodes are ready within this time of their first start.
+const READY_LIMIT: Duration = Duration::from_secs(20);
+
+impl Run {
+    pub(crate) fn bring_up(&mut self) -> Result<()> {
+        self.fleet.start_all()?;
+        self.fleet.wait_for_control(READY_LIMIT)?;
+        self.fleet.put_origins(&[])?;
+        self.configure(None)?;
+        self.fleet.open_ledger()?;
+        self.fleet.wait_for_edges(READY_LIMIT)?;
+        // Assignments are granted and origins proven within a moment.
+        thread::sleep(Duration::from_secs(2));
+        println!(
+            "up: {} control nodes, {} edges, {} origins",
+            self.fleet.control.len(),
+            self.fleet.edges.len(),
+            self.fleet.origins.len()
+        );
+        Ok(())
+    }
+
+    pub(crate) fn start_callers(&self, seconds: u64, seed: u64) -> Result<Child> {
+        let edges = self
+            .fleet
+            .edges
+            .iter()
+            .map(|node| (node.http, node.zone.clone()))
+            .collect();
+        let plan = CallerPlan {
+            edges,
+            rate: self.deployment.rate,
+            seconds,
+            seed,
+            mix: self.deployment.mix.clone(),
+        };
+        let path = self.fleet.folder.join("callers.json");
+        fs::write(&path, serde_json::to_string(&plan)?)?;
+        let program = std::env::current_exe()?.with_file_name("stand-in-caller");
+        let record = self.fleet.folder.join("callers.jsonl");
+        Ok(Command::new(program)
+            .arg("--plan")
+            .arg(path)
+            .arg("--record")
+            .arg(record)
+            .spawn()?)
+    }
+}
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -2,8 +2,19 @@
 #[cfg(test)]
 mod tests;
 
+use crate::deployment::Service;
 use crate::prelude::*;
 
+/// Control nodes of a fleet: each seed is one.
+const SEEDS: usize = 3;
+/// Has a listed origin but no group: never to be called.
+const SPARE_SERVICE: Service = Service {
+    name: "spare",
+    origins: 1,
+    rate: 1.0,
+    concurrency: 1,
+};
+
 /// One process of the fleet, started by the runner.
 pub struct Node {
     pub name: String,
@@ -43,6 +54,34 @@
 }
 
 impl Node {
+    /// A control node or an edge at a free HTTP address.
+    fn plan(
+        name: String,
+        program: &str,
+        mesh: SocketAddr,
+        zone: &str,
+        seeds: &[SocketAddr],
+    ) -> Result<Node> {
+        let http = free_address()?;
+        let seeds: Vec<String> = seeds.iter().map(SocketAddr::to_string).collect();
+        let mut words = vec![program.to_string()];
+        for (flag, value) in [
+            ("--mesh", mesh.to_string()),
+            ("--http", http.to_string()),
+            ("--zone", zone.into()),
+            ("--seeds", seeds.join(",")),
+        ] {
+            words.extend([flag.to_string(), value]);
+        }
+        Ok(Node {
+            name,
+            words,
+            http,
+            zone: zone.into(),
+            child: None,
+        })
+    }
+
     fn start(&mut self, folder: &Path) -> Result<()> {
         let program = std::env::current_exe()?.with_file_name(&self.words[0]);
         // Tests run from a folder below the one with the programs.
@@ -195,91 +234,75 @@
     Some(DocumentOperation::Read { version, content })
 }
 
+fn wait_until_ready(name: &str, nodes: &[Node], limit: Duration) -> Result<()> {
+    if !Fleet::wait(limit, &mut || nodes.iter().all(Node::ready)) {
+        bail!("{name} are not ready after {} s", limit.as_secs());
+    }
+    Ok(())
+}
+
 impl Fleet {
     /// Lays out all nodes of a deployment on free ports; starts none.
     pub fn plan(deployment: &Deployment, folder: &Path) -> Result<Fleet> {
         fs::create_dir_all(folder)?;
         fs::write(folder.join("content-version"), "1")?;
-        let seeds = (0..3).map(|_| free_address()).collect::<Result<Vec<_>>>()?;
-        let seed_text: Vec<String> = seeds.iter().map(|seed| seed.to_string()).collect();
-        let node = |name: String,
-                    program: &str,
-                    mesh: SocketAddr,
-                    zone: &str,
-                    more: &[String]|
-         -> Result<Node> {
-            let http = free_address()?;
-            let mut words = vec![program.to_string()];
-            for (flag, value) in [
-                ("--mesh", mesh.to_string()),
-                ("--http", http.to_string()),
-                ("--zone", zone.into()),
-                ("--seeds", seed_text.join(",")),
-            ] {
-                words.extend([flag.to_string(), value]);
-            }
-            words.extend(more.iter().cloned());
-            Ok(Node {
-                name,
-                words,
-                http,
-                zone: zone.into(),
-                child: None,
-            })
-        };
-        let zone = |at: usize| deployment.zones[at % deployment.zones.len()];
-        let mut control = Vec::new();
-        for (slot, seed) in seeds.iter().enumerate() {
-            let data = folder.join(format!("data-{slot}")).display().to_string();
-            let more = ["--data".into(), data];
-            control.push(node(
+        let seeds = (0..SEEDS)
+            .map(|_| free_address())
+            .collect::<Result<Vec<_>>>()?;
+        Ok(Fleet {
+            folder: folder.into(),
+            control: Fleet::plan_control(deployment, folder, &seeds)?,
+            edges: Fleet::plan_edges(deployment, &seeds)?,
+            origins: Fleet::plan_origins(deployment, folder)?,
+            record: Recorder::open(&folder.join("fleet.jsonl"))?,
+            operators: Recorder::open(&folder.join("operators.jsonl"))?,
+        })
+    }
+
+    /// One control node at each seed.
+    fn plan_control(
+        deployment: &Deployment,
+        folder: &Path,
+        seeds: &[SocketAddr],
+    ) -> Result<Vec<Node>> {
+        let plan = |(slot, seed): (usize, &SocketAddr)| {
+            let zone = deployment.zone(slot);
+            let mut node = Node::plan(
                 format!("control-{slot}"),
                 "control-node",
                 *seed,
-                zone(slot),
-                &more,
-            )?);
-        }
-        let mut edges = Vec::new();
-        for at in 0..deployment.edges {
-            edges.push(node(
-                format!("edge-{at}"),
-                "edge-node",
-                free_address()?,
-                zone(at),
-                &[],
-            )?);
-        }
-        let mut origins = Vec::new();
-        // The last service has a listed origin but no group: never to be called.
-        let spare = crate::deployment::Service {
-            name: "spare",
-            origins: 1,
-            rate: 1.0,
-            concurrency: 1,
+                zone,
+                seeds,
+            )?;
+            let data = folder.join(format!("data-{slot}")).display().to_string();
+            node.words.extend(["--data".into(), data]);
+            Ok(node)
+        };
+        seeds.iter().enumerate().map(plan).collect()
+    }
+
+    fn plan_edges(deployment: &Deployment, seeds: &[SocketAddr]) -> Result<Vec<Node>> {
+        let plan = |edge: usize| {
+            let (mesh, zone) = (free_address()?, deployment.zone(edge));
+            Node::plan(format!("edge-{edge}"), "edge-node", mesh, zone, seeds)
         };
-        for service in deployment.services.iter().chain([&spare]) {
-            for at in 0..service.origins {
-                origins.push(Fleet::origin(
-                    folder,
-                    service.name,
-                    &format!("{}-{at}", service.name),
-                    free_address()?,
-                ));
+        (0..deployment.edges).map(plan).collect()
+    }
+
+    fn plan_origins(deployment: &Deployment, folder: &Path) -> Result<Vec<Node>> {
+        let mut origins = Vec::new();
+        let services = deployment.services.iter().chain([&SPARE_SERVICE]);
+        for service in services {
+            for index in 0..service.origins {
+                let instance = format!("{}-{index}", service.name);
+                let http = free_address()?;
+                origins.push(Fleet::origin(folder, service.name, &instance, http));
             }
         }
-        let record = Recorder::open(&folder.join("fleet.jsonl"))?;
-        let operators = Recorder::open(&folder.join("operators.jsonl"))?;
-        Ok(Fleet {
-            folder: folder.into(),
-            control,
-            edges,
-            origins,
-            record,
-            operators,
-        })
+        Ok(origins)
     }
 
+    /// A stand-in origin of a service at this address.
     pub fn origin(folder: &Path, service: &str, instance: &str, http: SocketAddr) -> Node {
         let path = |name: &str| folder.join(name).display().to_string();
         let words = [
@@ -441,6 +464,37 @@
         Ok(())
     }
 
+    /// Waits until all control nodes are ready.
+    ///
+    /// # Errors
+    ///
+    /// They are not within `limit`.
+    pub fn wait_for_control(&self, limit: Duration) -> Result<()> {
+        wait_until_ready("control nodes", &self.control, limit)
+    }
+
+    /// Waits until all edges are ready.
+    ///
+    /// # Errors
+    ///
+    /// They are not within `limit`.
+    pub fn wait_for_edges(&self, limit: Duration) -> Result<()> {
+        wait_until_ready("edges", &self.edges, limit)
+    }
+
+    /// Puts the platform's list of origins, with some marked as leaving.
+    ///
+    /// # Errors
+    ///
+    /// No control node took it.
+    pub fn put_origins(&self, leaving: &[String]) -> Result<()> {
+        let (status, body) = self.operate("PUT", "origins", &self.origins_text(leaving), None)?;
+        if status != 200 {
+            bail!("origins: {status} {body}");
+        }
+        Ok(())
+    }
+
     /// Until `done` says so; false if it did not in time.
     pub fn wait(limit: Duration, done: &mut dyn FnMut() -> bool) -> bool {
         let until = Instant::now() + limit;
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -87,20 +87,15 @@
             origins.push(origin);
         }
         fleet.start_nodes()?;
-        let control = &fleet.control;
-        if !Fleet::wait(BRING_UP, &mut || control.iter().all(Node::ready)) {
-            bail!("control nodes are not ready after {BRING_UP:?}");
-        }
-        let listed = fleet.operate("PUT", "origins", &fleet.origins_text(&[]), None)?;
-        let configured = fleet.operate("PUT", "configuration", &deployment.document(&[1]), None)?;
-        if (listed.0, configured.0) != (200, 200) {
-            bail!("the fleet took no orders: {listed:?} {configured:?}");
+        fleet.wait_for_control(BRING_UP)?;
+        fleet.put_origins(&[])?;
+        let (status, body) =
+            fleet.operate("PUT", "configuration", &deployment.document(&[1]), None)?;
+        if status != 200 {
+            bail!("configuration: {status} {body}");
         }
         fleet.open_ledger()?;
-        let edges = &fleet.edges;
-        if !Fleet::wait(BRING_UP, &mut || edges.iter().all(Node::ready)) {
-            bail!("edges are not ready after {BRING_UP:?}");
-        }
+        fleet.wait_for_edges(BRING_UP)?;
         Ok(Soak {
             plan,
             fleet,
