--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -7,11 +7,13 @@
 pub use crate::shrink::Shrink;
 pub use crate::sim_node::{Disk, Founding, SimNode};
 pub use crate::sim_origin::{OriginBehavior, SimOrigin};
-pub(crate) use crate::world::{
-    CLIENT_TIMEOUT, OperatorCall, Order, PendingOperatorCall, Question, SimEvent, Task,
+pub(crate) use crate::world::CLIENT_TIMEOUT;
+pub use crate::world::{Report, World};
+pub(crate) use crate::world_events::{
+    OperatorCall, Order, PendingOperatorCall, Question, SimEvent, Task,
 };
-pub use crate::world::{FounderEnd, Report, World, WorldPlan};
 pub use crate::world_orders::{ItemOrder, OrderRecord};
+pub use crate::world_plan::{FounderEnd, WorldPlan};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
 pub use data_plane::prelude::{Arrival, chain};
 pub use data_plane::{EdgeNode, client_request_of};
--- a/simulate-fleet/src/world_network.rs
+++ b/simulate-fleet/src/world_network.rs
@@ -83,4 +83,69 @@
         let (low, high) = if slow { SLOW_SYNC } else { SYNC };
         self.micros(low, high)
     }
+
+    pub(crate) fn send(&mut self, node: usize, to: SocketAddr, message: Message) {
+        let from = self.nodes[node].peer;
+        if let (NodeId::Edge(at), Message::CacheCopy(_)) = (self.nodes[node].place, &message) {
+            self.copies[at] += 1;
+        }
+        let Some(to) = self.by_address.get(&to).copied() else {
+            return;
+        };
+        if to == node {
+            return self.after(Duration::ZERO, SimEvent::Deliver { to, from, message });
+        }
+        let (lost, doubled, late) = self.weather;
+        if message.name() == self.plan.mute || self.is_cut(node, to) || self.random.chance(lost) {
+            return;
+        }
+        let copies = if self.random.chance(doubled) { 2 } else { 1 };
+        for _ in 0..copies {
+            let span = if self.random.chance(late) {
+                self.micros(5_000, 400_000)
+            } else {
+                self.micros(200, 3_000)
+            };
+            self.after(
+                span,
+                SimEvent::Deliver {
+                    to,
+                    from,
+                    message: message.clone(),
+                },
+            );
+        }
+    }
+
+    pub(crate) fn call(&mut self, node: usize, run: u64, id: u64, call: &Call) {
+        self.see_departed(call);
+        let (span, result) = if !self.nodes[node].live(self.now) {
+            (Duration::ZERO, CallOutcome::NotSent)
+        } else {
+            let at = self.seconds();
+            let origin = self
+                .origins
+                .iter()
+                .find(|origin| origin.origin.address == call.origin.address)
+                .cloned();
+            match origin {
+                None => (Duration::from_millis(1), CallOutcome::Unreachable),
+                Some(origin) => {
+                    let (span, result, record) =
+                        origin.take(call, at, self.version, &mut self.random);
+                    self.calls.extend(record);
+                    (span, result)
+                }
+            }
+        };
+        self.after(
+            span,
+            SimEvent::CallEnds {
+                node,
+                run,
+                id,
+                result,
+            },
+        );
+    }
 }
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -1,6 +1,13 @@
 //! Simulated operators.
 use crate::prelude::*;
 
+/// Between two attempts of an operator who finds no control node ready.
+const OPERATOR_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// After so many of them the operator gives up.
+const MAX_OPERATOR_RETRIES: u32 = 20;
+/// Between two steps of opening the ledger.
+const LEDGER_RETRY_DELAY: Duration = Duration::from_millis(50);
+
 /// Operators, and the platform's list of origins.
 impl World {
     pub(crate) fn put_origins(&mut self) {
@@ -54,40 +61,58 @@
 
     pub(crate) fn ask(&mut self, node: usize, order: impl Into<Order>, tries: u32) {
         let mut order = order.into();
-        // An operator's tool takes the next control node if one is down.
-        let Some(node) = (0..self.plan.control)
-            .map(|more| (node + more) % self.plan.control)
-            .chain(self.first_spare()..self.nodes.len())
-            .find(|node| self.nodes[*node].part.is_some() && self.nodes[*node].ready)
-        else {
-            if tries < 20 {
-                self.after(
-                    Duration::from_secs(1),
-                    SimEvent::Ask {
-                        node,
-                        order,
-                        tries: tries + 1,
-                    },
-                );
-            } else if let OperatorCall::Configure { marker, .. } = order.operator_calls {
-                self.changing.remove(&marker);
-            }
-            return;
+        let Some(node) = self.ready_control_node(node) else {
+            return self.ask_later(node, order, tries);
         };
         if let OperatorCall::Origins { at, .. } = &mut order.operator_calls {
             *at = self.seconds();
         }
+        // Drawn for every order, used by its first attempt.
         let drawn = self.random.below(u64::MAX >> 12);
         let change = *order.change.get_or_insert(drawn);
-        let (partition, change) = match &order.operator_calls {
-            OperatorCall::Configure { text, expect, .. } => (
-                CONFIGURATION_PARTITION,
-                Change::PutConfiguration {
+        if let OperatorCall::Order { order } = order.operator_calls {
+            return self.send_order(order);
+        }
+        let request = self.operator_request(&order.operator_calls, change);
+        self.serial += 1;
+        let id = self.serial;
+        self.record_operator_call(node, order);
+        self.step(node, Input::Operator { id, request });
+    }
+
+    /// An operator's tool takes the next control node if one is down.
+    fn ready_control_node(&self, first: usize) -> Option<usize> {
+        let control = self.plan.control;
+        (0..control)
+            .map(|more| (first + more) % control)
+            .chain(self.first_spare()..self.nodes.len())
+            .find(|node| self.nodes[*node].part.is_some() && self.nodes[*node].ready)
+    }
+
+    /// No control node is ready: the operator retries, and gives up in the end.
+    fn ask_later(&mut self, node: usize, order: Order, tries: u32) {
+        if tries < MAX_OPERATOR_RETRIES {
+            let retry = SimEvent::Ask {
+                node,
+                order,
+                tries: tries + 1,
+            };
+            self.after(OPERATOR_RETRY_DELAY, retry);
+        } else if let OperatorCall::Configure { marker, .. } = order.operator_calls {
+            self.changing.remove(&marker);
+        }
+    }
+
+    fn operator_request(&self, call: &OperatorCall, change: u64) -> OperatorRequest {
+        let (partition, change) = match call {
+            OperatorCall::Configure { text, expect, .. } => {
+                let put = Change::PutConfiguration {
                     text: text.as_str().into(),
                     expect: *expect,
                     change,
-                },
-            ),
+                };
+                (CONFIGURATION_PARTITION, put)
+            }
             OperatorCall::Purge { prefix, .. } => {
                 let purge = Purge {
                     prefix: Some(prefix.clone()),
@@ -95,51 +120,31 @@
                 };
                 (PURGES_PARTITION, Change::AddPurge { purge, change })
             }
-            OperatorCall::Origins { list, .. } => (
-                ORIGINS_PARTITION,
-                Change::PutOrigins {
+            OperatorCall::Origins { list, .. } => {
+                let put = Change::PutOrigins {
                     list: Arc::new(list.clone()),
                     expect: Some(self.origins_at),
                     change,
                     acknowledge: Acknowledge::Settled,
-                },
-            ),
+                };
+                (ORIGINS_PARTITION, put)
+            }
             OperatorCall::ReadBack { .. } => (CONFIGURATION_PARTITION, Change::GetConfiguration),
             OperatorCall::PutItem { item } => {
                 let items = vec![item.clone()];
                 (CONFIGURATION_PARTITION, Change::PutItems { items })
             }
-            OperatorCall::Order { order } => return self.send_order(*order),
-            OperatorCall::OpenLedger { generation: None } => {
-                self.serial += 1;
-                self.record_operator_call(node, order);
-                return self.step(
-                    node,
-                    Input::Operator {
-                        id: self.serial,
-                        request: OperatorRequest::State,
-                    },
-                );
-            }
             OperatorCall::OpenLedger {
                 generation: Some(generation),
-            } => (
-                ASSIGNMENTS_PARTITION,
-                Change::OpenLedger {
-                    generation: *generation,
-                },
-            ),
+            } => {
+                let generation = *generation;
+                (ASSIGNMENTS_PARTITION, Change::OpenLedger { generation })
+            }
+            OperatorCall::OpenLedger { generation: None } | OperatorCall::Order { .. } => {
+                return OperatorRequest::State;
+            }
         };
-        self.serial += 1;
-        let id = self.serial;
-        self.record_operator_call(node, order);
-        self.step(
-            node,
-            Input::Operator {
-                id,
-                request: OperatorRequest::Change { partition, change },
-            },
-        );
+        OperatorRequest::Change { partition, change }
     }
 
     pub(crate) fn record_operator_call(&mut self, node: usize, order: impl Into<Order>) {
@@ -181,45 +186,43 @@
         });
     }
 
-    pub(crate) fn on_operator_response(&mut self, id: u64, answer: OperatorResponse) {
+    pub(crate) fn on_operator_response(&mut self, id: u64, response: OperatorResponse) {
         let Some(question) = self.operator_calls.remove(&id) else {
             return;
         };
-        let outcome = match answer {
+        let outcome = match response {
             OperatorResponse::ChangeOutcome(outcome) => outcome,
-            OperatorResponse::State(state) => {
-                let generation = state["ledger"]["realm"]
-                    .as_str()
-                    .and_then(|text| u64::from_str_radix(text, 16).ok())
-                    .filter(|generation| *generation != 0);
-                let next = OperatorCall::OpenLedger { generation };
-                return self.after(
-                    Duration::from_millis(50),
-                    SimEvent::Ask {
-                        node: 0,
-                        order: next.into(),
-                        tries: 0,
-                    },
-                );
-            }
+            OperatorResponse::State(state) => return self.open_ledger_of(&state),
         };
         if self.operator_response_is_lost(&question.order) {
             return self.send_again(question, &outcome);
         }
         self.record_operator(&question, &outcome);
-        let order = question.order;
-        self.judge_again(&order, &outcome);
-        let operator_calls = order.operator_calls;
+        self.judge_again(&question.order, &outcome);
+        self.on_operator_outcome(question.order.operator_calls, outcome);
+    }
+
+    /// Opens the ledger under the generation that a node reports.
+    fn open_ledger_of(&mut self, state: &serde_json::Value) {
+        let generation = state["ledger"]["realm"]
+            .as_str()
+            .and_then(|text| u64::from_str_radix(text, 16).ok())
+            .filter(|generation| *generation != 0);
+        self.open_ledger(0, generation);
+    }
+
+    fn open_ledger(&mut self, node: usize, generation: Option<u64>) {
+        let ask = SimEvent::Ask {
+            node,
+            order: OperatorCall::OpenLedger { generation }.into(),
+            tries: 0,
+        };
+        self.after(LEDGER_RETRY_DELAY, ask);
+    }
+
+    fn on_operator_outcome(&mut self, call: OperatorCall, outcome: ChangeOutcome) {
         let settled = matches!(outcome, ChangeOutcome::Acknowledged { .. });
-        if let (
-            OperatorCall::Origins { .. },
-            ChangeOutcome::Acknowledged { version }
-            | ChangeOutcome::VersionConflict { version, .. },
-        ) = (&operator_calls, &outcome)
-        {
-            self.origins_at = *version;
-        }
-        match operator_calls {
+        match call {
             OperatorCall::Configure {
                 marker,
                 text,
@@ -236,15 +239,15 @@
                     self.spring(Trigger::Purged);
                 }
             }
-            OperatorCall::Origins { list, at } => self.on_origins_outcome(&list, settled, at),
-            OperatorCall::OpenLedger { .. } if !settled => self.after(
-                Duration::from_millis(50),
-                SimEvent::Ask {
-                    node: 1,
-                    order: OperatorCall::OpenLedger { generation: None }.into(),
-                    tries: 0,
-                },
-            ),
+            OperatorCall::Origins { list, at } => {
+                if let ChangeOutcome::Acknowledged { version }
+                | ChangeOutcome::VersionConflict { version, .. } = outcome
+                {
+                    self.origins_at = version;
+                }
+                self.on_origins_outcome(&list, settled, at)
+            }
+            OperatorCall::OpenLedger { .. } if !settled => self.open_ledger(1, None),
             OperatorCall::OpenLedger { .. } => {}
             OperatorCall::PutItem { item } => {
                 if settled {
@@ -252,26 +255,27 @@
                 }
             }
             OperatorCall::Order { order } => self.on_order_outcome(order, outcome),
-            OperatorCall::ReadBack {
-                expect: (version, text),
-            } => {
-                if let ChangeOutcome::Configuration {
-                    version: known,
-                    text: told,
-                } = outcome
-                {
-                    // A later change may be in force by now, never an older one.
-                    let same = if known == version {
-                        *told == *text
-                    } else {
-                        known > version
-                    };
-                    self.record("read-back", "", version, same);
-                }
-            }
+            OperatorCall::ReadBack { expect } => self.on_read_back(expect, outcome),
         }
     }
 
+    /// A later change may be in force by now, never an older one.
+    fn on_read_back(&mut self, (version, text): (u64, String), outcome: ChangeOutcome) {
+        let ChangeOutcome::Configuration {
+            version: read_version,
+            text: read_text,
+        } = outcome
+        else {
+            return;
+        };
+        let same = if read_version == version {
+            *read_text == *text
+        } else {
+            read_version > version
+        };
+        self.record("read-back", "", version, same);
+    }
+
     /// A version is in force everywhere: every live edge has it by now.
     fn acknowledged_at(&mut self, version: u64, number: u64) {
         self.record("acknowledged", "", version, true);
--- /dev/null
+++ b/simulate-fleet/src/world_plan.rs
@@ -0,0 +1,91 @@
+//! What is simulated: the deployment, the seed, the span and the schedule of faults.
+use crate::prelude::*;
+
+/// What shall be simulated.
+#[derive(Debug, Clone)]
+pub struct WorldPlan {
+    pub deployment: Deployment,
+    pub seed: u64,
+    pub span: Duration,
+    pub faults: Vec<(Duration, Fault)>,
+    /// Messages of this name are all lost: what would be without them?
+    pub mute: &'static str,
+    /// Clocks run too fast or too slow by up to so many millionths.
+    pub drift: u64,
+    /// Control nodes that hold a slot.
+    pub control: usize,
+    /// The seeds are three of them; the table is founded and asked for.
+    pub gather: bool,
+    /// The last of them starts late, when the table is fixed: it grows.
+    pub late: bool,
+    /// How the first seed ends as it fixes the table; it is back a second later.
+    pub founder: FounderEnd,
+    /// What operators order by items.
+    pub orders: Vec<ItemOrder>,
+    /// Empty control nodes at addresses of their own, not started by themselves.
+    pub spares: usize,
+    /// Some callers leave before their answer.
+    pub clients_disconnect: bool,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FounderEnd {
+    Incarnations,
+    /// Before the table is on its disk.
+    Unwritten,
+    /// When it is, and nobody was told.
+    Untold,
+    /// When all were told.
+    Told,
+}
+
+impl WorldPlan {
+    /// Clocks off by up to a thousandth, a hundred times what is common.
+    pub fn new(
+        deployment: Deployment,
+        seed: u64,
+        span: Duration,
+        faults: Vec<(Duration, Fault)>,
+    ) -> WorldPlan {
+        WorldPlan {
+            deployment,
+            seed,
+            span,
+            faults,
+            mute: "",
+            drift: 1000,
+            control: 3,
+            gather: false,
+            late: false,
+            founder: FounderEnd::Incarnations,
+            orders: Vec::new(),
+            spares: 1,
+            clients_disconnect: false,
+        }
+    }
+}
+
+impl WorldPlan {
+    /// So many control nodes. Other than three are founded by a table that is
+    /// gathered, by some seeds with one that comes late or with a first seed
+    /// that ends right then.
+    pub fn of(self, control: usize) -> WorldPlan {
+        if control == 3 {
+            return self;
+        }
+        let late = self.seed.is_multiple_of(3);
+        let founder = [
+            FounderEnd::Incarnations,
+            FounderEnd::Unwritten,
+            FounderEnd::Untold,
+            FounderEnd::Told,
+        ][(self.seed % 7 % 4) as usize];
+        WorldPlan {
+            control,
+            gather: true,
+            late,
+            founder,
+            ..self
+        }
+    }
+}
