--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -6,9 +6,13 @@
 pub struct CallerPlan {
     /// HTTP address and zone of each edge.
     pub edges: Vec<(SocketAddr, String)>,
+    /// Requests a second, all clients together.
     pub rate: u64,
+    /// How long new requests begin, in seconds.
     pub seconds: u64,
+    /// Of everything that is drawn.
     pub seed: u64,
+    /// What is requested.
     pub mix: Vec<crate::deployment::Mix>,
 }
 
@@ -35,6 +39,7 @@
 }
 
 impl Traffic {
+    /// Plays the plan and records each request; returns once all have ended.
     pub fn run(plan: CallerPlan, record: Recorder) {
         let (edges, seconds, rate, seed) = (plan.edges.clone(), plan.seconds, plan.rate, plan.seed);
         let traffic = Arc::new(Traffic {
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -25,15 +25,19 @@
 
 /// Reads what callers, origins and operators saw and judges each never.
 pub struct Checker {
+    /// Requests as clients saw them.
     pub callers: Vec<CallerRecord>,
     /// Sorted by time.
     pub origins: Vec<OriginRecord>,
+    /// What the runner did or observed, sorted by time.
     pub fleet: Vec<FleetRecord>,
     /// Operators' calls on the document.
     pub operators: Vec<OperatorRecord>,
     /// Operators' calls on named items.
     pub items: Vec<ItemRecord>,
+    /// Calls a second that one origin may get, by service.
     pub rates: BTreeMap<String, f64>,
+    /// TTL in seconds of each cached entry.
     pub keeps: BTreeMap<String, u64>,
 }
 
@@ -122,8 +126,11 @@
 /// Collects cases of one never: how many, when, and which were broken.
 #[derive(Default)]
 pub struct Cases {
+    /// How many cases were judged.
     pub seen: usize,
+    /// In which a fault might have broken a case, in seconds.
     pub spans: Vec<(f64, f64)>,
+    /// The broken cases, in words.
     pub broken: Vec<String>,
     /// How near the worst case came to the bound, in its own words.
     pub worst: Option<(f64, String)>,
@@ -146,6 +153,7 @@
         }
     }
 
+    /// What came of the rule.
     pub fn verdict(&self) -> Verdict {
         match (self.seen, self.broken.is_empty()) {
             (0, _) => Verdict::NotExercised,
@@ -202,6 +210,7 @@
 }
 
 impl Checker {
+    /// Reads the record that a run left in a folder.
     pub fn read(folder: &Path, deployment: &Deployment) -> Result<Checker> {
         let mut checker = Checker {
             callers: read_records(&folder.join("callers.jsonl"))?,
@@ -225,6 +234,7 @@
             .collect()
     }
 
+    /// Each rule with what came of it.
     pub fn verdicts(&self) -> Vec<(&'static str, Verdict)> {
         self.cases()
             .into_iter()
--- a/stand-ins/src/flags.rs
+++ b/stand-ins/src/flags.rs
@@ -16,6 +16,7 @@
 }
 
 impl Flags {
+    /// Reads the command line; prints help or the version if it asks for them.
     pub fn gather(program: &'static str, help: &str) -> Flags {
         let mut flags = pico_args::Arguments::from_env();
         help_or_version(program, &mut flags, &format!("{program}: {help}"));
@@ -26,6 +27,7 @@
         }
     }
 
+    /// The value of a flag, or the usual one; a missing or wrong value is a finding.
     pub fn take<T: std::str::FromStr>(&mut self, name: &'static str, usual: Option<T>) -> Option<T>
     where
         T::Err: fmt::Display,
@@ -53,6 +55,7 @@
         }
     }
 
+    /// Adds a finding.
     pub fn found(&mut self, place: &str, text: &str) {
         self.found.push(Finding::new(place, text));
     }
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -17,9 +17,13 @@
 
 /// One process of the fleet, started by the runner.
 pub struct Node {
+    /// Names its log file.
     pub name: String,
+    /// The program and its arguments.
     pub words: Vec<String>,
+    /// Where it listens for HTTP.
     pub http: SocketAddr,
+    /// The zone of a node, the service of an origin.
     pub zone: String,
     child: Option<Child>,
 }
@@ -27,9 +31,13 @@
 /// Processes on loopback, as a platform would run them. A test tool: the
 /// product itself starts nothing.
 pub struct Fleet {
+    /// Holds data, logs and records.
     pub folder: PathBuf,
+    /// Control nodes, by slot.
     pub control: Vec<Node>,
+    /// Edges.
     pub edges: Vec<Node>,
+    /// Stand-in origins.
     pub origins: Vec<Node>,
     record: Recorder,
     /// Calls on the document, for their history.
@@ -108,6 +116,7 @@
         Ok(())
     }
 
+    /// Sends a signal, such as `-STOP`.
     pub fn signal(&self, signal: &str) {
         if let Some(child) = &self.child {
             let _ = Command::new("kill")
@@ -132,6 +141,7 @@
         false
     }
 
+    /// Ends the process at once.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -146,6 +156,7 @@
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
+    /// Whether the node answers that it is ready.
     pub fn ready(&self) -> bool {
         http(self.http, "GET", "ready", "").is_ok_and(|(status, _)| status == 200)
     }
@@ -167,6 +178,7 @@
     http_if_match(to, method, path, body, None)
 }
 
+/// The same for a change of a known version only.
 pub fn http_if_match(
     to: SocketAddr,
     method: &str,
@@ -349,6 +361,7 @@
         })
     }
 
+    /// Records something the runner did or observed.
     pub fn note(&self, what: &str, subject: &str, number: u64, good: bool) {
         self.record.put(&FleetRecord {
             at: wall(),
@@ -368,6 +381,7 @@
             .try_for_each(|node| node.start(&folder))
     }
 
+    /// Starts origins, control nodes and edges.
     pub fn start_all(&mut self) -> Result<()> {
         let folder = self.folder.clone();
         self.origins
@@ -376,6 +390,7 @@
         self.start_nodes()
     }
 
+    /// Starts one node; its log goes to the folder.
     pub fn start(folder: &Path, node: &mut Node) -> Result<()> {
         node.start(folder)
     }
@@ -507,6 +522,7 @@
         false
     }
 
+    /// Ends all processes at once.
     pub fn stop_all(&mut self) {
         for node in self
             .control
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -13,7 +13,9 @@
 
 /// An item as a single copy would behave.
 pub trait Model {
+    /// What a copy holds.
     type State: Clone + Default + Eq + std::hash::Hash;
+    /// A call with its outcome.
     type Operation;
 
     /// The state after the operation, if it can have its outcome in this one.
@@ -23,15 +25,18 @@
 /// One call of a history.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timed<O> {
+    /// When the call began, in seconds.
     pub start: f64,
     /// None: the outcome is unknown.
     pub end: Option<f64>,
+    /// What it did, as far as known.
     pub operation: O,
 }
 
 /// What came of judging one item's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judgement {
+    /// Some order explains the history.
     Linearizable,
     /// No order explains it; the index of the earliest call that none of the
     /// longest orders got past.
@@ -96,16 +101,21 @@
 /// revision is accepted with one content.
 pub struct RevisedItem;
 
+/// What an operator did with a named item.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RevisedOperation {
     /// Confirmed, or of unknown outcome. `content` none: a removal.
     Put {
+        /// The number that the operator gave.
         revision: u64,
+        /// None: a removal.
         content: Option<String>,
     },
     /// Refused since this revision was accepted with another content.
     Conflict {
+        /// The number that the operator gave.
         revision: u64,
+        /// None: a removal.
         content: Option<String>,
     },
     /// What was read; none: nobody put it yet.
@@ -140,6 +150,7 @@
 /// The document, to which the product gives versions.
 pub struct VersionedDocument;
 
+/// The document as a single copy holds it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct DocumentState {
     version: DocumentVersion,
@@ -180,15 +191,21 @@
 pub enum DocumentOperation {
     /// `version` none: the outcome is unknown.
     Put {
+        /// None: the outcome is unknown.
         version: Option<u64>,
+        /// A digest of the document.
         content: String,
     },
     /// Refused since this version stands and not the expected one.
     Raced {
+        /// The version that stands.
         version: u64,
     },
+    /// The document as it was read.
     Read {
+        /// The version that stands.
         version: u64,
+        /// A digest of the document.
         content: String,
     },
 }
@@ -226,6 +243,7 @@
 /// An operation key: it runs once, and all who are answered hear of that run.
 pub struct KeyedOperation;
 
+/// What happened under an operation key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyedCall {
     /// An origin ran it.
@@ -234,12 +252,15 @@
     Responded(Option<u64>),
 }
 
+/// What is known of an operation key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub enum KeyedState {
+    /// It did not run yet.
     #[default]
     NotRun,
     /// Nobody heard of it yet.
     Run,
+    /// It ran, and callers were given this version.
     Responded(Option<u64>),
 }
 
@@ -278,9 +299,11 @@
 /// A call on the document as an operator's tool saw it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OperatorRecord {
+    /// When the call began, in seconds.
     pub start: f64,
     /// None: no answer came, or one that does not tell the outcome.
     pub end: Option<f64>,
+    /// What it did, as far as known.
     pub operation: DocumentOperation,
 }
 
@@ -297,10 +320,13 @@
 /// A call on a named item as an operator's tool saw it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ItemRecord {
+    /// Of the item.
     pub name: String,
+    /// When the call began, in seconds.
     pub start: f64,
     /// None: the outcome is unknown.
     pub end: Option<f64>,
+    /// What it did, as far as known.
     pub operation: RevisedOperation,
 }
 
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,5 +1,7 @@
 //! Stand-ins for what otterslip meets: origins, callers, a platform that
 //! starts and ends processes; and the checker of the twelve nevers.
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod caller;
 pub mod checker;
 pub mod deployment;
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -5,23 +5,33 @@
 /// what was asked, and records every call. Its faults are set by
 /// `PUT /.stand-in/fault/NAME`.
 pub struct StandInOrigin {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The service it serves.
     pub service: String,
+    /// Its instance name.
     pub instance: String,
+    /// Signs its responses.
     pub key: SigningKey,
+    /// How long it works on a call.
     pub delay: Duration,
     /// Holds the version of all content, as text.
     pub content: Option<PathBuf>,
+    /// Takes each call.
     pub record: Option<Recorder>,
     /// "", "slow", "short", "unsigned", "foreign-key", "other-request",
     /// "lose-answer", "status-500".
     pub fault: Mutex<String>,
+    /// Whether its responses may not be cached.
     pub private: bool,
+    /// Calls so far, probes among them.
     pub calls: AtomicU64,
+    /// How often each operation key ran.
     pub runs: Mutex<BTreeMap<String, u32>>,
 }
 
 impl StandInOrigin {
+    /// A healthy origin that records nothing.
     pub fn new(
         address: SocketAddr,
         service: &str,
--- a/stand-ins/src/schema_check.rs
+++ b/stand-ins/src/schema_check.rs
@@ -7,6 +7,7 @@
 }
 
 impl SchemaCheck {
+    /// A check against the schema of this build.
     pub fn new() -> Result<SchemaCheck> {
         Ok(SchemaCheck {
             schema: serde_json::from_str(SCHEMA)?,
@@ -40,6 +41,7 @@
         }
     }
 
+    /// A request body must fit.
     pub fn request(&self, method: &str, path: &str, body: &serde_json::Value) -> Result<()> {
         self.check(&self.operation(method, path)?["requestBody"], body)
     }
--- a/stand-ins/src/soak/disconnecting_client.rs
+++ b/stand-ins/src/soak/disconnecting_client.rs
@@ -31,12 +31,17 @@
 /// One request whose caller left, or was answered.
 #[derive(Debug, Clone)]
 pub struct Departure {
+    /// The request target.
     pub path: String,
+    /// Where it was sent.
     pub edge: SocketAddr,
+    /// How the caller left.
     pub manner: Manner,
+    /// What was requested.
     pub sort: RequestSort,
     /// When the caller left, in seconds; none: it was answered before.
     pub left: Option<f64>,
+    /// Of the response; 0: none was read.
     pub status: u16,
 }
 
@@ -59,6 +64,7 @@
 const COPIES: u64 = 40;
 
 impl DisconnectingClient {
+    /// One of several workers with draws of its own.
     pub fn new(seed: u64, worker: usize, edges: Vec<SocketAddr>) -> DisconnectingClient {
         DisconnectingClient {
             random: SeededRandom::new(seed ^ ((worker as u64 + 1) << 32)),
@@ -69,6 +75,7 @@
         }
     }
 
+    /// Sends requests for a span, or until `stop` is set.
     pub fn run(mut self, span: Duration, stop: &AtomicBool) -> Vec<Departure> {
         let began = Instant::now();
         let mut seen = Vec::new();
--- a/stand-ins/src/soak/faults.rs
+++ b/stand-ins/src/soak/faults.rs
@@ -6,19 +6,28 @@
 /// One thing that goes wrong for a while.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SoakFault {
+    /// An edge is killed and started again.
     KillEdge(usize),
+    /// A control node is killed and started again.
     KillControl(usize),
+    /// An edge stands still.
     PauseEdge(usize),
+    /// A control node stands still.
     PauseControl(usize),
+    /// The relay before an origin fails in this mode.
     Relay(usize, RelayMode),
+    /// An origin has this fault.
     Origin(usize, &'static str),
 }
 
 /// A trouble begins or ends.
 #[derive(Debug, Clone)]
 pub struct FaultStep {
+    /// Since the start of the run.
     pub at: Duration,
+    /// What goes wrong.
     pub fault: SoakFault,
+    /// False: it ends.
     pub begins: bool,
 }
 
@@ -32,6 +41,7 @@
 /// The steps of one run, in order.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
+    /// Sorted by time.
     pub steps: Vec<FaultStep>,
 }
 
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -20,8 +20,11 @@
 /// What is to be played.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
+    /// Of everything that is drawn.
     pub seed: u64,
+    /// How long clients and faults go on.
     pub span: Duration,
+    /// Takes data, logs and records.
     pub folder: PathBuf,
 }
 
@@ -48,9 +51,11 @@
 /// A span in which a node could not see that a caller had left.
 #[derive(Debug, Clone)]
 pub struct Absence {
+    /// Its HTTP address.
     pub edge: SocketAddr,
     /// Seconds, as `wall` tells them.
     pub from: f64,
+    /// The largest number: it is still away.
     pub to: f64,
 }
 
--- a/stand-ins/src/soak/relay.rs
+++ b/stand-ins/src/soak/relay.rs
@@ -5,6 +5,7 @@
 /// What a relay does with what it is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayMode {
+    /// Everything passes.
     Pass,
     /// Nothing passes either way; connections stay and say nothing.
     DropLink,
@@ -17,6 +18,7 @@
 /// One request that an edge sent towards the origin.
 #[derive(Debug, Clone)]
 pub struct Passage {
+    /// The request target.
     pub path: String,
     /// When its first bytes came, in seconds.
     pub at: f64,
@@ -38,6 +40,7 @@
 const CHUNK: usize = 16 * 1024;
 
 impl Relay {
+    /// Listens at the address until `stop` is set.
     pub fn new(address: SocketAddr, stop: Arc<AtomicBool>) -> Result<Arc<Relay>> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -53,18 +56,22 @@
         Ok(relay)
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// Sets the origin.
     pub fn forward_to(&self, origin: SocketAddr) {
         *self.target.lock().expect("no holder panics") = Some(origin);
     }
 
+    /// Sets how it fails from now on.
     pub fn set_mode(&self, mode: RelayMode) {
         *self.mode.lock().expect("no holder panics") = mode;
     }
 
+    /// All requests so far.
     pub fn passages(&self) -> Vec<Passage> {
         self.passages.lock().expect("no holder panics").clone()
     }
--- a/stand-ins/src/soak/verdict.rs
+++ b/stand-ins/src/soak/verdict.rs
@@ -5,7 +5,9 @@
 /// Counts of one run, or of several added up; what is broken stands in `broken`.
 #[derive(Debug, Clone, Default)]
 pub struct SoakVerdict {
+    /// Requests that were sent.
     pub requests: usize,
+    /// Requests with a successful response.
     pub served: usize,
     /// Callers that left before their answer.
     pub left: usize,
@@ -13,6 +15,7 @@
     pub sent_before: usize,
     /// How long calls went on after their callers left, at most, in milliseconds.
     pub longest_ms: u64,
+    /// Each violation in words.
     pub broken: Vec<String>,
 }
 
@@ -116,6 +119,7 @@
         }
     }
 
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: SoakVerdict) {
         self.requests += other.requests;
         self.served += other.served;
