--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -1,7 +1,10 @@
 //! Counts messages, bytes and steps by fleet size, and fits their slopes.
+mod tables;
 #[cfg(test)]
 mod tests;
 
+pub use tables::fit;
+
 use crate::prelude::*;
 
 /// The control traffic of a fleet without callers: real parts and real frames,
@@ -47,15 +50,19 @@
     },
 }
 
+/// What a node is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
+    /// A control node.
     Control,
+    /// An edge.
     Edge,
 }
 
 /// What was counted since it was last taken.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
+    /// The span of virtual time it covers.
     pub span: Duration,
     /// Frames and their bytes, by who sent them.
     pub sent: BTreeMap<(Role, &'static str), (u64, u64)>,
@@ -63,14 +70,18 @@
     pub steps: BTreeMap<(Role, &'static str), (u64, Duration, Duration)>,
     /// Records and bytes to disk.
     pub records: (u64, u64),
+    /// Calls to origins, all of them health checks.
     pub probes: u64,
 }
 
 /// One size, run through.
 #[derive(Debug, Clone)]
 pub struct Sized {
+    /// How many edges.
     pub edges: usize,
+    /// How many control nodes.
     pub control: usize,
+    /// Regions the edges are spread over.
     pub regions: usize,
     /// Two seconds in which nothing happens.
     pub quiet: Tally,
@@ -98,63 +109,78 @@
 const GATHER: Duration = Duration::from_millis(1000);
 /// Begins once the fleet is founded and has its assignments.
 const SETTLED: Duration = Duration::from_secs(8);
+/// Numbers of edges of the page's tables.
 pub const SIZES: [usize; 4] = [16, 64, 256, 1100];
+/// Control nodes of the page's tables.
 pub const CONTROL: usize = 12;
 
-impl Capacity {
-    fn new(edges: usize, control: usize) -> Capacity {
-        let address =
-            |kind: u8, at: usize| SocketAddr::from(([10, kind, (at >> 8) as u8, at as u8], 7000));
-        let seeds: Vec<SocketAddr> = (0..control.min(3)).map(|at| address(1, at)).collect();
-        let mut nodes = Vec::new();
-        for at in 0..control {
-            let gather = Some(Bootstrap::new(true, GATHER));
-            let part = ControlNode::new(
-                address(1, at),
-                seeds.clone(),
-                Replica::blank(1 + at as u64),
-                true,
-                gather,
-                1 + at as u64,
-            );
-            nodes.push(Hollow {
-                role: Role::Control,
-                peer: part.me(),
-                part: Some(Box::new(part)),
-                until: Duration::ZERO,
-            });
+/// Operators' calls that list a partition are numbered from here.
+const FIRST_LIST_ID: u64 = 10;
+/// Kinds of nodes, as a part of their addresses.
+const CONTROL_NET: u8 = 1;
+const EDGE_NET: u8 = 2;
+/// Cache of an edge, in bytes.
+const CACHE_BYTES: u64 = 64 << 20;
+/// Incarnations of edges begin here, above those of control nodes.
+const FIRST_EDGE_INCARNATION: u64 = 1000;
+
+fn address(net: u8, index: usize) -> SocketAddr {
+    SocketAddr::from(([10, net, (index >> 8) as u8, index as u8], 7000))
+}
+
+impl Hollow {
+    fn control(slot: usize, seeds: &[SocketAddr]) -> Hollow {
+        let incarnation = 1 + slot as u64;
+        let part = ControlNode::new(
+            address(CONTROL_NET, slot),
+            seeds.to_vec(),
+            Replica::blank(incarnation),
+            true,
+            Some(Bootstrap::new(true, GATHER)),
+            incarnation,
+        );
+        Hollow {
+            role: Role::Control,
+            peer: part.me(),
+            part: Some(Box::new(part)),
+            until: Duration::ZERO,
         }
-        for at in 0..edges {
-            // Regions first: a small fleet has one node in each.
-            let zone = at % ZONES;
-            let (region, zone) = (
-                format!("region-{:02}", zone % REGIONS),
-                format!("region-{:02}-{}", zone % REGIONS, zone / REGIONS),
-            );
-            let peer = Peer::new(address(2, at), 1000 + at as u64);
-            let part = EdgeNode::new(
-                peer,
-                Locality {
-                    zone,
-                    ring: region.clone(),
-                    region,
-                    weight: 1,
-                },
-                seeds.clone(),
-                true,
-                64 << 20,
-            );
-            nodes.push(Hollow {
-                role: Role::Edge,
-                peer,
-                part: Some(Box::new(part)),
-                until: Duration::ZERO,
-            });
+    }
+
+    /// Regions first: a small fleet has one node in each.
+    fn edge(index: usize, seeds: &[SocketAddr]) -> Hollow {
+        let zone = index % ZONES;
+        let region = format!("region-{:02}", zone % REGIONS);
+        let locality = Locality {
+            zone: format!("{region}-{}", zone / REGIONS),
+            ring: region.clone(),
+            region,
+            weight: 1,
+        };
+        let incarnation = FIRST_EDGE_INCARNATION + index as u64;
+        let peer = Peer::new(address(EDGE_NET, index), incarnation);
+        let part = EdgeNode::new(peer, locality, seeds.to_vec(), true, CACHE_BYTES);
+        Hollow {
+            role: Role::Edge,
+            peer,
+            part: Some(Box::new(part)),
+            until: Duration::ZERO,
         }
+    }
+}
+
+impl Capacity {
+    fn new(edges: usize, control: usize) -> Capacity {
+        let seeds: Vec<SocketAddr> = (0..control.min(3))
+            .map(|slot| address(CONTROL_NET, slot))
+            .collect();
+        let control_nodes = (0..control).map(|slot| Hollow::control(slot, &seeds));
+        let edge_nodes = (0..edges).map(|edge| Hollow::edge(edge, &seeds));
+        let nodes: Vec<Hollow> = control_nodes.chain(edge_nodes).collect();
         let by_address = nodes
             .iter()
             .enumerate()
-            .map(|(at, node)| (node.peer.address, at))
+            .map(|(index, node)| (node.peer.address, index))
             .collect();
         let mut fleet = Capacity {
             now: Duration::ZERO,
@@ -376,30 +402,13 @@
     }
 
     /// Runs one size through. `used`: bytes in use, if they are counted.
+    ///
+    /// # Errors
+    ///
+    /// A change was not acknowledged, or a partition was not listed.
     pub fn measure(edges: usize, control: usize, used: &dyn Fn() -> Option<u64>) -> Result<Sized> {
         let mut fleet = Capacity::new(edges, control);
-        fleet.run_to(Duration::from_secs(5));
-        let change = 1;
-        fleet.change(
-            1,
-            CONFIGURATION_PARTITION,
-            Change::PutConfiguration {
-                text: Capacity::document(1),
-                expect: None,
-                change,
-            },
-        )?;
-        fleet.change(
-            2,
-            ORIGINS_PARTITION,
-            Change::PutOrigins {
-                list: Arc::new(Capacity::origins()),
-                expect: None,
-                change,
-                acknowledge: Acknowledge::Settled,
-            },
-        )?;
-        fleet.run_to(fleet.now.max(SETTLED) + Duration::from_secs(3));
+        fleet.set_up()?;
         let quiet = fleet.count(Duration::from_secs(2));
         let live = fleet.live();
         let purge = Purge {
@@ -408,54 +417,87 @@
         };
         let purge = fleet.change(3, PURGES_PARTITION, Change::AddPurge { purge, change: 2 })?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
-        let configuration = fleet.change(
-            4,
-            CONFIGURATION_PARTITION,
-            Change::PutConfiguration {
-                text: Capacity::document(2),
-                expect: None,
-                change: 3,
-            },
-        )?;
+        let configuration = fleet.put_configuration(4, 2, 3)?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
-        let mut state = Vec::new();
-        for partition in 0..PUBLISHED_PARTITIONS {
-            let id = 10 + u64::from(partition);
-            fleet.ask(id, partition, Change::List);
-            fleet.run_to(fleet.now + Duration::from_secs(1));
-            let Some((_, OperatorResponse::ChangeOutcome(ChangeOutcome::Rows { rows, .. }))) =
-                fleet.answers.remove(&id)
-            else {
-                bail!("slice {partition} was not listed")
-            };
-            state.push((rows.len(), bincode::serialized_size(&rows)?));
-        }
-        let before = used();
-        fleet.nodes[control + edges - 1].part = None;
-        let edge = before.zip(used()).map(|(before, after)| before - after);
+        let state = fleet.list_partitions()?;
+        let edge_bytes = fleet.drop_nodes(control + edges - 1..control + edges, used);
         let loss = fleet.count(Duration::from_secs(5));
-        let before = used();
-        fleet.nodes[..control]
-            .iter_mut()
-            .for_each(|node| node.part = None);
-        let memory = before
-            .zip(used())
-            .map(|(before, after)| (before - after) / control as u64)
-            .zip(edge);
-        let regions = edges.min(REGIONS);
+        let control_bytes = fleet.drop_nodes(0..control, used);
         Ok(Sized {
             edges,
             control,
-            regions,
+            regions: edges.min(REGIONS),
             quiet,
             purge,
             configuration,
             loss,
             state,
-            memory,
+            memory: control_bytes.zip(edge_bytes),
             live,
         })
     }
+
+    /// Puts a configuration and the origins, and lets the fleet settle.
+    fn set_up(&mut self) -> Result<()> {
+        self.run_to(Duration::from_secs(5));
+        self.put_configuration(1, 1, 1)?;
+        let origins = Change::PutOrigins {
+            list: Arc::new(Capacity::origins()),
+            expect: None,
+            change: 1,
+            acknowledge: Acknowledge::Settled,
+        };
+        self.change(2, ORIGINS_PARTITION, origins)?;
+        self.run_to(self.now.max(SETTLED) + Duration::from_secs(3));
+        Ok(())
+    }
+
+    fn put_configuration(
+        &mut self,
+        id: u64,
+        marker: u64,
+        change: u64,
+    ) -> Result<(Tally, Duration)> {
+        let put = Change::PutConfiguration {
+            text: Capacity::document(marker),
+            expect: None,
+            change,
+        };
+        self.change(id, CONFIGURATION_PARTITION, put)
+    }
+
+    /// Rows and bytes of each published partition.
+    fn list_partitions(&mut self) -> Result<Vec<(usize, u64)>> {
+        let mut sizes = Vec::new();
+        for partition in 0..PUBLISHED_PARTITIONS {
+            let id = FIRST_LIST_ID + u64::from(partition);
+            self.ask(id, partition, Change::List);
+            self.run_to(self.now + Duration::from_secs(1));
+            let Some((_, OperatorResponse::ChangeOutcome(ChangeOutcome::Rows { rows, .. }))) =
+                self.answers.remove(&id)
+            else {
+                bail!("slice {partition} was not listed")
+            };
+            sizes.push((rows.len(), bincode::serialized_size(&rows)?));
+        }
+        Ok(sizes)
+    }
+
+    /// Ends nodes; the bytes that each of them had in use, if they are counted.
+    fn drop_nodes(
+        &mut self,
+        nodes: std::ops::Range<usize>,
+        used: &dyn Fn() -> Option<u64>,
+    ) -> Option<u64> {
+        let count = nodes.len() as u64;
+        let before = used();
+        self.nodes[nodes]
+            .iter_mut()
+            .for_each(|node| node.part = None);
+        before
+            .zip(used())
+            .map(|(before, after)| (before - after) / count)
+    }
 }
 
 impl Tally {
@@ -473,6 +515,13 @@
         )
     }
 
+    /// Frames and bytes of all names and roles.
+    fn sent_in_all(&self) -> (u64, u64) {
+        self.sent
+            .values()
+            .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
+    }
+
     /// Share of a core that one node of a role takes.
     fn core(&self, role: Role, nodes: usize) -> f64 {
         let spent: f64 = self
@@ -484,209 +533,3 @@
         spent / self.span.as_secs_f64() / nodes as f64
     }
 }
-
-/// Least squares over points: constant and slope, and the share of the spread
-/// that the line leaves over.
-pub fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
-    let count = points.len() as f64;
-    let (mean_x, mean_y) = (
-        points.iter().map(|point| point.0).sum::<f64>() / count,
-        points.iter().map(|point| point.1).sum::<f64>() / count,
-    );
-    let over: f64 = points
-        .iter()
-        .map(|(x, y)| (x - mean_x) * (y - mean_y))
-        .sum();
-    let under: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = if under > 0.0 { over / under } else { 0.0 };
-    let flat = mean_y - slope * mean_x;
-    let spread: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-    let left: f64 = points
-        .iter()
-        .map(|(x, y)| (y - flat - slope * x).powi(2))
-        .sum();
-    (flat, slope, if spread > 0.0 { left / spread } else { 0.0 })
-}
-
-impl Sized {
-    /// What is counted, by line; all of it hangs on the size alone. Frames and
-    /// bytes are sent ones: a second for what goes on, a piece for events.
-    pub fn counts(&self) -> Vec<(&'static str, f64)> {
-        let (edges, control) = (self.edges as f64, self.control as f64);
-        let quiet = |role, name| self.quiet.rate(role, name);
-        let (renew, renewed) = (
-            quiet(Role::Edge, "RenewRequest"),
-            quiet(Role::Control, "RenewReply"),
-        );
-        let beat = quiet(Role::Control, "Heartbeat");
-        let rounds = ["AppendRequest", "AppendReply", "Rounds", "Rounded"]
-            .map(|name| quiet(Role::Control, name))
-            .iter()
-            .fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
-        let probes = self.quiet.probes as f64 / self.quiet.span.as_secs_f64();
-        let more = |tally: &Tally| {
-            let sum = |tally: &Tally| {
-                tally
-                    .sent
-                    .values()
-                    .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
-            };
-            let (event, idle) = (sum(tally), sum(&self.quiet));
-            let share = tally.span.as_secs_f64() / self.quiet.span.as_secs_f64();
-            (
-                event.0 as f64 - idle.0 as f64 * share,
-                event.1 as f64 - idle.1 as f64 * share,
-            )
-        };
-        let (purge, configuration, loss) = (
-            more(&self.purge.0),
-            more(&self.configuration.0),
-            more(&self.loss),
-        );
-        vec![
-            (
-                "renewals and answers, frames a second, an edge",
-                (renew.0 + renewed.0) / edges,
-            ),
-            (
-                "renewals and answers, bytes a second, an edge",
-                (renew.1 + renewed.1) / edges,
-            ),
-            ("beats, frames a second, a control node", beat.0 / control),
-            ("beats, bytes a second, a control node", beat.1 / control),
-            (
-                "rounds, frames a second, a control node",
-                rounds.0 / control,
-            ),
-            ("rounds, bytes a second, a control node", rounds.1 / control),
-            (
-                "records a second, a control node",
-                self.quiet.records.0 as f64 / self.quiet.span.as_secs_f64() / control,
-            ),
-            ("probes a second, all gates", probes),
-            ("a purge: frames more, all nodes", purge.0),
-            ("a purge: bytes more, all nodes", purge.1),
-            ("a configuration: frames more, all nodes", configuration.0),
-            ("a configuration: bytes more, all nodes", configuration.1),
-            ("an edge lost: frames more, all nodes", loss.0),
-            ("an edge lost: bytes more, all nodes", loss.1),
-            (
-                "news rows: configuration",
-                self.state[usize::from(CONFIGURATION_PARTITION)].0 as f64,
-            ),
-            (
-                "news bytes: configuration",
-                self.state[usize::from(CONFIGURATION_PARTITION)].1 as f64,
-            ),
-            (
-                "news bytes: origins",
-                self.state[usize::from(ORIGINS_PARTITION)].1 as f64,
-            ),
-            (
-                "news rows: duties",
-                self.state[usize::from(ASSIGNMENTS_PARTITION)].0 as f64,
-            ),
-            (
-                "news bytes: duties",
-                self.state[usize::from(ASSIGNMENTS_PARTITION)].1 as f64,
-            ),
-            (
-                "news bytes: places",
-                self.state[usize::from(MEMBERSHIP_PARTITION)].1 as f64,
-            ),
-        ]
-    }
-
-    /// Times and bytes in use, as this machine shows them.
-    pub fn times(&self) -> Vec<(&'static str, f64)> {
-        let longest = |tally: &Tally, role| {
-            tally
-                .steps
-                .iter()
-                .filter(|((by, _), _)| *by == role)
-                .map(|(_, (_, _, most))| most.as_secs_f64() * 1e3)
-                .fold(0.0, f64::max)
-        };
-        let (control, edge) = self.memory.unwrap_or_default();
-        vec![
-            (
-                "quiet: share of a core, a control node, %",
-                100.0 * self.quiet.core(Role::Control, self.control),
-            ),
-            (
-                "quiet: share of a core, an edge, %",
-                100.0 * self.quiet.core(Role::Edge, self.edges),
-            ),
-            (
-                "quiet: longest step of a control node, ms",
-                longest(&self.quiet, Role::Control),
-            ),
-            (
-                "an edge lost: share of a core over 5 s, a control node, %",
-                100.0 * self.loss.core(Role::Control, self.control),
-            ),
-            (
-                "an edge lost: share of a core over 5 s, an edge, %",
-                100.0 * self.loss.core(Role::Edge, self.edges),
-            ),
-            (
-                "an edge lost: longest step of a control node, ms",
-                longest(&self.loss, Role::Control),
-            ),
-            (
-                "a purge in force everywhere, virtual ms",
-                self.purge.1.as_secs_f64() * 1e3,
-            ),
-            (
-                "a configuration in force everywhere, virtual ms",
-                self.configuration.1.as_secs_f64() * 1e3,
-            ),
-            ("memory of a control node's part, kB", control as f64 / 1e3),
-            ("memory of an edge's part, kB", edge as f64 / 1e3),
-        ]
-    }
-
-    /// A table of lines by size, with the line through all sizes.
-    pub fn table(list: &[Sized], lines: &dyn Fn(&Sized) -> Vec<(&'static str, f64)>) -> String {
-        let mut text = String::from("| line |");
-        list.iter()
-            .for_each(|one| text += &format!(" {} |", one.edges));
-        text += " constant | slope an edge | left over |\n|---|";
-        text += &"---|".repeat(list.len() + 3);
-        text += "\n";
-        let all: Vec<_> = list.iter().map(lines).collect();
-        for (at, (name, _)) in all[0].iter().enumerate() {
-            text += &format!("| {name} |");
-            all.iter()
-                .for_each(|lines| text += &format!(" {} |", number(lines[at].1)));
-            let points: Vec<(f64, f64)> = list
-                .iter()
-                .zip(&all)
-                .map(|(one, lines)| (one.edges as f64, lines[at].1))
-                .collect();
-            let (flat, slope, left) = fit(&points);
-            text += &format!(
-                " {} | {} | {:.0} % |\n",
-                number(flat),
-                number(slope),
-                100.0 * left
-            );
-        }
-        text
-    }
-}
-
-/// Four figures, as far as they say anything.
-fn number(value: f64) -> String {
-    let digits = if value == 0.0 {
-        0
-    } else {
-        (3 - value.abs().log10().floor() as i32).clamp(0, 4) as usize
-    };
-    let text = format!("{value:.digits$}");
-    if text.contains('.') {
-        text.trim_end_matches('0').trim_end_matches('.').into()
-    } else {
-        text
-    }
-}
--- /dev/null
+++ b/simulate-fleet/src/capacity/tables.rs
@@ -0,0 +1,210 @@
+//! Lines of a capacity table, and their slopes over the sizes.
+use super::{Sized, Tally};
+use crate::prelude::*;
+
+/// Least squares over points: constant and slope, and the share of the spread
+/// that the line leaves over.
+pub fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
+    let count = points.len() as f64;
+    let (mean_x, mean_y) = (
+        points.iter().map(|point| point.0).sum::<f64>() / count,
+        points.iter().map(|point| point.1).sum::<f64>() / count,
+    );
+    let over: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
+    let under: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = if under > 0.0 { over / under } else { 0.0 };
+    let flat = mean_y - slope * mean_x;
+    let spread: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
+    let left: f64 = points
+        .iter()
+        .map(|(x, y)| (y - flat - slope * x).powi(2))
+        .sum();
+    (flat, slope, if spread > 0.0 { left / spread } else { 0.0 })
+}
+
+impl Sized {
+    /// What is counted, by line; all of it hangs on the size alone. Frames and
+    /// bytes are sent ones: a second for what goes on, a piece for events.
+    pub fn counts(&self) -> Vec<(&'static str, f64)> {
+        let mut lines = self.quiet_counts();
+        lines.extend(self.event_counts());
+        lines.extend(self.state_counts());
+        lines
+    }
+
+    /// What goes on while nothing happens.
+    fn quiet_counts(&self) -> Vec<(&'static str, f64)> {
+        let (edges, control) = (self.edges as f64, self.control as f64);
+        let seconds = self.quiet.span.as_secs_f64();
+        let quiet = |role, name| self.quiet.rate(role, name);
+        let (renew, renewed) = (
+            quiet(Role::Edge, "RenewRequest"),
+            quiet(Role::Control, "RenewReply"),
+        );
+        let beat = quiet(Role::Control, "Heartbeat");
+        let rounds = ["AppendRequest", "AppendReply", "Rounds", "Rounded"]
+            .map(|name| quiet(Role::Control, name))
+            .iter()
+            .fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
+        vec![
+            (
+                "renewals and answers, frames a second, an edge",
+                (renew.0 + renewed.0) / edges,
+            ),
+            (
+                "renewals and answers, bytes a second, an edge",
+                (renew.1 + renewed.1) / edges,
+            ),
+            ("beats, frames a second, a control node", beat.0 / control),
+            ("beats, bytes a second, a control node", beat.1 / control),
+            (
+                "rounds, frames a second, a control node",
+                rounds.0 / control,
+            ),
+            ("rounds, bytes a second, a control node", rounds.1 / control),
+            (
+                "records a second, a control node",
+                self.quiet.records.0 as f64 / seconds / control,
+            ),
+            (
+                "probes a second, all gates",
+                self.quiet.probes as f64 / seconds,
+            ),
+        ]
+    }
+
+    /// What an event sends more than goes on anyway.
+    fn event_counts(&self) -> Vec<(&'static str, f64)> {
+        let purge = self.more_than_quiet(&self.purge.0);
+        let configuration = self.more_than_quiet(&self.configuration.0);
+        let loss = self.more_than_quiet(&self.loss);
+        vec![
+            ("a purge: frames more, all nodes", purge.0),
+            ("a purge: bytes more, all nodes", purge.1),
+            ("a configuration: frames more, all nodes", configuration.0),
+            ("a configuration: bytes more, all nodes", configuration.1),
+            ("an edge lost: frames more, all nodes", loss.0),
+            ("an edge lost: bytes more, all nodes", loss.1),
+        ]
+    }
+
+    /// Frames and bytes beyond those of a quiet span as long.
+    fn more_than_quiet(&self, tally: &Tally) -> (f64, f64) {
+        let (event, idle) = (tally.sent_in_all(), self.quiet.sent_in_all());
+        let share = tally.span.as_secs_f64() / self.quiet.span.as_secs_f64();
+        (
+            event.0 as f64 - idle.0 as f64 * share,
+            event.1 as f64 - idle.1 as f64 * share,
+        )
+    }
+
+    /// Rows and bytes of the published partitions.
+    fn state_counts(&self) -> Vec<(&'static str, f64)> {
+        let rows = |partition: u8| self.state[usize::from(partition)].0 as f64;
+        let bytes = |partition: u8| self.state[usize::from(partition)].1 as f64;
+        vec![
+            ("news rows: configuration", rows(CONFIGURATION_PARTITION)),
+            ("news bytes: configuration", bytes(CONFIGURATION_PARTITION)),
+            ("news bytes: origins", bytes(ORIGINS_PARTITION)),
+            ("news rows: duties", rows(ASSIGNMENTS_PARTITION)),
+            ("news bytes: duties", bytes(ASSIGNMENTS_PARTITION)),
+            ("news bytes: places", bytes(MEMBERSHIP_PARTITION)),
+        ]
+    }
+
+    /// Times and bytes in use, as this machine shows them.
+    pub fn times(&self) -> Vec<(&'static str, f64)> {
+        let longest = |tally: &Tally, role| {
+            tally
+                .steps
+                .iter()
+                .filter(|((by, _), _)| *by == role)
+                .map(|(_, (_, _, most))| most.as_secs_f64() * 1e3)
+                .fold(0.0, f64::max)
+        };
+        let (control, edge) = self.memory.unwrap_or_default();
+        vec![
+            (
+                "quiet: share of a core, a control node, %",
+                100.0 * self.quiet.core(Role::Control, self.control),
+            ),
+            (
+                "quiet: share of a core, an edge, %",
+                100.0 * self.quiet.core(Role::Edge, self.edges),
+            ),
+            (
+                "quiet: longest step of a control node, ms",
+                longest(&self.quiet, Role::Control),
+            ),
+            (
+                "an edge lost: share of a core over 5 s, a control node, %",
+                100.0 * self.loss.core(Role::Control, self.control),
+            ),
+            (
+                "an edge lost: share of a core over 5 s, an edge, %",
+                100.0 * self.loss.core(Role::Edge, self.edges),
+            ),
+            (
+                "an edge lost: longest step of a control node, ms",
+                longest(&self.loss, Role::Control),
+            ),
+            (
+                "a purge in force everywhere, virtual ms",
+                self.purge.1.as_secs_f64() * 1e3,
+            ),
+            (
+                "a configuration in force everywhere, virtual ms",
+                self.configuration.1.as_secs_f64() * 1e3,
+            ),
+            ("memory of a control node's part, kB", control as f64 / 1e3),
+            ("memory of an edge's part, kB", edge as f64 / 1e3),
+        ]
+    }
+
+    /// A table of lines by size, with the line through all sizes.
+    pub fn table(list: &[Sized], lines: &dyn Fn(&Sized) -> Vec<(&'static str, f64)>) -> String {
+        let mut text = String::from("| line |");
+        list.iter()
+            .for_each(|one| text += &format!(" {} |", one.edges));
+        text += " constant | slope an edge | left over |\n|---|";
+        text += &"---|".repeat(list.len() + 3);
+        text += "\n";
+        let all: Vec<_> = list.iter().map(lines).collect();
+        for (at, (name, _)) in all[0].iter().enumerate() {
+            text += &format!("| {name} |");
+            all.iter()
+                .for_each(|lines| text += &format!(" {} |", number(lines[at].1)));
+            let points: Vec<(f64, f64)> = list
+                .iter()
+                .zip(&all)
+                .map(|(one, lines)| (one.edges as f64, lines[at].1))
+                .collect();
+            let (flat, slope, left) = fit(&points);
+            text += &format!(
+                " {} | {} | {:.0} % |\n",
+                number(flat),
+                number(slope),
+                100.0 * left
+            );
+        }
+        text
+    }
+}
+
+/// Four figures, as far as they say anything.
+fn number(value: f64) -> String {
+    let digits = if value == 0.0 {
+        0
+    } else {
+        (3 - value.abs().log10().floor() as i32).clamp(0, 4) as usize
+    };
+    let text = format!("{value:.digits$}");
+    if text.contains('.') {
+        text.trim_end_matches('0').trim_end_matches('.').into()
+    } else {
+        text
+    }
+}
--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -4,14 +4,18 @@
 /// A node of the simulated fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeId {
+    /// A control node, by its index.
     Control(usize),
+    /// An edge, by its index.
     Edge(usize),
 }
 
 /// Something that is done to the fleet, or asked of it by its operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
+    /// The process ends at once.
     Kill(NodeId),
+    /// The process starts if it is down.
     Start(NodeId),
     /// The process stands still; its time goes on.
     Pause(NodeId, Duration),
@@ -47,10 +51,14 @@
     Heal,
     /// Of a hundred messages so many are lost, doubled, or late.
     LossyNetwork {
+        /// Share of lost messages.
         lost: u64,
+        /// Share of messages that arrive twice.
         doubled: u64,
+        /// Share of late messages.
         late: u64,
     },
+    /// One origin behaves so from now on.
     Origin(usize, OriginBehavior),
     /// All origins of one service, by its place in the deployment.
     Service(usize, OriginBehavior),
@@ -60,9 +68,13 @@
     ReuseAddress(usize),
     /// The origin is listed and runs under a new instance name.
     Replace(usize),
+    /// All content gets a new version.
     Content,
+    /// An operator purges this prefix.
     Purge(String),
+    /// An operator puts a valid document.
     Configure,
+    /// An operator puts an invalid document.
     ConfigureInvalid,
     /// One named item of the configuration is set under its next revision.
     PutItem,
@@ -70,6 +82,7 @@
     Grow(usize),
     /// So many operators at once, at different control nodes.
     Race(usize),
+    /// An operator reads the document that was acknowledged last.
     ReadBack,
     /// The moment this next comes true, something is lost.
     LossOnTrigger(Trigger, Loss),
@@ -95,6 +108,7 @@
 }
 
 impl PartitionScope {
+    /// All scopes.
     pub const ALL: [PartitionScope; 4] = [
         PartitionScope::Everybody,
         PartitionScope::ControlNodes,
@@ -113,9 +127,12 @@
     }
 }
 
+/// The moment of a loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trigger {
+    /// A configuration was acknowledged.
     Configured,
+    /// A purge was acknowledged.
     Purged,
     /// A keyed request was answered with success.
     Booked,
@@ -136,8 +153,10 @@
 }
 
 impl Trigger {
+    /// All triggers.
     pub const ALL: [Trigger; 3] = [Trigger::Configured, Trigger::Purged, Trigger::Booked];
 
+    /// Its name in scripts.
     pub fn name(self) -> &'static str {
         ["configured", "purged", "booked"][self as usize]
     }
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -11,9 +11,13 @@
 /// Origin calls of a crowd on one key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadBurst {
+    /// Requests of clients.
     pub requests: u64,
+    /// Origin calls with expiry in two phases.
     pub two_phase: u64,
+    /// Origin calls with a single expiry.
     pub single_expiry: u64,
+    /// Origin calls without a cache.
     pub no_cache: u64,
 }
 
@@ -307,6 +311,7 @@
         )
     }
 
+    /// Prints the figures of `docs/figures.md`.
     pub fn print() {
         for (rate, fetch) in [(100, 200), (20, 200), (100, 1000)] {
             let load_burst = Figures::load_burst(rate, Duration::from_millis(fetch));
--- a/simulate-fleet/src/lib.rs
+++ b/simulate-fleet/src/lib.rs
@@ -1,5 +1,7 @@
 //! The real planes in virtual time, under faults, judged by the same checker
 //! as a fleet of processes.
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod capacity;
 pub mod fault;
 pub mod figures;
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -9,6 +9,7 @@
 pub struct Shrink;
 
 impl Shrink {
+    /// A short part of a list that still breaks, found by leaving parts out.
     pub fn list<T: Clone>(mut list: Vec<T>, breaks: &dyn Fn(&[T]) -> bool) -> Vec<T> {
         let mut size = list.len().div_ceil(2);
         while size > 0 {
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -4,8 +4,11 @@
 /// A disk that keeps only what was synced when the power goes.
 #[derive(Debug, Default)]
 pub struct Disk {
+    /// Records that outlast a loss of power.
     pub synced: Vec<Vec<u8>>,
+    /// Records still to be synced: serial, whether it is a snapshot, bytes.
     pub pending: VecDeque<(u64, bool, Vec<u8>)>,
+    /// Whether it refuses writes.
     pub full: bool,
     /// When the sync now running is done.
     pub busy_until: Duration,
@@ -16,6 +19,7 @@
 }
 
 impl Disk {
+    /// Records up to this serial are synced.
     pub fn sync(&mut self, serial: u64) {
         while self.pending.front().is_some_and(|(at, _, _)| *at <= serial) {
             let (_, image, record) = self.pending.pop_front().expect("just seen");
@@ -37,11 +41,13 @@
         renewed
     }
 
+    /// What was not synced is lost.
     pub fn lose_power(&mut self) {
         self.pending.clear();
         self.busy_until = Duration::ZERO;
     }
 
+    /// Bytes of the synced records.
     pub fn bytes(&self) -> usize {
         self.synced.iter().map(Vec::len).sum()
     }
@@ -49,31 +55,44 @@
 
 /// A process in the simulation: a part and what its host would hold.
 pub struct SimNode {
+    /// Names it in schedules.
     pub place: NodeId,
+    /// Its address and incarnation.
     pub peer: Peer,
+    /// Where it runs.
     pub zone: String,
+    /// Its state machine; none while the process is down.
     pub part: Option<Box<dyn StateMachine>>,
     /// Counts starts: what an earlier run began does not reach a later one.
     pub run: u64,
+    /// When this run began.
     pub began: Duration,
     /// What its clock shows at a start, and by how many millionths it runs
     /// too fast.
     pub offset: Duration,
+    /// In millionths.
     pub drift: i64,
+    /// Until then the process stands still.
     pub paused: Duration,
     /// Until then each step takes long.
     pub slow_until: Duration,
     /// When the step now running is done.
     pub busy_until: Duration,
+    /// Outlasts the process.
     pub disk: Disk,
+    /// End of its lease, on its own clock.
     pub fence: Duration,
+    /// Whether it says that it is ready.
     pub ready: bool,
+    /// The route table it published last.
     pub image: Option<Arc<RouteTable>>,
     /// Version of the table it was last seen live with, in this run.
     pub in_force: u64,
+    /// Whether its shutdown is complete.
     pub ending: bool,
     /// It was told to end and is not started again.
     pub retiring: bool,
+    /// The assignments it published last.
     pub assignments: Vec<String>,
     /// What its settings say of the fleet's founding.
     pub founding: Founding,
@@ -101,6 +120,7 @@
 }
 
 impl SimNode {
+    /// A node that was never started.
     pub fn new(place: NodeId, address: SocketAddr, zone: &str) -> SimNode {
         SimNode {
             place,
@@ -136,10 +156,12 @@
             )
     }
 
+    /// Whether it runs and holds its lease.
     pub fn live(&self, now: Duration) -> bool {
         self.part.is_some() && self.clock(now) < self.fence
     }
 
+    /// Starts a run on what its disk holds.
     pub fn start(
         &mut self,
         now: Duration,
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -4,19 +4,24 @@
 /// How an origin behaves now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OriginBehavior {
+    /// Runs each call and answers soon.
     Good,
+    /// Nothing listens.
     Down,
     /// Answers nothing; whether it ran is anybody's guess (it did).
     Mute,
+    /// Slower than good.
     Slow,
     /// Some 60 times slower than good.
     VerySlow,
+    /// Its answers are not its own.
     WrongBytes,
     /// Some of its answers do not come, or are not its own.
     Grey,
 }
 
 impl OriginBehavior {
+    /// All behaviors.
     pub const ALL: [OriginBehavior; 7] = [
         OriginBehavior::Good,
         OriginBehavior::Down,
@@ -27,6 +32,7 @@
         OriginBehavior::Grey,
     ];
 
+    /// Its name in scripts and tables.
     pub fn name(self) -> &'static str {
         [
             "origin-good",
@@ -53,10 +59,13 @@
 /// An origin as the simulated network shows it.
 #[derive(Debug, Clone)]
 pub struct SimOrigin {
+    /// As the platform lists it.
     pub origin: Origin,
     /// Who really listens there.
     pub service: String,
+    /// The instance that really listens there.
     pub instance: String,
+    /// How it behaves now.
     pub behavior: OriginBehavior,
 }
 
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -3,14 +3,19 @@
 
 /// What came of it.
 pub struct Report {
+    /// Judges what clients, origins and operators saw.
     pub checker: Checker,
+    /// Inputs that state machines handled.
     pub steps: u64,
+    /// How often each event was logged.
     pub notes: BTreeMap<Event, usize>,
+    /// Bytes of the fullest disk at the end.
     pub log_bytes: usize,
     /// When which control node told of a change of its membership or disk.
     pub membership: Vec<(Duration, NodeId, Event)>,
     /// Copies handed out, by edge.
     pub copies: Vec<u64>,
+    /// What came of the orders of the plan.
     pub orders: Vec<OrderRecord>,
 }
 
@@ -69,6 +74,7 @@
     pub(crate) orders: Vec<OrderRecord>,
     pub(crate) notes: BTreeMap<Event, usize>,
     pub(crate) membership: Vec<(Duration, NodeId, Event)>,
+    /// Prints what happens.
     pub trace: bool,
     /// Messages between control nodes are printed, too.
     pub trace_messages: bool,
@@ -81,6 +87,7 @@
 const EDGE_TICK: Duration = Duration::from_millis(50);
 
 impl World {
+    /// A fleet in which nothing has happened yet.
     pub fn new(plan: WorldPlan) -> World {
         let mut world = World {
             now: Duration::ZERO,
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -12,6 +12,11 @@
 const CALL_LEAVES: Duration = Duration::from_millis(5);
 
 /// Callers, and the platform that hands them to nodes.
+/// Of a hundred confirmed operations that are sent again all the same.
+const CONFIRMED_RETRY_SHARE: u64 = 15;
+/// Retries of an operation whose outcome is unknown.
+const UNKNOWN_OUTCOME_RETRIES: u32 = 3;
+
 impl World {
     pub(crate) fn caller_comes(&mut self) {
         let gap = 1_000_000 / self.plan.deployment.rate;
@@ -216,7 +221,7 @@
         self.after(wait, SimEvent::ClientRetry(again));
     }
 
-    pub(crate) fn client_finished(&mut self, id: u64, answer: Option<ClientResponse>) {
+    pub(crate) fn client_finished(&mut self, id: u64, response: Option<ClientResponse>) {
         let Some(PendingOperatorCall {
             node,
             task,
@@ -227,63 +232,50 @@
             return;
         };
         record.end = self.seconds();
-        match answer {
+        match response {
             None => record.dropped = true,
-            Some(ClientResponse::Rejection(refusal)) => {
-                (record.status, record.code) = (refusal.status, refusal.code);
-                if refusal.status != 0 {
-                    record.outcome = if refusal.outcome == RunState::NotRun {
-                        "not_run"
-                    } else {
-                        "unknown"
-                    }
-                    .into();
-                }
-            }
-            Some(ClientResponse::Reply { reply, .. }) => {
-                record.status = reply.status;
-                (record.fits, record.version) = SimOrigin::read(
-                    &reply,
-                    &task.mix.method,
-                    &task.path,
-                    task.operation.as_deref(),
-                );
-            }
+            Some(response) => read_response(&mut record, &task, response),
         }
         let good = record.status == 200;
-        let mut sprung = false;
-        if good && task.operation.is_some() && task.tries == 0 {
-            sprung = self
-                .armed_loss
-                .is_some_and(|(trigger, _)| trigger == Trigger::Booked);
-            self.spring(Trigger::Booked);
-        }
+        let sprung = good && task.operation.is_some() && task.tries == 0 && self.spring_booked();
         if task.operation.is_some() && self.now + CLIENT_TIMEOUT < self.plan.span {
-            // Some ask again though they were answered; all others until they are.
-            let again = if good {
-                task.tries == 0 && (sprung || self.random.chance(15))
-            } else {
-                task.tries
-                    < if record.code == "outcome_unknown" {
-                        3
-                    } else {
-                        REPEATS
-                    }
-            };
-            // Who was told when to come back may come then, or sooner.
-            let spread = if good {
-                CLIENT_RETRY_DELAY
-            } else {
-                1_500 << (task.tries / 4).min(4)
-            };
-            let wait = Duration::from_millis(100 + self.random.below(spread));
-            if again && self.now + wait < task.first + Duration::from_millis(CLIENT_RETRY_DELAY) {
-                self.retry_at_another_node(node, task, wait);
-            }
+            self.retry_operation(node, task, &record, sprung);
         }
         self.callers.push(record);
     }
 
+    /// Whether a loss was armed for a booking that was confirmed; it comes now.
+    fn spring_booked(&mut self) -> bool {
+        let armed = self
+            .armed_loss
+            .is_some_and(|(trigger, _)| trigger == Trigger::Booked);
+        self.spring(Trigger::Booked);
+        armed
+    }
+
+    /// Some send an operation again though it was confirmed; all others until
+    /// it is.
+    fn retry_operation(&mut self, node: usize, task: Task, record: &CallerRecord, sprung: bool) {
+        let good = record.status == 200;
+        let again = if good {
+            task.tries == 0 && (sprung || self.random.chance(CONFIRMED_RETRY_SHARE))
+        } else if record.code == "outcome_unknown" {
+            task.tries < UNKNOWN_OUTCOME_RETRIES
+        } else {
+            task.tries < REPEATS
+        };
+        // Who was told when to come back may come then, or sooner.
+        let spread = if good {
+            CLIENT_RETRY_DELAY
+        } else {
+            1_500 << (task.tries / 4).min(4)
+        };
+        let wait = Duration::from_millis(100 + self.random.below(spread));
+        if again && self.now + wait < task.first + Duration::from_millis(CLIENT_RETRY_DELAY) {
+            self.retry_at_another_node(node, task, wait);
+        }
+    }
+
     /// Whether an entry is there, at an edge that says anything on it: a keyed
     /// entry without a key answers 400, no entry 404.
     fn entry_at(&self, node: usize, marker: u64) -> Option<bool> {
@@ -359,3 +351,25 @@
         }
     }
 }
+
+/// Records what a client reads in its response.
+fn read_response(record: &mut CallerRecord, task: &Task, response: ClientResponse) {
+    match response {
+        ClientResponse::Rejection(rejection) => {
+            (record.status, record.code) = (rejection.status, rejection.code);
+            if rejection.status != 0 {
+                let not_run = rejection.outcome == RunState::NotRun;
+                record.outcome = if not_run { "not_run" } else { "unknown" }.into();
+            }
+        }
+        ClientResponse::Reply { reply, .. } => {
+            record.status = reply.status;
+            (record.fits, record.version) = SimOrigin::read(
+                &reply,
+                &task.mix.method,
+                &task.path,
+                task.operation.as_deref(),
+            );
+        }
+    }
+}
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -229,6 +229,11 @@
             self.record("fault", &fault.kind(), 0, fault.planned());
         }
         self.record_span(&fault);
+        self.carry_out(fault);
+    }
+
+    /// Faults of nodes and links; all others are changes.
+    fn carry_out(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(place) => {
                 self.kill(self.at(place));
@@ -260,13 +265,36 @@
             Fault::LoseOperatorResponses(span) => {
                 self.operator_responses_lost_until = self.now + span
             }
-            Fault::PutItem => self.put_item(),
             Fault::Heal => self.cuts.clear(),
             Fault::LossyNetwork {
                 lost,
                 doubled,
                 late,
             } => self.weather = (lost, doubled, late),
+            change @ (Fault::PutItem
+            | Fault::Origin(..)
+            | Fault::Service(..)
+            | Fault::DrainOrigin(_)
+            | Fault::ReuseAddress(_)
+            | Fault::Replace(_)
+            | Fault::Content
+            | Fault::Purge(_)
+            | Fault::Configure
+            | Fault::Grow(_)
+            | Fault::ConfigureInvalid
+            | Fault::Race(_)
+            | Fault::LossOnTrigger(..)
+            | Fault::LoseAll
+            | Fault::OpenLedger
+            | Fault::Returned
+            | Fault::ReadBack) => self.change(change),
+        }
+    }
+
+    /// Changes of origins, operators' changes, and losses of many nodes.
+    fn change(&mut self, change: Fault) {
+        match change {
+            Fault::PutItem => self.put_item(),
             Fault::Origin(at, behavior) => self.set_behavior(at, behavior),
             Fault::Service(service, behavior) => self.set_service_behavior(service, behavior),
             Fault::DrainOrigin(at) => {
@@ -308,6 +336,7 @@
                     self.ask(2, OperatorCall::ReadBack { expect }, 0);
                 }
             }
+            fault => unreachable!("{fault:?} is a fault of nodes or links"),
         }
     }
 
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_orders.rs
@@ -6,10 +6,13 @@
 /// One operator's order: an item under a revision, with a content.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ItemOrder {
+    /// When it is first sent.
     pub at: Duration,
     /// The control node that is asked first.
     pub node: usize,
+    /// Of the item.
     pub name: String,
+    /// The number the operator gives it.
     pub revision: u64,
     /// Tells contents apart.
     pub content: u32,
@@ -20,10 +23,13 @@
 /// What became of an order.
 #[derive(Debug, Clone)]
 pub struct OrderRecord {
+    /// What was ordered.
     pub order: ItemOrder,
+    /// How often it was sent.
     pub tries: u32,
     /// The answer that ended it; none if it was sent until the end.
     pub outcome: Option<ChangeOutcome>,
+    /// When it ended.
     pub ended: Duration,
 }
 
--- a/simulate-fleet/src/world_plan.rs
+++ b/simulate-fleet/src/world_plan.rs
@@ -4,9 +4,13 @@
 /// What shall be simulated.
 #[derive(Debug, Clone)]
 pub struct WorldPlan {
+    /// Nodes, origins and traffic.
     pub deployment: Deployment,
+    /// Of everything that is drawn.
     pub seed: u64,
+    /// Of virtual time.
     pub span: Duration,
+    /// What happens when, since the start.
     pub faults: Vec<(Duration, Fault)>,
     /// Messages of this name are all lost: what would be without them?
     pub mute: &'static str,
@@ -28,8 +32,10 @@
     pub clients_disconnect: bool,
 }
 
+/// How the first seed ends as it fixes the membership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FounderEnd {
+    /// It does not end.
     Incarnations,
     /// Before the table is on its disk.
     Unwritten,
