--- a/stand-ins/src/bin/run-fleet/report.rs
+++ b/stand-ins/src/bin/run-fleet/report.rs
@@ -2,9 +2,34 @@
 use crate::Run;
 use stand_ins::prelude::*;
 
+/// Broken cases printed of one rule.
+const CASES_SHOWN: usize = 3;
+
 impl Run {
+    /// The exit code: 1 if a rule is broken.
     pub(crate) fn report(&self) -> Result<i32> {
         let checker = Checker::read(&self.fleet.folder, &self.deployment)?;
+        self.print_traffic(&checker);
+        let mut code = 0;
+        for (index, (rule, cases)) in checker.cases().into_iter().enumerate() {
+            let verdict = cases.verdict();
+            if matches!(verdict, Verdict::Broken(_)) {
+                code = 1;
+            }
+            let worst = cases.worst.map(|(used, text)| {
+                format!("; at most {:.0} % of the bound: {text}", used * 100.0)
+            });
+            println!(
+                "{:2}. {rule}: {}{}",
+                index + 1,
+                describe(&verdict),
+                worst.unwrap_or_default()
+            );
+        }
+        Ok(code)
+    }
+
+    fn print_traffic(&self, checker: &Checker) {
         let cached = checker
             .callers
             .iter()
@@ -36,25 +61,16 @@
             );
         }
         println!("other answers: {:?}\n", checker.other_answers());
-        let mut code = 0;
-        for (at, (never, cases)) in checker.cases().into_iter().enumerate() {
-            let text = match cases.verdict() {
-                Verdict::NotExercised => "not exercised".to_string(),
-                Verdict::Held(cases) => format!("held in {cases} cases"),
-                Verdict::Broken(cases) => {
-                    code = 1;
-                    format!(
-                        "BROKEN in {} cases: {}",
-                        cases.len(),
-                        cases.iter().take(3).cloned().collect::<Vec<_>>().join("; ")
-                    )
-                }
-            };
-            let worst = cases.worst.map(|(used, text)| {
-                format!("; at most {:.0} % of the bound: {text}", used * 100.0)
-            });
-            println!("{:2}. {never}: {text}{}", at + 1, worst.unwrap_or_default());
+    }
+}
+
+fn describe(verdict: &Verdict) -> String {
+    match verdict {
+        Verdict::NotExercised => "not exercised".to_string(),
+        Verdict::Held(cases) => format!("held in {cases} cases"),
+        Verdict::Broken(cases) => {
+            let shown = cases.iter().take(CASES_SHOWN).cloned().collect::<Vec<_>>();
+            format!("BROKEN in {} cases: {}", cases.len(), shown.join("; "))
         }
-        Ok(code)
     }
 }
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -237,7 +237,9 @@
             });
             record.fits = word("target") == path
                 && word("method") == mix.method
-                && body["fill"].as_str().is_some_and(|fill| fill.len() == 400)
+                && body["fill"]
+                    .as_str()
+                    .is_some_and(|fill| fill.len() == crate::origin::FILL_BYTES)
                 && own;
         }
     }
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -1,6 +1,13 @@
 //! An origin over HTTP, healthy or faulty.
 use crate::prelude::*;
 
+/// How many times longer a slow origin works on a call.
+const SLOWDOWN: u32 = 60;
+/// Of no service.
+const FOREIGN_KEY: [u8; 32] = [99; 32];
+/// Bytes that fill each body.
+pub(crate) const FILL_BYTES: usize = 400;
+
 /// A stand-in for one origin: answers any path with a signed body that echoes
 /// what was asked, and records every call. Its faults are set by
 /// `PUT /.stand-in/fault/NAME`.
@@ -84,16 +91,45 @@
             *self.fault.lock().expect("no holder panics") = fault.into();
             return rouille::Response::text("set");
         }
-        let head = |name: &str| request.header(name).unwrap_or_default().to_string();
-        let (request_id, operation) = (
-            head("otterslip-errand"),
-            request.header("operation-key").map(Into::into),
-        );
+        let request_id = request.header("otterslip-errand").unwrap_or_default();
+        let operation = request.header("operation-key");
         let mut body = Vec::new();
         if let Some(mut data) = request.data() {
             let _ = data.read_to_end(&mut body);
         }
         let probe = request.raw_url().starts_with("/.well-known/");
+        self.count(request, request_id, operation, probe);
+        // The version is read when the call comes: that is what was current.
+        let version = self.version();
+        let fault = self.fault.lock().expect("no holder panics").clone();
+        let slow = fault == "slow" && !probe;
+        thread::sleep(if slow {
+            self.delay * SLOWDOWN
+        } else {
+            self.delay
+        });
+        let text = json!({
+            "service": self.service,
+            "target": request.raw_url(),
+            "method": request.method(),
+            "version": version,
+            "operation": operation,
+            "caller": request.header("authorization"),
+            "sent": String::from_utf8_lossy(&body),
+            "fill": "x".repeat(FILL_BYTES),
+        });
+        let operation = operation.unwrap_or("");
+        self.sealed(request, &fault, request_id, operation, text.to_string())
+    }
+
+    /// Records a call, and counts the run of its operation if it has a key.
+    fn count(
+        &self,
+        request: &rouille::Request,
+        request_id: &str,
+        operation: Option<&str>,
+        probe: bool,
+    ) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if let Some(record) = &self.record {
             record.put(&OriginRecord {
@@ -102,41 +138,15 @@
                 service: self.service.clone(),
                 instance: self.instance.clone(),
                 path: request.raw_url().into(),
-                request: request_id.clone(),
-                operation: operation.clone(),
+                request: request_id.into(),
+                operation: operation.map(Into::into),
                 probe,
             });
         }
-        if let Some(operation) = operation.clone() {
-            *self
-                .runs
-                .lock()
-                .expect("no holder panics")
-                .entry(operation)
-                .or_default() += 1;
+        if let Some(operation) = operation {
+            let mut runs = self.runs.lock().expect("no holder panics");
+            *runs.entry(operation.into()).or_default() += 1;
         }
-        // The version is read when the call comes: that is what was current.
-        let version = self.version();
-        let fault = self.fault.lock().expect("no holder panics").clone();
-        let delay = if fault == "slow" && !probe {
-            self.delay * 60
-        } else {
-            self.delay
-        };
-        thread::sleep(delay);
-        let text = json!({
-            "service": self.service, "target": request.raw_url(), "method": request.method(), "version": version,
-            "operation": operation, "caller": request.header("authorization"), "sent": String::from_utf8_lossy(&body),
-            "fill": "x".repeat(400),
-        })
-        .to_string();
-        self.sealed(
-            request,
-            &fault,
-            &request_id,
-            operation.as_deref().unwrap_or(""),
-            text,
-        )
     }
 
     fn sealed(
@@ -163,15 +173,7 @@
             request: request_id,
             body: text.as_bytes(),
         };
-        let stranger = SigningKey::from_bytes(&[99; 32]);
-        let mut headers = seal.sign(if fault == "foreign-key" {
-            &stranger
-        } else {
-            &self.key
-        });
-        if fault == "unsigned" {
-            headers.retain(|(name, _)| name != "Signature");
-        }
+        let mut headers = self.signature(&seal, fault);
         if self.private {
             headers.push(("Cache-Control".into(), "private".into()));
         }
@@ -180,18 +182,29 @@
             "lose-answer" => String::new(),
             _ => text,
         };
-        let mut answer = rouille::Response::from_data("application/json", text);
-        answer.status_code = status;
-        answer.headers.extend(
-            headers
-                .into_iter()
-                .map(|(name, value)| (name.into(), value.into())),
-        );
+        let mut response = rouille::Response::from_data("application/json", text);
+        response.status_code = status;
+        let headers = headers.into_iter();
+        response
+            .headers
+            .extend(headers.map(|(name, value)| (name.into(), value.into())));
         if fault == "lose-answer" {
-            answer
+            response
                 .headers
                 .retain(|(name, _)| !name.starts_with("Signature"));
         }
-        answer
+        response
+    }
+
+    /// The headers of a seal, signed as the fault has it.
+    fn signature(&self, seal: &Seal, fault: &str) -> Vec<(String, String)> {
+        let mut headers = match fault {
+            "foreign-key" => seal.sign(&SigningKey::from_bytes(&FOREIGN_KEY)),
+            _ => seal.sign(&self.key),
+        };
+        if fault == "unsigned" {
+            headers.retain(|(name, _)| name != "Signature");
+        }
+        headers
     }
 }
