--- a/simulate-fleet/src/lib.rs
+++ b/simulate-fleet/src/lib.rs
@@ -1,5 +1,7 @@
 //! The real planes in virtual time, under faults, judged by the same checker
 //! as a fleet of processes.
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod capacity;
 pub mod fault;
 pub mod figures;
@@ -19,7 +21,12 @@
 pub mod world;
 mod world_answers;
 mod world_callers;
+mod world_disks;
+mod world_events;
 mod world_faults;
 mod world_network;
 mod world_operators;
 mod world_orders;
+mod world_outputs;
+mod world_plan;
+mod world_setup;
