--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -24,17 +24,17 @@
 //!   version of the table it names.
 //! - `PrepareReply` names its epoch; a leader that is active by now ignores it.
 //! - `SnapshotReply` names its round and table. What the sender acknowledges
-//!   later tells its leader of the lives that count no more, by itself.
+//!   later tells its leader of the incarnations that count no more, by itself.
 //! - `RenewReply` with updates: an edge takes rows above the version it has, its
 //!   lease runs from the sending of its renewal and never goes back, and a reply
 //!   of an older generation is dropped. A reply without updates is sent only to a
 //!   renewal that confirmed all that is shown here, so no lease counts before
-//!   the updates that belongs to it is applied. An older mark given back proves
+//!   the updates that belong to it are applied. An older renewal token given back proves
 //!   less, never more.
 //! - `RecallReply` names version and rows; rows count by their versions.
-//! - `Copy`, `Put`, `HandoverReply`: their age is counted from the asking, purges
-//!   are compared by number, and a put goes by its token, after which a `Fail`
-//!   with another token changes nothing.
+//! - `CacheCopy`, `CachePut`, `HandoverReply`: their age is counted from the asking, purges
+//!   are compared by number, and a put goes by its token, after which a
+//!   `CacheFillFailed` with another token changes nothing.
 //! - Large changes and answers (configuration, lists) are of other partitions than
 //!   the claims and purges beside them, and are told apart by id.
 //!
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -91,7 +91,7 @@
     pub configuration: (Tally, Duration),
     /// Five seconds in which an edge is gone.
     pub loss: Tally,
-    /// Rows and bytes of each updates partition, as its owner lists it.
+    /// Rows and bytes of each published partition, as its owner lists it.
     pub state: Vec<(usize, u64)>,
     /// Bytes in use for the parts: one control node, one edge. None without the
     /// counting allocator.
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -110,7 +110,7 @@
                 faults.push((at(round) + Duration::from_millis(1_700), Fault::Heal));
             }
         }
-        let operator_calls: Vec<(f64, &str)> = faults
+        let recorded: Vec<(f64, &str)> = faults
             .iter()
             .filter_map(|(at, fault)| match fault {
                 Fault::Configure => Some((at.as_secs_f64(), "configured")),
@@ -135,10 +135,10 @@
                 .map(|one| one.at);
             let mut spans: Vec<f64> = told
                 .filter_map(|at| {
-                    operator_calls
+                    recorded
                         .iter()
-                        .filter(|(operator_calls, kind)| *kind == what && *operator_calls <= at)
-                        .map(|(operator_calls, _)| at - operator_calls)
+                        .filter(|(begun, kind)| *kind == what && *begun <= at)
+                        .map(|(begun, _)| at - begun)
                         .reduce(f64::min)
                 })
                 .map(|span| span / lease::CONTROL_TICK.as_secs_f64())
@@ -155,8 +155,8 @@
     /// is asked of it.
     pub fn capped(part: f64) -> BTreeMap<u32, f64> {
         let mut deployment = Deployment::find("mombasa").expect("known");
-        let operator_calls = deployment.rate as f64 * 0.35;
-        deployment.services[1].rate = operator_calls * part / deployment.services[1].origins as f64;
+        let demand = deployment.rate as f64 * 0.35;
+        deployment.services[1].rate = demand * part / deployment.services[1].origins as f64;
         let cached: BTreeSet<String> = deployment
             .mix
             .iter()
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -10,7 +10,7 @@
 pub(crate) use crate::world::CLIENT_TIMEOUT;
 pub use crate::world::{Report, World};
 pub(crate) use crate::world_events::{
-    OperatorCall, Order, PendingOperatorCall, Question, SimEvent, Task,
+    OperatorCall, Order, PendingRequest, Question, SimEvent, Task,
 };
 pub use crate::world_orders::{ItemOrder, OrderRecord};
 pub use crate::world_plan::{FounderEnd, WorldPlan};
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -64,7 +64,7 @@
     pub(crate) watches: BTreeSet<(usize, u64, usize)>,
     /// Operators' calls under way.
     pub(crate) operator_calls: BTreeMap<u64, Question>,
-    pub(crate) requests: BTreeMap<u64, PendingOperatorCall>,
+    pub(crate) requests: BTreeMap<u64, PendingRequest>,
     pub(crate) callers: Vec<CallerRecord>,
     pub(crate) calls: Vec<OriginRecord>,
     pub(crate) fleet: Vec<FleetRecord>,
--- a/simulate-fleet/src/world_answers.rs
+++ b/simulate-fleet/src/world_answers.rs
@@ -44,7 +44,7 @@
 
     pub(crate) fn operator_response_is_lost(&mut self, order: &Order) -> bool {
         let changes = matches!(
-            order.operator_calls,
+            order.call,
             OperatorCall::Configure { .. }
                 | OperatorCall::Purge { .. }
                 | OperatorCall::Origins { .. }
@@ -75,7 +75,7 @@
             return;
         }
         let good = matches!(outcome, ChangeOutcome::Acknowledged { .. });
-        let subject = match &order.operator_calls {
+        let subject = match &order.call {
             OperatorCall::Configure { .. } => "configuration",
             OperatorCall::Purge { .. } => "purge",
             OperatorCall::Origins { .. } => "origins",
--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_callers.rs
@@ -80,7 +80,7 @@
         let alive = self.nodes[node].part.is_some();
         self.requests.insert(
             id,
-            PendingOperatorCall {
+            PendingRequest {
                 node,
                 run: self.nodes[node].run,
                 task: task.clone(),
@@ -107,7 +107,7 @@
 
     /// The node reads the request.
     pub(crate) fn arrives(&mut self, node: usize, id: u64) {
-        let Some(PendingOperatorCall { task, .. }) = self.requests.get(&id) else {
+        let Some(PendingRequest { task, .. }) = self.requests.get(&id) else {
             return;
         };
         let task = task.clone();
@@ -189,7 +189,7 @@
 
     /// The caller closes its connection; a keyed one asks again elsewhere.
     pub(crate) fn caller_leaves(&mut self, id: u64) {
-        let Some(PendingOperatorCall {
+        let Some(PendingRequest {
             node,
             run,
             task,
@@ -222,7 +222,7 @@
     }
 
     pub(crate) fn client_finished(&mut self, id: u64, response: Option<ClientResponse>) {
-        let Some(PendingOperatorCall {
+        let Some(PendingRequest {
             node,
             task,
             mut record,
--- a/simulate-fleet/src/world_events.rs
+++ b/simulate-fleet/src/world_events.rs
@@ -98,7 +98,7 @@
     pub(crate) first: Duration,
 }
 
-pub(crate) struct PendingOperatorCall {
+pub(crate) struct PendingRequest {
     pub(crate) node: usize,
     pub(crate) run: u64,
     pub(crate) task: Task,
@@ -108,7 +108,7 @@
 /// An order of an operator, who may send it more than once.
 #[derive(Debug, Clone)]
 pub(crate) struct Order {
-    pub(crate) operator_calls: OperatorCall,
+    pub(crate) call: OperatorCall,
     /// Names the order; the same each time it is sent.
     pub(crate) change: Option<u64>,
     /// It was settled, but the answer was lost.
@@ -118,9 +118,9 @@
 }
 
 impl From<OperatorCall> for Order {
-    fn from(operator_calls: OperatorCall) -> Order {
+    fn from(call: OperatorCall) -> Order {
         Order {
-            operator_calls,
+            call,
             change: None,
             settled: false,
             start: None,
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -181,8 +181,7 @@
 
     /// Operators who still wait to read back what nobody knows any more.
     fn forget_read_backs(&mut self) {
-        let read_back =
-            |order: &Order| matches!(order.operator_calls, OperatorCall::ReadBack { .. });
+        let read_back = |order: &Order| matches!(order.call, OperatorCall::ReadBack { .. });
         self.operator_calls
             .retain(|_, question| !read_back(&question.order));
         self.queue
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -64,16 +64,16 @@
         let Some(node) = self.ready_control_node(node) else {
             return self.ask_later(node, order, tries);
         };
-        if let OperatorCall::Origins { at, .. } = &mut order.operator_calls {
+        if let OperatorCall::Origins { at, .. } = &mut order.call {
             *at = self.seconds();
         }
         // Drawn for every order, used by its first attempt.
         let drawn = self.random.below(u64::MAX >> 12);
         let change = *order.change.get_or_insert(drawn);
-        if let OperatorCall::Order { order } = order.operator_calls {
+        if let OperatorCall::Order { order } = order.call {
             return self.send_order(order);
         }
-        let request = self.operator_request(&order.operator_calls, change);
+        let request = self.operator_request(&order.call, change);
         self.serial += 1;
         let id = self.serial;
         self.record_operator_call(node, order);
@@ -98,7 +98,7 @@
                 tries: tries + 1,
             };
             self.after(OPERATOR_RETRY_DELAY, retry);
-        } else if let OperatorCall::Configure { marker, .. } = order.operator_calls {
+        } else if let OperatorCall::Configure { marker, .. } = order.call {
             self.changing.remove(&marker);
         }
     }
@@ -157,7 +157,7 @@
 
     /// Notes a call on the document with what came of it, for its history.
     pub(crate) fn record_operator(&mut self, question: &Question, outcome: &ChangeOutcome) {
-        let (operation, known) = match (&question.order.operator_calls, outcome) {
+        let (operation, known) = match (&question.order.call, outcome) {
             (OperatorCall::Configure { .. }, ChangeOutcome::Findings(_)) => return,
             (OperatorCall::Configure { .. }, ChangeOutcome::VersionConflict { version, .. }) => {
                 (DocumentOperation::Raced { version: *version }, true)
@@ -199,7 +199,7 @@
         }
         self.record_operator(&question, &outcome);
         self.judge_again(&question.order, &outcome);
-        self.on_operator_outcome(question.order.operator_calls, outcome);
+        self.on_operator_outcome(question.order.call, outcome);
     }
 
     /// Opens the ledger under the generation that a node reports.
