--- a/data-plane/src/active_request/cacheability.rs
+++ b/data-plane/src/active_request/cacheability.rs
@@ -1,11 +1,12 @@
-//! Which requests and responses may be cached, and under which key.
-use super::hash_of;
+//! Rules for which requests and responses may be cached, and under which key.
+use super::hash_fields;
 use crate::prelude::*;
 
 impl ActiveRequest {
-    /// The hash of route, service and URL: requests with one key share a response.
+    /// Returns the hash of route, host, service and URL. Requests with the same key
+    /// share a response.
     pub fn cache_key(request: &ClientRequest) -> CacheKey {
-        hash_of(&[
+        hash_fields(&[
             request.entry().name.as_bytes(),
             request.entry_host().as_bytes(),
             request.service.as_bytes(),
@@ -13,7 +14,7 @@
         ])
     }
 
-    /// The name under which purges match this request's response.
+    /// Returns the name by which purges match this request's response.
     pub fn cache_entry_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
         CacheEntryName {
             entry: &self.request.entry().name,
@@ -24,7 +25,7 @@
     }
 }
 
-/// Whether a response may be served to other clients.
+/// Returns true if a response may be served to other clients.
 pub(crate) fn is_shareable(reply: &Reply) -> bool {
     let mut cache_control = reply
         .headers
@@ -39,7 +40,7 @@
     !cache_control.any(forbids_sharing) && header(&reply.headers, "set-cookie").is_none()
 }
 
-/// Whether responses of this status are cached: transient errors are not.
+/// Returns true if responses with this status are cached. Transient errors are not.
 pub(crate) fn is_cacheable_status(status: u16) -> bool {
     [200, 203, 204, 301, 308, 404, 410].contains(&status)
 }
--- a/data-plane/src/active_request/mod.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -1,4 +1,4 @@
-//! One client request in progress: its stage, its deadline and what was tried for it.
+//! A client request in progress: its stage, its deadline and its attempts.
 mod cacheability;
 mod outgoing_call;
 mod stage;
@@ -7,31 +7,32 @@
 pub(crate) use cacheability::{is_cacheable_status, is_shareable};
 pub use stage::Stage;
 
-/// A request being executed. Invariants:
-/// - `request.routes` is the one configuration this request ever uses.
-/// - `attempts.sent` is set before a call may reach an origin; a keyed request
-///   is never called again after it, and "not run" is never reported after it.
+/// A request that has no response yet. Invariants:
+/// - `request.routes` is the only configuration that this request uses.
+/// - `attempts.may_have_reached_origin` is set before a call may reach an origin.
+///   Once it is set, a keyed request makes no further call and "not run" is not
+///   reported.
 /// - A keyed request calls an origin only while its claim is held.
 pub struct ActiveRequest {
     /// The client's request, with the route it matched.
     pub request: ClientRequest,
-    /// When it was received.
+    /// The time at which the request was received.
     pub started_at: Duration,
-    /// When it must have a response.
+    /// The time by which the client must have a response.
     pub deadline: Duration,
-    /// The time before which a response is worth most to the client.
+    /// The time by which the client should have a response (its latency target).
     pub latency_target: Duration,
-    /// What the request waits for.
+    /// The stage that the request is in.
     pub stage: Stage,
-    /// The client closed its connection and does not wait for the response.
+    /// Set if the client has closed its connection and does not wait for the response.
     pub client_disconnected: bool,
-    /// The claim on its operation key, if it has one.
+    /// The claim on the request's operation key, if it has one.
     pub claim: Option<Claim>,
     /// The message of the current stage and its retries.
     pub exchange: Exchange,
     /// The calls to origins so far.
     pub attempts: Attempts,
-    /// What ties the request to a cache key.
+    /// The state of a cacheable request.
     pub cache: CacheUse,
 }
 
@@ -41,41 +42,41 @@
     pub id: u64,
     /// The admission controller or cache owner that has not responded yet.
     pub peer: Option<SocketAddr>,
-    /// How often the message was sent in this stage.
-    pub sends: usize,
-    /// When the message was last sent.
+    /// Number of times the message was sent in this stage.
+    pub send_count: usize,
+    /// The time at which the message was last sent.
     pub sent_at: Duration,
-    /// When the message is sent again.
+    /// The time at which the message is sent again.
     pub resend_at: Duration,
-    /// When the peer was last heard from, or the stage was entered.
+    /// The time of the last message from the peer, or at which the stage was entered.
     pub last_contact: Duration,
 }
 
 /// The calls to origins made for one request.
 #[derive(Default)]
 pub struct Attempts {
-    /// Calls that count against the limit.
+    /// Number of calls that count against the limit.
     pub count: u32,
-    /// A call may have reached an origin.
-    pub sent: bool,
-    /// An earlier call may have been executed.
+    /// Set if a call may have reached an origin.
+    pub may_have_reached_origin: bool,
+    /// Set if an earlier call may have been executed.
     pub may_have_run: bool,
-    /// An origin's own error response, passed on if no attempt does better.
+    /// The error response of an origin, passed on if no attempt succeeds.
     pub origin_failure: Option<Reply>,
     /// Origins that failed this request.
     pub failed_origins: Vec<SocketAddr>,
 }
 
-/// What ties a cacheable request to its key.
+/// The cache key of a request and the state of its fetch.
 #[derive(Default)]
 pub struct CacheUse {
     /// Set if the response may be served from a cache.
     pub key: Option<CacheKey>,
-    /// Set if the cache owner made this request its refresher.
+    /// Set if the cache owner made this request the refresher of the key.
     pub fill_grant: Option<FillGrant>,
-    /// The last fetch of a response that others may be served.
+    /// The last fetch of a response that may be served to others.
     pub fetch: Option<Fetch>,
-    /// The response if no cached response of any age is available either.
+    /// The rejection to send if no cached response of any age is available either.
     pub pending_rejection: Option<Rejection>,
 }
 
@@ -84,19 +85,20 @@
 pub struct FillGrant {
     /// The cache owner that issued the token.
     pub owner: SocketAddr,
-    /// The token for the put.
+    /// The token that the put must carry.
     pub token: FillToken,
 }
 
-/// Calls for one request, the first included, if its route sets no limit.
+/// Maximum number of calls for one request, including the first, unless its route
+/// sets a limit.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of a shared response before it arrives.
+/// The fetch of a shared response, before the response arrives.
 #[derive(Debug, Clone, Copy)]
 pub struct Fetch {
-    /// When its fetch started at the latest.
+    /// The latest time at which the fetch can have started.
     pub started_at: Duration,
-    /// The purge version up to which it is clear of all purges.
+    /// The purge version up to which no purge matches the response.
     pub purge_version: u64,
 }
 
@@ -105,7 +107,7 @@
         Exchange {
             id: 0,
             peer: None,
-            sends: 0,
+            send_count: 0,
             sent_at: now,
             resend_at: now,
             last_contact: now,
@@ -114,7 +116,7 @@
 }
 
 impl ActiveRequest {
-    /// A request received now that has not been acted on yet.
+    /// Creates the state of a request that was received now.
     pub fn new(now: Duration, request: ClientRequest) -> ActiveRequest {
         let route_deadline = request.entry().deadline();
         let timeout = request
@@ -138,24 +140,24 @@
         }
     }
 
-    /// The time left before the deadline.
+    /// Returns the time left before the deadline.
     pub fn remaining(&self, now: Duration) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
-    /// Whether its response may be shared with other clients.
+    /// Returns true if the response may be shared with other clients.
     pub fn is_cacheable(&self) -> bool {
         self.request.entry().kind == Kind::Cached
             && !self.request.carries_credentials()
             && self.request.method == "GET"
     }
 
-    /// Whether a call of it to this origin is in flight.
+    /// Returns true if a call to this origin is in flight for the request.
     pub fn is_calling(&self, origin: SocketAddr) -> bool {
         matches!(&self.stage, Stage::Calling { permit, .. } if permit.origin.address == origin)
     }
 
-    /// The ledger change of the request's stage, if it has one.
+    /// Returns the ledger change that the request's stage sends, if any.
     pub fn ledger_change(&self) -> Option<Change> {
         let claim = || self.claim.clone().expect("it has an operation key");
         match &self.stage {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Whether it may be called again after it was sent.
+    /// Returns true if the request may be retried after it may have been executed.
     pub fn is_idempotent(&self) -> bool {
         match self.request.entry().kind {
             Kind::Cached | Kind::Repeatable => true,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Calls that may be made for it, the first included.
+    /// Returns the maximum number of calls for the request, including the first.
     pub fn max_attempts(&self) -> u32 {
         self.request
             .entry()
@@ -183,13 +185,13 @@
             .unwrap_or(DEFAULT_MAX_ATTEMPTS)
     }
 
-    /// Whether one more origin may be called before the deadline.
+    /// Returns true if the attempt limit and the deadline permit another call.
     pub fn may_attempt(&self, now: Duration) -> bool {
         self.attempts.count < self.max_attempts() && now < self.deadline
     }
 
-    /// The outcome before anything was done for it: that of an operation that
-    /// was not looked up is unknown.
+    /// Returns the outcome to report before the first attempt. A keyed operation
+    /// that has not been looked up in the ledger may have run elsewhere.
     pub fn outcome_before_attempt(&self) -> RunState {
         match self.request.entry().kind {
             Kind::Keyed => RunState::Unknown,
@@ -197,28 +199,28 @@
         }
     }
 
-    /// What is known of its execution now.
+    /// Returns the outcome to report after the attempts made so far.
     pub fn outcome(&self) -> RunState {
-        if self.attempts.sent {
+        if self.attempts.may_have_reached_origin {
             RunState::Unknown
         } else {
             RunState::NotRun
         }
     }
 
-    /// A rejection that reports the present outcome.
+    /// Creates a rejection that reports the current outcome.
     pub fn reject(&self, status: u16, code: &str, text: &str) -> Rejection {
         Rejection {
-            nothing_sent: !self.attempts.sent,
+            nothing_sent: !self.attempts.may_have_reached_origin,
             ..Rejection::new(status, code, self.outcome(), text)
         }
     }
 
-    /// The claim on the request's operation key, made by this edge.
+    /// Creates the claim of `claimant` on the request's operation key.
     pub fn claim_of(request: &ClientRequest, claimant: Peer, id: u64) -> Claim {
-        // Neither entry nor service: a changed configuration makes no new
-        // operation of a repeat.
-        let fingerprint = hash_of(&[
+        // Excludes entry and service: a repeated request stays the same operation
+        // when the configuration changes in between.
+        let fingerprint = hash_fields(&[
             request.caller.as_bytes(),
             request.entry_host().as_bytes(),
             request.method.as_bytes(),
@@ -239,8 +241,8 @@
     }
 }
 
-/// A hash of length-prefixed fields, so that none can run into the next.
-fn hash_of(fields: &[&[u8]]) -> CacheKey {
+/// Hashes the fields, each prefixed with its length so that their boundaries matter.
+fn hash_fields(fields: &[&[u8]]) -> CacheKey {
     let mut hash = Sha256::new();
     for field in fields {
         hash.update((field.len() as u64).to_be_bytes());
--- a/data-plane/src/active_request/outgoing_call.rs
+++ b/data-plane/src/active_request/outgoing_call.rs
@@ -1,11 +1,13 @@
-//! The calls that a request makes to origins.
+//! Builds the calls that a request makes to origins.
 use crate::prelude::*;
 
-/// Connections to one origin from this edge, if its group sets no limit.
+/// Maximum number of connections from this edge to one origin, unless its group
+/// sets a limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 256;
-/// An attempt that can be retried may take this many times the usual duration.
+/// Timeout of an attempt that can be retried, as a multiple of the usual duration.
 const USUAL_DURATIONS_PER_ATTEMPT: u32 = 6;
-/// Headers that belong to the client's connection or are set by this edge.
+/// Request headers that are not forwarded to origins: they belong to the client's
+/// connection or are set by this edge.
 const UNFORWARDED_HEADERS: [&str; 12] = [
     "connection",
     "host",
@@ -22,10 +24,9 @@
 ];
 
 impl ActiveRequest {
-    /// The timeout of the next call. A call that may be retried leaves time for
-    /// a retry: an unresponsive origin costs half of the remaining time, unless
-    /// calls usually take so long that several of `usual_duration` need more, of
-    /// which three quarters are the limit.
+    /// Returns the timeout of the next call. A call that may be retried leaves time
+    /// for the retry: it gets half of the remaining time, or a multiple of
+    /// `usual_duration` if that is longer, up to three quarters of the remaining time.
     pub fn call_timeout(&self, now: Duration, usual_duration: Duration) -> Duration {
         let remaining = self.remaining(now);
         let may_retry = self.is_idempotent() && self.attempts.count + 1 < self.max_attempts();
@@ -37,8 +38,8 @@
         }
     }
 
-    /// The call to an origin. A response to be shared is fetched without any
-    /// header of the client, so that it is the same for all clients.
+    /// Builds the call to an origin. A response to be shared is fetched without the
+    /// client's headers, so that it is the same for all clients.
     pub fn call(
         &self,
         now: Duration,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Whether a client's header goes on to the origin.
+/// Returns true if a client's header is forwarded to the origin.
 fn is_forwarded(lowercase_name: &str) -> bool {
     !UNFORWARDED_HEADERS.contains(&lowercase_name)
         && !lowercase_name.starts_with("otterslip-")
--- a/data-plane/src/active_request/stage.rs
+++ b/data-plane/src/active_request/stage.rs
@@ -1,45 +1,45 @@
-//! The stages of a request.
+//! The stages that a request passes through.
 use crate::prelude::*;
 
-/// What an active request waits for.
+/// The stage of an active request, named after the event that it waits for.
 #[derive(Debug, Clone)]
 pub enum Stage {
-    /// The ledger's response to the claim.
+    /// Waits for the ledger's response to the claim.
     AwaitingClaim,
-    /// The cache owner's response.
+    /// Waits for the cache owner's response.
     AwaitingCachedResponse {
-        /// When the stage was entered.
-        since: Duration,
-        /// A stale response is as good as a fresh one.
+        /// The time at which the stage was entered.
+        entered_at: Duration,
+        /// Set if a stale response is as acceptable as a fresh one.
         accepts_any_age: bool,
     },
-    /// Another request at this edge fetches the same key.
+    /// Coalesced: waits for another request at this edge that fetches the same key.
     Following,
-    /// A permit of the admission controller.
+    /// Waits for a permit from the admission controller.
     AwaitingPermit,
-    /// The origin's response.
+    /// Waits for the origin's response.
     Calling {
-        /// The permit of the call.
+        /// The permit under which the call was sent.
         permit: Permit,
-        /// When the call was sent.
-        since: Duration,
+        /// The time at which the call was sent.
+        sent_at: Duration,
     },
-    /// The outcome goes to the ledger, then the response to the client.
+    /// Records the outcome in the ledger, then sends the client its response.
     Recording {
         /// The origin's response, if one arrived.
         reply: Option<Arc<Reply>>,
         /// The client's response.
         response: ClientResponse,
     },
-    /// The claim is released, then the client is sent the rejection.
+    /// Releases the claim, then sends the client the rejection.
     Releasing {
-        /// The client's response.
+        /// The rejection for the client.
         rejection: Rejection,
     },
 }
 
 impl Stage {
-    /// Whether entering this stage sends a request to a peer.
+    /// Returns true if entering this stage sends a request to a peer.
     pub fn starts_work(&self) -> bool {
         matches!(
             self,
@@ -47,7 +47,8 @@
         )
     }
 
-    /// Whether a request in this stage may be rejected in favour of a higher rank.
+    /// Returns true if a request in this stage may be rejected in favour of one
+    /// with a higher rank.
     pub fn may_be_displaced(&self) -> bool {
         matches!(
             self,
@@ -60,8 +61,8 @@
         )
     }
 
-    /// Whether the request waits for a peer or for another request, so that no
-    /// call of it is in flight and nothing remains to be recorded.
+    /// Returns true if the request waits for a peer or for another request: it has
+    /// no call in flight and no outcome to record.
     pub fn is_waiting(&self) -> bool {
         matches!(
             self,
@@ -72,10 +73,10 @@
         )
     }
 
-    /// What the request waits for, for the log.
-    pub fn name(&self) -> &'static str {
+    /// Returns a description of the stage for the log.
+    pub fn description(&self) -> &'static str {
         match self {
-            Stage::AwaitingClaim => "awaiting its claim",
+            Stage::AwaitingClaim => "claiming its operation key",
             Stage::AwaitingCachedResponse {
                 accepts_any_age: false,
                 ..
@@ -84,11 +85,11 @@
                 accepts_any_age: true,
                 ..
             } => "awaiting a cached response of any age",
-            Stage::Following => "following another request",
+            Stage::Following => "coalesced with another request",
             Stage::AwaitingPermit => "awaiting a permit",
-            Stage::Calling { .. } => "awaiting its origin",
-            Stage::Recording { .. } => "awaiting its record",
-            Stage::Releasing { .. } => "awaiting the release of its claim",
+            Stage::Calling { .. } => "awaiting the origin's response",
+            Stage::Recording { .. } => "recording its outcome",
+            Stage::Releasing { .. } => "releasing its claim",
         }
     }
 }
--- a/data-plane/src/coalescer.rs
+++ b/data-plane/src/coalescer.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether any request fetches this key.
-    pub fn is_led(&self, key: &CacheKey) -> bool {
+    pub fn has_leader(&self, key: &CacheKey) -> bool {
         self.groups.contains_key(key)
     }
 
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -1,8 +1,9 @@
-//! What is assigned to this edge: cache partitions and admission control of origin groups.
+//! The assignments of this edge: cache partitions and admission control of origin
+//! groups.
 use super::{EdgeNode, RESEND_INTERVAL};
 use crate::prelude::*;
 
-/// The edges that have a session, as far as it is known here.
+/// The edges that are known to have or to have had a session.
 pub(super) struct EdgeRegistry<'a> {
     /// Edges whose sessions are valid.
     pub(super) members: &'a [Peer],
@@ -14,7 +15,7 @@
 const EDGE_REGISTRY_KEY: &str = "roll";
 
 impl EdgeNode {
-    /// The epoch under which an assignment is granted to this incarnation.
+    /// Returns the epoch under which an assignment is granted to this incarnation.
     fn granted_epoch(&self, assignment: &str) -> Option<u64> {
         self.state
             .assignments
@@ -23,7 +24,7 @@
             .map(|assignment| assignment.epoch)
     }
 
-    /// The edge that owns an assignment now.
+    /// Returns the edge that owns an assignment.
     pub(super) fn assignment_owner(&self, assignment: &str) -> Option<SocketAddr> {
         self.state
             .assignments
@@ -32,7 +33,7 @@
             .map(|peer| peer.address)
     }
 
-    /// The registry of edges, once it is known.
+    /// Returns the registry of edges, once it is known.
     pub(super) fn edge_registry(&self) -> Option<EdgeRegistry<'_>> {
         let row =
             self.state.known_rows[usize::from(ASSIGNMENTS_PARTITION)].get(EDGE_REGISTRY_KEY)?;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes up and drops assignments as they are granted now.
+    /// Acquires and drops assignments to match the current grants.
     pub(super) fn sync_assignments(&mut self, now: Duration) {
         self.sync_partitions(now);
         if let Some(routes) = self.state.routes.clone() {
@@ -92,7 +93,7 @@
         }
         self.request_handovers(now);
         let text = format!(
-            "{} cache slices, before {}",
+            "{} cache partitions, previously {}",
             self.owned_partitions.len(),
             before.len()
         );
@@ -129,7 +130,7 @@
         self.report_calls_in_flight(now, routes);
     }
 
-    /// Drops the admission controllers that are not granted under their epoch.
+    /// Drops the admission controllers whose epoch is no longer granted.
     fn drop_admission_controllers(&mut self, granted: &[(&Group, u64)]) {
         let is_granted = |admission: &AdmissionController| {
             granted.iter().any(|(group, epoch)| {
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Drops the queued requests of edges whose sessions have ended.
-    pub(super) fn forget_departed_edges(&mut self, now: Duration) {
+    /// Removes the queued requests of edges whose sessions have ended.
+    pub(super) fn remove_departed_edges(&mut self, now: Duration) {
         let Some(registry) = self.edge_registry() else {
             return;
         };
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Reports this edge's calls in flight under earlier permits to new admission controllers.
+    /// Reports this edge's calls in flight under earlier permits to new admission
+    /// controllers.
     fn report_calls_in_flight(&mut self, now: Duration, routes: &RouteTable) {
         for group in &routes.document.groups {
             let assignment = self
@@ -209,7 +211,7 @@
         }
     }
 
-    /// A message for one of the assignments that this edge may hold.
+    /// Handles a message for an assignment that this edge may own.
     pub(super) fn handle_assignment_message(
         &mut self,
         now: Duration,
@@ -254,7 +256,7 @@
                 self.cache_owner
                     .get(now, from.address, get, *epoch, applied)
             }
-            // The partition is being moved: each request fetches for itself.
+            // The partition is being reassigned: each request fetches for itself.
             None => {
                 let CacheGet { id, key, .. } = get;
                 self.send(from.address, CacheUnavailable { id, key })
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -1,34 +1,34 @@
-//! Requests that are served cached responses: from the near cache, or by the cache owner.
+//! Requests that are served cached responses, from the near cache or by the cache owner.
 //!
-//! Of all requests here that miss the same key one is sent to the owner; the others
-//! follow it (`Coalescer`). What it gets is stored (`NearCache`) and serves them
-//! all. An owner that does not respond is bypassed.
+//! Of all requests at this edge that miss the same key, one is sent to the owner and
+//! the others wait for it (`Coalescer`). Its response is stored (`NearCache`) and
+//! serves them all. An owner that does not respond is bypassed.
 use super::{EdgeNode, PURGE_GRACE};
 use crate::active_request::{is_cacheable_status, is_shareable};
 use crate::cache_owner::{REFRESH_TIMEOUT, minor_lifetime};
 use crate::prelude::*;
 
-/// What a request that waits for a cached response waits for.
+/// The fields of `Stage::AwaitingCachedResponse`.
 struct CacheWait {
-    since: Duration,
+    entered_at: Duration,
     accepts_any_age: bool,
 }
 
-/// A response that an origin sent for a key.
+/// An origin's response for a key.
 struct FetchedResponse {
     key: CacheKey,
     reply: Reply,
     fetch: Fetch,
     ttl: Duration,
-    /// It may not be served to other clients.
+    /// Set if the response may not be served to other clients.
     is_private: bool,
-    /// It may be stored in a cache.
+    /// Set if the response may be stored in a cache.
     is_cacheable: bool,
 }
 
 impl EdgeNode {
-    /// The near response that this request is served at once, if there is one: a
-    /// fresh one, or any while another request is at the owner.
+    /// Returns the near cache response that serves this request at once, if any: a
+    /// fresh one, or a stale one while another request refreshes it.
     pub(super) fn near_cache_response(
         &mut self,
         now: Duration,
@@ -37,57 +37,61 @@
         let key = active.cache.key?;
         let ttl = active.request.entry().cache_ttl();
         match self.near_cache.look_up(now, &key, ttl) {
-            NearLookup::Fresh { reply, age } => Some(ClientResponse::cached(reply, age)),
-            NearLookup::Stale { reply, age } if self.coalescer.is_led(&key) => {
+            NearCacheLookup::Fresh { reply, age } => Some(ClientResponse::cached(reply, age)),
+            NearCacheLookup::Stale { reply, age } if self.coalescer.has_leader(&key) => {
                 Some(ClientResponse::cached(reply, age))
             }
             _ => None,
         }
     }
 
-    /// Any near response that may still be served, for a request whose owner or
-    /// origin does not respond.
-    pub(super) fn any_near_response(&mut self, now: Duration, id: u64) -> Option<ClientResponse> {
+    /// Returns any near cache response that may still be served, for a request whose
+    /// owner or origin does not respond.
+    pub(super) fn any_near_cache_response(
+        &mut self,
+        now: Duration,
+        id: u64,
+    ) -> Option<ClientResponse> {
         let active = self.active_requests.get(&id)?;
         let ttl = active.request.entry().cache_ttl();
         match self.near_cache.look_up(now, &active.cache.key?, ttl) {
-            NearLookup::Fresh { reply, age } | NearLookup::Stale { reply, age } => {
+            NearCacheLookup::Fresh { reply, age } | NearCacheLookup::Stale { reply, age } => {
                 Some(ClientResponse::cached(reply, age))
             }
-            NearLookup::Missing => None,
+            NearCacheLookup::Missing => None,
         }
     }
 
-    /// Serves a near response, or calls the origin, in place of an owner that
-    /// does not respond.
+    /// Bypasses an owner that does not respond: serves a near cache response or calls
+    /// the origin.
     pub(super) fn fetch_without_owner(&mut self, now: Duration, id: u64) {
-        if let Some(response) = self.any_near_response(now, id) {
+        if let Some(response) = self.any_near_cache_response(now, id) {
             return self.finish(now, id, response);
         }
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
 
-    /// The stage of a request that misses the key here.
+    /// Adds a request that missed the near cache to its group and returns its stage.
     pub(super) fn join_group(&mut self, now: Duration, id: u64, key: CacheKey) -> Stage {
         match self.coalescer.join(key, id) {
             GroupRole::Leader => Stage::AwaitingCachedResponse {
-                since: now,
+                entered_at: now,
                 accepts_any_age: false,
             },
             GroupRole::Follower => Stage::Following,
         }
     }
 
-    /// The request leads its group from now on.
-    fn lead_group(&mut self, now: Duration, id: u64) {
+    /// Makes the request the leader of its group.
+    fn become_leader(&mut self, now: Duration, id: u64) {
         let stage = Stage::AwaitingCachedResponse {
-            since: now,
+            entered_at: now,
             accepts_any_age: false,
         };
         self.enter_stage(now, id, stage);
     }
 
-    /// Sends all followers of this request its response.
+    /// Sends the request's response to all of its followers.
     fn respond_to_followers(
         &mut self,
         now: Duration,
@@ -100,8 +104,9 @@
         }
     }
 
-    /// The request has ended: its followers are rejected as it was, if it was
-    /// rejected uncalled and in time; else the next one leads.
+    /// Removes a request that has ended from its group. If it was rejected before its
+    /// deadline without a call, its followers get the same rejection; otherwise the
+    /// next one becomes the leader.
     pub(super) fn remove_from_group(
         &mut self,
         now: Duration,
@@ -115,16 +120,16 @@
         if is_rejected_uncalled && now < active.deadline && self.coalescer.leads(&key, id) {
             self.respond_to_followers(now, id, &key, response);
         } else if let Some(next) = self.coalescer.remove(&key, id) {
-            self.lead_group(now, next);
+            self.become_leader(now, next);
         } else if let Some(leader) = self.coalescer.leader(&key) {
-            // It may have gone on for this follower only.
+            // The leader may have continued only for this follower.
             self.stop_if_abandoned(now, leader);
         }
     }
 
-    /// The followers of a request whose call takes too long get another leader.
+    /// Replaces leaders whose calls take too long, if they have followers.
     pub(super) fn replace_stalled_leaders(&mut self, now: Duration) {
-        let is_stalled = |active: &ActiveRequest| matches!(&active.stage, Stage::Calling { since, .. } if now >= *since + REFRESH_TIMEOUT);
+        let is_stalled = |active: &ActiveRequest| matches!(&active.stage, Stage::Calling { sent_at, .. } if now >= *sent_at + REFRESH_TIMEOUT);
         let stalled: Vec<(u64, CacheKey)> = self
             .active_requests
             .iter()
@@ -134,12 +139,12 @@
             .collect();
         for (id, key) in stalled {
             if let Some(next) = self.coalescer.remove(&key, id) {
-                self.lead_group(now, next);
+                self.become_leader(now, next);
             }
         }
     }
 
-    /// An origin's response to a cacheable request.
+    /// Handles an origin's response to a cacheable request.
     pub(super) fn handle_fetched(&mut self, now: Duration, id: u64, key: CacheKey, reply: Reply) {
         let active = self.active_requests.get_mut(&id).expect("just found");
         let is_private = !is_shareable(&reply);
@@ -155,8 +160,8 @@
             reply,
         };
         let grant = active.cache.fill_grant.take();
-        // A response fetched before a purge that matches it is good for its own
-        // client while the purge is recent, then it is fetched anew.
+        // A response that was fetched before a purge that matches it may be sent to
+        // its own client while the purge is recent. After that it is fetched again.
         let name = active.cache_entry_name(&fetched.reply);
         let purged_at = self
             .state
@@ -166,7 +171,7 @@
             self.report_fill(grant, &fetched);
         }
         if purged_at.is_some_and(|purged_at| now >= purged_at + PURGE_GRACE) {
-            return self.lead_group(now, id);
+            return self.become_leader(now, id);
         }
         let age = now.saturating_sub(fetched.fetch.started_at);
         let response = ClientResponse::cached(fetched.reply.clone(), age);
@@ -174,15 +179,15 @@
             self.store_fetched(now, id, &fetched);
             self.respond_to_followers(now, id, &key, &response);
         } else if fetched.is_private {
-            // Each of them fetches its own.
+            // Each follower fetches for itself.
             for follower in self.coalescer.dissolve(&key, id) {
-                self.lead_group(now, follower);
+                self.become_leader(now, follower);
             }
         }
         self.finish(now, id, response);
     }
 
-    /// Sends the cache owner what its refresher fetched.
+    /// Sends the result of a refresh to the cache owner.
     fn report_fill(&mut self, grant: FillGrant, fetched: &FetchedResponse) {
         let FillGrant { owner, token } = grant;
         let key = fetched.key;
@@ -213,27 +218,28 @@
         self.near_cache.put(now, fetched.key, entry);
     }
 
-    /// The owner confirms that the request waits there.
+    /// Handles the owner's confirmation that the request is queued.
     pub(super) fn handle_get_queued(&mut self, now: Duration, queued: CacheGetQueued) {
         self.record_contact(now, queued.id);
     }
 
-    /// What the request waits for, if it waits for a cached response of this key.
+    /// Returns the fields of the request's stage if it waits for a cached response of
+    /// this key.
     fn cache_wait(&self, id: u64, key: CacheKey) -> Option<CacheWait> {
         let active = self.active_requests.get(&id)?;
         match active.stage {
             Stage::AwaitingCachedResponse {
-                since,
+                entered_at,
                 accepts_any_age,
             } if active.cache.key == Some(key) => Some(CacheWait {
-                since,
+                entered_at,
                 accepts_any_age,
             }),
             _ => None,
         }
     }
 
-    /// The owner sends the cached response.
+    /// Handles a cached response from the owner.
     pub(super) fn handle_cache_copy(&mut self, now: Duration, copy: CacheCopy) {
         let CacheCopy {
             id: exchange,
@@ -249,9 +255,9 @@
         };
         let active = &self.active_requests[&id];
         let name = active.cache_entry_name(&cached.reply);
-        let network_delay = (now - wait.since).saturating_sub(cached.owner_delay);
+        let network_delay = (now - wait.entered_at).saturating_sub(cached.owner_delay);
         let age = cached.age + network_delay;
-        // The owner may not know of a time-to-live that became shorter.
+        // The owner may not know yet that the time-to-live was shortened.
         let ttl = active.request.entry().cache_ttl();
         let remaining_ttl = cached
             .remaining_ttl
@@ -259,7 +265,7 @@
             .min(ttl.saturating_sub(age));
         if remaining_ttl.is_zero() || !self.state.purge_log.is_clear(cached.purge_version, name) {
             let stage = Stage::AwaitingCachedResponse {
-                since: now,
+                entered_at: now,
                 accepts_any_age: wait.accepts_any_age,
             };
             return self.enter_stage(now, id, stage);
@@ -281,7 +287,7 @@
         self.finish(now, id, response);
     }
 
-    /// The owner makes the request the refresher of the key.
+    /// Handles the owner's message that makes the request the refresher of the key.
     pub(super) fn handle_cache_miss(&mut self, now: Duration, from: Peer, miss: CacheMiss) {
         let CacheMiss {
             id: exchange,
@@ -315,7 +321,7 @@
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
 
-    /// The owner has no response to share.
+    /// Handles the owner's message that it has no response to share.
     pub(super) fn handle_cache_unavailable(
         &mut self,
         now: Duration,
@@ -331,7 +337,7 @@
         }
     }
 
-    /// No cached response of any age is available for a request that failed.
+    /// Ends a failed request for which no cached response of any age is available.
     pub(super) fn finish_failed_fallback(&mut self, now: Duration, id: u64) {
         let rejection = self
             .active_requests
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -1,9 +1,9 @@
-//! Calls to origins: permits, the ends of calls and retries.
+//! Calls to origins: permits, call outcomes and retries.
 use super::EdgeNode;
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// An admission controller grants a permit.
+    /// Handles a permit that an admission controller has granted.
     pub(super) fn handle_permit(&mut self, now: Duration, from: Peer, permit: Permit) {
         let waiting = self
             .complete_exchange(permit.id)
@@ -13,8 +13,9 @@
             _ => {
                 self.return_permit(from.address, permit);
                 if let Some(active) = waiting.and_then(|id| self.active_requests.get_mut(&id)) {
-                    // With the next tick, not at once: an admission controller that does not know
-                    // of a draining origin yet would grant it again and again.
+                    // Requests another permit on the next tick, not at once: an admission
+                    // controller that does not know yet that an origin is draining would
+                    // grant that origin over and over.
                     active.exchange.resend_at = now;
                 }
             }
@@ -28,7 +29,7 @@
             && now < active.deadline
     }
 
-    /// Whether a call may be sent under this permit now.
+    /// Returns true if a call may be sent under this permit now.
     fn is_usable(&self, now: Duration, permit: &Permit) -> bool {
         let age = now
             .saturating_sub(permit.sent)
@@ -52,7 +53,7 @@
         self.send(controller, unused);
     }
 
-    /// Sends the request's call, under an id of its own.
+    /// Sends the request's call under a new exchange id.
     fn send_call(&mut self, now: Duration, id: u64, permit: Permit) {
         let exchange = self.start_exchange(now, id);
         let is_shutting_down = self.shutdown_requested_at.is_some();
@@ -71,19 +72,22 @@
             purpose,
         );
         if is_shutting_down {
-            // No retry follows: another origin may not be reached in time.
+            // No retry follows: another origin might not respond in time.
             call.timeout = active.remaining(now);
         }
         active.attempts.count += 1;
-        active.attempts.sent = true;
+        active.attempts.may_have_reached_origin = true;
         self.usage.calls += 1;
         self.usage.retries += u64::from(active.attempts.count > 1);
-        active.stage = Stage::Calling { permit, since: now };
+        active.stage = Stage::Calling {
+            permit,
+            sent_at: now,
+        };
         self.outputs.push(Output::Call { id: exchange, call });
     }
 
-    /// Gives calls in flight all the time that is left: after a shutdown request
-    /// none is retried.
+    /// Extends the timeouts of calls in flight to their deadlines, since no call is
+    /// retried after a shutdown request.
     pub(super) fn extend_call_timeouts(&mut self, now: Duration) {
         let calls = self
             .active_requests
@@ -98,13 +102,13 @@
         self.outputs.extend(calls);
     }
 
-    /// The admission controller confirms that the request is queued.
+    /// Handles the admission controller's confirmation that the request is queued.
     pub(super) fn handle_permit_queued(&mut self, now: Duration, exchange: u64) {
         self.record_contact(now, exchange);
     }
 
-    /// Sends a first call without a permit, within the fallback quota, where the admission
-    /// controller does not respond.
+    /// Sends a first attempt without a permit, within the fallback quota, because the
+    /// admission controller does not respond.
     pub(super) fn call_without_permit(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get(&id).filter(|active| {
             active.attempts.count == 0
@@ -150,7 +154,7 @@
         self.send_call(now, id, permit);
     }
 
-    /// An admission controller refuses a permit.
+    /// Handles an admission controller's refusal of a permit.
     pub(super) fn handle_permit_refused(&mut self, now: Duration, refused: PermitRefused) {
         let Some(id) = self.complete_exchange(refused.id) else {
             return;
@@ -160,7 +164,7 @@
             return;
         }
         let rejection = match refused.reason {
-            // The assignment is being moved.
+            // The assignment is being moved to another edge.
             PermitRefusalReason::NotOwner => return self.call_without_permit(now, id),
             PermitRefusalReason::Overloaded => active.reject(
                 429,
@@ -181,7 +185,7 @@
         self.fail_request(now, id, rejection.with_retry_after(refused.retry_after));
     }
 
-    /// A call or a probe has ended.
+    /// Handles the end of a call or a probe.
     pub(super) fn handle_call_completed(&mut self, now: Duration, id: u64, outcome: CallOutcome) {
         if self.probes_in_flight.contains_key(&id) {
             return self.handle_probe_result(now, id, outcome);
@@ -191,16 +195,16 @@
         }
     }
 
-    /// The call that a request waits for has ended.
+    /// Handles the end of the call that a request waits for.
     pub(super) fn complete_call(&mut self, now: Duration, id: u64, outcome: CallOutcome) {
         let Some(ActiveRequest {
-            stage: Stage::Calling { permit, since },
+            stage: Stage::Calling { permit, sent_at },
             ..
         }) = self.active_requests.get(&id)
         else {
             return;
         };
-        let (permit, took) = (permit.clone(), now - *since);
+        let (permit, took) = (permit.clone(), now - *sent_at);
         let origin = permit.origin.address;
         let has_failed = !matches!(outcome, CallOutcome::Success(_) | CallOutcome::NotSent);
         if permit.epoch == FALLBACK_EPOCH && has_failed {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Reports to the admission controller how a call under its permit has ended.
+    /// Reports the result of a call to the admission controller that granted its permit.
     pub(super) fn report_call_done(&mut self, permit: &Permit, result: CallResult, took: Duration) {
         if let Some(controller) = self.assignment_owner(&admission_assignment(&permit.service)) {
             let done = CallDone {
@@ -240,7 +244,8 @@
         }
     }
 
-    /// Whether another origin may be called after one executed it and failed.
+    /// Returns true if the request may be retried after an origin executed it and
+    /// failed.
     fn may_retry(&self, now: Duration, id: u64) -> bool {
         let active = &self.active_requests[&id];
         active.is_idempotent() && active.may_attempt(now)
@@ -260,25 +265,25 @@
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
 
-    /// The call was not sent: it does not count as an attempt.
+    /// Retries a call that was not sent. It does not count as an attempt.
     fn retry_unsent(&mut self, now: Duration, id: u64) {
         let active = self.active_requests.get_mut(&id).expect("just found");
-        active.attempts.sent = active.attempts.may_have_run;
+        active.attempts.may_have_reached_origin = active.attempts.may_have_run;
         active.attempts.count -= 1;
         let rejection = active.reject(503, "no_origin", "the call was withheld");
         self.retry_or_fail(now, id, rejection);
     }
 
-    /// The call was not executed; an earlier one may have been.
+    /// Retries a call that was not executed. An earlier one may have been.
     fn retry_unexecuted(&mut self, now: Duration, id: u64, origin: SocketAddr) {
         let active = self.active_requests.get_mut(&id).expect("just found");
-        active.attempts.sent = active.attempts.may_have_run;
+        active.attempts.may_have_reached_origin = active.attempts.may_have_run;
         active.attempts.failed_origins.push(origin);
         let rejection = active.reject(503, "no_origin", "the origin did not take it");
         self.retry_or_fail(now, id, rejection);
     }
 
-    /// The call may have been executed.
+    /// Retries a call that may have been executed, if the request is idempotent.
     fn retry_failed(&mut self, now: Duration, id: u64, origin: SocketAddr) {
         let active = self.active_requests.get_mut(&id).expect("just found");
         active.attempts.may_have_run = true;
@@ -303,7 +308,7 @@
         }
     }
 
-    /// The origin's response is passed on, after it was recorded or stored.
+    /// Handles an origin's response: records or stores it, then sends it to the client.
     fn handle_success(&mut self, now: Duration, id: u64, reply: Reply) {
         let active = &self.active_requests[&id];
         if active.claim.is_some() {
@@ -320,7 +325,7 @@
     }
 }
 
-/// A call's outcome as it is reported to the admission controller.
+/// Converts a call's outcome to the result reported to the admission controller.
 fn call_result(outcome: &CallOutcome) -> CallResult {
     match outcome {
         CallOutcome::Success(_) => CallResult::Success,
--- a/data-plane/src/edge_node/departures.rs
+++ b/data-plane/src/edge_node/client_disconnects.rs
@@ -1,28 +1,28 @@
-//! Requests whose clients have disconnected before their response.
+//! Requests whose clients disconnect before they get a response.
 //!
-//! No further message or call is sent for such a request, and a call that may be
-//! retried is cancelled, unless others gain by it: requests that wait for the
-//! same response, or the cache owner that made this one its refresher. An
-//! operation that may have been executed goes on until its outcome is recorded.
+//! No further message or call is sent for such a request, and an idempotent call is
+//! cancelled, unless others need the result: requests that wait for the same response,
+//! or the cache owner that made this request the refresher. An operation that may
+//! have been executed continues until its outcome is recorded.
 use super::{EdgeNode, LOCAL_ID_BIT};
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// The close of the client's connection was read.
+    /// Handles the end of the client's connection.
     pub(super) fn handle_client_disconnect(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
         active.client_disconnected = true;
         let service = &active.request.service;
-        let text = format!("request {id} {service} {}", active.stage.name());
+        let text = format!("request {id} {service} {}", active.stage.description());
         self.usage.client_disconnects += 1;
         self.abandoned_work.client_disconnected(now, id);
         self.log_event(Event::ClientDisconnected, text);
         self.stop_if_abandoned(now, id);
     }
 
-    /// Whether no client or peer gains any more by what this request waits for.
+    /// Returns true if no client or peer needs the result of this request any more.
     pub(super) fn is_abandoned(&self, id: u64) -> bool {
         let Some(active) = self
             .active_requests
@@ -31,12 +31,12 @@
         else {
             return false;
         };
-        let is_followed =
+        let has_followers =
             |key: CacheKey| self.coalescer.leads(&key, id) && self.coalescer.has_followers(&key);
-        active.cache.fill_grant.is_none() && !active.cache.key.is_some_and(is_followed)
+        active.cache.fill_grant.is_none() && !active.cache.key.is_some_and(has_followers)
     }
 
-    /// Ends what the request waits for, if none gains by it.
+    /// Stops the request if it is abandoned and may be stopped in its stage.
     pub(super) fn stop_if_abandoned(&mut self, now: Duration, id: u64) {
         if !self.is_abandoned(id) {
             return;
@@ -46,24 +46,24 @@
             Stage::AwaitingCachedResponse { .. } | Stage::Following | Stage::AwaitingPermit => {
                 self.finish_abandoned(now, id)
             }
-            Stage::Calling { permit, since } => {
+            Stage::Calling { permit, sent_at } => {
                 if self.call_purpose(active) == CallPurpose::Client {
-                    let (permit, took) = (permit.clone(), now - *since);
+                    let (permit, took) = (permit.clone(), now - *sent_at);
                     let call = active.exchange.id;
                     self.outputs.push(Output::CancelCall { id: call });
                     self.report_call_done(&permit, CallResult::Cancelled, took);
                     self.finish_abandoned(now, id);
                 }
             }
-            // A claim in flight is released once it is known to be held.
+            // A claim in flight is released once the ledger has confirmed it.
             Stage::AwaitingClaim => {}
             // The ledger must be notified of the outcome.
             Stage::Recording { .. } | Stage::Releasing { .. } => {}
         }
     }
 
-    /// Ends an abandoned request; a claim is released first. The
-    /// response is for a client that only shut down its writing side.
+    /// Ends an abandoned request, after its claim is released. The rejection is for a
+    /// client that has only shut down its writing side.
     pub(super) fn finish_abandoned(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
         let rejection = active.reject(
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Withdraws the request's message from an admission controller or cache owner that has not
-    /// responded yet.
+    /// Withdraws the request's message from an admission controller or cache owner that
+    /// has not responded yet.
     pub(super) fn withdraw_exchange(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        // After the deadline it does not count there any more.
+        // After the deadline the peer has dropped the message itself.
         let peer = active.exchange.peer.take();
         let Some(peer) = peer.filter(|_| now < active.deadline) else {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// For whom the request's call is made now.
+    /// Returns the purpose of a call made for the request now.
     pub(super) fn call_purpose(&self, active: &ActiveRequest) -> CallPurpose {
         match active.cache.key {
             Some(key)
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Shows the check of abandoned work the calls that start and end with this step.
+    /// Passes the calls that this step starts and cancels to the check for abandoned
+    /// work.
     pub(super) fn observe_calls(&mut self, now: Duration) {
         let mut violations = Vec::new();
         for output in &self.outputs {
@@ -133,7 +134,7 @@
         self.report_abandoned_work(violations);
     }
 
-    /// Looks for abandoned calls that go on for too long.
+    /// Checks for abandoned calls that have continued for too long.
     pub(super) fn check_abandoned_work(&mut self, now: Duration) {
         let active_requests = &self.active_requests;
         let violations = self
--- a/data-plane/src/edge_node/deadlines.rs
+++ b/data-plane/src/edge_node/deadlines.rs
@@ -1,11 +1,12 @@
-//! Requests whose deadline has passed, or whose edge is about to exit.
+//! Ends requests whose deadline has passed, or whose edge is about to exit.
 use super::{EdgeNode, RECORDING_GRACE};
 use crate::prelude::*;
 
+/// The text of rejections sent when the ledger does not respond.
 const NO_LEDGER_TEXT: &str = "the ledger could not be reached";
 
 impl EdgeNode {
-    /// The request's deadline has passed, or the edge is about to exit.
+    /// Ends a request whose deadline has passed or that must end before the edge exits.
     pub(super) fn handle_deadline(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get(&id) else {
             return;
@@ -23,7 +24,7 @@
             }
             Stage::AwaitingPermit => self.abandon_permit(now, id),
             Stage::Calling { .. } if is_grace_over => {
-                let outcome = CallOutcome::Failure("no answer in time".into());
+                let outcome = CallOutcome::Failure("no response before the deadline".into());
                 self.complete_call(now, id, outcome);
             }
             Stage::Recording { .. } if is_grace_over => {
@@ -42,11 +43,12 @@
         }
     }
 
-    /// The claim may be held by now: it is released later.
+    /// Ends a request without a response to its claim. The claim may be held, so it is
+    /// released later.
     fn abandon_claim(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
         let change = Change::Release(active.claim.clone().expect("keyed"));
-        let rejection = if active.exchange.sends > 1 {
+        let rejection = if active.exchange.send_count > 1 {
             Rejection::unknown(
                 409,
                 "in_progress",
@@ -69,28 +71,29 @@
         let is_refresher = active.cache.fill_grant.is_some();
         self.fail_request(now, id, rejection);
         if is_refresher {
-            // No time is left to get a cached response.
+            // There is no time left to wait for a cached response.
             self.finish_failed_fallback(now, id);
         }
     }
 
-    /// The ledger is notified later.
+    /// Ends a request whose outcome or release the ledger has not confirmed. The change
+    /// is sent until it is confirmed.
     fn finish_unrecorded(&mut self, now: Duration, id: u64, rejection: Rejection) {
         let change = self.active_requests[&id].ledger_change();
         self.send_until_confirmed(now, change.expect("it is being recorded"));
         self.finish_rejected(now, id, rejection);
     }
 
-    /// Whether the process exits so soon that unsent requests are rejected: the
-    /// second half of the grace time is for calls in flight and for responses to
-    /// be written.
+    /// Returns true if the process exits so soon that unsent requests are rejected. The
+    /// second half of the shutdown grace is reserved for calls in flight and for writing
+    /// responses.
     pub(super) fn is_rejecting_unsent(&self, now: Duration) -> bool {
         self.shutdown_requested_at
             .is_some_and(|since| now >= since + self.shutdown_grace / 2)
     }
 
-    /// Every request gets a response before the process exits: those that still
-    /// wait are rejected in time. Calls in flight go on.
+    /// Rejects the requests that still wait shortly before the process exits, so that
+    /// every request gets a response. Calls in flight continue.
     pub(super) fn reject_waiting_before_exit(&mut self, now: Duration) {
         if !self.is_rejecting_unsent(now) {
             return;
--- a/data-plane/src/edge_node/handover.rs
+++ b/data-plane/src/edge_node/handover.rs
@@ -1,19 +1,19 @@
-//! Handover of cached responses when cache partitions are reassigned.
+//! Handover of cached responses between the owners of a reassigned cache partition.
 use super::EdgeNode;
 use crate::prelude::*;
 
-/// A partition taken over, whose responses its previous owner may have.
+/// A newly owned partition whose responses the previous owner may still have.
 pub(super) struct PendingHandover {
     previous_owner: SocketAddr,
-    /// How often they were requested.
-    requests: u32,
+    /// Number of times the responses were requested.
+    request_count: u32,
 }
 
-/// The limit of requests to a previous owner, a tick apart.
+/// Maximum number of requests to a previous owner, sent one tick apart.
 const MAX_HANDOVER_REQUESTS: u32 = 4;
 
 impl EdgeNode {
-    /// Notes to request a partition's responses from its previous owner.
+    /// Schedules the request for a partition's responses to its previous owner.
     pub(super) fn plan_handover(&mut self, partition: u16) {
         let previous_owner = self
             .state
@@ -24,19 +24,19 @@
         if let Some(previous_owner) = previous_owner {
             let pending = PendingHandover {
                 previous_owner: previous_owner.address,
-                requests: 0,
+                request_count: 0,
             };
             self.pending_handovers.insert(partition, pending);
         }
     }
 
-    /// Requests responses from previous owners, a few times.
+    /// Sends the pending handover requests to previous owners.
     pub(super) fn request_handovers(&mut self, now: Duration) {
         self.pending_handovers
-            .retain(|_, pending| pending.requests < MAX_HANDOVER_REQUESTS);
+            .retain(|_, pending| pending.request_count < MAX_HANDOVER_REQUESTS);
         let mut requests = Vec::new();
         for (partition, pending) in &mut self.pending_handovers {
-            pending.requests += 1;
+            pending.request_count += 1;
             let epoch = self.owned_partitions.get(partition).copied().unwrap_or(0);
             let request = HandoverRequest {
                 partition: *partition,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next owner of a partition requests its responses.
+    /// Handles the request of a partition's next owner for its responses.
     pub(super) fn handle_handover_request(
         &mut self,
         now: Duration,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The previous owner of a partition sends its responses.
+    /// Handles the responses that the previous owner of a partition sends.
     pub(super) fn handle_handover_reply(&mut self, now: Duration, reply: HandoverReply) {
         let HandoverReply {
             partition,
--- a/data-plane/src/edge_node/ledger_changes.rs
+++ b/data-plane/src/edge_node/ledger_changes.rs
@@ -1,15 +1,15 @@
-//! Changes of keyed requests in the ledger.
+//! Changes that keyed requests make in the ledger.
 use super::{EdgeNode, MAX_COMPLETED_OPERATIONS, RESEND_INTERVAL};
 use crate::prelude::*;
 
-/// A change that the ledger has not confirmed yet, though no request waits for it.
+/// A change that the ledger has not confirmed yet and that no request waits for.
 pub(super) struct UnconfirmedChange {
     change: Change,
     resend_at: Duration,
-    sends: usize,
+    send_count: usize,
 }
 
-/// An operation of this edge that was recorded, in case the control plane loses it.
+/// A completed operation of this edge, kept in case the control plane loses its record.
 pub(super) struct CompletedOperation {
     completed_at: Duration,
     claim: Claim,
@@ -17,9 +17,9 @@
 }
 
 impl EdgeNode {
-    /// Sends the ledger a change, first through the control node that responded last, then
-    /// through the others in turn.
-    pub(super) fn send_change(&mut self, exchange: u64, sends: usize, change: Change) {
+    /// Sends a change to the ledger: first through the control node that renewed this
+    /// edge's lease last, then through the others in turn.
+    pub(super) fn send_change(&mut self, exchange: u64, send_count: usize, change: Change) {
         let partition = match &change {
             Change::Claim(claim) | Change::Release(claim) | Change::RecordOutcome(claim, _) => {
                 ledger_partition(&claim.operation)
@@ -31,7 +31,7 @@
             .last_renewed()
             .and_then(|last| self.control_nodes.iter().position(|node| *node == last))
             .unwrap_or(0);
-        let index = (first + sends.saturating_sub(1)) % self.control_nodes.len();
+        let index = (first + send_count.saturating_sub(1)) % self.control_nodes.len();
         let request = ChangeRequest {
             hops: 0,
             requester: self.local_peer.address,
@@ -42,13 +42,8 @@
         self.send(self.control_nodes[index], request);
     }
 
-    /// Remembers the outcome of a keyed request's operation.
-    pub(super) fn remember_completed(
-        &mut self,
-        now: Duration,
-        id: u64,
-        reply: &Option<Arc<Reply>>,
-    ) {
+    /// Keeps the outcome of a keyed request's operation.
+    pub(super) fn record_completed(&mut self, now: Duration, id: u64, reply: &Option<Arc<Reply>>) {
         let claim = self
             .active_requests
             .get(&id)
@@ -68,7 +63,7 @@
         });
     }
 
-    /// Reports the remembered operations to a control plane that may have lost them.
+    /// Reports the completed operations to a control plane that may have lost them.
     pub(super) fn resend_completed_operations(&mut self) {
         let changes: Vec<Change> = self
             .completed_operations
@@ -82,7 +77,7 @@
         }
     }
 
-    /// The ledger's response to a change.
+    /// Handles the ledger's response to a change.
     pub(super) fn handle_change_reply(&mut self, now: Duration, reply: ChangeReply) {
         let ChangeReply {
             id: exchange,
@@ -99,11 +94,11 @@
         };
         let active = &self.active_requests[&id];
         match &active.stage {
-            // The control node is partitioned: the change is sent to the next one at once,
-            // once to each.
+            // The control node has no majority: the change is sent to the next node at
+            // once, and only once to each.
             Stage::AwaitingClaim | Stage::Recording { .. } | Stage::Releasing { .. }
                 if matches!(outcome, ChangeOutcome::NoMajority)
-                    && active.exchange.sends < self.control_nodes.len() =>
+                    && active.exchange.send_count < self.control_nodes.len() =>
             {
                 self.send_stage_message(now, id)
             }
@@ -115,7 +110,7 @@
         }
     }
 
-    /// The ledger's response to a claim.
+    /// Handles the ledger's response to a claim.
     fn handle_claim_outcome(&mut self, now: Duration, id: u64, outcome: ChangeOutcome) {
         match outcome {
             ChangeOutcome::Claimed => self.enter_stage(now, id, Stage::AwaitingPermit),
@@ -143,7 +138,7 @@
         }
     }
 
-    /// The operation was claimed before, by the same request.
+    /// Handles the state of an operation that the same request has claimed before.
     fn handle_operation_state(&mut self, now: Duration, id: u64, state: OperationState) {
         match state {
             OperationState::Done(reply) => {
@@ -160,14 +155,14 @@
                 rejection.retry_after_s = None;
                 self.finish_rejected(now, id, rejection);
             }
-            // It runs elsewhere. The claim is sent again until the deadline,
-            // unless the client has disconnected.
+            // The operation runs elsewhere. The claim is sent again until the
+            // deadline, unless the client has disconnected.
             _ if self.active_requests[&id].client_disconnected => self.handle_deadline(now, id),
             _ => {}
         }
     }
 
-    /// The ledger's response to a record or a release.
+    /// Handles the ledger's response to a recorded outcome or a release.
     fn handle_record_outcome(&mut self, now: Duration, id: u64, outcome: &ChangeOutcome) {
         match (&self.active_requests[&id].stage, outcome) {
             (Stage::Recording { response, .. }, ChangeOutcome::Recorded) => {
@@ -187,18 +182,18 @@
         }
     }
 
-    /// Sends the change until the ledger confirms it, though no request waits for it.
+    /// Sends a change that no request waits for until the ledger confirms it.
     pub(super) fn send_until_confirmed(&mut self, now: Duration, change: Change) {
         let exchange = self.next_id();
         let unconfirmed = UnconfirmedChange {
             change,
             resend_at: now,
-            sends: 0,
+            send_count: 0,
         };
         self.unconfirmed_changes.insert(exchange, unconfirmed);
     }
 
-    /// Sends the unconfirmed changes that are due.
+    /// Resends the unconfirmed changes that are due.
     pub(super) fn resend_unconfirmed_changes(&mut self, now: Duration) {
         let due: Vec<u64> = self
             .unconfirmed_changes
@@ -212,9 +207,9 @@
                 .get_mut(&exchange)
                 .expect("just listed");
             unconfirmed.resend_at = now + RESEND_INTERVAL;
-            unconfirmed.sends += 1;
-            let (sends, change) = (unconfirmed.sends, unconfirmed.change.clone());
-            self.send_change(exchange, sends, change);
+            unconfirmed.send_count += 1;
+            let (send_count, change) = (unconfirmed.send_count, unconfirmed.change.clone());
+            self.send_change(exchange, send_count, change);
         }
     }
 }
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -1,9 +1,9 @@
-//! An edge node as a state machine without I/O.
+//! The state machine of an edge node. It does no I/O.
 mod assignments;
 mod cached;
 mod calls;
+mod client_disconnects;
 mod deadlines;
-mod departures;
 mod handover;
 mod ledger_changes;
 mod probes;
@@ -18,97 +18,100 @@
 use ledger_changes::{CompletedOperation, UnconfirmedChange};
 use replicated_state::ReplicatedState;
 
-/// An edge node without its I/O. Invariants:
+/// The state machine of an edge node. Invariants:
 /// - `state.version_vector` holds, for each partition of the published state, the
-///   version that was applied completely; it never decreases within a generation.
-/// - Assignments are exercised only while live and only under the epoch that the
-///   updates granted to this very incarnation.
-/// - A call is sent only while live, under a permit younger than
+///   version that was applied completely. It never decreases within a generation.
+/// - The edge acts on an assignment only while it is live and only under the epoch
+///   that the updates granted to this incarnation.
+/// - A call is sent only while the edge is live, under a permit younger than
 ///   `lease::PERMIT_VALIDITY`, to an origin that is listed and not draining.
 pub struct EdgeNode {
     local_peer: Peer,
     locality: Locality,
-    /// The control nodes that hold the slots, as far as it is known.
+    /// The known control nodes that hold control slots.
     control_nodes: Vec<SocketAddr>,
-    /// How many control slots there are; 0 before that is known.
+    /// Number of control slots; 0 until it is known.
     control_slots: usize,
 
-    /// The replicated state, as far as it is known here.
+    /// The replicated state that this edge has received.
     state: ReplicatedState,
-    /// The last token of each control node, sent with the next renewal.
+    /// The last renewal token of each control node, sent with the next renewal.
     renewal_tokens: HashMap<SocketAddr, RenewalToken>,
     leases: Leases,
     link_delay_estimator: LinkDelayEstimator,
     next_renewal: Duration,
     live: bool,
     completed_operations: VecDeque<CompletedOperation>,
-    /// How long they are remembered.
+    /// Time for which completed operations are kept.
     operation_retention: Duration,
     recall_requested: bool,
 
     cache_owner: CacheOwner,
     near_cache: NearCache,
     coalescer: Coalescer,
-    /// Cache partitions owned here, with the epoch they were granted under.
+    /// The cache partitions that this edge owns, each with the epoch of its grant.
     owned_partitions: BTreeMap<u16, u64>,
     pending_handovers: BTreeMap<u16, PendingHandover>,
     admission_controllers: BTreeMap<String, AdmissionController>,
-    /// Retries of a service in ten seconds beside a fifth of the first attempts.
+    /// Retries of a service in ten seconds in addition to a fifth of the first attempts.
     retry_allowance: usize,
     fallback_quotas: BTreeMap<String, FallbackQuota>,
     probes_in_flight: HashMap<u64, Origin>,
 
     active_requests: BTreeMap<u64, ActiveRequest>,
-    /// Which request waits for the response to a message or call, by its own id.
+    /// The request that waits for the response to a message or call, by exchange id.
     exchanges: HashMap<u64, u64>,
-    /// Changes that no request waits for any more.
+    /// Unconfirmed changes that no request waits for any more, by exchange id.
     unconfirmed_changes: BTreeMap<u64, UnconfirmedChange>,
-    /// The last id that was drawn here.
+    /// The last exchange id that was assigned.
     last_id: u64,
 
     usage: Usage,
     abandoned_work: AbandonedWork,
-    /// From a shutdown request to the end of the process at the latest.
+    /// Maximum time from the shutdown request to the end of the process.
     shutdown_grace: Duration,
     shutdown_requested_at: Option<Duration>,
-    /// The sessions were closed for shutdown.
+    /// Set once the sessions were closed for shutdown.
     departed: bool,
     outputs: Vec<Output>,
 }
 
-/// When a message without a response is sent again.
+/// Time after which a message without a response is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// A request whose deadline has passed gets this much more to notify the ledger.
+/// Additional time that a request has after its deadline to notify the ledger.
 const RECORDING_GRACE: Duration = Duration::from_secs(1);
-/// An edge that shuts down waits this long for its assignments to be taken over.
+/// Maximum time that a shutting-down edge waits for other edges to take over its
+/// assignments.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The limit of requests of one service pending at one edge.
+/// Maximum number of pending requests of one service at one edge.
 const MAX_PENDING_PER_SERVICE: usize = 256;
-/// The limit of completed operations that are remembered.
+/// Maximum number of completed operations that are kept.
 const MAX_COMPLETED_OPERATIONS: usize = 10_000;
-/// How long after a purge was applied (so, before it was acknowledged) a
-/// response in flight may still go to the client that waited for it.
+/// Time after a purge was applied (and so before it was acknowledged) within which
+/// a response in flight may still be sent to the client that waits for it.
 const PURGE_GRACE: Duration = Duration::from_secs(1);
-/// The near cache may use this part (one in so many) of the cache owner's memory, beside it.
+/// The near cache may use the cache owner's memory limit divided by this, in
+/// addition to that limit.
 const NEAR_CACHE_DIVISOR: u64 = 2;
 /// The default of `with_shutdown_grace`.
 const DEFAULT_SHUTDOWN_GRACE: Duration = Duration::from_secs(20);
-/// Clients on kept connections are served for this part (one in so many) of the
-/// shutdown grace at least.
+/// Clients on kept connections are served for at least the shutdown grace divided by
+/// this.
 const CLIENT_DRAIN_DIVISOR: u32 = 4;
 /// The default of `with_retry_allowance`.
 const DEFAULT_RETRY_ALLOWANCE: usize = 3;
-/// An admission controller that does not respond for this long is bypassed.
+/// Time without a response after which an admission controller is bypassed.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(250);
-/// Set in the ids drawn here; those of client requests come from the host without it.
+/// The bit that is set in ids assigned here. Ids of client requests are assigned by
+/// the host, without it.
 const LOCAL_ID_BIT: u64 = 1 << 63;
-/// An odd number that spreads incarnations over all ids.
+/// An odd multiplier that distributes incarnations over the id space.
 const INCARNATION_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl EdgeNode {
-    /// An edge without leases. `control_nodes` hold the control slots, unless
-    /// the edge `discovers_control_nodes` through them. `cache_bytes`: the
-    /// memory of the cache owner.
+    /// Creates an edge without leases. `control_nodes` hold the control slots, unless
+    /// `discovers_control_nodes` is set: then the edge learns from them which nodes
+    /// do. `cache_bytes` is the memory limit of the cache owner.
     pub fn new(
         local_peer: Peer,
         locality: Locality,
@@ -146,8 +149,8 @@
             active_requests: BTreeMap::new(),
             exchanges: HashMap::new(),
             unconfirmed_changes: BTreeMap::new(),
-            // Not where another incarnation at this address started: responses
-            // to its messages may still be in flight.
+            // Differs between incarnations at the same address: responses to
+            // messages of an earlier one may still be in flight.
             last_id: local_peer.incarnation.wrapping_mul(INCARNATION_SPREAD),
             usage: Usage::default(),
             abandoned_work: AbandonedWork::default(),
@@ -158,8 +161,8 @@
         }
     }
 
-    /// Sets the retries that a service may get in ten seconds beside a fifth of
-    /// the first attempts.
+    /// Sets the number of retries that a service may get in ten seconds in addition to
+    /// a fifth of the first attempts.
     pub fn with_retry_allowance(self, retries: Option<u32>) -> EdgeNode {
         EdgeNode {
             retry_allowance: retries.map_or(DEFAULT_RETRY_ALLOWANCE, |retries| retries as usize),
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Sets how long the process goes on after a shutdown request at most.
+    /// Sets the maximum time from a shutdown request to the end of the process.
     pub fn with_shutdown_grace(self, grace: Duration) -> EdgeNode {
         EdgeNode {
             shutdown_grace: grace,
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Sets how long outcomes of operations are remembered.
+    /// Sets the time for which outcomes of operations are kept.
     pub fn with_operation_retention(self, retention: Duration) -> EdgeNode {
         EdgeNode {
             operation_retention: retention,
@@ -183,14 +186,14 @@
         }
     }
 
-    /// An id for one message or call, different from all before in this incarnation.
+    /// Returns an id for a message or call that is unique in this incarnation.
     fn next_id(&mut self) -> u64 {
         self.last_id = self.last_id.wrapping_add(1);
         LOCAL_ID_BIT | self.last_id
     }
 
-    /// Starts the request's next message exchange or call: responses to earlier
-    /// ones are no longer accepted for it.
+    /// Starts the request's next exchange or call and returns its id. Responses to
+    /// earlier ones are no longer accepted.
     fn start_exchange(&mut self, now: Duration, id: u64) -> u64 {
         self.withdraw_exchange(now, id);
         let exchange = self.next_id();
@@ -202,8 +205,8 @@
         exchange
     }
 
-    /// The request that this response of an admission controller or cache owner
-    /// is for; nothing is to be withdrawn there any more.
+    /// Returns the request that this response of an admission controller or cache
+    /// owner is for, and notes that there is nothing left to withdraw.
     fn complete_exchange(&mut self, exchange: u64) -> Option<u64> {
         let id = self.request_awaiting(exchange)?;
         if let Some(active) = self.active_requests.get_mut(&id) {
@@ -212,12 +215,12 @@
         Some(id)
     }
 
-    /// The request that waits for the response to this message or call.
+    /// Returns the request that waits for the response to this message or call.
     fn request_awaiting(&self, exchange: u64) -> Option<u64> {
         self.exchanges.get(&exchange).copied()
     }
 
-    /// The peer of this exchange has confirmed that the request waits there.
+    /// Records that the peer of this exchange has confirmed that it queued the request.
     fn record_contact(&mut self, now: Duration, exchange: u64) {
         let waiting = self.request_awaiting(exchange);
         if let Some(active) = waiting.and_then(|id| self.active_requests.get_mut(&id)) {
@@ -263,7 +266,7 @@
         );
     }
 
-    /// Sends the messages that are due again, then ends overdue requests.
+    /// Resends the messages that are due, then ends requests past their deadline.
     fn tick_requests(&mut self, now: Duration) {
         let mut overdue = Vec::new();
         let mut to_resend = Vec::new();
@@ -282,9 +285,9 @@
         }
     }
 
-    /// After a shutdown request: assignments are taken over by others, clients on
-    /// kept connections are served once more, active requests are finished, then
-    /// the sessions are closed.
+    /// Completes a requested shutdown: closes the sessions once other edges have taken
+    /// over the assignments, clients on kept connections were served for a while, and
+    /// all active requests are finished.
     fn finish_shutdown(&mut self, now: Duration) {
         let Some(since) = self.shutdown_requested_at else {
             return;
@@ -293,9 +296,9 @@
             && self.admission_controllers.is_empty()
             && !self.cache_owner.has_retained_partitions();
         let is_idle = self.active_requests.is_empty() && self.unconfirmed_changes.is_empty();
-        let serves_on = now < since + self.shutdown_grace / CLIENT_DRAIN_DIVISOR;
+        let is_draining_clients = now < since + self.shutdown_grace / CLIENT_DRAIN_DIVISOR;
         if self.departed
-            || serves_on
+            || is_draining_clients
             || !is_idle
             || !(is_handed_over || now >= since + HANDOVER_TIMEOUT)
         {
@@ -340,7 +343,7 @@
         for admission in self.admission_controllers.values_mut() {
             admission.connection_changed(now, address, open);
         }
-        // At once: the first requests wait for a proof.
+        // Runs at once: the first requests wait for a proof of the origin.
         self.run_admission_controllers(now);
     }
 
--- a/data-plane/src/edge_node/probes.rs
+++ b/data-plane/src/edge_node/probes.rs
@@ -1,11 +1,11 @@
-//! Probes of origins, for the admission controllers that run here.
+//! Identity probes of origins, for the admission controllers that run at this edge.
 use super::EdgeNode;
 use crate::prelude::*;
 
-/// The path that an origin signs a response to.
+/// The path of the probe request, to which an origin sends a signed response.
 const PROBE_PATH: &str = "/.well-known/otterslip-identity";
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The only status of a successful probe.
+/// The HTTP status of a successful probe; any other is a failure.
 const PROBE_SUCCESS: u16 = 200;
 
 impl EdgeNode {
@@ -57,12 +57,12 @@
         self.outputs.push(Output::Call { id, call });
     }
 
-    /// A probe has ended.
+    /// Handles the end of a probe.
     pub(super) fn handle_probe_result(&mut self, now: Duration, id: u64, outcome: CallOutcome) {
         let Some(origin) = self.probes_in_flight.remove(&id) else {
             return;
         };
-        let (succeeded, reason) = judge_probe(outcome);
+        let (succeeded, reason) = probe_verdict(outcome);
         let has_changed = self
             .admission_controllers
             .get_mut(&origin.service)
@@ -85,17 +85,17 @@
     }
 }
 
-/// Whether a probe succeeded, and the reason for the log.
-fn judge_probe(outcome: CallOutcome) -> (bool, String) {
+/// Returns whether a probe succeeded, and the reason for the log.
+fn probe_verdict(outcome: CallOutcome) -> (bool, String) {
     match outcome {
         CallOutcome::Success(reply) => (
             reply.status == PROBE_SUCCESS,
             format!("status {}", reply.status),
         ),
-        CallOutcome::Unreachable => (false, "refused".into()),
-        CallOutcome::NotSent => (false, "withheld".into()),
+        CallOutcome::Unreachable => (false, "unreachable".into()),
+        CallOutcome::NotSent => (false, "not sent".into()),
         CallOutcome::NotExecuted | CallOutcome::WrongInstance => {
-            (false, "another, or not willing".into())
+            (false, "not executed, or another instance".into())
         }
         CallOutcome::Failure(reason) => (false, reason),
     }
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewals of this edge's leases, and whether the edge is live.
+//! Renewal of this edge's leases, which determine whether it is live.
 use super::EdgeNode;
 use crate::prelude::*;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A renewal with the present state of this edge, not yet addressed.
+    /// Builds a renewal from the current state of this edge, without a token.
     fn renewal(&self, now: Duration) -> RenewRequest {
         let usage = Usage {
             cache_hits: self.cache_owner.hits,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether the ledger knows of all keyed requests of an earlier generation.
+    /// Returns true if the ledger knows all keyed requests of earlier generations.
     fn is_recall_complete(&self) -> bool {
         let is_unrecorded = |active: &ActiveRequest| {
             active.claim.is_some() && active.started_at < self.state.generation_entered_at
@@ -59,8 +59,8 @@
         self.unconfirmed_changes.is_empty() && !self.active_requests.values().any(is_unrecorded)
     }
 
-    /// A control node has an update that this edge lacks: only it is sent a renewal;
-    /// the others are notified once the update is applied.
+    /// Handles the notice of an update that this edge may not have. Only the sender
+    /// gets a renewal; the other control nodes are notified once the update is applied.
     pub(super) fn handle_update_notice(
         &mut self,
         now: Duration,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A control node confirms a renewal.
+    /// Handles a control node's reply to a renewal.
     pub(super) fn handle_renew_reply(&mut self, now: Duration, from: Peer, reply: RenewReply) {
         if reply.incarnation != self.local_peer.incarnation
             || !self.control_nodes.contains(&from.address)
@@ -93,7 +93,7 @@
             return;
         }
         if Generation::older(reply.generation, self.state.generation) && reply.generation != 0 {
-            return; // It does not know of the new generation yet.
+            return; // The control node does not know the new generation yet.
         }
         if reply.updates.is_empty() {
             self.publish_link_delay(now, from.address, reply.sent);
@@ -112,12 +112,13 @@
         }
         self.update_liveness(now);
         if has_applied {
-            // Confirmed at once: others wait for it.
+            // Confirms the updates at once, since their acknowledgement waits for it.
             self.renew(now);
         }
     }
 
-    /// A reply without updates is small: its round trip shows the link's delay.
+    /// Publishes the link's delay, estimated from the round trip of a reply without
+    /// updates, which is small.
     fn publish_link_delay(&mut self, now: Duration, control_node: SocketAddr, sent: Duration) {
         let round_trip = now.saturating_sub(sent);
         let delay = self
@@ -127,7 +128,7 @@
             .push(Output::Publish(PublishedState::LinkDelay(delay)));
     }
 
-    /// Publishes until when the edge is live.
+    /// Publishes the time until which the edge is live.
     pub(super) fn update_liveness(&mut self, now: Duration) {
         let until = self.leases.live_until(self.control_slots);
         let live = now < until && !self.departed;
@@ -143,7 +144,7 @@
         }));
     }
 
-    /// Whether enough leases are valid.
+    /// Returns true if enough leases are valid.
     pub(super) fn is_live(&self, now: Duration) -> bool {
         !self.departed && now < self.leases.live_until(self.control_slots)
     }
--- a/data-plane/src/edge_node/replicated_state.rs
+++ b/data-plane/src/edge_node/replicated_state.rs
@@ -1,17 +1,17 @@
-//! The part of the replicated state that an edge knows.
+//! The part of the replicated state that an edge receives.
 use crate::prelude::*;
 
-/// The rows that this edge has received, and what it uses of them.
+/// The rows that this edge has received, and the state derived from them.
 pub(super) struct ReplicatedState {
     /// The generation of the state; 0 before the first update.
     pub(super) generation: u64,
     pub(super) generation_entered_at: Duration,
-    /// The version of each partition that was applied completely.
+    /// The last version of each partition that was applied completely.
     pub(super) version_vector: Vec<u64>,
-    /// Every row that was received, by partition, in case the control plane loses it.
+    /// All received rows by partition, for a control plane that lost them.
     pub(super) known_rows: Vec<BTreeMap<String, Row>>,
     pub(super) routes: Option<Arc<RouteTable>>,
-    /// The configuration items that the routes were built of.
+    /// The configuration items from which the routes were built.
     pub(super) configuration_items: Items,
     pub(super) origins: Arc<Vec<Origin>>,
     pub(super) assignments: HashMap<String, Assignment>,
@@ -35,8 +35,8 @@
 }
 
 impl ReplicatedState {
-    /// Enters a generation: all updates are applied anew. Routes and origins stay
-    /// in force until then.
+    /// Resets the state for a new generation, in which all updates are applied again.
+    /// Routes and origins stay in force until then.
     pub(super) fn reset(&mut self) {
         self.version_vector = vec![0; PUBLISHED_PARTITIONS.into()];
         self.known_rows = vec![BTreeMap::new(); PUBLISHED_PARTITIONS.into()];
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -1,9 +1,9 @@
-//! The life of a request, from its arrival to its one response.
+//! The life cycle of a request, from its arrival to its single response.
 use super::{EdgeNode, MAX_PENDING_PER_SERVICE};
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// Starts a client's request, or responds to it at once.
+    /// Starts a client's request, or sends an immediate response.
     pub(super) fn begin_request(&mut self, now: Duration, id: u64, request: ClientRequest) {
         self.usage.requests += 1;
         let mut active = ActiveRequest::new(now, request);
@@ -24,7 +24,7 @@
         self.send_stage_message(now, id);
     }
 
-    /// The response to a request that is not started: a rejection, or a fresh
+    /// Returns the response to a request that need not be started: a rejection, or a
     /// response from the near cache.
     fn immediate_response(
         &mut self,
@@ -54,9 +54,9 @@
             .map(ClientResponse::Rejection)
     }
 
-    /// Each pending request uses memory and a connection: a slow service must
-    /// not take them all. Over its limit, the lowest rank is rejected first:
-    /// this request, or one that waits.
+    /// Enforces the limit of pending requests per service, so that a slow service does
+    /// not use up all memory and connections. Over the limit, the request of the lowest
+    /// rank is rejected: the new one or a waiting one.
     fn enforce_pending_limit(
         &mut self,
         now: Duration,
@@ -95,7 +95,7 @@
         }
         self.withdraw_exchange(now, id);
         if let Stage::Recording { reply, .. } = &stage {
-            self.remember_completed(now, id, reply);
+            self.record_completed(now, id, reply);
         }
         let applied = self.state.purge_log.applied;
         let Some(active) = self.active_requests.get_mut(&id) else {
@@ -110,12 +110,12 @@
         }
         active.stage = stage;
         active.exchange.last_contact = now;
-        active.exchange.sends = 0;
+        active.exchange.send_count = 0;
         self.start_exchange(now, id);
         self.send_stage_message(now, id);
     }
 
-    /// Sends the response, unless it is a cached one and the edge is fenced.
+    /// Sends the response. A fenced edge sends a rejection in place of a cached response.
     fn respond(
         &mut self,
         now: Duration,
@@ -137,8 +137,8 @@
         self.outputs.push(Output::ClientResponse { id, response });
     }
 
-    /// Ends the request with this response; an origin's own error response is
-    /// passed on in place of a rejection.
+    /// Ends the request with this response. If an origin sent an error response, that
+    /// is passed on in place of a rejection.
     pub(super) fn finish(&mut self, now: Duration, id: u64, response: ClientResponse) {
         self.withdraw_exchange(now, id);
         let Some(mut active) = self.active_requests.remove(&id) else {
@@ -160,8 +160,9 @@
         self.finish(now, id, ClientResponse::Rejection(rejection));
     }
 
-    /// The request has failed. Its claim is released or its outcome recorded
-    /// first; a refresher tries to get a cached response of any age first.
+    /// Ends a request that has failed. Before the rejection is sent, its claim is
+    /// released or its outcome recorded, and a refresher requests a cached response of
+    /// any age.
     pub(super) fn fail_request(&mut self, now: Duration, id: u64, rejection: Rejection) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
@@ -170,11 +171,11 @@
             return self.fall_back_to_any_response(now, id, grant, rejection);
         }
         if active.claim.is_none() {
-            let response = self.any_near_response(now, id);
+            let response = self.any_near_cache_response(now, id);
             let response = response.unwrap_or(ClientResponse::Rejection(rejection));
             return self.finish(now, id, response);
         }
-        let stage = if active.attempts.sent {
+        let stage = if active.attempts.may_have_reached_origin {
             Stage::Recording {
                 reply: None,
                 response: ClientResponse::Rejection(rejection),
@@ -201,11 +202,11 @@
             private: false,
         };
         self.send(grant.owner, failed);
-        if let Some(response) = self.any_near_response(now, id) {
+        if let Some(response) = self.any_near_cache_response(now, id) {
             return self.finish(now, id, response);
         }
         let stage = Stage::AwaitingCachedResponse {
-            since: now,
+            entered_at: now,
             accepts_any_age: true,
         };
         self.enter_stage(now, id, stage);
--- a/data-plane/src/edge_node/stage_messages.rs
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -1,46 +1,48 @@
-//! The message that each stage of a request sends, and sends again.
+//! The messages that the stages of a request send and resend.
 use super::{ADMISSION_TIMEOUT, EdgeNode, RESEND_INTERVAL};
 use crate::prelude::*;
 
-/// An owner that does not even confirm a repeated request for this long after
-/// it was sent is bypassed. Less than this is common on a full link, and each
-/// fetch without the owner displaces another request's.
+/// Time without a confirmation of a repeated request after which the owner is
+/// bypassed. Shorter delays are common on a full link, and each fetch that bypasses
+/// the owner takes capacity from another request.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first request to the owner is repeated after this time, the next ones
-/// each after twice as long as the one before, up to `MAX_BACKOFF`.
+/// Time after which the first request to the owner is repeated. It doubles with each
+/// repetition, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
-/// Doublings after which the backoff no longer grows.
+/// Number of doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: usize = 4;
 
-/// The time after which a request that was sent `sends` times is sent again.
-fn resend_backoff(sends: usize) -> Duration {
-    let doubled = INITIAL_BACKOFF * (1 << sends.saturating_sub(1).min(MAX_DOUBLINGS));
+/// Returns the time after which a request that was sent `send_count` times is sent
+/// again.
+fn resend_backoff(send_count: usize) -> Duration {
+    let doubled = INITIAL_BACKOFF * (1 << send_count.saturating_sub(1).min(MAX_DOUBLINGS));
     doubled.min(MAX_BACKOFF)
 }
 
-/// The time after which the message of a stage is due again.
-fn resend_interval(stage: &Stage, sends: usize) -> Duration {
+/// Returns the time after which the message of a stage is due again.
+fn resend_interval(stage: &Stage, send_count: usize) -> Duration {
     match stage {
-        Stage::AwaitingCachedResponse { .. } if sends > 1 => OWNER_TIMEOUT,
-        Stage::AwaitingCachedResponse { .. } => resend_backoff(sends),
+        Stage::AwaitingCachedResponse { .. } if send_count > 1 => OWNER_TIMEOUT,
+        Stage::AwaitingCachedResponse { .. } => resend_backoff(send_count),
         _ => RESEND_INTERVAL,
     }
 }
 
 impl EdgeNode {
-    /// Sends the message of a request's stage, for the first time or again.
+    /// Sends or resends the message of a request's stage.
     pub(super) fn send_stage_message(&mut self, now: Duration, id: u64) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
         };
-        active.exchange.sends += 1;
+        active.exchange.send_count += 1;
         active.exchange.sent_at = now;
-        active.exchange.resend_at = now + resend_interval(&active.stage, active.exchange.sends);
+        active.exchange.resend_at =
+            now + resend_interval(&active.stage, active.exchange.send_count);
         active.exchange.peer = None;
         if let Some(change) = active.ledger_change() {
-            let (exchange, sends) = (active.exchange.id, active.exchange.sends);
-            return self.send_change(exchange, sends, change);
+            let (exchange, send_count) = (active.exchange.id, active.exchange.send_count);
+            return self.send_change(exchange, send_count, change);
         }
         match active.stage {
             Stage::AwaitingCachedResponse {
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Requests the response from the cache owner; without one, the request fetches for itself.
+    /// Requests the response from the cache owner. Without an owner, the request fetches
+    /// for itself.
     fn send_cache_get(&mut self, now: Duration, id: u64, accepts_any_age: bool) {
         let active = &self.active_requests[&id];
         let key = active.cache.key.expect("cached");
@@ -75,8 +78,8 @@
         }
     }
 
-    /// Requests a permit from the admission controller; without one, the request is called within
-    /// the fallback quota.
+    /// Requests a permit from the admission controller. Without a controller, the call
+    /// is sent within the fallback quota.
     fn send_permit_request(&mut self, now: Duration, id: u64) {
         let active = &self.active_requests[&id];
         let service = active.request.service.clone();
@@ -109,10 +112,10 @@
         }
     }
 
-    /// The message of the request's stage is due again. An owner that does not
-    /// respond even to a repeated request, or has no response for half the time,
-    /// is bypassed, as in the paper: a request that cannot get a cached response
-    /// goes to the origin.
+    /// Resends the message of the request's stage, or bypasses its receiver. A cache
+    /// owner is bypassed if it does not confirm a repeated request, or has sent no
+    /// response after half of the time to the deadline. As in the MashCache paper, a
+    /// request that cannot get a cached response goes to the origin.
     pub(super) fn fall_back_or_resend(&mut self, now: Duration, id: u64) {
         let is_live = self.is_live(now);
         let Some(active) = self.active_requests.get_mut(&id) else {
@@ -120,8 +123,8 @@
         };
         let half_time = active.started_at + (active.deadline - active.started_at) / 2;
         let exchange = &mut active.exchange;
-        let backoff_end = exchange.sent_at + resend_backoff(exchange.sends);
-        let is_owner_unresponsive = exchange.sends > 1
+        let backoff_end = exchange.sent_at + resend_backoff(exchange.send_count);
+        let is_owner_unresponsive = exchange.send_count > 1
             && exchange.last_contact < exchange.sent_at
             && now >= exchange.sent_at + OWNER_TIMEOUT;
         match active.stage {
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -1,9 +1,9 @@
-//! Updates of the replicated state that this edge uses.
+//! Applies updates of the replicated state.
 use super::EdgeNode;
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// Applies the updates that are newer than what is known. True if any was.
+    /// Applies the updates that are newer than the known state. Returns true if any was.
     pub(super) fn apply_updates(&mut self, now: Duration, updates: SharedUpdates) -> bool {
         let mut has_applied = false;
         for update in updates.into_updates() {
@@ -34,7 +34,7 @@
             _ => self.apply_rows(rows),
         }
         self.state.version_vector[index] = version;
-        // The assignments owned here depend on these three partitions.
+        // The assignments of this edge depend on these three partitions.
         let affects_assignments = [
             CONFIGURATION_PARTITION,
             ORIGINS_PARTITION,
@@ -44,7 +44,7 @@
             self.sync_assignments(now);
         }
         if partition == ASSIGNMENTS_PARTITION {
-            self.forget_departed_edges(now);
+            self.remove_departed_edges(now);
         }
     }
 
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Builds the route table of all configuration items. What was acknowledged
-    /// fits together; updates contain complete versions only.
+    /// Rebuilds the route table from all configuration items. Acknowledged items are
+    /// consistent with each other, and updates contain complete versions only.
     fn rebuild_routes(&mut self, version: u64) {
         if let Ok((document, bounds)) = self.state.configuration_items.merged() {
             let routes = Arc::new(RouteTable::new(version, document).within(bounds));
@@ -90,7 +90,7 @@
 
     fn apply_row(&mut self, key: String, row: Row) {
         match row.value {
-            // It was checked before it was acknowledged.
+            // The item was validated before it was acknowledged.
             Value::Configuration { .. } | Value::Item(_) => {
                 let _ = self.state.configuration_items.apply_row(&key, &row);
             }
@@ -99,7 +99,7 @@
                 self.state.assignments.insert(key, assignment);
             }
             Value::Members(slots) => {
-                // Leases from control nodes that hold no slot any more do not count.
+                // Leases from control nodes that no longer hold a slot are dropped.
                 self.control_nodes = slots.iter().map(|peer| peer.address).collect();
                 self.control_slots = slots.len();
                 self.leases.retain(&self.control_nodes);
@@ -115,19 +115,18 @@
         }
     }
 
-    /// Enters a new generation: the state of the old one is dropped, but for
-    /// what is recalled, and all updates are applied anew. Assignments of the
-    /// old one are void.
+    /// Enters a new generation: drops the state of the old one, including its
+    /// assignments, except for what is recalled. All updates are applied again.
     pub(super) fn enter_generation(&mut self, now: Duration, generation: u64) {
         let before = std::mem::replace(&mut self.state.generation, generation);
         self.state.generation_entered_at = now;
         if before == 0 {
             return;
         }
-        // The new state may be older at one control node than what was known
-        // here: as at a start, a quorum must have sent theirs.
+        // A single control node may have an older state than this edge had. As after
+        // a start, replies from a quorum are required.
         self.leases.clear();
-        // Fenced before anything of the new generation is published.
+        // Fences the edge before state of the new generation is published.
         self.update_liveness(now);
         self.state.reset();
         self.cache_owner.clear();
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -48,7 +48,7 @@
 
 /// What is stored for a key.
 #[derive(Debug, Clone, PartialEq)]
-pub enum NearLookup {
+pub enum NearCacheLookup {
     /// A response to be served.
     Fresh {
         /// The response.
@@ -101,21 +101,21 @@
     }
 
     /// Looks up a key; `ttl` is the route's time-to-live as it is configured now.
-    pub fn look_up(&mut self, now: Duration, key: &CacheKey, ttl: Duration) -> NearLookup {
+    pub fn look_up(&mut self, now: Duration, key: &CacheKey, ttl: Duration) -> NearCacheLookup {
         let Some(stored) = self.responses.get_mut(key) else {
-            return NearLookup::Missing;
+            return NearCacheLookup::Missing;
         };
         if now >= stored.major_expiry.min(stored.fetch_started_at + ttl) {
             self.remove(key);
-            return NearLookup::Missing;
+            return NearCacheLookup::Missing;
         }
         stored.last_used = now;
         let reply = stored.reply.clone();
         let age = now - stored.fetch_started_at;
         if now < stored.minor_expiry {
-            NearLookup::Fresh { reply, age }
+            NearCacheLookup::Fresh { reply, age }
         } else {
-            NearLookup::Stale { reply, age }
+            NearCacheLookup::Stale { reply, age }
         }
     }
 
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -11,7 +11,7 @@
 pub use crate::filter::{Filter, FilterPlugIn, IncomingRequest, run_filters};
 pub use crate::leases::Leases;
 pub use crate::link_delay_estimator::LinkDelayEstimator;
-pub use crate::near_cache::{NearCache, NearCacheEntry, NearLookup};
+pub use crate::near_cache::{NearCache, NearCacheEntry, NearCacheLookup};
 pub use crate::purge_log::{AppliedPurges, PurgeLog};
 pub use crate::request_conversion::client_request_of;
 pub use crate::response_signature::{ResponseSignature, SignatureError};
