--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -1,48 +1,48 @@
-//! Checks that no work goes on for requests whose clients have disconnected.
+//! Checks that no work continues for requests whose clients have disconnected.
 //!
-//! The check is separate from the code that ends such work: it observes what goes
-//! into an edge's state machine and what comes out of it. Violations are counted
-//! in `Usage::abandoned`, logged, and fail tests, simulated runs and soaks.
+//! The check is separate from the code that ends such work: it observes the inputs and
+//! outputs of an edge's state machine. Violations are counted in `Usage::abandoned`,
+//! logged, and fail tests, simulated runs and soaks.
 use crate::prelude::*;
 
-/// An idempotent call for a disconnected client ends within this time after the
-/// close was read.
+/// Maximum time after a client's disconnect was detected for which an idempotent call
+/// for that client may continue.
 const MAX_ABANDONED_CALL: Duration = Duration::from_millis(250);
 
-/// Requests whose clients have disconnected, and the calls in flight to origins.
-/// Invariants that it checks:
-/// - No call is started for a request after its client has disconnected, unless
-///   others wait for what the call brings.
-/// - `MAX_ABANDONED_CALL` after its client disconnected, no call is in flight that
-///   is idempotent and that serves nobody else.
+/// Checks the calls in flight against the requests whose clients have disconnected:
+/// - No call is started for a request after its client has disconnected, unless others
+///   wait for the response.
+/// - No idempotent call that serves only this client is in flight `MAX_ABANDONED_CALL`
+///   after the disconnect.
 #[derive(Debug, Default)]
 pub struct AbandonedWork {
-    /// When the clients disconnected of requests that have no response, or a call
-    /// in flight.
+    /// The times at which clients disconnected, by request, for requests that have no
+    /// response yet or a call in flight.
     disconnected_at: HashMap<u64, Duration>,
-    /// By the call's id.
+    /// The calls in flight, by call id.
     calls: HashMap<u64, ObservedCall>,
 }
 
+/// A call in flight.
 #[derive(Debug)]
 struct ObservedCall {
     request: u64,
     purpose: CallPurpose,
-    /// Whether it was reported that the call goes on for too long.
+    /// Set once it was reported that the call continued for too long.
     is_reported: bool,
 }
 
-/// Work for a client that has disconnected.
+/// A call for a client that has disconnected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct AbandonedWorkViolation {
     /// The id of the request.
     pub request: u64,
-    /// For whom the call was made.
+    /// The purpose of the call.
     pub purpose: CallPurpose,
-    /// What went wrong.
+    /// The kind of the violation.
     pub kind: ViolationKind,
-    /// How long ago the client had disconnected.
-    pub since: Duration,
+    /// Time since the client disconnected.
+    pub elapsed: Duration,
 }
 
 /// A kind of abandoned work.
@@ -50,17 +50,17 @@
 pub enum ViolationKind {
     /// The call was started after the client had disconnected.
     Started,
-    /// The call went on.
+    /// The call continued for too long.
     Continued,
 }
 
 impl AbandonedWork {
-    /// The close of the request's client was read; the request has no response yet.
+    /// Records that the client of a request without a response has disconnected.
     pub fn client_disconnected(&mut self, now: Duration, request: u64) {
         self.disconnected_at.entry(request).or_insert(now);
     }
 
-    /// A call is sent to its origin.
+    /// Records a call that is sent to its origin. Returns the violation, if it is one.
     pub fn call_started(
         &mut self,
         now: Duration,
@@ -74,23 +74,23 @@
             is_reported: false,
         };
         self.calls.insert(call, observed);
-        let since = now - *self.disconnected_at.get(&request)?;
+        let elapsed = now - *self.disconnected_at.get(&request)?;
         let kind = ViolationKind::Started;
         (purpose != CallPurpose::SharedCacheFill).then_some(AbandonedWorkViolation {
             request,
             purpose,
             kind,
-            since,
+            elapsed,
         })
     }
 
-    /// The call has ended, or was cancelled.
+    /// Records that a call has ended or was cancelled.
     pub fn call_ended(&mut self, call: u64) {
         self.calls.remove(&call);
     }
 
-    /// Calls that go on for too long, each reported once. `is_pending`: whether
-    /// the request has no response yet.
+    /// Returns the calls that have continued for too long, each of them once.
+    /// `is_pending` returns true for requests that have no response yet.
     pub fn overdue(
         &mut self,
         now: Duration,
@@ -111,15 +111,15 @@
                     request: call.request,
                     purpose: call.purpose,
                     kind: ViolationKind::Continued,
-                    since: now - *disconnected_at,
+                    elapsed: now - *disconnected_at,
                 });
             }
         }
-        self.forget_finished(is_pending);
+        self.remove_finished(is_pending);
         violations
     }
 
-    fn forget_finished(&mut self, is_pending: &dyn Fn(u64) -> bool) {
+    fn remove_finished(&mut self, is_pending: &dyn Fn(u64) -> bool) {
         let called: HashSet<u64> = self.calls.values().map(|call| call.request).collect();
         self.disconnected_at
             .retain(|request, _| is_pending(*request) || called.contains(request));
--- a/data-plane/src/admission/arrivals.rs
+++ b/data-plane/src/admission/arrivals.rs
@@ -1,11 +1,11 @@
-//! Counts recent permit requests of each rank.
+//! Counts the recent permit requests of each rank.
 use crate::prelude::*;
 
-/// Arrivals within a sliding window, by rank. Invariant: `by_rank` counts what
-/// `recent` holds.
+/// Arrivals within a sliding window, by rank. Invariant: `by_rank` holds the number of
+/// elements of `recent` with each rank.
 pub(super) struct Arrivals {
     window: Duration,
-    /// When requests arrived, with their ranks.
+    /// The arrival times and ranks of the requests, oldest first.
     recent: VecDeque<(Duration, u32)>,
     by_rank: BTreeMap<u32, usize>,
 }
@@ -24,7 +24,7 @@
         *self.by_rank.entry(rank).or_insert(0) += 1;
     }
 
-    pub(super) fn forget_old(&mut self, now: Duration) {
+    pub(super) fn remove_expired(&mut self, now: Duration) {
         while let Some((arrived, rank)) = self.recent.front().copied()
             && now >= arrived + self.window
         {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Arrivals of higher ranks.
-    pub(super) fn above(&self, rank: u32) -> usize {
+    /// Returns the number of arrivals with a higher rank.
+    pub(super) fn count_above(&self, rank: u32) -> usize {
         let higher = (std::ops::Bound::Excluded(rank), std::ops::Bound::Unbounded);
         self.by_rank.range(higher).map(|(_, count)| count).sum()
     }
--- a/data-plane/src/admission/calls_in_flight.rs
+++ b/data-plane/src/admission/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! Calls that were granted a permit and have not ended, as far as is known.
+//! Calls that were granted a permit and whose end has not been reported.
 use crate::prelude::*;
 
 /// Identifies a permit of the group.
@@ -9,9 +9,8 @@
     pub(super) serial: u64,
 }
 
-/// The calls in flight by their permits. Invariant: `by_origin` summarizes the
-/// calls of each origin, so that a look at one origin goes over none of the
-/// others' calls.
+/// The calls in flight by permit. Invariant: `by_origin` holds the totals of each
+/// origin's calls, so that a lookup for one origin does not iterate over all calls.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     calls: HashMap<PermitId, CallInFlight>,
@@ -22,33 +21,34 @@
 pub(super) struct CallInFlight {
     pub(super) origin: SocketAddr,
     pub(super) rank: u32,
-    /// When the permit was granted.
-    pub(super) since: Duration,
-    /// When the call is no longer counted, even if its end is not reported.
-    pub(super) until: Duration,
+    /// The time at which the permit was granted.
+    pub(super) granted_at: Duration,
+    /// The time from which the call is not counted, even if its end is not reported.
+    pub(super) counted_until: Duration,
     pub(super) is_retry: bool,
 }
 
+/// The totals of one origin's calls in flight.
 #[derive(Default)]
 struct OriginCalls {
     count: usize,
-    /// The sum of the calls' `since`, in seconds.
-    since_s: f64,
+    /// The sum of the calls' `granted_at`, in seconds.
+    granted_at_sum_s: f64,
 }
 
 impl CallInFlight {
-    /// Seconds since the permit was granted.
+    /// Returns the seconds since the permit was granted.
     pub(super) fn age(&self, now: Duration) -> f64 {
-        now.saturating_sub(self.since).as_secs_f64()
+        now.saturating_sub(self.granted_at).as_secs_f64()
     }
 }
 
 impl CallsInFlight {
     pub(super) fn insert(&mut self, permit: PermitId, call: CallInFlight) {
         self.remove(permit);
-        let summary = self.by_origin.entry(call.origin).or_default();
-        summary.count += 1;
-        summary.since_s += call.since.as_secs_f64();
+        let calls = self.by_origin.entry(call.origin).or_default();
+        calls.count += 1;
+        calls.granted_at_sum_s += call.granted_at.as_secs_f64();
         self.calls.insert(permit, call);
     }
 
@@ -58,11 +58,11 @@
         Some(call)
     }
 
-    /// Drops calls that are no longer counted.
-    pub(super) fn forget_ended(&mut self, now: Duration) {
+    /// Removes the calls that are no longer counted.
+    pub(super) fn remove_ended(&mut self, now: Duration) {
         let by_origin = &mut self.by_origin;
         self.calls.retain(|_, call| {
-            let is_in_flight = now < call.until;
+            let is_in_flight = now < call.counted_until;
             if !is_in_flight {
                 CallsInFlight::uncount(by_origin, call);
             }
@@ -71,10 +71,10 @@
     }
 
     fn uncount(by_origin: &mut HashMap<SocketAddr, OriginCalls>, call: &CallInFlight) {
-        let summary = by_origin.get_mut(&call.origin).expect("it was counted");
-        summary.count -= 1;
-        summary.since_s -= call.since.as_secs_f64();
-        if summary.count == 0 {
+        let calls = by_origin.get_mut(&call.origin).expect("it was counted");
+        calls.count -= 1;
+        calls.granted_at_sum_s -= call.granted_at.as_secs_f64();
+        if calls.count == 0 {
             by_origin.remove(&call.origin);
         }
     }
@@ -87,16 +87,14 @@
         self.calls.values()
     }
 
-    /// The number of calls to this origin.
-    pub(super) fn at(&self, origin: SocketAddr) -> usize {
-        self.by_origin
-            .get(&origin)
-            .map_or(0, |summary| summary.count)
+    /// Returns the number of calls to this origin.
+    pub(super) fn count_for(&self, origin: SocketAddr) -> usize {
+        self.by_origin.get(&origin).map_or(0, |calls| calls.count)
     }
 
-    /// Seconds that the calls to this origin have taken so far, on average.
+    /// Returns the mean age of the calls to this origin, in seconds.
     pub(super) fn mean_age(&self, now: Duration, origin: SocketAddr) -> Option<f64> {
-        let summary = self.by_origin.get(&origin)?;
-        Some((now.as_secs_f64() - summary.since_s / summary.count as f64).max(0.0))
+        let calls = self.by_origin.get(&origin)?;
+        Some((now.as_secs_f64() - calls.granted_at_sum_s / calls.count as f64).max(0.0))
     }
 }
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission control of one origin group: permits for calls, by rank and rate.
+//! Admission control of one origin group: permits for calls, granted by rank and rate.
 mod arrivals;
 mod calls_in_flight;
 mod origin_health;
@@ -17,70 +17,76 @@
 pub use token_bucket::TokenBucket;
 use waiting_queue::{WaitingQueue, WaitingRequest};
 
-/// The admission controller of one origin group: grants short-lived permits by rank.
+/// The admission controller of one origin group. It grants short-lived permits by rank.
 /// Invariants:
-/// - Tokens of an origin grow by its rate and never exceed its burst; a new
-///   controller starts with none, so that what it grants adds no more than one
-///   burst to what its predecessor granted.
+/// - The tokens of an origin are refilled at its rate and never exceed its burst. A new
+///   controller starts with none, so that its grants exceed those of its predecessor
+///   by at most one burst.
 /// - A permit names an origin only while that origin's proof (a verified
 ///   response of the listed service and instance) is younger than
 ///   `ORIGIN_PROOF_VALIDITY` and a connection opened before the proof is still
-///   open: the process that listens there is the one that proved its identity.
-/// - Within any five seconds an origin gets no more than 110 % of its rate,
-///   however late within `PERMIT_VALIDITY` a permit is used.
+///   open. So the process that listens there is the one that proved its identity.
+/// - Within any five seconds an origin gets at most 110 % of its rate, even if permits
+///   are used as late as `PERMIT_VALIDITY` allows.
 /// - Retries stay within the retry budget.
-/// - A lower rank takes no slot that higher ranks will need while its call
-///   runs: calls in flight are not preempted.
+/// - A lower rank takes no slot that higher ranks will need while its call runs, because
+///   calls in flight are not preempted.
 pub struct AdmissionController {
     /// The service that the group's origins provide.
     pub service: String,
     /// The epoch of the assignment under which permits are granted.
     pub epoch: u64,
-    /// Calls a second to one origin.
+    /// Maximum rate of calls to one origin, per second.
     rate: f64,
-    /// Concurrent calls to one origin.
+    /// Maximum number of concurrent calls to one origin.
     concurrency: u32,
     proof: Proof,
-    /// The rate of all origins together, if it is limited.
+    /// The token bucket of all origins together, if their total rate is limited.
     total_rate: Option<TokenBucket>,
     origins: BTreeMap<SocketAddr, OriginState>,
     waiting: WaitingQueue,
     calls: CallsInFlight,
     retry_budget: RetryBudget,
     arrivals: Arrivals,
-    /// A large queue is not dispatched again before.
+    /// The time before which a large queue is not dispatched again.
     next_dispatch: Duration,
     started_at: Duration,
-    /// The last serial given to a permit or a waiting request.
+    /// The last serial that was assigned to a permit or a waiting request.
     serial: u64,
     outgoing: Vec<(SocketAddr, Message)>,
 }
 
-/// A queue of this length is dispatched once in `LARGE_QUEUE_DISPATCH_INTERVAL`.
+/// Number of waiting requests from which the queue is dispatched only once in
+/// `LARGE_QUEUE_DISPATCH_INTERVAL`.
 const LARGE_QUEUE: usize = 64;
+/// Minimum time between two dispatches of a large queue.
 const LARGE_QUEUE_DISPATCH_INTERVAL: Duration = Duration::from_millis(5);
-/// The fraction of a total rate that the admission controller grants. The edges have a tenth
-/// for when the controller cannot be reached, reported afterwards and counted here: with
-/// a change of controller, 0.95 x 5 s + 0.25 s + a burst of 0.1 s + 0.1 x 5.5 s stays
-/// below 110 % of 5 s while four of five edges cannot report.
+/// The fraction of a total rate that the admission controller grants. The edges have a
+/// tenth of the total rate as their fallback quota for when the controller cannot be
+/// reached. They report those calls afterwards, and the controller counts them. With a
+/// change of controller, 0.95 x 5 s + 0.25 s + a burst of 0.1 s + 0.1 x 5.5 s stays
+/// below 110 % of 5 s, even while four of five edges cannot report.
 const ADMISSION_FRACTION: f64 = 0.95;
-/// The tokens of a new total rate, in seconds of it: requests that waited for a
-/// controller arrive together.
+/// The initial tokens of a total rate, in seconds of that rate. Requests that waited
+/// for a controller arrive together.
 const INITIAL_TOTAL_BURST_S: f64 = 0.25;
-/// Arrivals are counted over this span to predict which requests will not be granted.
+/// The window over which arrivals are counted, to predict which requests will not get
+/// a permit.
 const ARRIVAL_WINDOW: Duration = Duration::from_secs(2);
-/// A new controller is first told of the calls in flight.
+/// Time for which a new controller grants nothing while edges report the calls in flight
+/// to it.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
-/// The same where origins reject excess calls, so that they do no harm.
+/// `TAKEOVER_DELAY` for groups whose origins reject excess calls, which are harmless
+/// there.
 const NAMED_TAKEOVER_DELAY: Duration = Duration::from_millis(50);
-/// A call whose end is not reported is counted for this long after its timeout.
+/// Time after its timeout for which a call is counted if its end is not reported.
 const UNREPORTED_CALL_GRACE: Duration = Duration::from_secs(1);
-/// An origin has observed a cancelled call by then.
+/// Time within which an origin observes that a call was cancelled.
 const CANCELLATION_DELAY: Duration = Duration::from_millis(30);
 
 impl AdmissionController {
-    /// A controller without origins. `retry_allowance`: retries in ten seconds
-    /// beside a fifth of the first attempts.
+    /// Creates a controller without origins. `retry_allowance` is the number of retries
+    /// in ten seconds in addition to a fifth of the first attempts.
     pub fn new(
         now: Duration,
         service: &str,
@@ -106,12 +112,12 @@
         }
     }
 
-    /// The messages to be sent, in order.
+    /// Returns the messages to be sent, in order, and removes them.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Message)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Applies the group and the origins now in force; draining origins are not called.
+    /// Applies the current group and origins. Draining origins are not called.
     pub fn apply_configuration(&mut self, now: Duration, group: &Group, origins: &[Origin]) {
         (self.rate, self.concurrency, self.proof) = (group.rate, group.concurrency, group.proof);
         self.apply_total_rate(now, group);
@@ -139,7 +145,7 @@
                     .map(|rate| TokenBucket::with_tokens(now, rate, rate * INITIAL_TOTAL_BURST_S));
             }
         }
-        // The rest is for edges that cannot reach the admission controller.
+        // The remaining fraction is for edges that cannot reach the controller.
         if let Some(bucket) = self
             .total_rate
             .as_mut()
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Queues an edge's request for a permit, or refreshes it if it is queued.
+    /// Queues an edge's request for a permit, or refreshes it if it is already queued.
     pub fn request_permit(&mut self, now: Duration, from: SocketAddr, request: PermitRequest) {
         let id = request.id;
         if let Some(known) = self.waiting.find(from, id) {
@@ -167,52 +173,53 @@
         }
     }
 
-    /// The edge does not wait for this permit any more; one that was granted is
-    /// reported as unused.
+    /// Removes the request of an edge that no longer waits for its permit. The edge
+    /// reports a permit that was already granted as unused.
     pub fn withdraw(&mut self, now: Duration, from: SocketAddr, id: u64) {
         self.remove_waiting(now, &|waiting| waiting.is(from, id));
     }
 
-    /// None of these edges waits for a permit any more.
-    pub fn forget_edges(&mut self, now: Duration, departed: &HashSet<SocketAddr>) {
+    /// Removes the requests of edges whose sessions have ended.
+    pub fn remove_edges(&mut self, now: Duration, departed: &HashSet<SocketAddr>) {
         self.remove_waiting(now, &|waiting| departed.contains(&waiting.from));
     }
 
-    /// Removes requests from the queue; the ones behind them may be granted.
+    /// Removes requests from the queue, so that those behind them may be granted.
     fn remove_waiting(&mut self, now: Duration, removed: &dyn Fn(&WaitingRequest) -> bool) {
         if self.waiting.remove_where(removed) {
             self.dispatch_soon(now);
         }
     }
 
-    /// Dispatches the queue, a large one only so often: each dispatch goes over
-    /// all of it.
+    /// Dispatches the queue. A large queue is dispatched less often, because each
+    /// dispatch iterates over all of it.
     fn dispatch_soon(&mut self, now: Duration) {
         if self.waiting.len() < LARGE_QUEUE || now >= self.next_dispatch {
             self.dispatch(now);
         }
     }
 
-    /// Grants what can be granted and refuses at once what will not be.
+    /// Grants the requests that can be granted now, and refuses those that cannot be
+    /// granted in time.
     pub fn dispatch(&mut self, now: Duration) {
         self.next_dispatch = now + LARGE_QUEUE_DISPATCH_INTERVAL;
-        self.forget_old(now);
+        self.remove_expired(now);
         if now < self.started_at + self.takeover_delay() {
             return;
         }
         let usual_duration = Duration::from_secs_f64(self.usual_duration(now));
         let mut still_waiting = Vec::new();
-        // What one rank could not have, no lower one can: they are in order.
-        let mut exhausted = false;
+        // Requests are in order of rank: if one gets no origin, no later one does.
+        let mut is_exhausted = false;
         let capacity = self.capacity(now);
         for waiting in self.waiting.take_in_order(now + usual_duration) {
             let permitted = self.is_within_budget(now, &waiting);
-            let picked = if permitted && !exhausted {
+            let picked = if permitted && !is_exhausted {
                 self.pick_origin(now, &waiting)
             } else {
                 None
             };
-            exhausted |= permitted && picked.is_none();
+            is_exhausted |= permitted && picked.is_none();
             if let Some(address) = picked {
                 self.grant(now, address, &waiting);
             } else if let Some(refused) = self.refusal(now, &waiting, still_waiting.len(), capacity)
@@ -232,10 +239,10 @@
         }
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        self.retry_budget.forget_old(now);
-        self.arrivals.forget_old(now);
-        self.calls.forget_ended(now);
+    fn remove_expired(&mut self, now: Duration) {
+        self.retry_budget.remove_expired(now);
+        self.arrivals.remove_expired(now);
+        self.calls.remove_ended(now);
         self.origins
             .values_mut()
             .map(|state| &mut state.bucket)
@@ -243,7 +250,7 @@
             .for_each(|bucket| bucket.refill(now));
     }
 
-    /// Counts an edge's calls in flight under permits of an earlier controller.
+    /// Adds the calls that an edge has in flight under permits of earlier controllers.
     pub fn add_calls_in_flight(&mut self, now: Duration, reported: CallsInProgress) {
         for (epoch, serial, origin, remaining) in reported.calls {
             if epoch < self.epoch {
@@ -252,8 +259,8 @@
                     CallInFlight {
                         origin,
                         rank: 0,
-                        since: now,
-                        until: now + remaining + UNREPORTED_CALL_GRACE,
+                        granted_at: now,
+                        counted_until: now + remaining + UNREPORTED_CALL_GRACE,
                         is_retry: false,
                     },
                 );
@@ -261,12 +268,12 @@
         }
     }
 
-    /// An edge reports the end of a call.
+    /// Handles an edge's report that a call has ended.
     pub fn call_completed(&mut self, now: Duration, done: CallDone) {
         if done.epoch == FALLBACK_EPOCH
             && let Some(bucket) = &mut self.total_rate
         {
-            // An edge called within its fallback quota.
+            // The edge made this call within its fallback quota.
             bucket.take(now);
         }
         let permit = PermitId {
@@ -278,17 +285,23 @@
         };
         match done.result {
             CallResult::Cancelled => {
-                // Its slot is free once the origin has observed the cancellation.
-                let until = call.until.min(now + CANCELLATION_DELAY);
-                self.calls.insert(permit, CallInFlight { until, ..call });
+                // The slot is free once the origin has observed the cancellation.
+                let counted_until = call.counted_until.min(now + CANCELLATION_DELAY);
+                self.calls.insert(
+                    permit,
+                    CallInFlight {
+                        counted_until,
+                        ..call
+                    },
+                );
             }
             CallResult::Unused => self.refund(&call),
-            result => self.judge_origin(now, call.origin, result, done.took),
+            result => self.update_origin_health(now, call.origin, result, done.took),
         }
         self.dispatch_soon(now);
     }
 
-    /// Returns the token of a permit that was not used, within the burst.
+    /// Returns the tokens and the retry budget of a permit that was not used.
     fn refund(&mut self, call: &CallInFlight) {
         let bucket = self
             .origins
--- a/data-plane/src/admission/origin_health.rs
+++ b/data-plane/src/admission/origin_health.rs
@@ -1,23 +1,24 @@
-//! The health of a group's origins: proof of identity, outlier ejection, probes.
+//! Health of a group's origins: proof of identity, outlier ejection and probes.
 use super::{AdmissionController, TokenBucket};
 use crate::prelude::*;
 
-/// What the controller knows of one origin.
+/// The controller's state of one origin.
 pub(super) struct OriginState {
     pub(super) origin: Origin,
     pub(super) bucket: TokenBucket,
     /// The moving average of a call's duration, in seconds.
     pub(super) mean_duration: f64,
-    /// When the call began that last proved the origin's identity.
+    /// The start of the call that last proved the origin's identity.
     proof: Option<Duration>,
-    /// When the probe in flight was sent.
-    probing_since: Option<Duration>,
+    /// The time at which the probe in flight was sent.
+    probe_sent_at: Option<Duration>,
     connection: ConnectionState,
     consecutive_failures: u32,
     ejected_until: Duration,
 }
 
-/// The connection that shows that the origin's process has not changed.
+/// The state of the connection to an origin. While it stays open, the origin's process
+/// has not changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionState {
     Closed,
@@ -25,21 +26,22 @@
     Open,
 }
 
-/// How long an origin is ejected after a failure, the second time for twice as long.
+/// Ejection time after a failure. It doubles with the second consecutive failure.
 pub(super) const EJECTION: Duration = Duration::from_millis(500);
-/// The same for an origin that rejected a request unexecuted: it is full, or
-/// about to shut down.
+/// Ejection time of an origin that rejected a request without executing it, because it
+/// is full or about to shut down.
 const FULL_ORIGIN_EJECTION: Duration = Duration::from_millis(100);
-/// The same for an origin whose address another instance has now.
+/// Ejection time of an origin whose address now belongs to another instance.
 const REPLACED_ORIGIN_EJECTION: Duration = Duration::from_secs(5);
-/// The longest ejection, in multiples of the first one.
+/// Maximum ejection time, as a multiple of the first one.
 const MAX_EJECTION_FACTOR: u32 = 2;
-/// The assumed duration of a call before the first one was made, in seconds.
+/// Assumed duration of a call before the first call, in seconds.
 const INITIAL_DURATION_S: f64 = 0.02;
-/// The weights of the last call, and of those before, in the moving average of durations.
+/// Weight of the last call in the moving average of durations.
 const LATEST_DURATION_WEIGHT: f64 = 0.1;
+/// Weight of all earlier calls in the moving average of durations.
 const PREVIOUS_DURATIONS_WEIGHT: f64 = 0.9;
-/// The shortest duration that is recorded, in seconds.
+/// Lower bound of a recorded duration, in seconds.
 const MIN_DURATION_S: f64 = 0.001;
 
 impl OriginState {
@@ -49,14 +51,14 @@
             bucket: TokenBucket::new(now, rate),
             mean_duration: INITIAL_DURATION_S,
             proof: None,
-            probing_since: None,
+            probe_sent_at: None,
             connection: ConnectionState::Closed,
             consecutive_failures: 0,
             ejected_until: Duration::ZERO,
         }
     }
 
-    /// Concurrent calls it may have.
+    /// Returns the maximum number of concurrent calls to the origin.
     pub(super) fn slots(&self, concurrency: u32) -> u32 {
         if self.origin.capacity == 0 {
             concurrency
@@ -69,7 +71,7 @@
         self.ejected_until > now
     }
 
-    /// Ejected for failures, not just listed anew.
+    /// Returns true if the origin is ejected because of failures.
     pub(super) fn has_failed(&self, now: Duration) -> bool {
         self.consecutive_failures > 0 && self.is_ejected(now)
     }
@@ -84,13 +86,13 @@
             self.mean_duration * PREVIOUS_DURATIONS_WEIGHT + latest * LATEST_DURATION_WEIGHT;
     }
 
-    /// Whether a probe is to be sent now.
+    /// Returns true if a probe is due.
     fn needs_probe(&self, now: Duration) -> bool {
         let is_fresh = self
             .proof
             .is_some_and(|proof| now < proof + lease::ORIGIN_PROOF_REFRESH);
         let is_probing = self
-            .probing_since
+            .probe_sent_at
             .is_some_and(|since| now < since + lease::ORIGIN_PROOF_VALIDITY);
         !is_fresh
             && !is_probing
@@ -101,7 +103,8 @@
 }
 
 impl AdmissionController {
-    /// Whether an origin has proved its identity, where it must before it is called.
+    /// Returns true if an origin may be called: its proof of identity is valid or none is
+    /// needed.
     pub(super) fn is_proven(&self, now: Duration, state: &OriginState) -> bool {
         self.proof == Proof::Named
             || state
@@ -109,15 +112,15 @@
                 .is_some_and(|proof| now < proof + lease::ORIGIN_PROOF_VALIDITY)
     }
 
-    /// Origins that are not ejected.
+    /// Returns the origins that are not ejected.
     pub(super) fn usable_origins(&self, now: Duration) -> impl Iterator<Item = &OriginState> {
         self.origins
             .values()
             .filter(move |state| !state.is_ejected(now))
     }
 
-    /// What the end of a call shows of its origin.
-    pub(super) fn judge_origin(
+    /// Updates the health of an origin from the result of a call.
+    pub(super) fn update_origin_health(
         &mut self,
         now: Duration,
         address: SocketAddr,
@@ -128,7 +131,7 @@
             CallResult::Success => self.call_succeeded(now, address, took),
             CallResult::Failure | CallResult::Unreachable => self.eject(now, address, EJECTION),
             CallResult::NotExecuted => self.eject(now, address, FULL_ORIGIN_EJECTION),
-            // Only the list of origins can bring it back.
+            // Only a new list of origins makes the address usable again.
             CallResult::WrongInstance => self.eject(now, address, REPLACED_ORIGIN_EJECTION),
             CallResult::Cancelled | CallResult::Unused => {}
         }
@@ -147,22 +150,22 @@
         }
     }
 
-    /// The origin proved its identity in a call that began at `since`. It counts
-    /// only with a connection that was open by then; a first proof is a probe's,
-    /// which is sent only once one is.
-    fn record_proof(&mut self, since: Duration, address: SocketAddr) {
+    /// Records that an origin proved its identity in a call that started at
+    /// `started_at`. The proof is valid only with a connection that was open by then. A
+    /// first proof comes from a probe, which is sent only over an open connection.
+    fn record_proof(&mut self, started_at: Duration, address: SocketAddr) {
         if let Some(state) = self
             .origins
             .get_mut(&address)
             .filter(|state| state.connection == ConnectionState::Open)
         {
-            state.proof = state.proof.max(Some(since));
+            state.proof = state.proof.max(Some(started_at));
             state.consecutive_failures = 0;
             state.ejected_until = Duration::ZERO;
         }
     }
 
-    /// Ejects an origin; it must prove its identity anew.
+    /// Ejects an origin, which must then prove its identity again.
     fn eject(&mut self, now: Duration, address: SocketAddr, span: Duration) {
         if let Some(state) = self.origins.get_mut(&address) {
             state.proof = None;
@@ -171,9 +174,9 @@
         }
     }
 
-    /// Origins to which a connection shall be opened now.
+    /// Returns the origins to which a connection must be opened now.
     pub fn connections_to_open(&mut self, now: Duration) -> Vec<SocketAddr> {
-        // Origins that are named with each call need no proof.
+        // Origins that check the name in each call need no proof.
         let needs_proof = self.proof == Proof::Seal;
         let due = self.origins.values_mut().filter(|state| {
             needs_proof && state.connection == ConnectionState::Closed && !state.is_ejected(now)
@@ -185,7 +188,7 @@
         .collect()
     }
 
-    /// The connection is open, or has ended and with it the proof.
+    /// Records that a connection has opened, or that it has ended and with it the proof.
     pub fn connection_changed(&mut self, now: Duration, address: SocketAddr, open: bool) {
         let Some(state) = self.origins.get_mut(&address) else {
             return;
@@ -197,28 +200,28 @@
         let was_opening = state.connection == ConnectionState::Opening;
         state.connection = ConnectionState::Closed;
         state.proof = None;
-        // One that ended after it was open may only have been idle for too long.
+        // A connection that ended after it was open may have been closed as idle.
         if was_opening {
             self.eject(now, address, EJECTION);
         }
     }
 
-    /// Origins to probe now. A probe is a call and costs a token; it goes before
-    /// requests, since without proof none is sent.
+    /// Returns the origins to probe now. A probe takes a token like any call. It precedes
+    /// requests, because none is sent without proof.
     pub fn start_probes(&mut self, now: Duration) -> Vec<Origin> {
-        self.forget_old(now);
+        self.remove_expired(now);
         let mut probed = Vec::new();
         for state in self.origins.values_mut() {
             if state.needs_probe(now) {
                 state.bucket.take(now);
-                state.probing_since = Some(now);
+                state.probe_sent_at = Some(now);
                 probed.push(state.origin.clone());
             }
         }
         probed
     }
 
-    /// A probe of `origin` ended. True if it gained or lost its proof.
+    /// Records the end of a probe. Returns true if the origin gained or lost its proof.
     pub fn probe_completed(&mut self, now: Duration, origin: &Origin, succeeded: bool) -> bool {
         let Some(state) = self
             .origins
@@ -228,9 +231,9 @@
             return false;
         };
         let was_proven = state.proof.is_some();
-        let since = state.probing_since.take().unwrap_or(now);
+        let started_at = state.probe_sent_at.take().unwrap_or(now);
         if succeeded {
-            self.record_proof(since, origin.address)
+            self.record_proof(started_at, origin.address)
         } else {
             self.eject(now, origin.address, EJECTION)
         }
@@ -238,14 +241,14 @@
         was_proven != succeeded
     }
 
-    /// The health of each origin, for operators.
+    /// Returns the health of each origin, for operators.
     pub fn origin_health(&self, now: Duration) -> Vec<OriginHealth> {
         let health = |state: &OriginState| OriginHealth {
             address: state.origin.address,
             service: state.origin.service.clone(),
             instance: state.origin.instance.clone(),
             condition: self.condition(now, state),
-            calls: self.calls.at(state.origin.address) as u32,
+            calls: self.calls.count_for(state.origin.address) as u32,
         };
         self.origins.values().map(health).collect()
     }
--- a/data-plane/src/admission/permits.rs
+++ b/data-plane/src/admission/permits.rs
@@ -1,4 +1,4 @@
-//! Which request gets a permit for which origin, and which is refused.
+//! Selection of origins, and grants and refusals of permits.
 use super::origin_health::{EJECTION, OriginState};
 use super::{
     ARRIVAL_WINDOW, AdmissionController, CallInFlight, PermitId, UNREPORTED_CALL_GRACE,
@@ -6,35 +6,39 @@
 };
 use crate::prelude::*;
 
-/// A call is short if it fits so often into the time a request may wait.
+/// A call is short if this many calls fit into the time that a request may wait.
 const SHORT_CALL_RATIO: f64 = 4.0;
-/// An origin with so many slots serves shared responses.
+/// Number of slots from which an origin is taken to serve shared responses.
 const HIGH_CAPACITY_SLOTS: f64 = 8.0;
-/// What the network adds to a call within a zone, within a region and beyond, in seconds.
+/// The network latency added to a call within a zone, within a region and beyond, in
+/// seconds.
 const DISTANCE_PENALTY_S: [f64; 3] = [0.0, 0.002, 0.04];
-/// How long a group without any origin is given for one to be listed.
+/// Time for which requests wait for the first origin of a group to be listed.
 const EMPTY_GROUP_GRACE: Duration = Duration::from_secs(1);
-/// The back-off of a request refused for the retry budget.
+/// The retry delay reported when the retry budget is exhausted.
 const RETRY_BUDGET_BACKOFF: Duration = Duration::from_secs(1);
-/// The bounds of the back-off of a request refused for overload.
+/// Minimum retry delay reported for overload.
 const MIN_OVERLOAD_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum retry delay reported for overload.
 const MAX_OVERLOAD_BACKOFF: Duration = Duration::from_secs(30);
-/// If higher ranks leave less than this part (one in so many) of the capacity,
-/// not even the first request of a rank is granted.
+/// If higher ranks leave less than the capacity divided by this, even the first waiting
+/// request of a rank is expected to wait.
 const LEFTOVER_DIVISOR: f64 = 20.0;
-/// Lower bounds of values that are divided by, or compared.
+/// Lower bound of the rate left by higher ranks, in calls per second, as a divisor.
 const MIN_LEFTOVER_RATE: f64 = 0.01;
+/// Lower bound of the throughput in calls per second, as a divisor.
 const MIN_THROUGHPUT: f64 = 0.001;
+/// Lower bound of a call's duration in the score, in seconds.
 const MIN_DURATION_S: f64 = 0.001;
-/// The upper bound of the usual duration of a call, in seconds.
+/// Upper bound of the usual duration of a call, in seconds.
 const MAX_USUAL_DURATION_S: f64 = 60.0;
 
-/// How well an origin suits a request; the lowest is picked.
+/// The score of an origin for a request. The origin with the lowest score is picked.
 struct OriginScore {
     has_failed_request: bool,
-    /// The distance where it decides, see `AdmissionController::score`.
+    /// The distance if it is decisive, see `AdmissionController::score`.
     distance_class: u8,
-    /// When a response is expected, in seconds.
+    /// Expected time until the response, in seconds.
     expected_delay: f64,
     tokens: f64,
 }
@@ -49,14 +53,14 @@
 }
 
 impl AdmissionController {
-    /// The duration of a call to this origin in seconds: that of the last ones,
-    /// or longer if the ones in flight already show it.
+    /// Returns the expected duration of a call to this origin in seconds: the moving
+    /// average, or the mean age of the calls in flight if that is longer.
     fn call_duration(&self, now: Duration, state: &OriginState) -> f64 {
         let age = self.calls.mean_age(now, state.origin.address);
         state.mean_duration.max(age.unwrap_or(0.0))
     }
 
-    /// The mean duration of a call over the usable origins, in seconds.
+    /// Returns the mean duration of a call over the usable origins, in seconds.
     pub(super) fn usual_duration(&self, now: Duration) -> f64 {
         let (count, sum) = self
             .usable_origins(now)
@@ -66,7 +70,7 @@
         (sum / f64::from(count.max(1))).min(MAX_USUAL_DURATION_S)
     }
 
-    /// Calls a second that all usable origins can take.
+    /// Returns the calls per second that all usable origins can execute.
     pub(super) fn capacity(&self, now: Duration) -> f64 {
         let sum = self
             .usable_origins(now)
@@ -77,19 +81,19 @@
             .map_or(sum, |bucket| bucket.rate.min(sum))
     }
 
-    /// Calls a second that the slots of an origin allow.
+    /// Returns the calls per second that the slots of an origin allow.
     fn throughput(&self, now: Duration, state: &OriginState) -> f64 {
         f64::from(state.slots(self.concurrency)) / self.call_duration(now, state)
     }
 
-    /// Recent arrivals a second above a rank.
+    /// Returns the recent arrivals per second with a higher rank.
     fn higher_rank_rate(&self, rank: u32) -> f64 {
-        self.arrivals.above(rank) as f64 / ARRIVAL_WINDOW.as_secs_f64()
+        self.arrivals.count_above(rank) as f64 / ARRIVAL_WINDOW.as_secs_f64()
     }
 
-    /// Whether a call of this rank leaves the slots that higher ranks will need
-    /// before it ends. Where calls are short beside the time that requests may
-    /// wait, a higher one just waits for the next slot.
+    /// Returns true if a call of this rank leaves the slots that higher ranks will need
+    /// before it ends. If calls are short relative to the time that requests may wait,
+    /// no slots are reserved: a request of a higher rank waits for the next slot.
     fn leaves_slots_for_higher_ranks(&self, now: Duration, waiting: &WaitingRequest) -> bool {
         let higher_rate = self.higher_rank_rate(waiting.rank);
         if higher_rate == 0.0 {
@@ -108,8 +112,8 @@
         if duration * SHORT_CALL_RATIO <= max_wait.as_secs_f64() {
             return true;
         }
-        // A slot that a higher call holds serves the next one for what is left
-        // of that time after it ends.
+        // A higher-ranked call of this age ends within `duration`. Its slot then serves
+        // the next one for a time as long as the age.
         let reused: f64 = self
             .calls
             .iter()
@@ -120,13 +124,13 @@
         slots - self.calls.len() as f64 - 1.0 >= needed.floor().max(0.0)
     }
 
-    /// Whether the request is in time and within the retry budget.
+    /// Returns true if the request is before its deadline and within the retry budget.
     pub(super) fn is_within_budget(&self, now: Duration, waiting: &WaitingRequest) -> bool {
         now < waiting.deadline && (!waiting.is_retry || self.retry_budget.permits_retry(now))
     }
 
-    /// The refusal of a request that will not be granted, with `ahead` requests
-    /// before it.
+    /// Returns the refusal of a request that cannot be granted in time behind `ahead`
+    /// other requests.
     pub(super) fn refusal(
         &self,
         now: Duration,
@@ -134,27 +138,27 @@
         ahead: usize,
         capacity: f64,
     ) -> Option<PermitRefused> {
-        let refused = |reason, back| PermitRefused {
+        let refused = |reason, retry_after| PermitRefused {
             id: waiting.id,
             reason,
-            retry_after: back,
+            retry_after,
         };
         if now < waiting.deadline && !self.is_within_budget(now, waiting) {
             let reason = PermitRefusalReason::RetryBudgetExhausted;
             return Some(refused(reason, RETRY_BUDGET_BACKOFF));
         }
-        if let Some(back) = self.all_origins_ejected_for(now) {
-            return Some(refused(PermitRefusalReason::NoHealthyOrigin, back));
+        if let Some(retry_after) = self.all_origins_ejected_for(now) {
+            return Some(refused(PermitRefusalReason::NoHealthyOrigin, retry_after));
         }
         let wait = self.expected_wait(waiting.rank, ahead, capacity);
         let too_late = !wait.is_zero() && now.saturating_add(wait) >= waiting.deadline;
         (too_late || now >= waiting.deadline).then(|| {
-            let back = wait.clamp(MIN_OVERLOAD_BACKOFF, MAX_OVERLOAD_BACKOFF);
-            refused(PermitRefusalReason::Overloaded, back)
+            let retry_after = wait.clamp(MIN_OVERLOAD_BACKOFF, MAX_OVERLOAD_BACKOFF);
+            refused(PermitRefusalReason::Overloaded, retry_after)
         })
     }
 
-    /// The time until the first origin may be called, if all have failed.
+    /// Returns the time until the first ejection ends, if all origins are ejected.
     fn all_origins_ejected_for(&self, now: Duration) -> Option<Duration> {
         let all_failed = self.origins.values().all(|state| state.has_failed(now));
         let may_be_listed_yet =
@@ -170,8 +174,8 @@
         Some(soonest.unwrap_or(EJECTION))
     }
 
-    /// How long a request of this rank waits behind `ahead` others, at the rate
-    /// that higher ranks leave.
+    /// Returns the expected wait of a request of this rank behind `ahead` others, at the
+    /// rate that higher ranks leave.
     fn expected_wait(&self, rank: u32, ahead: usize, capacity: f64) -> Duration {
         let higher_rate = self.higher_rank_rate(rank);
         let leftover = (capacity - higher_rate).max(MIN_LEFTOVER_RATE);
@@ -183,7 +187,7 @@
         Duration::try_from_secs_f64((ahead as f64 + first) / leftover).unwrap_or(Duration::MAX)
     }
 
-    /// The origin that may be called and will respond first, as far as is known.
+    /// Returns the callable origin that is expected to respond first.
     pub(super) fn pick_origin(
         &self,
         now: Duration,
@@ -200,7 +204,8 @@
         let callable = self.usable_origins(now).filter(|state| {
             state.bucket.has_token()
                 && self.is_proven(now, state)
-                && self.calls.at(state.origin.address) < state.slots(self.concurrency) as usize
+                && self.calls.count_for(state.origin.address)
+                    < state.slots(self.concurrency) as usize
         });
         callable
             .map(|state| (self.score(state, waiting), state.origin.address))
@@ -208,12 +213,12 @@
             .map(|(_, address)| address)
     }
 
-    /// Scores by the fraction of the slots in use, the duration of calls and the
-    /// distance. An origin that failed this request is the last choice. Where an
-    /// origin has many slots the nearer goes first while half of them are free:
-    /// its responses are large.
+    /// Scores an origin by the fraction of its slots in use, the duration of calls and
+    /// the distance. An origin that failed this request is the last choice. Among
+    /// origins with many slots the nearest is preferred while more than half of its
+    /// slots are free, because their responses are large.
     fn score(&self, state: &OriginState, waiting: &WaitingRequest) -> OriginScore {
-        let in_flight = self.calls.at(state.origin.address) as f64;
+        let in_flight = self.calls.count_for(state.origin.address) as f64;
         let slots = f64::from(state.slots(self.concurrency));
         let distance = if state.origin.region != waiting.region {
             2
@@ -252,8 +257,8 @@
             CallInFlight {
                 origin: address,
                 rank: waiting.rank,
-                since: now,
-                until: now + waiting.call_timeout + UNREPORTED_CALL_GRACE,
+                granted_at: now,
+                counted_until: now + waiting.call_timeout + UNREPORTED_CALL_GRACE,
                 is_retry: waiting.is_retry,
             },
         );
--- a/data-plane/src/admission/retry_budget.rs
+++ b/data-plane/src/admission/retry_budget.rs
@@ -1,26 +1,27 @@
-//! The budget of a group's retries.
+//! The retry budget of a group.
 use crate::prelude::*;
 
-/// Limits retries relative to first attempts. Invariant: within ten seconds,
-/// retries stay within a fifth of the first attempts plus the allowance, of
-/// which a new controller has a fraction at once if it is large and the rest
-/// after ten seconds: two changes of controller fit in. Retries are counted a
-/// `PERMIT_VALIDITY` longer and first attempts a `PERMIT_VALIDITY` shorter, so
-/// that it holds at the origins, too.
+/// Limits retries relative to first attempts. Invariant: within ten seconds, retries
+/// stay within a fifth of the first attempts plus the allowance, even with two changes
+/// of controller. For that, a new controller starts with a fraction of a large
+/// allowance, or with none of a small one, and after ten seconds gets what two changes
+/// leave of it. Retries are counted for a `PERMIT_VALIDITY` longer and first attempts for a
+/// `PERMIT_VALIDITY` shorter, so that the invariant also holds at the origins.
 pub(super) struct RetryBudget {
     allowance: usize,
     started_at: Duration,
-    /// When first attempts were granted.
+    /// The times at which first attempts were granted.
     pub(super) first_attempts: VecDeque<Duration>,
-    /// When retries were granted.
+    /// The times at which retries were granted.
     pub(super) retries: VecDeque<Duration>,
 }
 
-/// The span over which retries and first attempts are counted.
+/// The window over which retries and first attempts are counted.
 const WINDOW: Duration = Duration::from_secs(10);
-/// First attempts that earn one retry.
+/// Number of first attempts that permit one retry.
 const FIRST_ATTEMPTS_PER_RETRY: usize = 5;
-/// Two sevenths of an allowance of at least seven are available at once.
+/// Two parts in this many of an allowance are available at once, if it is at least
+/// this large.
 const ALLOWANCE_DIVISOR: usize = 7;
 
 impl RetryBudget {
@@ -33,7 +34,7 @@
         }
     }
 
-    pub(super) fn forget_old(&mut self, now: Duration) {
+    pub(super) fn remove_expired(&mut self, now: Duration) {
         for (granted, span) in [
             (&mut self.first_attempts, WINDOW - lease::PERMIT_VALIDITY),
             (&mut self.retries, WINDOW + lease::PERMIT_VALIDITY),
@@ -44,13 +45,14 @@
         }
     }
 
-    /// Whether one more retry is within the budget.
+    /// Returns true if one more retry is within the budget.
     pub(super) fn permits_retry(&self, now: Duration) -> bool {
         self.retries.len()
             < self.first_attempts.len() / FIRST_ATTEMPTS_PER_RETRY + self.available_allowance(now)
     }
 
-    /// The controller may change twice within the window.
+    /// Returns the part of the allowance that is available now. It allows for two changes
+    /// of controller within the window.
     fn available_allowance(&self, now: Duration) -> usize {
         let at_once = if self.allowance < ALLOWANCE_DIVISOR {
             0
@@ -68,7 +70,7 @@
         self.granted(is_retry).push_back(now);
     }
 
-    /// The last granted attempt of its kind was not made.
+    /// Removes the last granted attempt of this kind, which was not made.
     pub(super) fn refund(&mut self, is_retry: bool) {
         self.granted(is_retry).pop_back();
     }
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -686,7 +686,7 @@
         admission.request_permit(at(1000), origin(port).address, request);
     }
     let granted = permits(&mut admission);
-    admission.forget_edges(at(1010), &HashSet::from([origin(9).address]));
+    admission.remove_edges(at(1010), &HashSet::from([origin(9).address]));
     admission.call_completed(at(1100), call_done(&granted[0], CallResult::Success));
     let next = permits(&mut admission);
     assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
--- a/data-plane/src/admission/token_bucket.rs
+++ b/data-plane/src/admission/token_bucket.rs
@@ -1,27 +1,28 @@
-//! A token bucket that also bounds the calls in any few seconds.
+//! A token bucket that also limits the calls within a sliding window.
 use crate::prelude::*;
 
-/// The span over which a rate is judged, in seconds, and how much of it may be used.
+/// The window in which calls are limited, in seconds.
 const RATE_WINDOW_S: f64 = 5.0;
+/// Maximum number of calls within the window, as a multiple of the rate.
 const RATE_TOLERANCE: f64 = 1.1;
-/// A bucket holds the tokens of so many seconds, and at least one: large enough
-/// that calls are not paced apart, small enough that any five seconds stay
-/// within 110 % of the rate with permits used up to `PERMIT_VALIDITY` late.
+/// The burst of a bucket in seconds of its rate; it is at least one token. A smaller
+/// burst would space calls evenly. A larger one would exceed 110 % of the rate within
+/// five seconds if permits are used up to `PERMIT_VALIDITY` late.
 const BURST_S: f64 = 0.1;
 
-/// The capacity under one rate: the tokens left and the calls granted recently.
+/// A token bucket: the tokens left and the recently granted calls.
 pub struct TokenBucket {
-    /// Tokens added a second.
+    /// Number of tokens added per second.
     pub rate: f64,
-    /// Tokens left.
+    /// Number of tokens left.
     pub tokens: f64,
     refilled_at: Duration,
-    /// When calls were granted.
+    /// The times at which recent calls were granted.
     granted: VecDeque<Duration>,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub fn new(now: Duration, rate: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// A bucket with so many tokens at once.
+    /// Creates a bucket that holds `tokens` initially.
     pub fn with_tokens(now: Duration, rate: f64, tokens: f64) -> TokenBucket {
         TokenBucket {
             tokens,
@@ -39,12 +40,12 @@
         }
     }
 
-    /// The tokens up to which the bucket is refilled.
+    /// Returns the number of tokens up to which the bucket is refilled.
     fn burst(&self) -> f64 {
         (self.rate * BURST_S).max(1.0)
     }
 
-    /// Adds the tokens since the last refill.
+    /// Adds the tokens that are due since the last refill.
     pub fn refill(&mut self, now: Duration) {
         let limit = self.burst().max(self.tokens);
         let added = (now - self.refilled_at).as_secs_f64() * self.rate;
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Whether one more call or probe now stays within the rate over any window.
+    /// Returns true if one more call or probe now stays within the rate and the window's
+    /// limit.
     pub fn has_token(&self) -> bool {
         let limit = (self.rate * RATE_WINDOW_S * RATE_TOLERANCE).max(1.0) as usize;
         self.tokens >= 1.0 && self.granted.len() < limit
@@ -68,7 +70,7 @@
         self.granted.push_back(now);
     }
 
-    /// Returns the token of the last granted call, which was not made.
+    /// Returns the token of the last granted call, if that call was not made.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
         self.granted.pop_back();
--- a/data-plane/src/admission/waiting_queue.rs
+++ b/data-plane/src/admission/waiting_queue.rs
@@ -1,4 +1,4 @@
-//! Requests for permits that have not been granted or refused.
+//! The queue of permit requests that have been neither granted nor refused.
 use crate::prelude::*;
 
 /// An edge's request for a permit.
@@ -6,16 +6,16 @@
     pub(super) from: SocketAddr,
     pub(super) id: u64,
     pub(super) rank: u32,
-    /// The order of arrival.
+    /// Number in order of arrival.
     serial: u64,
-    /// When it was queued, or last refreshed.
+    /// The time at which the request was queued or last refreshed.
     pub(super) queued_at: Duration,
-    /// When the edge sent it, on the edge's clock.
+    /// The time at which the edge sent the request, on the edge's clock.
     pub(super) sent: Duration,
     pub(super) deadline: Duration,
     pub(super) is_retry: bool,
     pub(super) call_timeout: Duration,
-    /// The time before which a response is worth most.
+    /// The time by which the client should have its response.
     latency_target: Duration,
     pub(super) zone: String,
     pub(super) region: String,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether this is the request of that edge with that id.
+    /// Returns true if this is the request of that edge with that id.
     pub(super) fn is(&self, from: SocketAddr, id: u64) -> bool {
         (self.from, self.id) == (from, id)
     }
 }
 
-/// The requests that wait, by rank once they were taken in order.
+/// The waiting permit requests. `take_in_order` sorts them.
 #[derive(Default)]
 pub(super) struct WaitingQueue {
     requests: Vec<WaitingRequest>,
@@ -74,16 +74,16 @@
         self.requests.push(waiting);
     }
 
-    /// True if any request was removed.
+    /// Removes matching requests. Returns true if there were any.
     pub(super) fn remove_where(&mut self, removed: &dyn Fn(&WaitingRequest) -> bool) -> bool {
         let before = self.requests.len();
         self.requests.retain(|waiting| !removed(waiting));
         self.requests.len() < before
     }
 
-    /// Takes all requests out: the highest rank first, and within a rank those
-    /// that still meet their latency target if a call ends at `call_end` before
-    /// those that are late anyway.
+    /// Takes all requests out, highest rank first. Within a rank, requests that would
+    /// meet their latency target with a call that ends at `call_end` precede those that
+    /// would not.
     pub(super) fn take_in_order(&mut self, call_end: Duration) -> Vec<WaitingRequest> {
         self.requests.sort_by_key(|waiting| {
             (
@@ -95,7 +95,7 @@
         std::mem::take(&mut self.requests)
     }
 
-    /// Puts back the requests that wait on.
+    /// Puts back the requests that are still waiting.
     pub(super) fn restore(&mut self, still_waiting: Vec<WaitingRequest>) {
         self.requests = still_waiting;
     }
--- a/data-plane/src/cache_owner/handover.rs
+++ b/data-plane/src/cache_owner/handover.rs
@@ -3,21 +3,22 @@
 use super::slot::{CacheSlot, StoredResponse};
 use crate::prelude::*;
 
-/// The stored responses of a partition that is owned by another edge now, as
-/// they were when it was reassigned, purges included.
+/// The stored responses of a partition that was reassigned to another edge, in their
+/// state at that time, which includes the purges applied until then.
 pub(super) struct RetainedPartition {
-    pub(super) since: Duration,
+    pub(super) retained_at: Duration,
     slots: Vec<(CacheKey, CacheSlot)>,
 }
 
-/// How long a reassigned partition is retained.
+/// Time for which a reassigned partition is retained.
 pub(super) const RETENTION: Duration = Duration::from_secs(3);
-/// Responses of one partition are handed over up to this size.
+/// Maximum size of the responses handed over for one partition, in bytes.
 const MAX_HANDOVER_BYTES: u64 = 16 * 1024 * 1024;
 
 impl CacheOwner {
-    /// Serves on only partitions that are owned under an unchanged epoch; the
-    /// responses of the others are retained for their next owner.
+    /// Keeps the partitions for which `is_owned` returns true: those that this edge still
+    /// owns under an unchanged epoch. The responses of the others are no longer served,
+    /// and are retained for their next owner.
     pub fn retain_partitions(
         &mut self,
         now: Duration,
@@ -38,7 +39,7 @@
                 self.retained
                     .entry(cache_partition(&key))
                     .or_insert(RetainedPartition {
-                        since: now,
+                        retained_at: now,
                         slots: Vec::new(),
                     })
                     .slots
@@ -47,12 +48,12 @@
         }
     }
 
-    /// True while a next owner may still request retained responses.
+    /// Returns true while a next owner may still request retained responses.
     pub fn has_retained_partitions(&self) -> bool {
         !self.retained.is_empty()
     }
 
-    /// The retained responses of a partition, the last used first.
+    /// Returns the retained responses of a partition, most recently used first.
     pub fn hand_over(&mut self, now: Duration, partition: u16) -> Vec<HandedOverResponse> {
         let Some(RetainedPartition { mut slots, .. }) = self.retained.remove(&partition) else {
             return Vec::new();
@@ -87,9 +88,9 @@
         })
     }
 
-    /// Takes over responses from the previous owner, `delay` after they were
-    /// requested: they count as that much older. Responses stored here since go
-    /// first. The number of responses taken.
+    /// Stores responses of the previous owner that arrived `delay` after they were
+    /// requested, so that they may be that much older than stated. Responses already
+    /// stored here are kept. Returns the number of responses stored.
     pub fn take_over(
         &mut self,
         now: Duration,
@@ -97,18 +98,18 @@
         responses: Vec<HandedOverResponse>,
         purge_log: &PurgeLog,
     ) -> usize {
-        let mut taken = 0;
+        let mut stored = 0;
         for response in responses {
             if self.accepts(delay, &response, purge_log) {
-                taken += 1;
+                stored += 1;
                 self.take_over_response(now, delay, response, purge_log.applied);
             }
         }
         self.evict();
-        taken
+        stored
     }
 
-    /// Whether a handed over response may be served here.
+    /// Returns true if a handed over response may be served here.
     fn accepts(
         &self,
         delay: Duration,
@@ -156,7 +157,7 @@
         let is_shortened = slot.ttl < ttl;
         slot.stored = Some(StoredResponse {
             reply,
-            // Older than any fetch started here, whose put may still arrive.
+            // Lower than the serial of any token issued here, whose put replaces it.
             serial: 0,
             purge_version,
             fetch_started_at: now.saturating_sub(age + delay),
--- a/data-plane/src/cache_owner/mod.rs
+++ b/data-plane/src/cache_owner/mod.rs
@@ -1,4 +1,4 @@
-//! The cache partitions that this edge owns.
+//! The cache of the partitions that this edge owns.
 mod handover;
 mod slot;
 #[cfg(test)]
@@ -10,36 +10,36 @@
 use slot::{CacheSlot, Requester, SlotLookup, StoredResponse, Waiter};
 pub(crate) use slot::{REFRESH_TIMEOUT, minor_lifetime};
 
-/// The responses of the cache partitions that this edge owns: MashCache's two
-/// expiries with the owner of a key. Invariants:
-/// - `minor_expiry <= major_expiry`; both are reset by a put, and the major one
-///   is never later than the time-to-live, as the last request gave it, counted
-///   from the start of the fetch (the token's issue).
-/// - At most one refresher of a key within the minor lifetime, cold keys
-///   included, as long as it neither fails nor times out.
-/// - `memory` counts all stored responses and stays within its limit: over it,
-///   the least recently used are evicted.
+/// The responses of the cache partitions that this edge owns. Each response has a minor
+/// and a major expiry, as in MashCache. Invariants:
+/// - `minor_expiry <= major_expiry`. Both are reset by a put. The major expiry is at most
+///   the time to live of the last request after the start of the fetch, which is when
+///   the token was issued.
+/// - A key, even a cold one, has at most one refresher within the minor lifetime, unless
+///   the refresher fails or times out.
+/// - `memory` counts all stored responses and stays within its limit: when it is
+///   exceeded, the least recently used responses are evicted.
 pub struct CacheOwner {
     slots: BTreeMap<CacheKey, CacheSlot>,
     memory: MemoryBudget,
     /// The serial of the last token.
     serial: u64,
-    /// Responses sent from the cache.
+    /// Number of responses sent from the cache.
     pub hits: u64,
-    /// Partitions that were reassigned, not served any more.
+    /// Reassigned partitions, which are no longer served.
     retained: BTreeMap<u16, RetainedPartition>,
-    /// Requests that were recently sent a response, and when: a repeat is only
-    /// confirmed as queued.
-    responded: HashMap<Requester, Duration>,
+    /// The times at which requests were recently sent a response. A repeated request is
+    /// only confirmed as queued.
+    recently_responded: HashMap<Requester, Duration>,
     outgoing: Vec<(SocketAddr, Message)>,
 }
 
-/// A request that was sent a response is sent another one only after this time:
-/// until then the first is taken to be in flight.
+/// Minimum time between two responses to the same request. Until then the first is
+/// assumed to be in flight.
 const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 impl CacheOwner {
-    /// An empty cache of `limit` bytes.
+    /// Creates an empty cache with a limit of `limit` bytes.
     pub fn new(limit: u64) -> CacheOwner {
         CacheOwner {
             slots: BTreeMap::new(),
@@ -47,12 +47,12 @@
             serial: 0,
             hits: 0,
             retained: BTreeMap::new(),
-            responded: HashMap::new(),
+            recently_responded: HashMap::new(),
             outgoing: Vec::new(),
         }
     }
 
-    /// The messages to be sent, in order.
+    /// Returns the messages to be sent, in order, and removes them.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Message)> {
         std::mem::take(&mut self.outgoing)
     }
@@ -61,8 +61,8 @@
         self.outgoing.push((to, message.into()));
     }
 
-    /// Serves an edge's request, under the epoch of the partition's assignment
-    /// and the version of the last purge applied here.
+    /// Handles an edge's request. `epoch` is that of the partition's assignment and
+    /// `purge_version` the version of the last purge applied here.
     pub fn get(
         &mut self,
         now: Duration,
@@ -74,8 +74,8 @@
         let CacheGet { id, key, ttl, .. } = get;
         let waiter = Waiter {
             requester: Requester { edge: from, id },
-            since: now,
-            until: now + get.max_wait,
+            queued_at: now,
+            deadline: now + get.max_wait,
         };
         let slot = self
             .slots
@@ -83,7 +83,7 @@
             .or_insert_with(|| CacheSlot::new(now, get.entry, get.host, get.url, ttl));
         slot.apply_ttl(ttl);
         slot.last_used = now;
-        if self.responded.contains_key(&waiter.requester) {
+        if self.recently_responded.contains_key(&waiter.requester) {
             return self.send(from, CacheGetQueued { id });
         }
         if now < slot.private_until {
@@ -92,7 +92,9 @@
         self.memory.used -= slot.drop_expired(now);
         match slot.look_up(now, get.accepts_any_age) {
             SlotLookup::Hit => self.send_stored(now, key, &waiter, purge_version),
-            SlotLookup::Fetch => self.send_token(now, key, waiter.requester, epoch, purge_version),
+            SlotLookup::Refresh => {
+                self.send_token(now, key, waiter.requester, epoch, purge_version)
+            }
             SlotLookup::Wait => {
                 if slot.queue(waiter) {
                     self.send(from, CacheGetQueued { id });
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The edge does not wait for the response any more.
+    /// Removes the waiting request of an edge that no longer waits for the response.
     pub fn withdraw(&mut self, from: SocketAddr, key: &CacheKey, id: u64) {
         let withdrawn = Requester { edge: from, id };
         if let Some(slot) = self.slots.get_mut(key) {
@@ -110,15 +112,15 @@
         }
     }
 
-    /// None of these edges waits for a response any more.
-    pub fn forget_edges(&mut self, departed: &HashSet<SocketAddr>) {
+    /// Removes the waiting requests of edges whose sessions have ended.
+    pub fn remove_edges(&mut self, departed: &HashSet<SocketAddr>) {
         for slot in self.slots.values_mut() {
             slot.waiters
                 .retain(|waiter| !departed.contains(&waiter.requester.edge));
         }
     }
 
-    /// Makes the request the refresher of the key.
+    /// Makes the request the refresher of the key and sends it a token.
     fn send_token(
         &mut self,
         now: Duration,
@@ -130,7 +132,7 @@
         self.serial += 1;
         let serial = self.serial;
         let slot = self.slots.get_mut(&key).expect("it has a request");
-        slot.start_refresh(now, serial);
+        slot.set_refresher(now, serial);
         let token = FillToken {
             serial,
             epoch,
@@ -140,34 +142,34 @@
         self.send(requester.edge, CacheMiss { id, key, token });
     }
 
-    /// Sends the stored response of the key.
+    /// Sends the stored response of the key to a waiting request.
     fn send_stored(&mut self, now: Duration, key: CacheKey, waiter: &Waiter, purge_version: u64) {
         let Some(stored) = self.slots.get(&key).and_then(|slot| slot.stored.as_ref()) else {
             return;
         };
         let response = CachedResponse {
             reply: stored.reply.clone(),
-            // What is stored here was checked against every purge known here.
+            // Stored responses have been checked against every known purge.
             purge_version: purge_version.max(stored.purge_version),
             age: now - stored.fetch_started_at,
             fresh_for: stored.minor_expiry.saturating_sub(now),
             remaining_ttl: stored.major_expiry - now,
-            owner_delay: now - waiter.since,
+            owner_delay: now - waiter.queued_at,
         };
         let copy = CacheCopy {
             id: waiter.requester.id,
             key,
-            max_wait: waiter.until.saturating_sub(now),
+            max_wait: waiter.deadline.saturating_sub(now),
             response,
         };
         self.hits += 1;
-        self.responded.insert(waiter.requester, now);
+        self.recently_responded.insert(waiter.requester, now);
         self.send(waiter.requester.edge, copy);
     }
 
-    /// Stores a refresher's response. False if the put was too late: under
-    /// another epoch of the assignment, after a purge that matches it, or older
-    /// than what is stored.
+    /// Stores a refresher's response. Returns false if the put came too late: under
+    /// another epoch, after a purge that matches the response, older than the stored
+    /// response, or after the time to live.
     pub fn put(&mut self, now: Duration, put: CachePut, epoch: u64, purge_log: &PurgeLog) -> bool {
         let CachePut { key, token, reply } = put;
         let Some(slot) = self.slots.get_mut(&key) else {
@@ -202,7 +204,7 @@
             .retain(|issued| issued.serial > token.serial);
         self.memory.used += slot.bytes();
         for waiter in std::mem::take(&mut slot.waiters) {
-            if now < waiter.until {
+            if now < waiter.deadline {
                 self.send_stored(now, key, &waiter, purge_log.applied);
             }
         }
@@ -210,8 +212,9 @@
         true
     }
 
-    /// The refresher with this token has no response to share: the next waiter
-    /// becomes the refresher. `private`: no response may be shared for now.
+    /// Handles the report that the refresher with this token has no response to share.
+    /// The next waiter becomes the refresher. If `private` is set, responses for this
+    /// key are not shared for now.
     pub fn fill_failed(
         &mut self,
         now: Duration,
@@ -221,8 +224,8 @@
         purge_version: u64,
         private: bool,
     ) {
-        // Serials start anew with each process: another epoch's token may have
-        // the serial of the present refresher.
+        // Serials start again with each process: a token of another epoch may have the
+        // serial of the current refresher.
         let Some(slot) = self.slots.get_mut(&key).filter(|_| token.epoch == epoch) else {
             return;
         };
@@ -246,12 +249,12 @@
         }
     }
 
-    /// The first request that still waits becomes the refresher.
+    /// Makes the first request that still waits the refresher.
     fn next_refresher(&mut self, now: Duration, key: CacheKey, epoch: u64, purge_version: u64) {
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
-        slot.waiters.retain(|waiter| now < waiter.until);
+        slot.waiters.retain(|waiter| now < waiter.deadline);
         if slot.waiters.is_empty() {
             return;
         }
@@ -259,11 +262,11 @@
         self.send_token(now, key, waiter.requester, epoch, purge_version);
     }
 
-    /// Replaces refreshers that timed out; drops what has expired.
+    /// Replaces refreshers that have timed out and drops expired state.
     pub fn tick(&mut self, now: Duration, epoch_of: &dyn Fn(u16) -> u64, purge_version: u64) {
         self.retained
-            .retain(|_, partition| now < partition.since + RETENTION);
-        self.responded
+            .retain(|_, partition| now < partition.retained_at + RETENTION);
+        self.recently_responded
             .retain(|_, sent_at| now < *sent_at + RESEND_INTERVAL);
         let mut timed_out = Vec::new();
         let memory = &mut self.memory;
@@ -299,7 +302,7 @@
         self.retained.clear();
     }
 
-    /// Drops the least recently used responses once the limit is exceeded.
+    /// Evicts the least recently used responses if the limit is exceeded.
     fn evict(&mut self) {
         if !self.memory.is_exceeded() {
             return;
--- a/data-plane/src/cache_owner/slot.rs
+++ b/data-plane/src/cache_owner/slot.rs
@@ -1,4 +1,4 @@
-//! What a cache owner knows of one key.
+//! The state of one key at its cache owner.
 use crate::prelude::*;
 
 /// A key's stored response, its refresher and the requests that wait for it.
@@ -6,43 +6,45 @@
     pub(super) entry: String,
     pub(super) host: String,
     pub(super) url: String,
-    /// How long a response is served after the start of its fetch.
+    /// Time to live of a response, from the start of its fetch.
     pub(super) ttl: Duration,
     pub(super) stored: Option<StoredResponse>,
     pub(super) refresher: Option<Refresher>,
-    /// The tokens that were issued and may still be used for a put.
+    /// The issued tokens that may still be used for a put.
     pub(super) issued_tokens: Vec<IssuedToken>,
     pub(super) waiters: Vec<Waiter>,
-    /// The response may not be shared: until then each request fetches for itself.
+    /// The time until which responses may not be shared and each request fetches for
+    /// itself.
     pub(super) private_until: Duration,
-    /// When the key was last requested.
+    /// The time at which the key was last requested.
     pub(super) last_used: Duration,
 }
 
-/// A response with its two expiries.
+/// A stored response with its minor and major expiry.
 pub(super) struct StoredResponse {
     pub(super) reply: Reply,
-    /// The serial of the token it was put under.
+    /// The serial of the token that its put carried.
     pub(super) serial: u64,
-    /// It is clear of all purges up to this version.
+    /// The version up to which no purge matches the response.
     pub(super) purge_version: u64,
     pub(super) fetch_started_at: Duration,
-    /// From then on one request refreshes it while others are served it.
+    /// The time from which one request refreshes the response while others are still
+    /// served it.
     pub(super) minor_expiry: Duration,
-    /// From then on it is not served.
+    /// The time from which the response is not served.
     pub(super) major_expiry: Duration,
 }
 
 /// The request that fetches the key's response.
 #[derive(Clone, Copy)]
 pub(super) struct Refresher {
-    /// The serial of its token.
+    /// The serial of the refresher's token.
     pub(super) serial: u64,
-    /// When another request takes its place.
-    pub(super) until: Duration,
+    /// The time at which another request becomes the refresher.
+    pub(super) expires_at: Duration,
 }
 
-/// A token under which a response may be put.
+/// A token that a put may carry.
 pub(super) struct IssuedToken {
     pub(super) serial: u64,
     pub(super) issued_at: Duration,
@@ -58,31 +60,31 @@
 /// A request that waits for the response of a refresher.
 pub(super) struct Waiter {
     pub(super) requester: Requester,
-    pub(super) since: Duration,
-    pub(super) until: Duration,
+    pub(super) queued_at: Duration,
+    pub(super) deadline: Duration,
 }
 
-/// How a request for a key is served.
+/// The result of looking up a request's key.
 pub(super) enum SlotLookup {
-    /// With the stored response.
+    /// The request is served the stored response.
     Hit,
-    /// It becomes the refresher.
-    Fetch,
-    /// It waits for the refresher.
+    /// The request becomes the refresher.
+    Refresh,
+    /// The request waits for the refresher.
     Wait,
-    /// Not at all: it does not wait for a fetch.
+    /// Nothing is stored, and the request does not wait for a fetch.
     Unavailable,
 }
 
-/// A refresher is given this long, or the minor lifetime if that is shorter.
+/// Maximum time for a refresh; the minor lifetime applies if it is shorter.
 pub(crate) const REFRESH_TIMEOUT: Duration = Duration::from_secs(2);
-/// A put under a token older than this is dropped.
+/// Time after its issue for which a token is accepted.
 pub(super) const TOKEN_VALIDITY: Duration = Duration::from_secs(60);
-/// Counted for each response beside its body and headers.
+/// Bytes counted for each response in addition to its body, headers and URL.
 const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
-/// How long a response is served before it is refreshed: the paper's δ, of the
-/// time-to-live Δ.
+/// Returns the time for which a response is served before it is refreshed: δ in the
+/// MashCache paper, where the time to live is Δ.
 pub(crate) fn minor_lifetime(ttl: Duration) -> Duration {
     ttl / 2
 }
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The name under which purges match a response to this key.
+    /// Returns the name by which purges match a response for this key.
     pub(super) fn entry_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
         CacheEntryName {
             entry: &self.entry,
@@ -119,13 +121,13 @@
         }
     }
 
-    /// The minor lifetime of this key's responses.
+    /// Returns the minor lifetime of this key's responses.
     pub(super) fn minor_lifetime(&self) -> Duration {
         minor_lifetime(self.ttl)
     }
 
-    /// Takes over the route's time-to-live as it is configured now. If that became
-    /// shorter, what is stored expires as if it had been put under it.
+    /// Applies the route's current time to live. If it was shortened, the stored response
+    /// expires as if it had been put with the shorter one.
     pub(super) fn apply_ttl(&mut self, ttl: Duration) {
         let is_shorter = ttl < self.ttl;
         self.ttl = ttl;
@@ -134,7 +136,7 @@
         }
     }
 
-    /// No stored response is served longer than the time-to-live allows.
+    /// Limits the expiries of the stored response to the time to live.
     pub(super) fn limit_expiries(&mut self) {
         let (ttl, minor_lifetime) = (self.ttl, self.minor_lifetime());
         if let Some(stored) = &mut self.stored {
@@ -148,20 +150,20 @@
         self.minor_lifetime().min(REFRESH_TIMEOUT)
     }
 
-    /// Bytes of the stored response.
+    /// Returns the size of the stored response in bytes.
     pub(super) fn bytes(&self) -> u64 {
         let Some(stored) = &self.stored else { return 0 };
         (stored.reply.bytes() + self.url.len()) as u64 + ENTRY_OVERHEAD_BYTES
     }
 
-    /// Drops the stored response; the bytes that it used.
+    /// Drops the stored response. Returns the number of bytes that it used.
     pub(super) fn drop_stored(&mut self) -> u64 {
         let bytes = self.bytes();
         self.stored = None;
         bytes
     }
 
-    /// Drops the stored response if it has expired; the bytes that it used.
+    /// Drops the stored response if it has expired. Returns the number of bytes freed.
     pub(super) fn drop_expired(&mut self, now: Duration) -> u64 {
         let is_expired = self
             .stored
@@ -170,28 +172,29 @@
         if is_expired { self.drop_stored() } else { 0 }
     }
 
-    /// How a request is served now, where an expired response was dropped. A
-    /// request that refreshes a stored response extends its minor expiry.
+    /// Returns how a request is served now. Expired responses must have been dropped
+    /// before. A request that refreshes a stored response extends its minor expiry.
     pub(super) fn look_up(&mut self, now: Duration, accepts_any_age: bool) -> SlotLookup {
         let minor_lifetime = self.minor_lifetime();
         let is_refreshing = self
             .refresher
-            .is_some_and(|refresher| now < refresher.until);
+            .is_some_and(|refresher| now < refresher.expires_at);
         match &mut self.stored {
             Some(stored) if now < stored.minor_expiry || accepts_any_age || is_refreshing => {
                 SlotLookup::Hit
             }
             Some(stored) => {
                 stored.minor_expiry = now + minor_lifetime;
-                SlotLookup::Fetch
+                SlotLookup::Refresh
             }
             None if accepts_any_age => SlotLookup::Unavailable,
             None if is_refreshing => SlotLookup::Wait,
-            None => SlotLookup::Fetch,
+            None => SlotLookup::Refresh,
         }
     }
 
-    /// Queues a waiter. True if it was queued already; it waits until its new deadline.
+    /// Queues a waiter. Returns true if it was already queued; then only its deadline is
+    /// updated.
     pub(super) fn queue(&mut self, waiter: Waiter) -> bool {
         let known = self
             .waiters
@@ -199,7 +202,7 @@
             .find(|known| known.requester == waiter.requester);
         match known {
             Some(known) => {
-                known.until = waiter.until;
+                known.deadline = waiter.deadline;
                 true
             }
             None => {
@@ -209,7 +212,8 @@
         }
     }
 
-    /// When the token of this serial was issued, if it is still known.
+    /// Returns the time at which the token of this serial was issued, if it is still
+    /// accepted.
     pub(super) fn issued_at(&self, serial: u64) -> Option<Duration> {
         self.issued_tokens
             .iter()
@@ -218,10 +222,10 @@
     }
 
     /// Makes the request with this token the refresher.
-    pub(super) fn start_refresh(&mut self, now: Duration, serial: u64) {
+    pub(super) fn set_refresher(&mut self, now: Duration, serial: u64) {
         self.refresher = Some(Refresher {
             serial,
-            until: now + self.refresh_timeout(),
+            expires_at: now + self.refresh_timeout(),
         });
         self.issued_tokens
             .retain(|token| now < token.issued_at + TOKEN_VALIDITY);
@@ -231,14 +235,14 @@
         });
     }
 
-    /// Whether the refresher has timed out and requests wait for another one.
+    /// Returns true if the refresher has timed out and requests wait for another one.
     pub(super) fn needs_refresher(&self, now: Duration) -> bool {
         self.refresher
-            .is_some_and(|refresher| now >= refresher.until)
+            .is_some_and(|refresher| now >= refresher.expires_at)
             && !self.waiters.is_empty()
     }
 
-    /// Whether the slot may be dropped.
+    /// Returns true if the slot may be dropped.
     pub(super) fn is_unused(&self, now: Duration) -> bool {
         self.stored.is_none() && self.waiters.is_empty() && now >= self.last_used + TOKEN_VALIDITY
     }
--- a/data-plane/src/coalescer.rs
+++ b/data-plane/src/coalescer.rs
@@ -1,16 +1,17 @@
-//! Coalesces the requests of one edge that wait for the same key.
+//! Coalescing of the requests at one edge that need the same key.
 use crate::prelude::*;
 
-/// For each key the one request that fetches it, and those that wait for what
-/// it gets. Invariants:
+/// The groups of coalesced requests: for each key, the leader that fetches it and the
+/// followers that wait for its response. Invariants:
 /// - A request is in at most one group, as its leader or as a follower.
-/// - A group lasts while it has a leader: whoever removes a leader is given the
-///   next one, or all followers.
+/// - A group exists while it has a leader: removing a leader returns the next one or all
+///   followers.
 #[derive(Debug, Default)]
 pub struct Coalescer {
     groups: HashMap<CacheKey, RequestGroup>,
 }
 
+/// The requests for one key.
 #[derive(Debug)]
 struct RequestGroup {
     leader: u64,
@@ -20,14 +21,14 @@
 /// The role of a request in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupRole {
-    /// It fetches.
+    /// The request fetches the key.
     Leader,
-    /// It waits for what the leader gets.
+    /// The request waits for the leader's response.
     Follower,
 }
 
 impl Coalescer {
-    /// Adds a request to the group of its key.
+    /// Adds a request to the group of its key and returns its role there.
     pub fn join(&mut self, key: CacheKey, request: u64) -> GroupRole {
         match self.groups.get_mut(&key) {
             Some(group) => {
@@ -45,29 +46,30 @@
         }
     }
 
-    /// The request that fetches this key.
+    /// Returns the request that fetches this key.
     pub fn leader(&self, key: &CacheKey) -> Option<u64> {
         self.groups.get(key).map(|group| group.leader)
     }
 
-    /// Whether any request fetches this key.
+    /// Returns true if any request fetches this key.
     pub fn has_leader(&self, key: &CacheKey) -> bool {
         self.groups.contains_key(key)
     }
 
-    /// Whether this request fetches this key.
-    pub fn leads(&self, key: &CacheKey, request: u64) -> bool {
+    /// Returns true if this request fetches this key.
+    pub fn is_leader(&self, key: &CacheKey, request: u64) -> bool {
         self.leader(key) == Some(request)
     }
 
-    /// Whether requests wait for this key's leader.
+    /// Returns true if requests wait for this key's leader.
     pub fn has_followers(&self, key: &CacheKey) -> bool {
         self.groups
             .get(key)
             .is_some_and(|group| !group.followers.is_empty())
     }
 
-    /// Removes the request from its group; the next leader, if that changed.
+    /// Removes the request from its group. Returns the next leader if the leader was
+    /// removed and others are left.
     pub fn remove(&mut self, key: &CacheKey, request: u64) -> Option<u64> {
         let group = self.groups.get_mut(key)?;
         if group.leader != request {
@@ -86,9 +88,9 @@
         }
     }
 
-    /// Ends the group of this leader; its followers.
-    pub fn dissolve(&mut self, key: &CacheKey, leader: u64) -> Vec<u64> {
-        if !self.leads(key, leader) {
+    /// Removes the group of this leader and returns its followers.
+    pub fn take_followers(&mut self, key: &CacheKey, leader: u64) -> Vec<u64> {
+        if !self.is_leader(key, leader) {
             return Vec::new();
         }
         self.groups
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -169,9 +169,9 @@
         if departed.is_empty() {
             return;
         }
-        self.cache_owner.forget_edges(&departed);
+        self.cache_owner.remove_edges(&departed);
         for admission in self.admission_controllers.values_mut() {
-            admission.forget_edges(now, &departed);
+            admission.remove_edges(now, &departed);
         }
     }
 
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -99,7 +99,7 @@
         key: &CacheKey,
         response: &ClientResponse,
     ) {
-        for follower in self.coalescer.dissolve(key, id) {
+        for follower in self.coalescer.take_followers(key, id) {
             self.finish(now, follower, response.clone());
         }
     }
@@ -117,7 +117,7 @@
         let Some(key) = active.cache.key else { return };
         let is_rejected_uncalled =
             matches!(response, ClientResponse::Rejection(_)) && active.attempts.count == 0;
-        if is_rejected_uncalled && now < active.deadline && self.coalescer.leads(&key, id) {
+        if is_rejected_uncalled && now < active.deadline && self.coalescer.is_leader(&key, id) {
             self.respond_to_followers(now, id, &key, response);
         } else if let Some(next) = self.coalescer.remove(&key, id) {
             self.become_leader(now, next);
@@ -135,7 +135,9 @@
             .iter()
             .filter(|(_, active)| is_stalled(active))
             .filter_map(|(id, active)| Some((*id, active.cache.key?)))
-            .filter(|(id, key)| self.coalescer.leads(key, *id) && self.coalescer.has_followers(key))
+            .filter(|(id, key)| {
+                self.coalescer.is_leader(key, *id) && self.coalescer.has_followers(key)
+            })
             .collect();
         for (id, key) in stalled {
             if let Some(next) = self.coalescer.remove(&key, id) {
@@ -180,7 +182,7 @@
             self.respond_to_followers(now, id, &key, &response);
         } else if fetched.is_private {
             // Each follower fetches for itself.
-            for follower in self.coalescer.dissolve(&key, id) {
+            for follower in self.coalescer.take_followers(&key, id) {
                 self.become_leader(now, follower);
             }
         }
--- a/data-plane/src/edge_node/client_disconnects.rs
+++ b/data-plane/src/edge_node/client_disconnects.rs
@@ -31,8 +31,9 @@
         else {
             return false;
         };
-        let has_followers =
-            |key: CacheKey| self.coalescer.leads(&key, id) && self.coalescer.has_followers(&key);
+        let has_followers = |key: CacheKey| {
+            self.coalescer.is_leader(&key, id) && self.coalescer.has_followers(&key)
+        };
         active.cache.fill_grant.is_none() && !active.cache.key.is_some_and(has_followers)
     }
 
@@ -150,11 +151,11 @@
                 request,
                 purpose,
                 kind,
-                since,
+                elapsed,
             } = violation;
             let text = format!(
                 "request {request} {purpose:?} call {kind:?} {} ms after its client disconnected",
-                since.as_millis(),
+                elapsed.as_millis(),
             );
             self.log_event(Event::AbandonedWork, text);
         }
--- a/data-plane/src/fallback_quota.rs
+++ b/data-plane/src/fallback_quota.rs
@@ -1,33 +1,37 @@
-//! Calls that an edge makes while a group's admission controller does not respond.
+//! The quota of calls that an edge may make while a group's admission controller does not
+//! respond.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// What one edge calls of a service by itself while the service's admission controller
-/// does not respond. Invariants:
-/// - Only groups whose origins are named with each call: no proof is needed.
-/// - The quotas of all edges and the admission controller's fraction stay within the total
-///   rate: each registered edge has an equal quota of `FALLBACK_FRACTION`.
-/// - First attempts only: the retry budget is the admission controller's.
+/// One edge's quota of calls to a service without permits, for when the service's
+/// admission controller does not respond. Invariants:
+/// - The quota applies only to groups whose origins check the name in each call, so that
+///   no proof is needed.
+/// - The quotas of all edges and the admission controller's fraction together stay within
+///   the total rate: each registered edge has an equal quota of `FALLBACK_FRACTION`.
+/// - Only first attempts use the quota, because the retry budget is held by the admission
+///   controller.
 #[derive(Default)]
 pub struct FallbackQuota {
     bucket: Option<TokenBucket>,
-    /// Origins that failed a call of this edge, with the end of their ejection.
+    /// The ends of the ejections of origins that failed a call of this edge.
     ejected_until: HashMap<SocketAddr, Duration>,
 }
 
-/// The epoch in the permit of a call within the fallback quota: no admission
-/// controller granted it.
+/// The epoch in the permit of a call within the fallback quota, which no admission
+/// controller has granted.
 pub const FALLBACK_EPOCH: u64 = 0;
-/// The fraction of a total rate for all edges that cannot reach the admission controller.
+/// The fraction of a total rate that is shared by the fallback quotas of all edges.
 const FALLBACK_FRACTION: f64 = 0.1;
-/// How long an origin is ejected after it failed a call.
+/// Ejection time of an origin after a failed call.
 const EJECTION: Duration = Duration::from_secs(1);
 
 impl FallbackQuota {
-    /// An origin to call now without a permit, if the quota permits: the
-    /// nearest, then the one with the fewest calls in flight from this edge.
+    /// Returns the origin to call now without a permit, if the quota allows a call: the
+    /// nearest origin, and among those the one with the fewest calls in flight from this
+    /// edge.
     pub fn pick(
         &mut self,
         now: Duration,
@@ -70,7 +74,7 @@
         Some(picked)
     }
 
-    /// Whether a total rate, if there is one, leaves this edge a call now.
+    /// Returns true if the total rate, if there is one, allows this edge a call now.
     fn has_quota(&mut self, now: Duration, group: &Group, edges: usize) -> bool {
         let Some(total_rate) = group.total_rate else {
             return true;
@@ -90,7 +94,7 @@
     }
 }
 
-/// Different edges start with different origins.
+/// Returns a tie-breaker that makes edges of different zones prefer different origins.
 fn tie_break(locality: &Locality, origin: &Origin) -> u32 {
     crc32fast::hash(format!("{}{}", locality.zone, origin.address).as_bytes())
 }
--- a/data-plane/src/leases.rs
+++ b/data-plane/src/leases.rs
@@ -1,14 +1,15 @@
-//! This edge's leases from the control nodes.
+//! The leases that this edge has from the control nodes.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// This edge's lease from each control node. Invariant: a renewal counts from
-/// its sending and only once the updates it brought are applied; the edge is
-/// live only while more leases are valid than a quorum leaves out, so that every
-/// quorum that is asked about a live edge includes a control node whose lease
-/// it holds.
+/// This edge's lease from each control node. Invariants:
+/// - A renewal is valid from the time at which it was sent, and only once the updates in
+///   its reply are applied.
+/// - The edge is live only while the number of valid leases exceeds the number of control
+///   nodes outside a quorum. So every quorum includes a control node from which a live
+///   edge holds a lease.
 #[derive(Debug, Default)]
 pub struct Leases {
     expiry: BTreeMap<SocketAddr, Duration>,
@@ -21,8 +22,8 @@
         *expiry = (*expiry).max(sent + lease::EDGE_LEASE);
     }
 
-    /// The edge is live before this time, with so many control slots; never
-    /// with none.
+    /// Returns the time until which the edge is live with `control_slots` control nodes;
+    /// zero if there are none.
     pub fn live_until(&self, control_slots: usize) -> Duration {
         let mut expiries: Vec<Duration> = self.expiry.values().copied().collect();
         expiries.sort_unstable();
@@ -45,7 +46,8 @@
         self.expiry.clear();
     }
 
-    /// The control node that renewed last: the likeliest to respond.
+    /// Returns the control node that renewed its lease last, which is the likeliest to
+    /// respond.
     pub fn last_renewed(&self) -> Option<SocketAddr> {
         self.expiry
             .iter()
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -1,18 +1,18 @@
-//! Responses that an edge stores of what it was served by cache owners and origins.
+//! The near cache: responses from cache owners and origins that an edge stores itself.
 use crate::memory_budget::{MemoryBudget, eviction_order};
 use crate::prelude::*;
 
-/// Responses that this edge served recently, to be served again without a
-/// request to their owner. Invariants:
-/// - A response is served only before its major expiry, and never longer than
-///   the route's time-to-live, as it is now, counted from the start of its fetch.
-/// - Each response is clear of every purge known to this edge: callers of `put`
-///   check it against the purge log, and `purge` removes what a later one
-///   matches. A fenced edge serves nothing, so the lease that commits a purge
+/// Recently received responses, which are served again without a request to their
+/// owner. Invariants:
+/// - A response is served only before its major expiry, and for at most the route's
+///   current time to live after the start of its fetch.
+/// - No purge known to this edge matches a stored response: callers of `put` check the
+///   response against the purge log, and `purge` removes those that a later purge
+///   matches. A fenced edge serves no cached response, so the lease that commits a purge
 ///   covers these responses as it covers the owner's.
-/// - A response is replaced only by one whose fetch started later.
-/// - `memory` counts all responses and is within its limit after each put: over
-///   it, the least recently used are evicted.
+/// - A response is replaced only by one whose fetch started no earlier.
+/// - `memory` counts all responses and is within its limit after each put: when it is
+///   exceeded, the least recently used responses are evicted.
 pub struct NearCache {
     responses: HashMap<CacheKey, StoredResponse>,
     memory: MemoryBudget,
@@ -23,30 +23,30 @@
     host: String,
     url: String,
     reply: Reply,
-    /// When its fetch started at the latest, on this edge's clock.
+    /// The latest time at which the fetch can have started, on this edge's clock.
     fetch_started_at: Duration,
-    /// From then on its owner is asked for a newer one.
+    /// The time from which a newer response is requested from the owner.
     minor_expiry: Duration,
-    /// From then on it is not served.
+    /// The time from which the response is not served.
     major_expiry: Duration,
     last_used: Duration,
 }
 
 /// A response to be stored, with its expiries on this edge's clock.
 pub struct NearCacheEntry<'a> {
-    /// The name under which purges match it.
+    /// The name by which purges match the response.
     pub name: CacheEntryName<'a>,
     /// The response.
     pub reply: &'a Reply,
-    /// When its fetch started at the latest.
+    /// The latest time at which the fetch can have started.
     pub fetch_started_at: Duration,
-    /// From then on it is stale.
+    /// The time from which the response is stale.
     pub minor_expiry: Duration,
-    /// From then on it is not served.
+    /// The time from which the response is not served.
     pub major_expiry: Duration,
 }
 
-/// What is stored for a key.
+/// The result of looking up a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NearCacheLookup {
     /// A response to be served.
@@ -56,18 +56,19 @@
         /// The time since its fetch started.
         age: Duration,
     },
-    /// A response to be served only while the owner is being asked, or does not respond.
+    /// A response to be served only while another request refreshes it, or if the owner
+    /// does not respond.
     Stale {
         /// The response.
         reply: Reply,
         /// The time since its fetch started.
         age: Duration,
     },
-    /// Nothing that may be served.
+    /// No response may be served.
     Missing,
 }
 
-/// Counted for each response beside its body, headers and name.
+/// Bytes counted for each response in addition to its body, headers and name.
 const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
 impl StoredResponse {
@@ -87,7 +88,7 @@
 }
 
 impl NearCache {
-    /// An empty cache of `limit` bytes.
+    /// Creates an empty cache with a limit of `limit` bytes.
     pub fn new(limit: u64) -> NearCache {
         NearCache {
             responses: HashMap::new(),
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Bytes of all responses.
+    /// Returns the size of all responses in bytes.
     pub fn bytes(&self) -> u64 {
         self.memory.used
     }
 
-    /// Looks up a key; `ttl` is the route's time-to-live as it is configured now.
+    /// Looks up a key. `ttl` is the route's current time to live.
     pub fn look_up(&mut self, now: Duration, key: &CacheKey, ttl: Duration) -> NearCacheLookup {
         let Some(stored) = self.responses.get_mut(key) else {
             return NearCacheLookup::Missing;
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Stores the response, unless a later one is stored: then that one is only
-    /// fresh for as long as the owner takes its own to be.
+    /// Stores the response. If the stored response is a later one, it is kept, and its
+    /// minor expiry is extended to that of the new one.
     pub fn put(&mut self, now: Duration, key: CacheKey, entry: NearCacheEntry) {
         if now >= entry.major_expiry {
             return;
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Removes expired responses, then the least recently used, once the limit
-    /// is exceeded.
+    /// Evicts expired responses, then the least recently used ones, if the limit is
+    /// exceeded.
     fn evict(&mut self, now: Duration) {
         if !self.memory.is_exceeded() {
             return;
--- a/data-plane/src/purge_log.rs
+++ b/data-plane/src/purge_log.rs
@@ -1,34 +1,35 @@
-//! The purges that an edge has applied.
+//! The log of purges that an edge has applied.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// The purges that an edge knows. Invariant: `applied` is the version of the
-/// last one; those above `floor` are listed, older ones are not retained, so a
-/// response known to be clear only up to below `floor` counts as purged.
+/// The purges that an edge has applied. Invariant: `applied` is the version of the last
+/// one. Purges above `floor` are retained, older ones are not, so a response that was
+/// checked only up to a version below `floor` is treated as purged.
 #[derive(Debug, Default)]
 pub struct PurgeLog {
     /// The version of the last purge that was applied.
     pub applied: u64,
     floor: u64,
-    by_version: BTreeMap<u64, KnownPurge>,
+    by_version: BTreeMap<u64, RetainedPurge>,
 }
 
+/// A retained purge.
 #[derive(Debug)]
-struct KnownPurge {
-    /// When it was applied here: before its acknowledgement, since that waits
-    /// for this edge.
+struct RetainedPurge {
+    /// The time at which the purge was applied here. Its acknowledgement comes later,
+    /// because it waits for this edge.
     applied_at: Duration,
     purge: Purge,
 }
 
-/// What an update brought.
+/// The purges of one update.
 #[derive(Debug, Default)]
 pub struct AppliedPurges {
     /// The purges that were not known before, oldest first.
     pub new: Vec<Purge>,
-    /// Some purges were missed, so that every stored response must be dropped.
+    /// Set if some purges were missed, so that every stored response must be dropped.
     pub has_gap: bool,
 }
 
@@ -39,7 +40,7 @@
         let mut new = Vec::new();
         for (_, row) in rows.iter().filter(|(_, row)| row.version > before) {
             if let Value::Purge { purge, .. } = &row.value {
-                let known = KnownPurge {
+                let known = RetainedPurge {
                     applied_at: now,
                     purge: purge.clone(),
                 };
@@ -63,13 +64,13 @@
         }
     }
 
-    /// Whether a response known to be clear up to `purge_version` is still clear.
+    /// Returns true if no purge after `purge_version` matches the response.
     pub fn is_clear(&self, purge_version: u64, response: CacheEntryName) -> bool {
         self.first_match(purge_version, response).is_none()
     }
 
-    /// When the first purge after `purge_version` that matches such a response
-    /// was applied; zero if that is not known any more.
+    /// Returns the time at which the first purge after `purge_version` that matches the
+    /// response was applied; zero if that is no longer known.
     pub fn first_match(&self, purge_version: u64, response: CacheEntryName) -> Option<Duration> {
         if purge_version < self.floor {
             return Some(Duration::ZERO);
