--- a/data-plane/src/call_result.rs
+++ b/data-plane/src/call_outcome.rs
@@ -1,15 +1,15 @@
-//! What the end of a call proves about the request that it carried.
+//! Classifies the ends of calls by whether their request may have been executed.
 use crate::prelude::*;
 
-/// Judges how a call ended. Two endings alone prove that the request was not
-/// executed: no byte of it was written, or the response to this very call says
-/// so. Anything else that is not the origin's complete response proves nothing.
-pub fn judge_call(
+/// Classifies how a call ended. Only two endings prove that the request was not executed:
+/// no byte of it was written, or the response to this call says so. After any other end
+/// without the origin's complete response, the request may have been executed.
+pub fn classify_call_outcome(
     protocol: &dyn ProtocolAdapter,
     call: &Call,
-    ending: ExchangeOutcome,
+    exchange_outcome: ExchangeOutcome,
 ) -> CallOutcome {
-    match ending {
+    match exchange_outcome {
         Err(ExchangeError::NotSent(_)) => CallOutcome::Unreachable,
         Err(ExchangeError::Interrupted { reason, .. }) => CallOutcome::Failure(reason),
         Ok(ReceivedResponse {
@@ -34,8 +34,8 @@
     }
 }
 
-/// Whether the body is known to be complete: by its framing, or by the digest
-/// that a signed response carries.
+/// Returns true if the body is known to be complete: by its framing, or by the digest of
+/// a signed response.
 fn is_complete(call: &Call, is_delimited: bool) -> bool {
     is_delimited || call.proof == Proof::Seal
 }
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -1,11 +1,12 @@
-//! otterslip's own protocol towards clients and origins.
+//! The default protocol between edges and clients, and between edges and origins.
 use crate::prelude::*;
 
-/// otterslip's own protocol: `otterslip-*` headers towards origins, whose
-/// responses are signed, and rejections as JSON towards clients.
+/// The default protocol. Requests to origins have `otterslip-*` headers, the origins'
+/// responses are signed or name their instance, and rejections are sent to clients as
+/// JSON.
 pub struct DefaultProtocol;
 
-/// Headers of an origin's response that are passed on to the client.
+/// Headers of an origin's response that are forwarded to the client.
 const FORWARDED_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
@@ -21,9 +22,10 @@
 const SERVICE_HEADER: &str = "otterslip-service";
 const INSTANCE_HEADER: &str = "otterslip-instance";
 const TAGS_HEADER: &str = "otterslip-tags";
-/// In an origin's response that it did not execute the request.
+/// The header of a response by which an origin states that it did not execute the
+/// request.
 const NOT_EXECUTED_HEADER: &str = "otterslip-not-run";
-/// The status of an instance that is not the one named, and executed nothing.
+/// The status sent by an instance that is not the one named, and that executed nothing.
 const MISDIRECTED_REQUEST: u16 = 421;
 
 impl ProtocolAdapter for DefaultProtocol {
@@ -92,31 +94,31 @@
     }
 }
 
-/// Checks that the response names the called instance and the request. The
-/// error is the verdict on a response that does not.
+/// Checks that the response names the called instance and the request. Returns the
+/// verdict on a response that does not as the error.
 fn check_named(
     call: &Call,
     status: u16,
     headers: &[(String, String)],
 ) -> Result<(), OriginVerdict> {
-    // First: a response to another call proves nothing about this one.
+    // This check is first, since a response to another call proves nothing about this one.
     if header(headers, REQUEST_ID_HEADER) != Some(call.request.to_string().as_str()) {
-        let reason = "the answer is to another request".into();
+        let reason = "the response is to another request".into();
         return Err(OriginVerdict::Rejected(reason));
     }
     if status == MISDIRECTED_REQUEST {
         return Err(OriginVerdict::WrongInstance);
     }
-    // Unless it refused, another instance may have executed it.
+    // Another instance may have executed the request, unless it refused it.
     if header(headers, INSTANCE_HEADER) != Some(call.origin.instance.as_str()) {
-        let reason = "the answer of another instance".into();
+        let reason = "the response is from another instance".into();
         return Err(OriginVerdict::Rejected(reason));
     }
     Ok(())
 }
 
-/// Checks that the response is signed for this call. The error is the verdict
-/// on a response that is not.
+/// Checks that the response is signed for this call. Returns the verdict on a response
+/// that is not as the error.
 fn check_signed(
     call: &Call,
     status: u16,
@@ -138,7 +140,7 @@
         .map_err(|error| OriginVerdict::Rejected(error.to_string()))
 }
 
-/// The tags by which purges match the response.
+/// Returns the tags by which purges match the response.
 fn tags(headers: &[(String, String)]) -> Vec<String> {
     header(headers, TAGS_HEADER)
         .unwrap_or_default()
--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -1,33 +1,33 @@
-//! Filters that check a request before the edge acts on it.
+//! Filters that validate a request before the edge processes it.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// A request as it was received, before it has passed the filters.
+/// A received request that has not passed the filters yet.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
     /// The method.
     pub method: String,
     /// The `Host` header.
     pub host: String,
-    /// Path and query.
+    /// The request target: path and query.
     pub url: String,
     /// All headers as received.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Arc<Vec<u8>>,
-    /// The key under which it runs once, in whatever header it was sent.
+    /// The operation key, if the request has one in the header that the protocol uses.
     pub operation_key: Option<String>,
-    /// How long the client waits, if it sent a timeout.
+    /// The client's timeout, if it sent one.
     pub timeout: Option<Duration>,
-    /// The client's own id of the request, if it has one.
+    /// The request id that the client sent, if any.
     pub request_id: Option<String>,
-    /// Whether the edge is live.
+    /// Set if the edge is live.
     pub live: bool,
     /// The routes in force, if any are known.
     pub routes: Option<Arc<RouteTable>>,
-    /// The index of the matching route, set by a filter.
+    /// The index of the matching route, set by the route filter.
     pub entry: Option<usize>,
 }
 
@@ -37,13 +37,13 @@
     }
 }
 
-/// One filter of the chain. The first one that rejects a request ends the chain.
+/// A filter of the chain. The first filter that rejects a request ends the chain.
 pub trait Filter: Sync {
-    /// The rejection of a request that does not pass.
+    /// Returns the rejection of a request that does not pass.
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection>;
 }
 
-/// A filter that registers itself, with its position in the chain.
+/// The registration of a filter with its position in the chain.
 pub struct FilterPlugIn {
     /// Filters run in ascending order.
     pub order: u32,
@@ -53,7 +53,8 @@
 
 inventory::collect!(FilterPlugIn);
 
-/// Runs all filters in order; the rejection of the first that the request does not pass.
+/// Runs the filters in order. Returns the rejection of the first one that the request
+/// does not pass.
 pub fn run_filters(request: &mut IncomingRequest) -> Option<Rejection> {
     static CHAIN: OnceLock<Vec<&FilterPlugIn>> = OnceLock::new();
     let chain = CHAIN.get_or_init(|| {
@@ -66,21 +67,21 @@
         .find_map(|plug_in| plug_in.filter.reject(request))
 }
 
-/// The longest URL in bytes.
+/// Maximum length of a URL in bytes.
 const MAX_URL_BYTES: usize = 2048;
-/// The largest headers in bytes, if the configuration sets no limit.
+/// Maximum total size of the headers in bytes, unless the configuration sets a limit.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
-/// The longest operation key in bytes.
+/// Maximum length of an operation key in bytes.
 const MAX_OPERATION_KEY_BYTES: usize = 128;
 
 /// Rejects URLs and headers that are too large or malformed.
-struct SizeAndSyntax;
+struct SizeAndSyntaxFilter;
 inventory::submit!(FilterPlugIn {
     order: 10,
-    filter: &SizeAndSyntax
+    filter: &SizeAndSyntaxFilter
 });
 
-impl Filter for SizeAndSyntax {
+impl Filter for SizeAndSyntaxFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         if request.url.len() > MAX_URL_BYTES {
             return Some(Rejection::not_run(
@@ -115,13 +116,13 @@
 }
 
 /// Rejects requests before the first configuration is known.
-struct Configured;
+struct ConfigurationFilter;
 inventory::submit!(FilterPlugIn {
     order: 20,
-    filter: &Configured
+    filter: &ConfigurationFilter
 });
 
-impl Filter for Configured {
+impl Filter for ConfigurationFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         request.routes.is_none().then(|| {
             Rejection::unknown(503, "not_ready", "this node has no configuration yet")
@@ -130,16 +131,16 @@
     }
 }
 
-/// Rejects requests while the edge is fenced: nothing that depends on its
-/// configuration is reported, not even that there is no such route. A request
-/// with an operation key may have run elsewhere.
-struct NotFenced;
+/// Rejects requests while the edge is fenced. No response may depend on its possibly
+/// outdated configuration, not even one that a route does not exist. A request with an
+/// operation key may have run elsewhere, so its outcome is unknown.
+struct FenceFilter;
 inventory::submit!(FilterPlugIn {
     order: 25,
-    filter: &NotFenced
+    filter: &FenceFilter
 });
 
-impl Filter for NotFenced {
+impl Filter for FenceFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         let outcome = if request.operation_key.is_some() {
             RunState::Unknown
@@ -150,14 +151,14 @@
     }
 }
 
-/// Matches the request to a route.
-struct RouteMatch;
+/// Finds the request's route, and rejects requests without one.
+struct RouteFilter;
 inventory::submit!(FilterPlugIn {
     order: 30,
-    filter: &RouteMatch
+    filter: &RouteFilter
 });
 
-impl Filter for RouteMatch {
+impl Filter for RouteFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         let routes = request.routes.as_ref()?;
         request.entry = routes.find(&request.host, &request.url, &request.method);
@@ -169,13 +170,13 @@
 }
 
 /// Rejects requests of keyed routes without a valid operation key.
-struct OperationKey;
+struct OperationKeyFilter;
 inventory::submit!(FilterPlugIn {
     order: 40,
-    filter: &OperationKey
+    filter: &OperationKeyFilter
 });
 
-impl Filter for OperationKey {
+impl Filter for OperationKeyFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         if request.kind() != Some(Kind::Keyed) {
             return None;
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -1,36 +1,37 @@
-//! Handles what the HTTP event loop receives.
-use super::LIMITS;
+//! Handler of the requests and responses that the HTTP event loop receives.
+use super::DEFAULT_LIMITS;
 use crate::prelude::*;
 
-/// Passes clients' requests and the ends of calls to the edge's state machine,
-/// and the responses back. An HTTP exchange is one request and its response on
-/// a client's connection; its id is never used twice.
+/// Passes clients' requests and the ends of calls to the edge's state machine, and its
+/// responses to the clients. An HTTP exchange is one request and its response on a
+/// client's connection. Exchange ids are never reused.
 pub(super) struct ConnectionHandler {
     port: Arc<Port>,
     protocol: Arc<dyn ProtocolAdapter>,
     plug_ins: Vec<&'static PlugIn>,
-    /// Set once the event loop runs.
+    /// The event loop, set once it runs.
     pub(super) event_loop: OnceLock<EventLoopHandle>,
-    /// Calls in flight.
+    /// The calls in flight, by call id.
     calls: Mutex<HashMap<u64, Call>>,
-    /// Requests without a response, by their exchanges.
+    /// The ids of requests without a response, by exchange id.
     requests: Mutex<HashMap<u64, u64>>,
-    /// Requests without a response whose clients have disconnected: the state
-    /// machine learns of it only after the inputs that were queued before.
+    /// Requests without a response whose clients have disconnected. The state machine
+    /// handles the disconnect only after the inputs queued before it.
     disconnected: Mutex<HashSet<u64>>,
-    /// Itself, for responses that arrive later.
-    this: Weak<ConnectionHandler>,
+    /// A reference to this handler, for responses that are written later.
+    weak_self: Weak<ConnectionHandler>,
     response_sizes: ResponseSizes,
-    /// The limits for clients that were last set.
+    /// The limits for clients' requests that were last applied.
     bounds: Mutex<Option<Arc<Bounds>>>,
 }
 
-/// Routes whose responses are usually larger, in bytes, wait for the link.
+/// Size in bytes above which the expected response of a route is large. Requests for
+/// large responses are rejected while the link is full.
 const LARGE_RESPONSE_BYTES: f64 = 16.0 * 1024.0;
-/// A client rejected for a full link retries after this, at any edge.
+/// The retry delay reported to a client that is rejected because the link is full. It
+/// may retry at any edge.
 const LINK_FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The index of the listener on which the platform checks whether the edge is
-/// ready for clients.
+/// The index of the listener for the platform's readiness checks.
 const READINESS_LISTENER: usize = 1;
 /// The prefix of the paths that plug-ins serve.
 const PLUG_IN_PREFIX: &str = "/.otterslip/";
@@ -41,8 +42,8 @@
         protocol: &Arc<dyn ProtocolAdapter>,
         plug_ins: Vec<&'static PlugIn>,
     ) -> Arc<ConnectionHandler> {
-        Arc::new_cyclic(|this| ConnectionHandler {
-            this: this.clone(),
+        Arc::new_cyclic(|weak_self| ConnectionHandler {
+            weak_self: weak_self.clone(),
             port: port.clone(),
             protocol: protocol.clone(),
             plug_ins,
@@ -55,13 +56,13 @@
         })
     }
 
-    /// Whether a call may be sent now. The process may have been suspended since
-    /// the state machine decided: its state is valid only while the lease is.
+    /// Returns true if a call may be sent now. The process may have been suspended since
+    /// the state machine sent the call, and its state is valid only while the lease is.
     pub(super) fn may_send(&self, call: &Call) -> bool {
         self.port.live() && !self.is_abandoned(call)
     }
 
-    /// Whether the call is for a disconnected client alone.
+    /// Returns true if the call serves only a client that has disconnected.
     fn is_abandoned(&self, call: &Call) -> bool {
         let serves_one_client = matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce);
         let disconnected = self.disconnected.lock().expect("no holder panics");
@@ -73,7 +74,7 @@
         calls.insert(id, call);
     }
 
-    pub(super) fn forget_call(&self, id: u64) -> Option<Call> {
+    pub(super) fn remove_call(&self, id: u64) -> Option<Call> {
         let mut calls = self.calls.lock().expect("no holder panics");
         calls.remove(&id)
     }
@@ -103,7 +104,7 @@
         self.respond(exchange, self.protocol.client_response(headers, &response));
     }
 
-    /// Serves operators and the platform.
+    /// Serves a request of operators or the platform by a plug-in.
     fn serve_plug_in(&self, exchange: u64, received: Request) {
         let request = rouille::Request::fake_http(
             received.method,
@@ -128,7 +129,7 @@
         self.respond(exchange, response);
     }
 
-    /// Sets the limits of the configuration in force, if they have changed.
+    /// Applies the limits of the current configuration, if they have changed.
     fn apply_bounds(&self, routes: &Option<Arc<RouteTable>>) {
         let Some(bounds) = routes.as_ref().and_then(|routes| routes.bounds.clone()) else {
             return;
@@ -140,16 +141,16 @@
                 body_bytes: bounds.body_bytes as usize,
                 head_timeout: Duration::from_millis(bounds.head_ms),
                 idle_timeout: Duration::from_millis(bounds.idle_ms),
-                ..LIMITS
+                ..DEFAULT_LIMITS
             });
             *applied = Some(bounds);
         }
     }
 
-    /// Rejects a request for a large response at once if the responses queued
-    /// before it take the link for longer than its latency target: other edges
-    /// may be idle. Small responses are written before large ones, so that the
-    /// link is never full for them.
+    /// Rejects a request for a large response at once if the responses queued before it
+    /// occupy the link for longer than its latency target, because other edges may be
+    /// idle. Small responses are written before large ones, so they are not delayed by a
+    /// full link.
     fn reject_if_link_is_full(&self, request: &ClientRequest) -> Option<Rejection> {
         let entry = request.entry();
         let latency_target = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
@@ -161,7 +162,7 @@
         })
     }
 
-    /// The request of this exchange, if it has no response yet; it is forgotten.
+    /// Removes and returns the request of this exchange, if it has no response yet.
     fn take_request(&self, exchange: u64) -> Option<u64> {
         let mut requests = self.requests.lock().expect("no holder panics");
         requests.remove(&exchange)
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Passes the request to the state machine; its response is written later.
+    /// Passes the request to the state machine. The response is written later.
     fn submit(self: &Arc<Self>, exchange: u64, request: ClientRequest) {
         let pending = PendingResponse {
             exchange,
@@ -237,8 +238,8 @@
         let mut disconnected = self.disconnected.lock().expect("no holder panics");
         disconnected.remove(&id);
         drop(disconnected);
-        // The process may have been suspended since the state machine responded:
-        // a cached response is only as good as the lease.
+        // The process may have been suspended since the state machine responded, and a
+        // cached response may be served only while the lease is valid.
         let is_cached = matches!(response, ClientResponse::Reply { age: Some(_), .. });
         let response = if is_cached && !pending.is_keyed && !self.port.live() {
             ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
@@ -254,7 +255,7 @@
     }
 }
 
-/// What is needed to write the response to a request.
+/// The data needed to write the response to a request.
 struct PendingResponse {
     exchange: u64,
     is_keyed: bool,
@@ -264,7 +265,7 @@
     headers: Vec<(String, String)>,
 }
 
-/// Called on the thread of the event loop.
+/// The callbacks of the event loop, called on its thread.
 impl Handler for ConnectionHandler {
     fn on_request(&self, exchange: u64, listener: usize, received: Request) {
         if listener == READINESS_LISTENER {
@@ -278,15 +279,18 @@
         if received.target.starts_with(PLUG_IN_PREFIX) {
             return self.serve_plug_in(exchange, received);
         }
-        // The handler is shared by its own responses.
-        if let Some(handler) = self.this.upgrade() {
+        // Each pending response holds a reference to the handler.
+        if let Some(handler) = self.weak_self.upgrade() {
             handler.handle_client_request(exchange, received);
         }
     }
 
-    fn on_response(&self, id: u64, ending: ExchangeOutcome) {
-        if let Some(call) = self.forget_call(id) {
-            self.complete_call(id, judge_call(self.protocol.as_ref(), &call, ending));
+    fn on_response(&self, id: u64, outcome: ExchangeOutcome) {
+        if let Some(call) = self.remove_call(id) {
+            self.complete_call(
+                id,
+                classify_call_outcome(self.protocol.as_ref(), &call, outcome),
+            );
         }
     }
 
@@ -299,14 +303,14 @@
         }
     }
 
-    fn rejection_response(&self, status: u16, why: &str) -> http_line::Response {
+    fn rejection_response(&self, status: u16, reason: &str) -> http_line::Response {
         let code = match status {
             408 => "request_late",
             413 => "body_unreadable",
             431 => "head_too_large",
             _ => "request_malformed",
         };
-        let rejection = ClientResponse::Rejection(Rejection::not_run(status, code, why));
+        let rejection = ClientResponse::Rejection(Rejection::not_run(status, code, reason));
         let response = self.protocol.client_response(&[], &rejection);
         http_line::Response {
             status: response.status,
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -1,21 +1,20 @@
-//! The HTTP side of an edge: requests of clients and calls to origins.
+//! The HTTP frontend of an edge: requests of clients and calls to origins.
 mod handler;
 
 use crate::prelude::*;
 use handler::ConnectionHandler;
 
-/// The HTTP side of an edge: receives clients' requests and sends calls to
-/// origins over one event loop, in the format of one protocol adapter.
-/// Invariant: every request read is responded to once, unless its connection
-/// ended before.
+/// The HTTP frontend of an edge. It receives clients' requests and sends calls to origins
+/// on one event loop, in the format of a protocol adapter. Invariant: every received
+/// request gets exactly one response, unless its connection ends before.
 pub struct HttpFrontend {
     program: &'static str,
     protocol: Arc<dyn ProtocolAdapter>,
     handler: Option<Arc<ConnectionHandler>>,
 }
 
-/// The limits before a configuration sets others.
-const LIMITS: Limits = Limits {
+/// The limits that apply until a configuration sets others.
+const DEFAULT_LIMITS: Limits = Limits {
     head_bytes: 32 * 1024,
     body_bytes: 1024 * 1024,
     head_timeout: Duration::from_secs(5),
@@ -24,10 +23,11 @@
     response_bytes: 16 * 1024 * 1024,
     link_bytes_per_second: None,
 };
+/// Number of bytes in a megabit.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
 impl HttpFrontend {
-    /// A closed frontend of `program`, which serves that program's plug-ins.
+    /// Creates a closed frontend that serves the plug-ins of `program`.
     pub fn new(program: &'static str, protocol: Arc<dyn ProtocolAdapter>) -> HttpFrontend {
         HttpFrontend {
             program,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Listens on the addresses of the startup settings, clients' requests first.
+/// Opens the listeners on the addresses in the startup settings: the one for clients'
+/// requests first, then the one for readiness checks.
 fn listen(port: &Port) -> Result<Vec<TcpListener>, FrontendError> {
     if !port.startup.shield {
         let missing = FrontendError::MissingSetting("http address");
@@ -65,7 +66,7 @@
         let handler = ConnectionHandler::new(port, &self.protocol, PlugIn::of(self.program));
         let limits = Limits {
             link_bytes_per_second: port.startup.link_mbps.map(|link| link * BYTES_PER_MEGABIT),
-            ..LIMITS
+            ..DEFAULT_LIMITS
         };
         let event_loop = EventLoopHandle::open(listeners, limits, handler.clone())
             .map_err(|error| FrontendError::Start(error.into()))?;
@@ -102,7 +103,7 @@
         let (Some(handler), Some(event_loop)) = (&self.handler, self.event_loop()) else {
             return;
         };
-        handler.forget_call(id);
+        handler.remove_call(id);
         event_loop.cancel_call(id);
     }
 
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -1,10 +1,11 @@
-//! The data plane: filters, cache owners, admission controllers, calls to origins.
+//! The data plane of an edge node: request filters, caches, admission control and calls
+//! to origins.
 #![warn(missing_docs, unreachable_pub)]
 mod abandoned_work;
 mod active_request;
 mod admission;
 mod cache_owner;
-mod call_result;
+mod call_outcome;
 mod coalescer;
 mod default_protocol;
 mod edge_node;
@@ -20,7 +21,7 @@
 mod request_conversion;
 mod response_signature;
 mod response_sizes;
-pub use call_result::judge_call;
+pub use call_outcome::classify_call_outcome;
 pub use default_protocol::DefaultProtocol;
 pub use edge_node::EdgeNode;
 pub use http_frontend::HttpFrontend;
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -1,9 +1,9 @@
-//! The names that the crate's modules share.
+//! The items that the modules of this crate share.
 pub use crate::abandoned_work::{AbandonedWork, AbandonedWorkViolation, ViolationKind};
 pub use crate::active_request::{ActiveRequest, CacheUse, Fetch, FillGrant, Stage};
 pub use crate::admission::{AdmissionController, TokenBucket};
 pub use crate::cache_owner::CacheOwner;
-pub use crate::call_result::judge_call;
+pub use crate::call_outcome::classify_call_outcome;
 pub use crate::coalescer::{Coalescer, GroupRole};
 pub use crate::default_protocol::DefaultProtocol;
 pub use crate::edge_node::EdgeNode;
--- a/data-plane/src/request_conversion.rs
+++ b/data-plane/src/request_conversion.rs
@@ -1,14 +1,16 @@
-//! From a filtered request to the edge's input.
+//! Conversion of a filtered request to the input of the edge's state machine.
 use crate::prelude::*;
 
-/// The client request of an incoming request that passed all filters.
+/// Converts an incoming request that has passed all filters. Returns `None` if it has no
+/// route.
 pub fn client_request_of(incoming: IncomingRequest) -> Option<ClientRequest> {
     let caller = header(&incoming.headers, "authorization")
         .unwrap_or_default()
         .to_string();
     let routes = incoming.routes?;
     let entry = incoming.entry?;
-    // Requests that must run once, or be cached once, are distributed by their own key.
+    // The operation key or the URL selects the group, so that repeated requests and
+    // requests for the same object use the same service.
     let key = incoming.operation_key.as_deref().unwrap_or(&incoming.url);
     let service = routes.document.entries[entry]
         .group_for(key.as_bytes())
--- a/data-plane/src/response_signature.rs
+++ b/data-plane/src/response_signature.rs
@@ -1,12 +1,12 @@
-//! Signatures by which origins prove their identity.
+//! Response signatures, by which origins prove their identity.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// What an origin signs, in the manner of RFC 9421: status and digest of its
-/// response, its identity, and the request that it responds to. The verifier
-/// fills in the request's fields, so that a response to any other request fails.
+/// The content that an origin signs, following RFC 9421: the status and digest of its
+/// response, its identity and the request that it responds to. The verifier supplies the
+/// request's fields, so that a response to any other request fails verification.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResponseSignature<'a> {
     /// The status of the response.
@@ -19,7 +19,7 @@
     pub service: &'a str,
     /// The instance of the origin.
     pub instance: &'a str,
-    /// The operation key of the request, or empty.
+    /// The operation key of the request; empty if it has none.
     pub operation: &'a str,
     /// The id of the request.
     pub request: &'a str,
@@ -27,34 +27,34 @@
     pub body: &'a [u8],
 }
 
-/// Why a signature was not accepted.
+/// The reason why a signature was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum SignatureError {
     /// A header of the signature is missing.
-    #[error("no {0}")]
+    #[error("header {0} is missing")]
     MissingHeader(&'static str),
     /// The response names another service or instance.
-    #[error("from another service or instance")]
+    #[error("response names another service or instance")]
     WrongOrigin,
     /// The digest is not that of the body.
     #[error("body does not match its digest")]
     DigestMismatch,
-    /// Other components, another algorithm or another key were used.
-    #[error("signed over other parts")]
+    /// The signature uses other components, another algorithm or another key id.
+    #[error("signature covers other components, or has another algorithm or key id")]
     WrongComponents,
     /// The header does not contain a signature.
-    #[error("no signature")]
+    #[error("no signature in the signature header")]
     MalformedSignature,
     /// The signature or the key is not valid base64.
     #[error("{0}")]
     InvalidBase64(String),
-    /// The key has not the length of an Ed25519 key.
-    #[error("key has another length")]
+    /// The key does not have the length of an Ed25519 key.
+    #[error("key does not have the length of an Ed25519 key")]
     InvalidKeyLength,
-    /// The signature or the key is not one of Ed25519.
+    /// The signature or the key is not valid for Ed25519.
     #[error(transparent)]
     Malformed(#[from] ed25519_dalek::SignatureError),
-    /// The signature is not that of the key over these fields.
+    /// The signature does not verify with this key and these fields.
     #[error("signature does not verify: {0}")]
     Invalid(ed25519_dalek::SignatureError),
 }
@@ -72,7 +72,7 @@
         format!("{COMPONENTS};alg=\"ed25519\";keyid=\"{}\"", self.service)
     }
 
-    /// The signature base of RFC 9421.
+    /// Returns the signature base of RFC 9421.
     fn base(&self) -> String {
         format!(
             "\"@status\": {}\n\"content-digest\": {}\n\"otterslip-service\": {}\n\"otterslip-instance\": {}\n\
@@ -90,7 +90,7 @@
         )
     }
 
-    /// The headers that an origin adds to its response.
+    /// Signs the content. Returns the headers that an origin adds to its response.
     pub fn sign(&self, key: &SigningKey) -> Vec<(String, String)> {
         let signature = BASE64.encode(key.sign(self.base().as_bytes()).to_bytes());
         [
@@ -107,7 +107,7 @@
     /// Verifies a response's headers with the service's public key in base64.
     ///
     /// # Errors
-    /// The first check that failed.
+    /// Returns the first check that failed.
     pub fn verify(&self, headers: &[(String, String)], key: &str) -> Result<(), SignatureError> {
         let get =
             |name: &'static str| header(headers, name).ok_or(SignatureError::MissingHeader(name));
--- a/data-plane/src/response_sizes.rs
+++ b/data-plane/src/response_sizes.rs
@@ -1,13 +1,13 @@
-//! The usual sizes of responses by route.
+//! Moving averages of the response sizes of each route.
 use crate::prelude::*;
 
-/// The moving average of the responses' bodies in bytes, by route.
+/// The moving average of the size of response bodies in bytes, by route.
 #[derive(Debug, Default)]
 pub struct ResponseSizes {
     mean_by_route: Mutex<HashMap<String, f64>>,
 }
 
-/// The weight of the latest response.
+/// Weight of the latest response in the moving average.
 const LATEST_WEIGHT: f64 = 0.1;
 
 impl ResponseSizes {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The expected size; 0 for a route without any recorded response.
+    /// Returns the expected size in bytes; 0 for a route without a recorded response.
     pub fn expected(&self, route: &str) -> f64 {
         let means = self.mean_by_route.lock().expect("no holder panics");
         means.get(route).copied().unwrap_or(0.0)
--- a/data-plane/tests/call_result.rs
+++ b/data-plane/tests/call_outcome.rs
@@ -57,7 +57,7 @@
 ];
 
 fn judged(ending: ExchangeOutcome) -> CallOutcome {
-    judge_call(&DefaultProtocol, &call(Proof::Named), ending)
+    classify_call_outcome(&DefaultProtocol, &call(Proof::Named), ending)
 }
 
 #[test]
@@ -128,11 +128,11 @@
         })
     };
     assert!(matches!(
-        judge_call(&DefaultProtocol, &signed, ending(b"x")),
+        classify_call_outcome(&DefaultProtocol, &signed, ending(b"x")),
         CallOutcome::Success(_)
     ));
     assert!(matches!(
-        judge_call(&DefaultProtocol, &signed, ending(b"")),
+        classify_call_outcome(&DefaultProtocol, &signed, ending(b"")),
         CallOutcome::Failure(_)
     ));
 }
