--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -1,7 +1,7 @@
-//! Permits by rank, rate, slots and retry budget.
+//! Tests of permits: ranks, rates, slots, the retry budget and the health of origins.
 use crate::prelude::*;
 
-fn at(ms: u64) -> Duration {
+fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
@@ -37,18 +37,18 @@
         service: "s".into(),
         id,
         rank,
-        max_wait: at(wait),
-        sent: at(0),
+        max_wait: millis(wait),
+        sent: millis(0),
         is_retry,
-        call_timeout: at(2000),
-        latency_target: at(wait),
+        call_timeout: millis(2000),
+        latency_target: millis(wait),
         zone: String::new(),
         region: String::new(),
         excluded_origins: vec![],
     }
 }
 
-/// All messages but the confirmations of queued requests.
+/// Returns all messages except the confirmations of queued requests.
 fn outcomes(admission: &mut AdmissionController) -> Vec<(SocketAddr, Message)> {
     admission
         .take_outgoing()
@@ -59,36 +59,44 @@
 
 #[test]
 fn repeated_permit_request_is_confirmed_as_queued() {
-    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
+    let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
+    admission.apply_configuration(millis(0), &group(100.0, 9), &[origin(1)]);
     for ms in [400, 600] {
-        admission.request_permit(at(ms), origin(9).address, permit_request(1, 1, 5000, false));
+        admission.request_permit(
+            millis(ms),
+            origin(9).address,
+            permit_request(1, 1, 5000, false),
+        );
         assert!(
             matches!(admission.take_outgoing().as_slice(), [(to, Message::PermitQueued(PermitQueued { id: 1 }))] if *to == origin(9).address),
-            "nothing is proven yet"
+            "the origin is not proven yet"
         );
     }
-    admission.connection_changed(at(650), origin(1).address, true);
-    let probe = admission.start_probes(at(700)).remove(0);
-    admission.probe_completed(at(710), &probe, true);
+    admission.connection_changed(millis(650), origin(1).address, true);
+    let probe = admission.start_probes(millis(700)).remove(0);
+    admission.probe_completed(millis(710), &probe, true);
     assert!(matches!(
         admission.take_outgoing().as_slice(),
         [(_, Message::Permit(_))]
     ));
 }
 
-/// Requests may wait for two seconds, calls take a quarter: higher ranks just wait
-/// for the next slot, and none is reserved for them.
+/// Requests may wait for two seconds and calls take 250 ms, so requests of higher ranks
+/// wait for the next slot, and no slot is reserved for them.
 #[test]
 fn short_calls_reserve_no_slots_and_honor_latency_targets() {
     let mut call_ends = vec![];
     let mut simulation = Simulation::new(0, 1, 1000.0, 4);
     for id in 0..3000u64 {
-        // 4 a second of the high rank, 14 of the low one, where 16 can be called.
+        // Requests per second: 4 of the high rank and 14 of the low one, at a capacity of 16.
         if id % 25 == 0 || id % 7 == 1 {
-            let latency_target = if id % 2 == 0 { at(100) } else { at(800) };
+            let latency_target = if id % 2 == 0 {
+                millis(100)
+            } else {
+                millis(800)
+            };
             simulation.admission.request_permit(
-                at(simulation.now),
+                millis(simulation.now),
                 origin(9).address,
                 PermitRequest {
                     latency_target,
@@ -105,7 +113,7 @@
         .count();
     assert!(
         granted >= 24 * 16,
-        "{granted} in 25 s on four places of 250 ms"
+        "{granted} calls of 250 ms in 25 s with four slots"
     );
     let high: Vec<u64> = simulation
         .granted
@@ -115,7 +123,7 @@
         .collect();
     assert!(
         high.len() >= 118 && high.iter().all(|wait| *wait <= 300),
-        "{} of 120",
+        "{} of 120 requests of the high rank",
         high.len()
     );
 }
@@ -127,11 +135,11 @@
         total_rate: Some(100.0),
         ..group(9999.0, 99)
     };
-    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.apply_configuration(at(0), &named, &[origin(1), origin(2)]);
+    let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
+    admission.apply_configuration(millis(0), &named, &[origin(1), origin(2)]);
     let mut calls = vec![];
     for id in 0..2000u64 {
-        let now = at(id * 5);
+        let now = millis(id * 5);
         admission.request_permit(now, origin(9).address, permit_request(id, 1, 60_000, false));
         if id % 20 == 0 {
             calls.push(id * 5);
@@ -142,7 +150,7 @@
                     epoch: 0,
                     serial: 0,
                     result: CallResult::Success,
-                    took: at(5),
+                    took: millis(5),
                 },
             );
         }
@@ -156,29 +164,37 @@
                         epoch: 1,
                         serial: permit.serial,
                         result: CallResult::Success,
-                        took: at(5),
+                        took: millis(5),
                     },
                 );
             }
         }
     }
     let most = max_calls_within(&calls, 5000);
-    assert!((470..=530).contains(&most), "{most} in 5 s at 100/s in all");
+    assert!(
+        (470..=530).contains(&most),
+        "{most} calls in 5 s at a total rate of 100/s"
+    );
 }
 
+/// A controller of one origin with the calls that it grants, in steps of virtual time.
+/// All times are in milliseconds.
 struct Simulation {
     admission: AdmissionController,
     now: u64,
+    /// The times and ids of granted requests.
     granted: Vec<(u64, u64)>,
+    /// The times, ids and reasons of refused requests.
     refused: Vec<(u64, u64, PermitRefusalReason)>,
+    /// The times of calls and probes.
     calls: Vec<u64>,
 }
 
 impl Simulation {
     fn new(started_at: u64, epoch: u64, rate: f64, concurrency: u32) -> Simulation {
-        let mut admission = AdmissionController::new(at(started_at), "s", epoch, 3);
-        admission.apply_configuration(at(started_at), &group(rate, concurrency), &[origin(1)]);
-        admission.connection_changed(at(started_at), origin(1).address, true);
+        let mut admission = AdmissionController::new(millis(started_at), "s", epoch, 3);
+        admission.apply_configuration(millis(started_at), &group(rate, concurrency), &[origin(1)]);
+        admission.connection_changed(millis(started_at), origin(1).address, true);
         Simulation {
             admission,
             now: started_at,
@@ -188,21 +204,22 @@
         }
     }
 
-    /// One step of 10 ms; every permit is used at once and ends after `took`.
+    /// Advances by 10 ms. Every permit is used at once and its call ends after `took` ms.
     fn step(&mut self, took: u64, call_ends: &mut Vec<(u64, CallDone)>) {
         self.now += 10;
-        for probe in self.admission.start_probes(at(self.now)) {
+        for probe in self.admission.start_probes(millis(self.now)) {
             self.calls.push(self.now);
-            self.admission.probe_completed(at(self.now), &probe, true);
+            self.admission
+                .probe_completed(millis(self.now), &probe, true);
         }
         let (due, later) = std::mem::take(call_ends)
             .into_iter()
             .partition(|(when, _)| *when <= self.now);
         *call_ends = later;
         for (_, done) in due as Vec<(u64, CallDone)> {
-            self.admission.call_completed(at(self.now), done);
+            self.admission.call_completed(millis(self.now), done);
         }
-        self.admission.dispatch(at(self.now));
+        self.admission.dispatch(millis(self.now));
         for (_, message) in self.admission.take_outgoing() {
             match message {
                 Message::Permit(permit) => {
@@ -213,7 +230,7 @@
                         epoch: permit.epoch,
                         serial: permit.serial,
                         result: CallResult::Success,
-                        took: at(took),
+                        took: millis(took),
                     };
                     call_ends.push((self.now + took, done));
                 }
@@ -227,6 +244,7 @@
     }
 }
 
+/// Returns the maximum number of calls within any `span` milliseconds.
 fn max_calls_within(calls: &[u64], span: u64) -> usize {
     calls
         .iter()
@@ -246,7 +264,7 @@
     let mut first = Simulation::new(0, 1, 20.0, 50);
     for id in 0..2000 {
         first.admission.request_permit(
-            at(first.now),
+            millis(first.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
         );
@@ -255,7 +273,7 @@
     let mut next = Simulation::new(first.now + 100, 3, 20.0, 50);
     for id in 0..2000 {
         next.admission.request_permit(
-            at(next.now),
+            millis(next.now),
             origin(9).address,
             permit_request(id, 1, 60_000, false),
         );
@@ -265,7 +283,7 @@
     let most = max_calls_within(&calls, 5000);
     assert!(
         (95..=104).contains(&most),
-        "{most} calls in 5 s at 20/s, probes included"
+        "{most} calls in 5 s at 20/s, including probes"
     );
 }
 
@@ -273,11 +291,11 @@
 fn higher_rank_is_granted_and_lower_is_refused_early() {
     let mut call_ends = vec![];
     let mut simulation = Simulation::new(0, 1, 20.0, 50);
-    // 33 a second are requested where 20 may be called, half of high rank.
+    // 33 requests per second, half of them of the high rank, at a rate of 20.
     for id in 0..6000u64 {
         if id % 3 == 0 {
             simulation.admission.request_permit(
-                at(simulation.now),
+                millis(simulation.now),
                 origin(9).address,
                 permit_request(id, if id % 6 == 0 { 9 } else { 1 }, 2000, false),
             );
@@ -322,7 +340,7 @@
     let mut simulation = Simulation::new(0, 1, 1000.0, 2);
     for id in 0..3000u64 {
         simulation.admission.request_permit(
-            at(simulation.now),
+            millis(simulation.now),
             origin(9).address,
             permit_request(id, if id % 50 == 0 { 9 } else { 1 }, 2000, false),
         );
@@ -336,23 +354,22 @@
         .count();
     assert!(
         high >= 55,
-        "{high} of 60 of the high rank, with two calls of 400 ms at a time"
+        "{high} of 60 requests of the high rank, with two slots and calls of 400 ms"
     );
 }
 
-/// The origins are suddenly so slow that a call uses its slot for seconds: the
-/// slots that the lower rank took are in use for that long, so it may not take
-/// all of them.
+/// The origins become so slow that a call occupies its slot for seconds. The lower rank
+/// must not take all slots, since they would be occupied for that long.
 #[test]
 fn slow_origins_reserve_slots_for_higher_rank() {
     let mut call_ends = vec![];
     let mut simulation = Simulation::new(0, 1, 1000.0, 8);
     for id in 0..4000u64 {
-        // 3 a second of the high rank, 30 of the low one.
+        // Requests per second: 3 of the high rank and 30 of the low one.
         let high = id % 33 == 0;
         if high || id % 3 == 1 {
             simulation.admission.request_permit(
-                at(simulation.now),
+                millis(simulation.now),
                 origin(9).address,
                 permit_request(id, if high { 9 } else { 1 }, 1500, false),
             );
@@ -368,7 +385,7 @@
         .collect();
     assert!(
         granted.len() >= requested * 95 / 100,
-        "{} of {requested} of the high rank",
+        "{} of {requested} requests of the high rank",
         granted.len()
     );
     let late = simulation
@@ -378,7 +395,7 @@
         .count();
     assert!(
         late * 10 <= simulation.refused.len(),
-        "{late} of {} heard late",
+        "{late} of {} were refused late",
         simulation.refused.len()
     );
 }
@@ -390,13 +407,13 @@
         let mut simulation = Simulation::new(0, 1, rate, 50);
         for id in 0..6000 {
             simulation.admission.request_permit(
-                at(simulation.now),
+                millis(simulation.now),
                 origin(9).address,
                 permit_request(id, 1, 60_000, false),
             );
             simulation.step(5, &mut call_ends);
         }
-        // Each may be used up to a `PERMIT_VALIDITY` late.
+        // Each permit may be used up to a `PERMIT_VALIDITY` late.
         assert!(
             max_calls_within(&simulation.calls, 5200) <= bound,
             "{} in 5 s at {rate}/s",
@@ -412,7 +429,7 @@
     let mut call_ends = vec![];
     for id in 0..1000u64 {
         simulation.admission.request_permit(
-            at(simulation.now),
+            millis(simulation.now),
             origin(9).address,
             permit_request(id, 1, 2000, id % 2 == 0),
         );
@@ -435,71 +452,75 @@
 
 #[test]
 fn origin_is_granted_only_while_proven_and_not_ejected() {
-    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1), origin(2)]);
-    assert_eq!(admission.connections_to_open(at(1)).len(), 2);
+    let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
+    admission.apply_configuration(millis(0), &group(100.0, 9), &[origin(1), origin(2)]);
+    assert_eq!(admission.connections_to_open(millis(1)).len(), 2);
     assert!(
-        admission.start_probes(at(350)).is_empty(),
-        "no connection stands yet"
+        admission.start_probes(millis(350)).is_empty(),
+        "no connection is open yet"
     );
-    admission.connection_changed(at(2), origin(1).address, true);
-    admission.connection_changed(at(2), origin(2).address, true);
+    admission.connection_changed(millis(2), origin(1).address, true);
+    admission.connection_changed(millis(2), origin(2).address, true);
     admission.request_permit(
-        at(400),
+        millis(400),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
-    assert!(outcomes(&mut admission).is_empty(), "nothing is proven");
-    let probes = admission.start_probes(at(500));
+    assert!(outcomes(&mut admission).is_empty(), "no origin is proven");
+    let probes = admission.start_probes(millis(500));
     assert_eq!(probes.len(), 2);
-    admission.probe_completed(at(510), &probes[0], false);
+    admission.probe_completed(millis(510), &probes[0], false);
     assert!(outcomes(&mut admission).is_empty());
-    admission.probe_completed(at(520), &probes[1], true);
+    admission.probe_completed(millis(520), &probes[1], true);
     let outputs = outcomes(&mut admission);
     let [(_, Message::Permit(permit))] = outputs.as_slice() else {
         panic!("{outputs:?}")
     };
     assert_eq!(permit.origin, probes[1]);
-    // The connection ends: the next process there must prove its identity first.
-    admission.connection_changed(at(600), origin(2).address, false);
-    admission.request_permit(at(610), origin(9).address, permit_request(3, 1, 100, false));
+    // The connection ends: the next process at the address must prove its identity first.
+    admission.connection_changed(millis(600), origin(2).address, false);
+    admission.request_permit(
+        millis(610),
+        origin(9).address,
+        permit_request(3, 1, 100, false),
+    );
     assert!(outcomes(&mut admission).is_empty());
-    admission.connection_changed(at(620), origin(2).address, true);
-    let probe = admission.start_probes(at(650)).remove(0);
-    admission.probe_completed(at(660), &probe, true);
+    admission.connection_changed(millis(620), origin(2).address, true);
+    let probe = admission.start_probes(millis(650)).remove(0);
+    admission.probe_completed(millis(660), &probe, true);
     assert!(matches!(
         outcomes(&mut admission).as_slice(),
         [(_, Message::Permit(_))]
     ));
-    // The proof expires; without a newer one no more permits are granted.
+    // The proof expires: no permits are granted until there is a newer one.
     admission.request_permit(
-        at(2700),
+        millis(2700),
         origin(9).address,
         permit_request(2, 1, 5000, false),
     );
     assert!(outcomes(&mut admission).is_empty());
-    // Listed under another instance it must be proven again.
+    // An origin listed with another instance must prove its identity again.
     let other = Origin {
         instance: "new".into(),
         ..origin(2)
     };
-    admission.apply_configuration(at(2700), &group(100.0, 9), std::slice::from_ref(&other));
+    admission.apply_configuration(millis(2700), &group(100.0, 9), std::slice::from_ref(&other));
     assert!(
-        !admission.probe_completed(at(2800), &probes[1], true),
-        "the old instance's probe counts for nothing"
+        !admission.probe_completed(millis(2800), &probes[1], true),
+        "the probe of the old instance is ignored"
     );
     assert!(outcomes(&mut admission).is_empty());
 }
 
 #[test]
 fn failed_origins_are_refused_at_once_and_draining_ones_skipped() {
-    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
-    admission.apply_configuration(at(0), &group(100.0, 9), &[origin(1)]);
-    admission.connection_changed(at(0), origin(1).address, true);
-    let probe = admission.start_probes(at(400)).remove(0);
-    admission.probe_completed(at(400), &probe, false);
+    let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
+    admission.apply_configuration(millis(0), &group(100.0, 9), &[origin(1)]);
+    admission.connection_changed(millis(0), origin(1).address, true);
+    let probe = admission.start_probes(millis(400)).remove(0);
+    admission.probe_completed(millis(400), &probe, false);
     admission.request_permit(
-        at(410),
+        millis(410),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
@@ -513,10 +534,10 @@
             })
         )]
     ));
-    let probe = admission.start_probes(at(1000)).remove(0);
-    admission.probe_completed(at(1000), &probe, true);
+    let probe = admission.start_probes(millis(1000)).remove(0);
+    admission.probe_completed(millis(1000), &probe, true);
     admission.apply_configuration(
-        at(1001),
+        millis(1001),
         &group(100.0, 9),
         &[Origin {
             draining: true,
@@ -524,7 +545,7 @@
         }],
     );
     admission.request_permit(
-        at(1002),
+        millis(1002),
         origin(9).address,
         permit_request(2, 1, 5000, false),
     );
@@ -539,18 +560,18 @@
 fn new_controller_counts_calls_of_its_predecessor() {
     let mut simulation = Simulation::new(0, 5, 1000.0, 2);
     simulation.admission.add_calls_in_flight(
-        at(10),
+        millis(10),
         CallsInProgress {
             service: "s".into(),
             calls: vec![
-                (3, 1, origin(1).address, at(900)),
-                (3, 2, origin(1).address, at(900)),
+                (3, 1, origin(1).address, millis(900)),
+                (3, 2, origin(1).address, millis(900)),
             ],
         },
     );
     let mut call_ends = vec![];
     simulation.admission.request_permit(
-        at(10),
+        millis(10),
         origin(9).address,
         permit_request(1, 1, 5000, false),
     );
@@ -559,36 +580,39 @@
     }
     assert!(simulation.granted.is_empty());
     simulation.admission.call_completed(
-        at(simulation.now),
+        millis(simulation.now),
         CallDone {
             service: "s".into(),
             epoch: 3,
             serial: 2,
             result: CallResult::Success,
-            took: at(600),
+            took: millis(600),
         },
     );
     simulation.step(5, &mut call_ends);
     assert_eq!(simulation.granted.len(), 1);
 }
 
-/// An admission controller with one origin of two slots.
+/// Creates an admission controller with one origin of two slots.
 fn admission_with_two_slots() -> AdmissionController {
-    let mut admission = AdmissionController::new(at(0), "s", 1, 3);
+    let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
     let named = Group {
         proof: Proof::Named,
         ..group(1000.0, 2)
     };
-    admission.apply_configuration(at(0), &named, &[origin(1)]);
+    admission.apply_configuration(millis(0), &named, &[origin(1)]);
     admission
 }
 
 fn permits(admission: &mut AdmissionController) -> Vec<Permit> {
-    let one = |(_, message)| match message {
+    let extract = |(_, message)| match message {
         Message::Permit(permit) => Some(permit),
         _ => None,
     };
-    outcomes(admission).into_iter().filter_map(one).collect()
+    outcomes(admission)
+        .into_iter()
+        .filter_map(extract)
+        .collect()
 }
 
 fn call_done(permit: &Permit, result: CallResult) -> CallDone {
@@ -597,7 +621,7 @@
         epoch: permit.epoch,
         serial: permit.serial,
         result,
-        took: at(100),
+        took: millis(100),
     }
 }
 
@@ -606,50 +630,54 @@
     let mut admission = admission_with_two_slots();
     for id in 1..=4 {
         admission.request_permit(
-            at(1000),
+            millis(1000),
             origin(9).address,
             permit_request(id, 1, 5000, false),
         );
     }
     let granted = permits(&mut admission);
-    assert_eq!(granted.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2]);
-    admission.withdraw(at(1010), origin(8).address, 3);
-    admission.withdraw(at(1010), origin(9).address, 3);
-    admission.withdraw(at(1010), origin(9).address, 3);
-    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Success));
+    assert_eq!(
+        granted.iter().map(|permit| permit.id).collect::<Vec<_>>(),
+        [1, 2]
+    );
+    admission.withdraw(millis(1010), origin(8).address, 3);
+    admission.withdraw(millis(1010), origin(9).address, 3);
+    admission.withdraw(millis(1010), origin(9).address, 3);
+    admission.call_completed(millis(1100), call_done(&granted[0], CallResult::Success));
     let next = permits(&mut admission);
-    assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
+    assert_eq!(next.iter().map(|permit| permit.id).collect::<Vec<_>>(), [4]);
 }
 
-/// The origin may not have observed the cancellation yet, and it has not failed.
+/// The slot is freed only once the origin can have observed the cancellation, and a
+/// cancelled call is not a failure of the origin.
 #[test]
 fn cancelled_call_frees_its_slot_without_ejection() {
     let mut admission = admission_with_two_slots();
     for id in 1..=3 {
         admission.request_permit(
-            at(1000),
+            millis(1000),
             origin(9).address,
             permit_request(id, 1, 5000, false),
         );
     }
     let granted = permits(&mut admission);
     assert_eq!(granted.len(), 2);
-    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Cancelled));
+    admission.call_completed(millis(1100), call_done(&granted[0], CallResult::Cancelled));
     assert!(
         permits(&mut admission).is_empty(),
-        "its place is not free at once"
+        "the slot is not free at once"
     );
-    admission.call_completed(at(1105), call_done(&granted[0], CallResult::Cancelled));
-    admission.dispatch(at(1100 + 40));
+    admission.call_completed(millis(1105), call_done(&granted[0], CallResult::Cancelled));
+    admission.dispatch(millis(1100 + 40));
     let next = permits(&mut admission);
-    assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [3]);
-    let found = admission.origin_health(at(1141));
-    assert_eq!(found[0].calls, 2, "counted once more, not twice");
-    assert_ne!(found[0].condition, OriginCondition::Ejected);
+    assert_eq!(next.iter().map(|permit| permit.id).collect::<Vec<_>>(), [3]);
+    let health = admission.origin_health(millis(1141));
+    assert_eq!(health[0].calls, 2, "each call is counted once");
+    assert_ne!(health[0].condition, OriginCondition::Ejected);
 }
 
-/// However many clients disconnect, no more calls reach the origins than their rate
-/// allows: a cancelled call counts.
+/// A cancelled call takes a token like any other: even if many clients disconnect, the
+/// calls to the origins stay within their rate.
 #[test]
 fn cancelled_calls_count_toward_rate() {
     let mut admission = admission_with_two_slots();
@@ -658,24 +686,21 @@
         total_rate: Some(20.0),
         ..group(1000.0, 32)
     };
-    admission.apply_configuration(at(0), &limited, &[origin(1)]);
+    admission.apply_configuration(millis(0), &limited, &[origin(1)]);
     let mut sent = 0;
     for ms in (0..5000).step_by(5) {
         admission.request_permit(
-            at(1000 + ms),
+            millis(1000 + ms),
             origin(9).address,
             permit_request(ms, 1, 300, false),
         );
         for permit in permits(&mut admission) {
             sent += 1;
             let cancelled = call_done(&permit, CallResult::Cancelled);
-            admission.call_completed(at(1000 + ms + 1), cancelled);
+            admission.call_completed(millis(1000 + ms + 1), cancelled);
         }
     }
-    assert!(
-        (60..=115).contains(&sent),
-        "{sent} calls in 5 s at 20 a second"
-    );
+    assert!((60..=115).contains(&sent), "{sent} calls in 5 s at 20/s");
 }
 
 #[test]
@@ -683,11 +708,11 @@
     let mut admission = admission_with_two_slots();
     for (id, port) in [(1, 8), (2, 8), (3, 9), (4, 8)] {
         let request = permit_request(id, 1, 5000, false);
-        admission.request_permit(at(1000), origin(port).address, request);
+        admission.request_permit(millis(1000), origin(port).address, request);
     }
     let granted = permits(&mut admission);
-    admission.remove_edges(at(1010), &HashSet::from([origin(9).address]));
-    admission.call_completed(at(1100), call_done(&granted[0], CallResult::Success));
+    admission.remove_edges(millis(1010), &HashSet::from([origin(9).address]));
+    admission.call_completed(millis(1100), call_done(&granted[0], CallResult::Success));
     let next = permits(&mut admission);
-    assert_eq!(next.iter().map(|one| one.id).collect::<Vec<_>>(), [4]);
+    assert_eq!(next.iter().map(|permit| permit.id).collect::<Vec<_>>(), [4]);
 }
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -1,13 +1,13 @@
-//! Expiries, refreshers, eviction and handover of a cache owner.
+//! Tests of a cache owner's expiries, refreshers, eviction and handover.
 use crate::prelude::*;
 
 const KEY: CacheKey = [1; 32];
 
-fn at(ms: u64) -> Duration {
+fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn from(port: u16) -> SocketAddr {
+fn edge_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -18,8 +18,8 @@
         entry: "e".into(),
         host: "h".into(),
         url: "/u".into(),
-        ttl: at(10_000),
-        max_wait: at(3000),
+        ttl: millis(10_000),
+        max_wait: millis(3000),
         accepts_any_age: false,
     }
 }
@@ -32,9 +32,10 @@
     }
 }
 
-/// The owner's response to one get: "copy TEXT", "miss", "wait".
+/// Sends a get and returns the owner's response ("copy BODY", "miss", "wait" or the name
+/// of the message) and the token of a miss.
 fn request(owner: &mut CacheOwner, now: u64, id: u64) -> (String, Option<FillToken>) {
-    owner.get(at(now), from(1), get(id), 7, 0);
+    owner.get(millis(now), edge_address(1), get(id), 7, 0);
     match owner.take_outgoing().pop() {
         None => ("wait".into(), None),
         Some((_, Message::CacheCopy(copy))) => (
@@ -49,7 +50,7 @@
     }
 }
 
-/// The refresher's put of a response with this body.
+/// Puts a response with this body under the token. Returns true if it was stored.
 fn put(
     owner: &mut CacheOwner,
     now: u64,
@@ -61,7 +62,7 @@
     let key = KEY;
     let reply = reply(body);
     let put = CachePut { key, token, reply };
-    owner.put(at(now), put, epoch, purge_log)
+    owner.put(millis(now), put, epoch, purge_log)
 }
 
 fn url_purge() -> Purge {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A log of one purge of `/u`.
+/// Creates a log with one purge of `/u`.
 fn log_of_purge(version: u64) -> PurgeLog {
     let mut purge_log = PurgeLog::default();
     let value = Value::Purge {
@@ -110,7 +111,7 @@
     put(&mut owner, 1500, token, "a", 7, &PurgeLog::default());
     assert_eq!(request(&mut owner, 6500, 2).0, "miss");
     assert_eq!(request(&mut owner, 9999, 3).0, "copy a");
-    // The major expiry has passed; the refresher of 6500 timed out.
+    // The major expiry has passed and the refresher of 6500 has timed out.
     assert_eq!(request(&mut owner, 10_000, 4).0, "miss");
 }
 
@@ -121,7 +122,7 @@
     for id in 2..6 {
         assert_eq!(request(&mut owner, 10, id).0, "wait");
     }
-    owner.fill_failed(at(100), KEY, first, 7, 0, false);
+    owner.fill_failed(millis(100), KEY, first, 7, 0, false);
     let outputs = owner.take_outgoing();
     assert!(
         matches!(
@@ -130,9 +131,9 @@
         ),
         "{outputs:?}"
     );
-    owner.tick(at(2099), &|_| 7, 0);
+    owner.tick(millis(2099), &|_| 7, 0);
     assert!(owner.take_outgoing().is_empty());
-    owner.tick(at(2100), &|_| 7, 0);
+    owner.tick(millis(2100), &|_| 7, 0);
     let outputs = owner.take_outgoing();
     let [(_, Message::CacheMiss(CacheMiss { id: 3, token, .. }))] = outputs.as_slice() else {
         panic!("{outputs:?}")
@@ -141,7 +142,7 @@
     assert_eq!(
         owner.take_outgoing().len(),
         2,
-        "the two that still wait get the copy"
+        "the two waiting requests get the response"
     );
 }
 
@@ -156,7 +157,7 @@
     assert_eq!(
         request(&mut owner, 5200, 3).0,
         "miss",
-        "the purged copy is gone and the late one was not taken"
+        "the purged response is gone and the late put was dropped"
     );
 
     let mut owner = owner_with_response(0);
@@ -172,7 +173,7 @@
 
     let mut owner = owner_with_response(0);
     let slow = request(&mut owner, 5000, 2).1.unwrap();
-    // It times out (its minor extension is over), another request refreshes.
+    // The slow refresher times out at the extended minor expiry; another one refreshes.
     let quick = request(&mut owner, 10_000, 3).1.unwrap();
     put(&mut owner, 10_100, quick, "new", 7, &PurgeLog::default());
     assert!(!put(
@@ -191,7 +192,7 @@
     let mut owner = CacheOwner::new(1 << 20);
     let token = request(&mut owner, 0, 1).1.unwrap();
     assert_eq!(request(&mut owner, 1, 2).0, "wait");
-    owner.fill_failed(at(10), KEY, token, 7, 0, true);
+    owner.fill_failed(millis(10), KEY, token, 7, 0, true);
     assert!(matches!(
         owner.take_outgoing().as_slice(),
         [(_, Message::CacheUnavailable(CacheUnavailable { id: 2, .. }))]
@@ -205,12 +206,18 @@
     let mut owner = CacheOwner::new(20_000);
     for round in 0..100u8 {
         let key = [round; 32];
-        owner.get(at(round.into()), from(1), CacheGet { key, ..get(1) }, 7, 0);
+        owner.get(
+            millis(round.into()),
+            edge_address(1),
+            CacheGet { key, ..get(1) },
+            7,
+            0,
+        );
         let Some((_, Message::CacheMiss(miss))) = owner.take_outgoing().pop() else {
             panic!()
         };
         owner.put(
-            at(round.into()),
+            millis(round.into()),
             CachePut {
                 key,
                 token: miss.token,
@@ -229,9 +236,9 @@
 #[test]
 fn handover_preserves_expiries_and_purges() {
     let mut owner = owner_with_response(0);
-    owner.retain_partitions(at(2000), 3, &|_| false);
+    owner.retain_partitions(millis(2000), 3, &|_| false);
     assert_eq!(owner.memory.used, 0);
-    let responses = owner.hand_over(at(2100), cache_partition(&KEY));
+    let responses = owner.hand_over(millis(2100), cache_partition(&KEY));
     assert_eq!(
         (
             responses.len(),
@@ -240,48 +247,55 @@
             responses[0].major_expiry,
             responses[0].purge_version
         ),
-        (1, at(2100), at(2900), at(7900), 3)
+        (1, millis(2100), millis(2900), millis(7900), 3)
     );
-    // Its clock is its own; the network delay counts against the response.
+    // The next owner has another clock, and the network delay adds to the response's age.
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
-        next.take_over(at(50_000), at(100), responses.clone(), &PurgeLog::default()),
+        next.take_over(
+            millis(50_000),
+            millis(100),
+            responses.clone(),
+            &PurgeLog::default()
+        ),
         1
     );
     assert_eq!(request(&mut next, 52_799, 1).0, "copy a");
     assert_eq!(request(&mut next, 52_800, 2).0, "miss");
     assert_eq!(request(&mut next, 57_799, 3).0, "copy a");
-    next.tick(at(57_800), &|_| 7, 0);
+    next.tick(millis(57_800), &|_| 7, 0);
     assert!(next.slots[&KEY].stored.is_none());
-    // In flight for too long: it expired before it arrived.
+    // The response expired while it was in flight.
     let mut late = CacheOwner::new(1 << 20);
     assert_eq!(
         late.take_over(
-            at(50_000),
-            at(7900),
+            millis(50_000),
+            millis(7900),
             responses.clone(),
             &PurgeLog::default()
         ),
         0
     );
-    // A purge that the previous owner did not know yet.
+    // The previous owner had not applied a purge that the next owner knows.
     let purge_log = log_of_purge(4);
     let mut next = CacheOwner::new(1 << 20);
     assert_eq!(
-        next.take_over(at(50_000), at(100), responses, &purge_log),
+        next.take_over(millis(50_000), millis(100), responses, &purge_log),
         0
     );
-    // Retained for too long, it is dropped.
+    // The retention time is over: the response is dropped.
     let mut owner = owner_with_response(0);
-    owner.retain_partitions(at(2000), 3, &|_| false);
-    owner.tick(at(5000), &|_| 7, 0);
+    owner.retain_partitions(millis(2000), 3, &|_| false);
+    owner.tick(millis(5000), &|_| 7, 0);
     assert!(
-        owner.hand_over(at(5000), cache_partition(&KEY)).is_empty()
+        owner
+            .hand_over(millis(5000), cache_partition(&KEY))
+            .is_empty()
             && !owner.has_retained_partitions()
     );
 }
 
-/// No response is sent to a withdrawn request, and none becomes the refresher.
+/// A withdrawn request gets no response and does not become the refresher.
 #[test]
 fn withdrawn_get_is_not_served_or_made_refresher() {
     for fails in [false, true] {
@@ -290,19 +304,19 @@
         for id in 2..=4 {
             assert_eq!(request(&mut owner, 10, id).0, "wait");
         }
-        owner.withdraw(from(1), &KEY, 2);
-        owner.withdraw(from(2), &KEY, 3);
-        owner.withdraw(from(1), &[9; 32], 4);
+        owner.withdraw(edge_address(1), &KEY, 2);
+        owner.withdraw(edge_address(2), &KEY, 3);
+        owner.withdraw(edge_address(1), &[9; 32], 4);
         let purge_log = PurgeLog::default();
         if fails {
-            owner.fill_failed(at(20), KEY, token, 7, 0, false);
+            owner.fill_failed(millis(20), KEY, token, 7, 0, false);
         } else {
             let put = CachePut {
                 key: KEY,
                 token,
                 reply: reply("a"),
             };
-            assert!(owner.put(at(20), put, 7, &purge_log));
+            assert!(owner.put(millis(20), put, 7, &purge_log));
         }
         let recipient = |(_, message)| match message {
             Message::CacheCopy(copy) => copy.id,
@@ -314,28 +328,28 @@
     }
 }
 
-/// Regression: a response put under a longer time-to-live was served up to that one
-/// after operators had shortened the route's: 112 of 400 answers were stale.
+/// Regression: after operators shortened a route's time to live, a stored response was
+/// still served for the longer one; 112 of 400 responses were stale.
 #[test]
 fn shortened_ttl_ends_service_of_a_response_stored_under_the_longer_one() {
     const SHORT_TTL_MS: u64 = 2_000;
     let shortened = |id| CacheGet {
-        ttl: at(SHORT_TTL_MS),
+        ttl: millis(SHORT_TTL_MS),
         ..get(id)
     };
     let mut owner = owner_with_response(0);
-    owner.get(at(900), from(1), shortened(2), 7, 0);
+    owner.get(millis(900), edge_address(1), shortened(2), 7, 0);
     let Some((_, Message::CacheCopy(copy))) = owner.take_outgoing().pop() else {
-        panic!("it is younger than the shorter time-to-live");
+        panic!("a response within the shorter time to live is served");
     };
-    assert_eq!(copy.response.remaining_ttl, at(SHORT_TTL_MS - 900));
-    // An edge that does not know of the change gets no more.
-    owner.get(at(950), from(2), get(3), 7, 0);
+    assert_eq!(copy.response.remaining_ttl, millis(SHORT_TTL_MS - 900));
+    // An edge that still has the longer time to live gets the same limit.
+    owner.get(millis(950), edge_address(2), get(3), 7, 0);
     assert!(matches!(
         &owner.take_outgoing()[..],
-        [(_, Message::CacheCopy(copy))] if copy.response.remaining_ttl == at(SHORT_TTL_MS - 950)
+        [(_, Message::CacheCopy(copy))] if copy.response.remaining_ttl == millis(SHORT_TTL_MS - 950)
     ));
-    owner.get(at(SHORT_TTL_MS), from(1), shortened(4), 7, 0);
+    owner.get(millis(SHORT_TTL_MS), edge_address(1), shortened(4), 7, 0);
     let outgoing = owner.take_outgoing();
     assert!(
         matches!(outgoing[..], [(_, Message::CacheMiss(_))]),
@@ -343,25 +357,25 @@
     );
 }
 
-/// Regression: the same for a response that is handed over to an owner which was
-/// already asked under the shorter time-to-live.
+/// Regression: a response that was handed over was served for the longer time to live,
+/// although the new owner had received a request with the shorter one.
 #[test]
 fn handed_over_response_is_limited_by_a_shortened_ttl() {
     let mut previous = owner_with_response(0);
-    previous.retain_partitions(at(100), 0, &|_| false);
-    let responses = previous.hand_over(at(3_000), cache_partition(&KEY));
+    previous.retain_partitions(millis(100), 0, &|_| false);
+    let responses = previous.hand_over(millis(3_000), cache_partition(&KEY));
     assert_eq!(responses.len(), 1);
     let mut owner = CacheOwner::new(1 << 20);
     let shortened = CacheGet {
-        ttl: at(2_000),
+        ttl: millis(2_000),
         ..get(1)
     };
-    owner.get(at(50_000), from(1), shortened.clone(), 7, 0);
+    owner.get(millis(50_000), edge_address(1), shortened.clone(), 7, 0);
     owner.take_outgoing();
-    owner.take_over(at(50_000), at(0), responses, &PurgeLog::default());
+    owner.take_over(millis(50_000), millis(0), responses, &PurgeLog::default());
     owner.take_outgoing();
     let again = CacheGet { id: 2, ..shortened };
-    owner.get(at(50_001), from(2), again, 7, 0);
+    owner.get(millis(50_001), edge_address(2), again, 7, 0);
     let outgoing = owner.take_outgoing();
     assert!(
         !matches!(outgoing[..], [(_, Message::CacheCopy(_)), ..]),
--- a/data-plane/src/fallback_quota/tests.rs
+++ b/data-plane/src/fallback_quota/tests.rs
@@ -1,4 +1,4 @@
-//! The rate and the choice of origins of a fallback quota.
+//! Tests of the rate and the selection of origins of a fallback quota.
 use crate::prelude::*;
 
 fn origin(port: u16, zone: &str) -> Origin {
@@ -54,7 +54,8 @@
                 .is_some(),
         );
     }
-    // A tenth of 300 a second for ten edges: 3 a second, and a tenth more.
+    // The edges share a tenth of 300 per second: 3 per second for each of the ten, and at
+    // most a tenth more within five seconds.
     assert!((15..=17).contains(&granted), "{granted}");
     assert!(
         quota
@@ -67,7 +68,7 @@
                 &|_| 0
             )
             .is_none(),
-        "nobody has shown who it is"
+        "a group whose origins must prove their identity has no quota"
     );
 }
 
--- a/data-plane/src/filter/tests.rs
+++ b/data-plane/src/filter/tests.rs
@@ -1,4 +1,4 @@
-//! The rejections of each filter.
+//! Tests of the rejections of each filter.
 use crate::prelude::*;
 
 fn incoming(method: &str, url: &str, headers: &[(&str, &str)], live: bool) -> IncomingRequest {
@@ -33,7 +33,8 @@
 fn filters_reject_in_order_and_valid_request_passes() {
     let long = "x".repeat(129);
     let rejection_of = |mut incoming: IncomingRequest| {
-        run_filters(&mut incoming).map(|refusal| (refusal.status, refusal.code, refusal.outcome))
+        run_filters(&mut incoming)
+            .map(|rejection| (rejection.status, rejection.code, rejection.outcome))
     };
     let not_run = |status, code: &str| Some((status, code.to_string(), RunState::NotRun));
     assert_eq!(rejection_of(incoming("GET", "/p/1", &[], true)), None);
--- a/data-plane/src/purge_log/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -1,4 +1,4 @@
-//! Which responses the purge log takes to be clear.
+//! Tests of which responses the purge log reports as clear.
 use crate::prelude::*;
 
 fn row(version: u64, prefix: &str) -> (String, Row) {
--- a/data-plane/src/response_signature/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -1,4 +1,4 @@
-//! What a response signature covers.
+//! Tests of the fields that a response signature covers.
 use crate::prelude::*;
 
 #[test]
@@ -64,8 +64,8 @@
             .is_err()
     );
     for removed in 0..headers.len() {
-        let mut fewer = headers.clone();
-        fewer.remove(removed);
-        assert!(signature.verify(&fewer, &public).is_err());
+        let mut remaining = headers.clone();
+        remaining.remove(removed);
+        assert!(signature.verify(&remaining, &public).is_err());
     }
 }
