--- a/data-plane/tests/call_outcome.rs
+++ b/data-plane/tests/call_outcome.rs
@@ -1,7 +1,8 @@
-//! Which endings of a call prove that its request was not executed.
+//! Tests of which endings of a call prove that its request was not executed.
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
+/// The id of the request in the call.
 const REQUEST_ID: u64 = 9;
 
 fn call(proof: Proof) -> Call {
@@ -44,34 +45,37 @@
     })
 }
 
+/// Headers that name the called instance and the request.
 const MATCHING: [(&str, &str); 2] = [("otterslip-instance", "i1"), ("otterslip-errand", "9")];
+/// Headers by which the called instance states that it did not execute the request.
 const NOT_EXECUTED: [(&str, &str); 3] = [
     ("otterslip-instance", "i1"),
     ("otterslip-errand", "9"),
     ("otterslip-not-run", "1"),
 ];
+/// The headers of `NOT_EXECUTED` for another request.
 const NOT_EXECUTED_OTHER: [(&str, &str); 3] = [
     ("otterslip-instance", "i1"),
     ("otterslip-errand", "8"),
     ("otterslip-not-run", "1"),
 ];
 
-fn judged(ending: ExchangeOutcome) -> CallOutcome {
+fn outcome_of(ending: ExchangeOutcome) -> CallOutcome {
     classify_call_outcome(&DefaultProtocol, &call(Proof::Named), ending)
 }
 
 #[test]
 fn non_execution_is_proven_only_by_unsent_call_or_origin() {
-    let proofs = [
+    let proven = [
         Err(ExchangeError::NotSent("connect: refused".into())),
         reply(503, &NOT_EXECUTED, true),
         reply(421, &MATCHING, true),
     ];
-    for ending in proofs {
+    for ending in proven {
         let text = format!("{ending:?}");
         assert!(
             matches!(
-                judged(ending),
+                outcome_of(ending),
                 CallOutcome::Unreachable | CallOutcome::NotExecuted | CallOutcome::WrongInstance
             ),
             "{text}"
@@ -83,7 +87,7 @@
             reused,
         })
     };
-    let no_proofs = [
+    let unproven = [
         lost(false),
         lost(true),
         reply(503, &NOT_EXECUTED_OTHER, true),
@@ -92,16 +96,19 @@
         reply(503, &[("otterslip-not-run", "1")], true),
         reply(200, &MATCHING, false),
     ];
-    for ending in no_proofs {
+    for ending in unproven {
         let text = format!("{ending:?}");
-        assert!(matches!(judged(ending), CallOutcome::Failure(_)), "{text}");
+        assert!(
+            matches!(outcome_of(ending), CallOutcome::Failure(_)),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn unframed_body_requires_signature() {
     assert!(matches!(
-        judged(reply(200, &MATCHING, true)),
+        outcome_of(reply(200, &MATCHING, true)),
         CallOutcome::Success(Reply { status: 200, .. })
     ));
     let key = SigningKey::from_bytes(&[7; 32]);
--- a/data-plane/tests/departures.rs
+++ b/data-plane/tests/client_disconnects.rs
@@ -1,13 +1,14 @@
-//! Clients that disconnect before their response, at any stage of their requests.
-mod edge;
+//! Tests of clients that disconnect before their response, at any stage of their requests.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// The start of the random sequences, in milliseconds.
 const START_MS: u64 = 1000;
-/// Work for a disconnected client alone has ended this long after the close.
+/// Maximum time after a disconnect, in milliseconds, for which work for that client alone
+/// may continue.
 const CANCELLATION_BOUND_MS: u64 = 300;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,10 +30,12 @@
     }
 }
 
+/// A step of a random sequence. Indexes select one of the waiting elements, modulo their
+/// number.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Arrives(RequestKind),
-    /// The client of the n-th waiting request disconnects.
+    /// The client of the waiting request with this index disconnects.
     Disconnects(usize),
     Permit(usize),
     Refused(usize),
@@ -90,9 +93,9 @@
         3 => (0usize..12).prop_map(Step::Disconnects),
         4 => (0usize..4).prop_map(Step::Permit),
         1 => (0usize..4).prop_map(Step::Refused),
-        3 => (0usize..4, ending).prop_map(|(at, ending)| Step::Called(at, ending)),
-        3 => (0usize..4, ledger_reply).prop_map(|(at, ledger_reply)| Step::Ledger(at, ledger_reply)),
-        3 => (0usize..4, owner_reply).prop_map(|(at, owner_reply)| Step::Owner(at, owner_reply)),
+        3 => (0usize..4, ending).prop_map(|(index, ending)| Step::Called(index, ending)),
+        3 => (0usize..4, ledger_reply).prop_map(|(index, ledger_reply)| Step::Ledger(index, ledger_reply)),
+        3 => (0usize..4, owner_reply).prop_map(|(index, owner_reply)| Step::Owner(index, owner_reply)),
         3 => prop_oneof![Just(50u64), Just(250), Just(CANCELLATION_BOUND_MS), Just(1_300)].prop_map(Step::Wait),
     ]
 }
@@ -103,30 +106,30 @@
     responded: bool,
 }
 
-/// An edge with requests of all kinds; the test simulates admission controller, owner and
-/// ledger.
+/// An edge with requests of all kinds, and the simulated admission controller, cache owner
+/// and ledger.
 struct Model {
     edge: EdgeNode,
     now: u64,
     requests: BTreeMap<u64, Request>,
-    /// Exchanges without a response, oldest first.
+    /// The permit requests without a response, by exchange id, oldest first.
     permits: Vec<u64>,
     ledger: Vec<u64>,
     gets: Vec<u64>,
-    /// Calls in flight, and the requests that they are for.
+    /// The ids of calls in flight and of their requests.
     calls: Vec<(u64, u64)>,
     tokens: u64,
 }
 
-/// Removes an element, if there are any.
-fn take<T>(list: &mut Vec<T>, at: usize) -> Option<T> {
-    (!list.is_empty()).then(|| list.remove(at % list.len()))
+/// Removes the element at `index`, modulo the length. Returns `None` if the list is empty.
+fn remove_wrapping<T>(list: &mut Vec<T>, index: usize) -> Option<T> {
+    (!list.is_empty()).then(|| list.remove(index % list.len()))
 }
 
 impl Model {
     fn new() -> Model {
-        let mut edge = live(START_MS);
-        updates(&mut edge, START_MS, &[origin(50)], true);
+        let mut edge = live_edge(START_MS);
+        deliver_updates(&mut edge, START_MS, &[origin(50)], true);
         Model {
             edge,
             now: START_MS,
@@ -139,7 +142,7 @@
         }
     }
 
-    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
         let outputs = self.outputs_of(step);
         self.check_outputs(outputs)?;
         if matches!(step, Step::Wait(ms) if ms >= CANCELLATION_BOUND_MS) {
@@ -148,31 +151,33 @@
         Ok(())
     }
 
-    /// The edge's outputs in this step; none if the step does not apply now.
+    /// Applies a step and returns the edge's outputs; none if the step is not applicable.
     fn outputs_of(&mut self, step: Step) -> Vec<Output> {
         let now = self.now;
         let outputs = match step {
             Step::Arrives(kind) => Some(self.arrive(kind)),
-            Step::Disconnects(which) => self.disconnect(which),
-            Step::Permit(which) => take(&mut self.permits, which)
+            Step::Disconnects(index) => self.disconnect(index),
+            Step::Permit(index) => remove_wrapping(&mut self.permits, index)
                 .map(|id| deliver(&mut self.edge, now, ADMISSION, permit(id, origin(50), now))),
-            Step::Refused(which) => take(&mut self.permits, which).map(|id| {
+            Step::Refused(index) => remove_wrapping(&mut self.permits, index).map(|id| {
                 let refused = PermitRefused {
                     id,
                     reason: PermitRefusalReason::Overloaded,
-                    retry_after: at(100),
+                    retry_after: millis(100),
                 };
                 deliver(&mut self.edge, now, ADMISSION, refused)
             }),
-            Step::Called(which, ending) => take(&mut self.calls, which).map(|(id, _)| {
-                let result = call_outcome(ending);
-                self.edge
-                    .handle(at(now), Input::CallCompleted { id, result })
-            }),
-            Step::Ledger(which, reply) => take(&mut self.ledger, which)
+            Step::Called(index, ending) => {
+                remove_wrapping(&mut self.calls, index).map(|(id, _)| {
+                    let result = call_outcome(ending);
+                    self.edge
+                        .handle(millis(now), Input::CallCompleted { id, result })
+                })
+            }
+            Step::Ledger(index, reply) => remove_wrapping(&mut self.ledger, index)
                 .map(|id| ledger_responds(&mut self.edge, now, id, change_outcome(reply))),
-            Step::Owner(which, reply) => {
-                take(&mut self.gets, which).map(|id| self.owner_replies(id, reply))
+            Step::Owner(index, reply) => {
+                remove_wrapping(&mut self.gets, index).map(|id| self.owner_replies(id, reply))
             }
             Step::Wait(ms) => Some(self.wait(ms)),
         };
@@ -191,23 +196,23 @@
         submit(&mut self.edge, self.now, id, url, method)
     }
 
-    fn disconnect(&mut self, which: usize) -> Option<Vec<Output>> {
+    fn disconnect(&mut self, index: usize) -> Option<Vec<Output>> {
         let mut waiting: Vec<u64> = self
             .requests
             .iter()
             .filter(|(_, request)| !request.disconnected && !request.responded)
             .map(|(id, _)| *id)
             .collect();
-        let id = take(&mut waiting, which)?;
+        let id = remove_wrapping(&mut waiting, index)?;
         self.requests.get_mut(&id).unwrap().disconnected = true;
-        let disconnected = Input::ClientDisconnected { id };
-        Some(self.edge.handle(at(self.now), disconnected))
+        let input = Input::ClientDisconnected { id };
+        Some(self.edge.handle(millis(self.now), input))
     }
 
     fn wait(&mut self, ms: u64) -> Vec<Output> {
         self.now += ms;
         renew(&mut self.edge, self.now);
-        self.edge.handle(at(self.now), Input::Tick)
+        self.edge.handle(millis(self.now), Input::Tick)
     }
 
     fn owner_replies(&mut self, id: u64, owner_reply: OwnerReply) -> Vec<Output> {
@@ -217,12 +222,12 @@
                 let copy = CachedResponse {
                     reply: reply(200),
                     purge_version: 0,
-                    age: at(0),
-                    fresh_for: at(10),
-                    remaining_ttl: at(20),
-                    owner_delay: at(0),
+                    age: millis(0),
+                    fresh_for: millis(10),
+                    remaining_ttl: millis(20),
+                    owner_delay: millis(0),
                 };
-                let wait = at(1000);
+                let wait = millis(1000);
                 CacheCopy {
                     id,
                     key,
@@ -249,10 +254,8 @@
         for output in outputs {
             match output {
                 Output::Send { message, .. } => match message {
-                    Message::PermitRequest(request_message) => {
-                        self.permits.push(request_message.id)
-                    }
-                    Message::ChangeRequest(request_message) => self.ledger.push(request_message.id),
+                    Message::PermitRequest(request) => self.permits.push(request.id),
+                    Message::ChangeRequest(request) => self.ledger.push(request.id),
                     Message::CacheGet(get) => self.gets.push(get.id),
                     _ => {}
                 },
@@ -260,7 +263,7 @@
                     let request = &self.requests[&call.request];
                     prop_assert!(
                         !request.disconnected || request.kind == RequestKind::Cached,
-                        "a call is begun for a caller that has left: {:?}",
+                        "a call was started for a disconnected client: {:?}",
                         request.kind
                     );
                     self.calls.push((id, call.request));
@@ -269,16 +272,15 @@
                     let request = self.calls.iter().find(|(call, _)| *call == id);
                     let request = request.map(|(_, request)| &self.requests[request]);
                     prop_assert!(
-                        request.is_some_and(
-                            |found| found.disconnected && found.kind == RequestKind::Repeatable
-                        ),
-                        "a call is broken off that must go on"
+                        request.is_some_and(|request| request.disconnected
+                            && request.kind == RequestKind::Repeatable),
+                        "a call that must continue was cancelled"
                     );
                     self.calls.retain(|(call, _)| *call != id);
                 }
                 Output::ClientResponse { id, .. } => {
                     let request = self.requests.get_mut(&id).unwrap();
-                    prop_assert!(!request.responded, "answered twice");
+                    prop_assert!(!request.responded, "a second response");
                     request.responded = true;
                 }
                 Output::Log {
@@ -296,29 +298,30 @@
             let request = &self.requests[id];
             prop_assert!(
                 !request.disconnected || request.kind != RequestKind::Repeatable,
-                "a repeatable call goes on for a caller that has left"
+                "an idempotent call continues for a disconnected client"
             );
         }
         Ok(())
     }
 
-    /// All clients disconnect; the rest of the system responds.
-    fn end(&mut self) -> Result<(), TestCaseError> {
+    /// Disconnects all clients and lets all peers respond, then checks that every request
+    /// has ended.
+    fn finish(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..self.requests.len() {
-            self.play(Step::Disconnects(0))?;
+            self.apply_step(Step::Disconnects(0))?;
         }
         for _ in 0..120 {
             let (ledger, calls) = (self.ledger.len(), self.calls.len());
             for _ in 0..ledger {
-                self.play(Step::Ledger(0, LedgerReply::Released))?;
+                self.apply_step(Step::Ledger(0, LedgerReply::Released))?;
             }
             for _ in 0..calls {
-                self.play(Step::Called(0, CallEnding::Success))?;
+                self.apply_step(Step::Called(0, CallEnding::Success))?;
             }
-            self.play(Step::Wait(100))?;
+            self.apply_step(Step::Wait(100))?;
         }
         for (id, request) in &self.requests {
-            prop_assert!(request.responded, "request {} was forgotten", id);
+            prop_assert!(request.responded, "request {} got no response", id);
         }
         Ok(())
     }
@@ -359,22 +362,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// At whatever stage its client disconnects, no call is started for a request,
-    /// none that may be cancelled continues, and the request ends.
+    /// After its client disconnects, at any stage, no call is started for a request, a call
+    /// that may be cancelled ends, and the request gets a response.
     #[test]
     fn work_for_disconnected_clients_ends(
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut model = Model::new();
         for step in steps {
-            model.play(step)?;
+            model.apply_step(step)?;
         }
-        model.end()?;
+        model.finish()?;
     }
 }
 
+/// Returns the ids of the withdrawn exchanges.
 fn withdrawn(outputs: &[Output]) -> Vec<u64> {
-    let found = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::Send { message, .. } => match message {
             Message::PermitWithdrawn(withdrawn) => Some(withdrawn.id),
             Message::CacheGetWithdrawn(withdrawn) => Some(withdrawn.id),
@@ -382,21 +386,21 @@
         },
         _ => None,
     };
-    outputs.iter().filter_map(found).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
-fn begin(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
+fn start_request(edge: &mut EdgeNode, id: u64, url: &str, method: &str) -> Vec<Output> {
     let request = client_request(url, method);
-    edge.handle(at(START_MS), Input::ClientRequest { id, request })
+    edge.handle(millis(START_MS), Input::ClientRequest { id, request })
 }
 
 fn ready_edge() -> EdgeNode {
-    let mut edge = live(START_MS);
-    updates(&mut edge, START_MS, &[origin(50)], true);
+    let mut edge = live_edge(START_MS);
+    deliver_updates(&mut edge, START_MS, &[origin(50)], true);
     edge
 }
 
-/// Grants the request a permit; the id of its call.
+/// Grants the request a permit. Returns the id of its call.
 fn start_call(edge: &mut EdgeNode, started: &[Output]) -> u64 {
     let outputs = deliver(
         edge,
@@ -408,32 +412,32 @@
 }
 
 fn call_results(outputs: &[Output]) -> Vec<CallResult> {
-    let found = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::Send {
             message: Message::CallDone(done),
             ..
         } => Some(done.result),
         _ => None,
     };
-    outputs.iter().filter_map(found).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
 fn cancelled(outputs: &[Output]) -> Vec<u64> {
-    let found = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::CancelCall { id } => Some(*id),
         _ => None,
     };
-    outputs.iter().filter_map(found).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
 #[test]
 fn disconnect_withdraws_permit_request_and_returns_permit() {
     let mut edge = ready_edge();
-    let requested = last_exchange(&begin(&mut edge, 1, "/low", "GET"));
-    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    let requested = last_exchange(&start_request(&mut edge, 1, "/low", "GET"));
+    let outputs = edge.handle(millis(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(withdrawn(&outputs), [requested]);
-    let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(outputs), [disconnected]);
+    let expected = (1, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(outputs), [expected]);
     let outputs = deliver(
         &mut edge,
         1301,
@@ -446,44 +450,44 @@
 #[test]
 fn idempotent_call_is_cancelled_on_disconnect() {
     let mut edge = ready_edge();
-    let started = begin(&mut edge, 1, "/low", "GET");
+    let started = start_request(&mut edge, 1, "/low", "GET");
     let call = start_call(&mut edge, &started);
-    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    let outputs = edge.handle(millis(1300), Input::ClientDisconnected { id: 1 });
     assert_eq!(cancelled(&outputs), [call]);
     assert_eq!(call_results(&outputs), [CallResult::Cancelled]);
-    // It may have been executed: a client that still reads is told so.
-    let disconnected = (1, 503, "caller_left".to_string(), RunState::Unknown);
-    assert_eq!(rejections_in(outputs), [disconnected]);
-    let repeated = edge.handle(at(1310), Input::ClientDisconnected { id: 1 });
+    // The call may have been executed, which the response reports.
+    let expected = (1, 503, "caller_left".to_string(), RunState::Unknown);
+    assert_eq!(rejections_in(outputs), [expected]);
+    let repeated = edge.handle(millis(1310), Input::ClientDisconnected { id: 1 });
     assert!(repeated.is_empty(), "{repeated:?}");
 }
 
-/// Its outcome is recorded for the next request with its operation key.
+/// The outcome is recorded for the next request with the same operation key.
 #[test]
 fn called_operation_is_recorded_after_disconnect() {
     let mut edge = ready_edge();
-    let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
+    let claim = last_exchange(&start_request(&mut edge, 1, "/k", "POST"));
     let claimed = ledger_responds(&mut edge, 1005, claim, ChangeOutcome::Claimed);
     let call = start_call(&mut edge, &claimed);
-    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    let outputs = edge.handle(millis(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&outputs).is_empty() && rejections_in(outputs).is_empty());
     let result = CallOutcome::Success(reply(200));
-    let outputs = edge.handle(at(1400), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(1400), Input::CallCompleted { id: call, result });
     assert!(matches!(
         changes_in(&outputs)[..],
         [Change::RecordOutcome(_, Some(_))]
     ));
 }
 
-/// Nothing was sent under its claim: the next request may run the operation at once.
+/// No call was sent under the claim, so the next request may run the operation at once.
 #[test]
 fn uncalled_claim_is_released_on_disconnect() {
     for claimed_before in [false, true] {
         let mut edge = ready_edge();
-        let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
+        let claim = last_exchange(&start_request(&mut edge, 1, "/k", "POST"));
         let mut outputs = Vec::new();
         if !claimed_before {
-            outputs.extend(edge.handle(at(1002), Input::ClientDisconnected { id: 1 }));
+            outputs.extend(edge.handle(millis(1002), Input::ClientDisconnected { id: 1 }));
         }
         outputs.extend(ledger_responds(
             &mut edge,
@@ -492,17 +496,17 @@
             ChangeOutcome::Claimed,
         ));
         if claimed_before {
-            outputs.extend(edge.handle(at(1010), Input::ClientDisconnected { id: 1 }));
+            outputs.extend(edge.handle(millis(1010), Input::ClientDisconnected { id: 1 }));
         }
-        let released = |change: &Change| matches!(change, Change::Release(_));
+        let is_release = |change: &Change| matches!(change, Change::Release(_));
         assert_eq!(
             changes_in(&outputs)
                 .iter()
-                .filter(|found| released(found))
+                .filter(|change| is_release(change))
                 .count(),
             1
         );
-        assert!(changes_in(&outputs).last().is_some_and(released));
+        assert!(changes_in(&outputs).last().is_some_and(is_release));
     }
 }
 
@@ -511,12 +515,12 @@
 #[test]
 fn non_idempotent_call_is_not_cancelled_or_retried() {
     let mut edge = ready_edge();
-    let started = begin(&mut edge, 1, "/once", "POST");
+    let started = start_request(&mut edge, 1, "/once", "POST");
     let call = start_call(&mut edge, &started);
-    let outputs = edge.handle(at(1300), Input::ClientDisconnected { id: 1 });
+    let outputs = edge.handle(millis(1300), Input::ClientDisconnected { id: 1 });
     assert!(cancelled(&outputs).is_empty() && rejections_in(outputs).is_empty());
     let result = CallOutcome::NotExecuted;
-    let outputs = edge.handle(at(1400), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(1400), Input::CallCompleted { id: call, result });
     let requests_permit = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
@@ -524,26 +528,26 @@
         matches!(message, Message::PermitRequest(_))
     };
     assert!(!outputs.iter().any(requests_permit));
-    let disconnected = (1, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(outputs), [disconnected]);
+    let expected = (1, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(outputs), [expected]);
 }
 
 /// A leader whose client has disconnected continues for its followers only.
 #[test]
 fn leader_continues_until_last_follower_disconnects() {
     let mut edge = ready_edge();
-    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
+    let get = last_exchange(&start_request(&mut edge, 1, "/copy", "GET"));
     for id in 2..=3 {
-        begin(&mut edge, id, "/copy", "GET");
+        start_request(&mut edge, id, "/copy", "GET");
     }
     for (id, ms) in [(1, 1100), (3, 1110)] {
-        let outputs = edge.handle(at(ms), Input::ClientDisconnected { id });
+        let outputs = edge.handle(millis(ms), Input::ClientDisconnected { id });
         assert!(
             withdrawn(&outputs).is_empty(),
-            "request 2 waits for the copy"
+            "request 2 waits for the response"
         );
     }
-    let outputs = edge.handle(at(1120), Input::ClientDisconnected { id: 2 });
+    let outputs = edge.handle(millis(1120), Input::ClientDisconnected { id: 2 });
     assert_eq!(withdrawn(&outputs), [get]);
     let mut ended: Vec<u64> = rejections_in(outputs)
         .into_iter()
@@ -553,11 +557,11 @@
     assert_eq!(ended, [1, 2]);
 }
 
-/// The owner relies on its refresher: other requests wait for the response there.
+/// The owner depends on its refresher, since other requests wait there for the response.
 #[test]
 fn refresher_continues_after_disconnect() {
     let mut edge = ready_edge();
-    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
+    let get = last_exchange(&start_request(&mut edge, 1, "/copy", "GET"));
     let token = FillToken {
         serial: 1,
         epoch: 1,
@@ -575,7 +579,7 @@
         },
     );
     let requested = last_exchange(&outputs);
-    let outputs = edge.handle(at(1050), Input::ClientDisconnected { id: 1 });
+    let outputs = edge.handle(millis(1050), Input::ClientDisconnected { id: 1 });
     assert!(withdrawn(&outputs).is_empty());
     let outputs = deliver(
         &mut edge,
@@ -585,14 +589,14 @@
     );
     let call = last_exchange(&outputs);
     let result = CallOutcome::Success(reply(200));
-    let outputs = edge.handle(at(1100), Input::CallCompleted { id: call, result });
-    let puts = |output: &Output| {
+    let outputs = edge.handle(millis(1100), Input::CallCompleted { id: call, result });
+    let is_put = |output: &Output| {
         let Output::Send { message, .. } = output else {
             return false;
         };
         matches!(message, Message::CachePut(_))
     };
-    assert!(outputs.iter().any(puts));
+    assert!(outputs.iter().any(is_put));
 }
 
 /// A request that bypasses an unresponsive owner withdraws its message, so that no
@@ -600,11 +604,11 @@
 #[test]
 fn bypassed_owner_request_is_withdrawn() {
     let mut edge = ready_edge();
-    let get = last_exchange(&begin(&mut edge, 1, "/copy", "GET"));
+    let get = last_exchange(&start_request(&mut edge, 1, "/copy", "GET"));
     let mut withdrawn_ids = Vec::new();
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        withdrawn_ids.extend(withdrawn(&edge.handle(at(now), Input::Tick)));
+        withdrawn_ids.extend(withdrawn(&edge.handle(millis(now), Input::Tick)));
         if !withdrawn_ids.is_empty() {
             break;
         }
@@ -612,12 +616,12 @@
     assert_eq!(withdrawn_ids, [get]);
 }
 
-/// The check itself: it reports each violation once, and nothing else.
+/// The check for abandoned work reports each violation once, and nothing else.
 #[test]
 fn abandoned_work_check_reports_started_and_continued_calls() {
-    let (before, disconnected, after) = (at(10), at(20), at(30));
-    let late = disconnected + at(CANCELLATION_BOUND_MS);
-    let nobody_pending = |_: u64| false;
+    let (before, disconnected, after) = (millis(10), millis(20), millis(30));
+    let late = disconnected + millis(CANCELLATION_BOUND_MS);
+    let none_pending = |_: u64| false;
     let purposes = [
         (CallPurpose::Client, true, true),
         (CallPurpose::RunOnce, true, false),
@@ -630,7 +634,7 @@
         assert_eq!(
             check.call_started(after, 7, 2, purpose),
             None,
-            "not its own"
+            "a call of another request"
         );
         let started = check.call_started(after, 8, 1, purpose);
         assert_eq!(started.is_some(), reports_started, "{purpose:?}");
@@ -638,20 +642,23 @@
         let mut check = AbandonedWork::default();
         assert_eq!(check.call_started(before, 8, 1, purpose), None);
         check.client_disconnected(disconnected, 1);
-        assert!(check.overdue(after, &nobody_pending).is_empty());
-        let owner_reply = check.overdue(late, &nobody_pending);
+        assert!(check.overdue(after, &none_pending).is_empty());
+        let violations = check.overdue(late, &none_pending);
         assert_eq!(
-            owner_reply.len(),
+            violations.len(),
             usize::from(reports_continued),
             "{purpose:?}"
         );
-        assert!(check.overdue(late, &nobody_pending).is_empty(), "once");
+        assert!(
+            check.overdue(late, &none_pending).is_empty(),
+            "reported once"
+        );
 
         let mut check = AbandonedWork::default();
         check.call_started(before, 8, 1, purpose);
         check.client_disconnected(disconnected, 1);
         check.call_ended(8);
-        assert!(check.overdue(late, &nobody_pending).is_empty());
+        assert!(check.overdue(late, &none_pending).is_empty());
     }
 }
 
@@ -666,7 +673,7 @@
     deliver(edge, START_MS, 1, reply);
 }
 
-/// The registry of edges as a row.
+/// Creates a row with the registry of edges.
 fn registry_row(version: u64, members: Vec<Peer>, departed: Vec<Peer>) -> (String, Row) {
     let value = Value::EdgeRegistry {
         members,
@@ -676,12 +683,15 @@
     ("roll".into(), Row { version, value })
 }
 
-/// An edge that runs the admission controller of "slow", among these members.
+/// Creates an edge that runs the admission controller of "slow", with these members in the
+/// registry.
 fn edge_with_admission(members: Vec<Peer>) -> EdgeNode {
-    let mut edge = live(START_MS);
+    let mut edge = live_edge(START_MS);
     let row = |value| Row { version: 1, value };
     let configuration = Value::Configuration {
-        text: serde_json::to_string(&table().document).unwrap().into(),
+        text: serde_json::to_string(&route_table().document)
+            .unwrap()
+            .into(),
         change: 1,
     };
     let origins = Value::Origins {
@@ -708,8 +718,8 @@
     edge
 }
 
-/// A departed edge's requests are removed from the queue of the admission controller that this
-/// edge owns.
+/// The requests of an edge whose session has ended are removed from the queue of the
+/// admission controller.
 #[test]
 fn admission_forgets_requests_of_departed_edge() {
     const DEPARTED: u16 = 60;
@@ -720,11 +730,11 @@
         service: "slow".into(),
         id: 1,
         rank: 1,
-        max_wait: at(5000),
-        sent: at(START_MS),
+        max_wait: millis(5000),
+        sent: millis(START_MS),
         is_retry: false,
-        call_timeout: at(1000),
-        latency_target: at(1000),
+        call_timeout: millis(1000),
+        latency_target: millis(1000),
         zone: String::new(),
         region: String::new(),
         excluded_origins: vec![],
@@ -735,7 +745,7 @@
     let mut outputs = Vec::new();
     for now in (START_MS + 50..START_MS + 3000).step_by(50) {
         renew(&mut edge, now);
-        outputs.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(millis(now), Input::Tick));
     }
     let to_departed =
         |output: &&Output| matches!(output, Output::Send { to, .. } if *to == address(DEPARTED));
@@ -743,39 +753,38 @@
         outputs
             .iter()
             .find(to_departed)
-            .map(|found| format!("{found:?}")),
+            .map(|output| format!("{output:?}")),
         None
     );
 }
 
-/// A call that the edge itself withheld is no failure of its origin, and no
-/// attempt.
+/// A call that the edge itself withheld is neither a failure of its origin nor an attempt.
 #[test]
 fn withheld_call_returns_its_permit_unused() {
     let mut edge = ready_edge();
-    let mut requested = begin(&mut edge, 1, "/low", "GET");
+    let mut requested = start_request(&mut edge, 1, "/low", "GET");
     for _ in 0..5 {
         let call = start_call(&mut edge, &requested);
         let result = CallOutcome::NotSent;
-        requested = edge.handle(at(1020), Input::CallCompleted { id: call, result });
+        requested = edge.handle(millis(1020), Input::CallCompleted { id: call, result });
         assert_eq!(call_results(&requested), [CallResult::Unused]);
     }
-    let started = begin(&mut edge, 2, "/once", "POST");
+    let started = start_request(&mut edge, 2, "/once", "POST");
     let call = start_call(&mut edge, &started);
-    edge.handle(at(1015), Input::ClientDisconnected { id: 2 });
+    edge.handle(millis(1015), Input::ClientDisconnected { id: 2 });
     let result = CallOutcome::NotSent;
-    let outputs = edge.handle(at(1020), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(1020), Input::CallCompleted { id: call, result });
     assert_eq!(call_results(&outputs), [CallResult::Unused]);
-    let disconnected = (2, 503, "caller_left".to_string(), RunState::NotRun);
-    assert_eq!(rejections_in(outputs), [disconnected]);
+    let expected = (2, 503, "caller_left".to_string(), RunState::NotRun);
+    assert_eq!(rejections_in(outputs), [expected]);
 }
 
-/// The operation runs elsewhere, and no client waits for its outcome.
+/// The operation runs at another edge, and no client waits for its outcome here.
 #[test]
 fn claim_held_elsewhere_is_not_resent_after_disconnect() {
     let mut edge = ready_edge();
-    let claim = last_exchange(&begin(&mut edge, 1, "/k", "POST"));
-    edge.handle(at(1002), Input::ClientDisconnected { id: 1 });
+    let claim = last_exchange(&start_request(&mut edge, 1, "/k", "POST"));
+    edge.handle(millis(1002), Input::ClientDisconnected { id: 1 });
     let running = ChangeOutcome::AlreadyClaimed {
         same: true,
         state: OperationState::Running,
@@ -783,9 +792,9 @@
     let mut outputs = ledger_responds(&mut edge, 1005, claim, running);
     for now in (1050..3000).step_by(50) {
         renew(&mut edge, now);
-        outputs.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(millis(now), Input::Tick));
     }
-    let claims = |change: &Change| matches!(change, Change::Claim(_));
-    assert!(!changes_in(&outputs).iter().any(claims));
+    let is_claim = |change: &Change| matches!(change, Change::Claim(_));
+    assert!(!changes_in(&outputs).iter().any(is_claim));
     assert_eq!(rejections_in(outputs).len(), 1);
 }
--- a/data-plane/tests/default_protocol.rs
+++ b/data-plane/tests/default_protocol.rs
@@ -1,4 +1,4 @@
-//! How the default protocol judges the responses of origins.
+//! Tests of how the default protocol classifies the responses of origins.
 use data_plane::prelude::*;
 
 fn call(proof: Proof) -> Call {
@@ -42,7 +42,7 @@
             .collect();
         DefaultProtocol.classify(&call(Proof::Named), status, &headers, b"x")
     };
-    let good = [
+    let valid = [
         ("otterslip-instance", "i1"),
         ("otterslip-errand", "9"),
         ("otterslip-tags", "a b"),
@@ -50,29 +50,37 @@
         ("x-own", "2"),
     ];
     assert_eq!(
-        verdict(&good, 200),
+        verdict(&valid, 200),
         OriginVerdict::Accepted {
             headers: vec![("etag".into(), "1".into())],
             tags: vec!["a".into(), "b".into()]
         }
     );
-    let other = [("otterslip-instance", "i2"), ("otterslip-errand", "9")];
-    assert_eq!(verdict(&good, 421), OriginVerdict::WrongInstance);
-    assert_eq!(verdict(&other, 421), OriginVerdict::WrongInstance);
+    let other_instance = [("otterslip-instance", "i2"), ("otterslip-errand", "9")];
+    assert_eq!(verdict(&valid, 421), OriginVerdict::WrongInstance);
+    assert_eq!(verdict(&other_instance, 421), OriginVerdict::WrongInstance);
     for (headers, status, reason) in [
         (
-            &other[..],
+            &other_instance[..],
             200,
-            "another instance answered, so it may have run",
+            "a response of another instance, which may have executed the request",
+        ),
+        (
+            &other_instance,
+            500,
+            "a failure of another instance, which may have executed the request",
+        ),
+        (&valid[1..], 200, "a response that names no instance"),
+        (&valid[..1], 421, "a rejection that names no request"),
+        (
+            &[],
+            421,
+            "a rejection that names neither instance nor request",
         ),
-        (&other, 500, "so may a failure of another instance"),
-        (&good[1..], 200, "an instance that is not named"),
-        (&good[..1], 421, "a refusal that names no request"),
-        (&[], 421, "a refusal that names nothing"),
         (
             &[("otterslip-instance", "i1"), ("otterslip-errand", "8")],
             421,
-            "the refusal of another request",
+            "the rejection of another request",
         ),
     ] {
         assert!(
@@ -103,6 +111,6 @@
             DefaultProtocol.classify(&call(Proof::Seal), 200, &[], b"x"),
             OriginVerdict::Rejected(_)
         ),
-        "unsealed"
+        "an unsigned response"
     );
 }
--- a/data-plane/tests/edge/mod.rs
+++ b/data-plane/tests/edge_harness/mod.rs
@@ -1,17 +1,20 @@
-//! An edge whose peers are simulated by the test.
+//! Test harness: an edge whose peers are simulated by the test. Times are in milliseconds.
 #![allow(dead_code)]
 use data_plane::prelude::*;
 use std::net::SocketAddr;
 
-pub fn at(ms: u64) -> Duration {
+/// Returns the time after `ms` milliseconds.
+pub fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
+/// Returns the loopback address with this port.
 pub fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub fn table() -> Arc<RouteTable> {
+/// Creates the routes of the tests, all of group "slow" except `/quick`.
+pub fn route_table() -> Arc<RouteTable> {
     let key = BASE64.encode([1; 32]);
     let group =
         |name: &str| format!(r#"{{"service":"{name}","rate":9,"concurrency":9,"key":"{key}"}}"#);
@@ -31,26 +34,27 @@
     Arc::new(RouteTable::new(1, Configuration::read(&text).unwrap()))
 }
 
-/// An edge with two confirmed renewals at `now`.
-pub fn live(now: u64) -> EdgeNode {
-    live_as(now, 5)
+/// Creates an edge of incarnation 5 that is live: two of three control nodes have
+/// confirmed a renewal sent at `now`.
+pub fn live_edge(now: u64) -> EdgeNode {
+    live_edge_with_incarnation(now, 5)
 }
 
-/// The same, of another incarnation.
-pub fn live_as(now: u64, incarnation: u64) -> EdgeNode {
-    let me = Peer::new(address(9), incarnation);
+/// Creates a live edge of another incarnation.
+pub fn live_edge_with_incarnation(now: u64, incarnation: u64) -> EdgeNode {
+    let local_peer = Peer::new(address(9), incarnation);
     let mut edge = EdgeNode::new(
-        me,
+        local_peer,
         Locality::default(),
         vec![address(1), address(2), address(3)],
         false,
         1 << 20,
     );
-    edge.handle(at(now), Input::Tick);
+    edge.handle(millis(now), Input::Tick);
     for control_node in [1, 2] {
         let renewed = renew_reply(incarnation, now, SharedUpdates::default());
         edge.handle(
-            at(now),
+            millis(now),
             Input::MessageReceived {
                 from: Peer::new(address(control_node), 1),
                 message: renewed.into(),
@@ -60,7 +64,7 @@
     edge
 }
 
-/// Renewals with two control nodes, so that an edge of incarnation 5 stays live.
+/// Renews the leases of an edge of incarnation 5 with two control nodes.
 pub fn renew(edge: &mut EdgeNode, now: u64) {
     for control_node in [1, 2] {
         let renewed = renew_reply(5, now, SharedUpdates::default());
@@ -68,26 +72,27 @@
     }
 }
 
-/// A renewal that was sent at `sent_ms` is confirmed, with these updates.
+/// Creates the reply to a renewal that was sent at `sent_ms`, with these updates.
 pub fn renew_reply(incarnation: u64, sent_ms: u64, updates: SharedUpdates) -> RenewReply {
     RenewReply {
         incarnation,
         renewal_token: RenewalToken::default(),
-        sent: at(sent_ms),
+        sent: millis(sent_ms),
         generation: 0,
         recall_requested: false,
         updates,
     }
 }
 
-/// A client sends a request.
+/// Sends a client's request to the edge.
 pub fn submit(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
     let request = client_request(url, method);
-    edge.handle(at(now), Input::ClientRequest { id, request })
+    edge.handle(millis(now), Input::ClientRequest { id, request })
 }
 
+/// Creates a client's request, with the operation key "key".
 pub fn client_request(url: &str, method: &str) -> ClientRequest {
-    let routes = table();
+    let routes = route_table();
     let entry = routes.find("h", url, method).unwrap();
     let headers = vec![("operation-key".to_string(), "key".to_string())];
     ClientRequest {
@@ -106,71 +111,74 @@
     }
 }
 
+/// Returns the ids, statuses, codes and outcomes of the rejections sent to clients.
 pub fn rejections_in(outputs: Vec<Output>) -> Vec<(u64, u16, String, RunState)> {
-    let one = |output| match output {
+    let extract = |output| match output {
         Output::ClientResponse {
             id,
-            response: ClientResponse::Rejection(refusal),
-        } => Some((id, refusal.status, refusal.code, refusal.outcome)),
+            response: ClientResponse::Rejection(rejection),
+        } => Some((id, rejection.status, rejection.code, rejection.outcome)),
         _ => None,
     };
-    outputs.into_iter().filter_map(one).collect()
+    outputs.into_iter().filter_map(extract).collect()
 }
 
-/// The changes that the edge asks of the ledger.
+/// Returns the changes that the edge requests from the ledger.
 pub fn changes_in(outputs: &[Output]) -> Vec<Change> {
-    let one = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::Send {
-            message: Message::ChangeRequest(request_message),
+            message: Message::ChangeRequest(request),
             ..
-        } => Some(request_message.change.clone()),
+        } => Some(request.change.clone()),
         _ => None,
     };
-    outputs.iter().filter_map(one).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
-/// The id of the last message or call among the outputs that awaits a response.
+/// Returns the id of the last message or call that awaits a response.
 pub fn last_exchange(outputs: &[Output]) -> u64 {
-    let one = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::Send { message, .. } => match message {
-            Message::ChangeRequest(request_message) => Some(request_message.id),
-            Message::PermitRequest(request_message) => Some(request_message.id),
+            Message::ChangeRequest(request) => Some(request.id),
+            Message::PermitRequest(request) => Some(request.id),
             Message::CacheGet(get) => Some(get.id),
             _ => None,
         },
         Output::Call { id, .. } => Some(*id),
         _ => None,
     };
-    outputs.iter().rev().find_map(one).expect("an exchange")
+    outputs.iter().rev().find_map(extract).expect("an exchange")
 }
 
+/// Delivers the ledger's response to a change.
 pub fn ledger_responds(
     edge: &mut EdgeNode,
     now: u64,
     id: u64,
-    rejections: ChangeOutcome,
+    outcome: ChangeOutcome,
 ) -> Vec<Output> {
     edge.handle(
-        at(now),
+        millis(now),
         Input::MessageReceived {
             from: Peer::new(address(1), 1),
-            message: ChangeReply {
-                id,
-                outcome: rejections,
-            }
-            .into(),
+            message: ChangeReply { id, outcome }.into(),
         },
     )
 }
 
-/// Delivers updates with the origins of "slow" and the peers that own its admission control
-/// and, if `cache` is set, all cache partitions.
-pub fn updates(edge: &mut EdgeNode, now: u64, origins: &[Origin], cache: bool) -> Vec<Output> {
-    updates_as(edge, now, origins, cache, 5)
+/// Delivers updates with the origins of "slow", the owner of its admission control and, if
+/// `cache` is set, the owner of all cache partitions.
+pub fn deliver_updates(
+    edge: &mut EdgeNode,
+    now: u64,
+    origins: &[Origin],
+    cache: bool,
+) -> Vec<Output> {
+    deliver_updates_to_incarnation(edge, now, origins, cache, 5)
 }
 
-/// The same, to an edge of another incarnation.
-pub fn updates_as(
+/// Delivers the updates of `deliver_updates` to an edge of another incarnation.
+pub fn deliver_updates_to_incarnation(
     edge: &mut EdgeNode,
     now: u64,
     origins: &[Origin],
@@ -178,10 +186,10 @@
     incarnation: u64,
 ) -> Vec<Output> {
     let row = |value| Row { version: 1, value };
-    let assignment = |holder: u16| {
+    let assignment = |owner_port: u16| {
         row(Value::Assignment(Assignment {
             epoch: 1,
-            owner: Some(Peer::new(address(holder), 1)),
+            owner: Some(Peer::new(address(owner_port), 1)),
             previous_owner: None,
         }))
     };
@@ -194,7 +202,7 @@
     }
     let list = Arc::new(origins.to_vec());
     let origins = row(Value::Origins { list, change: 1 });
-    let updates = |partition, rows| PartitionUpdate {
+    let update = |partition, rows| PartitionUpdate {
         partition,
         version: 1,
         rows,
@@ -203,18 +211,20 @@
         incarnation,
         now,
         vec![
-            updates(ORIGINS_PARTITION, vec![("origins".into(), origins)]),
-            updates(ASSIGNMENTS_PARTITION, assignments),
+            update(ORIGINS_PARTITION, vec![("origins".into(), origins)]),
+            update(ASSIGNMENTS_PARTITION, assignments),
         ]
         .into(),
     );
     deliver(edge, now, 1, renewed)
 }
 
-/// The ports of the admission controller of "slow" and of the cache owner.
+/// The port of the edge with the admission controller of "slow".
 pub const ADMISSION: u16 = 8;
+/// The port of the edge that owns all cache partitions.
 pub const OWNER: u16 = 7;
 
+/// Delivers a message from the peer with this port.
 pub fn deliver(
     edge: &mut EdgeNode,
     now: u64,
@@ -223,9 +233,10 @@
 ) -> Vec<Output> {
     let from = Peer::new(address(port), 1);
     let message = message.into();
-    edge.handle(at(now), Input::MessageReceived { from, message })
+    edge.handle(millis(now), Input::MessageReceived { from, message })
 }
 
+/// Creates an origin of "slow" with this port.
 pub fn origin(port: u16) -> Origin {
     Origin {
         address: address(port),
@@ -239,7 +250,7 @@
     }
 }
 
-/// A permit for the exchange that is fresh at `now`.
+/// Creates a permit for the exchange, requested at `now`.
 pub fn permit(exchange: u64, origin: Origin, now: u64) -> Permit {
     Permit {
         id: exchange,
@@ -247,8 +258,8 @@
         epoch: 1,
         serial: 1,
         origin,
-        sent: at(now),
-        queued_for: at(0),
-        expected_latency: at(0),
+        sent: millis(now),
+        queued_for: millis(0),
+        expected_latency: millis(0),
     }
 }
--- a/data-plane/tests/edge_node.rs
+++ b/data-plane/tests/edge_node.rs
@@ -1,11 +1,12 @@
-//! An edge's limits and leases, and the outcomes that it reports of keyed requests.
-mod edge;
+//! Tests of an edge's limits and leases, and of the outcomes that it reports for keyed
+//! requests.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 
 #[test]
 fn pending_limit_displaces_lowest_rank_per_service() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     for id in 0..256 {
         assert!(rejections_in(submit(&mut edge, 1100, id, "/low", "GET")).is_empty());
     }
@@ -18,14 +19,14 @@
     assert_eq!(
         rejections,
         [(255, 429, "over_capacity".to_string(), RunState::NotRun)],
-        "the last of the lowest makes room"
+        "the latest request of the lowest rank is displaced"
     );
     assert!(rejections_in(submit(&mut edge, 1100, 302, "/quick", "GET")).is_empty());
 }
 
 #[test]
 fn fenced_edge_rejects_and_reports_keyed_as_unknown() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     let rejected = |edge: &mut EdgeNode, now, id, url: &str, method: &str| {
         rejections_in(submit(edge, now, id, url, method))
     };
@@ -42,14 +43,18 @@
 
 #[test]
 fn renewal_of_other_incarnation_or_node_is_ignored() {
-    for (incarnation, seed) in [(4, 3), (5, 7)] {
-        let mut edge = live(1000);
+    for (incarnation, control_node) in [(4, 3), (5, 7)] {
+        let mut edge = live_edge(1000);
         let renewed = renew_reply(incarnation, 5000, SharedUpdates::default());
         for _ in 0..2 {
-            deliver(&mut edge, 1500, seed, renewed.clone());
+            deliver(&mut edge, 1500, control_node, renewed.clone());
         }
         let rejections = rejections_in(submit(&mut edge, 2500, 1, "/quick", "GET"));
-        assert_eq!(rejections.len(), 1, "life {incarnation}, seed {seed}");
+        assert_eq!(
+            rejections.len(),
+            1,
+            "incarnation {incarnation}, control node {control_node}"
+        );
     }
 }
 
@@ -61,21 +66,22 @@
     }
 }
 
-/// Regression: with twelve control nodes each edge renewed 144 times for a change.
+/// Regression: each edge renewed with all control nodes on every notice, which made 144
+/// renewals per change with twelve control nodes.
 #[test]
 fn update_notice_renews_only_with_its_sender() {
-    let mut edge = live(1000);
-    let renewed_with = |edge: &mut EdgeNode, seed, message: Message| -> Vec<SocketAddr> {
+    let mut edge = live_edge(1000);
+    let renewed_with = |edge: &mut EdgeNode, control_node, message: Message| -> Vec<SocketAddr> {
         let outputs = edge.handle(
-            at(1010),
+            millis(1010),
             Input::MessageReceived {
-                from: Peer::new(address(seed), 1),
+                from: Peer::new(address(control_node), 1),
                 message,
             },
         );
         outputs
             .iter()
-            .filter_map(|one| match one {
+            .filter_map(|output| match output {
                 Output::Send {
                     to,
                     message: Message::RenewRequest(_),
@@ -84,7 +90,7 @@
             })
             .collect()
     };
-    let updates = || {
+    let reply_with_update = || {
         renew_reply(
             5,
             1010,
@@ -101,11 +107,11 @@
         [address(2)]
     );
     assert_eq!(
-        renewed_with(&mut edge, 2, updates().into()).len(),
+        renewed_with(&mut edge, 2, reply_with_update().into()).len(),
         3,
-        "all are told that it is applied"
+        "all control nodes are notified of the applied update"
     );
-    assert!(renewed_with(&mut edge, 3, updates().into()).is_empty());
+    assert!(renewed_with(&mut edge, 3, reply_with_update().into()).is_empty());
     assert!(renewed_with(&mut edge, 3, purge_notice(4).into()).is_empty());
     assert_eq!(
         renewed_with(&mut edge, 3, purge_notice(5).into()),
@@ -115,7 +121,7 @@
 
 #[test]
 fn lease_of_replaced_control_node_does_not_count() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     let slots = [
         Peer::new(address(4), 8),
         Peer::new(address(2), 0),
@@ -136,10 +142,10 @@
     assert_eq!(
         rejections.len(),
         1,
-        "one renewal of the new three is no majority"
+        "one lease from the three new control nodes is no majority"
     );
     edge.handle(
-        at(1300),
+        millis(1300),
         Input::MessageReceived {
             from: Peer::new(address(4), 8),
             message: renewed(1300, SharedUpdates::default()).into(),
@@ -150,8 +156,8 @@
 
 #[test]
 fn keyed_rejection_awaits_release_of_its_claim() {
-    let mut edge = live(1000);
-    updates(&mut edge, 1000, &[], false);
+    let mut edge = live_edge(1000);
+    deliver_updates(&mut edge, 1000, &[], false);
     let outputs = submit(&mut edge, 1000, 1, "/k", "POST");
     assert!(matches!(
         changes_in(&outputs).as_slice(),
@@ -166,7 +172,7 @@
     let refused = PermitRefused {
         id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
-        retry_after: at(2000),
+        retry_after: millis(2000),
     };
     let outputs = deliver(&mut edge, 1020, 8, refused);
     assert!(matches!(
@@ -184,9 +190,9 @@
 
 #[test]
 fn failed_keyed_call_is_recorded_as_unknown_first() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     let listed = origin(50);
-    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    deliver_updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
     let outputs = submit(&mut edge, 1000, 1, "/k", "POST");
     let outputs = ledger_responds(
         &mut edge,
@@ -206,7 +212,7 @@
             &mut edge,
             permit(exchange, listed.clone(), 1010)
         )),
-        "a permit that was too long on the way lapses"
+        "an expired permit is not used"
     );
     let replaced = Origin {
         instance: "gone".into(),
@@ -214,12 +220,12 @@
     };
     assert!(
         !has_call(&permitted(&mut edge, permit(exchange, replaced, 1290))),
-        "nor is an origin called that is not listed so (any more)"
+        "an origin that is no longer listed is not called"
     );
     let outputs = permitted(&mut edge, permit(exchange, listed, 1290));
     assert!(has_call(&outputs));
     let outputs = edge.handle(
-        at(1400),
+        millis(1400),
         Input::CallCompleted {
             id: last_exchange(&outputs),
             result: CallOutcome::Failure("cut off".into()),
--- a/data-plane/tests/hot_keys.rs
+++ b/data-plane/tests/hot_keys.rs
@@ -1,32 +1,37 @@
-//! Load bursts on a few keys whose owner has a narrow link, shared by responses
-//! and lease renewals: many edges in virtual time, each with a limited link.
-mod edge;
+//! Simulation of hot keys whose owner has a narrow link, which responses share with lease
+//! renewals: many edges in virtual time, each with a link of limited bandwidth.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 const EDGES: usize = 24;
+/// Bandwidth of each edge's link in bytes per second.
 const LINK_BYTES_S: f64 = 1_000_000.0;
 const OBJECT_BYTES: usize = 24_000;
+/// Number of requested keys.
 const KEYS: u64 = 4;
-/// Requests a second at each edge.
+/// Mean rate of requests at each edge, per second.
 const REQUESTS_S: u64 = 20;
 const DURATION_MS: u64 = 20_000;
 const LATENCY_TARGET_MS: u64 = 800;
-/// Requests that count: before, the caches are filled.
+/// Start times of the requests that are counted, in milliseconds. The caches are filled
+/// before.
 const COUNTED_MS: std::ops::Range<u64> = 9_000..DURATION_MS - LATENCY_TARGET_MS;
 const TIMEOUT_MS: u64 = 8_000;
+/// Duration of a call at the origin, in milliseconds.
 const ORIGIN_MS: u64 = 100;
 const NETWORK_DELAY_MS: u64 = 1;
-/// Larger messages queue behind small ones, as on a node's own links.
+/// Maximum size of an urgent message in bytes. Larger messages queue behind urgent ones,
+/// as on a node's real links.
 const URGENT_BYTES: usize = 4096;
 
-/// The size of a reply of a control node or the admission controller.
+/// Size of a reply from a control node or the admission controller, in bytes.
 const REPLY_BYTES: usize = 200;
 
-fn edge_address(at: usize) -> SocketAddr {
-    address(1000 + at as u16)
+fn edge_address(index: usize) -> SocketAddr {
+    address(1000 + index as u16)
 }
 
 fn route_table() -> Arc<RouteTable> {
@@ -49,7 +54,7 @@
         body: Arc::default(),
         caller: String::new(),
         operation: None,
-        timeout: Some(at(TIMEOUT_MS)),
+        timeout: Some(millis(TIMEOUT_MS)),
         request_id: None,
         service: routes.document.entries[entry].group.clone(),
         routes: routes.clone(),
@@ -57,6 +62,7 @@
     }
 }
 
+/// An event of the simulation, with the index of its edge.
 enum SimulatedEvent {
     Tick(usize),
     Request(usize),
@@ -64,7 +70,8 @@
     CallEnded(usize, u64),
 }
 
-/// When a link is idle again: for urgent messages, and for all.
+/// The times in milliseconds at which a link is idle again: for urgent messages only, and
+/// for all messages.
 #[derive(Clone, Copy, Default)]
 struct EdgeLink {
     urgent_until: f64,
@@ -72,13 +79,13 @@
 }
 
 impl EdgeLink {
-    /// When the last byte has passed.
+    /// Queues a message on the link. Returns the time at which its last byte is sent.
     fn carry(&mut self, now: f64, bytes: usize) -> f64 {
         let takes = bytes as f64 / LINK_BYTES_S * 1000.0;
         if bytes <= URGENT_BYTES {
             self.urgent_until = self.urgent_until.max(now) + takes;
             self.until = self.until.max(now) + takes;
-            // One chunk of a large message may be in flight.
+            // One chunk of a large message may already be in transmission.
             let chunk = 16.0 * 1024.0 / LINK_BYTES_S * 1000.0;
             let behind = (self.until - self.urgent_until).clamp(0.0, chunk);
             return self.urgent_until + behind;
@@ -100,22 +107,22 @@
     started_at: BTreeMap<u64, u64>,
     on_time: u64,
     requested: u64,
-    fencings: u64,
-    /// Bytes of the cached responses that the owner sent.
+    fencing_count: u64,
+    /// Size in bytes of all cached responses that the owner sent.
     owner_bytes: usize,
 }
 
 impl Fleet {
-    fn push(&mut self, at: u64, event: SimulatedEvent) {
+    fn push(&mut self, time: u64, event: SimulatedEvent) {
         self.serial += 1;
-        self.queue.insert((at, self.serial), event);
+        self.queue.insert((time, self.serial), event);
     }
 
-    fn count_response(&mut self, now: u64, edge: usize, id: u64, answer: &ClientResponse) {
+    fn count_response(&mut self, now: u64, edge: usize, id: u64, response: &ClientResponse) {
         let Some(started_at) = self.started_at.remove(&id) else {
             return;
         };
-        let ClientResponse::Reply { reply, .. } = answer else {
+        let ClientResponse::Reply { reply, .. } = response else {
             return;
         };
         let done = self.links[edge].carry(now as f64, reply.body.len());
@@ -146,13 +153,13 @@
                     serial: request.id,
                     origin: origin(50),
                     sent: request.sent,
-                    queued_for: at(0),
-                    expected_latency: at(ORIGIN_MS),
+                    queued_for: millis(0),
+                    expected_latency: millis(ORIGIN_MS),
                 };
                 self.reply(sent_at, edge, to, permit.into());
             }
             message => {
-                let Some(receiver) = (0..EDGES).find(|at| edge_address(*at) == to) else {
+                let Some(receiver) = (0..EDGES).find(|index| edge_address(*index) == to) else {
                     return;
                 };
                 let arrives_at = match receiver == edge {
@@ -165,7 +172,7 @@
         }
     }
 
-    /// A control node or the admission controller replies at once.
+    /// Sends the immediate reply of a control node or the admission controller.
     fn reply(&mut self, now: u64, edge: usize, from: SocketAddr, message: Message) {
         let arrives_at = self.links[edge].carry(now as f64, REPLY_BYTES) as u64 + NETWORK_DELAY_MS;
         let delivery = SimulatedEvent::Delivered(edge, Peer::new(from, 1), Box::new(message));
@@ -176,10 +183,9 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.send(now, edge, to, message),
-                Output::ClientResponse {
-                    id,
-                    response: answer,
-                } => self.count_response(now, edge, id, &answer),
+                Output::ClientResponse { id, response } => {
+                    self.count_response(now, edge, id, &response)
+                }
                 Output::Call { id, .. } => {
                     let arrives_at = (now + ORIGIN_MS) as f64;
                     let arrives_at = self.links[edge].carry(arrives_at, OBJECT_BYTES) as u64;
@@ -188,14 +194,14 @@
                 Output::Log {
                     event: Event::Fenced,
                     ..
-                } => self.fencings += 1,
+                } => self.fencing_count += 1,
                 _ => {}
             }
         }
     }
 
-    /// Edge 0 owns all keys.
-    fn updates(incarnation: u64) -> RenewReply {
+    /// Creates the first renewal reply. Its updates make edge 0 the owner of all keys.
+    fn initial_renew_reply(incarnation: u64) -> RenewReply {
         let assignment = |name: String, peer: Peer| {
             let owner = Some(peer);
             let assignment = Assignment {
@@ -218,7 +224,7 @@
         let list = Arc::new(vec![origin(50)]);
         let value = Value::Origins { list, change: 1 };
         let origins = ("origins".to_string(), Row { version: 1, value });
-        let updates = |partition, rows| PartitionUpdate {
+        let update = |partition, rows| PartitionUpdate {
             partition,
             version: 1,
             rows,
@@ -227,8 +233,8 @@
             incarnation,
             0,
             vec![
-                updates(ORIGINS_PARTITION, vec![origins]),
-                updates(ASSIGNMENTS_PARTITION, assignments),
+                update(ORIGINS_PARTITION, vec![origins]),
+                update(ASSIGNMENTS_PARTITION, assignments),
             ]
             .into(),
         )
@@ -251,13 +257,13 @@
             started_at: BTreeMap::new(),
             on_time: 0,
             requested: 0,
-            fencings: 0,
+            fencing_count: 0,
             owner_bytes: 0,
         }
     }
 
-    /// A pseudo-random number below `limit`.
-    fn below(&mut self, limit: u64) -> u64 {
+    /// Returns a pseudo-random number below `limit`.
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6364136223846793005)
@@ -265,17 +271,17 @@
         (self.random >> 33) % limit
     }
 
-    /// Leases, updates and first events of all edges.
+    /// Schedules the first leases, updates and events of all edges.
     fn start(&mut self) {
         for index in 0..EDGES {
             for control_node in [1, 2] {
-                let message = Box::new(Fleet::updates(index as u64 + 1).into());
+                let message = Box::new(Fleet::initial_renew_reply(index as u64 + 1).into());
                 let from = Peer::new(address(control_node), 1);
                 self.push(0, SimulatedEvent::Delivered(index, from, message));
             }
-            let tick_at = self.below(50);
+            let tick_at = self.random_below(50);
             self.push(tick_at, SimulatedEvent::Tick(index));
-            let request_at = 100 + self.below(50);
+            let request_at = 100 + self.random_below(50);
             self.push(request_at, SimulatedEvent::Request(index));
         }
     }
@@ -288,13 +294,13 @@
                 break;
             }
             let (index, input) = fleet.input(now, event);
-            let outputs = fleet.edges[index].handle(at(now), input);
+            let outputs = fleet.edges[index].handle(millis(now), input);
             fleet.handle_outputs(now, index, outputs);
         }
         fleet
     }
 
-    /// The edge that an event concerns, and its input.
+    /// Converts an event to the index of its edge and the input.
     fn input(&mut self, now: u64, event: SimulatedEvent) -> (usize, Input) {
         match event {
             SimulatedEvent::Tick(index) => {
@@ -302,13 +308,13 @@
                 (index, Input::Tick)
             }
             SimulatedEvent::Request(index) => {
-                let next_at = now + 1 + self.below(2000 / REQUESTS_S);
+                let next_at = now + 1 + self.random_below(2000 / REQUESTS_S);
                 self.push(next_at, SimulatedEvent::Request(index));
                 self.last_id += 1;
                 let id = self.last_id;
                 self.started_at.insert(id, now);
                 self.requested += u64::from(COUNTED_MS.contains(&now));
-                let key = self.below(KEYS);
+                let key = self.random_below(KEYS);
                 let request = client_request(&self.routes, key);
                 (index, Input::ClientRequest { id, request })
             }
@@ -329,25 +335,25 @@
     }
 }
 
-/// Regression: without the near cache, and with one more response for each resend,
-/// no request met its latency target and the owner sent 2.6 GB, not 3 MB.
+/// Regression: without the near cache, and with another response for each resent request,
+/// no request met its latency target and the owner sent 2.6 GB instead of 3 MB.
 #[test]
 fn hot_keys_do_not_saturate_owner_link() {
     for seed in 0..10 {
         let fleet = Fleet::run(seed);
         let fraction = fleet.on_time as f64 / fleet.requested as f64;
         println!(
-            "seed {seed}: {fraction:.3} of {} in aim, {} fencings, owner said {} KB of copies",
+            "seed {seed}: {fraction:.3} of {} on time, {} fencings, owner sent {} KB of cached responses",
             fleet.requested,
-            fleet.fencings,
+            fleet.fencing_count,
             fleet.owner_bytes / 1024
         );
-        assert!(fraction >= 0.95, "seed {seed}: {fraction:.3} in aim");
-        assert_eq!(fleet.fencings, 0, "seed {seed}");
+        assert!(fraction >= 0.95, "seed {seed}: {fraction:.3} on time");
+        assert_eq!(fleet.fencing_count, 0, "seed {seed}");
         let first_copies = EDGES * KEYS as usize * OBJECT_BYTES;
         assert!(
             fleet.owner_bytes < 3 * first_copies,
-            "seed {seed}: {} bytes of copies",
+            "seed {seed}: {} bytes of cached responses",
             fleet.owner_bytes
         );
     }
--- a/data-plane/tests/http_frontend.rs
+++ b/data-plane/tests/http_frontend.rs
@@ -1,45 +1,48 @@
-//! The HTTP frontend of an edge over loopback: the test simulates the state machine.
-mod edge;
+//! Tests of the HTTP frontend over loopback. The tests simulate the state machine.
+mod edge_harness;
 use data_plane::HttpFrontend;
 use data_plane::prelude::*;
-use edge::table;
+use edge_harness::route_table;
 use std::net::TcpListener;
 
-/// How long an expected event is awaited, and one that must not happen.
+/// Maximum time to wait for an expected event.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time to wait for an event that must not happen.
 const QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// The lease of the edge.
+/// Validity of the edge's lease.
 const LEASE: Duration = Duration::from_secs(60);
 
-struct TestEdge {
+/// An HTTP frontend whose inputs to the state machine are received by the test.
+struct TestFrontend {
     frontend: HttpFrontend,
     inputs: flume::Receiver<Input>,
     http: SocketAddr,
 }
 
-impl TestEdge {
-    fn new() -> TestEdge {
-        let free = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let http = free.local_addr().unwrap();
-        drop(free);
+impl TestFrontend {
+    fn new() -> TestFrontend {
+        let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+        let http = listener.local_addr().unwrap();
+        drop(listener);
         let startup = Startup {
             http: Some(http),
             ..Startup::default()
         };
         let (inputs_sender, inputs) = flume::unbounded();
         let port = Arc::new(Port::new(inputs_sender, startup).unwrap());
-        port.routes.store(Arc::new(Some(table())));
+        port.routes.store(Arc::new(Some(route_table())));
         port.set_fence(port.now() + LEASE, true);
         let mut frontend = HttpFrontend::new("test", Arc::new(DefaultProtocol));
         frontend.open(&port).unwrap();
-        TestEdge {
+        TestFrontend {
             frontend,
             inputs,
             http,
         }
     }
 
-    /// A client whose request the state machine was given.
+    /// Sends a client's request. Returns its connection, and the request as the state
+    /// machine receives it.
     fn send_request(&self) -> (TcpStream, u64, ClientRequest) {
         let mut client = TcpStream::connect(self.http).unwrap();
         client
@@ -54,7 +57,7 @@
     fn disconnect(&self, client: TcpStream, id: u64) {
         drop(client);
         match self.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
-            Ok(Input::ClientDisconnected { id: left }) => assert_eq!(left, id),
+            Ok(Input::ClientDisconnected { id: disconnected }) => assert_eq!(disconnected, id),
             other => panic!("{other:?}"),
         }
     }
@@ -63,26 +66,26 @@
 fn call(id: u64, request: &ClientRequest, to: SocketAddr, purpose: CallPurpose) -> Call {
     let origin = Origin {
         address: to,
-        ..edge::origin(1)
+        ..edge_harness::origin(1)
     };
     let active = ActiveRequest::new(Duration::ZERO, request.clone());
     active.call(Duration::ZERO, id, origin, Duration::ZERO, purpose)
 }
 
-/// Until the state machine learns of the close it may still send calls: the
-/// frontend withholds them.
+/// The state machine may still send calls until it handles the disconnect. The frontend
+/// withholds them.
 #[test]
 fn call_for_disconnected_client_is_not_sent() {
-    let edge_under_test = TestEdge::new();
+    let test_frontend = TestFrontend::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let at = origin.local_addr().unwrap();
+    let origin_address = origin.local_addr().unwrap();
     for purpose in [CallPurpose::Client, CallPurpose::RunOnce] {
-        let (client, id, request) = edge_under_test.send_request();
-        edge_under_test.disconnect(client, id);
-        edge_under_test
+        let (client, id, request) = test_frontend.send_request();
+        test_frontend.disconnect(client, id);
+        test_frontend
             .frontend
-            .call(7, call(id, &request, at, purpose));
-        match edge_under_test.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
+            .call(7, call(id, &request, origin_address, purpose));
+        match test_frontend.inputs.recv_timeout(ARRIVAL_TIMEOUT) {
             Ok(Input::CallCompleted { id: 7, result }) => {
                 assert!(matches!(result, CallOutcome::NotSent), "{result:?}")
             }
@@ -91,46 +94,47 @@
     }
     origin.set_nonblocking(true).unwrap();
     thread::sleep(QUIET_PERIOD);
-    assert!(origin.accept().is_err(), "something was sent");
+    assert!(origin.accept().is_err(), "a call was sent");
 }
 
-/// A call that others wait for is sent all the same, and so is one for a client
-/// that is still connected.
+/// A call that other requests wait for is sent in spite of the disconnect, and so is a
+/// call for a client that is still connected.
 #[test]
 fn shared_call_and_call_for_connected_client_are_sent() {
-    let edge_under_test = TestEdge::new();
+    let test_frontend = TestFrontend::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let at = origin.local_addr().unwrap();
-    let (client, id, request) = edge_under_test.send_request();
-    edge_under_test.disconnect(client, id);
-    edge_under_test
-        .frontend
-        .call(7, call(id, &request, at, CallPurpose::SharedCacheFill));
+    let origin_address = origin.local_addr().unwrap();
+    let (client, id, request) = test_frontend.send_request();
+    test_frontend.disconnect(client, id);
+    test_frontend.frontend.call(
+        7,
+        call(id, &request, origin_address, CallPurpose::SharedCacheFill),
+    );
     let _shared = origin.accept().unwrap();
-    let (_client, id, request) = edge_under_test.send_request();
-    edge_under_test
+    let (_client, id, request) = test_frontend.send_request();
+    test_frontend
         .frontend
-        .call(8, call(id, &request, at, CallPurpose::Client));
+        .call(8, call(id, &request, origin_address, CallPurpose::Client));
     origin.accept().unwrap();
 }
 
 #[test]
 fn cancelled_call_closes_its_connection() {
-    let edge_under_test = TestEdge::new();
+    let test_frontend = TestFrontend::new();
     let origin = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let at = origin.local_addr().unwrap();
-    let (_client, id, request) = edge_under_test.send_request();
-    edge_under_test
+    let origin_address = origin.local_addr().unwrap();
+    let (_client, id, request) = test_frontend.send_request();
+    test_frontend
         .frontend
-        .call(7, call(id, &request, at, CallPurpose::Client));
-    let mut session = origin.accept().unwrap().0;
-    session.set_read_timeout(Some(ARRIVAL_TIMEOUT)).unwrap();
-    session.read_exact(&mut [0; 4]).unwrap();
-    edge_under_test.frontend.cancel_call(7);
-    // Far before the call's own timeout.
-    session.set_read_timeout(Some(QUIET_PERIOD * 2)).unwrap();
+        .call(7, call(id, &request, origin_address, CallPurpose::Client));
+    let mut connection = origin.accept().unwrap().0;
+    connection.set_read_timeout(Some(ARRIVAL_TIMEOUT)).unwrap();
+    connection.read_exact(&mut [0; 4]).unwrap();
+    test_frontend.frontend.cancel_call(7);
+    // The connection closes long before the call's timeout.
+    connection.set_read_timeout(Some(QUIET_PERIOD * 2)).unwrap();
     let mut rest = Vec::new();
-    let end = session.read_to_end(&mut rest).unwrap_err();
+    let end = connection.read_to_end(&mut rest).unwrap_err();
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
-    assert!(edge_under_test.inputs.recv_timeout(QUIET_PERIOD).is_err());
+    assert!(test_frontend.inputs.recv_timeout(QUIET_PERIOD).is_err());
 }
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -1,21 +1,22 @@
-//! The near cache of an edge, and the coalescing of requests for a key.
-mod edge;
+//! Tests of an edge's near cache and of the coalescing of requests for a key.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 use std::collections::BTreeMap;
 
+/// Time to live of the route `/copy`, in milliseconds.
 const TTL_MS: u64 = 4000;
-/// How long a client waits.
+/// Timeout of each client's request, in milliseconds.
 const TIMEOUT_MS: u64 = 2500;
 
 fn key() -> CacheKey {
     ActiveRequest::cache_key(&client_request("/copy", "GET"))
 }
 
-fn begin(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
+fn start_request(edge: &mut EdgeNode, now: u64, id: u64) -> Vec<Output> {
     let mut request = client_request("/copy", "GET");
-    request.timeout = Some(at(TIMEOUT_MS));
-    edge.handle(at(now), Input::ClientRequest { id, request })
+    request.timeout = Some(millis(TIMEOUT_MS));
+    edge.handle(millis(now), Input::ClientRequest { id, request })
 }
 
 fn reply(text: &str) -> Reply {
@@ -26,36 +27,38 @@
     }
 }
 
-/// A cached response of the owner whose fetch started `age` ms ago.
-fn copy(id: u64, text: &str, age: u64) -> CacheCopy {
+/// Creates a response of the owner whose fetch started `age` ms ago.
+fn cache_copy(id: u64, text: &str, age: u64) -> CacheCopy {
     CacheCopy {
         id,
         key: key(),
-        max_wait: at(1000),
+        max_wait: millis(1000),
         response: CachedResponse {
             reply: reply(text),
             purge_version: 0,
-            age: at(age),
-            fresh_for: at((TTL_MS / 2).saturating_sub(age)),
-            remaining_ttl: at(TTL_MS - age),
-            owner_delay: at(0),
+            age: millis(age),
+            fresh_for: millis((TTL_MS / 2).saturating_sub(age)),
+            remaining_ttl: millis(TTL_MS - age),
+            owner_delay: millis(0),
         },
     }
 }
 
+/// Returns the exchange ids of the requests sent to the owner.
 fn gets(outputs: &[Output]) -> Vec<u64> {
-    let one = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::Send {
             message: Message::CacheGet(get),
             ..
         } => Some(get.id),
         _ => None,
     };
-    outputs.iter().filter_map(one).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
+/// Returns the number of permit requests among the outputs.
 fn permit_requests(outputs: &[Output]) -> usize {
-    let one = |output: &&Output| {
+    let is_permit_request = |output: &&Output| {
         matches!(
             output,
             Output::Send {
@@ -64,67 +67,68 @@
             }
         )
     };
-    outputs.iter().filter(one).count()
+    outputs.iter().filter(is_permit_request).count()
 }
 
-/// The requests that the outputs respond to, with the bodies.
+/// Returns the bodies of the replies to clients, by request.
 fn served(outputs: &[Output]) -> BTreeMap<u64, String> {
-    let one = |output: &Output| match output {
+    let extract = |output: &Output| match output {
         Output::ClientResponse {
             id,
             response: ClientResponse::Reply { reply, .. },
         } => Some((*id, String::from_utf8_lossy(&reply.body).into_owned())),
         _ => None,
     };
-    outputs.iter().filter_map(one).collect()
+    outputs.iter().filter_map(extract).collect()
 }
 
-/// Ticks every 50 ms with renewals; all outputs.
+/// Renews and ticks every 50 ms. Returns all outputs.
 fn run(edge: &mut EdgeNode, from: u64, to: u64) -> Vec<Output> {
     let mut outputs = Vec::new();
     for now in (from..=to).step_by(50) {
         renew(edge, now);
-        outputs.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(millis(now), Input::Tick));
     }
     outputs
 }
 
-fn ready() -> EdgeNode {
-    let mut edge = live(1000);
-    updates(&mut edge, 1000, &[origin(50)], true);
+/// Creates a live edge with an origin, an admission controller and a cache owner.
+fn ready_edge() -> EdgeNode {
+    let mut edge = live_edge(1000);
+    deliver_updates(&mut edge, 1000, &[origin(50)], true);
     edge
 }
 
-/// An edge that has stored a response at 1000.
-fn filled() -> EdgeNode {
-    let mut edge = ready();
-    let exchange = last_exchange(&begin(&mut edge, 1000, 1));
-    deliver(&mut edge, 1000, OWNER, copy(exchange, "a", 0));
+/// Creates an edge that stored the response "a" at 1000 ms.
+fn edge_with_cached_response() -> EdgeNode {
+    let mut edge = ready_edge();
+    let exchange = last_exchange(&start_request(&mut edge, 1000, 1));
+    deliver(&mut edge, 1000, OWNER, cache_copy(exchange, "a", 0));
     edge
 }
 
 #[test]
 fn concurrent_requests_for_a_key_are_coalesced() {
-    let mut edge = ready();
+    let mut edge = ready_edge();
     let mut requested = Vec::new();
     for id in 0..100 {
-        requested.extend(gets(&begin(&mut edge, 1000, id)));
+        requested.extend(gets(&start_request(&mut edge, 1000, id)));
     }
     assert_eq!(requested.len(), 1);
-    let outputs = deliver(&mut edge, 1020, OWNER, copy(requested[0], "a", 0));
+    let outputs = deliver(&mut edge, 1020, OWNER, cache_copy(requested[0], "a", 0));
     assert_eq!(served(&outputs).len(), 100);
-    let outputs = begin(&mut edge, 1030, 200);
+    let outputs = start_request(&mut edge, 1030, 200);
     assert!(gets(&outputs).is_empty());
-    assert_eq!(served(&outputs)[&200], "a", "from the near copy");
+    assert_eq!(served(&outputs)[&200], "a", "from the near cache");
 }
 
 #[test]
 fn stale_response_is_served_while_one_request_refreshes() {
-    let mut edge = filled();
+    let mut edge = edge_with_cached_response();
     run(&mut edge, 1000, 3000);
-    assert_eq!(gets(&begin(&mut edge, 3000, 2)).len(), 1);
+    assert_eq!(gets(&start_request(&mut edge, 3000, 2)).len(), 1);
     for id in 3..20 {
-        let outputs = begin(&mut edge, 3001, id);
+        let outputs = start_request(&mut edge, 3001, id);
         assert!(gets(&outputs).is_empty());
         assert_eq!(served(&outputs)[&id], "a");
     }
@@ -132,19 +136,19 @@
 
 #[test]
 fn response_is_not_served_past_its_ttl() {
-    let mut edge = filled();
+    let mut edge = edge_with_cached_response();
     run(&mut edge, 1000, 1000 + TTL_MS);
-    let outputs = begin(&mut edge, 1000 + TTL_MS, 2);
+    let outputs = start_request(&mut edge, 1000 + TTL_MS, 2);
     assert!(served(&outputs).is_empty());
     assert_eq!(gets(&outputs).len(), 1);
-    // Nor while another request fetches it, when a stale one would do.
-    let outputs = begin(&mut edge, 1000 + TTL_MS, 3);
+    // Nor is it served as stale while another request fetches a new one.
+    let outputs = start_request(&mut edge, 1000 + TTL_MS, 3);
     assert!(served(&outputs).is_empty());
 }
 
 #[test]
 fn purge_removes_near_response() {
-    let mut edge = filled();
+    let mut edge = edge_with_cached_response();
     let purge = Purge {
         url: Some("/copy".into()),
         ..Purge::default()
@@ -162,32 +166,46 @@
         .into(),
     );
     deliver(&mut edge, 1100, 1, renewed);
-    let outputs = begin(&mut edge, 1100, 2);
+    let outputs = start_request(&mut edge, 1100, 2);
     assert!(served(&outputs).is_empty());
-    // The owner's response was in flight: it does not know the purge.
-    let outputs = deliver(&mut edge, 1110, OWNER, copy(gets(&outputs)[0], "a", 100));
+    // The owner sent its response before it applied the purge.
+    let outputs = deliver(
+        &mut edge,
+        1110,
+        OWNER,
+        cache_copy(gets(&outputs)[0], "a", 100),
+    );
     assert!(served(&outputs).is_empty());
-    assert_eq!(gets(&outputs).len(), 1, "asked again");
+    assert_eq!(gets(&outputs).len(), 1, "requested again");
 }
 
 #[test]
 fn near_response_is_not_replaced_by_older_one() {
-    let mut edge = filled();
+    let mut edge = edge_with_cached_response();
     run(&mut edge, 1000, 3000);
-    let requested = gets(&begin(&mut edge, 3000, 2));
-    // Fetched 3 s ago, before the one that is stored.
-    deliver(&mut edge, 3010, OWNER, copy(requested[0], "older", 3010));
-    begin(&mut edge, 3020, 3);
-    let outputs = begin(&mut edge, 3030, 4);
-    assert_eq!(served(&outputs)[&4], "a", "while another asks");
+    let requested = gets(&start_request(&mut edge, 3000, 2));
+    // Its fetch started before that of the stored response.
+    deliver(
+        &mut edge,
+        3010,
+        OWNER,
+        cache_copy(requested[0], "older", 3010),
+    );
+    start_request(&mut edge, 3020, 3);
+    let outputs = start_request(&mut edge, 3030, 4);
+    assert_eq!(
+        served(&outputs)[&4],
+        "a",
+        "while another request refreshes it"
+    );
 }
 
-/// Regression: an unresponsive owner delayed requests for half of their deadline,
-/// and each resend was responded to with one more cached response.
+/// Regression: an unresponsive owner delayed requests for half of the time to their
+/// deadline, and each resent request got another cached response.
 #[test]
 fn unresponsive_owner_is_bypassed_unless_it_confirms() {
-    let mut edge = ready();
-    begin(&mut edge, 1000, 1);
+    let mut edge = ready_edge();
+    start_request(&mut edge, 1000, 1);
     let outputs = run(&mut edge, 1050, 1800);
     assert_eq!(
         permit_requests(&outputs[..]).min(1),
@@ -195,34 +213,34 @@
         "fetched without the owner"
     );
 
-    let mut edge = ready();
-    let requested = last_exchange(&begin(&mut edge, 1000, 1));
+    let mut edge = ready_edge();
+    let requested = last_exchange(&start_request(&mut edge, 1000, 1));
     let mut resends = 0;
     for now in (1050..2200).step_by(50) {
         renew(&mut edge, now);
-        let outputs = edge.handle(at(now), Input::Tick);
+        let outputs = edge.handle(millis(now), Input::Tick);
         resends += gets(&outputs).len();
         assert_eq!(permit_requests(&outputs), 0, "at {now}");
         deliver(&mut edge, now, OWNER, CacheGetQueued { id: requested });
     }
-    assert!(resends <= 4, "{resends} repeats in 1.2 s");
+    assert!(resends <= 4, "{resends} resends in 1.2 s");
 }
 
 #[test]
 fn stale_near_response_covers_unresponsive_owner() {
-    let mut edge = filled();
+    let mut edge = edge_with_cached_response();
     run(&mut edge, 1000, 3000);
-    begin(&mut edge, 3000, 2);
+    start_request(&mut edge, 3000, 2);
     let outputs = run(&mut edge, 3050, 3800);
     assert_eq!(served(&outputs)[&2], "a");
 }
 
 #[test]
 fn followers_are_rejected_with_their_leader() {
-    let mut edge = ready();
-    let requested = last_exchange(&begin(&mut edge, 1000, 1));
+    let mut edge = ready_edge();
+    let requested = last_exchange(&start_request(&mut edge, 1000, 1));
     for id in 2..10 {
-        begin(&mut edge, 1000, id);
+        start_request(&mut edge, 1000, id);
     }
     let outputs = deliver(
         &mut edge,
@@ -236,7 +254,7 @@
     let refused = PermitRefused {
         id: last_exchange(&outputs),
         reason: PermitRefusalReason::Overloaded,
-        retry_after: at(100),
+        retry_after: millis(100),
     };
     let rejections = rejections_in(deliver(&mut edge, 1020, ADMISSION, refused));
     assert_eq!(rejections.len(), 9);
@@ -245,9 +263,9 @@
 
 #[test]
 fn follower_replaces_stalled_leader() {
-    let mut edge = ready();
-    let requested = last_exchange(&begin(&mut edge, 1000, 1));
-    begin(&mut edge, 1000, 2);
+    let mut edge = ready_edge();
+    let requested = last_exchange(&start_request(&mut edge, 1000, 1));
+    start_request(&mut edge, 1000, 2);
     let token = FillToken {
         serial: 1,
         epoch: 1,
@@ -266,28 +284,32 @@
         permit(last_exchange(&outputs), origin(50), 1015),
     );
     let call = last_exchange(&outputs);
-    // No response for long: the second request does not wait for it.
+    // The call takes too long: the second request does not wait for it.
     let mut outputs = Vec::new();
     for now in (1050..3100).step_by(50) {
         renew(&mut edge, now);
-        outputs.extend(edge.handle(at(now), Input::Tick));
+        outputs.extend(edge.handle(millis(now), Input::Tick));
     }
-    assert_eq!(gets(&outputs).len().min(1), 1, "the second asks");
+    assert_eq!(
+        gets(&outputs).len().min(1),
+        1,
+        "the second request is sent to the owner"
+    );
     let result = CallOutcome::Success(reply("late"));
-    let outputs = edge.handle(at(3100), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(3100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&outputs)[&1], "late");
 }
 
-/// Regression: a displaced follower stayed in its group and became its leader when
-/// the leader timed out, so that no request fetched that key any more.
+/// Regression: a displaced follower stayed in its group and became the leader when the
+/// leader timed out, so that no request fetched the key any more.
 #[test]
 fn displaced_follower_leaves_its_group() {
     const MAX_PENDING_PER_SERVICE: u64 = 256;
-    let mut edge = ready();
+    let mut edge = ready_edge();
     let request = |edge: &mut EdgeNode, now: u64, id: u64, url: &str, timeout: u64| {
         let mut request = client_request(url, "GET");
-        request.timeout = Some(at(timeout));
-        edge.handle(at(now), Input::ClientRequest { id, request })
+        request.timeout = Some(millis(timeout));
+        edge.handle(millis(now), Input::ClientRequest { id, request })
     };
     request(&mut edge, 1000, 0, "/copy-low", 500);
     request(&mut edge, 1000, 1, "/copy-low", 5000);
@@ -296,16 +318,20 @@
     }
     run(&mut edge, 1050, 1550);
     let outputs = request(&mut edge, 1600, 1000, "/copy-low", 1000);
-    assert_eq!(gets(&outputs).len(), 1, "it asks itself");
+    assert_eq!(
+        gets(&outputs).len(),
+        1,
+        "the new request is sent to the owner"
+    );
 }
 
-/// The response to the leader serves all followers, and is put to the owner.
+/// The leader's response serves all followers and is put to the owner.
 #[test]
 fn fetched_response_serves_followers_and_is_put_to_owner() {
-    let mut edge = ready();
-    let requested = last_exchange(&begin(&mut edge, 1000, 1));
+    let mut edge = ready_edge();
+    let requested = last_exchange(&start_request(&mut edge, 1000, 1));
     for id in 2..10 {
-        begin(&mut edge, 1000, id);
+        start_request(&mut edge, 1000, id);
     }
     let token = FillToken {
         serial: 1,
@@ -318,10 +344,10 @@
         token,
     };
     let outputs = deliver(&mut edge, 1010, OWNER, miss);
-    let request_message = permit(last_exchange(&outputs), origin(50), 1015);
-    let call = last_exchange(&deliver(&mut edge, 1020, ADMISSION, request_message));
+    let permit = permit(last_exchange(&outputs), origin(50), 1015);
+    let call = last_exchange(&deliver(&mut edge, 1020, ADMISSION, permit));
     let result = CallOutcome::Success(reply("x"));
-    let outputs = edge.handle(at(1100), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(1100), Input::CallCompleted { id: call, result });
     assert_eq!(served(&outputs).len(), 9);
     let puts = outputs.iter().filter(|output| {
         matches!(
@@ -335,48 +361,50 @@
     assert_eq!(puts.count(), 1);
 }
 
-/// Pseudo-random numbers, determined by the seed.
+/// A pseudo-random number generator, initialized with a seed.
 struct Random(u64);
 
 impl Random {
-    fn below(&mut self, most: u64) -> u64 {
+    /// Returns a number below `limit`.
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % limit
     }
 }
 
-/// One edge, the owner of one object that changes and is purged, and a slow and
-/// lossy network between them.
+/// A simulation of an edge and the owner of an object that changes and is purged, with a
+/// slow and lossy network between them. Times are in milliseconds.
 struct RandomRun {
     seed: u64,
     random: Random,
     edge: EdgeNode,
-    /// The present version of the object.
+    /// The current version of the object.
     version: u64,
     purges: u64,
-    /// When each version was replaced.
-    replaced: BTreeMap<u64, u64>,
-    /// When each version was last purged.
+    /// The times at which versions were replaced.
+    replaced_at: BTreeMap<u64, u64>,
+    /// The times at which versions were last purged.
     purged_at: BTreeMap<u64, u64>,
-    /// Requests without a response, and when they were started.
+    /// The start times of requests without a response, by request.
     waiting: BTreeMap<u64, u64>,
-    /// Messages of the owner, and when they arrive.
+    /// The owner's messages in flight, with the times of their arrival.
     in_flight: Vec<(u64, Message)>,
     next_id: u64,
 }
 
 impl RandomRun {
-    /// No request is started after this time, so that all get a response.
+    /// The time in milliseconds after which no request is started, so that all get a
+    /// response.
     const LAST_REQUEST_MS: u64 = 13_000;
 
     fn new(seed: u64) -> RandomRun {
         RandomRun {
             seed,
             random: Random(seed),
-            edge: ready(),
+            edge: ready_edge(),
             version: 0,
             purges: 0,
-            replaced: BTreeMap::new(),
+            replaced_at: BTreeMap::new(),
             purged_at: BTreeMap::new(),
             waiting: BTreeMap::new(),
             in_flight: Vec::new(),
@@ -388,10 +416,10 @@
         let mut outputs = Vec::new();
         if now.is_multiple_of(50) {
             renew(&mut self.edge, now);
-            outputs.extend(self.edge.handle(at(now), Input::Tick));
+            outputs.extend(self.edge.handle(millis(now), Input::Tick));
         }
         if self.random.below(200) == 0 {
-            self.replaced.insert(self.version, now);
+            self.replaced_at.insert(self.version, now);
             self.version += 1;
         }
         if self.random.below(400) == 0 {
@@ -399,10 +427,13 @@
         }
         if now < Self::LAST_REQUEST_MS && self.random.below(4) == 0 {
             self.waiting.insert(self.next_id, now);
-            outputs.extend(begin(&mut self.edge, now, self.next_id));
+            outputs.extend(start_request(&mut self.edge, now, self.next_id));
             self.next_id += 1;
         }
-        let (due, later) = self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        let (due, later) = self
+            .in_flight
+            .drain(..)
+            .partition(|(arrives_at, _)| *arrives_at <= now);
         self.in_flight = later;
         let due: Vec<(u64, Message)> = due;
         for (_, message) in due {
@@ -440,7 +471,7 @@
                 message: Message::CacheGet(get),
                 ..
             } if self.random.below(5) > 0 => {
-                let mut response = copy(get.id, &self.version.to_string(), 0);
+                let mut response = cache_copy(get.id, &self.version.to_string(), 0);
                 response.response.purge_version = self.purges;
                 let delay = self.random.below(600);
                 self.in_flight.push((now + delay, response.into()));
@@ -458,18 +489,25 @@
     fn check_reply(&self, now: u64, started_at: u64, reply: &Reply) {
         let served: u64 = String::from_utf8_lossy(&reply.body).parse().unwrap();
         let context = format!("seed {}, at {now}", self.seed);
-        if let Some(replaced_at) = self.replaced.get(&served) {
-            assert!(now <= replaced_at + TTL_MS + 10, "{context}: too old");
+        if let Some(replaced_at) = self.replaced_at.get(&served) {
+            assert!(
+                now <= replaced_at + TTL_MS + 10,
+                "{context}: past its time to live"
+            );
         }
-        let purged_at = self.purged_at.range(served + 1..).map(|(_, at)| *at).min();
+        let purged_at = self
+            .purged_at
+            .range(served + 1..)
+            .map(|(_, purged_at)| *purged_at)
+            .min();
         if let Some(purged_at) = purged_at {
             assert!(now <= purged_at.max(started_at), "{context}: purged");
         }
     }
 }
 
-/// Each request is responded to once, no response is served past its time-to-live
-/// and none that a known purge matches.
+/// Each request gets one response. No response is served that is past its time to live or
+/// that a known purge matches.
 #[test]
 fn random_runs_respond_once_and_never_serve_expired() {
     for seed in 0..300 {
@@ -477,10 +515,10 @@
         for now in (1000..16_000).step_by(10) {
             run.step(now);
         }
-        let unanswered: Vec<u64> = run.waiting.keys().copied().collect();
+        let pending: Vec<u64> = run.waiting.keys().copied().collect();
         assert!(
-            unanswered.is_empty(),
-            "seed {seed}: {unanswered:?} without a response"
+            pending.is_empty(),
+            "seed {seed}: {pending:?} without a response"
         );
     }
 }
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -1,27 +1,29 @@
-//! Random sequences of permits, call endings, ledger responses and delays for one
-//! request, checked against which of its calls may have been executed.
-mod edge;
+//! Random sequences of permits, call endings, ledger responses and delays for a single
+//! request, checked against the calls that may have been executed.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 use proptest::prelude::*;
 
-/// Calls that one request may make.
+/// Maximum number of calls for one request.
 const DEFAULT_MAX_ATTEMPTS: usize = 3;
+/// The id of the request.
 const REQUEST: u64 = 1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// At most once, though it is a GET.
+    /// The request may run at most once, although it is a GET.
     Once,
     Post,
     Keyed,
 }
 
+/// A step of a random sequence. `back` selects the last element or one before it.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A permit for the current exchange, or for an earlier one.
+    /// A permit is granted for the current exchange or an earlier one.
     Permit {
         back: usize,
     },
@@ -29,7 +31,7 @@
         back: usize,
         overloaded: bool,
     },
-    /// The current call ends, or an earlier one does so (again).
+    /// The current call ends, or an earlier one ends, possibly again.
     Called {
         back: usize,
         ending: CallEnding,
@@ -39,9 +41,9 @@
         outcome: LedgerReply,
     },
     Wait(u64),
-    /// Time passes and no control node renews the lease.
+    /// Time passes without a renewal of the leases.
     MissedRenewals(u64),
-    /// The process is requested to shut down.
+    /// The edge receives a shutdown request.
     Shutdown,
     /// The client closes its connection.
     ClientDisconnected,
@@ -99,12 +101,12 @@
 
 struct SentCall {
     id: u64,
-    /// How it first ended, as reported to the edge.
+    /// The first ending of the call that was reported to the edge.
     ended: Option<CallEnding>,
 }
 
 impl SentCall {
-    /// Whether the origin may have executed its request.
+    /// Returns true if the origin may have executed the request.
     fn may_have_run(&self) -> bool {
         !matches!(
             self.ended,
@@ -129,14 +131,15 @@
     disconnected: bool,
 }
 
+/// Returns the element `back` places before the last.
 fn nth_last(ids: &[u64], back: usize) -> Option<u64> {
-    ids.len().checked_sub(back + 1).map(|at| ids[at])
+    ids.len().checked_sub(back + 1).map(|index| ids[index])
 }
 
 impl Model {
     fn new(kind: RequestKind) -> Result<Model, TestCaseError> {
-        let mut edge = live(1000);
-        updates(&mut edge, 1000, &[origin(50)], false);
+        let mut edge = live_edge(1000);
+        deliver_updates(&mut edge, 1000, &[origin(50)], false);
         let mut model = Model {
             kind,
             edge,
@@ -155,7 +158,7 @@
         };
         let request = client_request(url, method);
         let outputs = model.edge.handle(
-            at(1000),
+            millis(1000),
             Input::ClientRequest {
                 id: REQUEST,
                 request,
@@ -166,13 +169,13 @@
     }
 
     fn renew(&mut self) {
-        for seed in [1, 2] {
+        for control_node in [1, 2] {
             let renewed = renew_reply(5, self.now, SharedUpdates::default());
-            deliver(&mut self.edge, self.now, seed, renewed);
+            deliver(&mut self.edge, self.now, control_node, renewed);
         }
     }
 
-    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
         let now = self.now;
         let outputs = match step {
             Step::Permit { back } => match nth_last(&self.permits, back) {
@@ -186,7 +189,7 @@
                     } else {
                         PermitRefusalReason::RetryBudgetExhausted
                     };
-                    let back = at(1000);
+                    let retry_after = millis(1000);
                     deliver(
                         &mut self.edge,
                         now,
@@ -194,14 +197,14 @@
                         PermitRefused {
                             id,
                             reason,
-                            retry_after: back,
+                            retry_after,
                         },
                     )
                 }
                 None => return Ok(()),
             },
             Step::Called { back, ending } => match self.calls.len().checked_sub(back + 1) {
-                Some(at) => self.end_call(at, ending),
+                Some(index) => self.end_call(index, ending),
                 None => return Ok(()),
             },
             Step::Ledger { back, outcome } => match nth_last(&self.ledger, back) {
@@ -210,30 +213,30 @@
             },
             Step::MissedRenewals(ms) => {
                 self.now += ms;
-                self.edge.handle(at(self.now), Input::Tick)
+                self.edge.handle(millis(self.now), Input::Tick)
             }
             Step::ClientDisconnected => {
                 self.disconnected = true;
                 self.edge
-                    .handle(at(now), Input::ClientDisconnected { id: REQUEST })
+                    .handle(millis(now), Input::ClientDisconnected { id: REQUEST })
             }
-            Step::Shutdown => self.edge.handle(at(now), Input::ShutdownRequested),
+            Step::Shutdown => self.edge.handle(millis(now), Input::ShutdownRequested),
             Step::Wait(ms) => {
                 self.now += ms;
                 self.renew();
-                self.edge.handle(at(self.now), Input::Tick)
+                self.edge.handle(millis(self.now), Input::Tick)
             }
         };
         self.check_outputs(outputs)
     }
 
     fn end_call(&mut self, call: usize, ending: CallEnding) -> Vec<Output> {
-        let made = &mut self.calls[call];
-        made.ended.get_or_insert(ending);
+        let sent_call = &mut self.calls[call];
+        sent_call.ended.get_or_insert(ending);
         let reply = |status| {
             CallOutcome::Success(Reply {
                 status,
-                body: Arc::new(format!("call {}", made.id).into_bytes()),
+                body: Arc::new(format!("call {}", sent_call.id).into_bytes()),
                 ..Reply::default()
             })
         };
@@ -246,9 +249,9 @@
             CallEnding::WrongInstance => CallOutcome::WrongInstance,
             CallEnding::Lost => CallOutcome::Failure("reset".into()),
         };
-        let id = made.id;
+        let id = sent_call.id;
         self.edge
-            .handle(at(self.now), Input::CallCompleted { id, result })
+            .handle(millis(self.now), Input::CallCompleted { id, result })
     }
 
     fn ledger_replies(&mut self, id: u64, ledger_reply: LedgerReply) -> Vec<Output> {
@@ -269,17 +272,15 @@
         for output in outputs {
             match output {
                 Output::Send { message, .. } => match message {
-                    Message::PermitRequest(request_message) => {
-                        self.permits.push(request_message.id)
-                    }
-                    Message::ChangeRequest(request_message) => {
-                        if matches!(request_message.change, Change::Release(_)) {
+                    Message::PermitRequest(request) => self.permits.push(request.id),
+                    Message::ChangeRequest(request) => {
+                        if matches!(request.change, Change::Release(_)) {
                             prop_assert!(
                                 !self.calls.iter().any(SentCall::may_have_run),
-                                "a key is released whose operation may have run"
+                                "a claim was released whose operation may have run"
                             );
                         }
-                        self.ledger.push(request_message.id);
+                        self.ledger.push(request.id);
                     }
                     _ => {}
                 },
@@ -290,12 +291,9 @@
                 Output::Log { event, text } => {
                     prop_assert!(event != Event::AbandonedWork, "{}", text);
                 }
-                Output::ClientResponse {
-                    id,
-                    response: answer,
-                } => {
+                Output::ClientResponse { id, response } => {
                     prop_assert_eq!(id, REQUEST);
-                    self.answer(answer)?;
+                    self.check_response(response)?;
                 }
                 _ => {}
             }
@@ -304,52 +302,56 @@
     }
 
     fn check_call(&mut self, id: u64) -> Result<(), TestCaseError> {
-        prop_assert!(!self.responded, "called after its answer");
-        prop_assert!(!self.disconnected, "called after its caller left");
-        prop_assert!(self.calls.iter().all(|call| call.id != id), "an id twice");
+        prop_assert!(!self.responded, "a call after the response");
+        prop_assert!(!self.disconnected, "a call after the client disconnected");
+        prop_assert!(
+            self.calls.iter().all(|call| call.id != id),
+            "a call id was used twice"
+        );
         // A call that the edge itself withheld reached no origin.
         let withheld = |call: &&SentCall| matches!(call.ended, Some(CallEnding::Withheld));
         let attempts = self.calls.len() - self.calls.iter().filter(withheld).count();
         prop_assert!(
             attempts < DEFAULT_MAX_ATTEMPTS,
-            "more calls than it may make"
+            "more attempts than allowed"
         );
         if self.kind != RequestKind::Repeatable {
             prop_assert!(
                 !self.calls.iter().any(SentCall::may_have_run),
-                "called again without proof"
+                "a retry without proof that no earlier call was executed"
             );
         }
         self.calls.push(SentCall { id, ended: None });
         Ok(())
     }
 
-    fn answer(&mut self, answer: ClientResponse) -> Result<(), TestCaseError> {
-        prop_assert!(!self.responded, "answered twice");
+    fn check_response(&mut self, response: ClientResponse) -> Result<(), TestCaseError> {
+        prop_assert!(!self.responded, "a second response");
         self.responded = true;
-        match answer {
+        match response {
             ClientResponse::Reply { reply, .. } => {
                 let text = String::from_utf8_lossy(&reply.body).into_owned();
-                let own = self
+                let call = self
                     .calls
                     .iter()
                     .find(|call| text == format!("call {}", call.id));
-                let own = own.expect("the answer to a call that was made");
+                let call = call.expect("the response to one of the calls");
                 prop_assert!(matches!(
-                    own.ended,
+                    call.ended,
                     Some(CallEnding::Success | CallEnding::Failure)
                 ));
                 if self.kind != RequestKind::Repeatable {
-                    prop_assert_eq!(Some(own.id), self.calls.last().map(|call| call.id));
+                    prop_assert_eq!(Some(call.id), self.calls.last().map(|call| call.id));
                 }
             }
-            ClientResponse::Rejection(refusal) => {
-                let promised = refusal.nothing_sent || refusal.outcome == RunState::NotRun;
-                if promised {
+            ClientResponse::Rejection(rejection) => {
+                let reported_not_run =
+                    rejection.nothing_sent || rejection.outcome == RunState::NotRun;
+                if reported_not_run {
                     prop_assert!(
                         !self.calls.iter().any(SentCall::may_have_run),
-                        "promised that it did not run: {:?}",
-                        refusal
+                        "reported as not run: {:?}",
+                        rejection
                     );
                 }
             }
@@ -365,9 +367,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever arrives late, twice or for an earlier exchange: a request that
-    /// may run once is retried only on proof, "not run" is reported only on
-    /// proof, and the response is that of the call in flight.
+    /// Messages may arrive late, twice or for an earlier exchange. A request that may run
+    /// only once is retried, or reported as "not run", only with proof that it was not
+    /// executed, and its response is that of the last call.
     #[test]
     fn request_is_retried_only_on_proof(
         kind in prop_oneof![
@@ -380,7 +382,7 @@
     ) {
         let mut model = Model::new(kind)?;
         for step in steps {
-            model.play(step)?;
+            model.apply_step(step)?;
         }
     }
 }
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -1,48 +1,56 @@
-//! Requests at an edge that shuts down.
-mod edge;
+//! Tests of requests at an edge that shuts down.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 
+/// The shutdown grace in milliseconds.
 const GRACE_MS: u64 = 6000;
 
-/// Every request gets a response before the process is killed, with time left
-/// for the responses to be written. Regression: requests that waited for a cached
-/// response, a permit or the ledger waited until the process had exited.
+/// Every request gets a response in time to be written before the process exits.
+/// Regression: requests that waited for a cached response, a permit or the ledger were
+/// still waiting when the process exited.
 #[test]
 fn waiting_requests_are_rejected_in_first_half_of_grace() {
-    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
-    updates(&mut edge, 1000, &[origin(50)], true);
+    let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
+    deliver_updates(&mut edge, 1000, &[origin(50)], true);
     let urls = [("/copy", "GET"), ("/low", "GET"), ("/k", "POST")];
     for id in 0..30u64 {
         let (url, method) = urls[id as usize % 3];
         let mut request = client_request(url, method);
-        request.timeout = Some(at(12_000));
-        edge.handle(at(1000), Input::ClientRequest { id, request });
+        request.timeout = Some(millis(12_000));
+        edge.handle(millis(1000), Input::ClientRequest { id, request });
     }
-    edge.handle(at(1100), Input::ShutdownRequested);
+    edge.handle(millis(1100), Input::ShutdownRequested);
     let mut rejections = Vec::new();
-    let mut last = 0;
+    let mut last_at = 0;
     for now in (1150..1100 + GRACE_MS).step_by(50) {
         renew(&mut edge, now);
-        let outputs = rejections_in(edge.handle(at(now), Input::Tick));
+        let outputs = rejections_in(edge.handle(millis(now), Input::Tick));
         if !outputs.is_empty() {
-            last = now;
+            last_at = now;
         }
         rejections.extend(outputs);
     }
     let mut ids: Vec<u64> = rejections.iter().map(|(id, ..)| *id).collect();
     ids.sort_unstable();
-    assert_eq!(ids, (0..30).collect::<Vec<u64>>(), "each once");
-    assert!(last <= 1100 + GRACE_MS / 2 + 50, "the last at {last}");
+    assert_eq!(
+        ids,
+        (0..30).collect::<Vec<u64>>(),
+        "each request gets one rejection"
+    );
+    assert!(
+        last_at <= 1100 + GRACE_MS / 2 + 50,
+        "the last rejection was sent at {last_at}"
+    );
 }
 
 #[test]
 fn late_request_is_rejected_and_call_in_flight_completes() {
-    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
-    updates(&mut edge, 1000, &[origin(50)], false);
+    let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
+    deliver_updates(&mut edge, 1000, &[origin(50)], false);
     let once = client_request("/once", "POST");
     let started = edge.handle(
-        at(1000),
+        millis(1000),
         Input::ClientRequest {
             id: 1,
             request: once,
@@ -55,24 +63,25 @@
         permit(last_exchange(&started), origin(50), 1005),
     );
     let call = last_exchange(&outputs);
-    edge.handle(at(1100), Input::ShutdownRequested);
+    edge.handle(millis(1100), Input::ShutdownRequested);
     let late = 1100 + GRACE_MS / 2 + 100;
     for now in (1150..=late).step_by(50) {
         renew(&mut edge, now);
-        let rejections = rejections_in(edge.handle(at(now), Input::Tick));
+        let rejections = rejections_in(edge.handle(millis(now), Input::Tick));
         assert!(
             rejections.is_empty(),
-            "its origin is at work: {rejections:?}"
+            "the call is in flight: {rejections:?}"
         );
     }
     let request = client_request("/low", "GET");
-    let rejections = rejections_in(edge.handle(at(late), Input::ClientRequest { id: 2, request }));
+    let rejections =
+        rejections_in(edge.handle(millis(late), Input::ClientRequest { id: 2, request }));
     assert_eq!(
         rejections,
         [(2, 503, "ending".to_string(), RunState::NotRun)]
     );
     let result = CallOutcome::Success(Reply::default());
-    let outputs = edge.handle(at(late + 10), Input::CallCompleted { id: call, result });
+    let outputs = edge.handle(millis(late + 10), Input::CallCompleted { id: call, result });
     assert!(outputs.iter().any(|output| matches!(
         output,
         Output::ClientResponse {
@@ -82,79 +91,78 @@
     )));
 }
 
-/// Regression: a call sent after the shutdown request timed out at half of the
-/// remaining time, while its origin was executing it.
+/// Regression: a call sent after the shutdown request timed out after half of the
+/// remaining time, while its origin was still executing it.
 #[test]
 fn call_after_shutdown_request_gets_full_timeout() {
     const TIMEOUT_MS: u64 = 4000;
     for shutting_down in [false, true] {
-        let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
-        updates(&mut edge, 1000, &[origin(50)], false);
+        let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
+        deliver_updates(&mut edge, 1000, &[origin(50)], false);
         if shutting_down {
-            edge.handle(at(1000), Input::ShutdownRequested);
+            edge.handle(millis(1000), Input::ShutdownRequested);
         }
         let mut request = client_request("/low", "GET");
-        request.timeout = Some(at(TIMEOUT_MS));
-        let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+        request.timeout = Some(millis(TIMEOUT_MS));
+        let started = edge.handle(millis(1000), Input::ClientRequest { id: 1, request });
         let permit = permit(last_exchange(&started), origin(50), 1005);
         let outputs = deliver(&mut edge, 1010, ADMISSION, permit);
         let limit = outputs.iter().find_map(|output| match output {
             Output::Call { call, .. } => Some(call.timeout),
             _ => None,
         });
-        let remaining = at(TIMEOUT_MS - 10);
+        let remaining = millis(TIMEOUT_MS - 10);
         let expected = if shutting_down {
             remaining
         } else {
             remaining / 2
         };
-        assert_eq!(limit, Some(expected), "warned: {shutting_down}");
+        assert_eq!(limit, Some(expected), "shutting down: {shutting_down}");
     }
 }
 
-/// The same for calls that were sent before the shutdown request.
+/// Calls sent before the shutdown request also get all of the remaining time.
 #[test]
 fn shutdown_request_extends_calls_in_flight() {
     const TIMEOUT_MS: u64 = 4000;
-    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
-    updates(&mut edge, 1000, &[origin(50)], false);
+    let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
+    deliver_updates(&mut edge, 1000, &[origin(50)], false);
     let mut request = client_request("/low", "GET");
-    request.timeout = Some(at(TIMEOUT_MS));
-    let started = edge.handle(at(1000), Input::ClientRequest { id: 1, request });
+    request.timeout = Some(millis(TIMEOUT_MS));
+    let started = edge.handle(millis(1000), Input::ClientRequest { id: 1, request });
     let permit = permit(last_exchange(&started), origin(50), 1005);
     let call = last_exchange(&deliver(&mut edge, 1010, ADMISSION, permit));
-    let outputs = edge.handle(at(1500), Input::ShutdownRequested);
+    let outputs = edge.handle(millis(1500), Input::ShutdownRequested);
     let extended = outputs.iter().find_map(|output| match output {
         Output::ExtendCall { id, limit } => Some((*id, *limit)),
         _ => None,
     });
-    assert_eq!(extended, Some((call, at(TIMEOUT_MS - 500))));
+    assert_eq!(extended, Some((call, millis(TIMEOUT_MS - 500))));
 }
 
-/// Regression: an idle edge ended at once, and what clients then sent on their kept
-/// connections was reset; they are served for a quarter of the grace, and rejected
-/// after the end.
+/// Regression: an idle edge shut down at once, so that requests on kept connections were
+/// reset. They are served for a quarter of the grace, and rejected after that.
 #[test]
 fn idle_edge_serves_kept_connections_for_a_quarter_of_the_grace_and_then_rejects() {
-    let mut edge = live(1000).with_shutdown_grace(at(GRACE_MS));
-    updates(&mut edge, 1000, &[origin(50)], false);
-    edge.handle(at(1000), Input::ShutdownRequested);
-    let ends_at = 1000 + GRACE_MS / 4;
+    let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
+    deliver_updates(&mut edge, 1000, &[origin(50)], false);
+    edge.handle(millis(1000), Input::ShutdownRequested);
+    let earliest_end = 1000 + GRACE_MS / 4;
     for now in (1050..=1000 + GRACE_MS).step_by(50) {
         renew(&mut edge, now);
-        let outputs = edge.handle(at(now), Input::Tick);
+        let outputs = edge.handle(millis(now), Input::Tick);
         let ended = outputs
             .iter()
             .any(|output| matches!(output, Output::ShutdownComplete));
-        assert!(!ended || now >= ends_at, "ended at {now}");
+        assert!(!ended || now >= earliest_end, "shut down at {now}");
         if ended {
             let request = client_request("/low", "GET");
             let input = Input::ClientRequest { id: 1, request };
-            let rejections = rejections_in(edge.handle(at(now), input));
+            let rejections = rejections_in(edge.handle(millis(now), input));
             let expected = (1, 503, "ending".to_string(), RunState::NotRun);
             assert_eq!(rejections, [expected]);
             return;
         }
     }
-    panic!("it does not end");
+    panic!("the shutdown does not complete");
 }
--- a/data-plane/tests/stale_responses.rs
+++ b/data-plane/tests/stale_responses.rs
@@ -1,19 +1,19 @@
-//! Responses that arrive late, twice or for an earlier exchange of the same
-//! request.
-mod edge;
+//! Tests of responses that arrive late, twice or for an earlier exchange of the request.
+mod edge_harness;
 use data_plane::prelude::*;
-use edge::*;
+use edge_harness::*;
 use std::collections::HashSet;
 
-fn begin(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
+fn start_request(edge: &mut EdgeNode, now: u64, id: u64, url: &str, method: &str) -> Vec<Output> {
     submit(edge, now, id, url, method)
 }
 
 fn complete_call(edge: &mut EdgeNode, now: u64, id: u64, result: CallOutcome) -> Vec<Output> {
-    edge.handle(at(now), Input::CallCompleted { id, result })
+    edge.handle(millis(now), Input::CallCompleted { id, result })
 }
 
-fn calls(outputs: &[Output]) -> usize {
+/// Returns the number of calls among the outputs.
+fn call_count(outputs: &[Output]) -> usize {
     outputs
         .iter()
         .filter(|output| matches!(output, Output::Call { .. }))
@@ -28,6 +28,7 @@
     })
 }
 
+/// Returns the body of the first reply to a client.
 fn body(outputs: &[Output]) -> Option<String> {
     outputs.iter().find_map(|output| match output {
         Output::ClientResponse {
@@ -40,17 +41,17 @@
 
 #[test]
 fn stale_permit_is_returned_unused() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     let listed = origin(50);
-    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let first = last_exchange(&begin(&mut edge, 1000, 1, "/low", "GET"));
+    deliver_updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    let first = last_exchange(&start_request(&mut edge, 1000, 1, "/low", "GET"));
     let outputs = deliver(
         &mut edge,
         1010,
         ADMISSION,
         permit(first, listed.clone(), 1005),
     );
-    assert_eq!(calls(&outputs), 1);
+    assert_eq!(call_count(&outputs), 1);
     let outputs = complete_call(
         &mut edge,
         1020,
@@ -66,22 +67,22 @@
         ADMISSION,
         permit(first, listed.clone(), 1025),
     );
-    assert_eq!(calls(&outputs), 0);
+    assert_eq!(call_count(&outputs), 0);
     let unused = |output: &Output| {
         matches!(output, Output::Send { message: Message::CallDone(done), .. }
             if done.result == CallResult::Unused)
     };
-    assert!(outputs.iter().any(unused), "it is given back");
+    assert!(outputs.iter().any(unused), "the stale permit is returned");
     let outputs = deliver(&mut edge, 1040, ADMISSION, permit(second, listed, 1035));
-    assert_eq!(calls(&outputs), 1);
+    assert_eq!(call_count(&outputs), 1);
 }
 
 #[test]
 fn stale_call_ending_is_ignored() {
-    let mut edge = live(1000);
+    let mut edge = live_edge(1000);
     let listed = origin(50);
-    updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
-    let exchange = last_exchange(&begin(&mut edge, 1000, 1, "/once", "POST"));
+    deliver_updates(&mut edge, 1000, std::slice::from_ref(&listed), false);
+    let exchange = last_exchange(&start_request(&mut edge, 1000, 1, "/once", "POST"));
     let outputs = deliver(
         &mut edge,
         1010,
@@ -104,7 +105,9 @@
     ] {
         let outputs = complete_call(&mut edge, 1040, first, result);
         assert!(
-            calls(&outputs) == 0 && body(&outputs).is_none() && rejections_in(outputs).is_empty()
+            call_count(&outputs) == 0
+                && body(&outputs).is_none()
+                && rejections_in(outputs).is_empty()
         );
     }
     let outputs = complete_call(&mut edge, 1050, second, success("second"));
@@ -113,28 +116,28 @@
 
 #[test]
 fn stale_cached_response_is_not_served() {
-    let mut edge = live(1000);
-    updates(&mut edge, 1000, &[], true);
-    let first = last_exchange(&begin(&mut edge, 1000, 1, "/copy", "GET"));
+    let mut edge = live_edge(1000);
+    deliver_updates(&mut edge, 1000, &[], true);
+    let first = last_exchange(&start_request(&mut edge, 1000, 1, "/copy", "GET"));
     let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
-    let copy = |id, left| CacheCopy {
+    let copy = |id, remaining_ttl_ms| CacheCopy {
         id,
         key,
-        max_wait: at(1000),
+        max_wait: millis(1000),
         response: CachedResponse {
             reply: Reply::default(),
             purge_version: 0,
-            age: at(0),
-            fresh_for: at(left),
-            remaining_ttl: at(left),
-            owner_delay: at(0),
+            age: millis(0),
+            fresh_for: millis(remaining_ttl_ms),
+            remaining_ttl: millis(remaining_ttl_ms),
+            owner_delay: millis(0),
         },
     };
-    // It was in flight for 300 ms, longer than its remaining time-to-live.
+    // The response was in flight for 300 ms, longer than its remaining time to live.
     let outputs = deliver(&mut edge, 1300, OWNER, copy(first, 200));
     assert_eq!(body(&outputs), None);
     let second = last_exchange(&outputs);
-    // A duplicate of the same response: it is older than the second exchange.
+    // A duplicate of the response belongs to the first exchange.
     let outputs = deliver(&mut edge, 1310, OWNER, copy(first, 200));
     assert_eq!(body(&outputs), None);
     let outputs = deliver(&mut edge, 1320, OWNER, copy(second, 200));
@@ -144,10 +147,10 @@
 #[test]
 fn exchange_ids_are_unique_across_incarnations() {
     let ids = |incarnation: u64| -> HashSet<u64> {
-        let mut edge = live_as(1000, incarnation);
-        updates_as(&mut edge, 1000, &[], false, incarnation);
+        let mut edge = live_edge_with_incarnation(1000, incarnation);
+        deliver_updates_to_incarnation(&mut edge, 1000, &[], false, incarnation);
         (0..200)
-            .map(|id| last_exchange(&begin(&mut edge, 1000, id, "/low", "GET")))
+            .map(|id| last_exchange(&start_request(&mut edge, 1000, id, "/low", "GET")))
             .collect()
     };
     let incarnations: Vec<HashSet<u64>> = [5, 6, 7, 1 << 40, u64::MAX].map(ids).into();
