--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -15,7 +15,7 @@
 /// - No idempotent call that serves only this client is in flight `MAX_ABANDONED_CALL`
 ///   after the disconnect.
 #[derive(Debug, Default)]
-pub struct AbandonedWork {
+pub struct AbandonedWorkMonitor {
     /// The times at which clients disconnected, by request, for requests that have no
     /// response yet or a call in flight.
     disconnected_at: HashMap<u64, Duration>,
@@ -54,7 +54,7 @@
     Continued,
 }
 
-impl AbandonedWork {
+impl AbandonedWorkMonitor {
     /// Records that the client of a request without a response has disconnected.
     pub fn client_disconnected(&mut self, now: Duration, request: u64) {
         self.disconnected_at.entry(request).or_insert(now);
--- a/data-plane/src/active_request/mod.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -33,7 +33,7 @@
     /// The calls to origins so far.
     pub attempts: Attempts,
     /// The state of a cacheable request.
-    pub cache: CacheUse,
+    pub cache: RequestCacheState,
 }
 
 /// The message exchange that the current stage of a request waits for.
@@ -62,14 +62,14 @@
     /// Set if an earlier call may have been executed.
     pub may_have_run: bool,
     /// The error response of an origin, passed on if no attempt succeeds.
-    pub origin_failure: Option<Reply>,
+    pub origin_error_response: Option<Reply>,
     /// Origins that failed this request.
     pub failed_origins: Vec<SocketAddr>,
 }
 
-/// The cache key of a request and the state of its fetch.
+/// The state of a request's cache lookup and fetch.
 #[derive(Default)]
-pub struct CacheUse {
+pub struct RequestCacheState {
     /// Set if the response may be served from a cache.
     pub key: Option<CacheKey>,
     /// Set if the cache owner made this request the refresher of the key.
@@ -135,7 +135,7 @@
             claim: None,
             exchange: Exchange::new(now),
             attempts: Attempts::default(),
-            cache: CacheUse::default(),
+            cache: RequestCacheState::default(),
             request,
         }
     }
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -129,7 +129,7 @@
             .filter(|origin| origin.service == self.service && !origin.draining)
             .collect();
         self.origins
-            .retain(|_, known| listed.contains(&&known.origin));
+            .retain(|_, state| listed.contains(&&state.origin));
         for origin in listed {
             self.origins
                 .entry(origin.address)
@@ -158,9 +158,9 @@
     /// Queues an edge's request for a permit, or refreshes it if it is already queued.
     pub fn request_permit(&mut self, now: Duration, from: SocketAddr, request: PermitRequest) {
         let id = request.id;
-        if let Some(known) = self.waiting.find(from, id) {
-            known.sent = request.sent;
-            known.queued_at = now;
+        if let Some(waiting) = self.waiting.find(from, id) {
+            waiting.sent = request.sent;
+            waiting.queued_at = now;
             return self.outgoing.push((from, PermitQueued { id }.into()));
         }
         self.arrivals.add(now, request.rank);
--- a/data-plane/src/cache_owner/handover.rs
+++ b/data-plane/src/cache_owner/handover.rs
@@ -25,13 +25,13 @@
         purge_version: u64,
         is_owned: &dyn Fn(u16) -> bool,
     ) {
-        let lost: Vec<CacheKey> = self
+        let reassigned: Vec<CacheKey> = self
             .slots
             .keys()
             .filter(|key| !is_owned(cache_partition(key)))
             .copied()
             .collect();
-        for key in lost {
+        for key in reassigned {
             let mut slot = self.slots.remove(&key).expect("just listed");
             self.memory.used -= slot.bytes();
             if let Some(stored) = &mut slot.stored {
--- a/data-plane/src/cache_owner/slot.rs
+++ b/data-plane/src/cache_owner/slot.rs
@@ -196,13 +196,13 @@
     /// Queues a waiter. Returns true if it was already queued; then only its deadline is
     /// updated.
     pub(super) fn queue(&mut self, waiter: Waiter) -> bool {
-        let known = self
+        let existing = self
             .waiters
             .iter_mut()
-            .find(|known| known.requester == waiter.requester);
-        match known {
-            Some(known) => {
-                known.deadline = waiter.deadline;
+            .find(|existing| existing.requester == waiter.requester);
+        match existing {
+            Some(existing) => {
+                existing.deadline = waiter.deadline;
                 true
             }
             None => {
--- a/data-plane/src/coalescer.rs
+++ b/data-plane/src/coalescer.rs
@@ -8,19 +8,19 @@
 ///   followers.
 #[derive(Debug, Default)]
 pub struct Coalescer {
-    groups: HashMap<CacheKey, RequestGroup>,
+    groups: HashMap<CacheKey, CoalescingGroup>,
 }
 
 /// The requests for one key.
 #[derive(Debug)]
-struct RequestGroup {
+struct CoalescingGroup {
     leader: u64,
     followers: VecDeque<u64>,
 }
 
-/// The role of a request in its group.
+/// The role of a request in its coalescing group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GroupRole {
+pub enum CoalescingRole {
     /// The request fetches the key.
     Leader,
     /// The request waits for the leader's response.
@@ -29,19 +29,19 @@
 
 impl Coalescer {
     /// Adds a request to the group of its key and returns its role there.
-    pub fn join(&mut self, key: CacheKey, request: u64) -> GroupRole {
+    pub fn join(&mut self, key: CacheKey, request: u64) -> CoalescingRole {
         match self.groups.get_mut(&key) {
             Some(group) => {
                 group.followers.push_back(request);
-                GroupRole::Follower
+                CoalescingRole::Follower
             }
             None => {
-                let group = RequestGroup {
+                let group = CoalescingGroup {
                     leader: request,
                     followers: VecDeque::new(),
                 };
                 self.groups.insert(key, group);
-                GroupRole::Leader
+                CoalescingRole::Leader
             }
         }
     }
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -78,7 +78,7 @@
         let is_forwarded = |(name, _): &&(String, String)| {
             FORWARDED_HEADERS
                 .iter()
-                .any(|known| name.eq_ignore_ascii_case(known))
+                .any(|forwarded| name.eq_ignore_ascii_case(forwarded))
         };
         OriginVerdict::Accepted {
             headers: headers.iter().filter(is_forwarded).cloned().collect(),
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -72,13 +72,13 @@
     }
 
     /// Adds a request that missed the near cache to its group and returns its stage.
-    pub(super) fn join_group(&mut self, now: Duration, id: u64, key: CacheKey) -> Stage {
+    pub(super) fn join_coalescing_group(&mut self, now: Duration, id: u64, key: CacheKey) -> Stage {
         match self.coalescer.join(key, id) {
-            GroupRole::Leader => Stage::AwaitingCachedResponse {
+            CoalescingRole::Leader => Stage::AwaitingCachedResponse {
                 entered_at: now,
                 accepts_any_age: false,
             },
-            GroupRole::Follower => Stage::Following,
+            CoalescingRole::Follower => Stage::Following,
         }
     }
 
@@ -107,7 +107,7 @@
     /// Removes a request that has ended from its group. If it was rejected before its
     /// deadline without a call, its followers get the same rejection; otherwise the
     /// next one becomes the leader.
-    pub(super) fn remove_from_group(
+    pub(super) fn remove_from_coalescing_group(
         &mut self,
         now: Duration,
         id: u64,
@@ -259,7 +259,7 @@
         let name = active.cache_entry_name(&cached.reply);
         let network_delay = (now - wait.entered_at).saturating_sub(cached.owner_delay);
         let age = cached.age + network_delay;
-        // The owner may not know yet that the time-to-live was shortened.
+        // The owner may not know yet that the time to live was shortened.
         let ttl = active.request.entry().cache_ttl();
         let remaining_ttl = cached
             .remaining_ttl
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -261,7 +261,7 @@
         let active = self.active_requests.get_mut(&id).expect("just found");
         active.attempts.may_have_run = true;
         active.attempts.failed_origins.push(origin);
-        active.attempts.origin_failure = Some(reply);
+        active.attempts.origin_error_response = Some(reply);
         self.enter_stage(now, id, Stage::AwaitingPermit);
     }
 
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -67,7 +67,7 @@
     last_id: u64,
 
     usage: Usage,
-    abandoned_work: AbandonedWork,
+    abandoned_work: AbandonedWorkMonitor,
     /// Maximum time from the shutdown request to the end of the process.
     shutdown_grace: Duration,
     shutdown_requested_at: Option<Duration>,
@@ -106,7 +106,7 @@
 /// the host, without it.
 const LOCAL_ID_BIT: u64 = 1 << 63;
 /// An odd multiplier that distributes incarnations over the id space.
-const INCARNATION_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const INCARNATION_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl EdgeNode {
     /// Creates an edge without leases. `control_nodes` hold the control slots, unless
@@ -151,9 +151,9 @@
             unconfirmed_changes: BTreeMap::new(),
             // Differs between incarnations at the same address: responses to
             // messages of an earlier one may still be in flight.
-            last_id: local_peer.incarnation.wrapping_mul(INCARNATION_SPREAD),
+            last_id: local_peer.incarnation.wrapping_mul(INCARNATION_MULTIPLIER),
             usage: Usage::default(),
-            abandoned_work: AbandonedWork::default(),
+            abandoned_work: AbandonedWorkMonitor::default(),
             shutdown_grace: DEFAULT_SHUTDOWN_GRACE,
             shutdown_requested_at: None,
             departed: false,
--- a/data-plane/src/edge_node/probes.rs
+++ b/data-plane/src/edge_node/probes.rs
@@ -4,6 +4,7 @@
 
 /// The path of the probe request, to which an origin sends a signed response.
 const PROBE_PATH: &str = "/.well-known/otterslip-identity";
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The HTTP status of a successful probe; any other is a failure.
 const PROBE_SUCCESS: u16 = 200;
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -108,7 +108,7 @@
         }
         let has_applied = self.apply_updates(now, reply.updates);
         if self.control_nodes.contains(&from.address) {
-            self.leases.renewed(from.address, reply.sent);
+            self.leases.record_renewal(from.address, reply.sent);
         }
         self.update_liveness(now);
         if has_applied {
@@ -135,7 +135,10 @@
         if live != self.live {
             self.live = live;
             let event = if live { Event::Live } else { Event::Fenced };
-            self.log_event(event, format!("vector {:?}", self.state.version_vector));
+            self.log_event(
+                event,
+                format!("version vector {:?}", self.state.version_vector),
+            );
         }
         let ready = self.shutdown_requested_at.is_none() && self.state.routes.is_some();
         self.outputs.push(Output::Publish(PublishedState::Fence {
--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -11,7 +11,7 @@
             return self.respond(now, id, &active, response);
         }
         match (active.request.entry().kind, active.cache.key) {
-            (_, Some(key)) => active.stage = self.join_group(now, id, key),
+            (_, Some(key)) => active.stage = self.join_coalescing_group(now, id, key),
             (Kind::Keyed, None) => {
                 let claim = ActiveRequest::claim_of(&active.request, self.local_peer, id);
                 active.claim = Some(claim);
@@ -70,8 +70,8 @@
         let rank = active.request.entry().rank;
         let lowest = self
             .pending_of(&active.request.service)
-            .filter(|(_, known)| known.stage.may_be_displaced())
-            .map(|(id, known)| (known.request.entry().rank, std::cmp::Reverse(*id)))
+            .filter(|(_, pending)| pending.stage.may_be_displaced())
+            .map(|(id, pending)| (pending.request.entry().rank, std::cmp::Reverse(*id)))
             .min();
         if let Some((_, std::cmp::Reverse(id))) = lowest.filter(|(lowest, _)| *lowest < rank) {
             let rejection = self.active_requests[&id].reject(429, CODE, TEXT);
@@ -85,7 +85,7 @@
     fn pending_of(&self, service: &str) -> impl Iterator<Item = (&u64, &ActiveRequest)> {
         self.active_requests
             .iter()
-            .filter(move |(_, known)| known.request.service == service)
+            .filter(move |(_, pending)| pending.request.service == service)
     }
 
     /// Moves a request to its next stage and sends the stage's message.
@@ -145,13 +145,13 @@
             return;
         };
         self.exchanges.remove(&active.exchange.id);
-        let response = match (response, active.attempts.origin_failure.take()) {
+        let response = match (response, active.attempts.origin_error_response.take()) {
             (ClientResponse::Rejection(_), Some(reply)) => {
                 ClientResponse::Reply { reply, age: None }
             }
             (response, _) => response,
         };
-        self.remove_from_group(now, id, &active, &response);
+        self.remove_from_coalescing_group(now, id, &active, &response);
         self.respond(now, id, &active, response);
     }
 
--- a/data-plane/src/edge_node/stage_messages.rs
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -9,6 +9,7 @@
 /// Time after which the first request to the owner is repeated. It doubles with each
 /// repetition, up to `MAX_BACKOFF`.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum backoff between repeated requests to the owner.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 /// Number of doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: usize = 4;
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -138,10 +138,10 @@
     /// Sends all known rows of a partition to a control plane that lost its state.
     pub(super) fn handle_recall_request(&mut self, from: Peer, partition: u8) {
         let index = usize::from(partition);
-        let Some(known) = self.state.known_rows.get(index) else {
+        let Some(known_rows) = self.state.known_rows.get(index) else {
             return;
         };
-        let rows = known
+        let rows = known_rows
             .iter()
             .map(|(key, row)| (key.clone(), row.clone()))
             .collect();
--- a/data-plane/src/leases.rs
+++ b/data-plane/src/leases.rs
@@ -17,7 +17,7 @@
 
 impl Leases {
     /// Records a renewal that was sent at `sent`.
-    pub fn renewed(&mut self, control_node: SocketAddr, sent: Duration) {
+    pub fn record_renewal(&mut self, control_node: SocketAddr, sent: Duration) {
         let expiry = self.expiry.entry(control_node).or_default();
         *expiry = (*expiry).max(sent + lease::EDGE_LEASE);
     }
--- a/data-plane/src/leases/tests.rs
+++ b/data-plane/src/leases/tests.rs
@@ -6,16 +6,16 @@
     let millis = Duration::from_millis;
     let control_node = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let mut leases = Leases::default();
-    leases.renewed(control_node(1), millis(500));
+    leases.record_renewal(control_node(1), millis(500));
     assert_eq!(
         leases.live_until(3),
         Duration::ZERO,
         "one lease is no majority"
     );
-    leases.renewed(control_node(2), millis(700));
+    leases.record_renewal(control_node(2), millis(700));
     assert_eq!(leases.live_until(3), millis(1100));
-    leases.renewed(control_node(3), millis(900));
-    leases.renewed(control_node(3), millis(600));
+    leases.record_renewal(control_node(3), millis(900));
+    leases.record_renewal(control_node(3), millis(600));
     assert_eq!(leases.live_until(3), millis(1300));
     // More slots require more leases; with no slots the edge is never live.
     assert_eq!(
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -126,14 +126,14 @@
         if now >= entry.major_expiry {
             return;
         }
-        if let Some(known) = self.responses.get_mut(&key)
-            && known.fetch_started_at > entry.fetch_started_at
-            && now < known.major_expiry
+        if let Some(existing) = self.responses.get_mut(&key)
+            && existing.fetch_started_at > entry.fetch_started_at
+            && now < existing.major_expiry
         {
-            known.minor_expiry = known
+            existing.minor_expiry = existing
                 .minor_expiry
                 .max(entry.minor_expiry)
-                .min(known.major_expiry);
+                .min(existing.major_expiry);
             return;
         }
         self.remove(&key);
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -1,10 +1,10 @@
 //! The items that the modules of this crate share.
-pub use crate::abandoned_work::{AbandonedWork, AbandonedWorkViolation, ViolationKind};
-pub use crate::active_request::{ActiveRequest, CacheUse, Fetch, FillGrant, Stage};
+pub use crate::abandoned_work::{AbandonedWorkMonitor, AbandonedWorkViolation, ViolationKind};
+pub use crate::active_request::{ActiveRequest, Fetch, FillGrant, RequestCacheState, Stage};
 pub use crate::admission::{AdmissionController, TokenBucket};
 pub use crate::cache_owner::CacheOwner;
 pub use crate::call_outcome::classify_call_outcome;
-pub use crate::coalescer::{Coalescer, GroupRole};
+pub use crate::coalescer::{Coalescer, CoalescingRole};
 pub use crate::default_protocol::DefaultProtocol;
 pub use crate::edge_node::EdgeNode;
 pub use crate::fallback_quota::{FALLBACK_EPOCH, FallbackQuota};
--- a/data-plane/src/purge_log.rs
+++ b/data-plane/src/purge_log.rs
@@ -40,11 +40,11 @@
         let mut new = Vec::new();
         for (_, row) in rows.iter().filter(|(_, row)| row.version > before) {
             if let Value::Purge { purge, .. } = &row.value {
-                let known = RetainedPurge {
+                let retained = RetainedPurge {
                     applied_at: now,
                     purge: purge.clone(),
                 };
-                self.by_version.insert(row.version, known);
+                self.by_version.insert(row.version, retained);
                 new.push(purge.clone());
             }
         }
@@ -77,8 +77,8 @@
         }
         self.by_version
             .range(purge_version + 1..)
-            .map(|(_, known)| known)
-            .find(|known| known.purge.matches(response))
-            .map(|known| known.applied_at)
+            .map(|(_, retained)| retained)
+            .find(|retained| retained.purge.matches(response))
+            .map(|retained| retained.applied_at)
     }
 }
--- a/data-plane/tests/client_disconnects.rs
+++ b/data-plane/tests/client_disconnects.rs
@@ -629,36 +629,36 @@
         (CallPurpose::SharedCacheFill, false, false),
     ];
     for (purpose, reports_started, reports_continued) in purposes {
-        let mut check = AbandonedWork::default();
-        check.client_disconnected(disconnected, 1);
+        let mut monitor = AbandonedWorkMonitor::default();
+        monitor.client_disconnected(disconnected, 1);
         assert_eq!(
-            check.call_started(after, 7, 2, purpose),
+            monitor.call_started(after, 7, 2, purpose),
             None,
             "a call of another request"
         );
-        let started = check.call_started(after, 8, 1, purpose);
+        let started = monitor.call_started(after, 8, 1, purpose);
         assert_eq!(started.is_some(), reports_started, "{purpose:?}");
 
-        let mut check = AbandonedWork::default();
-        assert_eq!(check.call_started(before, 8, 1, purpose), None);
-        check.client_disconnected(disconnected, 1);
-        assert!(check.overdue(after, &none_pending).is_empty());
-        let violations = check.overdue(late, &none_pending);
+        let mut monitor = AbandonedWorkMonitor::default();
+        assert_eq!(monitor.call_started(before, 8, 1, purpose), None);
+        monitor.client_disconnected(disconnected, 1);
+        assert!(monitor.overdue(after, &none_pending).is_empty());
+        let violations = monitor.overdue(late, &none_pending);
         assert_eq!(
             violations.len(),
             usize::from(reports_continued),
             "{purpose:?}"
         );
         assert!(
-            check.overdue(late, &none_pending).is_empty(),
+            monitor.overdue(late, &none_pending).is_empty(),
             "reported once"
         );
 
-        let mut check = AbandonedWork::default();
-        check.call_started(before, 8, 1, purpose);
-        check.client_disconnected(disconnected, 1);
-        check.call_ended(8);
-        assert!(check.overdue(late, &none_pending).is_empty());
+        let mut monitor = AbandonedWorkMonitor::default();
+        monitor.call_started(before, 8, 1, purpose);
+        monitor.client_disconnected(disconnected, 1);
+        monitor.call_ended(8);
+        assert!(monitor.overdue(late, &none_pending).is_empty());
     }
 }
 
