--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -20,8 +20,8 @@
 /// The admission controller of one origin group. It grants short-lived permits by rank.
 /// Invariants:
 /// - The tokens of an origin are refilled at its rate and never exceed its burst. A new
-///   controller starts with none, so that its grants exceed those of its predecessor
-///   by at most one burst.
+///   controller starts with none, so that a change of controller adds at most one burst
+///   to the calls that its predecessor granted.
 /// - A permit names an origin only while that origin's proof (a verified
 ///   response of the listed service and instance) is younger than
 ///   `ORIGIN_PROOF_VALIDITY` and a connection opened before the proof is still
@@ -58,7 +58,7 @@
 
 /// Number of waiting requests from which the queue is dispatched only once in
 /// `LARGE_QUEUE_DISPATCH_INTERVAL`.
-const LARGE_QUEUE: usize = 64;
+const LARGE_QUEUE_LENGTH: usize = 64;
 /// Minimum time between two dispatches of a large queue.
 const LARGE_QUEUE_DISPATCH_INTERVAL: Duration = Duration::from_millis(5);
 /// The fraction of a total rate that the admission controller grants. The edges have a
@@ -194,7 +194,7 @@
     /// Dispatches the queue. A large queue is dispatched less often, because each
     /// dispatch iterates over all of it.
     fn dispatch_soon(&mut self, now: Duration) {
-        if self.waiting.len() < LARGE_QUEUE || now >= self.next_dispatch {
+        if self.waiting.len() < LARGE_QUEUE_LENGTH || now >= self.next_dispatch {
             self.dispatch(now);
         }
     }
--- a/data-plane/src/edge_node/calls.rs
+++ b/data-plane/src/edge_node/calls.rs
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Reports the result of a call to the admission controller that granted its permit.
+    /// Reports the result of a call to the current admission controller of its service.
     pub(super) fn report_call_done(&mut self, permit: &Permit, result: CallResult, took: Duration) {
         if let Some(controller) = self.assignment_owner(&admission_assignment(&permit.service)) {
             let done = CallDone {
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -39,11 +39,14 @@
     renewal_tokens: HashMap<SocketAddr, RenewalToken>,
     leases: Leases,
     link_delay_estimator: LinkDelayEstimator,
+    /// The time at which the next renewal is due.
     next_renewal: Duration,
+    /// Set if the edge was live when its liveness was last published.
     live: bool,
     completed_operations: VecDeque<CompletedOperation>,
     /// Time for which completed operations are kept.
     operation_retention: Duration,
+    /// Set if the last renewal reply requested a recall.
     recall_requested: bool,
 
     cache_owner: CacheOwner,
@@ -52,12 +55,16 @@
     /// The cache partitions that this edge owns, each with the epoch of its grant.
     owned_partitions: BTreeMap<u16, u64>,
     pending_handovers: BTreeMap<u16, PendingHandover>,
+    /// The admission controllers that run at this edge, by service.
     admission_controllers: BTreeMap<String, AdmissionController>,
     /// Retries of a service in ten seconds in addition to a fifth of the first attempts.
     retry_allowance: usize,
+    /// The fallback quotas of this edge, by service.
     fallback_quotas: BTreeMap<String, FallbackQuota>,
+    /// The origins of the probes in flight, by call id.
     probes_in_flight: HashMap<u64, Origin>,
 
+    /// The requests without a response, by request id.
     active_requests: BTreeMap<u64, ActiveRequest>,
     /// The request that waits for the response to a message or call, by exchange id.
     exchanges: HashMap<u64, u64>,
