--- a/data-plane/src/edge_node/requests.rs
+++ b/data-plane/src/edge_node/requests.rs
@@ -1,9 +1,9 @@
-//! The life of a request, from its arrival to its one response.
+//! The life cycle of a request, from its arrival to its single response.
 use super::{EdgeNode, MAX_PENDING_PER_SERVICE};
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// Starts a client's request, or responds to it at once.
+    /// Starts a client's request, or sends an immediate response.
     pub(super) fn begin_request(&mut self, now: Duration, id: u64, request: ClientRequest) {
         self.usage.requests += 1;
         let mut active = ActiveRequest::new(now, request);
@@ -11,7 +11,7 @@
             return self.respond(now, id, &active, response);
         }
         match (active.request.entry().kind, active.cache.key) {
-            (_, Some(key)) => active.stage = self.join_group(now, id, key),
+            (_, Some(key)) => active.stage = self.join_coalescing_group(now, id, key),
             (Kind::Keyed, None) => {
                 let claim = ActiveRequest::claim_of(&active.request, self.local_peer, id);
                 active.claim = Some(claim);
@@ -24,7 +24,7 @@
         self.send_stage_message(now, id);
     }
 
-    /// The response to a request that is not started: a rejection, or a fresh
+    /// Returns the response to a request that need not be started: a rejection, or a
     /// response from the near cache.
     fn immediate_response(
         &mut self,
@@ -54,9 +54,9 @@
             .map(ClientResponse::Rejection)
     }
 
-    /// Each pending request uses memory and a connection: a slow service must
-    /// not take them all. Over its limit, the lowest rank is rejected first:
-    /// this request, or one that waits.
+    /// Enforces the limit of pending requests per service, so that a slow service does
+    /// not use up all memory and connections. Over the limit, the request of the lowest
+    /// rank is rejected: the new one or a waiting one.
     fn enforce_pending_limit(
         &mut self,
         now: Duration,
@@ -70,8 +70,8 @@
         let rank = active.request.entry().rank;
         let lowest = self
             .pending_of(&active.request.service)
-            .filter(|(_, known)| known.stage.may_be_displaced())
-            .map(|(id, known)| (known.request.entry().rank, std::cmp::Reverse(*id)))
+            .filter(|(_, pending)| pending.stage.may_be_displaced())
+            .map(|(id, pending)| (pending.request.entry().rank, std::cmp::Reverse(*id)))
             .min();
         if let Some((_, std::cmp::Reverse(id))) = lowest.filter(|(lowest, _)| *lowest < rank) {
             let rejection = self.active_requests[&id].reject(429, CODE, TEXT);
@@ -85,7 +85,7 @@
     fn pending_of(&self, service: &str) -> impl Iterator<Item = (&u64, &ActiveRequest)> {
         self.active_requests
             .iter()
-            .filter(move |(_, known)| known.request.service == service)
+            .filter(move |(_, pending)| pending.request.service == service)
     }
 
     /// Moves a request to its next stage and sends the stage's message.
@@ -95,7 +95,7 @@
         }
         self.withdraw_exchange(now, id);
         if let Stage::Recording { reply, .. } = &stage {
-            self.remember_completed(now, id, reply);
+            self.record_completed(now, id, reply);
         }
         let applied = self.state.purge_log.applied;
         let Some(active) = self.active_requests.get_mut(&id) else {
@@ -110,12 +110,12 @@
         }
         active.stage = stage;
         active.exchange.last_contact = now;
-        active.exchange.sends = 0;
+        active.exchange.send_count = 0;
         self.start_exchange(now, id);
         self.send_stage_message(now, id);
     }
 
-    /// Sends the response, unless it is a cached one and the edge is fenced.
+    /// Sends the response. A fenced edge sends a rejection in place of a cached response.
     fn respond(
         &mut self,
         now: Duration,
@@ -137,21 +137,21 @@
         self.outputs.push(Output::ClientResponse { id, response });
     }
 
-    /// Ends the request with this response; an origin's own error response is
-    /// passed on in place of a rejection.
+    /// Ends the request with this response. If an origin sent an error response, that
+    /// is passed on in place of a rejection.
     pub(super) fn finish(&mut self, now: Duration, id: u64, response: ClientResponse) {
         self.withdraw_exchange(now, id);
         let Some(mut active) = self.active_requests.remove(&id) else {
             return;
         };
         self.exchanges.remove(&active.exchange.id);
-        let response = match (response, active.attempts.origin_failure.take()) {
+        let response = match (response, active.attempts.origin_error_response.take()) {
             (ClientResponse::Rejection(_), Some(reply)) => {
                 ClientResponse::Reply { reply, age: None }
             }
             (response, _) => response,
         };
-        self.remove_from_group(now, id, &active, &response);
+        self.remove_from_coalescing_group(now, id, &active, &response);
         self.respond(now, id, &active, response);
     }
 
@@ -160,8 +160,9 @@
         self.finish(now, id, ClientResponse::Rejection(rejection));
     }
 
-    /// The request has failed. Its claim is released or its outcome recorded
-    /// first; a refresher tries to get a cached response of any age first.
+    /// Ends a request that has failed. Before the rejection is sent, its claim is
+    /// released or its outcome recorded, and a refresher requests a cached response of
+    /// any age.
     pub(super) fn fail_request(&mut self, now: Duration, id: u64, rejection: Rejection) {
         let Some(active) = self.active_requests.get_mut(&id) else {
             return;
@@ -170,11 +171,11 @@
             return self.fall_back_to_any_response(now, id, grant, rejection);
         }
         if active.claim.is_none() {
-            let response = self.any_near_response(now, id);
+            let response = self.any_near_cache_response(now, id);
             let response = response.unwrap_or(ClientResponse::Rejection(rejection));
             return self.finish(now, id, response);
         }
-        let stage = if active.attempts.sent {
+        let stage = if active.attempts.may_have_reached_origin {
             Stage::Recording {
                 reply: None,
                 response: ClientResponse::Rejection(rejection),
@@ -201,11 +202,11 @@
             private: false,
         };
         self.send(grant.owner, failed);
-        if let Some(response) = self.any_near_response(now, id) {
+        if let Some(response) = self.any_near_cache_response(now, id) {
             return self.finish(now, id, response);
         }
         let stage = Stage::AwaitingCachedResponse {
-            since: now,
+            entered_at: now,
             accepts_any_age: true,
         };
         self.enter_stage(now, id, stage);
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -1,17 +1,17 @@
-//! The names that the crate's modules share.
-pub use crate::abandoned_work::{AbandonedWork, AbandonedWorkViolation, ViolationKind};
-pub use crate::active_request::{ActiveRequest, CacheUse, Fetch, FillGrant, Stage};
+//! The items that the modules of this crate share.
+pub use crate::abandoned_work::{AbandonedWorkMonitor, AbandonedWorkViolation, ViolationKind};
+pub use crate::active_request::{ActiveRequest, Fetch, FillGrant, RequestCacheState, Stage};
 pub use crate::admission::{AdmissionController, TokenBucket};
 pub use crate::cache_owner::CacheOwner;
-pub use crate::call_result::judge_call;
-pub use crate::coalescer::{Coalescer, GroupRole};
+pub use crate::call_outcome::classify_call_outcome;
+pub use crate::coalescer::{Coalescer, CoalescingRole};
 pub use crate::default_protocol::DefaultProtocol;
 pub use crate::edge_node::EdgeNode;
 pub use crate::fallback_quota::{FALLBACK_EPOCH, FallbackQuota};
 pub use crate::filter::{Filter, FilterPlugIn, IncomingRequest, run_filters};
 pub use crate::leases::Leases;
 pub use crate::link_delay_estimator::LinkDelayEstimator;
-pub use crate::near_cache::{NearCache, NearCacheEntry, NearLookup};
+pub use crate::near_cache::{NearCache, NearCacheEntry, NearCacheLookup};
 pub use crate::purge_log::{AppliedPurges, PurgeLog};
 pub use crate::request_conversion::client_request_of;
 pub use crate::response_signature::{ResponseSignature, SignatureError};
