--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -1,4 +1,5 @@
-//! Judges a record of a fleet by the rules that must never break: one module a group of rules.
+//! Checks the record of a fleet run against the safety rules: one module a
+//! group of rules.
 mod configuration;
 mod figures;
 mod histories;
@@ -12,148 +13,160 @@
 
 use crate::prelude::*;
 
-/// What came of one never.
+/// Result of checking one rule.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Nothing happened that could have broken it.
+    /// No recorded event exercises the rule.
     NotExercised,
-    /// Held in so many cases.
+    /// Number of cases checked, all without a violation.
     Held(usize),
-    /// Broken, with the first cases.
+    /// Descriptions of the violations.
     Broken(Vec<String>),
 }
 
-/// Reads what callers, origins and operators saw and judges each never.
+/// Checks each rule against the records of clients, origins and operators.
 pub struct Checker {
-    /// Requests as clients saw them.
+    /// Requests as recorded by the clients.
     pub callers: Vec<CallerRecord>,
-    /// Sorted by time.
+    /// Calls as recorded by the origins, sorted by time.
     pub origins: Vec<OriginRecord>,
-    /// What the runner did or observed, sorted by time.
+    /// Actions and observations of the fleet runner, sorted by time.
     pub fleet: Vec<FleetRecord>,
-    /// Operators' calls on the document.
+    /// Calls of operators on the configuration document.
     pub operators: Vec<OperatorRecord>,
-    /// Operators' calls on named items.
+    /// Calls of operators on named items.
     pub items: Vec<ItemRecord>,
-    /// Calls a second that one origin may get, by service.
+    /// Maximum calls per second to one origin, by service.
     pub rates: BTreeMap<String, f64>,
-    /// TTL in seconds of each cached entry.
+    /// TTL of each cached entry, in seconds.
     pub keeps: BTreeMap<String, u64>,
 }
 
-/// The twelve nevers and the two kinds of histories.
+/// Number of rules.
 pub const JUDGED: usize = 15;
-/// The brief's "about 2 seconds", as judged here.
+/// Time in seconds that the requirements allow as "about 2 seconds".
 pub const GRACE: f64 = 2.0;
-/// The brief's "2 to 2.5 seconds".
-pub const IN_FORCE: f64 = 2.5;
-/// The brief's "about 15 seconds".
-pub const BACK: f64 = 15.0;
-/// While a lost ledger stays closed, unknown operations wait this much longer.
-pub const CLOSED: f64 = 85.0;
-/// The brief's "small allowance" of extra tries.
-pub const ALLOWANCE: f64 = 3.0;
-/// So long after anything unplanned a refusal is not the planned change's.
-const CALM: f64 = 15.0;
-/// What a planned change may bring a caller besides success: too much is asked
-/// of the service, or this very operation runs at this moment.
-const CLEAN: [&str; 2] = ["over_capacity", "in_progress"];
+/// Maximum time in seconds from the acknowledgement of a configuration until it
+/// is in effect on every node. The requirements say "2 to 2.5 seconds".
+pub const MAX_CONFIGURATION_DELAY_S: f64 = 2.5;
+/// Maximum time in seconds until service is restored. The requirements say
+/// "about 15 seconds".
+pub const MAX_RECOVERY_S: f64 = 15.0;
+/// Maximum time in seconds until service is restored while a lost ledger is
+/// closed, because operations of unknown outcome have to wait for it.
+pub const MAX_LEDGER_RECOVERY_S: f64 = 85.0;
+/// Number of retries allowed in addition to the share of first attempts. The
+/// requirements say "small allowance".
+pub const RETRY_ALLOWANCE: f64 = 3.0;
+/// Time in seconds after an unplanned fault in which a rejection is not
+/// attributed to a planned change.
+const FAULT_EFFECT_S: f64 = 15.0;
+/// Rejection codes that are allowed during a planned change: the service is
+/// over capacity, or the same operation is already running.
+const ALLOWED_REJECTION_CODES: [&str; 2] = ["over_capacity", "in_progress"];
 
-/// A rule in words, and the function that collects its cases from a record.
+/// Text of a rule and the function that collects its cases from a record.
 type Rule = (&'static str, fn(&Checker) -> Cases);
 
-/// The rules in the brief's order, and then the histories.
+/// Rules in the order of the requirements, followed by the rules on histories.
 const RULES: [Rule; JUDGED] = [
-    ("an operation runs twice", Checker::runs_twice),
     (
-        "\"not run\" is followed by the request running",
-        Checker::not_run_ran,
+        "an operation is executed twice",
+        Checker::repeated_executions,
     ),
     (
-        "a success is not the origin's whole answer to this caller",
-        Checker::foreign_success,
+        "a request is executed after the response \"not run\"",
+        Checker::executions_after_not_run,
     ),
     (
-        "an old copy is served 2 s after its purge was acknowledged",
+        "a success is not the origin's complete response to this request",
+        Checker::mismatched_successes,
+    ),
+    (
+        "a stale response is served 2 s after its purge was acknowledged",
         Checker::served_after_purge,
     ),
     (
-        "a copy is served 2 s beyond its keep time once replaced",
+        "a response is served 2 s beyond its TTL after the content changed",
         Checker::served_beyond_ttl,
     ),
     (
-        "an acknowledged configuration is not in force everywhere in 2.5 s, or a node slips back",
+        "an acknowledged configuration is not in effect everywhere in 2.5 s, or a node reverts",
         Checker::configuration_in_force,
     ),
     (
-        "part of an invalid configuration takes effect, or read-back differs",
+        "part of an invalid configuration takes effect, or a read returns another one",
         Checker::configuration_integrity,
     ),
     (
-        "a leaving origin is called after 2 s, or a service no entry allowed",
-        Checker::leaving_called,
+        "a draining origin is called after 2 s, or a service that no entry allows",
+        Checker::calls_to_draining_origins,
     ),
     (
-        "extra tries exceed a fifth plus 3 in 10 s",
-        Checker::extra_tries,
+        "retries exceed 20 % of the first attempts plus 3 in 10 s",
+        Checker::retries_over_budget,
     ),
     (
-        "an origin is called 10 % over its rate in 5 s",
-        Checker::over_rate,
+        "calls to an origin exceed its rate by 10 % in 5 s",
+        Checker::calls_over_rate,
     ),
     (
-        "a request read in full is dropped in a planned restart or change",
-        Checker::dropped,
+        "a completely read request is dropped in a planned restart or change",
+        Checker::dropped_requests,
     ),
     (
-        "service is not back 15 s after machines return",
-        Checker::back_in_time,
+        "service is not restored 15 s after machines return",
+        Checker::recovery_in_time,
     ),
     (
         "the history of the document or of an item is not linearizable",
-        Checker::operators_histories,
+        Checker::operator_histories,
     ),
     (
         "the history of an operation key is not linearizable",
         Checker::key_histories,
     ),
     (
-        "work goes on for a caller that has left",
+        "work continues for a disconnected client",
         Checker::abandoned_work,
     ),
 ];
 
-/// Collects cases of one never: how many, when, and which were broken.
+/// Cases of one rule: their number, time spans and violations.
 #[derive(Default)]
 pub struct Cases {
-    /// How many cases were judged.
+    /// Number of cases checked.
     pub seen: usize,
-    /// In which a fault might have broken a case, in seconds.
+    /// Time spans, in seconds, in which a fault might have caused a
+    /// violation.
     pub spans: Vec<(f64, f64)>,
-    /// The broken cases, in words.
+    /// Descriptions of the violations.
     pub broken: Vec<String>,
-    /// How near the worst case came to the bound, in its own words.
+    /// Largest used share of the bound (1.0 is the whole bound), with a
+    /// description.
     pub worst: Option<(f64, String)>,
 }
 
 impl Cases {
-    /// `span`: the time in which a fault might have broken this case.
-    fn case(&mut self, span: (f64, f64), good: bool, text: impl FnOnce() -> String) {
+    /// Adds a case. `span` is the time in which a fault might have caused a
+    /// violation of it.
+    fn add_case(&mut self, span: (f64, f64), is_compliant: bool, text: impl FnOnce() -> String) {
         self.seen += 1;
         self.spans.push(span);
-        if !good {
+        if !is_compliant {
             self.broken.push(text());
         }
     }
 
-    /// `used` of the bound, 1.0 being all of it.
-    fn margin(&mut self, used: f64, text: impl FnOnce() -> String) {
+    /// Records the used share of the bound if it is the largest so far; 1.0
+    /// is the whole bound.
+    fn record_margin(&mut self, used: f64, text: impl FnOnce() -> String) {
         if self.worst.as_ref().is_none_or(|(most, _)| used > *most) {
             self.worst = Some((used, text()));
         }
     }
 
-    /// What came of the rule.
+    /// Returns the result for the rule.
     pub fn verdict(&self) -> Verdict {
         match (self.seen, self.broken.is_empty()) {
             (0, _) => Verdict::NotExercised,
@@ -162,13 +175,13 @@
         }
     }
 
-    /// Whether this moment lies in the span of any case; spans are merged.
-    fn covers(merged: &[(f64, f64)], at: f64) -> bool {
+    /// Returns true if the time lies in one of the merged spans.
+    fn is_covered(merged: &[(f64, f64)], at: f64) -> bool {
         let after = merged.partition_point(|(from, _)| *from <= at);
         after > 0 && at <= merged[after - 1].1
     }
 
-    fn merged(&self) -> Vec<(f64, f64)> {
+    fn merged_spans(&self) -> Vec<(f64, f64)> {
         let mut spans = self.spans.clone();
         spans.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut merged: Vec<(f64, f64)> = Vec::new();
@@ -182,8 +195,9 @@
     }
 }
 
-/// The most events within any span, from sorted times, and when it began.
-fn most_within(times: &[f64], span: f64) -> (usize, f64) {
+/// Returns the largest number of events within any window of length `span` and
+/// the start of that window. The times are sorted.
+fn max_events_within(times: &[f64], span: f64) -> (usize, f64) {
     let mut first = 0;
     let mut most = (0, 0.0);
     for (last, time) in times.iter().enumerate() {
@@ -197,20 +211,20 @@
     most
 }
 
-/// From the first to the last of some times.
+/// Returns the earliest and the latest time.
 fn span_of(times: impl Iterator<Item = f64>) -> (f64, f64) {
     times.fold((f64::MAX, f64::MIN), |(from, to), at| {
         (from.min(at), to.max(at))
     })
 }
 
-/// Calls an origin may get in five seconds.
+/// Maximum number of calls to an origin in five seconds.
 fn rate_bound(rate: f64) -> f64 {
     (rate * 5.0 * 1.1).floor().max(1.0)
 }
 
 impl Checker {
-    /// Reads the record that a run left in a folder.
+    /// Reads the record of a run from a folder.
     pub fn read(folder: &Path, deployment: &Deployment) -> Result<Checker> {
         let mut checker = Checker {
             callers: read_records(&folder.join("callers.jsonl"))?,
@@ -226,30 +240,31 @@
         Ok(checker)
     }
 
-    /// Each rule with its cases, in the order of [`RULES`].
+    /// Returns each rule with its cases, in the order of [`RULES`].
     pub fn cases(&self) -> Vec<(&'static str, Cases)> {
         RULES
             .iter()
-            .map(|(rule, judge)| (*rule, judge(self)))
+            .map(|(rule, collect)| (*rule, collect(self)))
             .collect()
     }
 
-    /// Each rule with what came of it.
+    /// Returns each rule with its result.
     pub fn verdicts(&self) -> Vec<(&'static str, Verdict)> {
         self.cases()
             .into_iter()
-            .map(|(never, cases)| (never, cases.verdict()))
+            .map(|(rule, cases)| (rule, cases.verdict()))
             .collect()
     }
 
-    /// How many faults of each kind fell in a span of each never.
+    /// Returns, for each kind of fault, the number of faults within the
+    /// spans of each rule.
     pub fn coverage(&self, cases: &[(&'static str, Cases)]) -> BTreeMap<String, [usize; JUDGED]> {
         let mut table: BTreeMap<String, [usize; JUDGED]> = BTreeMap::new();
-        for (never, (_, cases)) in cases.iter().enumerate() {
-            let merged = cases.merged();
-            for fault in self.fleet.iter().filter(|one| one.what == "fault") {
+        for (rule, (_, cases)) in cases.iter().enumerate() {
+            let merged = cases.merged_spans();
+            for fault in self.fleet.iter().filter(|record| record.what == "fault") {
                 let row = table.entry(fault.subject.clone()).or_default();
-                row[never] += usize::from(Cases::covers(&merged, fault.at));
+                row[rule] += usize::from(Cases::is_covered(&merged, fault.at));
             }
         }
         table
--- a/stand-ins/src/checker/configuration.rs
+++ b/stand-ins/src/checker/configuration.rs
@@ -1,55 +1,63 @@
-//! Rules on the configuration: in force in time, never older, never invalid.
+//! Rules on the configuration: in effect in time, never reverted, never
+//! invalid.
 use super::*;
 
-/// Observations that an invalid configuration had no effect and that what is
-/// read back is what was put.
+/// Observations that an invalid configuration had no effect, and that a read
+/// returns the configuration that was written.
 const INTEGRITY_RECORDS: [&str; 4] = [
     "read-back",
     "invalid-refused",
     "invalid-marker",
     "order-again",
 ];
-/// Before an integrity observation, in seconds: a fault within counts for it.
+/// Time in seconds before an integrity observation in which a fault exercises
+/// the rule.
 const INTEGRITY_SPAN: f64 = 5.0;
 
-/// Versions as the record of a fleet is followed in time.
+/// Configuration versions up to the current point of the record.
 #[derive(Default)]
 struct VersionHistory<'a> {
-    /// The last version each edge applied.
+    /// Last version that each edge applied.
     applied: HashMap<&'a str, u64>,
-    /// When each version was acknowledged.
+    /// Time of acknowledgement and version, in seconds.
     acknowledged: Vec<(f64, u64)>,
 }
 
 impl<'a> VersionHistory<'a> {
-    /// The newest version acknowledged more than the bound before `at`.
-    fn due(&self, at: f64) -> u64 {
+    /// Returns the newest version acknowledged more than the bound before
+    /// `at`, which has to be in effect by then.
+    fn required_version(&self, at: f64) -> u64 {
         self.acknowledged
             .iter()
-            .filter(|(acknowledged, _)| at > acknowledged + IN_FORCE)
+            .filter(|(acknowledged, _)| at > acknowledged + MAX_CONFIGURATION_DELAY_S)
             .map(|(_, version)| *version)
             .max()
             .unwrap_or(0)
     }
 
-    /// Judges a version that an edge applied.
+    /// Checks a version that an edge applied.
     fn apply(&mut self, record: &'a FleetRecord, cases: &mut Cases) {
         let before = self
             .applied
             .insert(&record.subject, record.number)
             .unwrap_or(0);
-        let due = self.due(record.at);
-        let good = record.number >= before && record.number >= due;
-        cases.case((record.at - IN_FORCE, record.at), good, || {
-            format!(
-                "{} took version {} at {:.3} after {before}, {due} being in force",
-                record.subject, record.number, record.at
-            )
-        });
+        let required = self.required_version(record.at);
+        let is_compliant = record.number >= before && record.number >= required;
+        cases.add_case(
+            (record.at - MAX_CONFIGURATION_DELAY_S, record.at),
+            is_compliant,
+            || {
+                format!(
+                    "{} applied version {} at {:.3} after {before}; {required} was required",
+                    record.subject, record.number, record.at
+                )
+            },
+        );
     }
 
-    /// A restarted edge may come back with any version not yet acknowledged.
-    fn restart(&mut self, subject: &'a str) {
+    /// Records the restart of an edge, after which any version that was not
+    /// acknowledged may be undone.
+    fn record_restart(&mut self, subject: &'a str) {
         let newest = self
             .acknowledged
             .iter()
@@ -63,9 +71,12 @@
 }
 
 impl Checker {
-    /// The runner looks at every edge for markers of acknowledged versions, and
-    /// for those an acknowledged version took away; and every table an edge
-    /// took is in the record with its version.
+    /// Checks that acknowledged configurations take effect in time and that
+    /// no edge reverts.
+    ///
+    /// The runner polls every edge for marker entries that an acknowledged
+    /// version added or removed. The record also contains the version of
+    /// every configuration that an edge applied.
     pub(super) fn configuration_in_force(&self) -> Cases {
         let mut cases = Cases::default();
         self.judge_markers("marker", "configured", &mut cases);
@@ -74,10 +85,13 @@
         cases
     }
 
-    /// Observations of markers against the acknowledgement they follow.
+    /// Checks the observations of markers against their acknowledgements.
     fn judge_markers(&self, observation: &str, acknowledgement: &str, cases: &mut Cases) {
         let mut known: BTreeMap<u64, Option<f64>> = BTreeMap::new();
-        let observed = self.fleet.iter().filter(|one| one.what == observation);
+        let observed = self
+            .fleet
+            .iter()
+            .filter(|record| record.what == observation);
         for marker in observed {
             let Some(acknowledged) = *known
                 .entry(marker.number)
@@ -87,18 +101,21 @@
             };
             if !marker.good && marker.at > acknowledged {
                 let after = marker.at - acknowledged;
-                cases.margin(after / IN_FORCE, || {
+                cases.record_margin(after / MAX_CONFIGURATION_DELAY_S, || {
                     format!(
-                        "{observation} {} not yet so {after:.3} s after",
+                        "{observation} {} not observed after {after:.3} s",
                         marker.number
                     )
                 });
             }
-            if marker.at > acknowledged + IN_FORCE {
-                let span = (acknowledged - GRACE, acknowledged + IN_FORCE);
-                cases.case(span, marker.good, || {
+            if marker.at > acknowledged + MAX_CONFIGURATION_DELAY_S {
+                let span = (
+                    acknowledged - GRACE,
+                    acknowledged + MAX_CONFIGURATION_DELAY_S,
+                );
+                cases.add_case(span, marker.good, || {
                     format!(
-                        "{observation} {} not so at {} at {:.3}",
+                        "{observation} {} not observed at {} at {:.3}",
                         marker.number, marker.subject, marker.at
                     )
                 });
@@ -106,31 +123,34 @@
         }
     }
 
-    /// When the first good record of this kind and number was made.
+    /// Returns the time of the first good record of this kind and number,
+    /// in seconds.
     fn good_record_at(&self, what: &str, number: u64) -> Option<f64> {
         self.fleet
             .iter()
-            .find(|one| one.what == what && one.number == number && one.good)
-            .map(|one| one.at)
+            .find(|record| record.what == what && record.number == number && record.good)
+            .map(|record| record.at)
     }
 
-    /// An edge takes versions in rising order, over its restarts too as far
-    /// as they were acknowledged; and nothing older than what was
-    /// acknowledged 2.5 s ago.
+    /// Checks that each edge applies versions in rising order (across
+    /// restarts, this holds for acknowledged versions) and no version older
+    /// than record acknowledged more than 2.5 s ago.
     fn judge_versions(&self, cases: &mut Cases) {
         let mut history = VersionHistory::default();
         for record in &self.fleet {
             match record.what.as_str() {
                 "acknowledged" => history.acknowledged.push((record.at, record.number)),
                 "in-force" => history.apply(record, cases),
-                "killed" | "restarted" if record.number == 0 => history.restart(&record.subject),
-                // All that knew of earlier ones is gone.
+                "killed" | "restarted" if record.number == 0 => {
+                    history.record_restart(&record.subject)
+                }
+                // No node with an earlier version is left.
                 "all-lost" => history = VersionHistory::default(),
-                // Only the simulator sees these: what was in force at the very
-                // moment of the acknowledgement, and assignments held by two live
-                // nodes.
+                // Records of the simulator only: the version in
+                // effect at the moment of the acknowledgement,
+                // and assignments held by two live nodes.
                 "at-ack" | "duty-held-twice" => {
-                    cases.case((record.at - GRACE, record.at), record.good, || {
+                    cases.add_case((record.at - GRACE, record.at), record.good, || {
                         format!(
                             "{} {} {} at {:.3}",
                             record.what, record.subject, record.number, record.at
@@ -142,15 +162,16 @@
         }
     }
 
-    /// An invalid configuration has no effect, and reads return what was put.
+    /// Checks that an invalid configuration has no effect, and that a read
+    /// returns what was written.
     pub(super) fn configuration_integrity(&self) -> Cases {
         let mut cases = Cases::default();
         let observed = self
             .fleet
             .iter()
-            .filter(|one| INTEGRITY_RECORDS.contains(&one.what.as_str()));
+            .filter(|record| INTEGRITY_RECORDS.contains(&record.what.as_str()));
         for record in observed {
-            cases.case((record.at - INTEGRITY_SPAN, record.at), record.good, || {
+            cases.add_case((record.at - INTEGRITY_SPAN, record.at), record.good, || {
                 format!("{} {} {}", record.what, record.subject, record.number)
             });
         }
--- a/stand-ins/src/checker/figures.rs
+++ b/stand-ins/src/checker/figures.rs
@@ -1,8 +1,10 @@
-//! Figures of a record: success shares, gaps and calls against the rate.
+//! Statistics of a record: share of successes, gaps, and calls relative to the
+//! rate.
 use super::*;
 
 impl Checker {
-    /// The longest time in which errands ended and none with success.
+    /// Returns the longest time between two successful requests, in
+    /// seconds.
     pub fn longest_gap(&self) -> f64 {
         let mut ends: Vec<f64> = self
             .callers
@@ -16,24 +18,25 @@
             .fold(0.0, f64::max)
     }
 
-    /// For each service, the most calls to one origin in 5 s, of what it may get.
+    /// Returns, for each service, the largest number of calls to one origin
+    /// in 5 s and the limit.
     pub fn calls_against_rate(&self) -> String {
-        let mut most: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut max_calls: BTreeMap<&str, usize> = BTreeMap::new();
         for ((service, _), list) in self.calls_by_origin() {
-            let known = most.entry(service).or_default();
-            *known = (*known).max(most_within(&list, 5.0).0);
+            let max_of_service = max_calls.entry(service).or_default();
+            *max_of_service = (*max_of_service).max(max_events_within(&list, 5.0).0);
         }
-        let one = |(service, rate): (&String, &f64)| {
+        let line = |(service, rate): (&String, &f64)| {
             format!(
                 "{service}: at most {} calls in 5 s of {}",
-                most.get(service.as_str()).unwrap_or(&0),
+                max_calls.get(service.as_str()).unwrap_or(&0),
                 rate * 5.0
             )
         };
-        self.rates.iter().map(one).collect::<Vec<_>>().join(", ")
+        self.rates.iter().map(line).collect::<Vec<_>>().join(", ")
     }
 
-    /// Errands that were not served, by status and code.
+    /// Counts unsuccessful requests by status and error code.
     pub fn other_answers(&self) -> BTreeMap<(u16, &str), usize> {
         let mut codes = BTreeMap::new();
         for call in self.callers.iter().filter(|call| call.status != 200) {
@@ -42,7 +45,7 @@
         codes
     }
 
-    /// Share of errands with a success, by rank.
+    /// Counts successful and all requests by rank.
     pub fn shares(&self) -> BTreeMap<u32, (usize, usize)> {
         let mut shares: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
         for call in &self.callers {
--- a/stand-ins/src/checker/operations.rs
+++ b/stand-ins/src/checker/operations.rs
@@ -1,69 +1,80 @@
-//! Rules on operations: a key runs once, and "not run" is final.
+//! Rules on operations: a key is executed once, and "not run" is final.
 use super::*;
 
 impl Checker {
-    pub(super) fn runs(&self) -> BTreeMap<&str, Vec<f64>> {
-        let mut runs: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+    pub(super) fn executions_by_key(&self) -> BTreeMap<&str, Vec<f64>> {
+        let mut executions: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for call in &self.origins {
             if let Some(operation) = &call.operation {
-                runs.entry(operation).or_default().push(call.at);
+                executions.entry(operation).or_default().push(call.at);
             }
         }
-        runs
+        executions
     }
 
-    pub(super) fn attempts(&self) -> BTreeMap<&str, Vec<&CallerRecord>> {
-        let mut tries: BTreeMap<&str, Vec<&CallerRecord>> = BTreeMap::new();
+    pub(super) fn attempts_by_key(&self) -> BTreeMap<&str, Vec<&CallerRecord>> {
+        let mut attempts: BTreeMap<&str, Vec<&CallerRecord>> = BTreeMap::new();
         for call in &self.callers {
             if let Some(operation) = &call.operation {
-                tries.entry(operation).or_default().push(call);
+                attempts.entry(operation).or_default().push(call);
             }
         }
-        tries
+        attempts
     }
 
-    /// Exercised by every key that was sent more than once.
-    pub(super) fn runs_twice(&self) -> Cases {
+    /// Checks that no key is executed twice; exercised by every key that
+    /// was sent more than once.
+    pub(super) fn repeated_executions(&self) -> Cases {
         let mut cases = Cases::default();
-        let runs = self.runs();
-        let tries = self.attempts();
-        let keys: BTreeSet<&str> = runs.keys().chain(tries.keys()).copied().collect();
+        let executions = self.executions_by_key();
+        let attempts = self.attempts_by_key();
+        let keys: BTreeSet<&str> = executions.keys().chain(attempts.keys()).copied().collect();
         for key in keys {
-            let count = runs.get(key).map_or(0, Vec::len);
-            let list = tries.get(key).map_or(&[][..], Vec::as_slice);
-            if count > 1 || list.len() > 1 {
-                let from = list.iter().map(|one| one.start).fold(f64::MAX, f64::min);
-                let to = list.iter().map(|one| one.end).fold(f64::MIN, f64::max);
-                cases.case((from, to), count <= 1, || {
-                    format!("{key} ran {count} times, at {:?}", runs[key])
+            let count = executions.get(key).map_or(0, Vec::len);
+            let attempts_of_key = attempts.get(key).map_or(&[][..], Vec::as_slice);
+            if count > 1 || attempts_of_key.len() > 1 {
+                let from = attempts_of_key
+                    .iter()
+                    .map(|attempt| attempt.start)
+                    .fold(f64::MAX, f64::min);
+                let to = attempts_of_key
+                    .iter()
+                    .map(|attempt| attempt.end)
+                    .fold(f64::MIN, f64::max);
+                cases.add_case((from, to), count <= 1, || {
+                    format!("{key} was executed {count} times, at {:?}", executions[key])
                 });
             }
         }
         cases
     }
 
-    pub(super) fn not_run_ran(&self) -> Cases {
+    pub(super) fn executions_after_not_run(&self) -> Cases {
         let mut cases = Cases::default();
-        let runs = self.runs();
-        for (key, tries) in self.attempts() {
-            let Some(first) = tries.iter().find(|one| one.outcome == "not_run") else {
+        let executions = self.executions_by_key();
+        for (key, attempts) in self.attempts_by_key() {
+            let Some(first) = attempts.iter().find(|attempt| attempt.outcome == "not_run") else {
                 continue;
             };
-            // A run belongs to some attempt that was under way, or whose end
-            // did not say "not run".
-            let bad = runs.get(key).into_iter().flatten().find(|at| {
-                !tries
-                    .iter()
-                    .any(|one| one.start <= **at && (one.end >= **at || one.outcome != "not_run"))
+            // An execution is legitimate if some attempt was in
+            // progress, or had not ended with "not run".
+            let illegitimate = executions.get(key).into_iter().flatten().find(|at| {
+                !attempts.iter().any(|attempt| {
+                    attempt.start <= **at && (attempt.end >= **at || attempt.outcome != "not_run")
+                })
             });
-            let only = tries.iter().all(|one| one.outcome == "not_run") && runs.contains_key(key);
-            let to = tries
+            let contradicts_all_attempts =
+                attempts.iter().all(|attempt| attempt.outcome == "not_run")
+                    && executions.contains_key(key);
+            let to = attempts
                 .iter()
-                .map(|one| one.end)
+                .map(|attempt| attempt.end)
                 .fold(first.end + GRACE, f64::max);
-            cases.case((first.start, to), bad.is_none() && !only, || {
-                format!("{key} ran at {bad:?} after \"not run\"")
-            });
+            cases.add_case(
+                (first.start, to),
+                illegitimate.is_none() && !contradicts_all_attempts,
+                || format!("{key} was executed at {illegitimate:?} after \"not run\""),
+            );
         }
         cases
     }
--- a/stand-ins/src/checker/origins.rs
+++ b/stand-ins/src/checker/origins.rs
@@ -1,27 +1,35 @@
-//! Rules on origins: draining ones are left alone, retries and rates are bounded.
+//! Rules on origins: no calls to draining origins; bounded retries and call
+//! rates.
 use super::*;
 
 impl Checker {
-    /// "Learned" is when the platform's call was read by a node that could
-    /// take it, not when it was answered.
-    pub(super) fn leaving_called(&self) -> Cases {
+    /// Checks that draining origins and origins of other services get no
+    /// calls.
+    ///
+    /// The time counts from when a node that could apply the platform's
+    /// request read it, not from its response.
+    pub(super) fn calls_to_draining_origins(&self) -> Cases {
         let mut cases = Cases::default();
-        for left in self.fleet.iter().filter(|one| one.what == "leaving") {
+        for drained in self.fleet.iter().filter(|record| record.what == "leaving") {
             let calls = || {
                 self.origins
                     .iter()
-                    .filter(|call| call.instance == left.subject && call.at > left.at)
+                    .filter(|call| call.instance == drained.subject && call.at > drained.at)
             };
-            if let Some(last) = calls().map(|call| call.at - left.at).max_by(f64::total_cmp) {
-                cases.margin(last / GRACE, || format!("the last call {last:.3} s after"));
+            if let Some(last) = calls()
+                .map(|call| call.at - drained.at)
+                .max_by(f64::total_cmp)
+            {
+                cases.record_margin(last / GRACE, || format!("the last call {last:.3} s after"));
             }
-            let count = calls().filter(|call| call.at > left.at + GRACE).count();
-            cases.case((left.at - GRACE, left.at + GRACE), count == 0, || {
-                format!("{} was called {count} times after 2 s", left.subject)
+            let count = calls().filter(|call| call.at > drained.at + GRACE).count();
+            cases.add_case((drained.at - GRACE, drained.at + GRACE), count == 0, || {
+                format!("{} was called {count} times after 2 s", drained.subject)
             });
         }
-        // A probe carries nobody's request and is how another service at an
-        // address is found out; but only where an allowed one was listed.
+        // A health check carries no client request, and it detects that
+        // another service uses an address. It is allowed only at
+        // addresses that were listed for an allowed service.
         let allowed: BTreeSet<&String> = self.rates.keys().collect();
         let listed: BTreeSet<&String> = self
             .origins
@@ -34,10 +42,10 @@
             .iter()
             .filter(|call| !allowed.contains(&call.service))
         {
-            let good = call.probe && listed.contains(&call.address);
-            cases.case((call.at - GRACE, call.at), good, || {
+            let is_allowed = call.probe && listed.contains(&call.address);
+            cases.add_case((call.at - GRACE, call.at), is_allowed, || {
                 format!(
-                    "{} at {} is of service {}",
+                    "{} at {} belongs to service {}",
                     call.path, call.address, call.service
                 )
             });
@@ -45,56 +53,58 @@
         cases
     }
 
-    /// A probe repeats nobody's request and is no extra try; it counts against
-    /// the rate.
-    pub(super) fn extra_tries(&self) -> Cases {
+    /// Checks the retry budget.
+    ///
+    /// A health check repeats no client request and is not a retry, but it
+    /// counts against the rate.
+    pub(super) fn retries_over_budget(&self) -> Cases {
         let mut cases = Cases::default();
         for service in self.rates.keys() {
-            let mut known = HashSet::new();
-            let (mut firsts, mut extras) = (Vec::new(), Vec::new());
+            let mut known_requests = HashSet::new();
+            let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
             for call in self
                 .origins
                 .iter()
                 .filter(|call| call.service == *service && !call.probe)
             {
-                if known.insert(&call.request) {
-                    firsts.push(call.at)
+                if known_requests.insert(&call.request) {
+                    first_attempts.push(call.at)
                 } else {
-                    extras.push(call.at)
+                    retries.push(call.at)
                 }
             }
-            for at in &extras {
-                let within = |list: &[f64]| {
+            for at in &retries {
+                let count_recent = |list: &[f64]| {
                     list.partition_point(|time| *time <= *at)
                         - list.partition_point(|time| *time <= at - 10.0)
                 };
-                let (first, extra) = (within(&firsts), within(&extras));
-                let bound = first as f64 * 0.2 + ALLOWANCE;
-                cases.margin(extra as f64 / bound, || {
-                    format!("{service}: {extra} extra of {first} first tries")
+                let (first, retry_count) = (count_recent(&first_attempts), count_recent(&retries));
+                let bound = first as f64 * 0.2 + RETRY_ALLOWANCE;
+                cases.record_margin(retry_count as f64 / bound, || {
+                    format!("{service}: {retry_count} retries, {first} first attempts")
                 });
-                cases.case((at - 10.0, *at), extra as f64 <= bound, || {
-                    format!("{service}: {extra} extra of {first} first tries at {at:.3}")
+                cases.add_case((at - 10.0, *at), retry_count as f64 <= bound, || {
+                    format!("{service}: {retry_count} retries, {first} first attempts at {at:.3}")
                 });
             }
         }
         cases
     }
 
-    /// Every origin counts; the span is the fullest five seconds.
-    pub(super) fn over_rate(&self) -> Cases {
+    /// Checks the rate of each origin in its busiest five seconds.
+    pub(super) fn calls_over_rate(&self) -> Cases {
         let mut cases = Cases::default();
         for ((service, address), list) in self.calls_by_origin() {
             let Some(rate) = self.rates.get(service) else {
                 continue;
             };
-            let (most, from) = most_within(&list, 5.0);
+            let (max_calls, from) = max_events_within(&list, 5.0);
             let bound = rate_bound(*rate);
-            cases.margin(most as f64 / bound, || {
-                format!("{service}: {most} calls in 5 s at {rate}/s")
+            cases.record_margin(max_calls as f64 / bound, || {
+                format!("{service}: {max_calls} calls in 5 s at {rate}/s")
             });
-            cases.case((from, from + 5.0), most as f64 <= bound, || {
-                format!("{address}: {most} calls in 5 s at {rate}/s, from {from:.3}")
+            cases.add_case((from, from + 5.0), max_calls as f64 <= bound, || {
+                format!("{address}: {max_calls} calls in 5 s at {rate}/s, from {from:.3}")
             });
         }
         cases
--- a/stand-ins/src/checker/requests.rs
+++ b/stand-ins/src/checker/requests.rs
@@ -1,33 +1,36 @@
-//! Rules on requests: planned changes drop none, disconnected clients cost no work.
+//! Rules on requests: planned changes drop no request; no work for disconnected
+//! clients.
 use super::*;
 
-/// After a planned change, in seconds: requests that began in it are judged.
+/// Time in seconds after a planned change in which new requests are checked.
 const PLANNED_SPAN: f64 = 10.0;
-/// Around the kill of an edge, in seconds: its requests may be dropped.
+/// Time in seconds before and after an edge is killed in which it may drop
+/// requests.
 const KILL_SPAN: f64 = 0.5;
 
-/// When the planned changes, the unplanned faults and the kills happened.
+/// Times of the planned changes, the unplanned faults and the kills.
 struct FaultTimes<'a> {
     planned: Vec<f64>,
     unplanned: Vec<f64>,
-    /// By the address of the edge.
+    /// Addresses of killed edges and the times of the kills.
     kills: Vec<(&'a str, f64)>,
 }
 
 impl<'a> FaultTimes<'a> {
-    /// In a fault's record `good` says that it was planned.
-    fn of(fleet: &'a [FleetRecord]) -> FaultTimes<'a> {
+    /// Collects the times from a fleet's records. For a fault, `good` means
+    /// that it was planned.
+    fn from_records(fleet: &'a [FleetRecord]) -> FaultTimes<'a> {
         let times = |planned: bool| {
             fleet
                 .iter()
-                .filter(|one| one.what == "fault" && one.good == planned)
-                .map(|one| one.at)
+                .filter(|record| record.what == "fault" && record.good == planned)
+                .map(|record| record.at)
                 .collect()
         };
         let kills = fleet
             .iter()
-            .filter(|one| one.what == "killed")
-            .map(|one| (one.subject.as_str(), one.at))
+            .filter(|record| record.what == "killed")
+            .map(|record| (record.subject.as_str(), record.at))
             .collect();
         FaultTimes {
             planned: times(true),
@@ -36,49 +39,53 @@
         }
     }
 
-    /// Whether the request's edge was killed while it was in flight.
-    fn killed(&self, call: &CallerRecord) -> bool {
+    /// Returns true if the edge of the request was killed while the request
+    /// was in flight.
+    fn was_edge_killed(&self, call: &CallerRecord) -> bool {
         self.kills.iter().any(|(edge, at)| {
             *edge == call.edge && call.start < at + KILL_SPAN && call.end > at - KILL_SPAN
         })
     }
 
-    /// Whether nothing unplanned explains a refusal of the request.
-    fn calm(&self, call: &CallerRecord) -> bool {
-        // The closing after a loss outlasts the rest of it.
+    /// Returns true if no unplanned fault explains a rejection of the
+    /// request.
+    fn is_unaffected_by_faults(&self, call: &CallerRecord) -> bool {
+        // After a loss the ledger is closed for longer than the other
+        // effects last.
         let span = if call.code == "ledger_recovering" {
-            CLOSED
+            MAX_LEDGER_RECOVERY_S
         } else {
-            CALM
+            FAULT_EFFECT_S
         };
         !any_within(&self.unplanned, call.start - span, call.end)
     }
 }
 
-/// Whether any of the times lies from `from` to `to`, both included.
+/// Returns true if any of the times is between `from` and `to`, inclusive.
 fn any_within(times: &[f64], from: f64, to: f64) -> bool {
     times.iter().any(|at| *at >= from && *at <= to)
 }
 
 impl Checker {
-    /// A request that was read in full and got no answer, or a refusal that
-    /// only the planned change explains. Nothing unplanned shortly before or
-    /// meanwhile; a node that was killed may drop.
-    pub(super) fn dropped(&self) -> Cases {
+    /// Checks that no completely read request is left without a response,
+    /// or is rejected because of a planned change alone. Requests with an
+    /// unplanned fault shortly before or during them may be rejected, and
+    /// an edge that is killed may drop its requests.
+    pub(super) fn dropped_requests(&self) -> Cases {
         let mut cases = Cases::default();
-        let times = FaultTimes::of(&self.fleet);
+        let times = FaultTimes::from_records(&self.fleet);
         for call in &self.callers {
             if !any_within(&times.planned, call.start - PLANNED_SPAN, call.end) {
                 continue;
             }
-            // A connection that was refused was not read.
-            let read = call.status != 0 || call.dropped;
-            let refused = read
-                && times.calm(call)
+            // A request on a refused connection was not read.
+            let was_read = call.status != 0 || call.dropped;
+            let rejected = was_read
+                && times.is_unaffected_by_faults(call)
                 && call.status != 200
-                && !CLEAN.contains(&call.code.as_str());
-            let bad = (call.dropped || refused) && !times.killed(call);
-            cases.case((call.start, call.end), !bad, || {
+                && !ALLOWED_REJECTION_CODES.contains(&call.code.as_str());
+            let is_violation = (call.dropped || rejected) && !times.was_edge_killed(call);
+            cases.add_case((call.start, call.end), !is_violation, || {
                 format!(
                     "{} at {} at {:.3}: {} {}",
                     call.path, call.edge, call.start, call.status, call.code
@@ -88,16 +95,17 @@
         cases
     }
 
-    /// Exercised by each caller that leaves early; broken by each request that is
-    /// sent long after that, and by what an edge itself counts as abandoned.
+    /// Checks that work ends when a client disconnects early. A violation
+    /// is a request that is sent to an origin long after the disconnect,
+    /// and any work that an edge itself reports as abandoned.
     pub(super) fn abandoned_work(&self) -> Cases {
         let mut cases = Cases::default();
         let observed = self
             .fleet
             .iter()
-            .filter(|one| ["abandoned-work", "caller-left"].contains(&one.what.as_str()));
+            .filter(|record| ["abandoned-work", "caller-left"].contains(&record.what.as_str()));
         for record in observed {
-            cases.case((record.at, record.at), record.good, || {
+            cases.add_case((record.at, record.at), record.good, || {
                 record.subject.clone()
             });
         }
--- a/stand-ins/src/checker/successes.rs
+++ b/stand-ins/src/checker/successes.rs
@@ -1,36 +1,39 @@
-//! Rules on successful responses: the caller's own, fresh after a purge and within the TTL.
+//! Rules on successful responses: for the request itself, fresh after a purge,
+//! within the TTL.
 use super::*;
 
 impl Checker {
-    pub(super) fn foreign_success(&self) -> Cases {
+    pub(super) fn mismatched_successes(&self) -> Cases {
         let mut cases = Cases::default();
         for call in self.callers.iter().filter(|call| call.status == 200) {
-            cases.case((call.start, call.end), call.fits, || {
+            cases.add_case((call.start, call.end), call.fits, || {
                 format!("{} at {} {:?}", call.path, call.edge, call.operation)
             });
         }
         cases
     }
 
-    /// Times at which content was replaced, and the version since then.
-    pub(super) fn replaced(&self) -> Vec<(f64, u64)> {
+    /// Returns the times at which content changed, with the new version.
+    pub(super) fn content_changes(&self) -> Vec<(f64, u64)> {
         self.fleet
             .iter()
-            .filter(|one| one.what == "content")
-            .map(|one| (one.at, one.number))
+            .filter(|record| record.what == "content")
+            .map(|record| (record.at, record.number))
             .collect()
     }
 
-    /// Judged by when a request began: an answer that was on its way when the
-    /// bound passed was asked for before it.
+    /// Checks that no stale response is served after a purge.
+    ///
+    /// The start of the request counts: a response in transit when the
+    /// bound passed belongs to an earlier request.
     pub(super) fn served_after_purge(&self) -> Cases {
         let mut cases = Cases::default();
         for purge in self
             .fleet
             .iter()
-            .filter(|one| one.what == "purged" && one.good)
+            .filter(|record| record.what == "purged" && record.good)
         {
-            let reached = |call: &&CallerRecord| {
+            let is_affected = |call: &&CallerRecord| {
                 self.keeps.contains_key(&call.entry)
                     && call.path.starts_with(&purge.subject)
                     && call.status == 200
@@ -38,18 +41,20 @@
             for call in self
                 .callers
                 .iter()
-                .filter(reached)
+                .filter(is_affected)
                 .filter(|call| call.start > purge.at)
             {
-                let old = call.version < Some(purge.number);
-                if old {
+                let is_stale = call.version < Some(purge.number);
+                if is_stale {
                     let after = call.start - purge.at;
-                    cases.margin(after / GRACE, || format!("an old copy {after:.3} s after"));
+                    cases.record_margin(after / GRACE, || {
+                        format!("a stale response {after:.3} s after the purge")
+                    });
                 }
                 if call.start > purge.at + GRACE {
-                    cases.case((purge.at - GRACE, purge.at + GRACE), !old, || {
+                    cases.add_case((purge.at - GRACE, purge.at + GRACE), !is_stale, || {
                         format!(
-                            "{} version {:?} at {} s after purge of {}",
+                            "{} version {:?}, {} s after purge of {}",
                             call.path,
                             call.version,
                             call.start - purge.at,
@@ -64,26 +69,26 @@
 
     pub(super) fn served_beyond_ttl(&self) -> Cases {
         let mut cases = Cases::default();
-        for (at, version) in self.replaced() {
+        for (at, version) in self.content_changes() {
             for call in self
                 .callers
                 .iter()
                 .filter(|call| call.status == 200 && call.start > at)
             {
-                let Some(keep) = self.keeps.get(&call.entry) else {
+                let Some(ttl) = self.keeps.get(&call.entry) else {
                     continue;
                 };
-                let old = call.version < Some(version);
-                let after = call.start - at - *keep as f64;
-                if old {
-                    cases.margin(after / GRACE, || {
-                        format!("an old copy {after:.3} s after its keep time")
+                let is_stale = call.version < Some(version);
+                let after = call.start - at - *ttl as f64;
+                if is_stale {
+                    cases.record_margin(after / GRACE, || {
+                        format!("a stale response {after:.3} s after its TTL")
                     });
                 }
                 if after > GRACE {
-                    cases.case((at, at + *keep as f64 + GRACE), !old, || {
+                    cases.add_case((at, at + *ttl as f64 + GRACE), !is_stale, || {
                         format!(
-                            "{} version {:?}, {} s after {version} came",
+                            "{} version {:?}, {} s after the change to {version}",
                             call.path,
                             call.version,
                             call.start - at
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -1,54 +1,56 @@
-//! Linearizability of histories, judged item by item.
+//! Checks the linearizability of histories, separately for each item.
 //!
-//! A history holds calls with the times they began and ended. It is
-//! linearizable if each call can be given one moment between the two at which
-//! it took effect, so that all of them in that order are what a single copy of
-//! the item would have answered. A call whose outcome is unknown may have taken
+//! A history contains calls with their start and end times. It is linearizable
+//! if each call can be assigned a moment between the two at which it took
+//! effect, such that a single copy of the item would have given the same
+//! responses in this order. A call whose outcome is unknown may have taken
 //! effect at any time after it began, or never.
 //!
-//! The search is the one of Wing and Gong with the memory of Lowe: positions
-//! (which calls took effect, and the item's state) are tried once each.
+//! The search is the algorithm of Wing and Gong with Lowe's memoization: each
+//! search node (the calls that took effect and the item's state) is visited
+//! once.
 
 use crate::prelude::*;
 
-/// An item as a single copy would behave.
+/// Sequential specification of an item.
 pub trait Model {
-    /// What a copy holds.
+    /// State of the item.
     type State: Clone + Default + Eq + std::hash::Hash;
-    /// A call with its outcome.
+    /// Call on the item with its outcome.
     type Operation;
 
-    /// The state after the operation, if it can have its outcome in this one.
+    /// Returns the state after the operation, if its outcome is possible in
+    /// this state.
     fn apply(state: &Self::State, operation: &Self::Operation) -> Option<Self::State>;
 }
 
-/// One call of a history.
+/// Call of a history.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timed<O> {
-    /// When the call began, in seconds.
+    /// Start of the call, in seconds.
     pub start: f64,
-    /// None: the outcome is unknown.
+    /// End of the call, in seconds; none if the outcome is unknown.
     pub end: Option<f64>,
-    /// What it did, as far as known.
+    /// Operation with its outcome, to the extent known.
     pub operation: O,
 }
 
-/// What came of judging one item's history.
+/// Result of checking the history of one item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judgement {
-    /// Some order explains the history.
+    /// An order explains the history.
     Linearizable,
-    /// No order explains it; the index of the earliest call that none of the
-    /// longest orders got past.
+    /// No order explains the history. The index is that of the earliest
+    /// call which none of the longest partial orders includes.
     Violated(usize),
-    /// Too many orders to try them all.
+    /// The search exceeded the limit of visited search nodes.
     Undecided,
 }
 
-/// Positions tried for one item at most.
-const MOST_POSITIONS: usize = 50_000;
+/// Maximum number of visited search nodes for one item.
+const MAX_SEARCH_NODES: usize = 50_000;
 
-/// Which calls of a history took effect, as bits.
+/// Bit set of the calls of a history that took effect.
 type Effects = Vec<u64>;
 
 fn took_effect(effects: &Effects, call: usize) -> bool {
@@ -61,32 +63,33 @@
     effects
 }
 
-/// Judges the calls on one item, in any order given.
+/// Checks the calls on one item, which may be in any order.
 pub fn judge<M: Model>(calls: &[Timed<M::Operation>]) -> Judgement {
     let none: Effects = vec![0; calls.len().div_ceil(64)];
     let mut stack = vec![(none, M::State::default())];
-    let mut tried = HashSet::new();
+    let mut visited = HashSet::new();
     let mut furthest = (0, 0);
-    while let Some(position) = stack.pop() {
-        if !tried.insert(position.clone()) {
+    while let Some(node) = stack.pop() {
+        if !visited.insert(node.clone()) {
             continue;
         }
-        if tried.len() > MOST_POSITIONS {
+        if visited.len() > MAX_SEARCH_NODES {
             return Judgement::Undecided;
         }
-        let (effects, state) = position;
-        let open = |call: &usize| !took_effect(&effects, *call);
-        // Whatever took effect next did so before the earliest open end.
+        let (effects, state) = node;
+        let is_remaining = |call: &usize| !took_effect(&effects, *call);
+        // The next call to take effect started before the earliest end
+        // of the remaining calls.
         let first_end = (0..calls.len())
-            .filter(open)
+            .filter(is_remaining)
             .filter_map(|call| calls[call].end.map(|end| (end, call)))
-            .min_by(|one, other| one.0.total_cmp(&other.0));
-        let Some((first_end, waiting)) = first_end else {
+            .min_by(|left, right| left.0.total_cmp(&right.0));
+        let Some((first_end, first_remaining)) = first_end else {
             return Judgement::Linearizable;
         };
         let count: u32 = effects.iter().map(|word| word.count_ones()).sum();
-        furthest = furthest.max((count, waiting));
-        for call in (0..calls.len()).filter(open) {
+        furthest = furthest.max((count, first_remaining));
+        for call in (0..calls.len()).filter(is_remaining) {
             if calls[call].start <= first_end
                 && let Some(next) = M::apply(&state, &calls[call].operation)
             {
@@ -97,33 +100,35 @@
     Judgement::Violated(furthest.1)
 }
 
-/// A named item to which operators give revisions: the highest holds, and each
-/// revision is accepted with one content.
+/// Named item with revisions assigned by operators: the highest revision is in
+/// effect, and each revision is accepted with one content only.
 pub struct RevisedItem;
 
-/// What an operator did with a named item.
+/// Operation of an operator on a named item.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RevisedOperation {
-    /// Confirmed, or of unknown outcome. `content` none: a removal.
+    /// Write that was confirmed or has an unknown outcome.
     Put {
-        /// The number that the operator gave.
+        /// Revision assigned by the operator.
         revision: u64,
-        /// None: a removal.
+        /// Content; none for a removal.
         content: Option<String>,
     },
-    /// Refused since this revision was accepted with another content.
+    /// Write that was rejected because this revision was accepted with
+    /// another content.
     Conflict {
-        /// The number that the operator gave.
+        /// Revision assigned by the operator.
         revision: u64,
-        /// None: a removal.
+        /// Content; none for a removal.
         content: Option<String>,
     },
-    /// What was read; none: nobody put it yet.
+    /// Read with the revision and content returned; none if the item was
+    /// never written.
     Read(Option<(u64, Option<String>)>),
 }
 
 impl Model for RevisedItem {
-    /// Contents by accepted revision; the highest stands.
+    /// Contents by accepted revision; the highest revision is in effect.
     type State = BTreeMap<u64, Option<String>>;
     type Operation = RevisedOperation;
 
@@ -138,19 +143,19 @@
                 .get(revision)
                 .is_some_and(|accepted| accepted != content),
             RevisedOperation::Read(found) => {
-                let standing = state.last_key_value();
-                let standing = standing.map(|(revision, content)| (*revision, content.clone()));
-                standing == *found
+                let current = state.last_key_value();
+                let current = current.map(|(revision, content)| (*revision, content.clone()));
+                current == *found
             }
         };
         possible.then_some(next)
     }
 }
 
-/// The document, to which the product gives versions.
+/// Configuration document with versions assigned by the control plane.
 pub struct VersionedDocument;
 
-/// The document as a single copy holds it.
+/// State of the document.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct DocumentState {
     version: DocumentVersion,
@@ -160,7 +165,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum DocumentVersion {
     Known(u64),
-    /// Of a put whose answer was lost: above this.
+    /// Version of a write whose response was lost: greater than this.
     Above(u64),
 }
 
@@ -171,14 +176,14 @@
 }
 
 impl DocumentVersion {
-    fn least(self) -> u64 {
+    fn minimum(self) -> u64 {
         match self {
             DocumentVersion::Known(version) => version,
             DocumentVersion::Above(version) => version + 1,
         }
     }
 
-    fn may_be(self, version: u64) -> bool {
+    fn can_be(self, version: u64) -> bool {
         match self {
             DocumentVersion::Known(known) => known == version,
             DocumentVersion::Above(low) => low < version,
@@ -186,26 +191,27 @@
     }
 }
 
-/// What an operator did with the document.
+/// Operation of an operator on the document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DocumentOperation {
-    /// `version` none: the outcome is unknown.
+    /// Write of the document.
     Put {
-        /// None: the outcome is unknown.
+        /// Version assigned by the control plane; none if the outcome is unknown.
         version: Option<u64>,
-        /// A digest of the document.
+        /// Digest of the document.
         content: String,
     },
-    /// Refused since this version stands and not the expected one.
+    /// Write that was rejected because this version is in effect instead of
+    /// the expected one.
     Raced {
-        /// The version that stands.
+        /// Version in effect.
         version: u64,
     },
-    /// The document as it was read.
+    /// Read of the document.
     Read {
-        /// The version that stands.
+        /// Version in effect.
         version: u64,
-        /// A digest of the document.
+        /// Digest of the document.
         content: String,
     },
 }
@@ -215,52 +221,54 @@
     type Operation = DocumentOperation;
 
     fn apply(state: &DocumentState, operation: &DocumentOperation) -> Option<DocumentState> {
-        let pinned = |version: u64| DocumentState {
+        let with_version = |version: u64| DocumentState {
             version: DocumentVersion::Known(version),
             content: state.content.clone(),
         };
         match operation {
             DocumentOperation::Put { version, content } => {
                 let version = match version {
-                    Some(version) if *version <= state.version.least() => return None,
+                    Some(version) if *version <= state.version.minimum() => return None,
                     Some(version) => DocumentVersion::Known(*version),
-                    None => DocumentVersion::Above(state.version.least()),
+                    None => DocumentVersion::Above(state.version.minimum()),
                 };
                 let content = content.clone();
                 Some(DocumentState { version, content })
             }
-            DocumentOperation::Raced { version } => {
-                state.version.may_be(*version).then(|| pinned(*version))
-            }
+            DocumentOperation::Raced { version } => state
+                .version
+                .can_be(*version)
+                .then(|| with_version(*version)),
             DocumentOperation::Read { version, content } => {
-                let same = state.version.may_be(*version) && state.content == *content;
-                same.then(|| pinned(*version))
+                let is_possible = state.version.can_be(*version) && state.content == *content;
+                is_possible.then(|| with_version(*version))
             }
         }
     }
 }
 
-/// An operation key: it runs once, and all who are answered hear of that run.
+/// Operation key: it is executed once, and every successful response is that of
+/// the execution.
 pub struct KeyedOperation;
 
-/// What happened under an operation key.
+/// Event of an operation key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyedCall {
-    /// An origin ran it.
+    /// Execution by an origin.
     Run,
-    /// A caller was given its answer, which tells the content's version.
+    /// Successful response to a client, with the version of the content.
     Responded(Option<u64>),
 }
 
-/// What is known of an operation key.
+/// State of an operation key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub enum KeyedState {
-    /// It did not run yet.
+    /// Not executed yet.
     #[default]
     NotRun,
-    /// Nobody heard of it yet.
+    /// Executed, without a response so far.
     Run,
-    /// It ran, and callers were given this version.
+    /// Executed, with responses that contain this version.
     Responded(Option<u64>),
 }
 
@@ -282,7 +290,8 @@
     }
 }
 
-/// What tells one document from another, however it is spaced; empty for none.
+/// Returns a digest of the document that does not depend on its whitespace;
+/// empty for an empty document.
 pub fn document_digest(text: &str) -> String {
     if text.is_empty() {
         return String::new();
@@ -296,14 +305,15 @@
         .collect()
 }
 
-/// A call on the document as an operator's tool saw it.
+/// Call on the document as recorded by an operator's tool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OperatorRecord {
-    /// When the call began, in seconds.
+    /// Start of the call, in seconds.
     pub start: f64,
-    /// None: no answer came, or one that does not tell the outcome.
+    /// End of the call, in seconds; none if no response arrived or the
+    /// response does not give the outcome.
     pub end: Option<f64>,
-    /// What it did, as far as known.
+    /// Operation with its outcome, to the extent known.
     pub operation: DocumentOperation,
 }
 
@@ -317,20 +327,20 @@
     }
 }
 
-/// A call on a named item as an operator's tool saw it.
+/// Call on a named item as recorded by an operator's tool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ItemRecord {
-    /// Of the item.
+    /// Name of the item.
     pub name: String,
-    /// When the call began, in seconds.
+    /// Start of the call, in seconds.
     pub start: f64,
-    /// None: the outcome is unknown.
+    /// End of the call, in seconds; none if the outcome is unknown.
     pub end: Option<f64>,
-    /// What it did, as far as known.
+    /// Operation with its outcome, to the extent known.
     pub operation: RevisedOperation,
 }
 
-/// The history of each named item.
+/// Checks the history of each named item.
 pub fn judge_items(records: &[ItemRecord]) -> BTreeMap<&str, Judgement> {
     let mut histories: BTreeMap<&str, Vec<_>> = BTreeMap::new();
     for record in records {
@@ -347,38 +357,39 @@
         .collect()
 }
 
-/// The document's history since everything was last lost, if it was: calls
-/// begun before that are of unknown outcome.
+/// Checks the history of the document since the last total loss, if there was
+/// one. Calls that began before the loss have an unknown outcome.
 pub fn judge_document(records: &[OperatorRecord], all_lost: Option<f64>) -> Judgement {
-    let from = all_lost.unwrap_or(f64::MIN);
-    let crossing = |record: &OperatorRecord| record.start < from;
+    let loss_time = all_lost.unwrap_or(f64::MIN);
+    let began_before = |record: &OperatorRecord| record.start < loss_time;
     let calls: Vec<_> = records
         .iter()
-        .filter(|record| record.end.is_none_or(|end| end >= from))
+        .filter(|record| record.end.is_none_or(|end| end >= loss_time))
         .map(|record| Timed {
-            end: record.end.filter(|_| !crossing(record)),
+            end: record.end.filter(|_| !began_before(record)),
             ..record.timed()
         })
         .collect();
     judge::<VersionedDocument>(&calls)
 }
 
-/// The history of one operation key: origins' calls and callers' answers.
-/// Attempts without an answer bind nothing: they may have run it or not.
+/// Checks the history of one operation key: executions by origins and responses
+/// to clients. Attempts without a response impose no constraint, because they
+/// may or may not have executed the operation.
 pub fn judge_key(runs: &[f64], attempts: &[&CallerRecord]) -> Judgement {
-    let ran = runs.iter().map(|at| Timed {
+    let executions = runs.iter().map(|at| Timed {
         start: *at,
         end: Some(*at),
         operation: KeyedCall::Run,
     });
-    let answered = attempts
+    let responses = attempts
         .iter()
-        .filter(|one| one.status == 200)
-        .map(|one| Timed {
-            start: one.start,
-            end: Some(one.end),
-            operation: KeyedCall::Responded(one.version),
+        .filter(|attempt| attempt.status == 200)
+        .map(|attempt| Timed {
+            start: attempt.start,
+            end: Some(attempt.end),
+            operation: KeyedCall::Responded(attempt.version),
         });
-    let calls: Vec<_> = ran.chain(answered).collect();
+    let calls: Vec<_> = executions.chain(responses).collect();
     judge::<KeyedOperation>(&calls)
 }
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what otterslip meets: origins, callers, a platform that
-//! starts and ends processes; and the checker of the twelve nevers.
+//! Test tools for otterslip: stand-in origins, clients and a process platform,
+//! and the checker of the safety rules.
 #![warn(missing_docs, unreachable_pub)]
 
 pub mod caller;
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -1,4 +1,4 @@
-//! What the files of this crate need.
+//! Common imports of this crate.
 pub use crate::caller::{CallerPlan, Traffic};
 pub use crate::checker::{Checker, JUDGED, Verdict};
 pub use crate::deployment::Deployment;
--- a/stand-ins/src/record.rs
+++ b/stand-ins/src/record.rs
@@ -1,10 +1,10 @@
-//! The record of a run: what the checker reads.
+//! Records of a run, which the checker reads.
 use crate::prelude::*;
 
-/// One call as an origin saw it.
+/// Call as recorded by an origin.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct OriginRecord {
-    /// When the call came, in seconds.
+    /// Arrival time, in seconds.
     pub at: f64,
     /// Of the origin.
     pub address: String,
@@ -12,65 +12,68 @@
     pub service: String,
     /// Of the origin.
     pub instance: String,
-    /// The request target.
+    /// Request target.
     pub path: String,
-    /// Names the request; the same in its retries.
+    /// Identifier of the request, the same in its retries.
     pub request: String,
-    /// The operation key, if it has one.
+    /// Operation key, if the request has one.
     pub operation: Option<String>,
-    /// Whether it is a health check.
+    /// True for a health check.
     pub probe: bool,
 }
 
-/// One request as a caller saw it. `status` 0: no answer came.
+/// Request as recorded by a client. Status 0 means that no response arrived.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CallerRecord {
-    /// When it was sent, in seconds.
+    /// Time at which the request was sent, in seconds.
     pub start: f64,
-    /// When it ended, in seconds.
+    /// Time at which the request ended, in seconds.
     pub end: f64,
     /// Address of the edge.
     pub edge: String,
-    /// The entry that serves it.
+    /// Entry that serves the request.
     pub entry: String,
-    /// Of the entry.
+    /// Rank of the entry.
     pub rank: u32,
-    /// The request target.
+    /// Request target.
     pub path: String,
-    /// The operation key, if it has one.
+    /// Operation key, if the request has one.
     pub operation: Option<String>,
-    /// Of the response.
+    /// Status of the response.
     pub status: u16,
-    /// The error code in the body, or why there is no response.
+    /// Error code in the body, or the reason why there is no response.
     pub code: String,
-    /// What the body says of the operation, such as `not_run`.
+    /// State of the operation according to the body, such as `not_run`.
     pub outcome: String,
-    /// The `Retry-After` header.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<String>,
     /// Version of the content in the body.
     pub version: Option<u64>,
-    /// The body is the origin's answer to this very request.
+    /// True if the body is the origin's response to this request.
     pub fits: bool,
-    /// No answer, and the request may have been read in full.
+    /// True if there is no response although the request may have been read
+    /// completely.
     pub dropped: bool,
 }
 
-/// Something the runner did or saw.
+/// Action or observation of the fleet runner.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct FleetRecord {
-    /// When, in seconds.
+    /// Time, in seconds.
     pub at: f64,
-    /// The kind of the record, such as `fault` or `purged`.
+    /// Kind of the record, such as `fault` or `purged`.
     pub what: String,
-    /// What it is about: a node, a prefix, a kind of fault.
+    /// Subject of the record: a node, a prefix or a kind of fault.
     pub subject: String,
-    /// A version or a marker, 0 if it has none.
+    /// Version or marker; 0 if there is none.
     pub number: u64,
-    /// Whether it is as it should be; of a fault: whether it was planned.
+    /// True if the observation is as required; for a fault, true if it was
+    /// planned.
     pub good: bool,
 }
 
-/// Seconds; one machine, so one clock serves all test tools.
+/// Returns the wall-clock time in seconds. All test tools run on one machine,
+/// so they share the clock.
 pub fn wall() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -78,13 +81,13 @@
         .as_secs_f64()
 }
 
-/// Appends lines of JSON to a file.
+/// Appends records to a file as JSON lines.
 pub struct Recorder {
     file: Mutex<std::io::BufWriter<File>>,
 }
 
 impl Recorder {
-    /// Opens a file, which is made if there is none.
+    /// Opens a file for appending and creates it if necessary.
     pub fn open(path: &Path) -> Result<Recorder> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         Ok(Recorder {
@@ -92,7 +95,7 @@
         })
     }
 
-    /// Appends a record; one that cannot be written is lost.
+    /// Appends a record. A record that cannot be written is discarded.
     pub fn put(&self, record: &impl Serialize) {
         let mut line = serde_json::to_vec(record).unwrap_or_default();
         line.push(b'\n');
@@ -101,7 +104,7 @@
     }
 }
 
-/// All records of a file; lines that do not parse are passed over.
+/// Reads all records of a file and skips lines that do not parse.
 pub fn read_records<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<Vec<T>> {
     let text = fs::read_to_string(path).with_context(|| path.display().to_string())?;
     Ok(text
--- a/stand-ins/src/schema_check.rs
+++ b/stand-ins/src/schema_check.rs
@@ -1,13 +1,13 @@
-//! Checks calls and responses against the schema of remote calls.
+//! Checks requests and responses against the schema of the operator interface.
 use crate::prelude::*;
 
-/// Holds real requests and answers against the schema file.
+/// Checks requests and responses against the schema file.
 pub struct SchemaCheck {
     schema: serde_json::Value,
 }
 
 impl SchemaCheck {
-    /// A check against the schema of this build.
+    /// Creates a check against the schema of this build.
     pub fn new() -> Result<SchemaCheck> {
         Ok(SchemaCheck {
             schema: serde_json::from_str(SCHEMA)?,
@@ -22,31 +22,32 @@
             .with_context(|| format!("{method} {path} is not in the schema"))
     }
 
-    fn check(&self, place: &serde_json::Value, body: &serde_json::Value) -> Result<()> {
-        let schema = place["content"]["application/json"]["schema"].clone();
+    fn check(&self, description: &serde_json::Value, body: &serde_json::Value) -> Result<()> {
+        let schema = description["content"]["application/json"]["schema"].clone();
         if schema.is_null() {
             return Ok(());
         }
-        let mut whole = schema;
-        whole["components"] = self.schema["components"].clone();
-        let checker = jsonschema::validator_for(&whole).map_err(|error| anyhow!("{error}"))?;
-        let found: Vec<String> = checker
+        let mut resolved = schema;
+        resolved["components"] = self.schema["components"].clone();
+        let validator = jsonschema::validator_for(&resolved).map_err(|error| anyhow!("{error}"))?;
+        let errors: Vec<String> = validator
             .iter_errors(body)
             .map(|error| format!("{} {error}", error.instance_path()))
             .collect();
-        if found.is_empty() {
+        if errors.is_empty() {
             Ok(())
         } else {
-            bail!("{}", found.join("; "))
+            bail!("{}", errors.join("; "))
         }
     }
 
-    /// A request body must fit.
+    /// Checks a request body.
     pub fn request(&self, method: &str, path: &str, body: &serde_json::Value) -> Result<()> {
         self.check(&self.operation(method, path)?["requestBody"], body)
     }
 
-    /// An answer's status must be described, and its body must fit.
+    /// Checks that the schema describes the status of a response and that
+    /// the body matches.
     pub fn answer(
         &self,
         method: &str,
@@ -54,13 +55,13 @@
         status: u16,
         body: &serde_json::Value,
     ) -> Result<()> {
-        let answers = &self.operation(method, path)?["responses"];
+        let responses = &self.operation(method, path)?["responses"];
         let class = format!("{}XX", status / 100);
-        let place = [status.to_string().as_str(), class.as_str(), "default"]
+        let description = [status.to_string().as_str(), class.as_str(), "default"]
             .iter()
-            .find_map(|name| answers.get(name));
+            .find_map(|name| responses.get(name));
         self.check(
-            place.with_context(|| {
+            description.with_context(|| {
                 format!("{method} {path}: status {status} is not in the schema")
             })?,
             body,
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -1,4 +1,5 @@
-//! The history checker: what it accepts, and that it sees bad histories.
+//! Tests of the history checker: accepts linearizable histories and detects all
+//! others.
 use stand_ins::history::*;
 use stand_ins::prelude::*;
 
@@ -36,7 +37,7 @@
     RevisedOperation::Read(Some((revision, Some(content.into()))))
 }
 
-fn revised(calls: &[Timed<RevisedOperation>]) -> Judgement {
+fn judge_item(calls: &[Timed<RevisedOperation>]) -> Judgement {
     judge::<RevisedItem>(calls)
 }
 
@@ -49,21 +50,21 @@
         timed(6.0, 7.0, conflict(2, "c")),
         timed(8.0, 9.0, read(2, "b")),
     ];
-    assert_eq!(revised(&calls), Judgement::Linearizable);
-    assert_eq!(revised(&[]), Judgement::Linearizable);
+    assert_eq!(judge_item(&calls), Judgement::Linearizable);
+    assert_eq!(judge_item(&[]), Judgement::Linearizable);
 }
 
 #[test]
 fn revision_with_two_confirmed_contents_is_not_linearizable() {
     let calls = [timed(0.0, 9.0, put(1, "a")), timed(0.0, 9.0, put(1, "b"))];
-    assert!(matches!(revised(&calls), Judgement::Violated(_)));
-    // Nor once a newer one stands.
+    assert!(matches!(judge_item(&calls), Judgement::Violated(_)));
+    // The same after a newer revision took effect.
     let calls = [
         timed(0.0, 9.0, put(1, "a")),
         timed(1.0, 2.0, put(2, "c")),
         timed(3.0, 4.0, put(1, "b")),
     ];
-    assert!(matches!(revised(&calls), Judgement::Violated(_)));
+    assert!(matches!(judge_item(&calls), Judgement::Violated(_)));
     let calls = [
         timed(0.0, 1.0, put(1, "a")),
         timed(1.5, 2.0, put(2, "c")),
@@ -71,7 +72,7 @@
         timed(5.0, 6.0, put(1, "a")),
         timed(7.0, 8.0, read(2, "c")),
     ];
-    assert_eq!(revised(&calls), Judgement::Linearizable);
+    assert_eq!(judge_item(&calls), Judgement::Linearizable);
 }
 
 #[test]
@@ -80,14 +81,14 @@
         timed(0.0, 1.0, put(1, "a")),
         timed(2.0, 3.0, RevisedOperation::Read(None)),
     ];
-    assert_eq!(revised(&lost), Judgement::Violated(1));
-    let back = [
+    assert_eq!(judge_item(&lost), Judgement::Violated(1));
+    let stale_read = [
         timed(0.0, 1.0, put(1, "a")),
         timed(0.0, 9.0, put(2, "b")),
         timed(2.0, 3.0, read(2, "b")),
         timed(4.0, 5.0, read(1, "a")),
     ];
-    assert_eq!(revised(&back), Judgement::Violated(3));
+    assert_eq!(judge_item(&stale_read), Judgement::Violated(3));
 }
 
 #[test]
@@ -96,28 +97,36 @@
         timed(0.0, 1.0, put(1, "a")),
         timed(2.0, 3.0, conflict(1, "a")),
     ];
-    assert_eq!(revised(&calls), Judgement::Violated(1));
+    assert_eq!(judge_item(&calls), Judgement::Violated(1));
 }
 
 #[test]
 fn unknown_outcome_resolves_one_way_only() {
-    let late = [
+    let late_effect = [
         unknown(0.0, put(2, "b")),
         timed(1.0, 2.0, put(1, "a")),
         timed(3.0, 4.0, read(1, "a")),
         timed(5.0, 6.0, read(2, "b")),
     ];
-    assert_eq!(revised(&late), Judgement::Linearizable);
-    assert_eq!(revised(&late[..3]), Judgement::Linearizable, "never");
-    let both = [
+    assert_eq!(judge_item(&late_effect), Judgement::Linearizable);
+    assert_eq!(
+        judge_item(&late_effect[..3]),
+        Judgement::Linearizable,
+        "the write never takes effect"
+    );
+    let undone = [
         unknown(0.0, put(2, "b")),
         timed(1.0, 2.0, read(2, "b")),
         timed(3.0, 4.0, put(1, "a")),
         timed(5.0, 6.0, read(1, "a")),
     ];
-    assert_eq!(revised(&both), Judgement::Violated(3));
-    let early = [timed(0.0, 1.0, read(1, "a")), unknown(2.0, put(1, "a"))];
-    assert_eq!(revised(&early), Judgement::Violated(0), "before it began");
+    assert_eq!(judge_item(&undone), Judgement::Violated(3));
+    let early_read = [timed(0.0, 1.0, read(1, "a")), unknown(2.0, put(1, "a"))];
+    assert_eq!(
+        judge_item(&early_read),
+        Judgement::Violated(0),
+        "read before the write began"
+    );
 }
 
 fn record(start: f64, end: Option<f64>, operation: DocumentOperation) -> OperatorRecord {
@@ -135,7 +144,7 @@
     }
 }
 
-fn seen(version: u64, content: &str) -> DocumentOperation {
+fn document_read(version: u64, content: &str) -> DocumentOperation {
     DocumentOperation::Read {
         version,
         content: content.into(),
@@ -147,15 +156,15 @@
     let good = [
         record(0.0, Some(1.0), document(Some(3), "a")),
         record(2.0, None, document(None, "b")),
-        record(3.0, Some(4.0), seen(3, "a")),
-        record(5.0, Some(6.0), seen(7, "b")),
+        record(3.0, Some(4.0), document_read(3, "a")),
+        record(5.0, Some(6.0), document_read(7, "b")),
         record(7.0, Some(8.0), DocumentOperation::Raced { version: 7 }),
     ];
     assert_eq!(judge_document(&good, None), Judgement::Linearizable);
-    let older = record(9.0, Some(10.0), seen(3, "a"));
-    let older = [good.as_slice(), &[older]].concat();
-    assert_eq!(judge_document(&older, None), Judgement::Violated(5));
-    let other = record(9.0, Some(10.0), seen(7, "c"));
+    let stale = record(9.0, Some(10.0), document_read(3, "a"));
+    let stale = [good.as_slice(), &[stale]].concat();
+    assert_eq!(judge_document(&stale, None), Judgement::Violated(5));
+    let other = record(9.0, Some(10.0), document_read(7, "c"));
     let other = [good.as_slice(), &[other]].concat();
     assert_eq!(judge_document(&other, None), Judgement::Violated(5));
     let same_version = record(9.0, Some(10.0), document(Some(7), "d"));
@@ -173,7 +182,7 @@
     assert_eq!(judge_document(&calls, Some(3.0)), Judgement::Linearizable);
 }
 
-fn answer(start: f64, end: f64, version: u64) -> CallerRecord {
+fn response(start: f64, end: f64, version: u64) -> CallerRecord {
     CallerRecord {
         start,
         end,
@@ -185,32 +194,32 @@
 
 #[test]
 fn operation_key_runs_once_with_one_response() {
-    let (first, again) = (answer(0.0, 2.0, 5), answer(3.0, 4.0, 5));
-    let refused = CallerRecord {
+    let (first, again) = (response(0.0, 2.0, 5), response(3.0, 4.0, 5));
+    let rejected = CallerRecord {
         status: 503,
-        ..answer(0.0, 0.5, 0)
+        ..response(0.0, 0.5, 0)
     };
-    let all = [&refused, &first, &again];
+    let all = [&rejected, &first, &again];
     assert_eq!(judge_key(&[1.0], &all), Judgement::Linearizable);
     assert_eq!(judge_key(&[1.0], &[]), Judgement::Linearizable);
     let violated = |runs: &[f64], attempts: &[&CallerRecord]| {
         matches!(judge_key(runs, attempts), Judgement::Violated(_))
     };
-    assert!(violated(&[1.0, 3.5], &[]), "it ran twice");
-    assert!(violated(&[2.5], &[&first]), "answered before it ran");
-    assert!(violated(&[], &[&first]), "answered without a run");
-    let other = answer(3.0, 4.0, 6);
-    assert!(violated(&[1.0], &[&first, &other]), "another answer");
+    assert!(violated(&[1.0, 3.5], &[]), "executed twice");
+    assert!(violated(&[2.5], &[&first]), "response before the execution");
+    assert!(violated(&[], &[&first]), "response without an execution");
+    let other = response(3.0, 4.0, 6);
+    assert!(violated(&[1.0], &[&first, &other]), "another response");
 }
 
 #[test]
 fn oversized_history_is_reported_undecided() {
     let mut calls: Vec<_> = (0..24).map(|at| unknown(0.0, put(at + 1, "a"))).collect();
     calls.push(timed(1.0, 2.0, read(99, "a")));
-    let judged = revised(&calls);
-    // Only the highest of those that took effect shows: still every subset is
-    // a position of its own.
-    assert_eq!(judged, Judgement::Undecided);
+    let judgement = judge_item(&calls);
+    // Only the highest revision is visible, but every subset of the writes
+    // is a separate search node.
+    assert_eq!(judgement, Judgement::Undecided);
 }
 
 #[test]
@@ -221,7 +230,7 @@
         fleet: vec![],
         operators: vec![
             record(0.0, Some(1.0), document(Some(3), "a")),
-            record(2.0, Some(3.0), seen(3, "a")),
+            record(2.0, Some(3.0), document_read(3, "a")),
         ],
         items: vec![],
         rates: BTreeMap::new(),
@@ -230,7 +239,9 @@
     let verdict = |checker: &Checker, at: usize| checker.verdicts().remove(at).1;
     assert_eq!(verdict(&checker, 12), Verdict::Held(1));
     assert_eq!(verdict(&checker, 13), Verdict::NotExercised);
-    checker.operators.push(record(4.0, Some(5.0), seen(2, "b")));
+    checker
+        .operators
+        .push(record(4.0, Some(5.0), document_read(2, "b")));
     assert!(matches!(verdict(&checker, 12), Verdict::Broken(_)));
     checker.operators.clear();
     let item = |start: f64, operation| ItemRecord {
@@ -246,7 +257,7 @@
     let key = Some("k".to_string());
     checker.callers.push(CallerRecord {
         operation: key.clone(),
-        ..answer(0.0, 2.0, 5)
+        ..response(0.0, 2.0, 5)
     });
     checker.origins.push(OriginRecord {
         at: 1.0,
@@ -256,7 +267,7 @@
     assert_eq!(verdict(&checker, 13), Verdict::Held(1));
     checker.callers.push(CallerRecord {
         operation: key,
-        ..answer(3.0, 4.0, 6)
+        ..response(3.0, 4.0, 6)
     });
     assert!(matches!(verdict(&checker, 13), Verdict::Broken(_)));
 }
