--- a/stand-ins/src/bin/platform-soak.rs
+++ b/stand-ins/src/bin/platform-soak.rs
@@ -1,4 +1,5 @@
-//! Soaks a fleet of `platform-node` processes; see `stand_ins::platform_soak`.
+//! Runs the soak test of a fleet of `platform-node` processes; see
+//! `stand_ins::platform_soak`.
 use stand_ins::platform_soak::{self, FleetShape, PlatformSoakPlan, Scenario};
 use stand_ins::prelude::*;
 
--- a/stand-ins/src/platform_soak/balancer.rs
+++ b/stand-ins/src/platform_soak/balancer.rs
@@ -1,16 +1,17 @@
-//! The platform's balancer: asks each edge whether it is ready, and chooses
-//! among those that are.
+//! Stand-in for the platform's load balancer: checks the readiness of each edge
+//! and chooses among the ready ones.
 use super::http_message::HttpMessage;
 use super::machines::Machines;
 use crate::prelude::*;
 use std::io::BufReader;
 
-/// How often each edge is asked.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// An edge without an answer by then has missed.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// After so many misses an edge gets no new connections.
-const MAX_MISSES: u32 = 2;
+/// Interval of the readiness checks of an edge.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a readiness check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of consecutive failed checks after which an edge gets no new
+/// connections.
+const MAX_FAILURES: u32 = 2;
 
 /// Chooses machines for new connections.
 pub(super) struct Balancer {
@@ -18,7 +19,7 @@
 }
 
 impl Balancer {
-    /// Watches the edges of all machines until `stop` is set.
+    /// Starts to check the edges of all machines until `stop` is set.
     pub(super) fn start(
         machines: &Arc<Machines>,
         count: usize,
@@ -36,21 +37,21 @@
     }
 
     fn watch(&self, machine: usize, address: SocketAddr, stop: &AtomicBool) {
-        let mut misses = MAX_MISSES;
+        let mut failures = MAX_FAILURES;
         while !stop.load(Ordering::Acquire) {
-            misses = if is_ready(address) { 0 } else { misses + 1 };
-            self.ready[machine].store(misses < MAX_MISSES, Ordering::Release);
-            thread::sleep(INTERVAL);
+            failures = if is_ready(address) { 0 } else { failures + 1 };
+            self.ready[machine].store(failures < MAX_FAILURES, Ordering::Release);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// The number of machines that are ready.
+    /// Number of machines that are ready.
     pub(super) fn ready_count(&self) -> usize {
         let is_set = |flag: &&AtomicBool| flag.load(Ordering::Acquire);
         self.ready.iter().filter(is_set).count()
     }
 
-    /// A ready machine; any if less than half are ready.
+    /// Chooses a ready machine, or any machine if less than half are ready.
     pub(super) fn choose(&self, random: &mut SeededRandom) -> usize {
         let ready: Vec<usize> = (0..self.ready.len())
             .filter(|machine| self.ready[*machine].load(Ordering::Acquire))
@@ -63,12 +64,12 @@
 }
 
 fn is_ready(address: SocketAddr) -> bool {
-    let ask = || -> std::io::Result<u16> {
-        let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
-        stream.set_read_timeout(Some(TIMEOUT))?;
+    let check = || -> std::io::Result<u16> {
+        let mut stream = TcpStream::connect_timeout(&address, CHECK_TIMEOUT)?;
+        stream.set_read_timeout(Some(CHECK_TIMEOUT))?;
         stream.write_all(b"GET /readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")?;
-        let answer = HttpMessage::read(&mut BufReader::new(stream))?;
-        Ok(answer.map_or(0, |answer| answer.status()))
+        let response = HttpMessage::read(&mut BufReader::new(stream))?;
+        Ok(response.map_or(0, |response| response.status()))
     };
-    ask().is_ok_and(|status| status == 200)
+    check().is_ok_and(|status| status == 200)
 }
--- a/stand-ins/src/platform_soak/http_message.rs
+++ b/stand-ins/src/platform_soak/http_message.rs
@@ -1,19 +1,19 @@
 //! Blocking reading and writing of HTTP/1.1 messages, for test tools only.
 use std::io::{self, BufRead, Write};
 
-/// A request or a response.
+/// Request or response.
 #[derive(Debug, Clone, Default)]
 pub(super) struct HttpMessage {
-    /// The request line or the status line.
+    /// Request line or status line.
     pub(super) start_line: String,
-    /// Names and values, as they were sent.
+    /// Header names and values.
     pub(super) headers: Vec<(String, String)>,
-    /// The body; its length was given by `Content-Length`.
+    /// Body, with the length given by `Content-Length`.
     pub(super) body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// A response with this status and no headers.
+    /// Creates a response with this status and no headers.
     pub(super) fn response(status: u16) -> HttpMessage {
         HttpMessage {
             start_line: format!("HTTP/1.1 {status} X"),
@@ -33,7 +33,7 @@
         self
     }
 
-    /// The first value of a header.
+    /// Returns the first value of a header.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -41,27 +41,29 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The second word of the first line: a request's target.
+    /// Returns the second word of the start line, which is the target of a
+    /// request.
     pub(super) fn target(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// The status of a response; 0 if there is none.
+    /// Returns the status of a response; 0 if there is none.
     pub(super) fn status(&self) -> u16 {
         self.target().parse().unwrap_or(0)
     }
 
-    /// Whether the sender closes the connection behind this message.
+    /// Returns true if the sender closes the connection after this message.
     pub(super) fn closes_connection(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    /// Reads one message; none: the connection ended before its first byte.
+    /// Reads a message; none if the connection ended before its first byte.
     ///
     /// # Errors
     ///
-    /// The connection failed, timed out, or ended within the message.
+    /// Returns an error if the connection failed, timed out, or ended
+    /// within the message.
     pub(super) fn read(input: &mut impl BufRead) -> io::Result<Option<HttpMessage>> {
         let Some(start_line) = read_line(input)? else {
             return Ok(None);
@@ -88,11 +90,11 @@
         Ok(Some(message))
     }
 
-    /// Writes the message with its length.
+    /// Writes the message with a `Content-Length` header.
     ///
     /// # Errors
     ///
-    /// The connection did not take all of it.
+    /// Returns an error if the message cannot be written completely.
     pub(super) fn write(&self, output: &mut impl Write) -> io::Result<()> {
         let mut bytes = format!("{}\r\n", self.start_line).into_bytes();
         for (name, value) in &self.headers {
@@ -105,7 +107,7 @@
     }
 }
 
-/// A line without its end; none at the end of the connection.
+/// Reads a line without its line ending; none at the end of the connection.
 fn read_line(input: &mut impl BufRead) -> io::Result<Option<String>> {
     let mut line = String::new();
     if input.read_line(&mut line)? == 0 {
--- a/stand-ins/src/platform_soak/instance_list.rs
+++ b/stand-ins/src/platform_soak/instance_list.rs
@@ -1,39 +1,40 @@
-//! The platform's list of origins: late, in pages, and limited in calls.
+//! Stand-in for the platform's list of origins: delayed, paginated and
+//! rate-limited.
 use super::http_message::HttpMessage;
 use crate::prelude::*;
 use std::io::BufReader;
 
-/// Calls a second, from all nodes together.
+/// Rate limit of calls per second, for all nodes together.
 pub(super) const CALLS_PER_SECOND: f64 = 50.0;
 const PAGE_ENTRIES: usize = 10;
-/// How long a slow call takes.
+/// Duration of a slow call.
 const SLOW_CALL: Duration = Duration::from_millis(600);
 
-/// One entry of the list.
+/// Entry of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct ListedInstance {
-    /// The instance.
+    /// Id of the instance.
     pub(super) id: String,
-    /// Its service.
+    /// Service of the instance.
     pub(super) service: String,
-    /// Where it listens.
+    /// Address of the instance.
     pub(super) address: SocketAddr,
-    /// Whether it is to end.
+    /// True if the instance is draining.
     pub(super) draining: bool,
 }
 
-/// How calls are answered.
+/// Response behaviour of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListMode {
-    /// At once.
-    Sound,
-    /// Late.
+    /// Responds immediately.
+    Healthy,
+    /// Responds after a delay.
     Slow,
-    /// With status 500.
+    /// Responds with status 500.
     Failing,
 }
 
-/// A version of the list, and from when on it is shown.
+/// Version of the list, with the time in seconds from which it is shown.
 struct ListVersion {
     shown_from: f64,
     instances: Vec<ListedInstance>,
@@ -41,11 +42,12 @@
 
 /// Serves the list over HTTP.
 pub(super) struct InstanceList {
-    /// Where it is served.
+    /// Address of the server.
     pub(super) address: SocketAddr,
     versions: Mutex<Vec<ListVersion>>,
     mode: Mutex<ListMode>,
-    /// Calls that may come now, and when that was counted.
+    /// Tokens of the rate limit and the time of the last update, in
+    /// seconds.
     tokens: Mutex<(f64, f64)>,
 }
 
@@ -54,13 +56,13 @@
     ///
     /// # Errors
     ///
-    /// The address is taken.
+    /// Returns an error if the address is in use.
     pub(super) fn serve(address: SocketAddr, stop: Arc<AtomicBool>) -> Result<Arc<InstanceList>> {
         let listener = TcpListener::bind(address)?;
         let list = Arc::new(InstanceList {
             address: listener.local_addr()?,
             versions: Mutex::default(),
-            mode: Mutex::new(ListMode::Sound),
+            mode: Mutex::new(ListMode::Healthy),
             tokens: Mutex::new((CALLS_PER_SECOND, wall())),
         });
         let server = list.clone();
@@ -76,7 +78,8 @@
         Ok(list)
     }
 
-    /// Shows another list once `lag_s` has passed; returns when.
+    /// Publishes another list after `lag_s`; returns the time of
+    /// publication.
     pub(super) fn set(&self, instances: Vec<ListedInstance>, lag_s: f64) -> f64 {
         let mut versions = self.versions.lock().expect("no holder panics");
         let last = versions.last().map_or(0.0, |version| version.shown_from);
@@ -88,7 +91,7 @@
         shown_from
     }
 
-    /// Sets how calls are answered from now on.
+    /// Sets the response behaviour.
     pub(super) fn set_mode(&self, mode: ListMode) {
         *self.mode.lock().expect("no holder panics") = mode;
     }
@@ -106,11 +109,11 @@
         let mut input = BufReader::new(stream);
         loop {
             let request = HttpMessage::read(&mut input).ok()??;
-            self.answer(&request).write(&mut output).ok()?;
+            self.respond(&request).write(&mut output).ok()?;
         }
     }
 
-    fn answer(&self, request: &HttpMessage) -> HttpMessage {
+    fn respond(&self, request: &HttpMessage) -> HttpMessage {
         let mode = *self.mode.lock().expect("no holder panics");
         match mode {
             _ if !self.take_token() => HttpMessage::response(429),
@@ -120,18 +123,25 @@
                 thread::sleep(SLOW_CALL);
                 page
             }
-            ListMode::Sound => self.page(request),
+            ListMode::Healthy => self.page(request),
         }
     }
 
     fn take_token(&self) -> bool {
         let mut tokens = self.tokens.lock().expect("no holder panics");
         let now = wall();
-        let (left, counted) = *tokens;
-        let left = (left + (now - counted) * CALLS_PER_SECOND).min(CALLS_PER_SECOND);
-        let taken = left >= 1.0;
-        *tokens = (if taken { left - 1.0 } else { left }, now);
-        taken
+        let (available, updated) = *tokens;
+        let available = (available + (now - updated) * CALLS_PER_SECOND).min(CALLS_PER_SECOND);
+        let is_allowed = available >= 1.0;
+        *tokens = (
+            if is_allowed {
+                available - 1.0
+            } else {
+                available
+            },
+            now,
+        );
+        is_allowed
     }
 
     fn page(&self, request: &HttpMessage) -> HttpMessage {
--- a/stand-ins/src/platform_soak/kept_client.rs
+++ b/stand-ins/src/platform_soak/keep_alive_client.rs
@@ -1,67 +1,70 @@
-//! Clients that keep their connections and use them until the process is gone.
+//! Clients with keep-alive connections, which they use until the edge closes
+//! them.
 use super::balancer::Balancer;
 use super::http_message::HttpMessage;
 use super::machines::Machines;
-use super::observations::{ClientOperation, Observations, RequestTry, RouteKind, TryOutcome};
-use super::routes::{DEADLINE_MS, HOST, RouteBook, name_of};
+use super::observations::{
+    AttemptOutcome, ClientOperation, Observations, RequestAttempt, RouteKind,
+};
+use super::routes::{DEADLINE_MS, HOST, RouteBook, route_name};
 use crate::prelude::*;
 use std::io::{BufReader, ErrorKind};
 
 const DEADLINE: Duration = Duration::from_millis(DEADLINE_MS);
-/// Beyond the deadline, for the answer's way.
+/// Time allowed beyond the deadline for the transmission of the response.
 const READ_MARGIN: Duration = Duration::from_millis(500);
-const CONNECT: Duration = Duration::from_secs(1);
-/// Clients follow `Retry-After` up to a third of their time.
-const MAX_RETRY_WAIT: Duration = Duration::from_millis(DEADLINE_MS / 3);
-/// Further tries of one operation.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum delay for `Retry-After`: a third of the deadline.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(DEADLINE_MS / 3);
+/// Number of retries of an operation.
 const RETRIES: usize = 1;
-const PIPELINED: usize = 3;
-/// Of a hundred requests on idempotent routes, so many are sent behind others.
+const PIPELINED_REQUESTS: usize = 3;
+/// Percentage of requests on idempotent routes that are pipelined.
 const PIPELINE_PERCENT: u64 = 20;
-/// Of a hundred keyed operations, so many are sent again over another edge.
+/// Percentage of keyed operations that are sent again on a new connection.
 const REPEAT_PERCENT: u64 = 5;
-/// Of a hundred clients, so many reconnect to their edge as long as it listens.
-const LOYAL_PERCENT: u64 = 50;
-/// Of a hundred pauses, so many last as long as a connection may rest.
-const REST_PERCENT: u64 = 1;
-/// Four fifths of the idle timeout of the first order.
-const REST: Duration = Duration::from_secs(12);
-const OBJECTS: u64 = 20;
-/// After a connection was refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(50);
+/// Percentage of clients that reconnect to their edge as long as it listens.
+const STICKY_PERCENT: u64 = 50;
+/// Percentage of think times that last `LONG_THINK_TIME`.
+const LONG_THINK_TIME_PERCENT: u64 = 1;
+/// Long think time: four fifths of the idle timeout in the initial order.
+const LONG_THINK_TIME: Duration = Duration::from_secs(12);
+const OBJECTS_PER_ROUTE: u64 = 20;
+/// Delay after a refused connection.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What all clients of a run share.
+/// Context that all clients of a run share.
 pub(super) struct ClientContext {
-    /// Where edges are.
+    /// Machines with the edges.
     pub(super) machines: Arc<Machines>,
-    /// Which of them get new connections.
+    /// Balancer that chooses edges for new connections.
     pub(super) balancer: Arc<Balancer>,
-    /// The routes.
+    /// Routes of the run.
     pub(super) routes: Arc<RouteBook>,
-    /// Takes the tries.
+    /// Collects the attempts.
     pub(super) observations: Arc<Observations>,
-    /// Ends the clients.
+    /// Stops the clients when set.
     pub(super) stop: Arc<AtomicBool>,
 }
 
-/// One client.
-pub(super) struct KeptClient {
+/// Client with a keep-alive connection.
+pub(super) struct KeepAliveClient {
     context: Arc<ClientContext>,
     random: SeededRandom,
     name: String,
     serial: u64,
-    loyal: bool,
-    connection: Option<KeptConnection>,
+    is_sticky: bool,
+    connection: Option<KeepAliveConnection>,
     last_machine: Option<usize>,
 }
 
-struct KeptConnection {
+struct KeepAliveConnection {
     machine: usize,
     output: TcpStream,
     input: BufReader<TcpStream>,
 }
 
-/// A request, as it is sent in each of its tries.
+/// Request, which is the same in each attempt.
 #[derive(Clone)]
 struct PlannedRequest {
     route: usize,
@@ -70,12 +73,12 @@
     object: u64,
 }
 
-impl KeptClient {
-    /// A client with draws of its own.
-    pub(super) fn new(context: Arc<ClientContext>, seed: u64, number: usize) -> KeptClient {
+impl KeepAliveClient {
+    /// Creates a client with its own random numbers.
+    pub(super) fn new(context: Arc<ClientContext>, seed: u64, number: usize) -> KeepAliveClient {
         let mut random = SeededRandom::new(seed ^ ((number as u64 + 1) << 32));
-        KeptClient {
-            loyal: random.chance(LOYAL_PERCENT),
+        KeepAliveClient {
+            is_sticky: random.chance(STICKY_PERCENT),
             context,
             random,
             name: format!("{seed}-{number}"),
@@ -94,32 +97,33 @@
             if kind == RouteKind::Idempotent && self.random.chance(PIPELINE_PERCENT) {
                 self.send_pipelined(route);
             } else {
-                self.carry_out(route, kind);
+                self.execute(route, kind);
             }
-            self.pause();
+            self.think();
         }
     }
 
-    /// Mostly short, at times as long as a connection may rest.
-    fn pause(&mut self) {
-        let pause = match self.random.below(100) {
-            number if number < REST_PERCENT => REST,
+    /// Waits for the think time: usually short, sometimes close to the idle
+    /// timeout.
+    fn think(&mut self) {
+        let think_time = match self.random.below(100) {
+            number if number < LONG_THINK_TIME_PERCENT => LONG_THINK_TIME,
             number if number < 20 => Duration::from_millis(self.random.below(300)),
             _ => Duration::from_millis(5 + self.random.below(60)),
         };
-        let until = Instant::now() + pause;
+        let until = Instant::now() + think_time;
         while Instant::now() < until && !self.context.stop.load(Ordering::Acquire) {
             thread::sleep((until - Instant::now()).min(Duration::from_millis(100)));
         }
     }
 
-    fn carry_out(&mut self, route: usize, kind: RouteKind) {
+    fn execute(&mut self, route: usize, kind: RouteKind) {
         self.serial += 1;
         let request = PlannedRequest {
             route,
             kind,
             key: (kind == RouteKind::Keyed).then(|| format!("k-{}-{}", self.name, self.serial)),
-            object: self.random.below(OBJECTS),
+            object: self.random.below(OBJECTS_PER_ROUTE),
         };
         let sent = wall();
         let mut served = false;
@@ -128,12 +132,12 @@
             if remaining.is_zero() {
                 break;
             }
-            match self.try_once(&request, remaining) {
+            match self.attempt(&request, remaining) {
                 Some((200, _)) => served = true,
-                Some((404, _)) => return, // A dropped route: nothing is owed.
-                Some((_, wait)) => {
+                Some((404, _)) => return, // The route was removed; no response is required.
+                Some((_, delay)) => {
                     self.connection = None;
-                    thread::sleep(wait.min(MAX_RETRY_WAIT));
+                    thread::sleep(delay.min(MAX_RETRY_DELAY));
                 }
                 None => {}
             }
@@ -145,19 +149,16 @@
         operations.add_operation(ClientOperation { sent, served });
         if request.key.is_some() && self.random.chance(REPEAT_PERCENT) {
             self.connection = None;
-            self.try_once(&request, DEADLINE);
+            self.attempt(&request, DEADLINE);
         }
     }
 
-    /// Sends a request once: the status, and when to come back.
-    fn try_once(
-        &mut self,
-        request: &PlannedRequest,
-        deadline: Duration,
-    ) -> Option<(u16, Duration)> {
+    /// Sends a request once; returns the status and the delay before a
+    /// retry.
+    fn attempt(&mut self, request: &PlannedRequest, deadline: Duration) -> Option<(u16, Duration)> {
         let mut connection = self.connect()?;
         let id = self.next_id();
-        let text = self.text_of(request, &id, deadline);
+        let text = self.request_text(request, &id, deadline);
         connection.output.write_all(text.as_bytes()).ok()?;
         let sent = wall();
         let (response, reusable) = self.read(&mut connection, request, id, sent, false);
@@ -165,11 +166,14 @@
             self.connection = Some(connection);
         }
         let response = response?;
-        let wait: f64 = response
+        let retry_after_s: f64 = response
             .header("Retry-After")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0.0);
-        Some((response.status(), Duration::from_secs_f64(wait.max(0.0))))
+        Some((
+            response.status(),
+            Duration::from_secs_f64(retry_after_s.max(0.0)),
+        ))
     }
 
     fn send_pipelined(&mut self, route: usize) {
@@ -180,12 +184,12 @@
             route,
             kind: RouteKind::Idempotent,
             key: None,
-            object: self.random.below(OBJECTS),
+            object: self.random.below(OBJECTS_PER_ROUTE),
         };
-        let ids: Vec<String> = (0..PIPELINED).map(|_| self.next_id()).collect();
+        let ids: Vec<String> = (0..PIPELINED_REQUESTS).map(|_| self.next_id()).collect();
         let text: String = ids
             .iter()
-            .map(|id| self.text_of(&request, id, DEADLINE))
+            .map(|id| self.request_text(&request, id, DEADLINE))
             .collect();
         if connection.output.write_all(text.as_bytes()).is_err() {
             return;
@@ -201,16 +205,17 @@
                 }
             }
             if !reusable {
-                return; // What was sent behind it counts as not read.
+                return; // Requests pipelined behind this one count as unread.
             }
         }
         self.connection = Some(connection);
     }
 
-    /// Reads one response and records the try; whether the connection goes on.
+    /// Reads a response and records the attempt; also returns true if the
+    /// connection can be reused.
     fn read(
         &mut self,
-        connection: &mut KeptConnection,
+        connection: &mut KeepAliveConnection,
         request: &PlannedRequest,
         id: String,
         sent: f64,
@@ -220,19 +225,19 @@
         let timed_out = matches!(&read, Err(error) if is_timeout(error));
         let response = read.ok().flatten();
         let outcome = match &response {
-            Some(response) => TryOutcome::Response {
+            Some(response) => AttemptOutcome::Response {
                 status: response.status(),
                 service: response
                     .header("Origin-Signature")
                     .map(|_| String::from_utf8_lossy(&response.body).into_owned()),
             },
-            None if timed_out => TryOutcome::TimedOut,
-            None => TryOutcome::Ended,
+            None if timed_out => AttemptOutcome::TimedOut,
+            None => AttemptOutcome::Ended,
         };
         let reusable = response
             .as_ref()
-            .is_some_and(|one| !one.closes_connection());
-        self.context.observations.add_try(RequestTry {
+            .is_some_and(|response| !response.closes_connection());
+        self.context.observations.add_attempt(RequestAttempt {
             id,
             machine: connection.machine,
             route: request.route,
@@ -246,32 +251,33 @@
         (response, reusable)
     }
 
-    /// The kept connection if its edge has not closed it, else a new one.
-    fn connect(&mut self) -> Option<KeptConnection> {
-        let kept = self.connection.take();
-        if let Some(connection) = kept.filter(KeptConnection::is_open) {
+    /// Returns the current connection if its edge has not closed it,
+    /// otherwise a new one.
+    fn connect(&mut self) -> Option<KeepAliveConnection> {
+        let current = self.connection.take();
+        if let Some(connection) = current.filter(KeepAliveConnection::is_open) {
             return Some(connection);
         }
-        let loyal_to = self.last_machine.filter(|_| self.loyal);
-        let opened = loyal_to.and_then(|machine| self.open(machine));
+        let sticky_machine = self.last_machine.filter(|_| self.is_sticky);
+        let opened = sticky_machine.and_then(|machine| self.open(machine));
         let opened = opened.or_else(|| {
             let machine = self.context.balancer.choose(&mut self.random);
             self.open(machine)
         });
         match &opened {
             Some(connection) => self.last_machine = Some(connection.machine),
-            None => thread::sleep(REFUSED_PAUSE),
+            None => thread::sleep(CONNECT_RETRY_DELAY),
         }
         opened
     }
 
-    fn open(&self, machine: usize) -> Option<KeptConnection> {
+    fn open(&self, machine: usize) -> Option<KeepAliveConnection> {
         let address = self.context.machines.frontend(machine);
-        let output = TcpStream::connect_timeout(&address, CONNECT).ok()?;
+        let output = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         output.set_nodelay(true).ok()?;
         output.set_read_timeout(Some(DEADLINE + READ_MARGIN)).ok()?;
         let input = BufReader::new(output.try_clone().ok()?);
-        Some(KeptConnection {
+        Some(KeepAliveConnection {
             machine,
             output,
             input,
@@ -283,7 +289,7 @@
         format!("{}-{}", self.name, self.serial)
     }
 
-    fn text_of(&self, request: &PlannedRequest, id: &str, deadline: Duration) -> String {
+    fn request_text(&self, request: &PlannedRequest, id: &str, deadline: Duration) -> String {
         let method = match request.kind {
             RouteKind::Keyed => "POST",
             RouteKind::Idempotent | RouteKind::Cacheable => "GET",
@@ -294,22 +300,23 @@
             .map_or_else(String::new, |key| format!("Operation-Key: {key}\r\n"));
         format!(
             "{method} /{}/object-{} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: {}\r\n{key}Content-Length: 0\r\n\r\n",
-            name_of(request.route),
+            route_name(request.route),
             request.object,
             deadline.as_millis(),
         )
     }
 }
 
-impl KeptConnection {
-    /// Whether the edge has neither closed the connection nor sent anything.
+impl KeepAliveConnection {
+    /// Returns true if the edge has neither closed the connection nor sent
+    /// anything.
     fn is_open(&self) -> bool {
         if self.output.set_nonblocking(true).is_err() {
             return false;
         }
         let peeked = self.output.peek(&mut [0]);
-        let waits = matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock);
-        waits && self.output.set_nonblocking(false).is_ok()
+        let is_idle = matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock);
+        is_idle && self.output.set_nonblocking(false).is_ok()
     }
 }
 
--- a/stand-ins/src/platform_soak/machines.rs
+++ b/stand-ins/src/platform_soak/machines.rs
@@ -1,10 +1,10 @@
-//! The machines of a fleet: processes with settings files on loopback.
+//! Machines of a fleet: processes on loopback with their settings files.
 use super::observations::{Observations, ProcessEvent, ProcessEventKind};
 use super::shape::FleetShape;
 use crate::prelude::*;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// A process of a machine.
+/// Role of a process of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum ProcessRole {
     /// Serves clients.
@@ -13,7 +13,7 @@
     Control,
 }
 
-/// Signals that a run sends.
+/// Signal to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProcessSignal {
     /// SIGTERM.
@@ -49,7 +49,7 @@
     }
 }
 
-/// The fleet's machines; each has an address of its own and the same ports.
+/// Machines of the fleet; each has its own address and the same ports.
 pub(super) struct Machines {
     shape: FleetShape,
     program: PathBuf,
@@ -58,31 +58,32 @@
     base_port: u16,
     platform_list: SocketAddr,
     processes: Mutex<HashMap<(usize, ProcessRole), Child>>,
-    /// Machines with a control process, as operators know them.
+    /// Machines with a control process, as known to the operators.
     control: Mutex<Vec<usize>>,
     observations: Arc<Observations>,
 }
 
-/// Ports of a machine: readiness, three between processes, frontend, control plane.
+/// Number of ports of a machine. Their order is readiness, three internal
+/// ports, frontend, one unused port, control plane.
 const PORTS: u16 = 7;
 const FRONTEND_PORT: u16 = 4;
 const CONTROL_PORT: u16 = 6;
-/// Below the ports that the system gives to outgoing connections.
+/// First port of the first block, below the system's ephemeral ports.
 const FIRST_PORT: u16 = 20_000;
 const PORT_BLOCKS: u32 = 1_000;
-/// The last byte of the first machine's address; those below are stand-ins'.
+/// Last byte of the first machine's address; lower values are for stand-ins.
 const FIRST_HOST: u8 = 10;
 const ZONES: [&str; 4] = ["nyali", "industrial", "changamwe", "westlands"];
 const REGIONS: [&str; 4] = ["coast", "nairobi", "coast", "nairobi"];
-const EXIT_POLL: Duration = Duration::from_millis(10);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_SEEDS: usize = 3;
 
 impl Machines {
-    /// Lays out the machines of a shape; starts none.
+    /// Plans the machines of a shape without starting them.
     ///
     /// # Errors
     ///
-    /// No free loopback network was found.
+    /// Returns an error if no free block of ports was found.
     pub(super) fn new(
         shape: &FleetShape,
         program: &Path,
@@ -108,30 +109,30 @@
         machine_ip(self.network, machine)
     }
 
-    /// Where clients come.
+    /// Returns the address for clients.
     pub(super) fn frontend(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.ip(machine), self.base_port + FRONTEND_PORT)
     }
 
-    /// Where the platform asks whether clients may come.
+    /// Returns the address of the readiness check.
     pub(super) fn readiness(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.ip(machine), self.base_port)
     }
 
-    /// Where operators come.
+    /// Returns the address for operators.
     pub(super) fn control_plane(&self, machine: usize) -> SocketAddr {
         SocketAddr::new(self.ip(machine), self.base_port + CONTROL_PORT)
     }
 
-    /// Machines with a control process now.
+    /// Returns the machines with a control process.
     pub(super) fn control_machines(&self) -> Vec<usize> {
         self.control.lock().expect("no holder panics").clone()
     }
 
-    /// Operators learn that one control machine stands in another's place.
-    pub(super) fn replace_control_machine(&self, gone: usize, successor: usize) {
+    /// Records that a control machine was replaced by another.
+    pub(super) fn replace_control_machine(&self, replaced: usize, successor: usize) {
         let mut control = self.control.lock().expect("no holder panics");
-        for machine in control.iter_mut().filter(|machine| **machine == gone) {
+        for machine in control.iter_mut().filter(|machine| **machine == replaced) {
             *machine = successor;
         }
     }
@@ -140,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// A process could not be started.
+    /// Returns an error if a process cannot be started.
     pub(super) fn start_all(&self) -> Result<()> {
         for machine in 0..self.shape.machines {
             if machine < self.shape.control_machines {
@@ -151,23 +152,24 @@
         Ok(())
     }
 
-    /// Starts a process, unless it runs: two series may have ended the same one.
-    /// `bootstrap` at the first start of the whole system only.
+    /// Starts a process unless it is running, because two tasks may have
+    /// stopped the same one. `bootstrap` is set only for the first start of
+    /// the whole system.
     ///
     /// # Errors
     ///
-    /// It could not be started.
+    /// Returns an error if the process cannot be started.
     pub(super) fn start(&self, machine: usize, role: ProcessRole, bootstrap: bool) -> Result<()> {
         let mut processes = self.processes.lock().expect("no holder panics");
-        let known = processes.get_mut(&(machine, role));
-        if known.is_some_and(|child| matches!(child.try_wait(), Ok(None))) {
+        let running = processes.get_mut(&(machine, role));
+        if running.is_some_and(|child| matches!(child.try_wait(), Ok(None))) {
             return Ok(());
         }
         let settings = self.write_settings(machine, role, bootstrap)?;
-        let log = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(self.folder.join(format!("{}.log", name_of(machine, role))))?;
+        let log = OpenOptions::new().create(true).append(true).open(
+            self.folder
+                .join(format!("{}.log", process_name(machine, role))),
+        )?;
         let child = Command::new(&self.program)
             .arg(match role {
                 ProcessRole::Edge => "edge",
@@ -185,7 +187,7 @@
         Ok(())
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process is running.
     pub(super) fn signal(&self, machine: usize, role: ProcessRole, signal: ProcessSignal) {
         let processes = self.processes.lock().expect("no holder panics");
         let Some(child) = processes.get(&(machine, role)) else {
@@ -197,22 +199,23 @@
             .status();
     }
 
-    /// SIGTERM, then SIGKILL once the grace period is over; waits for the end.
+    /// Sends SIGTERM, then SIGKILL after the grace period; waits for the
+    /// process to exit.
     pub(super) fn stop(&self, machine: usize, role: ProcessRole) {
         self.signal(machine, role, ProcessSignal::Terminate);
         let grace = Duration::from_secs_f64(self.shape.bounds.grace_period);
         let until = Instant::now() + grace;
         while Instant::now() < until {
-            if self.has_ended(machine, role) {
+            if self.has_exited(machine, role) {
                 return self.record(machine, role, ProcessEventKind::Ended);
             }
-            thread::sleep(EXIT_POLL);
+            thread::sleep(EXIT_POLL_INTERVAL);
         }
         self.kill(machine, role);
         self.record(machine, role, ProcessEventKind::KilledAfterGrace);
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub(super) fn kill(&self, machine: usize, role: ProcessRole) {
         let child = {
             let mut processes = self.processes.lock().expect("no holder panics");
@@ -224,26 +227,26 @@
         }
     }
 
-    fn has_ended(&self, machine: usize, role: ProcessRole) -> bool {
+    fn has_exited(&self, machine: usize, role: ProcessRole) -> bool {
         let mut processes = self.processes.lock().expect("no holder panics");
-        let ended = processes
+        let exited = processes
             .get_mut(&(machine, role))
             .is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))));
-        if ended {
+        if exited {
             processes.remove(&(machine, role));
         }
-        ended
+        exited
     }
 
-    /// Records processes that ended without having been told to.
+    /// Records processes that exited without a signal from the test.
     pub(super) fn record_crashes(&self) {
         let mut processes = self.processes.lock().expect("no holder panics");
         processes.retain(|(machine, role), child| {
-            let runs = !matches!(child.try_wait(), Ok(Some(_)));
-            if !runs {
+            let is_running = !matches!(child.try_wait(), Ok(Some(_)));
+            if !is_running {
                 self.record(*machine, *role, ProcessEventKind::Crashed);
             }
-            runs
+            is_running
         });
     }
 
@@ -271,7 +274,7 @@
         role: ProcessRole,
         bootstrap: bool,
     ) -> Result<PathBuf> {
-        let name = name_of(machine, role);
+        let name = process_name(machine, role);
         let data = self.folder.join(format!("{name}-data"));
         fs::create_dir_all(&data)?;
         let path = self.folder.join(format!("{name}.toml"));
@@ -297,7 +300,7 @@
             ProcessRole::Control => ("control", "control_plane"),
         };
         let bounds = self.shape.bounds;
-        let place = machine % ZONES.len();
+        let zone_index = machine % ZONES.len();
         format!(
             r#"[self_identity]
 node_name = "{role}-{machine}"
@@ -365,8 +368,8 @@
 recovery_s = 15
 "#,
             ip = self.ip(machine),
-            zone = ZONES[place],
-            region = REGIONS[place],
+            zone = ZONES[zone_index],
+            region = REGIONS[zone_index],
             data = data.display(),
             inner = self.base_port + 1,
             inner_end = self.base_port + 3,
@@ -396,7 +399,7 @@
     }
 }
 
-fn name_of(machine: usize, role: ProcessRole) -> String {
+fn process_name(machine: usize, role: ProcessRole) -> String {
     match role {
         ProcessRole::Edge => format!("edge-{machine}"),
         ProcessRole::Control => format!("control-{machine}"),
@@ -408,13 +411,14 @@
     IpAddr::V4(Ipv4Addr::new(127, network.0, network.1, host))
 }
 
-/// A loopback network of this run's own: other runs at the same time have others.
+/// Returns the loopback network of this run, which differs from those of
+/// concurrent runs.
 pub(super) fn network_of_run(seed: u64) -> (u8, u8) {
     let number = u64::from(std::process::id()).wrapping_mul(31) + seed;
     ((20 + number % 200) as u8, (1 + number / 200 % 250) as u8)
 }
 
-/// The first of a block of ports that are free on the first machine.
+/// Returns the first port of a block that is free on the first machine.
 fn free_base_port(network: (u8, u8)) -> Result<u16> {
     let first = std::process::id() % PORT_BLOCKS;
     (0..PORT_BLOCKS)
--- a/stand-ins/src/platform_soak/mod.rs
+++ b/stand-ins/src/platform_soak/mod.rs
@@ -1,13 +1,14 @@
-//! A fleet of real `platform-node` processes under series of planned work and
-//! troubles that overlap, with clients that keep their connections, judged from
-//! outside by the users' rules.
+//! Soak test of a fleet of `platform-node` processes with overlapping planned
+//! work and faults and with keep-alive clients. Checks the users' rules from
+//! outside the processes.
 //!
-//! Edges and control nodes are processes on loopback, each machine at an address
-//! of its own; the platform's list, origins, operators and clients run here.
+//! Edges and control nodes are processes on loopback, and each machine has its
+//! own address. The platform's list, origins, operators and clients are threads
+//! of this process.
 mod balancer;
 mod http_message;
 mod instance_list;
-mod kept_client;
+mod keep_alive_client;
 mod machines;
 mod observations;
 mod operators;
@@ -20,41 +21,41 @@
 use crate::prelude::*;
 use balancer::Balancer;
 use instance_list::InstanceList;
-use kept_client::{ClientContext, KeptClient};
+use keep_alive_client::{ClientContext, KeepAliveClient};
 use machines::{Machines, network_of_run};
 pub use observations::*;
 use operators::Operators;
 use origin_pool::OriginPool;
 use routes::RouteBook;
 pub use series::Scenario;
-use series::Series;
+use series::ScenarioRunner;
 pub use shape::{FleetShape, RuleBounds};
 use std::net::{IpAddr, Ipv4Addr};
 pub use verdict::{PlatformVerdict, Violation};
 
-/// What is to be played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct PlatformSoakPlan {
-    /// Of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// What happens beside traffic and changes.
+    /// Planned work and faults in addition to traffic and changes.
     pub scenario: Scenario,
-    /// The size of the fleet.
+    /// Size of the fleet.
     pub shape: FleetShape,
-    /// How long clients, changes and series go on.
+    /// Duration of clients, changes and the scenario.
     pub span: Duration,
-    /// The program `platform-node`.
+    /// Path of the program `platform-node`.
     pub program: PathBuf,
-    /// Takes settings, data and logs; made new.
+    /// Folder for settings, data and logs, which is created.
     pub folder: PathBuf,
 }
 
-/// All edges are ready within this time of the first start.
-const BRING_UP: Duration = Duration::from_secs(60);
-/// Stand-ins' address on the run's network.
+/// Maximum time from the first start until all edges are ready.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Last byte of the address of the stand-ins on the run's network.
 const STAND_IN_HOST: u8 = 2;
 
-/// A fleet that runs, with all that stands around it.
+/// Running fleet with its stand-ins.
 struct PlatformSoak {
     plan: PlatformSoakPlan,
     observations: Arc<Observations>,
@@ -67,14 +68,14 @@
     stop: Arc<AtomicBool>,
 }
 
-/// Plays a plan once and judges it.
+/// Runs a plan once and checks the rules.
 ///
 /// # Errors
 ///
-/// The fleet could not be brought up.
+/// Returns an error if the fleet cannot be started.
 pub fn run(plan: PlatformSoakPlan) -> Result<PlatformVerdict> {
-    let soak = PlatformSoak::bring_up(plan)?;
-    soak.play();
+    let soak = PlatformSoak::start_fleet(plan)?;
+    soak.run_traffic();
     let read_back = soak.read_back();
     soak.machines.record_crashes();
     soak.machines.kill_all();
@@ -89,7 +90,7 @@
 }
 
 impl PlatformSoak {
-    fn bring_up(plan: PlatformSoakPlan) -> Result<PlatformSoak> {
+    fn start_fleet(plan: PlatformSoakPlan) -> Result<PlatformSoak> {
         fs::create_dir_all(&plan.folder)?;
         let network = network_of_run(plan.seed);
         let stand_in = IpAddr::V4(Ipv4Addr::new(127, network.0, network.1, STAND_IN_HOST));
@@ -114,9 +115,9 @@
             observations: observations.clone(),
             routes: routes.clone(),
         });
-        operators.send_first(&mut SeededRandom::new(plan.seed))?;
+        operators.send_initial_configuration(&mut SeededRandom::new(plan.seed))?;
         let all_ready = || balancer.ready_count() == plan.shape.machines;
-        if !Fleet::wait(BRING_UP, &mut { all_ready }) {
+        if !Fleet::wait(STARTUP_TIMEOUT, &mut { all_ready }) {
             bail!("{} edges are ready", balancer.ready_count());
         }
         Ok(PlatformSoak {
@@ -132,14 +133,15 @@
         })
     }
 
-    /// Clients, operators and series go on for the span. Starts are behind by
-    /// the contact window: until then the core is not settled.
-    fn play(&self) {
+    /// Runs clients, operators and the scenario for the span of the plan.
+    /// They begin one contact window after the start, because the control
+    /// nodes are not settled before that.
+    fn run_traffic(&self) {
         let window = Duration::from_secs_f64(self.plan.shape.bounds.contact_window);
         thread::sleep(window);
         let mut threads = self.start_clients();
         threads.extend(self.start_operators());
-        let series = Series {
+        let scenario_runner = ScenarioRunner {
             shape: self.plan.shape.clone(),
             scenario: self.plan.scenario,
             seed: self.plan.seed,
@@ -149,7 +151,7 @@
             observations: self.observations.clone(),
             stop: self.stop.clone(),
         };
-        threads.extend(series.start());
+        threads.extend(scenario_runner.start());
         thread::sleep(self.plan.span);
         self.stop.store(true, Ordering::Release);
         for thread in threads {
@@ -169,7 +171,7 @@
         });
         (0..self.plan.shape.clients)
             .map(|number| {
-                let client = KeptClient::new(context.clone(), self.plan.seed, number);
+                let client = KeepAliveClient::new(context.clone(), self.plan.seed, number);
                 thread::spawn(move || client.run())
             })
             .collect()
@@ -185,8 +187,8 @@
             .collect()
     }
 
-    /// The operator asks for as long as a return takes: `catch_up_s` and the
-    /// contact window.
+    /// Reads the configuration at the end. The time limit covers a restart:
+    /// `catch_up_s` and the contact window.
     fn read_back(&self) -> Option<serde_json::Value> {
         self.operators.read_back(Duration::from_secs(15))
     }
@@ -202,8 +204,8 @@
         for departure in self.observations.departures() {
             lines.push(format!("{departure:?}"));
         }
-        for trouble in self.observations.list_troubles() {
-            lines.push(format!("list troubled: {trouble:?}"));
+        for fault in self.observations.list_faults() {
+            lines.push(format!("list fault: {fault:?}"));
         }
         fs::write(self.plan.folder.join("report.txt"), lines.join("\n"))?;
         Ok(())
--- a/stand-ins/src/platform_soak/observations.rs
+++ b/stand-ins/src/platform_soak/observations.rs
@@ -1,188 +1,190 @@
-//! What the clients, origins, operators and the platform of one run observed.
+//! Observations of the clients, origins, operators and the platform in a run.
 use crate::prelude::*;
 
-/// Collects observations from all threads of a run. All times are seconds, as
-/// `wall` tells them.
+/// Collects observations from all threads of a run. All times are in seconds,
+/// as returned by `wall`.
 #[derive(Default)]
 pub struct Observations {
-    tries: Mutex<Vec<RequestTry>>,
+    attempts: Mutex<Vec<RequestAttempt>>,
     arrivals: Mutex<Vec<Arrival>>,
     orders: Mutex<Vec<Order>>,
     departures: Mutex<Vec<OriginDeparture>>,
     process_events: Mutex<Vec<ProcessEvent>>,
-    list_troubles: Mutex<Vec<Interval>>,
+    list_faults: Mutex<Vec<Interval>>,
     operations: Mutex<Vec<ClientOperation>>,
 }
 
-/// What a client wanted, with all its tries.
+/// Operation of a client, with all its attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientOperation {
-    /// When its first try was sent.
+    /// Time at which the first attempt was sent.
     pub sent: f64,
-    /// Whether a try was answered with success before the deadline.
+    /// True if an attempt succeeded before the deadline.
     pub served: bool,
 }
 
-/// A span of time.
+/// Time interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interval {
-    /// Its start.
+    /// Start of the interval.
     pub from: f64,
-    /// Its end.
+    /// End of the interval.
     pub to: f64,
 }
 
 impl Interval {
-    /// Whether both have a moment in common.
+    /// Returns true if the intervals overlap.
     pub fn overlaps(&self, other: Interval) -> bool {
         self.from <= other.to && other.from <= self.to
     }
 }
 
-/// What a route promises of its requests.
+/// Execution guarantee of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs once for each key.
+    /// Is executed once for each key.
     Keyed,
-    /// May be answered from a copy.
+    /// May be answered from a cache.
     Cacheable,
 }
 
-/// How one try of a request ended.
+/// Outcome of a request attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TryOutcome {
-    /// A complete response.
+pub enum AttemptOutcome {
+    /// Complete response.
     Response {
-        /// Its status.
+        /// Status of the response.
         status: u16,
-        /// The service of the origin that ran it, if one did.
+        /// Service of the origin that executed the request, if one did.
         service: Option<String>,
     },
-    /// The connection ended before a complete response.
+    /// End of the connection before a complete response.
     Ended,
-    /// The client gave up at its deadline.
+    /// Timeout of the client at its deadline.
     TimedOut,
 }
 
-/// One try of a client's request that was written whole.
+/// Attempt of a client's request that was written completely.
 #[derive(Debug, Clone)]
-pub struct RequestTry {
-    /// Unique among all tries.
+pub struct RequestAttempt {
+    /// Id, unique among all attempts.
     pub id: String,
-    /// The machine of the edge.
+    /// Machine of the edge.
     pub machine: usize,
-    /// The index of the route.
+    /// Index of the route.
     pub route: usize,
-    /// What the client took the route for.
+    /// Kind of the route, as known to the client.
     pub kind: RouteKind,
-    /// The operation key of a keyed one.
+    /// Operation key of a keyed request.
     pub key: Option<String>,
-    /// Whether it was sent behind another one without a response yet.
+    /// True if the request was pipelined behind another one without a
+    /// response.
     pub pipelined_behind: bool,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub sent: f64,
-    /// When its response was complete, or the connection ended.
+    /// Time at which the response was complete or the connection ended.
     pub ended: f64,
-    /// How it ended.
-    pub outcome: TryOutcome,
+    /// Outcome of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
-/// A request that reached an origin which did not turn it away.
+/// Request that an origin executed.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// The id of the try.
+    /// Id of the attempt.
     pub request_id: String,
-    /// The operation key, if it has one.
+    /// Operation key, if the request has one.
     pub key: Option<String>,
-    /// The instance.
+    /// Id of the instance.
     pub origin: String,
-    /// When its last byte was read.
+    /// Time at which the last byte was read.
     pub at: f64,
-    /// When the origin had written its response.
+    /// Time at which processing finished.
     pub finished: f64,
 }
 
-/// What an operator ordered.
+/// Content of an operator's order.
 #[derive(Debug, Clone)]
 pub enum OrderContent {
-    /// Routes at a revision; no service: the route is dropped.
+    /// Routes at a revision; a version without a service removes the route.
     Routes(Vec<RouteVersion>),
-    /// A change that must be rejected.
+    /// Invalid change, which must be rejected.
     Invalid,
-    /// A purge of one path.
+    /// Purge of one path.
     Purge,
 }
 
-/// A route as one order sets it.
+/// Version of a route in an order.
 #[derive(Debug, Clone)]
 pub struct RouteVersion {
-    /// The index of the route.
+    /// Index of the route.
     pub route: usize,
-    /// Its revision.
+    /// Revision of the route.
     pub revision: u64,
-    /// The service it goes to; none: the route is dropped.
+    /// Service of the route; none if the order removes the route.
     pub service: Option<String>,
 }
 
-/// One order of an operator, with all its repeats.
+/// Order of an operator, with all its attempts.
 #[derive(Debug, Clone)]
 pub struct Order {
-    /// What it orders.
+    /// Content of the order.
     pub content: OrderContent,
-    /// When it was first sent.
+    /// Time of the first attempt.
     pub sent: f64,
-    /// When it was first acknowledged.
+    /// Time of the first acknowledgement.
     pub acknowledged: Option<f64>,
-    /// Routes that stood when it was sent.
+    /// Number of routes at the time of the first attempt.
     pub routes: usize,
-    /// Each answer: the control machine and the status; 0: none came.
+    /// Control machine and status of each response; status 0 if no response
+    /// arrived.
     pub answers: Vec<(usize, u16)>,
-    /// A status in the range of 400 that a proper order got, and when.
+    /// Status with which the order was rejected.
     pub refused: Option<u16>,
 }
 
-/// An origin that the platform showed as draining.
+/// Origin that the platform listed as draining.
 #[derive(Debug, Clone)]
 pub struct OriginDeparture {
-    /// The instance.
+    /// Id of the instance.
     pub origin: String,
-    /// When the list first showed it.
+    /// Time at which the list first showed it as draining.
     pub shown: f64,
 }
 
-/// What happened to a process of a machine.
+/// Event of a process of a machine.
 #[derive(Debug, Clone)]
 pub struct ProcessEvent {
-    /// The machine.
+    /// Machine of the process.
     pub machine: usize,
-    /// Whether it is the control process.
+    /// True for the control process.
     pub control: bool,
-    /// When.
+    /// Time of the event.
     pub at: f64,
-    /// What it was.
+    /// Kind of the event.
     pub kind: ProcessEventKind,
 }
 
 /// Kinds of process events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEventKind {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It got SIGTERM.
+    /// The process received SIGTERM.
     Terminated,
-    /// It got SIGHUP.
+    /// The process received SIGHUP.
     SettingsChanged,
-    /// It ended by itself after SIGTERM.
+    /// The process exited after SIGTERM.
     Ended,
-    /// It was killed at the end of its grace period.
+    /// The process was killed at the end of its grace period.
     KilledAfterGrace,
-    /// It was killed without a warning.
+    /// The process was killed without SIGTERM.
     Killed,
-    /// It was suspended, or goes on after that.
+    /// The process was suspended or resumed.
     Suspended,
-    /// It ended without having been told to.
+    /// The process exited without a signal from the test.
     Crashed,
 }
 
@@ -195,7 +197,8 @@
                     self.$field.lock().expect("no holder panics").push(one);
                 }
 
-                /// All of them so far.
+                /// Returns all observations of this kind so
+                /// far.
                 pub fn $all(&self) -> Vec<$kind> {
                     self.$field.lock().expect("no holder panics").clone()
                 }
@@ -205,18 +208,19 @@
 }
 
 recorded! {
-    /// A try has ended.
-    add_try, tries: tries of RequestTry;
-    /// A request reached an origin.
+    /// Records an attempt that has ended.
+    add_attempt, attempts: attempts of RequestAttempt;
+    /// Records a request that an origin executed.
     add_arrival, arrivals: arrivals of Arrival;
-    /// An order has its outcome.
+    /// Records an order with its outcome.
     add_order, orders: orders of Order;
-    /// The list shows an origin as draining.
+    /// Records an origin that is listed as draining.
     add_departure, departures: departures of OriginDeparture;
-    /// Something happened to a process.
+    /// Records an event of a process.
     add_process_event, process_events: process_events of ProcessEvent;
-    /// A client has what it wanted, or gives up.
+    /// Records an operation that has ended.
     add_operation, operations: operations of ClientOperation;
-    /// The platform's list was slow or failing.
-    add_list_trouble, list_troubles: list_troubles of Interval;
+    /// Records an interval in which the platform's list was slow or
+    /// failing.
+    add_list_fault, list_faults: list_faults of Interval;
 }
--- a/stand-ins/src/platform_soak/operators.rs
+++ b/stand-ins/src/platform_soak/operators.rs
@@ -1,44 +1,45 @@
-//! Operators who change routes and purge, several orders at a time.
+//! Operators that change routes and purge, with several concurrent orders.
 use super::http_message::HttpMessage;
 use super::machines::Machines;
 use super::observations::{Observations, Order, OrderContent, RouteVersion};
-use super::routes::{HOST, RouteBook, first_order, name_of, routes_order};
+use super::routes::{HOST, RouteBook, initial_order, route_name, routes_order};
 use super::shape::FleetShape;
 use crate::prelude::*;
 use std::io::BufReader;
 
-/// Orders under way at once.
+/// Number of concurrent orders.
 pub(super) const WORKERS: usize = 8;
-/// An operator goes on to another node after this silence.
-const SILENCE: Duration = Duration::from_secs(1);
-const SILENCE_PER_ROUTE: Duration = Duration::from_millis(2);
-const CONNECT: Duration = Duration::from_millis(500);
-/// An order without an acknowledgement is given up after this.
-const PATIENCE: Duration = Duration::from_secs(20);
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const MAX_PAUSE: Duration = Duration::from_millis(800);
-/// Between two orders of one worker, in milliseconds.
+/// Time without a response after which an operator retries on another node.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT_PER_ROUTE: Duration = Duration::from_millis(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after which an order without an acknowledgement is abandoned.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// Minimum time between two orders of one worker, in milliseconds. A random
+/// time below `RANDOM_INTERVAL_MS` is added.
 const MIN_INTERVAL_MS: u64 = 100;
-const DRAWN_INTERVAL_MS: u64 = 600;
-/// Of a hundred sends, so many lose their answer.
-const LOST_ANSWER_PERCENT: u64 = 5;
-/// Of a hundred acknowledged orders, so many are sent again.
+const RANDOM_INTERVAL_MS: u64 = 600;
+/// Percentage of sends whose response is not read.
+const LOST_RESPONSE_PERCENT: u64 = 5;
+/// Percentage of acknowledged orders that are sent again.
 const REPEAT_PERCENT: u64 = 10;
-const MAX_ROUTES_OF_ORDER: u64 = 3;
+const MAX_ROUTES_PER_ORDER: u64 = 3;
 
-/// Sends the orders of one run.
+/// Sends the orders of a run.
 pub(super) struct Operators {
-    /// The size of the fleet.
+    /// Size of the fleet.
     pub(super) shape: FleetShape,
-    /// Where control nodes are.
+    /// Machines with the control nodes.
     pub(super) machines: Arc<Machines>,
-    /// Takes the orders.
+    /// Collects the orders.
     pub(super) observations: Arc<Observations>,
-    /// The routes.
+    /// Routes of the run.
     pub(super) routes: Arc<RouteBook>,
 }
 
-/// An order ready to be sent.
+/// Order that is ready to be sent.
 struct PreparedOrder {
     method: &'static str,
     path: &'static str,
@@ -47,24 +48,24 @@
 }
 
 impl Operators {
-    /// Sends the first configuration until it is taken.
+    /// Sends the initial configuration until it is accepted.
     ///
     /// # Errors
     ///
-    /// Nobody took it in time.
-    pub(super) fn send_first(&self, random: &mut SeededRandom) -> Result<()> {
+    /// Returns an error if no control node accepted it in time.
+    pub(super) fn send_initial_configuration(&self, random: &mut SeededRandom) -> Result<()> {
         let mut versions = Vec::new();
         for _ in 0..self.shape.initial_routes {
-            let route = self.routes.add().context("room for a route")?;
+            let route = self.routes.add().context("no capacity for another route")?;
             versions.push(self.version(route, true, random));
         }
         let order = PreparedOrder {
             method: "PATCH",
             path: "/config",
-            body: first_order(&self.shape, &versions),
+            body: initial_order(&self.shape, &versions),
             content: OrderContent::Routes(versions.clone()),
         };
-        let until = Instant::now() + PATIENCE * 2;
+        let until = Instant::now() + ORDER_TIMEOUT * 2;
         while Instant::now() < until {
             if self.send(&order, random).1 == 200 {
                 let now = wall();
@@ -79,19 +80,19 @@
                 self.routes.acknowledge(&versions);
                 return Ok(());
             }
-            thread::sleep(FIRST_PAUSE);
+            thread::sleep(MIN_RETRY_DELAY);
         }
-        bail!("the first configuration was not taken");
+        bail!("the initial configuration was not accepted");
     }
 
-    /// One worker: orders on its own routes, one after the other.
+    /// Runs a worker, which sends orders on its own routes sequentially.
     pub(super) fn run_worker(&self, seed: u64, worker: usize, stop: &AtomicBool) {
         let mut random = SeededRandom::new(seed ^ ((worker as u64 + 11) << 24));
         while !stop.load(Ordering::Acquire) {
-            let pause = MIN_INTERVAL_MS + random.below(DRAWN_INTERVAL_MS);
-            thread::sleep(Duration::from_millis(pause));
+            let interval_ms = MIN_INTERVAL_MS + random.below(RANDOM_INTERVAL_MS);
+            thread::sleep(Duration::from_millis(interval_ms));
             if let Some(order) = self.draw(worker, &mut random) {
-                let order = self.carry_out(&order, &mut random);
+                let order = self.execute(&order, &mut random);
                 self.observations.add_order(order);
             }
         }
@@ -106,13 +107,13 @@
         }
     }
 
-    fn version(&self, route: usize, stands: bool, random: &mut SeededRandom) -> RouteVersion {
+    fn version(&self, route: usize, is_set: bool, random: &mut SeededRandom) -> RouteVersion {
         let version = RouteVersion {
             route,
             revision: self.routes.next_revision(random),
-            service: stands.then(|| self.routes.draw_service(random)),
+            service: is_set.then(|| self.routes.draw_service(random)),
         };
-        self.routes.begin(&version);
+        self.routes.begin_change(&version);
         version
     }
 
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Workers add routes of their own only: the index decides whose it is.
+    /// Adds a route if it belongs to the worker, which the index
+    /// determines.
     fn add_route(&self, worker: usize, random: &mut SeededRandom) -> Option<PreparedOrder> {
         let route = self.routes.add()?;
         if route % WORKERS != worker {
@@ -137,17 +139,17 @@
     fn change_routes(
         &self,
         worker: usize,
-        drops: bool,
+        is_removal: bool,
         random: &mut SeededRandom,
     ) -> Option<PreparedOrder> {
-        let own: Vec<usize> = (worker..self.routes.count()).step_by(WORKERS).collect();
+        let own_routes: Vec<usize> = (worker..self.routes.count()).step_by(WORKERS).collect();
         let mut chosen = BTreeSet::new();
-        for _ in 0..1 + random.below(MAX_ROUTES_OF_ORDER) {
-            chosen.insert(*own.get(random.below(own.len() as u64) as usize)?);
+        for _ in 0..1 + random.below(MAX_ROUTES_PER_ORDER) {
+            chosen.insert(*own_routes.get(random.below(own_routes.len() as u64) as usize)?);
         }
         let versions = chosen
             .into_iter()
-            .map(|route| self.version(route, !drops, random))
+            .map(|route| self.version(route, !is_removal, random))
             .collect();
         Some(self.order_of(versions))
     }
@@ -170,7 +172,7 @@
 
     fn purge(&self, random: &mut SeededRandom) -> PreparedOrder {
         let route = random.below(self.routes.count() as u64) as usize;
-        let path = format!("/{}/object-{}", name_of(route), random.below(20));
+        let path = format!("/{}/object-{}", route_name(route), random.below(20));
         PreparedOrder {
             method: "POST",
             path: "/purges",
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Sends an order until its answer is clear, to any node.
-    fn carry_out(&self, prepared: &PreparedOrder, random: &mut SeededRandom) -> Order {
+    /// Sends an order to random nodes until the outcome is known.
+    fn execute(&self, prepared: &PreparedOrder, random: &mut SeededRandom) -> Order {
         let mut order = Order {
             content: prepared.content.clone(),
             sent: wall(),
@@ -189,47 +191,48 @@
             answers: Vec::new(),
             refused: None,
         };
-        let until = Instant::now() + PATIENCE;
-        let mut pause = FIRST_PAUSE;
+        let until = Instant::now() + ORDER_TIMEOUT;
+        let mut delay = MIN_RETRY_DELAY;
         while Instant::now() < until && order.acknowledged.is_none() && order.refused.is_none() {
             let (machine, status) = self.send(prepared, random);
-            order.note(machine, status);
+            order.record_status(machine, status);
             if order.acknowledged.is_none() && order.refused.is_none() {
-                thread::sleep(pause);
-                pause = (pause * 2).min(MAX_PAUSE);
+                thread::sleep(delay);
+                delay = (delay * 2).min(MAX_RETRY_DELAY);
             }
         }
         if let (Some(_), OrderContent::Routes(versions)) = (order.acknowledged, &order.content) {
             self.routes.acknowledge(versions);
             if random.chance(REPEAT_PERCENT) {
                 let (machine, status) = self.send(prepared, random);
-                order.note(machine, status);
+                order.record_status(machine, status);
             }
         }
         order
     }
 
-    /// Sends an order once; status 0: no answer came.
+    /// Sends an order once; status 0 means that no response arrived.
     fn send(&self, order: &PreparedOrder, random: &mut SeededRandom) -> (usize, u16) {
         let control = self.machines.control_machines();
         let machine = control[random.below(control.len() as u64) as usize];
-        let loses_answer = random.chance(LOST_ANSWER_PERCENT);
+        let loses_response = random.chance(LOST_RESPONSE_PERCENT);
         let address = self.machines.control_plane(machine);
-        let silence = SILENCE + SILENCE_PER_ROUTE * self.routes.count() as u32;
+        let timeout = RESPONSE_TIMEOUT + RESPONSE_TIMEOUT_PER_ROUTE * self.routes.count() as u32;
         let call = || -> std::io::Result<u16> {
-            let mut stream = TcpStream::connect_timeout(&address, CONNECT)?;
-            stream.set_read_timeout(Some(silence))?;
-            request_of(order, address).write(&mut stream)?;
-            if loses_answer {
+            let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+            stream.set_read_timeout(Some(timeout))?;
+            build_request(order, address).write(&mut stream)?;
+            if loses_response {
                 return Ok(0);
             }
-            let answer = HttpMessage::read(&mut BufReader::new(stream))?;
-            Ok(answer.map_or(0, |answer| answer.status()))
+            let response = HttpMessage::read(&mut BufReader::new(stream))?;
+            Ok(response.map_or(0, |response| response.status()))
         };
         (machine, call().unwrap_or(0))
     }
 
-    /// The configuration as a control node gives it; tried until `limit`.
+    /// Reads the configuration from any control node; retries until
+    /// `limit`.
     pub(super) fn read_back(&self, limit: Duration) -> Option<serde_json::Value> {
         let until = Instant::now() + limit;
         let control = self.machines.control_machines();
@@ -240,24 +243,24 @@
             let address = self
                 .machines
                 .control_plane(control[attempt % control.len()]);
-            let answer = direct("GET", &format!("http://{address}/config"))
-                .timeout(SILENCE * 2)
+            let response = direct("GET", &format!("http://{address}/config"))
+                .timeout(RESPONSE_TIMEOUT * 2)
                 .send();
-            if let Ok(answer) = answer
-                && answer.status().as_u16() == 200
-                && let Ok(text) = answer.text_utf8()
+            if let Ok(response) = response
+                && response.status().as_u16() == 200
+                && let Ok(text) = response.text_utf8()
             {
                 return serde_json::from_str(&text).ok();
             }
-            thread::sleep(FIRST_PAUSE);
+            thread::sleep(MIN_RETRY_DELAY);
         }
         None
     }
 }
 
 impl Order {
-    /// Takes one answer in.
-    fn note(&mut self, machine: usize, status: u16) {
+    /// Records the status of a response.
+    fn record_status(&mut self, machine: usize, status: u16) {
         self.answers.push((machine, status));
         match status {
             200..300 => {
@@ -269,7 +272,7 @@
     }
 }
 
-fn request_of(order: &PreparedOrder, address: SocketAddr) -> HttpMessage {
+fn build_request(order: &PreparedOrder, address: SocketAddr) -> HttpMessage {
     HttpMessage {
         start_line: format!("{} {} HTTP/1.1", order.method, order.path),
         headers: vec![
--- a/stand-ins/src/platform_soak/origin_pool.rs
+++ b/stand-ins/src/platform_soak/origin_pool.rs
@@ -1,4 +1,5 @@
-//! Origins that come and go: each a listener on loopback with a life of its own.
+//! Stand-in origins that are started and replaced during a run, each with its
+//! own loopback listener.
 use super::http_message::HttpMessage;
 use super::instance_list::{InstanceList, ListedInstance};
 use super::observations::{Arrival, Observations, OriginDeparture};
@@ -7,37 +8,37 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::BufReader;
 
-/// How long an origin works on a request, in milliseconds: at least, and drawn
-/// on top of that from the request's id.
+/// Minimum processing time of a request, in milliseconds. A time below
+/// `VARIABLE_WORK_MS`, derived from the request id, is added.
 const MIN_WORK_MS: u64 = 5;
-const DRAWN_WORK_MS: u64 = 40;
-/// One request in so many takes long.
+const VARIABLE_WORK_MS: u64 = 40;
+/// Average number of requests for one with the processing time `LONG_WORK_MS`.
 const LONG_WORK_ONE_IN: u64 = 50;
 const LONG_WORK_MS: u64 = 900;
 
-/// One origin that runs.
+/// Running origin.
 struct RunningOrigin {
     listed: ListedInstance,
     stop: Arc<AtomicBool>,
 }
 
-/// All origins of a run.
+/// Origins of a run.
 pub(super) struct OriginPool {
     shape: FleetShape,
     list: Arc<InstanceList>,
     observations: Arc<Observations>,
     running: Mutex<Vec<RunningOrigin>>,
-    /// Addresses of origins that have ended, and when they did.
+    /// Addresses of stopped origins, with the time of the stop in seconds.
     free_addresses: Mutex<Vec<(SocketAddr, f64)>>,
     next_id: AtomicU64,
 }
 
 impl OriginPool {
-    /// Starts the first origins of each service and lists them.
+    /// Starts the initial origins of each service and lists them.
     ///
     /// # Errors
     ///
-    /// An origin could not listen.
+    /// Returns an error if an origin cannot listen.
     pub(super) fn start(
         shape: &FleetShape,
         list: Arc<InstanceList>,
@@ -60,7 +61,8 @@
         Ok(pool)
     }
 
-    /// Lists what runs, after `lag_s`; returns when that is shown.
+    /// Lists the running origins after `lag_s`; returns the time at which
+    /// the list is shown.
     fn publish(&self, lag_s: f64) -> f64 {
         let running = self.running.lock().expect("no holder panics");
         let listed = running.iter().map(|origin| origin.listed.clone()).collect();
@@ -87,22 +89,23 @@
         Ok(())
     }
 
-    /// One of an origin that has ended, if it may be used again, else a new one.
+    /// Returns the address of a stopped origin if it may be reused,
+    /// otherwise a new one.
     fn choose_address(&self) -> Result<SocketAddr> {
         let mut free = self.free_addresses.lock().expect("no holder panics");
         let oldest = wall() - self.shape.bounds.address_reuse;
-        match free.iter().position(|(_, ended)| *ended < oldest) {
+        match free.iter().position(|(_, stopped)| *stopped < oldest) {
             Some(at) => Ok(free.remove(at).0),
             None => Ok(SocketAddr::new(self.list.address.ip(), 0)),
         }
     }
 
-    /// Replaces one origin of a service: its successor is listed before, it
-    /// drains, and it ends `extra` after the drain bound.
+    /// Replaces an origin of a service: lists its successor, lists the
+    /// origin as draining, and stops it `extra` after the drain bound.
     ///
     /// # Errors
     ///
-    /// The successor could not listen.
+    /// Returns an error if the successor cannot listen.
     pub(super) fn replace(
         self: &Arc<Self>,
         service: usize,
@@ -120,14 +123,15 @@
             origin: id.clone(),
             shown,
         });
-        let serves_for = self.shape.bounds.drain_timeout + lag_s;
-        thread::sleep(Duration::from_secs_f64(serves_for) + extra);
-        self.end_origin(&id);
+        let serving_s = self.shape.bounds.drain_timeout + lag_s;
+        thread::sleep(Duration::from_secs_f64(serving_s) + extra);
+        self.stop_origin(&id);
         self.publish(lag_s);
         Ok(())
     }
 
-    /// The oldest origin of the service that does not drain yet.
+    /// Marks the oldest origin of the service that is not draining as
+    /// draining; returns its id.
     fn mark_draining(&self, service: &str) -> Option<String> {
         let mut running = self.running.lock().expect("no holder panics");
         let origin = running
@@ -137,14 +141,14 @@
         Some(origin.listed.id.clone())
     }
 
-    fn end_origin(&self, id: &str) {
+    fn stop_origin(&self, id: &str) {
         let mut running = self.running.lock().expect("no holder panics");
         let Some(at) = running.iter().position(|origin| origin.listed.id == id) else {
             return;
         };
         let origin = running.remove(at);
         origin.stop.store(true, Ordering::Release);
-        // Wakes its listener.
+        // Unblocks its listener.
         let _ = TcpStream::connect(origin.listed.address);
         let mut free = self.free_addresses.lock().expect("no holder panics");
         free.push((origin.listed.address, wall()));
@@ -173,12 +177,14 @@
         let mut input = BufReader::new(stream);
         while !stop.load(Ordering::Acquire) {
             let request = HttpMessage::read(&mut input).ok()??;
-            self.answer(&request, id, service).write(&mut output).ok()?;
+            self.respond(&request, id, service)
+                .write(&mut output)
+                .ok()?;
         }
         Some(())
     }
 
-    fn answer(&self, request: &HttpMessage, id: &str, service: &str) -> HttpMessage {
+    fn respond(&self, request: &HttpMessage, id: &str, service: &str) -> HttpMessage {
         let request_id = request.header("Request-Id").unwrap_or_default();
         let expected = request.header("Expected-Instance");
         if expected.is_some_and(|expected| expected != id) {
@@ -192,7 +198,7 @@
                 .with_header("Request-Id", request_id);
         }
         let at = wall();
-        thread::sleep(work_of(request_id));
+        thread::sleep(processing_time(request_id));
         self.observations.add_arrival(Arrival {
             request_id: request_id.into(),
             key: request.header("Operation-Key").map(str::to_string),
@@ -208,12 +214,12 @@
     }
 }
 
-fn work_of(request_id: &str) -> Duration {
+fn processing_time(request_id: &str) -> Duration {
     let mut hasher = DefaultHasher::new();
     request_id.hash(&mut hasher);
-    let sum = hasher.finish();
-    if sum.is_multiple_of(LONG_WORK_ONE_IN) {
+    let hash = hasher.finish();
+    if hash.is_multiple_of(LONG_WORK_ONE_IN) {
         return Duration::from_millis(LONG_WORK_MS);
     }
-    Duration::from_millis(MIN_WORK_MS + sum % DRAWN_WORK_MS)
+    Duration::from_millis(MIN_WORK_MS + hash % VARIABLE_WORK_MS)
 }
--- a/stand-ins/src/platform_soak/routes.rs
+++ b/stand-ins/src/platform_soak/routes.rs
@@ -1,24 +1,25 @@
-//! The routes of a run, as its operators have set them and its clients use them.
+//! Routes of a run, which operators change and clients use.
 use super::observations::{RouteKind, RouteVersion};
 use super::shape::FleetShape;
 use crate::prelude::*;
 
-/// The host of all routes.
+/// Host name of all routes.
 pub(super) const HOST: &str = "soak.example";
-/// What clients wait for an answer, in milliseconds.
+/// Deadline of client requests, in milliseconds.
 pub(super) const DEADLINE_MS: u64 = 2500;
 
-/// One route, as far as its operator knows.
+/// Route as its operator knows it.
 #[derive(Debug, Clone)]
 struct Route {
     kind: RouteKind,
-    /// The service that the newest order names; none: dropped, or never set.
+    /// Service in the newest order; none if the route was removed or never
+    /// set.
     service: Option<String>,
-    /// The newest order was acknowledged.
+    /// True if the newest order was acknowledged.
     acknowledged: bool,
 }
 
-/// All routes; operators change them, clients draw from them.
+/// Routes of a run; operators change them and clients choose from them.
 pub(super) struct RouteBook {
     routes: Mutex<Vec<Route>>,
     next_revision: AtomicU64,
@@ -27,7 +28,7 @@
 }
 
 impl RouteBook {
-    /// No routes yet.
+    /// Creates a book without routes.
     pub(super) fn new(shape: &FleetShape) -> RouteBook {
         RouteBook {
             routes: Mutex::default(),
@@ -37,18 +38,18 @@
         }
     }
 
-    /// Revisions rise by uneven steps.
+    /// Returns the next revision, which is larger by a random step.
     pub(super) fn next_revision(&self, random: &mut SeededRandom) -> u64 {
         let step = 1 + random.below(5);
         self.next_revision.fetch_add(step, Ordering::Relaxed) + step
     }
 
-    /// The number of routes so far, dropped ones among them.
+    /// Number of routes so far, including removed ones.
     pub(super) fn count(&self) -> usize {
         self.routes.lock().expect("no holder panics").len()
     }
 
-    /// Makes room for another route, if there may be one more.
+    /// Adds a route, unless the maximum is reached; returns its index.
     pub(super) fn add(&self) -> Option<usize> {
         let mut routes = self.routes.lock().expect("no holder panics");
         let route = routes.len();
@@ -56,27 +57,27 @@
             return None;
         }
         routes.push(Route {
-            kind: kind_of(route),
+            kind: route_kind(route),
             service: None,
             acknowledged: false,
         });
         Some(route)
     }
 
-    /// Any service.
+    /// Chooses a random service.
     pub(super) fn draw_service(&self, random: &mut SeededRandom) -> String {
         self.services[random.below(self.services.len() as u64) as usize].clone()
     }
 
-    /// An order with this version is about to be sent.
-    pub(super) fn begin(&self, version: &RouteVersion) {
+    /// Records that an order with this version is about to be sent.
+    pub(super) fn begin_change(&self, version: &RouteVersion) {
         let mut routes = self.routes.lock().expect("no holder panics");
         let route = &mut routes[version.route];
         route.service = version.service.clone();
         route.acknowledged = false;
     }
 
-    /// The newest order of these routes was acknowledged.
+    /// Records that the newest order of these routes was acknowledged.
     pub(super) fn acknowledge(&self, versions: &[RouteVersion]) {
         let mut routes = self.routes.lock().expect("no holder panics");
         for version in versions {
@@ -84,22 +85,23 @@
         }
     }
 
-    /// A route for a client: mostly one that stands, at times any.
+    /// Chooses a route for a client: usually one that is known to be set,
+    /// sometimes any.
     pub(super) fn draw(&self, random: &mut SeededRandom) -> Option<(usize, RouteKind)> {
         const ANY_PERCENT: u64 = 3;
         let routes = self.routes.lock().expect("no holder panics");
-        let stands = |route: &Route| route.acknowledged && route.service.is_some();
+        let is_set = |route: &Route| route.acknowledged && route.service.is_some();
         let first = random.below(routes.len() as u64) as usize;
         let any = random.chance(ANY_PERCENT);
         (0..routes.len())
             .map(|offset| (first + offset) % routes.len())
-            .find(|at| any || stands(&routes[*at]))
+            .find(|at| any || is_set(&routes[*at]))
             .map(|at| (at, routes[at].kind))
     }
 }
 
-/// What kind a route is, by its index.
-pub(super) fn kind_of(route: usize) -> RouteKind {
+/// Returns the kind of a route, by its index.
+pub(super) fn route_kind(route: usize) -> RouteKind {
     [
         RouteKind::Idempotent,
         RouteKind::Keyed,
@@ -107,13 +109,13 @@
     ][route % 3]
 }
 
-/// A route's name.
-pub(super) fn name_of(route: usize) -> String {
+/// Returns the name of a route.
+pub(super) fn route_name(route: usize) -> String {
     format!("route-{route}")
 }
 
-/// The first order: services, limits and these routes.
-pub(super) fn first_order(shape: &FleetShape, versions: &[RouteVersion]) -> String {
+/// Returns the initial order: services, limits and these routes.
+pub(super) fn initial_order(shape: &FleetShape, versions: &[RouteVersion]) -> String {
     let backends: Vec<_> = (0..shape.services)
         .map(|at| {
             json!({
@@ -131,13 +133,13 @@
     order.to_string()
 }
 
-/// An order that sets or drops routes.
+/// Returns an order that sets or removes routes.
 pub(super) fn routes_order(versions: &[RouteVersion]) -> serde_json::Value {
     let rules: Vec<_> = versions.iter().filter_map(path_rule).collect();
     let removed: Vec<_> = versions
         .iter()
         .filter(|version| version.service.is_none())
-        .map(|version| json!({ "name": name_of(version.route), "revision": version.revision }))
+        .map(|version| json!({ "name": route_name(version.route), "revision": version.revision }))
         .collect();
     json!({
         "upsert": { "domains": [{ "hostname": HOST, "path_rules": rules }] },
@@ -147,13 +149,13 @@
 
 fn path_rule(version: &RouteVersion) -> Option<serde_json::Value> {
     let service = version.service.as_ref()?;
-    let kind = match kind_of(version.route) {
+    let kind = match route_kind(version.route) {
         RouteKind::Idempotent => "idempotent",
         RouteKind::Keyed => "keyed",
         RouteKind::Cacheable => "cacheable",
     };
     let mut rule = json!({
-        "name": name_of(version.route), "path_prefix": format!("/{}/", name_of(version.route)),
+        "name": route_name(version.route), "path_prefix": format!("/{}/", route_name(version.route)),
         "type": kind, "timeout_s": 2.5, "target_latency_s": 0.8, "priority": 1,
         "backend": service, "max_attempts": 2, "revision": version.revision,
     });
--- a/stand-ins/src/platform_soak/series.rs
+++ b/stand-ins/src/platform_soak/series.rs
@@ -1,4 +1,4 @@
-//! Series of planned work and troubles that overlap, drawn from the seed.
+//! Runs the scenario: overlapping planned work and faults, drawn from the seed.
 use super::instance_list::{InstanceList, ListMode};
 use super::machines::{Machines, ProcessRole, ProcessSignal};
 use super::observations::{Interval, Observations};
@@ -6,132 +6,139 @@
 use super::shape::FleetShape;
 use crate::prelude::*;
 
-/// What a run contains beside traffic, changes and releases of origins.
+/// Planned work and faults of a run, in addition to traffic, changes and
+/// releases of origins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing but traffic and changes: the run that others are compared with.
+    /// Traffic and changes only; the baseline for the other scenarios.
     Quiet,
-    /// Edges are rolled; the core stays settled.
+    /// Rolling restart of edges; the control nodes are not touched.
     RolledEdges,
-    /// Edges and control nodes are rolled.
+    /// Rolling restart of edges and control nodes.
     RolledFleet,
-    /// Edges are rolled, and a control node is replaced by an empty one.
+    /// Rolling restart of edges, with control nodes replaced by empty ones.
     ReplacedControl,
-    /// Processes are killed and suspended, beside rolled edges.
-    Troubled,
+    /// Rolling restart of edges, with processes killed and suspended.
+    FaultInjection,
 }
 
 impl Scenario {
-    /// The scenario of a seed.
+    /// Returns the scenario of a seed.
     pub fn of_seed(seed: u64) -> Scenario {
         [
             Scenario::RolledEdges,
             Scenario::RolledFleet,
             Scenario::ReplacedControl,
-            Scenario::Troubled,
+            Scenario::FaultInjection,
         ][(seed % 4) as usize]
     }
 
-    /// Whether all that happens is planned work.
+    /// Returns true if the scenario contains planned work only.
     pub fn is_planned(self) -> bool {
-        self != Scenario::Troubled
+        self != Scenario::FaultInjection
     }
 }
 
-/// Plays the series of one run.
-pub(super) struct Series {
-    /// The size of the fleet.
+/// Runs the scenario of one run.
+pub(super) struct ScenarioRunner {
+    /// Size of the fleet.
     pub(super) shape: FleetShape,
-    /// What happens.
+    /// Scenario to run.
     pub(super) scenario: Scenario,
-    /// Of everything that is drawn.
+    /// Seed of all random numbers.
     pub(super) seed: u64,
-    /// The processes.
+    /// Processes of the fleet.
     pub(super) machines: Arc<Machines>,
-    /// The origins.
+    /// Origins of the run.
     pub(super) origins: Arc<OriginPool>,
-    /// The platform's list.
+    /// Platform's list of origins.
     pub(super) list: Arc<InstanceList>,
-    /// Takes what happens.
+    /// Collects the events.
     pub(super) observations: Arc<Observations>,
-    /// Ends the series.
+    /// Stops the scenario when set.
     pub(super) stop: Arc<AtomicBool>,
 }
 
-/// What one thread of a series plays.
-type Lane = Box<dyn FnOnce(&Series) + Send>;
+/// Task of one thread of the scenario.
+type Task = Box<dyn FnOnce(&ScenarioRunner) + Send>;
 
-const SLICE: Duration = Duration::from_millis(50);
-/// Of a hundred seeds, in so many the list is slow or failing at times.
-const LIST_TROUBLE_PERCENT: u64 = 40;
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Percentage of seeds with a list that is slow or failing at times.
+const LIST_FAULT_PERCENT: u64 = 40;
 
-impl Series {
-    /// Starts all lanes; they end, and are to be joined, once `stop` is set.
+impl ScenarioRunner {
+    /// Starts all tasks. They end once `stop` is set, and the caller joins
+    /// them.
     pub(super) fn start(self) -> Vec<thread::JoinHandle<()>> {
-        let series = Arc::new(self);
-        let mut lanes: Vec<Lane> = Vec::new();
-        if series.scenario != Scenario::Quiet {
-            for lane in 0..series.shape.rolls_at_once {
-                lanes.push(Box::new(move |series| series.roll_edges(lane)));
+        let runner = Arc::new(self);
+        let mut tasks: Vec<Task> = Vec::new();
+        if runner.scenario != Scenario::Quiet {
+            for task in 0..runner.shape.rolls_at_once {
+                tasks.push(Box::new(move |runner| runner.roll_edges(task)));
             }
-            lanes.push(Box::new(Series::reload_settings));
-            for service in 0..series.shape.services {
-                lanes.push(Box::new(move |series| series.release_origins(service)));
+            tasks.push(Box::new(ScenarioRunner::reload_settings));
+            for service in 0..runner.shape.services {
+                tasks.push(Box::new(move |runner| runner.release_origins(service)));
             }
-            if series.random(1).chance(LIST_TROUBLE_PERCENT) {
-                lanes.push(Box::new(Series::trouble_list));
+            if runner.random(1).chance(LIST_FAULT_PERCENT) {
+                tasks.push(Box::new(ScenarioRunner::inject_list_faults));
             }
         }
-        match series.scenario {
-            Scenario::RolledFleet => lanes.push(Box::new(Series::roll_control)),
-            Scenario::ReplacedControl => lanes.push(Box::new(Series::replace_control)),
-            Scenario::Troubled => lanes.push(Box::new(Series::trouble_processes)),
+        match runner.scenario {
+            Scenario::RolledFleet => tasks.push(Box::new(ScenarioRunner::roll_control)),
+            Scenario::ReplacedControl => tasks.push(Box::new(ScenarioRunner::replace_control)),
+            Scenario::FaultInjection => tasks.push(Box::new(ScenarioRunner::inject_process_faults)),
             Scenario::Quiet | Scenario::RolledEdges => {}
         }
-        lanes
+        tasks
             .into_iter()
-            .map(|lane| {
-                let series = series.clone();
-                thread::spawn(move || lane(&series))
+            .map(|task| {
+                let runner = runner.clone();
+                thread::spawn(move || task(&runner))
             })
             .collect()
     }
 
-    fn random(&self, lane: u64) -> SeededRandom {
-        SeededRandom::new(self.seed ^ (lane << 40) ^ 0x5E1E)
+    fn random(&self, stream: u64) -> SeededRandom {
+        SeededRandom::new(self.seed ^ (stream << 40) ^ 0x5E1E)
     }
 
     fn has_stopped(&self) -> bool {
         self.stop.load(Ordering::Acquire)
     }
 
-    /// Waits, but not beyond the end of the run; false once that has come.
+    /// Waits for the span or until the run ends; returns false if the run
+    /// has ended.
     fn wait(&self, span: Duration) -> bool {
         let until = Instant::now() + span;
         while Instant::now() < until && !self.has_stopped() {
-            thread::sleep(SLICE.min(until.saturating_duration_since(Instant::now())));
+            thread::sleep(STOP_POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
         }
         !self.has_stopped()
     }
 
-    fn wait_drawn(&self, random: &mut SeededRandom, min_ms: u64, drawn_ms: u64) -> bool {
-        self.wait(Duration::from_millis(min_ms + random.below(drawn_ms)))
+    fn wait_random(&self, random: &mut SeededRandom, min_ms: u64, random_ms: u64) -> bool {
+        self.wait(Duration::from_millis(min_ms + random.below(random_ms)))
     }
 
-    /// One edge after the other, each lane with edges of its own.
-    fn roll_edges(&self, lane: usize) {
-        let mut random = self.random(100 + lane as u64);
+    /// Restarts edges one at a time; each task has its own edges.
+    fn roll_edges(&self, task: usize) {
+        let mut random = self.random(100 + task as u64);
         let first = match self.scenario {
-            // Control machines are rolled as a whole by a lane of their own.
+            // A separate task restarts the control machines.
             Scenario::RolledFleet => self.shape.control_machines,
             _ => 0,
         };
-        let own: Vec<usize> = (first + lane..self.shape.machines)
+        let own_edges: Vec<usize> = (first + task..self.shape.machines)
             .step_by(self.shape.rolls_at_once)
             .collect();
-        let mut at = random.below(own.len() as u64) as usize;
-        while self.wait_drawn(&mut random, 300, 1_200) {
-            self.restart(own[at % own.len()], ProcessRole::Edge, &mut random);
+        let mut at = random.below(own_edges.len() as u64) as usize;
+        while self.wait_random(&mut random, 300, 1_200) {
+            self.restart(
+                own_edges[at % own_edges.len()],
+                ProcessRole::Edge,
+                &mut random,
+            );
             at += 1;
         }
     }
@@ -144,29 +151,30 @@
         }
     }
 
-    /// Control nodes one after the other, with a pause in which the core settles.
+    /// Restarts control nodes one at a time, with a pause for the control
+    /// nodes to settle.
     fn roll_control(&self) {
         let mut random = self.random(200);
         let mut machine = random.below(self.shape.control_machines as u64) as usize;
-        while self.wait_drawn(&mut random, 1_000, 6_000) {
+        while self.wait_random(&mut random, 1_000, 6_000) {
             self.restart(machine, ProcessRole::Control, &mut random);
             machine = (machine + 1) % self.shape.control_machines;
         }
     }
 
-    /// An empty control node starts on another machine; then one is stopped.
+    /// Stops a control node and starts an empty one on another machine.
     fn replace_control(&self) {
         let mut random = self.random(300);
         let mut successor = self.shape.control_machines;
-        while self.wait_drawn(&mut random, 3_000, 3_000) && successor < self.shape.machines {
-            let gone = self.machines.control_machines()
+        while self.wait_random(&mut random, 3_000, 3_000) && successor < self.shape.machines {
+            let replaced = self.machines.control_machines()
                 [random.below(self.shape.control_machines as u64) as usize];
-            self.machines.stop(gone, ProcessRole::Control);
-            self.machines.replace_control_machine(gone, successor);
+            self.machines.stop(replaced, ProcessRole::Control);
+            self.machines.replace_control_machine(replaced, successor);
             if let Err(error) = self.machines.start(successor, ProcessRole::Control, false) {
                 eprintln!("cannot start machine {successor}: {error:#}");
             }
-            // `catch_up_s`, and some more.
+            // `catch_up_s` with a margin.
             if !self.wait(Duration::from_secs(8)) {
                 return;
             }
@@ -176,7 +184,7 @@
 
     fn reload_settings(&self) {
         let mut random = self.random(400);
-        while self.wait_drawn(&mut random, 500, 3_000) {
+        while self.wait_random(&mut random, 500, 3_000) {
             let machine = random.below(self.shape.machines as u64) as usize;
             self.machines
                 .signal(machine, ProcessRole::Edge, ProcessSignal::Reload);
@@ -186,7 +194,7 @@
     fn release_origins(&self, service: usize) {
         let mut random = self.random(500 + service as u64);
         let lag_ms = (self.shape.bounds.list_lag * 1000.0) as u64;
-        while self.wait_drawn(&mut random, 200, 800) {
+        while self.wait_random(&mut random, 200, 800) {
             let lag_s = random.below(lag_ms) as f64 / 1000.0;
             let extra = Duration::from_millis(300 + random.below(1_500));
             if let Err(error) = self.origins.replace(service, lag_s, extra) {
@@ -195,23 +203,23 @@
         }
     }
 
-    fn trouble_list(&self) {
+    fn inject_list_faults(&self) {
         let mut random = self.random(600);
-        while self.wait_drawn(&mut random, 3_000, 6_000) {
+        while self.wait_random(&mut random, 3_000, 6_000) {
             let mode = [ListMode::Slow, ListMode::Failing][random.below(2) as usize];
             let from = wall();
             self.list.set_mode(mode);
-            self.wait_drawn(&mut random, 500, 2_000);
-            self.list.set_mode(ListMode::Sound);
+            self.wait_random(&mut random, 500, 2_000);
+            self.list.set_mode(ListMode::Healthy);
             let to = wall();
-            self.observations.add_list_trouble(Interval { from, to });
+            self.observations.add_list_fault(Interval { from, to });
         }
     }
 
-    /// Kills and suspends processes, one control node at a time at most.
-    fn trouble_processes(&self) {
+    /// Kills and suspends processes, at most one control node at a time.
+    fn inject_process_faults(&self) {
         let mut random = self.random(700);
-        while self.wait_drawn(&mut random, 1_000, 4_000) {
+        while self.wait_random(&mut random, 1_000, 4_000) {
             let (machine, role) = if random.chance(40) {
                 let control = self.machines.control_machines();
                 let at = random.below(control.len() as u64) as usize;
--- a/stand-ins/src/platform_soak/shape.rs
+++ b/stand-ins/src/platform_soak/shape.rs
@@ -1,56 +1,57 @@
-//! How large a fleet is, and the bounds that its runs are judged by.
+//! Size of a fleet and the bounds of the rules for its runs.
 use crate::prelude::*;
 
-/// The sizes of a fleet under soak.
+/// Size of a fleet under test.
 #[derive(Debug, Clone)]
 pub struct FleetShape {
-    /// The name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Machines with a control process and an edge each.
+    /// Number of machines with a control process in addition to an edge.
     pub control_machines: usize,
-    /// All machines; each has an edge.
+    /// Number of all machines; each has an edge.
     pub machines: usize,
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at the same time.
     pub tolerated: usize,
-    /// Services with origins of their own.
+    /// Number of services, each with its own origins.
     pub services: usize,
-    /// Origins of each service.
+    /// Number of origins of each service.
     pub origins: usize,
-    /// Threads that send requests.
+    /// Number of client threads.
     pub clients: usize,
-    /// Routes before the first change.
+    /// Number of routes in the initial configuration.
     pub initial_routes: usize,
-    /// Changes add routes up to this number.
+    /// Maximum number of routes.
     pub max_routes: usize,
-    /// Edges that are rolled at the same time.
+    /// Number of edges that are restarted at the same time.
     pub rolls_at_once: usize,
-    /// Where the bounds come from.
+    /// Bounds of the rules.
     pub bounds: RuleBounds,
 }
 
-/// Bounds of the rules, in seconds; the grown sites' files state them.
+/// Bounds of the rules, in seconds unless stated otherwise, named as in the
+/// users' settings.
 #[derive(Debug, Clone, Copy)]
 pub struct RuleBounds {
-    /// `contact_window_s`.
+    /// Value of `contact_window_s`.
     pub contact_window: f64,
-    /// `ack_timeout_s`.
+    /// Value of `ack_timeout_s`.
     pub ack_timeout: f64,
-    /// What each route adds to `ack_timeout`.
+    /// Time that each route adds to `ack_timeout`.
     pub ack_timeout_per_route: f64,
-    /// `drain_timeout_s`.
+    /// Value of `drain_timeout_s`.
     pub drain_timeout: f64,
-    /// `grace_period_s`.
+    /// Value of `grace_period_s`.
     pub grace_period: f64,
-    /// `loss_slack_s`.
+    /// Value of `loss_slack_s`.
     pub loss_slack: f64,
-    /// `config_apply_s`.
+    /// Value of `config_apply_s`.
     pub config_apply: f64,
-    /// `address_reuse_s`.
+    /// Value of `address_reuse_s`.
     pub address_reuse: f64,
-    /// `max_lag_s` of the platform's list.
+    /// Value of `max_lag_s` of the platform's list.
     pub list_lag: f64,
-    /// The least share of requests that are served, by the gate: refused and
-    /// failed ones are at most 60 in a hundred.
+    /// Minimum share of requests that are served, from 0 to 1: at most 60 %
+    /// may be rejected or fail.
     pub served_share: f64,
 }
 
@@ -67,7 +68,7 @@
     served_share: 0.4,
 };
 
-/// The largest loopback network of one run holds this many machines.
+/// Known shapes; the loopback network of a run has room for the largest.
 const SHAPES: [FleetShape; 3] = [
     FleetShape {
         name: "small",
@@ -116,11 +117,11 @@
 ];
 
 impl FleetShape {
-    /// The shape of this name.
+    /// Returns the shape of this name.
     ///
     /// # Errors
     ///
-    /// There is none.
+    /// Returns an error if there is no such shape.
     pub fn find(name: &str) -> Result<FleetShape> {
         let known = SHAPES.iter().find(|shape| shape.name == name);
         known.cloned().with_context(|| {
@@ -129,7 +130,7 @@
         })
     }
 
-    /// The name of a service.
+    /// Returns the name of a service.
     pub fn service(&self, index: usize) -> String {
         format!("service-{index}")
     }
--- a/stand-ins/src/platform_soak/verdict.rs
+++ b/stand-ins/src/platform_soak/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges a run from outside, by the rules and their bounds.
+//! Checks the rules and their bounds for a run, from outside the processes.
 mod configuration;
 mod contact;
 mod drain;
@@ -11,72 +11,78 @@
 use contact::ContactRecord;
 use hdrhistogram::Histogram;
 
-/// What a run showed.
+/// Results of a run.
 pub struct PlatformVerdict {
-    /// Tries of requests.
+    /// Number of request attempts.
     pub tries: usize,
-    /// Operations that clients began.
+    /// Number of operations that clients began.
     pub operations: usize,
-    /// Operations with a successful answer in time.
+    /// Number of operations with a successful response in time.
     pub served: usize,
-    /// Orders of operators.
+    /// Number of orders of operators.
     pub orders: usize,
-    /// Processes that got SIGTERM.
+    /// Number of processes that received SIGTERM.
     pub stops: usize,
-    /// Processes that were killed at the end of their grace period.
+    /// Number of processes that were killed at the end of their grace
+    /// period.
     pub killed_after_grace: usize,
-    /// Tries that ended without an answer and were not passed on, within
-    /// `loss_slack_s` of their last byte.
+    /// Number of attempts that ended without a response within
+    /// `loss_slack_s` of their last byte and were not forwarded to an
+    /// origin.
     pub cut_within_slack: usize,
-    /// Other tries that ended without an answer within the bounds of the rules.
+    /// Number of other attempts that ended without a response but within
+    /// the rules.
     pub excused_ends: usize,
-    /// Orders that were judged by the acknowledgement bound.
+    /// Number of orders that were checked against the acknowledgement
+    /// bound.
     pub judged_orders: usize,
-    /// From an order to its acknowledgement, in milliseconds.
+    /// Time from an order to its acknowledgement, in milliseconds.
     pub acknowledgement_ms: Histogram<u64>,
-    /// From the listing of an origin as draining to the last request that
-    /// reached it, in milliseconds.
+    /// Time from the listing of an origin as draining to the last request
+    /// that reached it, in milliseconds.
     pub drain_ms: Histogram<u64>,
-    /// From SIGTERM to the end of the process, in milliseconds.
+    /// Time from SIGTERM to the end of the process, in milliseconds.
     pub stop_ms: Histogram<u64>,
-    /// Each violation: the rule and what was seen.
+    /// Violations of the rules.
     pub broken: Vec<Violation>,
 }
 
-/// One violation of a rule.
+/// Violation of a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// What was seen.
+    /// Description of the violation.
     pub text: String,
 }
 
 const HISTOGRAM_DIGITS: u8 = 3;
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(HISTOGRAM_DIGITS).expect("a valid precision")
+    Histogram::new(HISTOGRAM_DIGITS).expect("the precision is valid")
 }
 
 fn record_seconds(histogram: &mut Histogram<u64>, seconds: f64) {
     let milliseconds = (seconds.max(0.0) * 1000.0) as u64;
-    histogram.record(milliseconds).expect("it grows as needed");
+    histogram
+        .record(milliseconds)
+        .expect("the histogram resizes automatically");
 }
 
-/// All observations of a run, and what the rules need of them.
+/// Observations of a run, prepared for the rules.
 pub(super) struct JudgedRun<'a> {
     shape: &'a FleetShape,
-    tries: Vec<RequestTry>,
+    attempts: Vec<RequestAttempt>,
     arrivals: HashMap<String, Vec<Arrival>>,
     orders: Vec<Order>,
     departures: Vec<OriginDeparture>,
     events: Vec<ProcessEvent>,
-    list_troubles: Vec<Interval>,
+    list_faults: Vec<Interval>,
     contact: ContactRecord,
 }
 
 impl PlatformVerdict {
-    /// Judges a run; `read_back` is the configuration at its end.
+    /// Checks a run; `read_back` is the configuration at its end.
     pub fn of(
         shape: &FleetShape,
         scenario: Scenario,
@@ -85,19 +91,19 @@
     ) -> PlatformVerdict {
         let mut arrivals: HashMap<String, Vec<Arrival>> = HashMap::new();
         for arrival in observations.arrivals() {
-            let known = arrivals.entry(arrival.request_id.clone()).or_default();
-            known.push(arrival);
+            let list = arrivals.entry(arrival.request_id.clone()).or_default();
+            list.push(arrival);
         }
         let events = observations.process_events();
         let run = JudgedRun {
             shape,
-            tries: observations.tries(),
+            attempts: observations.attempts(),
             arrivals,
             orders: observations.orders(),
             departures: observations.departures(),
             contact: ContactRecord::new(&events, shape.bounds.contact_window),
             events,
-            list_troubles: observations.list_troubles(),
+            list_faults: observations.list_faults(),
         };
         let mut verdict = PlatformVerdict::new(&run, &observations.operations());
         verdict.judge_processes(&run);
@@ -115,9 +121,12 @@
 
     fn new(run: &JudgedRun, operations: &[ClientOperation]) -> PlatformVerdict {
         PlatformVerdict {
-            tries: run.tries.len(),
+            tries: run.attempts.len(),
             operations: operations.len(),
-            served: operations.iter().filter(|one| one.served).count(),
+            served: operations
+                .iter()
+                .filter(|operation| operation.served)
+                .count(),
             orders: run.orders.len(),
             stops: 0,
             killed_after_grace: 0,
@@ -131,7 +140,7 @@
         }
     }
 
-    fn violate(&mut self, rule: &'static str, text: String) {
+    fn add_violation(&mut self, rule: &'static str, text: String) {
         self.broken.push(Violation { rule, text });
     }
 
@@ -152,7 +161,10 @@
                     self.killed_after_grace += usize::from(killed);
                 }
                 ProcessEventKind::Crashed => {
-                    self.violate("Fault", format!("a process ended by itself: {event:?}"));
+                    self.add_violation(
+                        "Fault",
+                        format!("a process exited unexpectedly: {event:?}"),
+                    );
                 }
                 _ => {}
             }
@@ -163,7 +175,7 @@
         let share = self.served as f64 / self.operations.max(1) as f64;
         if share < run.shape.bounds.served_share {
             let text = format!("{} of {} served", self.served, self.operations);
-            self.violate("FLOOR", text);
+            self.add_violation("FLOOR", text);
         }
     }
 
@@ -172,7 +184,10 @@
         for order in &run.orders {
             if matches!(order.content, OrderContent::Invalid) {
                 if order.acknowledged.is_some() {
-                    self.violate("CONFIG", format!("an invalid order was taken: {order:?}"));
+                    self.add_violation(
+                        "CONFIG",
+                        format!("an invalid order was accepted: {order:?}"),
+                    );
                 }
                 continue;
             }
@@ -180,39 +195,42 @@
                 record_seconds(&mut self.acknowledgement_ms, acknowledged - order.sent);
             }
             if let Some(status) = order.refused {
-                self.violate("CONFIG", format!("refused with {status}: {order:?}"));
+                self.add_violation("CONFIG", format!("rejected with {status}: {order:?}"));
             }
             let limit = bounds.ack_timeout + bounds.ack_timeout_per_route * order.routes as f64;
             if !run.contact.is_settled(order.sent, order.sent + limit) {
                 continue;
             }
             self.judged_orders += 1;
-            let taken = order
+            let delay = order
                 .acknowledged
                 .map_or(f64::INFINITY, |at| at - order.sent);
-            if taken > limit && order.refused.is_none() {
-                self.violate("ACKS", format!("{taken:.3} s of {limit:.3}: {order:?}"));
+            if delay > limit && order.refused.is_none() {
+                self.add_violation("ACKS", format!("{delay:.3} s of {limit:.3}: {order:?}"));
             }
         }
     }
 
     fn judge_keys(&mut self, run: &JudgedRun) {
-        let mut runs: HashMap<&str, Vec<&Arrival>> = HashMap::new();
+        let mut executions: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         for arrival in run.arrivals.values().flatten() {
             if let Some(key) = &arrival.key {
-                runs.entry(key).or_default().push(arrival);
+                executions.entry(key).or_default().push(arrival);
             }
         }
-        for (key, arrivals) in runs {
+        for (key, arrivals) in executions {
             if arrivals.len() > 1 {
-                self.violate("TWICE", format!("{key} ran more than once: {arrivals:?}"));
+                self.add_violation(
+                    "TWICE",
+                    format!("{key} was executed more than once: {arrivals:?}"),
+                );
             }
         }
     }
 
-    /// The counts of the run, in lines.
+    /// Returns a summary of the counts.
     pub fn summary(&self) -> String {
-        let spread = |name: &str, histogram: &Histogram<u64>| {
+        let percentiles = |name: &str, histogram: &Histogram<u64>| {
             format!(
                 "{name} p50 {} p99 {} max {} ms ({})",
                 histogram.value_at_quantile(0.5),
@@ -226,7 +244,7 @@
             *by_rule.entry(violation.rule).or_default() += 1;
         }
         format!(
-            "{} of {} operations served, {} tries ({} cut within the slack, {} ended otherwise within the rules), {} orders ({} judged), {} stops ({} killed after the grace period); {}; {}; {}; broken {:?}",
+            "{} of {} operations served, {} attempts ({} cut within the slack, {} otherwise ended within the rules), {} orders ({} judged), {} stops ({} killed after the grace period); {}; {}; {}; violations {:?}",
             self.served,
             self.operations,
             self.tries,
@@ -236,9 +254,9 @@
             self.judged_orders,
             self.stops,
             self.killed_after_grace,
-            spread("acknowledgement", &self.acknowledgement_ms),
-            spread("drain", &self.drain_ms),
-            spread("stop", &self.stop_ms),
+            percentiles("acknowledgement", &self.acknowledgement_ms),
+            percentiles("drain", &self.drain_ms),
+            percentiles("stop", &self.stop_ms),
             by_rule,
         )
     }
--- a/stand-ins/src/platform_soak/verdict/configuration.rs
+++ b/stand-ins/src/platform_soak/verdict/configuration.rs
@@ -1,11 +1,11 @@
-//! CONFIG: which version of a route a request was handled by, and what is read
-//! back at the end.
+//! Rule CONFIG: requests are handled by a current version of their route, and
+//! the configuration read at the end is current.
 use super::super::observations::*;
-use super::super::routes::name_of;
+use super::super::routes::route_name;
 use super::{JudgedRun, PlatformVerdict};
 use crate::prelude::*;
 
-/// One version of a route, with the order that carried it.
+/// Version of a route with the order that contains it.
 struct SentVersion<'a> {
     version: &'a RouteVersion,
     order: &'a Order,
@@ -20,42 +20,42 @@
             continue;
         };
         for version in list {
-            let known = versions.entry(version.route).or_default();
-            known.push(SentVersion { version, order });
+            let list = versions.entry(version.route).or_default();
+            list.push(SentVersion { version, order });
         }
     }
     versions
 }
 
-/// The newest version that was acknowledged by then.
+/// Returns the newest version acknowledged by the time `at`.
 fn acknowledged_by<'a>(versions: &'a [SentVersion<'a>], at: f64) -> Option<&'a RouteVersion> {
     versions
         .iter()
-        .filter(|sent| sent.order.acknowledged.is_some_and(|when| when <= at))
+        .filter(|sent| sent.order.acknowledged.is_some_and(|time| time <= at))
         .map(|sent| sent.version)
         .max_by_key(|version| version.revision)
 }
 
 impl PlatformVerdict {
-    /// Later than the bound after an acknowledgement, no request is handled as
-    /// only an older version allows.
+    /// Checks that no request is handled by an outdated version once the
+    /// bound after the acknowledgement of a newer one has passed.
     pub(super) fn judge_configuration(&mut self, run: &JudgedRun) {
         let versions = versions_of(&run.orders);
-        for one in &run.tries {
-            let (TryOutcome::Response { status, service }, Some(versions)) =
-                (&one.outcome, versions.get(&one.route))
+        for attempt in &run.attempts {
+            let (AttemptOutcome::Response { status, service }, Some(versions)) =
+                (&attempt.outcome, versions.get(&attempt.route))
             else {
                 continue;
             };
-            if one.kind == RouteKind::Cacheable {
-                continue; // A copy may be older; it runs nothing.
+            if attempt.kind == RouteKind::Cacheable {
+                continue; // A cached response may be older and executes nothing.
             }
-            let bound = one.sent - run.shape.bounds.config_apply;
-            let Some(least) = acknowledged_by(versions, bound) else {
+            let bound = attempt.sent - run.shape.bounds.config_apply;
+            let Some(minimum) = acknowledged_by(versions, bound) else {
                 continue;
             };
             let mut allowed = versions.iter().filter(|sent| {
-                sent.version.revision >= least.revision && sent.order.sent <= one.ended
+                sent.version.revision >= minimum.revision && sent.order.sent <= attempt.ended
             });
             let is_allowed = match (status, service) {
                 (200, Some(service)) => {
@@ -64,47 +64,57 @@
                 (404, _) => allowed.any(|sent| sent.version.service.is_none()),
                 _ => true,
             };
-            if !is_allowed && run.contact.is_in_touch(one.machine, bound, one.ended) {
-                let text = format!("by a version before {}: {one:?}", least.revision);
-                self.violate("CONFIG", text);
+            if !is_allowed
+                && run
+                    .contact
+                    .is_in_contact(attempt.machine, bound, attempt.ended)
+            {
+                let text = format!(
+                    "handled by a version before {}: {attempt:?}",
+                    minimum.revision
+                );
+                self.add_violation("CONFIG", text);
             }
         }
     }
 
-    /// At the end each route is there as its newest acknowledged version, or a
-    /// later one that may be in force.
+    /// Checks that at the end each route has its newest acknowledged
+    /// version, or a later one that may be in effect.
     pub(super) fn judge_read_back(
         &mut self,
         run: &JudgedRun,
         read_back: Option<&serde_json::Value>,
     ) {
         let Some(document) = read_back else {
-            return self.violate("CONFIG", "the configuration could not be read back".into());
+            return self.add_violation(
+                "CONFIG",
+                "the configuration could not be read at the end".into(),
+            );
         };
-        let standing = standing_revisions(document);
+        let current = current_revisions(document);
         for (route, versions) in versions_of(&run.orders) {
-            let Some(least) = acknowledged_by(&versions, f64::INFINITY) else {
+            let Some(minimum) = acknowledged_by(&versions, f64::INFINITY) else {
                 continue;
             };
-            let read = standing.get(&name_of(route)).copied();
-            let may_stand = |sent: &SentVersion| {
+            let read = current.get(&route_name(route)).copied();
+            let can_be_current = |sent: &SentVersion| {
                 let version = sent.version;
-                version.revision >= least.revision
+                version.revision >= minimum.revision
                     && read == version.service.as_ref().map(|_| version.revision)
             };
-            if !versions.iter().any(may_stand) {
+            if !versions.iter().any(can_be_current) {
                 let text = format!(
-                    "read back {} at {read:?}, acknowledged {least:?}",
-                    name_of(route)
+                    "read {} at {read:?}, acknowledged {minimum:?}",
+                    route_name(route)
                 );
-                self.violate("CONFIG", text);
+                self.add_violation("CONFIG", text);
             }
         }
     }
 }
 
-/// The revision of each route of a document.
-fn standing_revisions(document: &serde_json::Value) -> HashMap<String, u64> {
+/// Returns the revision of each route of a document.
+fn current_revisions(document: &serde_json::Value) -> HashMap<String, u64> {
     let lists = [document, &document["upsert"]];
     let domains = lists
         .iter()
--- a/stand-ins/src/platform_soak/verdict/contact.rs
+++ b/stand-ins/src/platform_soak/verdict/contact.rs
@@ -1,13 +1,14 @@
-//! When machines are in touch and the core is settled, by the users' rules.
+//! Times at which machines are in contact and the control nodes are settled, as
+//! the users' rules define them.
 use super::super::observations::{Interval, ProcessEvent, ProcessEventKind};
 use std::collections::HashMap;
 
-/// What happened to processes, as the rules with a time bound look at it.
+/// Process events, as far as rules with a time bound depend on them.
 pub(super) struct ContactRecord {
-    /// Spans in which a machine's own processes were not left alone.
+    /// Intervals with events of a machine's processes.
     machines: HashMap<usize, Vec<Interval>>,
-    /// The same for the processes of the core.
-    core: Vec<Interval>,
+    /// Intervals with events of control processes.
+    control: Vec<Interval>,
     contact_window: f64,
 }
 
@@ -15,24 +16,24 @@
     pub(super) fn new(events: &[ProcessEvent], contact_window: f64) -> ContactRecord {
         let mut record = ContactRecord {
             machines: HashMap::new(),
-            core: Vec::new(),
+            control: Vec::new(),
             contact_window,
         };
-        let mut away_since: HashMap<(usize, bool), f64> = HashMap::new();
+        let mut absent_since: HashMap<(usize, bool), f64> = HashMap::new();
         for event in events {
             let process = (event.machine, event.control);
-            // From a process's end to its next start it is away.
+            // A process is absent from its end to its next start.
             let from = match event.kind {
                 ProcessEventKind::Started | ProcessEventKind::Suspended => {
-                    away_since.remove(&process).unwrap_or(event.at)
+                    absent_since.remove(&process).unwrap_or(event.at)
                 }
                 _ => event.at,
             };
             if event.kind != ProcessEventKind::Started {
-                away_since.entry(process).or_insert(event.at);
+                absent_since.entry(process).or_insert(event.at);
             }
             if event.kind == ProcessEventKind::SettingsChanged {
-                away_since.remove(&process);
+                absent_since.remove(&process);
                 continue;
             }
             record.add(event, Interval { from, to: event.at });
@@ -41,26 +42,27 @@
     }
 
     fn add(&mut self, event: &ProcessEvent, interval: Interval) {
-        let own = self.machines.entry(event.machine).or_default();
-        own.push(interval);
+        let own_events = self.machines.entry(event.machine).or_default();
+        own_events.push(interval);
         if event.control {
-            self.core.push(interval);
+            self.control.push(interval);
         }
     }
 
-    /// Whether nothing happened to the core from the contact window before
-    /// `from` until `to`.
+    /// Returns true if there was no event of a control process between one
+    /// contact window before `from` and `to`.
     pub(super) fn is_settled(&self, from: f64, to: f64) -> bool {
         let span = self.with_window(from, to);
-        !self.core.iter().any(|event| event.overlaps(span))
+        !self.control.iter().any(|event| event.overlaps(span))
     }
 
-    /// Whether the machine was in touch all the time.
-    pub(super) fn is_in_touch(&self, machine: usize, from: f64, to: f64) -> bool {
+    /// Returns true if the machine was in contact all the time.
+    pub(super) fn is_in_contact(&self, machine: usize, from: f64, to: f64) -> bool {
         let span = self.with_window(from, to);
-        let own = self.machines.get(&machine);
-        let troubled = own.is_some_and(|events| events.iter().any(|event| event.overlaps(span)));
-        !troubled && self.is_settled(from, to)
+        let own_events = self.machines.get(&machine);
+        let was_disturbed =
+            own_events.is_some_and(|events| events.iter().any(|event| event.overlaps(span)));
+        !was_disturbed && self.is_settled(from, to)
     }
 
     fn with_window(&self, from: f64, to: f64) -> Interval {
--- a/stand-ins/src/platform_soak/verdict/drain.rs
+++ b/stand-ins/src/platform_soak/verdict/drain.rs
@@ -1,4 +1,5 @@
-//! DRAIN: requests that reach an origin after it was shown as draining.
+//! Rule DRAIN: no requests to an origin once it has been listed as draining for
+//! the drain timeout.
 use super::super::observations::*;
 use super::{JudgedRun, PlatformVerdict, record_seconds};
 use std::collections::HashMap;
@@ -11,41 +12,47 @@
             .map(|departure| (departure.origin.as_str(), departure.shown))
             .collect();
         let mut latest: HashMap<&str, f64> = HashMap::new();
-        for one in &run.tries {
-            for arrival in run.arrivals.get(&one.id).into_iter().flatten() {
+        for attempt in &run.attempts {
+            for arrival in run.arrivals.get(&attempt.id).into_iter().flatten() {
                 let Some(shown) = shown.get(arrival.origin.as_str()) else {
                     continue;
                 };
-                let late = arrival.at - shown;
-                if late < 0.0 || !run.contact.is_in_touch(one.machine, *shown, arrival.at) {
+                let delay = arrival.at - shown;
+                if delay < 0.0
+                    || !run
+                        .contact
+                        .is_in_contact(attempt.machine, *shown, arrival.at)
+                {
                     continue;
                 }
                 let last = latest.entry(&arrival.origin).or_default();
-                *last = last.max(late);
-                if late > run.shape.bounds.drain_timeout + run.list_trouble_since(*shown, late) {
-                    let text = format!("{late:.3} s after it was shown: {arrival:?}, {one:?}");
-                    self.violate("DRAIN", text);
+                *last = last.max(delay);
+                if delay > run.shape.bounds.drain_timeout + run.list_fault_end(*shown, delay) {
+                    let text =
+                        format!("{delay:.3} s after it was listed: {arrival:?}, {attempt:?}");
+                    self.add_violation("DRAIN", text);
                 }
             }
         }
-        for late in latest.into_values() {
-            record_seconds(&mut self.drain_ms, late);
+        for delay in latest.into_values() {
+            record_seconds(&mut self.drain_ms, delay);
         }
     }
 }
 
 impl JudgedRun<'_> {
-    /// The drain time does not run while the list is slow or failing: until the
-    /// end of the last such span.
-    fn list_trouble_since(&self, shown: f64, late: f64) -> f64 {
+    /// Returns the time in seconds from `shown` to the end of the last list
+    /// fault. The drain timeout does not run while the list is slow or
+    /// failing.
+    fn list_fault_end(&self, shown: f64, delay: f64) -> f64 {
         let span = Interval {
             from: shown,
-            to: shown + late,
+            to: shown + delay,
         };
-        self.list_troubles
+        self.list_faults
             .iter()
-            .filter(|trouble| trouble.overlaps(span))
-            .map(|trouble| trouble.to - shown)
+            .filter(|fault| fault.overlaps(span))
+            .map(|fault| fault.to - shown)
             .fold(0.0, f64::max)
     }
 }
--- a/stand-ins/src/platform_soak/verdict/losses.rs
+++ b/stand-ins/src/platform_soak/verdict/losses.rs
@@ -1,27 +1,28 @@
-//! LOST: requests that end without an answer under planned work.
+//! Rule LOST: no request ends without a response during planned work.
 use super::super::observations::*;
 use super::super::routes::DEADLINE_MS;
 use super::{JudgedRun, PlatformVerdict};
 
-/// A try that lasted this part of its deadline has reached it.
+/// Share of the deadline from which an attempt counts as having reached its
+/// deadline.
 const DEADLINE_SHARE: f64 = 0.99;
 
 impl PlatformVerdict {
     pub(super) fn judge_losses(&mut self, run: &JudgedRun) {
-        for one in &run.tries {
-            if one.outcome != TryOutcome::Ended {
+        for attempt in &run.attempts {
+            if attempt.outcome != AttemptOutcome::Ended {
                 continue;
             }
-            match run.excuse_of(one) {
+            match run.loss_excuse(attempt) {
                 Some(LossExcuse::WithinSlack) => self.cut_within_slack += 1,
                 Some(_) => self.excused_ends += 1,
                 None => {
-                    let arrivals = run.arrivals.get(&one.id);
-                    let lasted = one.ended - one.sent;
-                    self.violate(
+                    let arrivals = run.arrivals.get(&attempt.id);
+                    let duration_s = attempt.ended - attempt.sent;
+                    self.add_violation(
                         "LOST",
                         format!(
-                            "ended {lasted:.3} s after its last byte, passed on: {arrivals:?}: {one:?}"
+                            "ended {duration_s:.3} s after its last byte, forwarded as: {arrivals:?}: {attempt:?}"
                         ),
                     );
                 }
@@ -30,43 +31,47 @@
     }
 }
 
-/// Why a request that ended without an answer breaks no rule.
+/// Reason why a request without a response is not a violation.
 enum LossExcuse {
-    /// It was sent behind another one and not passed on.
+    /// The request was pipelined behind another one and not forwarded.
     BehindAnother,
-    /// It was not passed on, and its end came within the slack.
+    /// The request was not forwarded and ended within the slack.
     WithinSlack,
-    /// Its deadline was reached.
+    /// The deadline was reached.
     DeadlineReached,
-    /// The origin was at work in the second half of the grace period.
-    AtWorkAtGraceEnd,
+    /// The origin was processing the request in the second half of the
+    /// grace period.
+    ProcessingAtGraceEnd,
 }
 
 impl JudgedRun<'_> {
-    fn excuse_of(&self, one: &RequestTry) -> Option<LossExcuse> {
+    fn loss_excuse(&self, attempt: &RequestAttempt) -> Option<LossExcuse> {
         let bounds = self.shape.bounds;
-        let arrivals = self.arrivals.get(&one.id).map_or(&[][..], Vec::as_slice);
-        let lasted = one.ended - one.sent;
+        let arrivals = self
+            .arrivals
+            .get(&attempt.id)
+            .map_or(&[][..], Vec::as_slice);
+        let duration_s = attempt.ended - attempt.sent;
         let deadline = DEADLINE_MS as f64 / 1000.0;
-        if arrivals.is_empty() && one.pipelined_behind {
+        if arrivals.is_empty() && attempt.pipelined_behind {
             return Some(LossExcuse::BehindAnother);
         }
-        if arrivals.is_empty() && lasted <= bounds.loss_slack {
+        if arrivals.is_empty() && duration_s <= bounds.loss_slack {
             return Some(LossExcuse::WithinSlack);
         }
-        if lasted >= deadline * DEADLINE_SHARE {
+        if duration_s >= deadline * DEADLINE_SHARE {
             return Some(LossExcuse::DeadlineReached);
         }
-        let at_work = arrivals
+        let was_processing = arrivals
             .iter()
-            .any(|arrival| arrival.at <= one.ended && one.ended <= arrival.finished);
+            .any(|arrival| arrival.at <= attempt.ended && attempt.ended <= arrival.finished);
         let in_second_half = self.events.iter().any(|event| {
             let second_half = event.at + bounds.grace_period / 2.0;
             event.kind == ProcessEventKind::Terminated
-                && event.machine == one.machine
+                && event.machine == attempt.machine
                 && !event.control
-                && (second_half..=event.at + bounds.grace_period + 1.0).contains(&one.ended)
+                && (second_half..=event.at + bounds.grace_period + 1.0).contains(&attempt.ended)
         });
-        (at_work && in_second_half).then_some(LossExcuse::AtWorkAtGraceEnd)
+        (was_processing && in_second_half).then_some(LossExcuse::ProcessingAtGraceEnd)
     }
 }
