--- a/stand-ins/src/bin/soak.rs
+++ b/stand-ins/src/bin/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks a fleet of real processes; see `stand_ins::soak`.
+//! Runs the soak test of a fleet of processes; see `stand_ins::soak`.
 use stand_ins::prelude::*;
 use stand_ins::soak::{Soak, SoakPlan, SoakVerdict};
 
@@ -24,24 +24,24 @@
     }
     flags.finish();
     let folder = folder.context("folder")?;
-    let mut sum = SoakVerdict::default();
+    let mut total = SoakVerdict::default();
     for seed in first..first + seeds {
         let plan = SoakPlan {
             seed,
             span: Duration::from_secs(seconds),
             folder: folder.join(format!("seed-{seed}")),
         };
-        let runs_in = plan.folder.clone();
+        let run_folder = plan.folder.clone();
         let verdict = Soak::run(plan)?;
         println!("seed {seed}: {verdict}");
         for line in verdict.broken.iter().take(10) {
             println!("  {line}");
         }
         if verdict.broken.is_empty() {
-            fs::remove_dir_all(runs_in)?;
+            fs::remove_dir_all(run_folder)?;
         }
-        sum.add(verdict);
+        total.add(verdict);
     }
-    println!("{seeds} seeds: {sum}");
-    std::process::exit(i32::from(!sum.broken.is_empty()));
+    println!("{seeds} seeds: {total}");
+    std::process::exit(i32::from(!total.broken.is_empty()));
 }
--- a/stand-ins/src/soak/disconnecting_client.rs
+++ b/stand-ins/src/soak/disconnecting_client.rs
@@ -1,51 +1,53 @@
-//! Callers that leave before their answer, in every manner there is.
+//! Clients that disconnect before their response in various ways.
 use crate::prelude::*;
 use std::net::Shutdown;
 
-/// How a caller leaves.
+/// Way in which a client disconnects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// It waits for its answer.
-    Stays,
-    /// It closes the connection.
+pub enum DisconnectMode {
+    /// Waits for the response.
+    WaitsForResponse,
+    /// Closes the connection.
     Closes,
-    /// It ends its writing and reads on: nothing may be assumed wrongly of it.
-    ShutsWriting,
-    /// It asks with `Connection: close` and closes.
-    ClosesAfterLast,
-    /// It sends several requests at once and closes.
-    ClosesPipelined,
+    /// Closes its writing side only and still reads the response, so it
+    /// must not be treated as disconnected.
+    HalfCloses,
+    /// Sends `Connection: close` and closes the connection.
+    ClosesAfterCloseHeader,
+    /// Pipelines several requests and closes the connection.
+    ClosesAfterPipelining,
 }
 
-/// What kind of request it is.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestSort {
-    /// May be sent more than once; nobody else asks for the same.
+pub enum RequestKind {
+    /// May be sent more than once; no other client requests the same path.
     Repeatable,
-    /// Runs once under its key; nobody else uses it.
+    /// Is executed once under its key, which no other client uses.
     Keyed,
-    /// Many ask for the same copy: a call for one serves others.
+    /// Requests a cached object; one origin call serves several clients.
     Cached,
 }
 
-/// One request whose caller left, or was answered.
+/// Request of a client that disconnected or received its response.
 #[derive(Debug, Clone)]
-pub struct Departure {
-    /// The request target.
+pub struct ClientRequest {
+    /// Request target.
     pub path: String,
-    /// Where it was sent.
+    /// Address of the edge.
     pub edge: SocketAddr,
-    /// How the caller left.
-    pub manner: Manner,
-    /// What was requested.
-    pub sort: RequestSort,
-    /// When the caller left, in seconds; none: it was answered before.
-    pub left: Option<f64>,
-    /// Of the response; 0: none was read.
+    /// Way in which the client disconnected.
+    pub mode: DisconnectMode,
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Time at which the client disconnected, in seconds; none if the
+    /// response arrived before.
+    pub disconnected_at: Option<f64>,
+    /// Status of the response; 0 if none was read.
     pub status: u16,
 }
 
-/// One caller after the other, each with a few requests.
+/// Sequence of clients, each with one or a few requests.
 pub struct DisconnectingClient {
     random: SeededRandom,
     worker: usize,
@@ -54,17 +56,17 @@
     edges: Vec<SocketAddr>,
 }
 
-/// Callers that leave do so within this time, in milliseconds.
-const LEAVES_WITHIN_MS: u64 = 400;
-/// One that stays waits so long.
-const PATIENCE: Duration = Duration::from_secs(5);
-const CONNECT: Duration = Duration::from_millis(500);
-const PIPELINED: usize = 3;
-/// Cached objects that are asked for.
-const COPIES: u64 = 40;
+/// Maximum time before a client disconnects, in milliseconds.
+const MAX_DISCONNECT_DELAY_MS: u64 = 400;
+/// Timeout of a client that waits for its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const PIPELINED_REQUESTS: usize = 3;
+/// Number of cached objects that are requested.
+const CACHED_OBJECTS: u64 = 40;
 
 impl DisconnectingClient {
-    /// One of several workers with draws of its own.
+    /// Creates one of several workers with its own random numbers.
     pub fn new(seed: u64, worker: usize, edges: Vec<SocketAddr>) -> DisconnectingClient {
         DisconnectingClient {
             random: SeededRandom::new(seed ^ ((worker as u64 + 1) << 32)),
@@ -75,105 +77,109 @@
         }
     }
 
-    /// Sends requests for a span, or until `stop` is set.
-    pub fn run(mut self, span: Duration, stop: &AtomicBool) -> Vec<Departure> {
+    /// Sends requests for the span or until `stop` is set.
+    pub fn run(mut self, span: Duration, stop: &AtomicBool) -> Vec<ClientRequest> {
         let began = Instant::now();
-        let mut seen = Vec::new();
+        let mut requests = Vec::new();
         while began.elapsed() < span && !stop.load(Ordering::Acquire) {
-            match self.visit() {
-                Ok(list) => seen.extend(list),
-                // Its edge is away: another one next time.
+            match self.run_client() {
+                Ok(list) => requests.extend(list),
+                // The edge is down; the next client chooses an edge again.
                 Err(_) => thread::sleep(Duration::from_millis(20)),
             }
         }
-        seen
+        requests
     }
 
-    fn visit(&mut self) -> Result<Vec<Departure>> {
-        let manner = [
-            Manner::Stays,
-            Manner::Stays,
-            Manner::Closes,
-            Manner::ShutsWriting,
-            Manner::ClosesAfterLast,
-            Manner::ClosesPipelined,
+    fn run_client(&mut self) -> Result<Vec<ClientRequest>> {
+        let mode = [
+            DisconnectMode::WaitsForResponse,
+            DisconnectMode::WaitsForResponse,
+            DisconnectMode::Closes,
+            DisconnectMode::HalfCloses,
+            DisconnectMode::ClosesAfterCloseHeader,
+            DisconnectMode::ClosesAfterPipelining,
         ][self.random.below(6) as usize];
         let edge = self.edges[self.random.below(self.edges.len() as u64) as usize];
-        let count = if manner == Manner::ClosesPipelined {
-            PIPELINED
+        let count = if mode == DisconnectMode::ClosesAfterPipelining {
+            PIPELINED_REQUESTS
         } else {
             1
         };
         let mut text = String::new();
         let mut list = Vec::new();
         for _ in 0..count {
-            let (request, departure) = self.request(edge, manner);
-            text += &request;
-            list.push(departure);
+            let (request_text, request) = self.request(edge, mode);
+            text += &request_text;
+            list.push(request);
         }
-        let mut stream = TcpStream::connect_timeout(&edge, CONNECT)?;
+        let mut stream = TcpStream::connect_timeout(&edge, CONNECT_TIMEOUT)?;
         stream.write_all(text.as_bytes())?;
-        if manner == Manner::Stays {
-            stream.set_read_timeout(Some(PATIENCE))?;
+        if mode == DisconnectMode::WaitsForResponse {
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
             list[0].status = status_of(&mut stream);
             return Ok(list);
         }
         thread::sleep(Duration::from_millis(
-            1 + self.random.below(LEAVES_WITHIN_MS),
+            1 + self.random.below(MAX_DISCONNECT_DELAY_MS),
         ));
-        // What was answered meanwhile, nobody left.
+        // A request with a response does not count as abandoned.
         stream.set_nonblocking(true)?;
-        let answered = matches!(stream.peek(&mut [0]), Ok(size) if size > 0);
-        let left = wall();
-        if manner == Manner::ShutsWriting {
+        let has_response = matches!(stream.peek(&mut [0]), Ok(size) if size > 0);
+        let disconnected_at = wall();
+        if mode == DisconnectMode::HalfCloses {
             stream.shutdown(Shutdown::Write)?;
             stream.set_nonblocking(false)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
             list[0].status = status_of(&mut stream);
         }
         drop(stream);
-        for departure in list.iter_mut().filter(|_| !answered) {
-            departure.left = Some(left);
+        for request in list.iter_mut().filter(|_| !has_response) {
+            request.disconnected_at = Some(disconnected_at);
         }
         Ok(list)
     }
 
-    /// A request that nobody else sends.
-    fn request(&mut self, edge: SocketAddr, manner: Manner) -> (String, Departure) {
+    /// Creates a request; unless it is for a cached object, no other client
+    /// sends it.
+    fn request(&mut self, edge: SocketAddr, mode: DisconnectMode) -> (String, ClientRequest) {
         self.serial += 1;
         let number = format!("{}-{}-{}", self.seed, self.worker, self.serial);
-        let sort = match self.random.below(4) {
-            0 if manner != Manner::ClosesPipelined => RequestSort::Keyed,
-            1 => RequestSort::Cached,
-            _ => RequestSort::Repeatable,
+        let kind = match self.random.below(4) {
+            0 if mode != DisconnectMode::ClosesAfterPipelining => RequestKind::Keyed,
+            1 => RequestKind::Cached,
+            _ => RequestKind::Repeatable,
         };
-        let (method, path) = match sort {
-            RequestSort::Repeatable => ("POST", format!("/availability/soak-{number}")),
-            RequestSort::Keyed => ("POST", format!("/reservation/soak-{number}")),
-            RequestSort::Cached => ("GET", format!("/listing/{}", self.random.below(COPIES))),
+        let (method, path) = match kind {
+            RequestKind::Repeatable => ("POST", format!("/availability/soak-{number}")),
+            RequestKind::Keyed => ("POST", format!("/reservation/soak-{number}")),
+            RequestKind::Cached => (
+                "GET",
+                format!("/listing/{}", self.random.below(CACHED_OBJECTS)),
+            ),
         };
-        let mut heads = String::new();
-        if sort == RequestSort::Keyed {
-            heads += &format!("Operation-Key: soak-{number}\r\n");
+        let mut headers = String::new();
+        if kind == RequestKind::Keyed {
+            headers += &format!("Operation-Key: soak-{number}\r\n");
         }
-        if manner == Manner::ClosesAfterLast {
-            heads += "Connection: close\r\n";
+        if mode == DisconnectMode::ClosesAfterCloseHeader {
+            headers += "Connection: close\r\n";
         }
         let text =
-            format!("{method} {path} HTTP/1.1\r\nHost: soak\r\nContent-Length: 0\r\n{heads}\r\n");
-        let departure = Departure {
+            format!("{method} {path} HTTP/1.1\r\nHost: soak\r\nContent-Length: 0\r\n{headers}\r\n");
+        let request = ClientRequest {
             path,
             edge,
-            manner,
-            sort,
-            left: None,
+            mode,
+            kind,
+            disconnected_at: None,
             status: 0,
         };
-        (text, departure)
+        (text, request)
     }
 }
 
-/// The status of the answer that comes; 0: none comes.
+/// Reads the status of the response; 0 if none arrives.
 fn status_of(stream: &mut TcpStream) -> u16 {
     let mut head = Vec::new();
     let mut buffer = [0; 512];
--- a/stand-ins/src/soak/faults.rs
+++ b/stand-ins/src/soak/faults.rs
@@ -1,89 +1,93 @@
-//! Which troubles come when: drawn from a seed, overlapping, all mended at the
-//! end.
+//! Fault schedule: overlapping faults, drawn from a seed, all of which end
+//! before the run does.
 use super::RelayMode;
 use crate::prelude::*;
 
-/// One thing that goes wrong for a while.
+/// Fault that lasts for a while.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SoakFault {
-    /// An edge is killed and started again.
+    /// Kills an edge and restarts it.
     KillEdge(usize),
-    /// A control node is killed and started again.
+    /// Kills a control node and restarts it.
     KillControl(usize),
-    /// An edge stands still.
+    /// Suspends an edge.
     PauseEdge(usize),
-    /// A control node stands still.
+    /// Suspends a control node.
     PauseControl(usize),
-    /// The relay before an origin fails in this mode.
+    /// Sets the failure mode of the relay in front of an origin.
     Relay(usize, RelayMode),
-    /// An origin has this fault.
+    /// Sets a fault of an origin.
     Origin(usize, &'static str),
 }
 
-/// A trouble begins or ends.
+/// Start or end of a fault.
 #[derive(Debug, Clone)]
 pub struct FaultStep {
-    /// Since the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// What goes wrong.
+    /// Fault that starts or ends.
     pub fault: SoakFault,
-    /// False: it ends.
-    pub begins: bool,
+    /// True if the fault starts, false if it ends.
+    pub starts: bool,
 }
 
 impl fmt::Display for FaultStep {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let what = if self.begins { "begins" } else { "ends" };
-        write!(out, "{:?} {what}", self.fault)
+        let transition = if self.starts { "starts" } else { "ends" };
+        write!(out, "{:?} {transition}", self.fault)
     }
 }
 
-/// The steps of one run, in order.
+/// Fault schedule of one run.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
-    /// Sorted by time.
+    /// Steps, sorted by time.
     pub steps: Vec<FaultStep>,
 }
 
-/// Troubles at a time.
-const OVERLAP: usize = 3;
-const FIRST_MS: u64 = 1_000;
-const LEAST_MS: u64 = 300;
-const MOST_MS: u64 = 3_000;
-/// The end of a run is free of troubles.
-const CALM_END: Duration = Duration::from_secs(2);
+/// Number of concurrent faults.
+const CONCURRENT_FAULTS: usize = 3;
+/// Minimum time before the first fault, in milliseconds.
+const MIN_FIRST_FAULT_MS: u64 = 1_000;
+/// Minimum duration of a fault, and pause between two, in milliseconds.
+const MIN_FAULT_MS: u64 = 300;
+/// Upper bound of the random part of a fault's duration, in milliseconds.
+const RANDOM_FAULT_MS: u64 = 3_000;
+/// Time at the end of a run without faults.
+const FAULT_FREE_END: Duration = Duration::from_secs(2);
 
 impl FaultPlan {
-    /// Draws troubles for a fleet; at most one control node is away at a time, and
-    /// nothing has two troubles at once.
+    /// Draws faults for a fleet. At most one control node is down at a
+    /// time, and no component has two faults at once.
     pub fn draw(seed: u64, span: Duration, fleet: &Fleet) -> FaultPlan {
         let mut random = SeededRandom::new(seed ^ 0x50AC);
         let mut steps = Vec::new();
-        let end = span.saturating_sub(CALM_END).as_millis() as u64;
-        for lane in 0..OVERLAP {
-            let mut at = FIRST_MS + random.below(MOST_MS);
-            while at + LEAST_MS < end {
-                let until = (at + LEAST_MS + random.below(MOST_MS)).min(end);
-                let fault = FaultPlan::fault(&mut random, lane, fleet);
-                for (at, begins) in [(at, true), (until, false)] {
+        let end = span.saturating_sub(FAULT_FREE_END).as_millis() as u64;
+        for lane in 0..CONCURRENT_FAULTS {
+            let mut at = MIN_FIRST_FAULT_MS + random.below(RANDOM_FAULT_MS);
+            while at + MIN_FAULT_MS < end {
+                let until = (at + MIN_FAULT_MS + random.below(RANDOM_FAULT_MS)).min(end);
+                let fault = FaultPlan::draw_fault(&mut random, lane, fleet);
+                for (at, starts) in [(at, true), (until, false)] {
                     steps.push(FaultStep {
                         at: Duration::from_millis(at),
                         fault: fault.clone(),
-                        begins,
+                        starts,
                     });
                 }
-                at = until + LEAST_MS + random.below(MOST_MS / 2);
+                at = until + MIN_FAULT_MS + random.below(RANDOM_FAULT_MS / 2);
             }
         }
-        steps.sort_by_key(|step| (step.at, step.begins));
+        steps.sort_by_key(|step| (step.at, step.starts));
         FaultPlan { steps }
     }
 
-    /// Each lane has troubles of its own kind, so that they never meet at one node.
-    fn fault(random: &mut SeededRandom, lane: usize, fleet: &Fleet) -> SoakFault {
+    /// Draws a fault. Each lane has its own kinds of faults, so that no
+    /// node has two at the same time.
+    fn draw_fault(random: &mut SeededRandom, lane: usize, fleet: &Fleet) -> SoakFault {
         let edge = random.below(fleet.edges.len() as u64) as usize;
         let control = random.below(fleet.control.len() as u64) as usize;
-        // The last one is listed for a service that nobody asks for.
+        // The last origin belongs to a service that no client requests.
         let origin = random.below(fleet.origins.len() as u64 - 1) as usize;
         match lane {
             0 if random.chance(50) => SoakFault::KillEdge(edge),
@@ -98,7 +102,7 @@
                 origin,
                 [
                     RelayMode::DropLink,
-                    RelayMode::LoseOperatorResponses,
+                    RelayMode::LoseResponses,
                     RelayMode::Reset,
                 ][random.below(3) as usize],
             ),
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -1,10 +1,11 @@
-//! A fleet of real processes under random, overlapping troubles, with callers
-//! that leave early, judged from outside.
+//! Soak test of a fleet of processes with random, overlapping faults and with
+//! clients that disconnect early. Checks the rules from outside the processes.
 //!
-//! Control nodes and edges are processes of their own on loopback; origins and
-//! callers run here. Each origin is reached through a `Relay`, which can cut it
-//! off, reset it and lose its answers, and which sees what edges send and when
-//! they give up. Edges and control nodes are killed and stopped for a while.
+//! Control nodes and edges are separate processes on loopback; origins and
+//! clients are threads of this process. Each origin is reached through a
+//! `Relay`, which can drop traffic, reset connections and discard responses,
+//! and which records the requests of edges and when they are cancelled. Edges
+//! and control nodes are killed or suspended for a while.
 mod disconnecting_client;
 mod faults;
 mod relay;
@@ -12,66 +13,69 @@
 
 use crate::fleet::free_address;
 use crate::prelude::*;
-pub use disconnecting_client::{Departure, DisconnectingClient, Manner, RequestSort};
+pub use disconnecting_client::{ClientRequest, DisconnectMode, DisconnectingClient, RequestKind};
 pub use faults::{FaultPlan, SoakFault};
-pub use relay::{Passage, Relay, RelayMode};
+pub use relay::{ForwardedRequest, Relay, RelayMode};
 pub use verdict::SoakVerdict;
 
-/// What is to be played.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct SoakPlan {
-    /// Of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long clients and faults go on.
+    /// Duration of clients and faults.
     pub span: Duration,
-    /// Takes data, logs and records.
+    /// Folder for data, logs and records.
     pub folder: PathBuf,
 }
 
-/// Callers that leave early or late, at once.
-const LEAVERS: usize = 12;
-/// Work of an origin on one call: long enough for callers to leave during it.
-const WORK: Duration = Duration::from_millis(150);
-/// Nodes are ready within this time at the first start.
-const BRING_UP: Duration = Duration::from_secs(40);
-/// After the troubles everything runs on for this long, to be seen to end.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Number of concurrent client threads.
+const CLIENTS: usize = 12;
+/// Processing time of an origin call, long enough for clients to disconnect
+/// during it.
+const PROCESSING_TIME: Duration = Duration::from_millis(150);
+/// Maximum time until nodes are ready after the first start.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time after the last fault in which remaining work has to end.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// The fleet under soak, with what stands around it.
+/// Fleet under test with its stand-ins.
 pub struct Soak {
     plan: SoakPlan,
     fleet: Fleet,
     relays: Vec<Arc<Relay>>,
     origins: Vec<Arc<StandInOrigin>>,
     stop: Arc<AtomicBool>,
-    /// Edges that stood still or were away, and when.
-    absences: Vec<Absence>,
+    /// Intervals in which nodes were suspended or down.
+    downtimes: Vec<Downtime>,
 }
 
-/// A span in which a node could not see that a caller had left.
+/// Interval in which a node could not detect that a client disconnected.
 #[derive(Debug, Clone)]
-pub struct Absence {
-    /// Its HTTP address.
+pub struct Downtime {
+    /// HTTP address of the node.
     pub edge: SocketAddr,
-    /// Seconds, as `wall` tells them.
+    /// Start of the interval, in seconds as returned by `wall`.
     pub from: f64,
-    /// The largest number: it is still away.
+    /// End of the interval, in seconds; `f64::MAX` while the node is still
+    /// down.
     pub to: f64,
 }
 
 impl Soak {
-    /// Plays the plan once: starts the fleet, troubles it, and judges.
+    /// Runs the plan once: starts the fleet, injects faults and checks the
+    /// rules.
     pub fn run(plan: SoakPlan) -> Result<SoakVerdict> {
-        let mut soak = Soak::bring_up(plan)?;
-        let departures = soak.play()?;
-        thread::sleep(SETTLE);
-        let verdict = soak.judge(departures);
+        let mut soak = Soak::start_fleet(plan)?;
+        let requests = soak.run_traffic()?;
+        thread::sleep(SETTLE_TIME);
+        let verdict = soak.check(requests);
         soak.stop.store(true, Ordering::Release);
         soak.fleet.stop_all();
         verdict
     }
 
-    fn bring_up(plan: SoakPlan) -> Result<Soak> {
+    fn start_fleet(plan: SoakPlan) -> Result<Soak> {
         let deployment = Deployment::find("small").context("deployment")?;
         let mut fleet = Fleet::plan(&deployment, &plan.folder)?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -81,7 +85,7 @@
             let instance = node.name.trim_start_matches("origin-").to_string();
             let key = Deployment::key_of(&node.zone);
             let mut origin = StandInOrigin::new(node.http, &node.zone, &instance, key);
-            origin.delay = WORK;
+            origin.delay = PROCESSING_TIME;
             origin.content = Some(plan.folder.join("content-version"));
             let origin = Arc::new(origin);
             origin.serve(stop.clone())?;
@@ -92,7 +96,7 @@
             origins.push(origin);
         }
         fleet.start_nodes()?;
-        fleet.wait_for_control(BRING_UP)?;
+        fleet.wait_for_control(STARTUP_TIMEOUT)?;
         fleet.put_origins(&[])?;
         let (status, body) =
             fleet.operate("PUT", "configuration", &deployment.document(&[1]), None)?;
@@ -100,63 +104,60 @@
             bail!("configuration: {status} {body}");
         }
         fleet.open_ledger()?;
-        fleet.wait_for_edges(BRING_UP)?;
+        fleet.wait_for_edges(STARTUP_TIMEOUT)?;
         Ok(Soak {
             plan,
             fleet,
             relays,
             origins,
             stop,
-            absences: Vec::new(),
+            downtimes: Vec::new(),
         })
     }
 
-    /// Callers come while troubles begin and end, up to three at a time.
-    fn play(&mut self) -> Result<Vec<Departure>> {
+    /// Runs clients while faults start and end.
+    fn run_traffic(&mut self) -> Result<Vec<ClientRequest>> {
         let edges: Vec<SocketAddr> = self.fleet.edges.iter().map(|node| node.http).collect();
-        let leavers: Vec<_> = (0..LEAVERS)
+        let clients: Vec<_> = (0..CLIENTS)
             .map(|worker| {
-                let disconnecting_client =
-                    DisconnectingClient::new(self.plan.seed, worker, edges.clone());
+                let client = DisconnectingClient::new(self.plan.seed, worker, edges.clone());
                 let (stop, span) = (self.stop.clone(), self.plan.span);
-                thread::spawn(move || disconnecting_client.run(span, &stop))
+                thread::spawn(move || client.run(span, &stop))
             })
             .collect();
         let faults = FaultPlan::draw(self.plan.seed, self.plan.span, &self.fleet);
-        self.fault(faults)?;
-        let ended = leavers
-            .into_iter()
-            .map(|disconnecting_client| disconnecting_client.join());
-        let lists: std::result::Result<Vec<Vec<Departure>>, _> = ended.collect();
-        let lists = lists.map_err(|_| anyhow!("a caller's thread panicked"))?;
+        self.inject_faults(faults)?;
+        let ended = clients.into_iter().map(|client| client.join());
+        let lists: std::result::Result<Vec<Vec<ClientRequest>>, _> = ended.collect();
+        let lists = lists.map_err(|_| anyhow!("a client thread panicked"))?;
         Ok(lists.into_iter().flatten().collect())
     }
 
-    fn fault(&mut self, plan: FaultPlan) -> Result<()> {
+    fn inject_faults(&mut self, plan: FaultPlan) -> Result<()> {
         let began = Instant::now();
         for step in plan.steps {
             thread::sleep(step.at.saturating_sub(began.elapsed()));
             println!("{:6.2} s  {step}", began.elapsed().as_secs_f64());
-            self.apply(&step.fault, step.begins)?;
+            self.apply(&step.fault, step.starts)?;
         }
         thread::sleep(self.plan.span.saturating_sub(began.elapsed()));
         Ok(())
     }
 
-    fn apply(&mut self, fault: &SoakFault, begins: bool) -> Result<()> {
+    fn apply(&mut self, fault: &SoakFault, starts: bool) -> Result<()> {
         match fault {
-            SoakFault::KillEdge(at) => self.kill(false, *at, begins)?,
-            SoakFault::KillControl(at) => self.kill(true, *at, begins)?,
-            SoakFault::PauseEdge(at) => self.pause(false, *at, begins),
-            SoakFault::PauseControl(at) => self.pause(true, *at, begins),
+            SoakFault::KillEdge(at) => self.kill(false, *at, starts)?,
+            SoakFault::KillControl(at) => self.kill(true, *at, starts)?,
+            SoakFault::PauseEdge(at) => self.pause(false, *at, starts),
+            SoakFault::PauseControl(at) => self.pause(true, *at, starts),
             SoakFault::Relay(at, mode) => {
-                let mode = if begins { *mode } else { RelayMode::Pass };
+                let mode = if starts { *mode } else { RelayMode::Pass };
                 self.relays[*at].set_mode(mode);
             }
             SoakFault::Origin(at, fault) => {
-                let fault = if begins { fault } else { "" };
-                let mut set = self.origins[*at].fault.lock().expect("no holder panics");
-                *set = fault.into();
+                let fault = if starts { fault } else { "" };
+                let mut origin_fault = self.origins[*at].fault.lock().expect("no holder panics");
+                *origin_fault = fault.into();
             }
         }
         Ok(())
@@ -170,40 +171,50 @@
         }
     }
 
-    fn kill(&mut self, control: bool, at: usize, begins: bool) -> Result<()> {
+    fn kill(&mut self, control: bool, at: usize, starts: bool) -> Result<()> {
         let folder = self.plan.folder.clone();
         let node = self.node(control, at);
-        if begins {
+        if starts {
             node.kill();
         } else {
             Fleet::start(&folder, node)?;
         }
         let address = node.http;
-        self.note_absence(address, begins);
+        self.record_downtime(address, starts);
         Ok(())
     }
 
-    fn pause(&mut self, control: bool, at: usize, begins: bool) {
+    fn pause(&mut self, control: bool, at: usize, starts: bool) {
         let node = self.node(control, at);
-        node.signal(if begins { "-STOP" } else { "-CONT" });
+        node.signal(if starts { "-STOP" } else { "-CONT" });
         let address = node.http;
-        self.note_absence(address, begins);
+        self.record_downtime(address, starts);
     }
 
-    fn note_absence(&mut self, edge: SocketAddr, begins: bool) {
+    fn record_downtime(&mut self, edge: SocketAddr, starts: bool) {
         let at = wall();
-        if begins {
+        if starts {
             let (from, to) = (at, f64::MAX);
-            self.absences.push(Absence { edge, from, to });
-        } else if let Some(last) = self.absences.iter_mut().rfind(|one| one.edge == edge) {
+            self.downtimes.push(Downtime { edge, from, to });
+        } else if let Some(last) = self
+            .downtimes
+            .iter_mut()
+            .rfind(|downtime| downtime.edge == edge)
+        {
             last.to = at;
         }
     }
 
-    fn judge(&self, departures: Vec<Departure>) -> Result<SoakVerdict> {
-        let passages = self.relays.iter().flat_map(|relay| relay.passages());
-        let mut verdict =
-            SoakVerdict::of(&departures, &passages.collect::<Vec<_>>(), &self.absences);
+    fn check(&self, requests: Vec<ClientRequest>) -> Result<SoakVerdict> {
+        let forwarded_requests = self
+            .relays
+            .iter()
+            .flat_map(|relay| relay.forwarded_requests());
+        let mut verdict = SoakVerdict::of(
+            &requests,
+            &forwarded_requests.collect::<Vec<_>>(),
+            &self.downtimes,
+        );
         verdict.count_reports(&self.plan.folder)?;
         let (status, state) = self.fleet.operate("GET", "state", "", None)?;
         if status == 200 {
--- a/stand-ins/src/soak/relay.rs
+++ b/stand-ins/src/soak/relay.rs
@@ -1,46 +1,48 @@
-//! A relay before one origin, which can be told to fail as networks do.
+//! Relay in front of an origin that can simulate network faults.
 use crate::prelude::*;
 use std::net::Shutdown;
 
-/// What a relay does with what it is given.
+/// Behaviour of a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayMode {
-    /// Everything passes.
+    /// Forwards everything.
     Pass,
-    /// Nothing passes either way; connections stay and say nothing.
+    /// Drops all data in both directions; connections stay open.
     DropLink,
-    /// Requests pass, answers do not.
-    LoseOperatorResponses,
-    /// Connections are reset as soon as anything comes.
+    /// Forwards requests and drops responses.
+    LoseResponses,
+    /// Closes all connections.
     Reset,
 }
 
-/// One request that an edge sent towards the origin.
+/// Request that an edge sent to the origin.
 #[derive(Debug, Clone)]
-pub struct Passage {
-    /// The request target.
+pub struct ForwardedRequest {
+    /// Request target.
     pub path: String,
-    /// When its first bytes came, in seconds.
+    /// Time at which the first bytes arrived, in seconds.
     pub at: f64,
-    /// When its answer began, or the edge ended the connection; none: neither.
+    /// Time at which the response began or the connection ended, in
+    /// seconds; none if neither happened.
     pub ended: Option<f64>,
 }
 
-/// Forwards connections to one origin and records the requests on them.
+/// Forwards connections to an origin and records their requests.
 pub struct Relay {
     address: SocketAddr,
     target: Mutex<Option<SocketAddr>>,
     mode: Mutex<RelayMode>,
-    passages: Mutex<Vec<Passage>>,
+    forwarded_requests: Mutex<Vec<ForwardedRequest>>,
     stop: Arc<AtomicBool>,
 }
 
-/// How often a blocked read looks whether the mode has changed.
-const LOOK: Duration = Duration::from_millis(10);
-const CHUNK: usize = 16 * 1024;
+/// Interval at which a blocked read checks for a changed mode.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Size of the read buffer, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
 impl Relay {
-    /// Listens at the address until `stop` is set.
+    /// Starts a relay that listens at the address until `stop` is set.
     pub fn new(address: SocketAddr, stop: Arc<AtomicBool>) -> Result<Arc<Relay>> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -48,75 +50,79 @@
             address,
             target: Mutex::default(),
             mode: Mutex::new(RelayMode::Pass),
-            passages: Mutex::default(),
+            forwarded_requests: Mutex::default(),
             stop,
         });
-        let taker = relay.clone();
-        thread::spawn(move || taker.accept(&listener));
+        let acceptor = relay.clone();
+        thread::spawn(move || acceptor.accept(&listener));
         Ok(relay)
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the origin.
+    /// Sets the origin to forward to.
     pub fn forward_to(&self, origin: SocketAddr) {
         *self.target.lock().expect("no holder panics") = Some(origin);
     }
 
-    /// Sets how it fails from now on.
+    /// Sets the behaviour.
     pub fn set_mode(&self, mode: RelayMode) {
         *self.mode.lock().expect("no holder panics") = mode;
     }
 
-    /// All requests so far.
-    pub fn passages(&self) -> Vec<Passage> {
-        self.passages.lock().expect("no holder panics").clone()
+    /// Returns all requests so far.
+    pub fn forwarded_requests(&self) -> Vec<ForwardedRequest> {
+        self.forwarded_requests
+            .lock()
+            .expect("no holder panics")
+            .clone()
     }
 
     fn mode(&self) -> RelayMode {
         *self.mode.lock().expect("no holder panics")
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Acquire)
     }
 
     fn accept(self: Arc<Relay>, listener: &TcpListener) {
-        while !self.stopped() {
+        while !self.is_stopped() {
             match listener.accept() {
                 Ok((edge, _)) => {
                     let relay = self.clone();
-                    thread::spawn(move || relay.carry(edge));
+                    thread::spawn(move || relay.forward(edge));
                 }
-                Err(_) => thread::sleep(LOOK / 5),
+                Err(_) => thread::sleep(POLL_INTERVAL / 5),
             }
         }
     }
 
-    fn carry(&self, mut edge: TcpStream) {
+    fn forward(&self, mut edge: TcpStream) {
         let target = *self.target.lock().expect("no holder panics");
         let Some(Ok(mut origin)) = target.map(TcpStream::connect) else {
             return;
         };
         for stream in [&edge, &origin] {
             let _ = stream.set_nonblocking(false);
-            let _ = stream.set_read_timeout(Some(LOOK));
+            let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
             let _ = stream.set_nodelay(true);
         }
-        let mut under_way: Option<usize> = None;
-        while !self.stopped() && self.mode() != RelayMode::Reset {
-            let cut = self.mode() == RelayMode::DropLink;
-            let mut buffer = [0; CHUNK];
-            // An edge that gives up is seen also while nothing passes.
+        let mut in_flight: Option<usize> = None;
+        while !self.is_stopped() && self.mode() != RelayMode::Reset {
+            let is_dropping = self.mode() == RelayMode::DropLink;
+            let mut buffer = [0; BUFFER_BYTES];
+            // The relay also detects that an edge closes the
+            // connection while it drops all data.
             match edge.read(&mut buffer) {
                 Ok(0) => break,
-                Ok(_) if cut => {}
+                Ok(_) if is_dropping => {}
                 Ok(size) => {
                     if let Some(path) = path_of(&buffer[..size]) {
-                        under_way = Some(self.begin(path));
+                        in_flight = Some(self.record_start(path));
                     }
                     if origin.write_all(&buffer[..size]).is_err() {
                         break;
@@ -125,14 +131,14 @@
                 Err(error) if is_timeout(&error) => {}
                 Err(_) => break,
             }
-            if cut {
+            if is_dropping {
                 continue;
             }
             match origin.read(&mut buffer) {
                 Ok(0) => break,
-                Ok(_) if self.mode() == RelayMode::LoseOperatorResponses => {}
+                Ok(_) if self.mode() == RelayMode::LoseResponses => {}
                 Ok(size) => {
-                    self.end(under_way.take());
+                    self.record_end(in_flight.take());
                     if edge.write_all(&buffer[..size]).is_err() {
                         break;
                     }
@@ -141,26 +147,26 @@
                 Err(_) => break,
             }
         }
-        self.end(under_way);
+        self.record_end(in_flight);
         let _ = origin.shutdown(Shutdown::Both);
         let _ = edge.shutdown(Shutdown::Both);
     }
 
-    fn begin(&self, path: String) -> usize {
-        let mut passages = self.passages.lock().expect("no holder panics");
+    fn record_start(&self, path: String) -> usize {
+        let mut forwarded_requests = self.forwarded_requests.lock().expect("no holder panics");
         let at = wall();
-        passages.push(Passage {
+        forwarded_requests.push(ForwardedRequest {
             path,
             at,
             ended: None,
         });
-        passages.len() - 1
+        forwarded_requests.len() - 1
     }
 
-    fn end(&self, passage: Option<usize>) {
-        let mut passages = self.passages.lock().expect("no holder panics");
-        if let Some(passage) = passage.and_then(|at| passages.get_mut(at)) {
-            passage.ended.get_or_insert(wall());
+    fn record_end(&self, forwarded: Option<usize>) {
+        let mut forwarded_requests = self.forwarded_requests.lock().expect("no holder panics");
+        if let Some(forwarded) = forwarded.and_then(|at| forwarded_requests.get_mut(at)) {
+            forwarded.ended.get_or_insert(wall());
         }
     }
 }
@@ -170,7 +176,7 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// The target of the request that begins here, if one does.
+/// Returns the target of the request that begins with these bytes, if one does.
 fn path_of(bytes: &[u8]) -> Option<String> {
     let line = bytes.split(|byte| *byte == b'\r').next()?;
     let line = std::str::from_utf8(line).ok()?;
--- a/stand-ins/src/soak/verdict.rs
+++ b/stand-ins/src/soak/verdict.rs
@@ -1,114 +1,136 @@
-//! What a soak showed.
-use super::{Absence, Departure, Manner, Passage, RequestSort};
+//! Results of a soak test.
+use super::{ClientRequest, DisconnectMode, Downtime, ForwardedRequest, RequestKind};
 use crate::prelude::*;
 
-/// Counts of one run, or of several added up; what is broken stands in `broken`.
+/// Counts and violations of one run or of several runs.
 #[derive(Debug, Clone, Default)]
 pub struct SoakVerdict {
-    /// Requests that were sent.
+    /// Number of requests that were sent.
     pub requests: usize,
-    /// Requests with a successful response.
+    /// Number of requests with a successful response.
     pub served: usize,
-    /// Callers that left before their answer.
+    /// Number of clients that disconnected before their response.
     pub left: usize,
-    /// Calls of theirs that had left for an origin before they did.
+    /// Number of origin calls that were sent before their client
+    /// disconnected.
     pub sent_before: usize,
-    /// How long calls went on after their callers left, at most, in milliseconds.
+    /// Maximum time that calls continued after their client disconnected,
+    /// in milliseconds.
     pub longest_ms: u64,
-    /// Each violation in words.
+    /// Descriptions of the violations.
     pub broken: Vec<String>,
 }
 
-/// From outside, a close needs some time to reach the edge and the end of a call
-/// the relay, on a busy machine; the rule of the users says half a second.
-const BOUND_S: f64 = 0.5;
-/// A node that stood still needs a moment to go on.
-const WAKES_S: f64 = 0.5;
+/// Maximum time in seconds until work for a disconnected client ends; the
+/// users' rule says half a second. Observed from outside, it includes the time
+/// until the edge receives the close and the relay the end of the call, on a
+/// busy machine.
+const MAX_ABANDONED_WORK_S: f64 = 0.5;
+/// Time in seconds that a suspended or restarted node needs to resume.
+const RESUME_S: f64 = 0.5;
 
 impl SoakVerdict {
-    /// Judges each request that a caller left: nothing of it is sent on, and what
-    /// was sent and may be repeated ends.
-    pub fn of(departures: &[Departure], passages: &[Passage], absences: &[Absence]) -> SoakVerdict {
-        let mut sent: HashMap<&str, Vec<&Passage>> = HashMap::new();
-        for passage in passages {
-            sent.entry(&passage.path).or_default().push(passage);
+    /// Checks each request of a disconnected client: it is not sent to an
+    /// origin any more, and a repeatable call in progress is cancelled.
+    pub fn of(
+        requests: &[ClientRequest],
+        forwarded_requests: &[ForwardedRequest],
+        downtimes: &[Downtime],
+    ) -> SoakVerdict {
+        let mut sent: HashMap<&str, Vec<&ForwardedRequest>> = HashMap::new();
+        for forwarded in forwarded_requests {
+            sent.entry(&forwarded.path).or_default().push(forwarded);
         }
         let mut verdict = SoakVerdict {
-            requests: departures.len(),
-            served: departures.iter().filter(|one| one.status == 200).count(),
+            requests: requests.len(),
+            served: requests
+                .iter()
+                .filter(|request| request.status == 200)
+                .count(),
             ..SoakVerdict::default()
         };
-        for departure in departures {
-            let Some(left) = departure.left else {
-                verdict.expect_answer(departure, absences);
+        for request in requests {
+            let Some(disconnected_at) = request.disconnected_at else {
+                verdict.check_half_closed(request, downtimes);
                 continue;
             };
             verdict.left += 1;
-            if departure.sort == RequestSort::Cached {
-                continue; // Calls for it are others', too: the edges judge them.
+            if request.kind == RequestKind::Cached {
+                continue; // The call serves other clients, too; the edges check it.
             }
-            let seen_by = seen_by(departure.edge, left, absences);
-            for passage in sent.get(departure.path.as_str()).into_iter().flatten() {
-                verdict.judge_passage(departure, passage, left, seen_by);
+            let detectable_at = detectable_at(request.edge, disconnected_at, downtimes);
+            for forwarded in sent.get(request.path.as_str()).into_iter().flatten() {
+                verdict.check_forwarded(request, forwarded, disconnected_at, detectable_at);
             }
         }
         verdict
     }
 
-    /// A caller that only shut its writing side reads its one answer.
-    fn expect_answer(&mut self, departure: &Departure, absences: &[Absence]) {
-        let absent = absences.iter().any(|one| one.edge == departure.edge);
-        if departure.manner == Manner::ShutsWriting && departure.status == 0 && !absent {
+    /// Checks that a client that closed only its writing side receives its
+    /// response.
+    fn check_half_closed(&mut self, request: &ClientRequest, downtimes: &[Downtime]) {
+        let was_down = downtimes
+            .iter()
+            .any(|downtime| downtime.edge == request.edge);
+        if request.mode == DisconnectMode::HalfCloses && request.status == 0 && !was_down {
             self.broken
-                .push(format!("{} got no answer: {departure:?}", departure.path));
+                .push(format!("{} got no response: {request:?}", request.path));
         }
     }
 
-    fn judge_passage(&mut self, departure: &Departure, passage: &Passage, left: f64, seen: f64) {
-        let bound = seen + BOUND_S;
-        if passage.at > bound {
-            let late = passage.at - left;
-            self.broken
-                .push(format!("{} sent on {late:.3} s after", passage.path));
+    fn check_forwarded(
+        &mut self,
+        request: &ClientRequest,
+        forwarded: &ForwardedRequest,
+        disconnected_at: f64,
+        detectable_at: f64,
+    ) {
+        let bound = detectable_at + MAX_ABANDONED_WORK_S;
+        if forwarded.at > bound {
+            let late = forwarded.at - disconnected_at;
+            self.broken.push(format!(
+                "{} sent to the origin {late:.3} s after the disconnect",
+                forwarded.path
+            ));
         }
-        if passage.at > left {
+        if forwarded.at > disconnected_at {
             return;
         }
         self.sent_before += 1;
-        let ended = passage.ended.unwrap_or(f64::MAX);
-        if departure.sort == RequestSort::Repeatable {
+        let ended = forwarded.ended.unwrap_or(f64::MAX);
+        if request.kind == RequestKind::Repeatable {
             if ended > bound {
-                let path = &passage.path;
+                let path = &forwarded.path;
                 self.broken.push(format!(
-                    "{path} still under way: {passage:?}, left {left:.3}"
+                    "{path} still in progress: {forwarded:?}, disconnected at {disconnected_at:.3}"
                 ));
-            } else if ended > left && seen == left {
-                let lasted = ((ended - left) * 1000.0) as u64;
-                self.longest_ms = self.longest_ms.max(lasted);
+            } else if ended > disconnected_at && detectable_at == disconnected_at {
+                let duration_ms = ((ended - disconnected_at) * 1000.0) as u64;
+                self.longest_ms = self.longest_ms.max(duration_ms);
             }
         }
     }
 
-    /// Violations that the processes themselves reported in their logs.
+    /// Adds violations that the processes reported in their logs.
     pub fn count_reports(&mut self, folder: &Path) -> Result<()> {
-        let marks = [Event::AbandonedWork].map(|event| format!("E{:03} ", event as u32));
+        let codes = [Event::AbandonedWork].map(|event| format!("E{:03} ", event as u32));
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
             if path.extension().is_none_or(|kind| kind != "log") {
                 continue;
             }
             let text = fs::read_to_string(&path)?;
-            let told = |line: &&str| {
-                marks.iter().any(|mark| line.contains(mark)) || line.contains("panicked")
+            let is_violation = |line: &&str| {
+                codes.iter().any(|code| line.contains(code)) || line.contains("panicked")
             };
-            for line in text.lines().filter(told) {
+            for line in text.lines().filter(is_violation) {
                 self.broken.push(format!("{}: {line}", path.display()));
             }
         }
         Ok(())
     }
 
-    /// Violations that `operate state` shows.
+    /// Adds violations reported by `operate state`.
     pub fn count_usage(&mut self, state: &serde_json::Value) {
         for session in state["edges"].as_array().into_iter().flatten() {
             let abandoned = session["usage"]["abandoned"].as_u64().unwrap_or(0);
@@ -119,7 +141,7 @@
         }
     }
 
-    /// Adds the counts of another run.
+    /// Adds the results of another run.
     pub fn add(&mut self, other: SoakVerdict) {
         self.requests += other.requests;
         self.served += other.served;
@@ -130,21 +152,25 @@
     }
 }
 
-/// When the edge could see that the caller had left.
-fn seen_by(edge: SocketAddr, left: f64, absences: &[Absence]) -> f64 {
-    let away = |one: &&Absence| one.edge == edge && one.from <= left + WAKES_S && left <= one.to;
-    absences
+/// Returns the time at which the edge was able to detect the disconnect.
+fn detectable_at(edge: SocketAddr, disconnected_at: f64, downtimes: &[Downtime]) -> f64 {
+    let covers_disconnect = |downtime: &&Downtime| {
+        downtime.edge == edge
+            && downtime.from <= disconnected_at + RESUME_S
+            && disconnected_at <= downtime.to
+    };
+    downtimes
         .iter()
-        .filter(away)
-        .map(|one| one.to + WAKES_S)
-        .fold(left, f64::max)
+        .filter(covers_disconnect)
+        .map(|downtime| downtime.to + RESUME_S)
+        .fold(disconnected_at, f64::max)
 }
 
 impl fmt::Display for SoakVerdict {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         write!(
             out,
-            "{} requests, {} served, {} callers left ({} calls of theirs under way, ended within {} ms), {} broken",
+            "{} requests, {} served, {} clients disconnected ({} of their calls in progress, ended within {} ms), {} violations",
             self.requests,
             self.served,
             self.left,
