--- a/stand-ins/src/bin/run-fleet/faults.rs
+++ b/stand-ins/src/bin/run-fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of processes, disks and origins, and what brings them back.
+//! Faults of processes, disks and origins, and the recovery from them.
 use crate::Run;
 use stand_ins::prelude::*;
 
@@ -16,8 +16,8 @@
             self.began.elapsed().as_secs_f64(),
             node.name
         );
-        self.fleet.note("killed", &subject, 0, true);
-        self.fleet.note(
+        self.fleet.record_event("killed", &subject, 0, true);
+        self.fleet.record_event(
             "fault",
             if control { "kill control" } else { "kill edge" },
             0,
@@ -25,7 +25,7 @@
         );
     }
 
-    pub(crate) fn bring_back(&mut self, control: bool, at: usize) -> Result<()> {
+    pub(crate) fn restart_and_wait(&mut self, control: bool, at: usize) -> Result<()> {
         let folder = self.fleet.folder.clone();
         let node = if control {
             &mut self.fleet.control[at]
@@ -36,10 +36,10 @@
         let before = Instant::now();
         let ready = Fleet::wait(Duration::from_secs(15), &mut || node.ready());
         let (name, subject) = (node.name.clone(), node.http.to_string());
-        self.fleet.note("ready-again", &subject, 0, ready);
+        self.fleet.record_event("ready-again", &subject, 0, ready);
         println!(
             "{:6.1} s  {name} ready again ({ready}) after {} ms",
-            self.at(),
+            self.elapsed_s(),
             before.elapsed().as_millis()
         );
         Ok(())
@@ -62,23 +62,28 @@
         });
         println!(
             "{:6.1} s  disks of {slots:?} removed; control ready again ({ready}) after {} ms",
-            self.at(),
+            self.elapsed_s(),
             before.elapsed().as_millis()
         );
-        self.fleet.note("returned", "control", 0, true);
-        self.fleet.note("ready-again", "control", 0, ready);
+        self.fleet.record_event("returned", "control", 0, true);
+        self.fleet.record_event("ready-again", "control", 0, ready);
         Ok(())
     }
 
-    pub(crate) fn freeze(&mut self, control: bool, at: usize, span: Duration) {
+    pub(crate) fn suspend(&mut self, control: bool, at: usize, span: Duration) {
         let node = if control {
             &self.fleet.control[at]
         } else {
             &self.fleet.edges[at]
         };
-        println!("{:6.1} s  {} frozen for {span:?}", self.at(), node.name);
-        // Its callers may give up on it meanwhile; that is no planned change.
-        self.fleet.note(
+        println!(
+            "{:6.1} s  {} suspended for {span:?}",
+            self.elapsed_s(),
+            node.name
+        );
+        // Its clients may time out meanwhile, so this is not a planned
+        // change.
+        self.fleet.record_event(
             "fault",
             if control {
                 "freeze control"
@@ -88,20 +93,21 @@
             0,
             false,
         );
-        self.fleet.note("killed", &node.http.to_string(), 1, true);
+        self.fleet
+            .record_event("killed", &node.http.to_string(), 1, true);
         node.signal("-STOP");
         thread::sleep(span);
         node.signal("-CONT");
-        println!("{:6.1} s  {} goes on", self.at(), node.name);
+        println!("{:6.1} s  {} resumed", self.elapsed_s(), node.name);
     }
 
-    /// Freezes control nodes together, for a span.
-    pub(crate) fn freeze_core(&mut self, slots: &[usize], span: Duration) {
+    /// Suspends control nodes together for the span.
+    pub(crate) fn suspend_control_nodes(&mut self, slots: &[usize], span: Duration) {
         println!(
-            "{:6.1} s  control nodes {slots:?} frozen for {span:?}",
-            self.at()
+            "{:6.1} s  control nodes {slots:?} suspended for {span:?}",
+            self.elapsed_s()
         );
-        self.fleet.note("fault", "freeze core", 0, false);
+        self.fleet.record_event("fault", "freeze core", 0, false);
         for signal in ["-STOP", "-CONT"] {
             slots
                 .iter()
@@ -110,12 +116,12 @@
                 thread::sleep(span);
             }
         }
-        self.fleet.note("fault", "core goes on", 0, false);
-        self.fleet.note("returned", "core", 0, true);
+        self.fleet.record_event("fault", "core goes on", 0, false);
+        self.fleet.record_event("returned", "core", 0, true);
     }
 
     pub(crate) fn restart_planned(&mut self, control: bool, at: usize) -> Result<()> {
-        self.fleet.note(
+        self.fleet.record_event(
             "fault",
             if control {
                 "restart control"
@@ -136,27 +142,27 @@
         let name = node.name.clone();
         println!(
             "{:6.1} s  {name} drained and ended ({ended}) after {} ms",
-            self.at(),
+            self.elapsed_s(),
             before.elapsed().as_millis()
         );
-        self.fleet.note("restarted", &name, 0, ended);
-        self.bring_back(control, at)
+        self.fleet.record_event("restarted", &name, 0, ended);
+        self.restart_and_wait(control, at)
     }
 
     /// Sets a fault at all origins of the second service.
-    pub(crate) fn fault(&self, name: &str) {
+    pub(crate) fn set_service_fault(&self, name: &str) {
         let service = self.deployment.services[1].name;
-        self.fault_at(1, usize::MAX, name);
+        self.set_origin_fault(1, usize::MAX, name);
         println!(
             "{:6.1} s  origins of {service}: fault \"{name}\"",
-            self.at()
+            self.elapsed_s()
         );
     }
 
-    /// The same at the first so many of a service.
-    pub(crate) fn fault_at(&self, service: usize, most: usize, name: &str) {
+    /// Sets a fault at the first `max_origins` origins of a service.
+    pub(crate) fn set_origin_fault(&self, service: usize, max_origins: usize, name: &str) {
         let service = self.deployment.services[service].name;
-        self.fleet.note(
+        self.fleet.record_event(
             "fault",
             &format!("origin {}", if name.is_empty() { "good" } else { name }),
             0,
@@ -167,7 +173,7 @@
             .origins
             .iter()
             .filter(|node| node.zone == service)
-            .take(most)
+            .take(max_origins)
         {
             let url = format!("http://{}/.stand-in/fault/{name}", node.http);
             let _ = direct("PUT", &url).timeout(Duration::from_secs(2)).send();
--- a/stand-ins/src/bin/run-fleet/main.rs
+++ b/stand-ins/src/bin/run-fleet/main.rs
@@ -1,4 +1,4 @@
-//! Runs a fleet of processes with traffic and faults, and judges it.
+//! Runs a fleet of processes with traffic and faults, and checks the rules.
 mod faults;
 mod markers;
 mod operators;
@@ -14,29 +14,29 @@
 fn main() -> Result<()> {
     let options = Options::from_command_line()?;
     let mut run = Run::plan(&options)?;
-    run.bring_up()?;
+    run.start_fleet()?;
     if options.keep_up {
         run.wait_for_enter();
         return Ok(());
     }
-    let mut callers = run.start_callers(options.seconds, options.seed)?;
+    let mut clients = run.start_clients(options.seconds, options.seed)?;
     run.began = Instant::now();
     let watch = MarkerWatch::start(&run.fleet);
     match options.faults.as_str() {
-        "script" => run.script()?,
+        "script" => run.change_script()?,
         "power" => run.power_cut()?,
-        "disks" => run.disks()?,
-        "turn" => run.turn()?,
-        "core" => run.core()?,
+        "disks" => run.disk_losses()?,
+        "turn" => run.rolling_restart()?,
+        "core" => run.control_node_faults()?,
         _ => {}
     }
-    let _ = callers.wait();
+    let _ = clients.wait();
     watch.end();
     run.fleet.stop_all();
     std::process::exit(run.report()?);
 }
 
-/// A fleet of processes and what its operators know.
+/// Fleet of processes with the state of its operators.
 pub(crate) struct Run {
     pub(crate) fleet: Fleet,
     pub(crate) deployment: Deployment,
@@ -44,7 +44,7 @@
     pub(crate) markers: Vec<u64>,
     /// Version and text of the document that was acknowledged last.
     pub(crate) acknowledged: Option<(u64, String)>,
-    /// When traffic began.
+    /// Time at which traffic began.
     pub(crate) began: Instant,
 }
 
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Prints where the nodes listen and waits for a line of input.
+    /// Prints the addresses of the nodes and waits for a line of input.
     fn wait_for_enter(&self) {
         let addresses = |nodes: &[Node]| {
             let list: Vec<String> = nodes.iter().map(|node| node.http.to_string()).collect();
@@ -73,13 +73,13 @@
         let _ = std::io::stdin().read_line(&mut String::new());
     }
 
-    /// Seconds of traffic so far.
-    pub(crate) fn at(&self) -> f64 {
+    /// Returns the seconds since traffic began.
+    pub(crate) fn elapsed_s(&self) -> f64 {
         self.began.elapsed().as_secs_f64()
     }
 
-    /// Sleeps until so many seconds of traffic.
-    pub(crate) fn until(&self, second: u64) {
+    /// Sleeps until the given number of seconds after traffic began.
+    pub(crate) fn sleep_until(&self, second: u64) {
         thread::sleep(Duration::from_secs(second).saturating_sub(self.began.elapsed()));
     }
 }
--- a/stand-ins/src/bin/run-fleet/markers.rs
+++ b/stand-ins/src/bin/run-fleet/markers.rs
@@ -1,13 +1,13 @@
-//! Watches which marker entries of the configuration are in force at the edges.
+//! Polls which marker entries of the configuration are in effect at the edges.
 use stand_ins::prelude::*;
 
-/// Between two looks at all edges.
+/// Interval between two polls of all edges.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The marker of a configuration that is invalid.
+/// Marker in the invalid configuration.
 const INVALID_MARKER: u64 = 999;
 
-/// Looks at every edge for the markers that were acknowledged.
+/// Polls every edge for the acknowledged markers.
 pub(crate) struct MarkerWatch {
     stop: Arc<AtomicBool>,
     thread: thread::JoinHandle<()>,
@@ -47,15 +47,15 @@
     }
 }
 
-/// The marker of the document that was acknowledged last.
+/// Returns the marker of the document that was acknowledged last.
 fn newest_marker(path: &Path) -> u64 {
-    let known = read_records::<FleetRecord>(path).unwrap_or_default();
-    let configured = known.iter().rfind(|record| record.what == "configured");
+    let records = read_records::<FleetRecord>(path).unwrap_or_default();
+    let configured = records.iter().rfind(|record| record.what == "configured");
     configured.map_or(1, |record| record.number)
 }
 
 fn observe(edge: SocketAddr, marker: u64, at: f64) -> Option<FleetRecord> {
-    let good = in_force(edge, marker)?;
+    let good = is_in_effect(edge, marker)?;
     Some(FleetRecord {
         at,
         what: "marker".into(),
@@ -65,9 +65,10 @@
     })
 }
 
-/// Recorded only if the marker is in force, which it never may be.
+/// Returns a record only if the invalid marker is in effect, which is a
+/// violation.
 fn observe_invalid(edge: SocketAddr, at: f64) -> Option<FleetRecord> {
-    in_force(edge, INVALID_MARKER).filter(|found| *found)?;
+    is_in_effect(edge, INVALID_MARKER).filter(|in_effect| *in_effect)?;
     Some(FleetRecord {
         at,
         what: "invalid-marker".into(),
@@ -77,9 +78,10 @@
     })
 }
 
-/// Whether an edge has the marker's entry; none if the edge does not show it.
-/// A keyed entry without a key answers 400; none answers 404.
-fn in_force(edge: SocketAddr, marker: u64) -> Option<bool> {
+/// Returns true if an edge has the marker's entry; none if this is unknown. A
+/// request without a key gets status 400 from a keyed entry, and status 404 if
+/// there is no entry.
+fn is_in_effect(edge: SocketAddr, marker: u64) -> Option<bool> {
     let url = format!("http://{edge}/marker/{marker}");
     let response = direct("POST", &url).timeout(PROBE_TIMEOUT).send().ok()?;
     match response.status().as_u16() {
--- a/stand-ins/src/bin/run-fleet/options.rs
+++ b/stand-ins/src/bin/run-fleet/options.rs
@@ -1,4 +1,4 @@
-//! Command-line flags of the runner.
+//! Command-line flags of the fleet runner.
 use stand_ins::prelude::*;
 
 const HELP: &str = "starts a fleet on loopback, plays its traffic and its faults, and judges
@@ -20,22 +20,23 @@
 
 const FAULTS: [&str; 6] = ["none", "script", "power", "disks", "turn", "core"];
 
-/// What the command line asks for.
+/// Options of the command line.
 pub(crate) struct Options {
     pub(crate) deployment: Deployment,
     pub(crate) folder: PathBuf,
-    /// Of traffic.
+    /// Duration of traffic, in seconds.
     pub(crate) seconds: u64,
-    /// One of `FAULTS`.
+    /// Fault script, one of `FAULTS`.
     pub(crate) faults: String,
-    /// Of the traffic.
+    /// Seed of the traffic.
     pub(crate) seed: u64,
-    /// The fleet runs until a line is read; no traffic, no faults.
+    /// True if the fleet runs without traffic and faults until a line is
+    /// read.
     pub(crate) keep_up: bool,
 }
 
 impl Options {
-    /// Reads the command line; ends the program if anything is wrong with it.
+    /// Reads the command line; exits if it contains errors.
     pub(crate) fn from_command_line() -> Result<Options> {
         let mut flags = Flags::gather("run-fleet", HELP);
         let name = flags
--- a/stand-ins/src/bin/run-fleet/report.rs
+++ b/stand-ins/src/bin/run-fleet/report.rs
@@ -1,12 +1,13 @@
-//! Judges the record of a run and prints it.
+//! Checks the rules against the record of a run and prints the results.
 use crate::Run;
 use stand_ins::prelude::*;
 
-/// Broken cases printed of one rule.
-const CASES_SHOWN: usize = 3;
+/// Maximum number of violations printed for a rule.
+const MAX_VIOLATIONS_SHOWN: usize = 3;
 
 impl Run {
-    /// The exit code: 1 if a rule is broken.
+    /// Prints the report; returns the exit code, which is 1 if a rule is
+    /// violated.
     pub(crate) fn report(&self) -> Result<i32> {
         let checker = Checker::read(&self.fleet.folder, &self.deployment)?;
         self.print_traffic(&checker);
@@ -45,7 +46,7 @@
             })
             .count();
         println!(
-            "\nerrands {}, origin calls {} (probes {})",
+            "\nrequests {}, origin calls {} (health checks {})",
             checker.callers.len(),
             checker.origins.len(),
             checker.origins.iter().filter(|call| call.probe).count()
@@ -54,13 +55,13 @@
             "origin calls per cached request: {:.3}",
             fetched as f64 / cached.max(1) as f64
         );
-        for (rank, (good, all)) in checker.shares() {
+        for (rank, (successes, total)) in checker.shares() {
             println!(
-                "rank {rank}: {good} of {all} served ({:.2} %)",
-                100.0 * good as f64 / all as f64
+                "rank {rank}: {successes} of {total} served ({:.2} %)",
+                100.0 * successes as f64 / total as f64
             );
         }
-        println!("other answers: {:?}\n", checker.other_answers());
+        println!("other responses: {:?}\n", checker.other_answers());
     }
 }
 
@@ -69,7 +70,11 @@
         Verdict::NotExercised => "not exercised".to_string(),
         Verdict::Held(cases) => format!("held in {cases} cases"),
         Verdict::Broken(cases) => {
-            let shown = cases.iter().take(CASES_SHOWN).cloned().collect::<Vec<_>>();
+            let shown = cases
+                .iter()
+                .take(MAX_VIOLATIONS_SHOWN)
+                .cloned()
+                .collect::<Vec<_>>();
             format!("BROKEN in {} cases: {}", cases.len(), shown.join("; "))
         }
     }
--- a/stand-ins/src/bin/run-fleet/traffic.rs
+++ b/stand-ins/src/bin/run-fleet/traffic.rs
@@ -1,22 +1,22 @@
-//! Brings the fleet up and starts its traffic.
+//! Starts the fleet and its traffic.
 use crate::Run;
 use stand_ins::prelude::*;
 
-/// Nodes are ready within this time of their first start.
+/// Maximum time from the first start until nodes are ready.
 const READY_LIMIT: Duration = Duration::from_secs(20);
 
 impl Run {
-    pub(crate) fn bring_up(&mut self) -> Result<()> {
+    pub(crate) fn start_fleet(&mut self) -> Result<()> {
         self.fleet.start_all()?;
         self.fleet.wait_for_control(READY_LIMIT)?;
         self.fleet.put_origins(&[])?;
         self.configure(None)?;
         self.fleet.open_ledger()?;
         self.fleet.wait_for_edges(READY_LIMIT)?;
-        // Assignments are granted and origins proven within a moment.
+        // Granting assignments and checking origins takes a moment.
         thread::sleep(Duration::from_secs(2));
         println!(
-            "up: {} control nodes, {} edges, {} origins",
+            "started: {} control nodes, {} edges, {} origins",
             self.fleet.control.len(),
             self.fleet.edges.len(),
             self.fleet.origins.len()
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    pub(crate) fn start_callers(&self, seconds: u64, seed: u64) -> Result<Child> {
+    pub(crate) fn start_clients(&self, seconds: u64, seed: u64) -> Result<Child> {
         let edges = self
             .fleet
             .edges
--- a/stand-ins/src/bin/stand-in-caller.rs
+++ b/stand-ins/src/bin/stand-in-caller.rs
@@ -1,4 +1,4 @@
-//! A client for the command line.
+//! Command-line client: runs a traffic plan or sends one request.
 use stand_ins::prelude::*;
 
 const HELP: &str = "stand-ins for callers
@@ -43,7 +43,7 @@
         rank: 0,
         ttl: 0,
     };
-    let record = stand_ins::caller::call_edge(&mix, &path, operation.as_deref(), edge);
+    let record = stand_ins::caller::send_request(&mix, &path, operation.as_deref(), edge);
     println!("{}", serde_json::to_string_pretty(&record)?);
     std::process::exit(i32::from(record.status != 200));
 }
--- a/stand-ins/src/bin/stand-in-origin.rs
+++ b/stand-ins/src/bin/stand-in-origin.rs
@@ -1,4 +1,4 @@
-//! An origin for the command line.
+//! Command-line stand-in origin.
 use stand_ins::prelude::*;
 
 const HELP: &str = "a stand-in for one origin
@@ -28,7 +28,7 @@
         .filter(|path| !path.is_empty())
         .map(|path| Recorder::open(Path::new(&path)))
         .transpose()?;
-    let (_, serving) = Arc::new(origin).serve(Arc::default())?;
-    let _ = serving.join();
+    let (_, server) = Arc::new(origin).serve(Arc::default())?;
+    let _ = server.join();
     Ok(())
 }
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -1,92 +1,95 @@
-//! A client: sends requests to edges and records what came of them.
+//! Clients, which send requests to edges and record the results.
 use crate::prelude::*;
 
-/// What the callers shall do, as a file for `stand-in-caller`.
+/// Traffic plan, which `stand-in-caller` reads from a file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CallerPlan {
     /// HTTP address and zone of each edge.
     pub edges: Vec<(SocketAddr, String)>,
-    /// Requests a second, all clients together.
+    /// Requests per second of all clients.
     pub rate: u64,
-    /// How long new requests begin, in seconds.
+    /// Duration in which new requests are sent, in seconds.
     pub seconds: u64,
-    /// Of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// What is requested.
+    /// Traffic mix.
     pub mix: Vec<crate::deployment::Mix>,
 }
 
 #[derive(Debug, Clone)]
-struct Task {
+struct PlannedRequest {
     mix: crate::deployment::Mix,
     path: String,
     operation: Option<String>,
     edge: SocketAddr,
-    tries: u32,
+    attempts: u32,
 }
 
+/// Number of threads that send requests.
 const WORKERS: usize = 96;
-/// Keys that come again from elsewhere although they were answered.
-const REPEATS: u64 = 15;
+/// Percentage of operation keys that are sent again to an edge in another zone
+/// although they succeeded.
+const REPEAT_PERCENT: u64 = 15;
 
-/// Callers of all kinds, at a set rate, through the edges that are ready.
+/// Clients that send requests at a fixed rate to the edges that are ready.
 pub struct Traffic {
     plan: CallerPlan,
     ready: Mutex<Vec<(SocketAddr, String)>>,
     record: Recorder,
-    later: Mutex<Vec<(Instant, Task)>>,
+    delayed: Mutex<Vec<(Instant, PlannedRequest)>>,
     stop: AtomicBool,
 }
 
 impl Traffic {
-    /// Plays the plan and records each request; returns once all have ended.
+    /// Runs the plan and records each request; returns once all have ended.
     pub fn run(plan: CallerPlan, record: Recorder) {
         let (edges, seconds, rate, seed) = (plan.edges.clone(), plan.seconds, plan.rate, plan.seed);
         let traffic = Arc::new(Traffic {
             plan,
             ready: Mutex::new(edges),
             record,
-            later: Mutex::default(),
+            delayed: Mutex::default(),
             stop: AtomicBool::new(false),
         });
-        let watch = traffic.clone();
-        let watcher = thread::spawn(move || watch.watch_ready());
-        let (give, take) = flume::unbounded::<Task>();
+        let watched = traffic.clone();
+        let watcher = thread::spawn(move || watched.watch_ready());
+        let (sender, receiver) = flume::unbounded::<PlannedRequest>();
         let workers: Vec<_> = (0..WORKERS)
             .map(|_| {
-                let (traffic, take) = (traffic.clone(), take.clone());
-                thread::spawn(move || take.iter().for_each(|task| traffic.work(task)))
+                let (traffic, receiver) = (traffic.clone(), receiver.clone());
+                thread::spawn(move || receiver.iter().for_each(|planned| traffic.send(planned)))
             })
             .collect();
         let mut random = SeededRandom::new(seed);
         let began = Instant::now();
         let mut serial = 0u64;
         while began.elapsed() < Duration::from_secs(seconds) {
-            let due = (began.elapsed().as_secs_f64() * rate as f64) as u64;
-            while serial < due {
+            let target = (began.elapsed().as_secs_f64() * rate as f64) as u64;
+            while serial < target {
                 serial += 1;
-                if let Some(task) = traffic.draw(&mut random, serial) {
-                    let _ = give.send(task);
+                if let Some(planned) = traffic.draw(&mut random, serial) {
+                    let _ = sender.send(planned);
                 }
             }
-            let mut later = traffic.later.lock().expect("no holder panics");
-            let (now, rest) = std::mem::take(&mut *later)
+            let mut delayed = traffic.delayed.lock().expect("no holder panics");
+            let (due_requests, remaining) = std::mem::take(&mut *delayed)
                 .into_iter()
                 .partition(|(when, _)| *when <= Instant::now());
-            *later = rest;
-            drop(later);
-            (now as Vec<(Instant, Task)>)
+            *delayed = remaining;
+            drop(delayed);
+            (due_requests as Vec<(Instant, PlannedRequest)>)
                 .into_iter()
-                .for_each(|(_, task)| drop(give.send(task)));
+                .for_each(|(_, planned)| drop(sender.send(planned)));
             thread::sleep(Duration::from_millis(5));
         }
-        drop(give);
+        drop(sender);
         workers.into_iter().for_each(|worker| drop(worker.join()));
         traffic.stop.store(true, Ordering::Release);
         let _ = watcher.join();
     }
 
-    /// The platform hands clients only to nodes that say they are ready.
+    /// Polls which edges are ready. The platform directs clients only to
+    /// those.
     fn watch_ready(&self) {
         while !self.stop.load(Ordering::Acquire) {
             let candidates = self.plan.edges.iter().filter(|(edge, _)| {
@@ -94,7 +97,7 @@
                 direct("GET", &url)
                     .timeout(Duration::from_millis(300))
                     .send()
-                    .is_ok_and(|answer| answer.is_success())
+                    .is_ok_and(|response| response.is_success())
             });
             let ready: Vec<_> = candidates.cloned().collect();
             *self.ready.lock().expect("no holder panics") = ready;
@@ -102,87 +105,93 @@
         }
     }
 
-    fn pick(&self, random: u64, not_zone: Option<&str>) -> Option<SocketAddr> {
+    fn choose_edge(&self, random: u64, excluded_zone: Option<&str>) -> Option<SocketAddr> {
         let ready = self.ready.lock().expect("no holder panics");
-        let list: Vec<_> = ready
+        let candidates: Vec<_> = ready
             .iter()
-            .filter(|(_, zone)| not_zone != Some(zone.as_str()))
+            .filter(|(_, zone)| excluded_zone != Some(zone.as_str()))
             .collect();
-        let list = if list.is_empty() {
+        let candidates = if candidates.is_empty() {
             ready.iter().collect()
         } else {
-            list
+            candidates
         };
-        list.get(random as usize % list.len().max(1))
+        candidates
+            .get(random as usize % candidates.len().max(1))
             .map(|(edge, _)| *edge)
     }
 
-    fn draw(&self, random: &mut SeededRandom, serial: u64) -> Option<Task> {
-        let mut roll = random.below(100);
+    fn draw(&self, random: &mut SeededRandom, serial: u64) -> Option<PlannedRequest> {
+        let mut draw = random.below(100);
         let mix = self.plan.mix.iter().find(|mix| {
-            let hit = roll < mix.share;
-            roll = roll.saturating_sub(mix.share);
-            hit
+            let is_hit = draw < mix.share;
+            draw = draw.saturating_sub(mix.share);
+            is_hit
         })?;
-        // A few objects are asked for most of the time.
-        let at = if random.chance(70) {
+        // A tenth of the objects gets most of the requests.
+        let index = if random.chance(70) {
             random.below(mix.paths / 10 + 1)
         } else {
             random.below(mix.paths)
         };
         let operation = mix.keyed.then(|| format!("op-{}-{serial}", self.plan.seed));
-        Some(Task {
+        Some(PlannedRequest {
             mix: mix.clone(),
-            path: format!("{}{at}", mix.path),
+            path: format!("{}{index}", mix.path),
             operation,
-            edge: self.pick(random.below(1 << 20), None)?,
-            tries: 0,
+            edge: self.choose_edge(random.below(1 << 20), None)?,
+            attempts: 0,
         })
     }
 
-    fn work(&self, task: Task) {
-        let record = call_edge(&task.mix, &task.path, task.operation.as_deref(), task.edge);
+    fn send(&self, planned: PlannedRequest) {
+        let record = send_request(
+            &planned.mix,
+            &planned.path,
+            planned.operation.as_deref(),
+            planned.edge,
+        );
         self.record.put(&record);
-        let Some(operation) = &task.operation else {
+        let Some(operation) = &planned.operation else {
             return;
         };
-        let hash = Sha256::digest(format!("{operation}{}", task.tries).as_bytes());
-        let good = record.status == 200;
-        let again = if good {
-            u64::from(hash[0]) % 100 < REPEATS && task.tries == 0
+        let hash = Sha256::digest(format!("{operation}{}", planned.attempts).as_bytes());
+        let succeeded = record.status == 200;
+        let repeats = if succeeded {
+            u64::from(hash[0]) % 100 < REPEAT_PERCENT && planned.attempts == 0
         } else {
-            task.tries < 4
+            planned.attempts < 4
         };
-        if again {
+        if repeats {
             let zone = self
                 .plan
                 .edges
                 .iter()
-                .find(|(edge, _)| *edge == task.edge)
+                .find(|(edge, _)| *edge == planned.edge)
                 .map(|(_, zone)| zone.as_str());
-            // What was answered comes again up to 70 s later.
-            let wait = if good {
+            // Succeeded keys are repeated up to 70 s later.
+            let delay_ms = if succeeded {
                 100 + u64::from(u16::from_be_bytes([hash[1], hash[3]])) * 70_000 / 65_536
             } else {
                 1000
             };
-            if let Some(edge) = self.pick(u64::from(hash[2]), zone) {
-                let task = Task {
+            if let Some(edge) = self.choose_edge(u64::from(hash[2]), zone) {
+                let planned = PlannedRequest {
                     edge,
-                    tries: task.tries + 1,
-                    ..task
+                    attempts: planned.attempts + 1,
+                    ..planned
                 };
-                self.later
+                self.delayed
                     .lock()
                     .expect("no holder panics")
-                    .push((Instant::now() + Duration::from_millis(wait), task));
+                    .push((Instant::now() + Duration::from_millis(delay_ms), planned));
             }
         }
     }
 }
 
-/// One request, and whether what came back is the answer to it.
-pub fn call_edge(
+/// Sends a request and checks that the response belongs to it.
+pub fn send_request(
     mix: &crate::deployment::Mix,
     path: &str,
     operation: Option<&str>,
@@ -208,39 +217,39 @@
     }
     let body = operation.unwrap_or("").to_string();
     let sent = request.text(&body).send();
-    let answer = sent.and_then(|answer| {
-        record.status = answer.status().as_u16();
-        record.retry_after = answer
+    let response = sent.and_then(|response| {
+        record.status = response.status().as_u16();
+        record.retry_after = response
             .headers()
             .get("retry-after")
             .and_then(|text| text.to_str().ok())
             .map(Into::into);
-        answer.text_utf8()
+        response.text_utf8()
     });
     record.end = wall();
-    match answer {
+    match response {
         Err(error) => {
             record.status = 0;
             record.code = error.to_string();
-            let refused = matches!(error.kind(), attohttpc::ErrorKind::Io(cause) if cause.kind() == std::io::ErrorKind::ConnectionRefused);
-            record.dropped = !refused;
+            let was_refused = matches!(error.kind(), attohttpc::ErrorKind::Io(cause) if cause.kind() == std::io::ErrorKind::ConnectionRefused);
+            record.dropped = !was_refused;
         }
         Ok(text) => {
             let body: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
-            let word = |name: &str| body[name].as_str().unwrap_or_default().to_string();
-            (record.code, record.outcome) = (word("code"), word("outcome"));
+            let text_field = |name: &str| body[name].as_str().unwrap_or_default().to_string();
+            (record.code, record.outcome) = (text_field("code"), text_field("outcome"));
             record.version = body["version"].as_u64();
-            let own = operation.is_none_or(|operation| {
+            let is_own_operation = operation.is_none_or(|operation| {
                 body["operation"] == operation
                     && body["sent"] == operation
                     && body["caller"].as_str() == caller.as_deref()
             });
-            record.fits = word("target") == path
-                && word("method") == mix.method
+            record.fits = text_field("target") == path
+                && text_field("method") == mix.method
                 && body["fill"]
                     .as_str()
                     .is_some_and(|fill| fill.len() == crate::origin::FILL_BYTES)
-                && own;
+                && is_own_operation;
         }
     }
     record
--- a/stand-ins/src/deployment.rs
+++ b/stand-ins/src/deployment.rs
@@ -1,70 +1,70 @@
-//! Deployments: how many nodes, zones and origins a fleet has.
+//! Deployments: number of nodes, zones and origins of a fleet.
 use crate::prelude::*;
 
-/// A deployment as the users describe it, at its size of today.
+/// Deployment as the users describe it, with its current size.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Its name on command lines.
+    /// Name on command lines.
     pub name: &'static str,
-    /// How many edges it has.
+    /// Number of edges.
     pub edges: usize,
-    /// Nodes are spread over them in turn.
+    /// Zones; nodes are assigned to them in turn.
     pub zones: Vec<&'static str>,
-    /// The services behind it.
+    /// Services of the deployment.
     pub services: Vec<Service>,
-    /// Entries of its configuration.
+    /// Entries of the configuration.
     pub entries: Vec<serde_json::Value>,
-    /// Requests a second of all clients.
+    /// Requests per second of all clients.
     pub rate: u64,
-    /// What the clients request.
+    /// Traffic mix of the clients.
     pub mix: Vec<Mix>,
 }
 
-/// A service and what its origins may get.
+/// Service with the limits of its origins.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name in the configuration.
+    /// Name in the configuration.
     pub name: &'static str,
-    /// How many origins serve it.
+    /// Number of origins.
     pub origins: usize,
-    /// Calls a second that one origin may get.
+    /// Maximum calls per second to one origin.
     pub rate: f64,
-    /// Calls in flight that one origin may have.
+    /// Maximum concurrent calls to one origin.
     pub concurrency: u32,
 }
 
-/// One kind of request in the traffic.
+/// Kind of request in the traffic mix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Mix {
-    /// The entry that serves it.
+    /// Entry that serves the request.
     pub entry: String,
-    /// Paths are this with a number after it.
+    /// Prefix of the paths, which is followed by a number.
     pub path: String,
-    /// How many different paths there are.
+    /// Number of different paths.
     pub paths: u64,
-    /// Of a hundred requests.
+    /// Percentage of the requests.
     pub share: u64,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// Whether it carries an operation key.
+    /// True if the request has an operation key.
     pub keyed: bool,
-    /// The rank of its entry: the higher, the later it is shed.
+    /// Rank of the entry; requests with a higher rank are shed later.
     pub rank: u32,
-    /// How long its responses are cached, in seconds; 0: not at all.
+    /// TTL of cached responses, in seconds; 0 if they are not cached.
     pub ttl: u64,
 }
 
-/// One line of a traffic mix.
+/// Line of a traffic mix.
 struct MixSpec {
     entry: &'static str,
-    /// Paths are this with a number after it.
+    /// Prefix of the paths, which is followed by a number.
     path: &'static str,
     paths: u64,
-    /// Of a hundred requests.
+    /// Percentage of the requests.
     share: u64,
     method: &'static str,
     rank: u32,
-    /// In seconds; 0: not cached.
+    /// TTL in seconds; 0 if responses are not cached.
     ttl: u64,
 }
 
@@ -102,10 +102,11 @@
         }
     }
 
-    /// Requests that change something carry an operation key.
+    /// Returns true if requests have an operation key, which is the case
+    /// for changes.
     fn keyed(&self) -> bool {
-        let changes = ["reserv", "confirm", "cancel"];
-        self.method == "POST" && changes.iter().any(|word| self.entry.contains(word))
+        let change_names = ["reserv", "confirm", "cancel"];
+        self.method == "POST" && change_names.iter().any(|word| self.entry.contains(word))
     }
 }
 
@@ -114,12 +115,13 @@
     edges: usize,
     zones: &'static [&'static str],
     rate: u64,
-    /// The first serves cached entries, the last all others.
+    /// Services; the first serves cached entries, the last serves all
+    /// others.
     services: &'static [Service],
     mix: &'static [MixSpec],
 }
 
-/// All known deployments.
+/// Known deployments.
 const DEPLOYMENTS: [DeploymentSpec; 3] = [
     DeploymentSpec {
         name: "mombasa",
@@ -215,7 +217,7 @@
         }
     }
 
-    /// The entry of the configuration that serves a line of the mix.
+    /// Returns the configuration entry that serves a line of the mix.
     fn entry(&self, mix: &Mix) -> serde_json::Value {
         let [cached, .., uncached] = self.services else {
             unreachable!("a deployment has two services")
@@ -242,7 +244,7 @@
 }
 
 impl Deployment {
-    /// The deployment of this name.
+    /// Returns the deployment of this name.
     pub fn find(name: &str) -> Option<Deployment> {
         DEPLOYMENTS
             .iter()
@@ -250,12 +252,12 @@
             .map(DeploymentSpec::build)
     }
 
-    /// The zone of the node of this index.
+    /// Returns the zone of the node with this index.
     pub fn zone(&self, index: usize) -> &'static str {
         self.zones[index % self.zones.len()]
     }
 
-    /// The rate of one origin of each service.
+    /// Returns the maximum calls per second to one origin, by service.
     pub fn rates(&self) -> BTreeMap<String, f64> {
         self.services
             .iter()
@@ -263,7 +265,7 @@
             .collect()
     }
 
-    /// Keep time of each cached entry, in seconds.
+    /// Returns the TTL of each cached entry, in seconds.
     pub fn keeps(&self) -> BTreeMap<String, u64> {
         self.mix
             .iter()
@@ -272,19 +274,20 @@
             .collect()
     }
 
-    /// The key with which the origins of a service sign.
+    /// Returns the signing key of the origins of a service.
     pub fn key_of(service: &str) -> SigningKey {
         SigningKey::from_bytes(&Sha256::digest(service.as_bytes()).into())
     }
 
-    /// The document with marker entries, by which the runner sees what is in
-    /// force at a node without any call to an origin.
+    /// Returns the document with marker entries, which show the
+    /// configuration in effect at a node without a call to an origin.
     pub fn document(&self, markers: &[u64]) -> String {
         self.document_with(markers, 0)
     }
 
-    /// The same with so many entries more, which nobody asks for.
-    pub fn document_with(&self, markers: &[u64], more: usize) -> String {
+    /// Returns the document with marker entries and a number of additional
+    /// entries that no client requests.
+    pub fn document_with(&self, markers: &[u64], extra_entries: usize) -> String {
         let groups: Vec<_> = self
             .services
             .iter()
@@ -294,8 +297,8 @@
             })
             .collect();
         let mut entries = self.entries.clone();
-        for at in 0..more {
-            let (name, path) = (format!("more-{at}"), format!("/more/{at}/"));
+        for index in 0..extra_entries {
+            let (name, path) = (format!("more-{index}"), format!("/more/{index}/"));
             entries.push(json!({ "name": name, "path": path, "group": self.services[0].name, "rank": 1, "kind": "cached", "cache_ttl_s": 5 }));
         }
         for marker in markers {
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -1,37 +1,37 @@
-//! A fleet of processes on loopback: starts, stops and records them.
+//! Fleet of processes on loopback: starts, stops and records them.
 #[cfg(test)]
 mod tests;
 
 use crate::deployment::Service;
 use crate::prelude::*;
 
-/// Control nodes of a fleet: each seed is one.
-const SEEDS: usize = 3;
-/// Has a listed origin but no group: never to be called.
-const SPARE_SERVICE: Service = Service {
+/// Number of control nodes of a fleet, each of which is a seed.
+const CONTROL_NODES: usize = 3;
+/// Service with a listed origin but without a group; must never be called.
+const UNCONFIGURED_SERVICE: Service = Service {
     name: "spare",
     origins: 1,
     rate: 1.0,
     concurrency: 1,
 };
 
-/// One process of the fleet, started by the runner.
+/// Process of the fleet.
 pub struct Node {
-    /// Names its log file.
+    /// Name of the process and its log file.
     pub name: String,
-    /// The program and its arguments.
+    /// Program and its arguments.
     pub words: Vec<String>,
-    /// Where it listens for HTTP.
+    /// HTTP address.
     pub http: SocketAddr,
-    /// The zone of a node, the service of an origin.
+    /// Zone of a node, or service of an origin.
     pub zone: String,
     child: Option<Child>,
 }
 
-/// Processes on loopback, as a platform would run them. A test tool: the
-/// product itself starts nothing.
+/// Processes on loopback, as a platform would run them. This is a test tool;
+/// the product itself starts no processes.
 pub struct Fleet {
-    /// Holds data, logs and records.
+    /// Folder for data, logs and records.
     pub folder: PathBuf,
     /// Control nodes, by slot.
     pub control: Vec<Node>,
@@ -40,29 +40,29 @@
     /// Stand-in origins.
     pub origins: Vec<Node>,
     record: Recorder,
-    /// Calls on the document, for their history.
+    /// Calls on the document, for the history checker.
     operators: Recorder,
 }
 
-/// An address nothing listens on now, and that was not given out before. From
-/// below the ports that the system gives to connections: between the choice
-/// and the start of the node there, one of those might take it.
+/// Returns an unused address that was not returned before. The port is below
+/// the ephemeral ports, because a connection might take one of those between
+/// this call and the start of the node.
 pub fn free_address() -> Result<SocketAddr> {
-    static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
+    static ALLOCATED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     loop {
         let port = 10_000 + (new_incarnation()? % 22_000) as u16;
         let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) else {
             continue;
         };
         let address = listener.local_addr()?;
-        if GIVEN.lock().expect("no holder panics").insert(address) {
+        if ALLOCATED.lock().expect("no holder panics").insert(address) {
             return Ok(address);
         }
     }
 }
 
 impl Node {
-    /// A control node or an edge at a free HTTP address.
+    /// Plans a control node or an edge at a free HTTP address.
     fn plan(
         name: String,
         program: &str,
@@ -92,7 +92,8 @@
 
     fn start(&mut self, folder: &Path) -> Result<()> {
         let program = std::env::current_exe()?.with_file_name(&self.words[0]);
-        // Tests run from a folder below the one with the programs.
+        // Test programs are in a subfolder of the folder with the
+        // programs.
         let program = if program.exists() {
             program
         } else {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Waits for the process to end by itself; true if it did in time.
+    /// Waits for the process to exit; returns true if it did in time.
     pub fn ended(&mut self, limit: Duration) -> bool {
         let Some(child) = &mut self.child else {
             return true;
@@ -141,7 +142,7 @@
         false
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -149,14 +150,14 @@
         }
     }
 
-    /// True while the process runs.
+    /// Returns true while the process is running.
     pub fn runs(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Whether the node answers that it is ready.
+    /// Returns true if the node reports that it is ready.
     pub fn ready(&self) -> bool {
         http(self.http, "GET", "ready", "").is_ok_and(|(status, _)| status == 200)
     }
@@ -168,7 +169,7 @@
     }
 }
 
-/// One call of an operator or the platform.
+/// Sends a request of an operator or the platform.
 pub fn http(
     to: SocketAddr,
     method: &str,
@@ -178,7 +179,7 @@
     http_if_match(to, method, path, body, None)
 }
 
-/// The same for a change of a known version only.
+/// Sends a request that takes effect only if the version matches.
 pub fn http_if_match(
     to: SocketAddr,
     method: &str,
@@ -186,63 +187,64 @@
     body: &str,
     expect: Option<u64>,
 ) -> Result<(u16, serde_json::Value)> {
-    operator_call(to, method, path, body, expect).map(|answer| (answer.status, answer.body))
+    send_operator_request(to, method, path, body, expect)
+        .map(|response| (response.status, response.body))
 }
 
-/// A control node's answer to an operator.
-struct OperatorReply {
+/// Response of a control node to an operator.
+struct OperatorResponse {
     status: u16,
-    /// The version in its `ETag`.
+    /// Version in the `ETag` header.
     version: Option<u64>,
     body: serde_json::Value,
 }
 
-fn operator_call(
+fn send_operator_request(
     to: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
     expect: Option<u64>,
-) -> Result<OperatorReply> {
+) -> Result<OperatorResponse> {
     let mut request = direct(method, &format!("http://{to}/.otterslip/v1/{path}"))
         .timeout(Duration::from_secs(16));
     if let Some(version) = expect {
         request = request.header("If-Match", format!("\"{version}\""));
     }
-    let answer = request.text(body).send()?;
-    let tag = answer
+    let response = request.text(body).send()?;
+    let etag = response
         .headers()
         .get("ETag")
-        .and_then(|tag| tag.to_str().ok());
-    let version = tag.and_then(|tag| tag.trim_matches('"').parse().ok());
-    Ok(OperatorReply {
-        status: answer.status().as_u16(),
+        .and_then(|etag| etag.to_str().ok());
+    let version = etag.and_then(|etag| etag.trim_matches('"').parse().ok());
+    Ok(OperatorResponse {
+        status: response.status().as_u16(),
         version,
-        body: serde_json::from_str(&answer.text_utf8()?).unwrap_or_default(),
+        body: serde_json::from_str(&response.text_utf8()?).unwrap_or_default(),
     })
 }
 
-/// A put of the document as its history has it; none if it had no effect.
-fn put_seen(text: &str, answer: Option<&OperatorReply>) -> Option<DocumentOperation> {
+/// Returns a write of the document for its history; none if it had no effect.
+fn observed_put(text: &str, response: Option<&OperatorResponse>) -> Option<DocumentOperation> {
     let put = |version| DocumentOperation::Put {
         version,
         content: document_digest(text),
     };
-    match answer {
-        Some(answer) if answer.status == 200 => Some(put(answer.version)),
-        Some(answer) if answer.status == 409 => {
-            let version = answer.body["version"].as_u64()?;
+    match response {
+        Some(response) if response.status == 200 => Some(put(response.version)),
+        Some(response) if response.status == 409 => {
+            let version = response.body["version"].as_u64()?;
             Some(DocumentOperation::Raced { version })
         }
-        Some(answer) if answer.status == 400 => None,
+        Some(response) if response.status == 400 => None,
         _ => Some(put(None)),
     }
 }
 
-/// A read of the document as its history has it; none if it told nothing.
-fn read_seen(answer: &OperatorReply) -> Option<DocumentOperation> {
-    let version = answer.version.filter(|_| answer.status == 200)?;
-    let content = document_digest(&answer.body.to_string());
+/// Returns a read of the document for its history; none if it failed.
+fn observed_read(response: &OperatorResponse) -> Option<DocumentOperation> {
+    let version = response.version.filter(|_| response.status == 200)?;
+    let content = document_digest(&response.body.to_string());
     Some(DocumentOperation::Read { version, content })
 }
 
@@ -254,11 +256,11 @@
 }
 
 impl Fleet {
-    /// Lays out all nodes of a deployment on free ports; starts none.
+    /// Plans all nodes of a deployment on free ports without starting them.
     pub fn plan(deployment: &Deployment, folder: &Path) -> Result<Fleet> {
         fs::create_dir_all(folder)?;
         fs::write(folder.join("content-version"), "1")?;
-        let seeds = (0..SEEDS)
+        let seeds = (0..CONTROL_NODES)
             .map(|_| free_address())
             .collect::<Result<Vec<_>>>()?;
         Ok(Fleet {
@@ -271,7 +273,7 @@
         })
     }
 
-    /// One control node at each seed.
+    /// Plans a control node at each seed.
     fn plan_control(
         deployment: &Deployment,
         folder: &Path,
@@ -303,7 +305,7 @@
 
     fn plan_origins(deployment: &Deployment, folder: &Path) -> Result<Vec<Node>> {
         let mut origins = Vec::new();
-        let services = deployment.services.iter().chain([&SPARE_SERVICE]);
+        let services = deployment.services.iter().chain([&UNCONFIGURED_SERVICE]);
         for service in services {
             for index in 0..service.origins {
                 let instance = format!("{}-{index}", service.name);
@@ -314,7 +316,7 @@
         Ok(origins)
     }
 
-    /// A stand-in origin of a service at this address.
+    /// Plans a stand-in origin of a service at this address.
     pub fn origin(folder: &Path, service: &str, instance: &str, http: SocketAddr) -> Node {
         let path = |name: &str| folder.join(name).display().to_string();
         let words = [
@@ -339,7 +341,7 @@
         }
     }
 
-    /// An empty control node at another place, with the same seeds.
+    /// Plans an empty control node at another address, with the same seeds.
     pub fn standby(&self) -> Result<Node> {
         let mut words = self.control[0].words.clone();
         let http = free_address()?;
@@ -349,8 +351,8 @@
             ("--http", http.to_string()),
             ("--data", data),
         ] {
-            let at = words.iter().position(|word| word == flag).context("flag")?;
-            words[at + 1] = value;
+            let index = words.iter().position(|word| word == flag).context("flag")?;
+            words[index + 1] = value;
         }
         Ok(Node {
             name: "control-standby".into(),
@@ -361,8 +363,8 @@
         })
     }
 
-    /// Records something the runner did or observed.
-    pub fn note(&self, what: &str, subject: &str, number: u64, good: bool) {
+    /// Records an action or observation of the runner.
+    pub fn record_event(&self, what: &str, subject: &str, number: u64, good: bool) {
         self.record.put(&FleetRecord {
             at: wall(),
             what: what.into(),
@@ -372,7 +374,7 @@
         });
     }
 
-    /// Control nodes and edges.
+    /// Starts control nodes and edges.
     pub fn start_nodes(&mut self) -> Result<()> {
         let folder = self.folder.clone();
         self.control
@@ -390,26 +392,27 @@
         self.start_nodes()
     }
 
-    /// Starts one node; its log goes to the folder.
+    /// Starts a node, whose log is written to the folder.
     pub fn start(folder: &Path, node: &mut Node) -> Result<()> {
         node.start(folder)
     }
 
-    /// The platform's list, with some marked as leaving.
-    pub fn origins_text(&self, leaving: &[String]) -> String {
+    /// Returns the platform's list of origins, with the given instances
+    /// marked as draining.
+    pub fn origins_text(&self, draining: &[String]) -> String {
         let list: Vec<_> = self
             .origins
             .iter()
             .map(|node| {
                 let instance = node.name.trim_start_matches("origin-");
-                let goes = leaving.iter().any(|one| one == instance);
-                json!({ "address": node.http, "service": node.zone, "instance": instance, "leaving": goes })
+                let is_draining = draining.iter().any(|name| name == instance);
+                json!({ "address": node.http, "service": node.zone, "instance": instance, "leaving": is_draining })
             })
             .collect();
         json!(list).to_string()
     }
 
-    /// An operator's call, by way of any control node that answers.
+    /// Sends an operator's request to the first control node that responds.
     pub fn operate(
         &self,
         method: &str,
@@ -417,21 +420,22 @@
         body: &str,
         expect: Option<u64>,
     ) -> Result<(u16, serde_json::Value)> {
-        let mut last = anyhow!("no control node");
+        let mut last_error = anyhow!("no control node");
         for node in &self.control {
-            let told = match path {
+            let response = match path {
                 "configuration" => self.call_document(node.http, method, body, expect),
                 _ => http_if_match(node.http, method, path, body, expect),
             };
-            match told {
-                Ok(told) => return Ok(told),
-                Err(error) => last = error,
+            match response {
+                Ok(response) => return Ok(response),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// An operator's call on the document, recorded for its history.
+    /// Sends an operator's request for the document and records it for the
+    /// history checker.
     pub fn call_document(
         &self,
         to: SocketAddr,
@@ -440,23 +444,24 @@
         expect: Option<u64>,
     ) -> Result<(u16, serde_json::Value)> {
         let start = wall();
-        let answer = operator_call(to, method, "configuration", body, expect);
+        let response = send_operator_request(to, method, "configuration", body, expect);
         let operation = match method {
-            "PUT" => put_seen(body, answer.as_ref().ok()),
-            _ => answer.as_ref().ok().and_then(read_seen),
+            "PUT" => observed_put(body, response.as_ref().ok()),
+            _ => response.as_ref().ok().and_then(observed_read),
         };
         if let Some(operation) = operation {
-            let lost = matches!(operation, DocumentOperation::Put { version: None, .. });
+            let is_unknown = matches!(operation, DocumentOperation::Put { version: None, .. });
             self.operators.put(&OperatorRecord {
                 start,
-                end: (!lost).then(wall),
+                end: (!is_unknown).then(wall),
                 operation,
             });
         }
-        answer.map(|answer| (answer.status, answer.body))
+        response.map(|response| (response.status, response.body))
     }
 
-    /// Says that no fleet was here before, once the generation has a name.
+    /// Opens the ledger of a new fleet, once the generation has an
+    /// identifier.
     pub fn open_ledger(&self) -> Result<()> {
         let mut generation = String::new();
         Fleet::wait(Duration::from_secs(20), &mut || {
@@ -483,7 +488,7 @@
     ///
     /// # Errors
     ///
-    /// They are not within `limit`.
+    /// Returns an error if they are not ready within `limit`.
     pub fn wait_for_control(&self, limit: Duration) -> Result<()> {
         wait_until_ready("control nodes", &self.control, limit)
     }
@@ -492,25 +497,27 @@
     ///
     /// # Errors
     ///
-    /// They are not within `limit`.
+    /// Returns an error if they are not ready within `limit`.
     pub fn wait_for_edges(&self, limit: Duration) -> Result<()> {
         wait_until_ready("edges", &self.edges, limit)
     }
 
-    /// Puts the platform's list of origins, with some marked as leaving.
+    /// Writes the platform's list of origins, with the given instances
+    /// marked as draining.
     ///
     /// # Errors
     ///
-    /// No control node took it.
-    pub fn put_origins(&self, leaving: &[String]) -> Result<()> {
-        let (status, body) = self.operate("PUT", "origins", &self.origins_text(leaving), None)?;
+    /// Returns an error if no control node accepted the list.
+    pub fn put_origins(&self, draining: &[String]) -> Result<()> {
+        let (status, body) = self.operate("PUT", "origins", &self.origins_text(draining), None)?;
         if status != 200 {
             bail!("origins: {status} {body}");
         }
         Ok(())
     }
 
-    /// Until `done` says so; false if it did not in time.
+    /// Waits until `done` returns true; returns false if the limit was
+    /// reached.
     pub fn wait(limit: Duration, done: &mut dyn FnMut() -> bool) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -522,7 +529,7 @@
         false
     }
 
-    /// Ends all processes at once.
+    /// Kills all processes.
     pub fn stop_all(&mut self) {
         for node in self
             .control
--- a/stand-ins/src/fleet/tests.rs
+++ b/stand-ins/src/fleet/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `fleet`.
+//! Tests of the fleet.
 use crate::prelude::*;
 
-/// A fleet once gave an origin and an edge one port: the origin answered
-/// for both, and operations seemed to run twice.
+/// Guards against allocating one port to an origin and an edge: the origin then
+/// responded for both, and operations seemed to be executed twice.
 #[test]
 fn allocated_addresses_are_unique() {
     let list: BTreeSet<SocketAddr> = (0..500)
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -1,44 +1,44 @@
-//! An origin over HTTP, healthy or faulty.
+//! Stand-in HTTP origin, healthy or faulty.
 use crate::prelude::*;
 
-/// How many times longer a slow origin works on a call.
-const SLOWDOWN: u32 = 60;
-/// Of no service.
+/// Factor by which a slow origin takes longer for a call.
+const SLOW_FACTOR: u32 = 60;
+/// Seed of a signing key that belongs to no service.
 const FOREIGN_KEY: [u8; 32] = [99; 32];
-/// Bytes that fill each body.
+/// Size of the filler in each body, in bytes.
 pub(crate) const FILL_BYTES: usize = 400;
 
-/// A stand-in for one origin: answers any path with a signed body that echoes
-/// what was asked, and records every call. Its faults are set by
+/// Stand-in for an origin: responds to any path with a signed body that echoes
+/// the request, and records every call. Its faults are set by
 /// `PUT /.stand-in/fault/NAME`.
 pub struct StandInOrigin {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// The service it serves.
+    /// Service of the origin.
     pub service: String,
-    /// Its instance name.
+    /// Instance name.
     pub instance: String,
-    /// Signs its responses.
+    /// Signing key of the responses.
     pub key: SigningKey,
-    /// How long it works on a call.
+    /// Processing time of a call.
     pub delay: Duration,
-    /// Holds the version of all content, as text.
+    /// File with the version of all content, as text.
     pub content: Option<PathBuf>,
-    /// Takes each call.
+    /// Recorder of the calls.
     pub record: Option<Recorder>,
-    /// "", "slow", "short", "unsigned", "foreign-key", "other-request",
-    /// "lose-answer", "status-500".
+    /// Active fault: "", "slow", "short", "unsigned", "foreign-key",
+    /// "other-request", "lose-answer", "status-500".
     pub fault: Mutex<String>,
-    /// Whether its responses may not be cached.
+    /// True if the responses may not be cached.
     pub private: bool,
-    /// Calls so far, probes among them.
+    /// Number of calls so far, including health checks.
     pub calls: AtomicU64,
-    /// How often each operation key ran.
+    /// Number of executions of each operation key.
     pub runs: Mutex<BTreeMap<String, u32>>,
 }
 
 impl StandInOrigin {
-    /// A healthy origin that records nothing.
+    /// Creates a healthy origin without a recorder.
     pub fn new(
         address: SocketAddr,
         service: &str,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Listens; the answer is the address and a handle that serves until
-    /// `stop` is set.
+    /// Starts the server, which runs until `stop` is set; returns its
+    /// address and thread.
     pub fn serve(
         self: &Arc<Self>,
         stop: Arc<AtomicBool>,
     ) -> Result<(SocketAddr, thread::JoinHandle<()>)> {
         let origin = self.clone();
-        let server = rouille::Server::new(self.address, move |request| origin.answer(request))
+        let server = rouille::Server::new(self.address, move |request| origin.respond(request))
             .map_err(|error| anyhow!("cannot listen on {}: {error}", self.address))?;
         let address = server.server_addr();
         let serve = move || {
@@ -86,7 +86,7 @@
         text.and_then(|text| text.trim().parse().ok()).unwrap_or(1)
     }
 
-    fn answer(&self, request: &rouille::Request) -> rouille::Response {
+    fn respond(&self, request: &rouille::Request) -> rouille::Response {
         if let Some(fault) = request.raw_url().strip_prefix("/.stand-in/fault/") {
             *self.fault.lock().expect("no holder panics") = fault.into();
             return rouille::Response::text("set");
@@ -98,13 +98,14 @@
             let _ = data.read_to_end(&mut body);
         }
         let probe = request.raw_url().starts_with("/.well-known/");
-        self.count(request, request_id, operation, probe);
-        // The version is read when the call comes: that is what was current.
+        self.record_call(request, request_id, operation, probe);
+        // The version is read when the call arrives, so that it is the
+        // current one at that time.
         let version = self.version();
         let fault = self.fault.lock().expect("no holder panics").clone();
-        let slow = fault == "slow" && !probe;
-        thread::sleep(if slow {
-            self.delay * SLOWDOWN
+        let is_slow = fault == "slow" && !probe;
+        thread::sleep(if is_slow {
+            self.delay * SLOW_FACTOR
         } else {
             self.delay
         });
@@ -119,11 +120,11 @@
             "fill": "x".repeat(FILL_BYTES),
         });
         let operation = operation.unwrap_or("");
-        self.sealed(request, &fault, request_id, operation, text.to_string())
+        self.signed_response(request, &fault, request_id, operation, text.to_string())
     }
 
-    /// Records a call, and counts the run of its operation if it has a key.
-    fn count(
+    /// Records a call, and counts the execution if it has an operation key.
+    fn record_call(
         &self,
         request: &rouille::Request,
         request_id: &str,
@@ -149,7 +150,7 @@
         }
     }
 
-    fn sealed(
+    fn signed_response(
         &self,
         request: &rouille::Request,
         fault: &str,
@@ -163,7 +164,7 @@
             request.raw_url()
         };
         let status = if fault == "status-500" { 500 } else { 200 };
-        let seal = ResponseSignature {
+        let signature = ResponseSignature {
             status,
             method: request.method(),
             target,
@@ -173,7 +174,7 @@
             request: request_id,
             body: text.as_bytes(),
         };
-        let mut headers = self.signature(&seal, fault);
+        let mut headers = self.signature_headers(&signature, fault);
         if self.private {
             headers.push(("Cache-Control".into(), "private".into()));
         }
@@ -196,8 +197,12 @@
         response
     }
 
-    /// The headers of a signed response, as the fault has it.
-    fn signature(&self, signature: &ResponseSignature, fault: &str) -> Vec<(String, String)> {
+    /// Returns the signature headers, modified according to the fault.
+    fn signature_headers(
+        &self,
+        signature: &ResponseSignature,
+        fault: &str,
+    ) -> Vec<(String, String)> {
         let mut headers = match fault {
             "foreign-key" => signature.sign(&SigningKey::from_bytes(&FOREIGN_KEY)),
             _ => signature.sign(&self.key),
