--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -45,7 +45,7 @@
 /// Number of rules.
 pub const JUDGED: usize = 15;
 /// Time in seconds that the requirements allow as "about 2 seconds".
-pub const GRACE: f64 = 2.0;
+pub const GRACE_S: f64 = 2.0;
 /// Maximum time in seconds from the acknowledgement of a configuration until it
 /// is in effect on every node. The requirements say "2 to 2.5 seconds".
 pub const MAX_CONFIGURATION_DELAY_S: f64 = 2.5;
--- a/stand-ins/src/checker/configuration.rs
+++ b/stand-ins/src/checker/configuration.rs
@@ -110,7 +110,7 @@
             }
             if marker.at > acknowledged + MAX_CONFIGURATION_DELAY_S {
                 let span = (
-                    acknowledged - GRACE,
+                    acknowledged - GRACE_S,
                     acknowledged + MAX_CONFIGURATION_DELAY_S,
                 );
                 cases.add_case(span, marker.good, || {
@@ -150,7 +150,7 @@
                 // moment of the acknowledgement, and assignments held by two
                 // live nodes.
                 "at-ack" | "duty-held-twice" => {
-                    cases.add_case((record.at - GRACE, record.at), record.good, || {
+                    cases.add_case((record.at - GRACE_S, record.at), record.good, || {
                         format!(
                             "{} {} {} at {:.3}",
                             record.what, record.subject, record.number, record.at
--- a/stand-ins/src/checker/operations.rs
+++ b/stand-ins/src/checker/operations.rs
@@ -72,7 +72,7 @@
             let to = attempts
                 .iter()
                 .map(|attempt| attempt.end)
-                .fold(first.end + GRACE, f64::max);
+                .fold(first.end + GRACE_S, f64::max);
             cases.add_case(
                 (first.start, to),
                 illegitimate.is_none() && !contradicts_all_attempts,
--- a/stand-ins/src/checker/origins.rs
+++ b/stand-ins/src/checker/origins.rs
@@ -19,12 +19,18 @@
                 .map(|call| call.at - drained.at)
                 .max_by(f64::total_cmp)
             {
-                cases.record_margin(last / GRACE, || format!("the last call {last:.3} s after"));
+                cases.record_margin(last / GRACE_S, || {
+                    format!("the last call {last:.3} s after")
+                });
             }
-            let count = calls().filter(|call| call.at > drained.at + GRACE).count();
-            cases.add_case((drained.at - GRACE, drained.at + GRACE), count == 0, || {
-                format!("{} was called {count} times after 2 s", drained.subject)
-            });
+            let count = calls()
+                .filter(|call| call.at > drained.at + GRACE_S)
+                .count();
+            cases.add_case(
+                (drained.at - GRACE_S, drained.at + GRACE_S),
+                count == 0,
+                || format!("{} was called {count} times after 2 s", drained.subject),
+            );
         }
         // A health check carries no client request, and it detects that another
         // service uses an address. It is allowed only at addresses that were
@@ -42,7 +48,7 @@
             .filter(|call| !allowed.contains(&call.service))
         {
             let is_allowed = call.probe && listed.contains(&call.address);
-            cases.add_case((call.at - GRACE, call.at), is_allowed, || {
+            cases.add_case((call.at - GRACE_S, call.at), is_allowed, || {
                 format!(
                     "{} at {} belongs to service {}",
                     call.path, call.address, call.service
--- a/stand-ins/src/checker/successes.rs
+++ b/stand-ins/src/checker/successes.rs
@@ -48,12 +48,12 @@
                 let is_stale = call.version < Some(purge.number);
                 if is_stale {
                     let after = call.start - purge.at;
-                    cases.record_margin(after / GRACE, || {
+                    cases.record_margin(after / GRACE_S, || {
                         format!("a stale response {after:.3} s after the purge")
                     });
                 }
-                if call.start > purge.at + GRACE {
-                    cases.add_case((purge.at - GRACE, purge.at + GRACE), !is_stale, || {
+                if call.start > purge.at + GRACE_S {
+                    cases.add_case((purge.at - GRACE_S, purge.at + GRACE_S), !is_stale, || {
                         format!(
                             "{} version {:?}, {} s after purge of {}",
                             call.path,
@@ -84,12 +84,12 @@
                 let is_stale = call.version < Some(version);
                 let after = call.start - at - *ttl as f64;
                 if is_stale {
-                    cases.record_margin(after / GRACE, || {
+                    cases.record_margin(after / GRACE_S, || {
                         format!("a stale response {after:.3} s after its TTL")
                     });
                 }
-                if after > GRACE {
-                    cases.add_case((at, at + *ttl as f64 + GRACE), !is_stale, || {
+                if after > GRACE_S {
+                    cases.add_case((at, at + *ttl as f64 + GRACE_S), !is_stale, || {
                         format!(
                             "{} version {:?}, {} s after the change to {version}",
                             call.path,
