--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -1,42 +1,42 @@
-//! What edges are assigned: cache partitions and admission controllers, planned by the leader of the assignments.
+//! Assignments of cache partitions and admission controllers to edges, planned by the leader of the assignments.
 
 use super::*;
 
-/// What the leader of the assignments plans from.
+/// Inputs of the leader of the assignments for its plans.
 #[derive(Debug, Default)]
 pub(super) struct AssignmentState {
-    /// The configuration's items as far as they are published here, up to `items_version`.
+    /// Items of the configuration published on this node, up to `items_version`.
     items: Items,
     items_version: u64,
     /// Services of that configuration.
     services: Vec<String>,
-    /// Number of renewal tokens issued when assignments were last granted: each owner had begun by then.
+    /// Number of renewal tokens issued when assignments were last granted: each owner's process had started by then.
     pub(super) tokens_at_grant: u64,
-    /// What was last planned from: the same again gives the same plan.
+    /// Inputs of the last plan; equal inputs give an equal plan, so planning is skipped.
     last_inputs: Option<PlanInputs>,
-    /// Whether this node was last found to lead the list of origins.
+    /// True if this node published itself as leader of the list of origins.
     publishes_origins: bool,
 }
 
-/// All that a plan depends on.
+/// Everything that a plan depends on.
 #[derive(Debug, PartialEq)]
 struct PlanInputs {
     epoch: u64,
     version: u64,
     settled: u64,
     configuration: u64,
-    sessions: Vec<Vec<SessionStanding>>,
+    sessions: Vec<Vec<SessionStatus>>,
     ended: BTreeSet<Peer>,
 }
 
 impl ControlNode {
-    /// The leader of the list of origins is the node that reads the platform's.
+    /// Publishes whether this node leads the list of origins: the leader is the node that reads the platform's list.
     pub(super) fn publish_origin_list(&mut self, now: Duration) {
         let leads = self
             .leaders
             .get(&ORIGINS_PARTITION)
             .is_some_and(PartitionLeader::is_serving);
-        // Isolated, what is read could not be put.
+        // An isolated node could not store the list that it reads.
         let publishes = leads && self.reaches_majority(now);
         if publishes != self.assignments.publishes_origins {
             self.assignments.publishes_origins = publishes;
@@ -50,15 +50,15 @@
         }
     }
 
-    /// As leader of the assignments: writes those that shall change now.
+    /// Writes the assignments that change now, if this node leads them.
     pub(super) fn plan_assignments(&mut self, now: Duration) {
         if !self.may_plan_assignments(now) {
             return;
         }
-        // After a start, sessions may stand that are not known yet: then only what edges left that are known to have
-        // ended is granted.
+        // After a start, other sessions may exist that are not known yet. Until then only the assignments of edges
+        // known to have ended are granted.
         if self.sessions.is_complete(now) {
-            self.plan_edge_registry(now);
+            self.update_edge_registry(now);
         }
         self.read_services();
         let Some(inputs) = self.plan_inputs(now) else {
@@ -75,7 +75,7 @@
         self.write_assignments(planned);
     }
 
-    /// A new leader waits until sessions have had time to be renewed.
+    /// Returns true if this node leads the assignments and sessions have had time to be renewed since it became leader.
     fn may_plan_assignments(&self, now: Duration) -> bool {
         let Some(leader) = self.leaders.get(&ASSIGNMENTS_PARTITION) else {
             return false;
@@ -96,7 +96,7 @@
             version: leader.version,
             settled: leader.settled(),
             configuration: self.assignments.items_version,
-            sessions: self.sessions.standing(now),
+            sessions: self.sessions.statuses(now),
             ended: owners
                 .filter(|peer| self.sessions.has_ended(*peer, tokens))
                 .collect(),
@@ -131,7 +131,8 @@
         plan.next(&self.assignment_names(leader, &live))
     }
 
-    /// Names of all assignments: the cache partitions of each ring, and the admission controller of each service.
+    /// Returns the names of all assignments: the cache partitions of each ring, and the admission controller of each
+    /// service.
     fn assignment_names(&self, leader: &PartitionLeader, live: &[SessionInfo]) -> Vec<String> {
         let live_rings = live.iter().map(|session| session.ring.as_str());
         let assigned_rings = leader.rows.keys().filter_map(|name| assignment_ring(name));
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Follows the services of the configuration in force, as published here.
+    /// Updates the services from the configuration published on this node.
     fn read_services(&mut self) {
         let configuration = self.replica.partition(CONFIGURATION_PARTITION);
         let state = &mut self.assignments;
@@ -175,7 +176,7 @@
         }
         state.items_version = configuration.state.published;
         for (key, row) in &configuration.published_rows {
-            // What is published was validated before.
+            // Published rows were validated before they were written.
             let _ = state.items.apply_row(key, row);
         }
         if let Ok((document, _)) = state.items.merged() {
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -1,4 +1,4 @@
-//! Changes on their way to the leader of their partition, and made there.
+//! Routing of changes to the leader of their partition, and their application there.
 
 use super::*;
 
@@ -7,30 +7,30 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a change is retried before its outcome is given up as unknown.
+/// Maximum time for which a change is retried before its outcome is reported as unknown.
 pub(super) const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(12);
-/// Id of a change that a node requests by itself, without waiting for the reply.
+/// Id of a change that a node requests on its own behalf, without waiting for the reply.
 const NO_REQUESTER_ID: u64 = 0;
-/// So many control nodes pass a change on at the most: one that it was sent to by mistake, and one between that and
-/// the leader.
+/// Maximum number of control nodes that forward a change: one that received it by mistake, and one between that node
+/// and the leader.
 const MAX_HOPS: u8 = 2;
 /// Keys of the rows that are replaced as a unit.
 const CONFIGURATION_KEY: &str = "configuration";
 const ORIGINS_KEY: &str = "origins";
 
-/// A new value for a row that is replaced as a unit.
+/// New value for a row that is replaced as a unit.
 struct Replacement<'a> {
     key: &'a str,
     value: Value,
-    /// The version that it is made to replace, if it names one.
+    /// Expected current version of the row, if the change names one.
     expect: Option<u64>,
     /// Id of the change.
     change: u64,
 }
 
 impl PendingReply {
-    /// Puts a row that is replaced as a unit, unless this change did so already, another version stands than the
-    /// expected one, or the value is not valid. The version, if it is put now.
+    /// Writes a row that is replaced as a unit, unless this change was already applied, the current version is not the
+    /// expected one, or the value is invalid. Returns the version if the row is written now.
     fn replace_row(
         &mut self,
         leader: &mut PartitionLeader,
@@ -65,7 +65,7 @@
         Some(version)
     }
 
-    /// Sets or removes items. How many, and the version, if any are put now.
+    /// Sets or removes items. Returns the number of changed items and their version, if any item changed.
     fn apply_items(
         &mut self,
         leader: &mut PartitionLeader,
@@ -73,8 +73,8 @@
     ) -> Option<(usize, u64)> {
         let change = match ItemsChange::validate(&leader.rows, items) {
             Ok(change) => change,
-            Err(refusal) => {
-                self.refuse(leader, outcome_of(refusal));
+            Err(rejection) => {
+                self.refuse(leader, rejection_outcome(rejection));
                 return None;
             }
         };
@@ -90,8 +90,8 @@
     }
 }
 
-fn outcome_of(refusal: ItemsRejection) -> ChangeOutcome {
-    match refusal {
+fn rejection_outcome(rejection: ItemsRejection) -> ChangeOutcome {
+    match rejection {
         ItemsRejection::Invalid(findings) => ChangeOutcome::Findings(findings),
         ItemsRejection::Conflict(findings) => ChangeOutcome::RevisionConflict(findings),
         ItemsRejection::Forgotten(findings) => ChangeOutcome::RevisionForgotten(findings),
@@ -99,7 +99,7 @@
 }
 
 impl ControlNode {
-    /// A node or an edge requests a change.
+    /// Handles a change requested by a node or an edge.
     pub(super) fn handle_change_request(
         &mut self,
         now: Duration,
@@ -112,7 +112,7 @@
         if let Change::Claim(claim) = &request.change
             && !self.replica.is_enrolled(&claim.claimant)
         {
-            return; // It is retried; by then the edge is enrolled.
+            return; // The edge retries the claim until it is enrolled.
         }
         self.pending_replies
             .retain(|known| (known.requester, known.id) != (request.requester, request.id));
@@ -124,14 +124,14 @@
             && leader.version == version_before
             && has_requester
         {
-            // Nothing was written that a majority would have to store: whatever the outcome, a refusal too, a
-            // majority must still follow this node.
+            // No row was written that a majority has to store. Any outcome, including a refusal, still requires a
+            // majority to confirm that this node is the leader.
             reply.required_round = leader.begin_read_round();
         }
         self.pending_replies.push(reply);
     }
 
-    /// A change that this node requests by itself; nobody waits for the reply.
+    /// Returns a request for a change by this node itself, whose reply is ignored.
     pub(super) fn own_request(&self, partition: u8, change: Change) -> ChangeRequest {
         ChangeRequest {
             requester: self.address,
@@ -142,14 +142,14 @@
         }
     }
 
-    /// Whether this node leads a partition and may serve it, as far as it knows.
+    /// Returns true if this node leads a partition and may serve it, to its own knowledge.
     fn leads(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
         self.can_vote() && leader.is_some_and(PartitionLeader::is_serving)
     }
 
-    /// Sends a change on to the leader of its partition. A member of the table gets its reply through this node,
-    /// since the leader may not reach it; an edge gets it from the leader itself.
+    /// Forwards a change to the leader of its partition. A member of the table receives the reply through this node,
+    /// since the leader may not reach it; an edge receives it directly from the leader.
     fn forward_change(&mut self, now: Duration, from: Peer, mut request: ChangeRequest) {
         if self.is_isolated(now) {
             let reply = ChangeReply {
@@ -174,7 +174,7 @@
         self.send(self.address(next_hop), request);
     }
 
-    /// Makes a change as leader of its partition. The reply waits for the disks.
+    /// Applies a change as leader of its partition. The reply is sent once the required disks have synced.
     fn apply_change(&mut self, now: Duration, request: ChangeRequest) -> PendingReply {
         let mut reply = PendingReply::new(&request);
         match request.change {
@@ -309,7 +309,8 @@
         }
     }
 
-    /// An operator vouches that no operation ran before this generation that may be retried.
+    /// Opens the ledger at an operator's request: the operator confirms that no operation that may still be retried ran
+    /// before this generation.
     fn open_ledger_by_operator(&mut self, reply: &mut PendingReply, generation: u64) {
         let current = self.generation.current;
         if generation != current {
@@ -327,16 +328,17 @@
         let name = Generation::name(generation);
         self.log_event(
             Event::LedgerOpened,
-            format!("realm {name}: operators said so"),
+            format!("realm {name}: opened by an operator"),
         );
     }
 
-    /// While the ledger is closed, an operation that is not known here may have run.
+    /// Claims an operation. While the ledger is closed, an operation without a record here may already have run, so it
+    /// is refused.
     fn claim_operation(&mut self, now: Duration, reply: &mut PendingReply, claim: Claim) {
-        let left = self.generation.ledger_closed_until.saturating_sub(now);
+        let remaining = self.generation.ledger_closed_until.saturating_sub(now);
         let leader = self.leader_for(reply);
-        if !left.is_zero() && !Ledger::is_decided(leader, &claim) {
-            reply.outcome = ChangeOutcome::LedgerClosed { remaining: left };
+        if !remaining.is_zero() && !Ledger::is_decided(leader, &claim) {
+            reply.outcome = ChangeOutcome::LedgerClosed { remaining };
         } else {
             reply.report_commit(Ledger::claim(leader, claim));
         }
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -1,15 +1,15 @@
-//! Three control nodes in virtual time without edges, for tests of orders that
-//! are retried while nodes are lost.
+//! Three control nodes in virtual time without edges, for tests of changes that are retried while nodes are lost.
 
 use crate::prelude::*;
 
-/// Every message takes this long.
+/// Latency of every message.
 const DELAY: Duration = Duration::from_millis(2);
-/// What is stored is synced after this.
+/// Time that a disk takes to sync a record.
 const SYNC: Duration = Duration::from_millis(1);
+/// Interval between ticks.
 const TICK: Duration = Duration::from_millis(100);
 const SLOTS: usize = 3;
-/// By then the partitions are founded and led.
+/// Time by which the partitions are founded and led.
 const FOUNDED: Duration = Duration::from_secs(6);
 
 enum ScheduledEvent {
@@ -20,7 +20,7 @@
 
 struct Node {
     control_node: Option<ControlNode>,
-    /// Counts its starts: what was due for an earlier one is dropped.
+    /// Number of starts; events scheduled for an earlier run are dropped.
     run: u64,
     disk: Vec<Vec<u8>>,
     unsynced: VecDeque<(u64, Vec<u8>)>,
@@ -32,9 +32,9 @@
     queue: BTreeMap<(Duration, u64), (usize, ScheduledEvent)>,
     nodes: Vec<Node>,
     incarnations: u64,
-    /// Nodes that no message reaches or leaves.
+    /// Nodes that exchange no messages with others.
     pub(super) isolated: BTreeSet<usize>,
-    /// Replies to changes are lost.
+    /// True while replies to changes are lost.
     pub(super) replies_lost: bool,
     pub(super) outcomes: BTreeMap<u64, ChangeOutcome>,
 }
@@ -44,7 +44,7 @@
 }
 
 impl Cluster {
-    /// Founded and led.
+    /// Starts the nodes, and runs until the partitions are founded and led.
     pub(super) fn new() -> Cluster {
         let node = || Node {
             control_node: None,
@@ -66,14 +66,14 @@
         cluster.run_for(FOUNDED);
         assert!(
             cluster.leader(CONFIGURATION_PARTITION).is_some(),
-            "nobody leads"
+            "no node leads"
         );
         cluster
     }
 
-    /// Starts a node on what its disk holds.
+    /// Starts a node with the contents of its disk.
     pub(super) fn start(&mut self, slot: usize) {
-        let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("own records read");
+        let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("records can be decoded");
         let blank = disk_replica.is_none();
         self.incarnations += 1;
         let replica = disk_replica.unwrap_or_else(|| Replica::blank(1000 + self.incarnations));
@@ -93,7 +93,7 @@
         self.push(self.now, slot, ScheduledEvent::Tick { run });
     }
 
-    /// The process ends at once; what was not synced is lost.
+    /// Ends a process at once; records that were not synced are lost.
     pub(super) fn kill(&mut self, slot: usize) {
         self.nodes[slot].control_node = None;
         self.nodes[slot].unsynced.clear();
@@ -104,7 +104,7 @@
         self.nodes[slot].disk.clear();
     }
 
-    /// For so long an edge renews with all nodes and applies no updates.
+    /// Renews an edge's session with all nodes for this time, without applying any update.
     pub(super) fn renew_without_applying(&mut self, span: Duration) {
         let until = self.now + span;
         let edge = Peer::new(address(SLOTS + 1), 77);
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Another node than this one.
+    /// Returns a node other than this one.
     pub(super) fn other(&self, slot: usize) -> usize {
         (slot + 1) % SLOTS
     }
 
-    /// The node that leads a partition and may serve it.
+    /// Returns the node that leads a partition and may serve it.
     pub(super) fn leader(&self, partition: u8) -> Option<usize> {
         let leads = |slot: &usize| {
             let control_node = self.nodes[*slot].control_node.as_ref();
@@ -146,13 +146,13 @@
         (0..SLOTS).find(leads)
     }
 
-    /// An operator calls a node; the outcome is stored under this id.
+    /// Submits an operator's call to a node; the outcome is stored under this id.
     pub(super) fn submit(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
         let request = OperatorRequest::Change { partition, change };
         self.step(slot, Input::Operator { id, request });
     }
 
-    /// An operator calls a node and waits for the outcome.
+    /// Submits an operator's call to a node, and waits for the outcome.
     pub(super) fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
@@ -163,7 +163,7 @@
             }
             self.run_for(TICK);
         }
-        panic!("no answer")
+        panic!("no outcome")
     }
 
     pub(super) fn run_for(&mut self, span: Duration) {
@@ -205,8 +205,8 @@
 
     fn sync(&mut self, slot: usize, serial: u64) {
         let node = &mut self.nodes[slot];
-        let synced = |(disk_replica, _): &mut (u64, Vec<u8>)| *disk_replica <= serial;
-        while let Some((_, record)) = node.unsynced.pop_front_if(synced) {
+        let is_synced = |(stored_serial, _): &mut (u64, Vec<u8>)| *stored_serial <= serial;
+        while let Some((_, record)) = node.unsynced.pop_front_if(is_synced) {
             node.disk.push(record);
         }
     }
@@ -241,10 +241,10 @@
         let Some(to) = (0..SLOTS).find(|slot| address(*slot) == to) else {
             return;
         };
-        let partitioned =
+        let is_blocked =
             to != slot && (self.isolated.contains(&slot) || self.isolated.contains(&to));
-        let lost = self.replies_lost && matches!(message, Message::ChangeReply(_));
-        if partitioned || lost {
+        let is_lost = self.replies_lost && matches!(message, Message::ChangeReply(_));
+        if is_blocked || is_lost {
             return;
         }
         let message = Box::new(message);
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -1,4 +1,4 @@
-//! Changes that are retried while nodes and messages are lost.
+//! Tests of changes that are retried while nodes and messages are lost.
 use super::cluster::Cluster;
 use crate::prelude::*;
 
@@ -16,8 +16,8 @@
     }
 }
 
-fn items(entries: Vec<Item>) -> Change {
-    Change::PutItems { items: entries }
+fn put_items(items: Vec<Item>) -> Change {
+    Change::PutItems { items }
 }
 
 fn document(path: &str, expect: Option<u64>, change: u64) -> Change {
@@ -58,18 +58,21 @@
     }
 }
 
-fn assert_settled(outcome: &ChangeOutcome, what: &str) {
+fn assert_acknowledged(outcome: &ChangeOutcome, context: &str) {
     assert!(
         matches!(outcome, ChangeOutcome::Acknowledged { .. }),
-        "{what}: {outcome:?}"
+        "{context}: {outcome:?}"
     );
 }
 
-fn assert_conflict(outcome: &ChangeOutcome, what: &str) {
+fn assert_conflict(outcome: &ChangeOutcome, context: &str) {
     let ChangeOutcome::RevisionConflict(found) = outcome else {
-        panic!("{what}: {outcome:?}")
+        panic!("{context}: {outcome:?}")
     };
-    assert!(found[0].text.contains("item/group/s"), "{what}: {found:?}");
+    assert!(
+        found[0].text.contains("item/group/s"),
+        "{context}: {found:?}"
+    );
 }
 
 #[test]
@@ -81,21 +84,21 @@
             first,
             1,
             CONFIGURATION_PARTITION,
-            items(vec![group("s", 7, 1)]),
+            put_items(vec![group("s", 7, 1)]),
         );
         cluster.submit(
             second,
             2,
             CONFIGURATION_PARTITION,
-            items(vec![group("s", 7, 2)]),
+            put_items(vec![group("s", 7, 2)]),
         );
         cluster.run_for(REPLY_TIMEOUT);
-        let outcome: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.outcomes[id]).collect();
-        let settled = outcome
+        let outcomes: Vec<&ChangeOutcome> = [1, 2].iter().map(|id| &cluster.outcomes[id]).collect();
+        let acknowledged = outcomes
             .iter()
             .filter(|outcome| matches!(outcome, ChangeOutcome::Acknowledged { .. }));
-        assert_eq!(settled.count(), 1, "{outcome:?}");
-        let conflict = outcome
+        assert_eq!(acknowledged.count(), 1, "{outcomes:?}");
+        let conflict = outcomes
             .iter()
             .find(|outcome| matches!(outcome, ChangeOutcome::RevisionConflict(_)));
         assert_conflict(conflict.expect("the other"), "the other");
@@ -111,13 +114,13 @@
             slot,
             id,
             CONFIGURATION_PARTITION,
-            items(vec![group("s", 7, 1)]),
+            put_items(vec![group("s", 7, 1)]),
         );
         cluster.submit(slot, 10 + id, ORIGINS_PARTITION, origins("o", Some(0), 5));
     }
     cluster.run_for(REPLY_TIMEOUT);
     for (id, outcome) in &cluster.outcomes {
-        assert_settled(outcome, &format!("call {id}"));
+        assert_acknowledged(outcome, &format!("call {id}"));
     }
     assert_eq!(cluster.outcomes.len(), 6);
 }
@@ -125,27 +128,27 @@
 #[test]
 fn concurrent_changes_are_acknowledged_again_after_lost_replies() {
     let mut cluster = Cluster::new();
-    let order = |at: u64| items(vec![group(&format!("s{at}"), 1, 1), group("s", at + 1, 1)]);
+    let change = |at: u64| put_items(vec![group(&format!("s{at}"), 1, 1), group("s", at + 1, 1)]);
     cluster.replies_lost = true;
     for at in 0..8 {
-        cluster.submit(at as usize % 3, at, CONFIGURATION_PARTITION, order(at));
+        cluster.submit(at as usize % 3, at, CONFIGURATION_PARTITION, change(at));
     }
     cluster.run_for(Duration::from_millis(300));
     assert!(cluster.outcomes.is_empty());
     cluster.replies_lost = false;
     for at in 0..8 {
-        let outcome = cluster.outcome((at as usize + 1) % 3, CONFIGURATION_PARTITION, order(at));
-        assert_settled(&outcome, &format!("order {at}"));
+        let outcome = cluster.outcome((at as usize + 1) % 3, CONFIGURATION_PARTITION, change(at));
+        assert_acknowledged(&outcome, &format!("change {at}"));
     }
 }
 
-/// The leader ends at each moment from an order's arrival until it is settled;
-/// with its disk, or without it. The change is retried at another node.
+/// The leader ends at each moment between a change's arrival and its settling, with or without the loss of its disk.
+/// The change is then retried at another node.
 #[test]
 fn retried_change_is_acknowledged_after_reply_loss_at_any_step() {
     for wiped in [false, true] {
         for lost_at in 0..16 {
-            let what = format!("wiped: {wiped}, lost after {lost_at} ms");
+            let context = format!("wiped: {wiped}, lost after {lost_at} ms");
             let mut cluster = Cluster::new();
             let leader = cluster.leader(CONFIGURATION_PARTITION).unwrap();
             let contacted = cluster.other(leader);
@@ -154,7 +157,7 @@
                 contacted,
                 1,
                 CONFIGURATION_PARTITION,
-                items(vec![group("s", 7, 1)]),
+                put_items(vec![group("s", 7, 1)]),
             );
             cluster.run_for(Duration::from_millis(lost_at));
             if wiped {
@@ -165,23 +168,26 @@
             cluster.replies_lost = false;
             let next = cluster.other(contacted);
             let next = if next == leader { contacted } else { next };
-            let outcome =
-                cluster.outcome(next, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)]));
-            assert_settled(&outcome, &what);
+            let outcome = cluster.outcome(
+                next,
+                CONFIGURATION_PARTITION,
+                put_items(vec![group("s", 7, 1)]),
+            );
+            assert_acknowledged(&outcome, &context);
             cluster.start(leader);
             cluster.run_for(REPLY_TIMEOUT);
             let outcome = cluster.outcome(
                 leader,
                 CONFIGURATION_PARTITION,
-                items(vec![group("s", 7, 1)]),
+                put_items(vec![group("s", 7, 1)]),
             );
-            assert_settled(&outcome, &what);
+            assert_acknowledged(&outcome, &context);
             let outcome = cluster.outcome(
                 leader,
                 CONFIGURATION_PARTITION,
-                items(vec![group("s", 7, 2)]),
+                put_items(vec![group("s", 7, 2)]),
             );
-            assert_conflict(&outcome, &what);
+            assert_conflict(&outcome, &context);
         }
     }
 }
@@ -193,18 +199,21 @@
         let outcome = cluster.outcome(
             0,
             CONFIGURATION_PARTITION,
-            items(vec![group("s", revision, revision as u32)]),
+            put_items(vec![group("s", revision, revision as u32)]),
         );
-        assert_settled(&outcome, "put");
+        assert_acknowledged(&outcome, "put");
     }
-    let check = |cluster: &mut Cluster, what: &str| {
+    let check = |cluster: &mut Cluster, context: &str| {
         for revision in 1..=3 {
             for slot in 0..3 {
-                let again = items(vec![group("s", revision, revision as u32)]);
-                assert_settled(&cluster.outcome(slot, CONFIGURATION_PARTITION, again), what);
+                let again = put_items(vec![group("s", revision, revision as u32)]);
+                assert_acknowledged(
+                    &cluster.outcome(slot, CONFIGURATION_PARTITION, again),
+                    context,
+                );
             }
-            let other = items(vec![group("s", revision, 99)]);
-            assert_conflict(&cluster.outcome(0, CONFIGURATION_PARTITION, other), what);
+            let other = put_items(vec![group("s", revision, 99)]);
+            assert_conflict(&cluster.outcome(0, CONFIGURATION_PARTITION, other), context);
         }
     };
     check(&mut cluster, "at once");
@@ -221,7 +230,7 @@
     }
 }
 
-/// A document or a list that names the version it replaces.
+/// A document or a list with the version that it replaces is retried after the leader ended.
 #[test]
 fn retry_after_takeover_reports_original_version() {
     for (partition, make) in [
@@ -235,36 +244,36 @@
         ),
     ] {
         for newer in [false, true] {
-            let what = format!("slice {partition}, newer: {newer}");
+            let context = format!("partition {partition}, newer: {newer}");
             let mut cluster = Cluster::new();
             let first = version(&cluster.outcome(0, partition, make("/a/", Some(0), 5)));
-            let mut stands = first;
+            let mut current = first;
             if newer {
-                stands = version(&cluster.outcome(1, partition, make("/b/", Some(first), 6)));
+                current = version(&cluster.outcome(1, partition, make("/b/", Some(first), 6)));
             }
             let leader = cluster.leader(partition).unwrap();
             cluster.kill(leader);
             cluster.run_for(REPLY_TIMEOUT);
             let contacted = cluster.other(leader);
             let outcome = cluster.outcome(contacted, partition, make("/a/", Some(0), 5));
-            assert_eq!(version(&outcome), first, "{what}");
+            assert_eq!(version(&outcome), first, "{context}");
             let outcome = cluster.outcome(contacted, partition, make("/c/", Some(0), 9));
             assert!(
-                matches!(outcome, ChangeOutcome::VersionConflict { version, .. } if version == stands),
-                "{what}: {outcome:?}"
+                matches!(outcome, ChangeOutcome::VersionConflict { version, .. } if version == current),
+                "{context}: {outcome:?}"
             );
-            let outcome = cluster.outcome(contacted, partition, make("/c/", Some(stands), 9));
-            assert_settled(&outcome, &what);
+            let outcome = cluster.outcome(contacted, partition, make("/c/", Some(current), 9));
+            assert_acknowledged(&outcome, &context);
         }
     }
 }
 
-/// Sent twice by the node itself, since the first reply was lost: another change came first, and that is what the
-/// operator gets.
+/// The node sends the change twice, since the first reply was lost. Another change came first, so the operator gets a
+/// version conflict.
 #[test]
 fn retried_change_that_lost_race_gets_version_conflict() {
     let mut cluster = Cluster::new();
-    assert_settled(
+    assert_acknowledged(
         &cluster.outcome(0, CONFIGURATION_PARTITION, document("/a/", Some(0), 5)),
         "first",
     );
@@ -280,12 +289,16 @@
     );
 }
 
-/// A leader that is cut off does not know what was accepted after it.
+/// An isolated leader does not know the changes accepted after it was superseded.
 #[test]
 fn isolated_leader_reports_unknown_instead_of_refusal() {
     let mut cluster = Cluster::new();
-    assert_settled(
-        &cluster.outcome(0, CONFIGURATION_PARTITION, items(vec![group("s", 7, 1)])),
+    assert_acknowledged(
+        &cluster.outcome(
+            0,
+            CONFIGURATION_PARTITION,
+            put_items(vec![group("s", 7, 1)]),
+        ),
         "first",
     );
     let old = cluster.leader(CONFIGURATION_PARTITION).unwrap();
@@ -294,7 +307,7 @@
         old,
         1,
         CONFIGURATION_PARTITION,
-        items(vec![group("s", 7, 2)]),
+        put_items(vec![group("s", 7, 2)]),
     );
     cluster.submit(
         old,
@@ -314,7 +327,7 @@
         source: text,
         ..orphan
     };
-    cluster.submit(old, 3, CONFIGURATION_PARTITION, items(vec![orphan]));
+    cluster.submit(old, 3, CONFIGURATION_PARTITION, put_items(vec![orphan]));
     cluster.run_for(Duration::from_secs(14));
     for id in [1, 2, 3] {
         assert_eq!(cluster.outcomes[&id], ChangeOutcome::Unknown, "call {id}");
@@ -335,9 +348,8 @@
     assert!(bytes <= 16 + 16 * APPLIED_CHANGES as u64, "{bytes}");
 }
 
-/// The platform's list is read anew only once the last one was acknowledged. An
-/// edge that is slow to apply it must not hold that up: an origin that leaves
-/// meanwhile would be known too late.
+/// The platform's list is read again only once the last one was acknowledged. An edge that is slow to apply a list must
+/// not delay that: an origin that is removed meanwhile would become known too late.
 #[test]
 fn committed_acknowledgement_of_origins_ignores_slow_edge() {
     const SLOW: Duration = Duration::from_secs(1);
@@ -369,8 +381,8 @@
             within,
             "{acknowledge:?} within {SLOW:?}"
         );
-        // The edge lapses: then it holds up nothing.
+        // The edge's session expires, after which it delays nothing.
         cluster.run_for(REPLY_TIMEOUT);
-        assert_settled(&cluster.outcomes[&1], "in the end");
+        assert_acknowledged(&cluster.outcomes[&1], "in the end");
     }
 }
--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -1,39 +1,40 @@
-//! Which members this node is in contact with, in both directions, and which may lead a partition.
+//! Connectivity between members in both directions, and which members may lead a partition.
 //!
-//! Each heartbeat names the slots that its sender hears. So a node knows for each other whether messages get through
-//! both ways, also when a network partition lets them pass in one direction only. A member may lead only while it is
-//! in contact with a majority. One that this node does not reach itself counts if a member that it does reach vouches
-//! for it, and what is meant for it is sent by way of that member.
+//! Each heartbeat lists the slots whose heartbeats its sender receives. So each node knows which members exchange
+//! messages with it in both directions, even if a network partition lets messages pass in one direction only. A member
+//! may lead only while it is in contact with a majority. A member that this node does not reach directly is eligible if
+//! a member in contact with this node lists it as a leader candidate; messages for it are then sent through that
+//! member.
 
 use super::*;
 
-/// A member vouches only for those it heard within this time: by the time that this node takes a member for departed
-/// itself, nobody vouches for it any more.
+/// Maximum age of the last heartbeat of a member that is listed as a leader candidate to others. It is shorter than the
+/// peer timeout: by the time this node takes a member for departed, no other member lists it any more.
 const CANDIDATE_TIMEOUT: Duration =
     lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
-/// What a member's last heartbeat reported.
+/// Status of a member by its last heartbeat.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerStatus {
     pub(super) incarnation: u64,
-    /// Its disk counts and it goes on.
+    /// True if its disk is included in quorums and it is not shutting down.
     pub(super) full: bool,
-    /// Its disk promises and stores nothing.
+    /// True if its disk neither promises epochs nor stores rows.
     pub(super) blank: bool,
-    /// When the heartbeat was received; zero before the first.
+    /// Time when the heartbeat was received; zero before the first.
     last_heartbeat: Duration,
-    /// Slots that it hears.
+    /// Slots whose heartbeats it receives.
     heard_slots: SlotSet,
-    /// Those of them that hear it too.
+    /// Slots in `heard_slots` that receive its heartbeats too.
     mutual_contacts: SlotSet,
-    /// Those of them for which it vouches.
+    /// Slots in `mutual_contacts` that it lists as leader candidates.
     leader_candidates: SlotSet,
-    /// The revision of this node's table of sessions up to which it has it.
+    /// Revision of this node's table of sessions that it has acknowledged.
     pub(super) acknowledged_sessions: u64,
 }
 
 impl PeerStatus {
-    /// Of an incarnation that has sent no heartbeat yet.
+    /// Returns the status of an incarnation that has sent no heartbeat yet.
     pub(super) fn unknown(incarnation: u64) -> PeerStatus {
         PeerStatus {
             incarnation,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Of a heartbeat received now.
+    /// Returns the status reported by a heartbeat received now.
     pub(super) fn reported(now: Duration, incarnation: u64, heartbeat: &Heartbeat) -> PeerStatus {
         PeerStatus {
             incarnation,
@@ -65,20 +66,21 @@
         now < self.last_heartbeat + timeout
     }
 
-    /// Whether it is connected in both directions with a full disk, and hears none of these slots either.
-    pub(super) fn lacks(&self, now: Duration, slots: &[u8]) -> bool {
-        let hears_none = slots.iter().all(|slot| !self.heard_slots.contains(*slot));
-        self.is_connected(now) && !self.blank && hears_none
+    /// Returns true if the member is connected, its disk is not blank, and it receives heartbeats from none of these
+    /// slots.
+    pub(super) fn has_lost_contact_with(&self, now: Duration, slots: &[u8]) -> bool {
+        let receives_none = slots.iter().all(|slot| !self.heard_slots.contains(*slot));
+        self.is_connected(now) && !self.blank && receives_none
     }
 
-    /// Whether its heartbeats have not timed out.
+    /// Returns true if the member's heartbeats have not timed out.
     pub(super) fn is_connected(&self, now: Duration) -> bool {
         self.sent_heartbeat_within(now, lease::CONTROL_PEER_TIMEOUT)
     }
 }
 
 impl ControlNode {
-    /// The heartbeat for a slot.
+    /// Returns the heartbeat for a slot.
     pub(super) fn heartbeat(&self, now: Duration, to: u8) -> Heartbeat {
         let acknowledged = self
             .peers
@@ -103,7 +105,7 @@
         }
     }
 
-    /// A member sent a heartbeat.
+    /// Handles a member's heartbeat.
     pub(super) fn handle_heartbeat(
         &mut self,
         now: Duration,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Slots whose heartbeats came within the timeout, this node's among them.
+    /// Returns the slots whose heartbeats were received within the timeout, including this node's slot.
     fn heard_slots(&self, now: Duration, timeout: Duration) -> SlotSet {
         let recent = self
             .peers
@@ -129,29 +131,29 @@
         recent.map(|(slot, _)| *slot).chain([self.slot]).collect()
     }
 
-    /// Slots that this node hears and that hear it, its own among them.
+    /// Returns the slots that exchange heartbeats with this node in both directions, including its own.
     pub(super) fn mutual_contacts(&self, now: Duration) -> SlotSet {
         let heard = self.heard_slots(now, lease::CONTROL_PEER_TIMEOUT);
-        let both_ways = heard.iter().filter(|slot| {
-            let hears_this_node = |peer: &PeerStatus| peer.heard_slots.contains(self.slot);
-            *slot == self.slot || self.peers.get(slot).is_some_and(hears_this_node)
+        let mutual = heard.iter().filter(|slot| {
+            let receives_own_heartbeats = |peer: &PeerStatus| peer.heard_slots.contains(self.slot);
+            *slot == self.slot || self.peers.get(slot).is_some_and(receives_own_heartbeats)
         });
-        both_ways.collect()
+        mutual.collect()
     }
 
-    /// Whether a majority of the table is in contact with this node. Without it, the node can neither confirm nor
+    /// Returns true if a majority of the table is in contact with this node. Without it, the node can neither confirm nor
     /// refuse anything.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
         self.mutual_contacts(now).len() >= self.quorum().majority()
     }
 
-    /// Whether this node may lead a partition.
+    /// Returns true if this node may lead a partition.
     pub(super) fn may_lead(&self, now: Duration) -> bool {
         self.has_full_disk(self.slot) && self.is_voting_majority(self.mutual_contacts(now))
     }
 
-    /// Whether these slots make a majority of disks that promise and store, as far as known here; one that is about
-    /// to end still does. Of a slot that is not in contact with this node the best is assumed.
+    /// Returns true if the disks of these slots that promise and store make a majority, to this node's knowledge. A
+    /// node that is shutting down still votes. Slots without a known status are assumed to vote.
     fn is_voting_majority(&self, slots: SlotSet) -> bool {
         let votes = |slot: &u8| match self.peers.get(slot) {
             _ if *slot == self.slot => self.can_vote(),
@@ -161,7 +163,7 @@
         slots.iter().filter(votes).count() >= self.quorum().majority()
     }
 
-    /// Whether the disk of a slot is full and its node goes on.
+    /// Returns true if the disk of a slot is full and its node is not shutting down.
     fn has_full_disk(&self, slot: u8) -> bool {
         if slot == self.slot {
             return self.can_vote() && !self.shutdown.is_requested();
@@ -169,8 +171,8 @@
         self.peers.get(&slot).is_none_or(|peer| peer.full)
     }
 
-    /// Members in contact with this node, heard within the timeout, that may lead. All judge that by the same
-    /// heartbeats, so they agree as soon as those were received.
+    /// Returns the members in contact with this node, with a heartbeat within the timeout, that may lead. All nodes
+    /// decide this from the same heartbeats, so they agree as soon as those are received.
     fn eligible_contacts(&self, now: Duration, timeout: Duration) -> SlotSet {
         let heard = self.heard_slots(now, timeout);
         let eligible = self.mutual_contacts(now).iter().filter(|slot| {
@@ -184,41 +186,42 @@
         eligible.collect()
     }
 
-    /// Members for which this node vouches to others.
+    /// Returns the members that this node lists as leader candidates to others.
     fn leader_candidates(&self, now: Duration) -> SlotSet {
         self.eligible_contacts(now, CANDIDATE_TIMEOUT)
     }
 
-    /// All members that may lead. Those in contact with this node are judged by itself alone; for others, whoever is
-    /// in contact with it vouches.
+    /// Returns all members that may lead. Members in contact with this node are judged by this node alone; any other
+    /// member is eligible if a contact lists it as a leader candidate.
     pub(super) fn eligible_leaders(&self, now: Duration) -> SlotSet {
         let contacts = self.mutual_contacts(now);
-        let vouched = contacts
+        let listed = contacts
             .iter()
             .filter_map(|slot| self.peers.get(&slot))
             .map(|peer| peer.leader_candidates)
             .fold(SlotSet::default(), SlotSet::union);
-        let elsewhere = vouched.without(contacts);
+        let listed_only = listed.without(contacts);
         self.eligible_contacts(now, lease::CONTROL_PEER_TIMEOUT)
-            .union(elsewhere)
+            .union(listed_only)
     }
 
-    /// The slot that shall lead a partition: by weight over those that may. None while none may, as far as known
-    /// here.
+    /// Returns the slot that leads a partition: the eligible one with the highest weight. None if no member is known to
+    /// be eligible.
     pub(super) fn preferred_leader(&self, now: Duration, partition: u8) -> Option<u8> {
         self.preferred_leader_among(self.eligible_leaders(now), partition)
     }
 
-    /// The same of these slots, for several partitions at once.
+    /// Returns the preferred leader among these slots, so that callers compute the eligible ones once for several
+    /// partitions.
     pub(super) fn preferred_leader_among(&self, eligible: SlotSet, partition: u8) -> Option<u8> {
-        // The name is part of the hash by which all nodes agree.
+        // The name is an input of the hash on which all nodes must agree.
         let name = format!("slice/{partition}");
         let is_known = |slot: &u8| usize::from(*slot) < self.members.len();
         let eligible = eligible.iter().filter(is_known);
         eligible.max_by_key(|slot| Peer::new(self.address(*slot), 0).weight(&name))
     }
 
-    /// Where to send what is meant for a slot: to itself, or to a member in contact with both.
+    /// Returns the slot to which messages for a slot are sent: itself, or a member in contact with both.
     pub(super) fn next_hop(&self, now: Duration, slot: u8) -> Option<u8> {
         let contacts = self.mutual_contacts(now);
         if contacts.contains(slot) {
--- a/control-plane/src/control_node/disk_failure.rs
+++ b/control-plane/src/control_node/disk_failure.rs
@@ -1,25 +1,26 @@
-//! A disk that refuses writes, and its return.
+//! Handling of a disk that fails a write, and of its return to service.
 //!
-//! From a write that failed on, nothing is promised, stored for a leader or replied here. The replica in memory holds
-//! all that the disk holds, and nothing that it has beyond that was ever acknowledged. So once all of it is on the
-//! disk, the node counts again, like one that was away with its disk.
+//! After a failed write, the node promises no epoch, stores nothing for a leader and sends no reply that depends on the
+//! disk. The replica in memory holds everything that is on the disk; what it holds in addition was never acknowledged.
+//! So once the complete replica is on the disk again, the node is included in quorums again, like a node that was
+//! stopped and kept its disk.
 
 use super::*;
 
-/// Between attempts to write all that the disk should hold.
+/// Interval between attempts to write the complete replica to a failed disk.
 const RESTORE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state of a disk that refused a write.
+/// State of a disk that failed a write.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DiskFailure {
-    /// When it is tried next.
+    /// Time of the next attempt.
     retry_at: Duration,
-    /// Serial of the snapshot that is on its way to the disk.
+    /// Serial of the snapshot being written to the disk.
     snapshot_serial: Option<u64>,
 }
 
 impl DiskFailure {
-    /// A failure at this time.
+    /// Returns the state after a failure at this time.
     pub(super) fn new(now: Duration) -> DiskFailure {
         DiskFailure {
             retry_at: now + RESTORE_RETRY_INTERVAL,
@@ -31,7 +32,7 @@
         self.snapshot_serial.is_none() && now >= self.retry_at
     }
 
-    /// The complete replica is on its way to the disk under this serial.
+    /// Records that the complete replica is being written to the disk under this serial.
     pub(super) fn with_snapshot(self, serial: u64) -> DiskFailure {
         DiskFailure {
             snapshot_serial: Some(serial),
@@ -58,10 +59,10 @@
         }
     }
 
-    /// The disk has synced up to this serial: messages that waited for that leave, in their order.
+    /// Sends the messages that waited until the disk synced up to this serial, in their order.
     pub(super) fn handle_stored(&mut self, now: Duration, serial: u64) {
         if self.journal.end_failure(serial) {
-            // Edges renewed elsewhere meanwhile.
+            // Edges renewed their sessions at other nodes in the meantime.
             self.sessions.restart(now);
             self.log_event(Event::DiskRestored, format!("slot {}", self.slot));
         }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A write failed: nothing that was promised or led here may be acknowledged any more.
+    /// Handles a failed write: nothing that was promised or led on this node may be acknowledged any more.
     pub(super) fn handle_store_failure(&mut self, now: Duration) {
         if !self.journal.has_failed() {
             self.log_event(Event::DiskFailed, format!("slot {}", self.slot));
@@ -80,7 +81,7 @@
         self.journal.fail(now);
     }
 
-    /// Tries to write the complete replica to a failed disk.
+    /// Writes the complete replica to a failed disk, if an attempt is due.
     pub(super) fn restore_disk(&mut self, now: Duration) {
         let output = self.journal.retry_failed_disk(now, &self.replica);
         self.outputs.extend(output);
--- a/control-plane/src/control_node/edge_registry.rs
+++ b/control-plane/src/control_node/edge_registry.rs
@@ -1,19 +1,19 @@
-//! The edge registry, maintained by the leader of the assignments: which edges may hold rows and operations, which may
-//! claim operations, and when the ledger is complete after a loss.
+//! The edge registry, maintained by the leader of the assignments: the edges that may hold rows and operations, and the
+//! edges that may claim operations. After a loss it also determines when the ledger is complete.
 
 use super::*;
 
 impl ControlNode {
-    /// Updates the registry; and opens the ledger once all edges registered before a loss have reported what they
-    /// knew.
-    pub(super) fn plan_edge_registry(&mut self, now: Duration) {
+    /// Updates the registry, and opens the ledger once all edges registered before a loss have reported their
+    /// operations.
+    pub(super) fn update_edge_registry(&mut self, now: Duration) {
         self.open_complete_ledger(now);
         let quorum = self.quorum();
         let Some(leader) = self.leaders.get_mut(&ASSIGNMENTS_PARTITION) else {
             return;
         };
         let known = leader.edge_registry().unwrap_or_default();
-        // Until the new generation has its name, the registry is the lost one's.
+        // Until the new generation is founded, the registry is that of the lost one.
         let complete = if self.generation.current == 0 {
             known.complete
         } else {
@@ -38,19 +38,19 @@
         write_registry(leader, registry);
     }
 
-    /// Opens the ledger if nothing can be lost any more that ran before.
+    /// Opens the ledger once no operation that ran before can be missing from it.
     fn open_complete_ledger(&mut self, now: Duration) {
-        if self.has_recalled_registry(now) {
-            self.open_ledger("all of the roll told what they knew");
+        if self.all_registered_edges_reported(now) {
+            self.open_ledger("all registered edges reported their operations");
             self.generation.registry_before_loss = None;
         }
         let current = self.generation.current;
         let is_new = self.generation.first_fleet_start && !Generation::is_successor(current);
         if is_new && current != 0 && !self.is_opened_by_leader() {
-            self.open_ledger("the fleet is new");
+            self.open_ledger("the fleet was founded for the first time");
         }
-        if self.is_closing_over(now) && !self.is_opened_by_leader() {
-            self.open_ledger("all that could come again has come");
+        if self.is_closed_period_over(now) && !self.is_opened_by_leader() {
+            self.open_ledger("all operations from before the loss are past their retry period");
         }
     }
 
@@ -60,8 +60,8 @@
             .is_some_and(|leader| leader.opened_generation() == self.generation.current)
     }
 
-    /// Whether every edge registered before a loss has reported all that it knew, and none had departed.
-    fn has_recalled_registry(&self, now: Duration) -> bool {
+    /// Returns true if every edge registered before a loss has reported all its operations, and none had departed.
+    fn all_registered_edges_reported(&self, now: Duration) -> bool {
         let Some(registry) = &self.generation.registry_before_loss else {
             return false;
         };
@@ -80,13 +80,14 @@
             && registry.members.iter().all(has_reported)
     }
 
-    /// Whether all operations that could be retried have been.
-    fn is_closing_over(&self, now: Duration) -> bool {
+    /// Returns true if the ledger was closed for long enough that every operation that ran before the loss can no
+    /// longer be retried.
+    fn is_closed_period_over(&self, now: Duration) -> bool {
         let generation = &self.generation;
-        let own_time = generation.entered_at + lease::LEDGER_CLOSED_AFTER_LOSS;
+        let own_closed_until = generation.entered_at + lease::LEDGER_CLOSED_AFTER_LOSS;
         generation.current != 0
             && self.replica.opened_generation() != generation.current
-            && now >= generation.ledger_closed_until.max(own_time)
+            && now >= generation.ledger_closed_until.max(own_closed_until)
     }
 
     fn open_ledger(&mut self, reason: &str) {
@@ -100,8 +101,8 @@
     }
 }
 
-/// Drops departed edges that can have nothing to report any more, and those that are back: one in the same
-/// incarnation still holds what it knew.
+/// Drops departed edges that can have nothing left to report, and those that returned: an edge in the same incarnation
+/// still holds its operations.
 fn retain_recently_departed(
     now: Duration,
     departed_since: &mut BTreeMap<Peer, Duration>,
@@ -118,7 +119,8 @@
     });
 }
 
-/// Writes the registry if it changed, and the edges that may claim operations: a new one only once all edges know it.
+/// Writes the registry if it changed, and the edges that may claim operations. A new edge may claim only once all edges
+/// know the registry that contains it.
 fn write_registry(leader: &mut PartitionLeader, registry: EdgeRegistry) {
     let members = registry.members.clone();
     let value = Value::EdgeRegistry {
--- a/control-plane/src/control_node/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -1,9 +1,9 @@
-//! Renewals of edges, and the updates that they are sent.
+//! Session renewals of edges, and the updates sent in reply.
 
 use super::*;
 
 impl ControlNode {
-    /// Prompts all edges with a session here to renew now, with a token of this moment.
+    /// Prompts all edges with a session at this node to renew now, with a token issued at this moment.
     pub(super) fn request_renewals(&mut self) {
         let renewal_token = self.sessions.issue_token();
         for edge in self.sessions.addresses() {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Renews an edge's session, and replies with the updates that it lacks.
+    /// Renews an edge's session and replies with the updates that the edge lacks.
     pub(super) fn handle_renew_request(
         &mut self,
         now: Duration,
@@ -34,7 +34,7 @@
         request: RenewRequest,
     ) {
         let generation = self.replica.generation();
-        // An edge of another generation gets everything anew.
+        // An edge of another generation is sent all rows again.
         let is_same_generation = request.generation == generation || generation == 0;
         let known_versions: &[u64] = if is_same_generation {
             &request.version_vector
@@ -45,8 +45,8 @@
             .update_replies
             .reply(now, from, known_versions, &self.replica);
         let recall_requested = now < self.generation.ledger_closed_until;
-        // An edge of an earlier generation is noted, but not live by this node, until there is a new one for it to
-        // enter.
+        // An edge of an earlier generation is recorded, but gets no renewal from this node until there is a new
+        // generation for it to enter.
         let may_reply = request.generation == 0 || generation != 0;
         let sent = request.sent;
         let last_token = request.last_token;
@@ -59,7 +59,7 @@
         if !may_reply {
             return;
         }
-        // A renewal counts only with all updates that the edge lacks: while those are in flight there is no reply.
+        // A renewal is valid only with all updates that the edge lacks: while those are in flight no reply is sent.
         let Some(updates) = updates else {
             return;
         };
--- a/control-plane/src/control_node/contact_watch.rs
+++ b/control-plane/src/control_node/failure_detector.rs
@@ -1,20 +1,21 @@
-//! Which silent members are lost, and not merely unheard because this node was paused.
+//! Failure detection: distinguishes members that are lost from members not received because this node itself was
+//! paused.
 
 use crate::prelude::*;
 
-/// A slot without a message for this long may go to an empty node that requests one. A process that is only
-/// restarted is back before, and one that was wrongly replaced comes back as an empty node.
+/// Time without a message after which a slot may be assigned to an empty node that requests one. A process that is only
+/// restarted returns sooner, and a member that was wrongly replaced rejoins as an empty node.
 const MEMBER_LOSS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Since when this node hears the others without a pause of its own: one that was frozen has heard nobody for long,
-/// and that is no fault of theirs.
+/// Tracks pauses of this node: after a pause no message has been received for long from any member, and that is no
+/// evidence of their failure.
 #[derive(Debug, Default)]
-pub(super) struct ContactWatch {
+pub(super) struct FailureDetector {
     last_tick_at: Option<Duration>,
     unpaused_since: Duration,
 }
 
-impl ContactWatch {
+impl FailureDetector {
     pub(super) fn tick(&mut self, now: Duration) {
         if !self.is_unpaused(now) {
             self.unpaused_since = now;
@@ -22,23 +23,23 @@
         self.last_tick_at = Some(now);
     }
 
-    /// About the present time.
+    /// Returns the time of the last tick, which is close to the current time.
     pub(super) fn last_tick(&self) -> Duration {
         self.last_tick_at.unwrap_or_default()
     }
 
-    /// Whether the last tick was as recent as it should be.
+    /// Returns true if the last tick is recent, so that this node was not paused.
     fn is_unpaused(&self, now: Duration) -> bool {
         self.last_tick_at
             .is_some_and(|last_tick| now < last_tick + lease::CONTROL_PEER_TIMEOUT)
     }
 
-    /// Whether a member with its last contact at this time has timed out.
+    /// Returns true if a member with its last contact at this time is lost.
     pub(super) fn is_lost(&self, now: Duration, last_contact: Duration) -> bool {
         self.is_silent(now, last_contact, MEMBER_LOSS_TIMEOUT)
     }
 
-    /// The same after a timeout of the caller's.
+    /// Returns true if a member with its last contact at this time has been silent for this timeout.
     pub(super) fn is_silent(
         &self,
         now: Duration,
--- a/control-plane/src/control_node/fleet_state.rs
+++ b/control-plane/src/control_node/fleet_state.rs
@@ -1,10 +1,10 @@
-//! What a node knows of the fleet, for operators. The names in it are part of the operators' interface.
+//! The state of the fleet as this node knows it, for operators. Its names are part of the operators' interface.
 
 use super::*;
 use serde_json::{Value as Json, json};
 
 impl ControlNode {
-    /// What this node knows of the fleet.
+    /// Returns the state of the fleet as this node knows it.
     pub(super) fn fleet_state(&self, now: Duration) -> Json {
         let live = self.sessions.live(now, self.quorum());
         json!({
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -1,31 +1,32 @@
-//! Generations: after a majority of disks was lost the next one is founded, and the operation ledger stays closed
-//! until it is complete again.
+//! Generations of the fleet: after a majority of disks was lost the next generation is founded, and the operation
+//! ledger stays closed until it is complete again.
 
 use super::*;
 
-/// The time that a heartbeat takes must not add to the closing that it reports, to and fro.
+/// Minimum extension of the ledger's closing that is adopted from a heartbeat. Without it the transit time of
+/// heartbeats would prolong the closing each time two nodes report it to each other.
 const CLOSING_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// The generation that the node is in, and the closing of its operation ledger.
+/// Generation of this node, and the closing of its operation ledger.
 #[derive(Debug, Default)]
 pub(super) struct GenerationState {
-    /// The generation as last looked at; 0 after a start, so that one whose ledger is not open yet closes it anew,
-    /// in full.
+    /// Generation last read from the replica; 0 after a start, so that a node whose ledger is not open yet closes it
+    /// again for the full time.
     pub(super) current: u64,
-    /// When that was first seen.
+    /// Time when `current` was first seen.
     pub(super) entered_at: Duration,
-    /// Until then operations that are not known are not run: acknowledged ones may be lost.
+    /// End of the closing. Until then operations without a record are not run: acknowledged ones may be lost.
     pub(super) ledger_closed_until: Duration,
-    /// The disk was recovered after a loss in this generation: the next one is requested.
+    /// Generation in which a majority of disks was lost, while the next one is requested.
     pub(super) refound_after: Option<u64>,
-    /// The edge registry as it was before the loss, while the ledger is closed.
+    /// Edge registry before the loss, while the ledger is closed.
     pub(super) registry_before_loss: Option<EdgeRegistry>,
-    /// The fleet started for the first time when this node did, on empty disks: no operation ran before.
+    /// True if the fleet started for the first time when this node did, on empty disks: no operation ran before.
     pub(super) first_fleet_start: bool,
 }
 
 impl GenerationState {
-    /// The state after a start.
+    /// Returns the state after a start.
     pub(super) fn new(first_fleet_start: bool) -> GenerationState {
         GenerationState {
             first_fleet_start,
@@ -35,17 +36,17 @@
 }
 
 impl ControlNode {
-    /// Closes the operation ledger: operations that ran before may be unknown now.
+    /// Closes the operation ledger: operations that ran before may be missing from it.
     pub(super) fn close_ledger(&mut self, now: Duration) {
         let span = lease::LEDGER_CLOSED_AFTER_LOSS;
         if now >= self.generation.ledger_closed_until {
-            let text = format!("unknown operations are not run for {span:?}");
+            let text = format!("operations without a record are refused for {span:?}");
             self.log_event(Event::MajorityLost, text);
         }
         self.generation.ledger_closed_until = now + span;
     }
 
-    /// Whether the ledger of this generation is known to be complete.
+    /// Returns true if the ledger of this generation is known to be complete.
     fn is_ledger_open(&self) -> bool {
         let current = self.generation.current;
         current != 0
@@ -53,19 +54,19 @@
             && self.generation.refound_after.is_none()
     }
 
-    /// The loss that the replica remembers, if it is one of this generation.
+    /// Returns the loss recorded in the replica, if it is one of this generation.
     fn replica_loss(&self, generation: u64) -> Option<u64> {
         Some(self.replica.lost_generation).filter(|lost| *lost == generation)
     }
 
-    /// The generation whose acknowledged rows may be lost, as far as known here; 0 if none is.
+    /// Returns the generation whose acknowledged rows may be lost, to this node's knowledge; 0 if none is.
     pub(super) fn lost_generation(&self) -> u64 {
         let known = self.replica_loss(self.replica.generation());
         self.generation.refound_after.or(known).unwrap_or(0)
     }
 
-    /// Another node knows that a majority of disks was lost. That is reported with every promise, so that no
-    /// partition is taken in ignorance of it.
+    /// Handles another node's report that a majority of disks was lost. Nodes report a loss with every promise, so that
+    /// no partition is taken over without knowledge of it.
     pub(super) fn on_loss_reported(&mut self, now: Duration, generation: u64) {
         let is_current = generation != 0 && generation == self.generation.current;
         if is_current && self.generation.refound_after.is_none() {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Another node has closed the ledger for so long.
+    /// Extends the closing to the remaining time that another node reported.
     pub(super) fn extend_ledger_closure(&mut self, now: Duration, closed_for: Duration) {
         let until = now + closed_for;
         let is_longer = until > self.generation.ledger_closed_until + CLOSING_TOLERANCE;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Follows the generation that the replica shows.
+    /// Enters the generation of the replica if it changed.
     pub(super) fn enter_generation(&mut self, now: Duration) {
         if self.generation.current != self.replica.generation() {
             self.generation.current = self.replica.generation();
@@ -91,7 +92,7 @@
             self.generation.refound_after = self.replica_loss(self.generation.current);
             let is_opened = self.replica.opened_generation() == self.generation.current;
             if !is_opened || self.generation.refound_after.is_some() {
-                // A first founding looks like the loss of everything.
+                // A first founding cannot be distinguished from the loss of everything.
                 self.close_ledger(now);
                 self.remember_registry_before_loss();
             }
@@ -102,7 +103,8 @@
         }
     }
 
-    /// A leader that lost nothing itself knows the registry as it was.
+    /// Remembers the edge registry if this node leads the assignments: a leader that lost nothing itself has the
+    /// registry from before the loss.
     fn remember_registry_before_loss(&mut self) {
         let leader = self
             .leaders
@@ -113,7 +115,7 @@
         self.generation.registry_before_loss = known.or(earlier);
     }
 
-    /// Requests the next generation after a loss, until it is founded.
+    /// Requests the next generation after a loss, until that generation is founded.
     pub(super) fn request_next_generation(&mut self) {
         if let Some(after) = self.generation.refound_after {
             let request =
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Founds the next generation, unless that was done since it was requested.
+    /// Founds the next generation, unless it was founded since the request.
     pub(super) fn found_next_generation(&mut self, after: u64) {
         let generation = Generation::after(self.replica.generation(), self.replica.incarnation);
         let Some(leader) = self.leaders.get_mut(&CONFIGURATION_PARTITION) else {
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -1,9 +1,9 @@
-//! How a node comes to a slot: founding the fleet, requesting a slot, and learning a table that names it.
+//! How a node obtains a slot: by founding the fleet, by requesting a slot, or by receiving a table that contains it.
 
 use super::*;
 
 impl ControlNode {
-    /// A node that holds no slot only looks for somebody who knows the table.
+    /// Handles a message on a node without a slot: it only looks for nodes that know the table.
     pub(super) fn handle_message_without_slot(
         &mut self,
         now: Duration,
@@ -12,12 +12,12 @@
     ) {
         match message {
             Message::RecallReply(reply) => self.learn_recalled_table(now, reply),
-            // After a loss of all disks nobody but the edges knows the table.
+            // After a loss of all disks only the edges know the table.
             Message::RenewRequest(_) if self.bootstrap.is_some() => {
                 let partition = MEMBERSHIP_PARTITION;
                 self.send(from.address, RecallRequest { partition });
             }
-            // The sender takes this node for a member: seeds may have departed, it is there.
+            // The sender considers this node a member. Unlike the seeds, which may have left, it is reachable.
             Message::Heartbeat(_) => {
                 if let Some(bootstrap) = &mut self.bootstrap {
                     bootstrap.note_existing_table();
@@ -29,19 +29,19 @@
         }
     }
 
-    /// Whether this node founds the fleet, with an empty disk.
+    /// Returns true if this node takes part in founding the fleet, with an empty disk.
     fn is_founding(&self) -> bool {
         let bootstrap = self.bootstrap.as_ref();
         bootstrap.is_some_and(|bootstrap| bootstrap.founding) && !self.replica.full
     }
 
-    /// Without a slot: the first seed of a founding makes the table, all others request a slot.
+    /// Requests a slot; the first seed of a founding creates the table instead.
     pub(super) fn request_slot(&mut self, now: Duration) {
         if let Some(members) = self.founding_table(now) {
             return self.found_table(now, members);
         }
         let founding = self.is_founding();
-        // Seeds may have departed by now: members of the last known table get the request too.
+        // Seeds may have left by now, so members of the last known table are sent the request too.
         let known = self.members.iter().map(|peer| peer.address);
         let addresses: BTreeSet<SocketAddr> = self
             .seeds
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The founding table, if this node is to make it and the time to join it is over.
+    /// Returns the founding table, if this node creates it and the join window is over.
     fn founding_table(&mut self, now: Duration) -> Option<Vec<Peer>> {
         let is_first_seed = self.seeds.first() == Some(&self.address);
         if !is_first_seed || !self.members.is_empty() || self.replica.full {
@@ -82,7 +82,7 @@
         self.join_table(now, table, Some(0));
     }
 
-    /// A node without a slot requests one, or requests it again after it got it.
+    /// Handles the request of a node for a slot, possibly repeated after the slot was assigned.
     pub(super) fn handle_join_request(&mut self, from: Peer, founding: bool) {
         if self.slot == NO_SLOT {
             if let Some(bootstrap) = self.bootstrap.as_mut().filter(|_| founding) {
@@ -91,14 +91,14 @@
             return;
         }
         if self.is_member(&from) {
-            // Also one that was removed may know. The founder's own table is on its disk before it is sent.
+            // A removed node may reply too. The founder's own table is on its disk before it is sent.
             return self.send_after_sync(from.address, self.current_table());
         }
         if self.removed {
             return;
         }
         self.note_succession_joiner(from, founding);
-        // To the leader of the table, by way of this node's own changes.
+        // The change is routed to the leader of the table like this node's own changes.
         let change = Change::JoinRequest {
             peer: from,
             founding,
@@ -107,7 +107,7 @@
         self.send(self.address, request);
     }
 
-    /// Another node goes by a newer table.
+    /// Handles a membership table of another node: stores and adopts it if it is newer.
     pub(super) fn handle_membership_table(&mut self, now: Duration, table: MembershipTable) {
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.note_existing_table();
@@ -116,7 +116,7 @@
         let slot = table.members.iter().position(|peer| peer.matches(&me));
         let slot = slot.map(|at| at as u8);
         if table.version <= self.membership_version {
-            // The founding table, which there is one of, is accepted by the nodes that were there.
+            // There is only one founding table; it is accepted by nodes that take part in the founding.
             let accepts = self.is_founding() && self.members.is_empty();
             if table.version == 0 && accepts && slot.is_some() {
                 self.store(&Record::Founding {
@@ -126,7 +126,7 @@
             }
             return;
         }
-        // Stored beside what the partition's rows say: those may take longer to arrive.
+        // Stored in addition to the partition's rows, which may take longer to arrive.
         self.store(&Record::MembershipTable {
             version: table.version,
             members: table.members.clone(),
@@ -138,16 +138,17 @@
         }
     }
 
-    /// Goes by a table with a disk that does not count yet.
+    /// Adopts a table with a disk that is not included in quorums yet.
     fn join_table(&mut self, now: Duration, table: MembershipTable, slot: Option<u8>) {
         self.membership_version = table.version;
         self.members = table.members;
         if self.slot != NO_SLOT && slot.is_none() {
-            // It may have been met by others, who then retired this incarnation.
+            // Other members may have received messages of this incarnation and retired it since.
             return self.mark_removed();
         }
         self.table_adopted_at = now;
-        // Whoever was met by the older table may hold another slot by this one: that retires nobody.
+        // A member known by the older table may hold another slot by this one, which is no reason to retire its
+        // incarnation.
         self.peers.clear();
         self.last_messages.clear();
         self.retired_incarnations = self.replica.retired.clone();
@@ -158,7 +159,7 @@
         self.sessions.restart(now);
     }
 
-    /// An edge sent the table that it was shown, which nobody else knows here.
+    /// Handles the table that an edge was shown, if this node has no other way to learn it.
     fn learn_recalled_table(&mut self, now: Duration, reply: &RecallReply) {
         if self.bootstrap.is_none() || reply.partition != MEMBERSHIP_PARTITION {
             return;
--- a/control-plane/src/control_node/journal.rs
+++ b/control-plane/src/control_node/journal.rs
@@ -1,31 +1,31 @@
-//! What is on its way to the disk: serials of stored records, and messages that wait until they are synced.
+//! Records being written to the disk, and messages that wait until they are synced.
 
 use super::disk_failure::DiskFailure;
 use crate::prelude::*;
 
-/// A snapshot is written when the log since the last one is at least this long.
+/// Minimum length of the log since the last snapshot before a new one is written.
 const MIN_LOG_BYTES_BEFORE_SNAPSHOT: usize = 4 * 1024 * 1024;
 
-/// The log of the node's disk, as far as it is stored and synced.
+/// Progress of the log on the node's disk.
 #[derive(Debug, Default)]
 pub(super) struct Journal {
     /// Serial of the newest record given to the disk.
     stored_serial: u64,
     /// Serial up to which the disk has synced.
     synced_serial: u64,
-    /// Messages that speak for records not synced yet, in their order.
+    /// Messages that report records not synced yet, in their order.
     deferred_messages: VecDeque<DeferredMessage>,
-    /// Length of the log since the last snapshot.
+    /// Length of the log since the last snapshot, in bytes.
     log_bytes: usize,
-    /// Length of that snapshot.
+    /// Length of the last snapshot, in bytes.
     snapshot_bytes: usize,
-    /// A write failed: the disk counts for nothing until everything is on it again.
+    /// Set after a failed write: the disk is excluded from quorums until the complete replica is on it again.
     failure: Option<DiskFailure>,
 }
 
 #[derive(Debug)]
 struct DeferredMessage {
-    /// Sent once this serial is synced.
+    /// The message is sent once this serial is synced.
     serial: u64,
     to: SocketAddr,
     message: Message,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether everything stored is synced.
+    /// Returns true if everything stored is synced.
     pub(super) fn is_synced(&self) -> bool {
         self.synced_serial >= self.stored_serial
     }
@@ -58,7 +58,8 @@
         });
     }
 
-    /// Writes a record. None while the disk has failed: it takes no more until it takes everything.
+    /// Returns the output that writes a record. None while the disk has failed: it is given no more records until the
+    /// complete replica is written.
     pub(super) fn store(&mut self, record: &Record) -> Option<Output> {
         let record = record.bytes();
         self.stored_serial += 1;
@@ -67,13 +68,13 @@
         (!self.has_failed()).then_some(Output::Store { serial, record })
     }
 
-    /// Whether the log is long enough for a snapshot to take its place.
+    /// Returns true if the log is long enough to be replaced by a snapshot.
     pub(super) fn is_snapshot_due(&self) -> bool {
         let limit = MIN_LOG_BYTES_BEFORE_SNAPSHOT.max(2 * self.snapshot_bytes);
         !self.has_failed() && self.log_bytes > limit
     }
 
-    /// Writes the complete replica.
+    /// Returns the output that writes the complete replica.
     pub(super) fn store_snapshot(&mut self, replica: &Replica) -> Output {
         let record = Record::Snapshot(Box::new(replica.clone())).bytes();
         self.snapshot_bytes = record.len();
@@ -83,7 +84,7 @@
         Output::StoreSnapshot { serial, record }
     }
 
-    /// The disk has synced up to this serial. The messages that waited for that.
+    /// Records that the disk synced up to this serial. Returns the messages that waited for it.
     pub(super) fn on_synced(&mut self, serial: u64) -> Vec<(SocketAddr, Message)> {
         self.synced_serial = self.synced_serial.max(serial);
         let synced_serial = self.synced_serial;
@@ -95,13 +96,13 @@
         messages
     }
 
-    /// A write failed, maybe the one that was to end an earlier failure.
+    /// Records a failed write, which may be the one that was to end an earlier failure.
     pub(super) fn fail(&mut self, now: Duration) {
         self.deferred_messages.clear();
         self.failure = Some(DiskFailure::new(now));
     }
 
-    /// Tries to write the complete replica, if the disk has failed and that is due.
+    /// Returns the output that writes the complete replica, if the disk has failed and an attempt is due.
     pub(super) fn retry_failed_disk(&mut self, now: Duration, replica: &Replica) -> Option<Output> {
         if !self.failure.as_ref()?.is_retry_due(now) {
             return None;
@@ -112,15 +113,16 @@
         Some(output)
     }
 
-    /// Ends a failure if this serial is synced and the disk thereby holds everything again. True if it did.
+    /// Ends a failure if this serial is synced and the disk thereby holds everything again. Returns true if a failure
+    /// ended.
     pub(super) fn end_failure(&mut self, serial: u64) -> bool {
-        let ends = self
+        let is_restored = self
             .failure
             .as_ref()
             .is_some_and(|failure| failure.is_restored_by(serial));
-        if ends {
+        if is_restored {
             self.failure = None;
         }
-        ends
+        is_restored
     }
 }
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -1,21 +1,21 @@
-//! The membership table that this node goes by, and the incarnations that count by it.
+//! The membership table that this node uses, and the incarnations that are members by it.
 
 use super::*;
 
 impl ControlNode {
-    /// The slot that this incarnation of a peer holds by the table.
+    /// Returns the slot that this incarnation of a peer holds by the table.
     pub(super) fn slot_of(&self, peer: &Peer) -> Option<u8> {
         let at = self.members.iter().position(|known| known.matches(peer))?;
         Some(at as u8)
     }
 
-    /// Whether this incarnation of a peer holds a slot.
+    /// Returns true if this incarnation of a peer holds a slot.
     pub(super) fn is_member(&self, peer: &Peer) -> bool {
         self.slot_of(peer).is_some()
     }
 
-    /// Handles what concerns membership itself, and drops what may not be handled by this node's table or by that of
-    /// the sender. The message, if it stands.
+    /// Handles messages about membership, and drops those that this node's table or the sender's does not permit.
+    /// Returns the message if it is still to be handled.
     pub(super) fn check_membership(
         &mut self,
         now: Duration,
@@ -36,8 +36,8 @@
         None
     }
 
-    /// Whoever goes by an older table is sent the newer one; nothing but a heartbeat is handled under it. One who
-    /// goes by a newer table learns by this node's heartbeat that it lacks it.
+    /// Sends this node's table to a sender with an older one, of which only heartbeats are handled. A sender with a
+    /// newer table is sent a heartbeat, which shows that this node lacks that table.
     fn compare_tables(
         &mut self,
         now: Duration,
@@ -63,7 +63,7 @@
         Some(message)
     }
 
-    /// The table that this node goes by.
+    /// Returns the table that this node uses.
     pub(super) fn current_table(&self) -> MembershipTable {
         MembershipTable {
             version: self.membership_version,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The published table is an update like any other: adopted once published.
+    /// Adopts the published table if it is newer: it is replicated like any other row, and adopted once published.
     pub(super) fn adopt_published_table(&mut self) {
         if let Some(table) = self.replica.published_table()
             && table.version > self.membership_version
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Adopts a newer table, with a full disk: from now on nobody who goes by an older table gets a promise, or has
-    /// anything stored here.
+    /// Adopts a newer table, with a full disk: from now on no node that uses an older table gets a promise or has
+    /// anything stored on this node.
     pub(super) fn adopt_table(&mut self, table: MembershipTable) {
         self.membership_version = table.version;
         if table.members == self.members {
@@ -90,7 +90,7 @@
             }
             return;
         }
-        self.table_adopted_at = self.contact_watch.last_tick();
+        self.table_adopted_at = self.failure_detector.last_tick();
         let members = table.members;
         let before = std::mem::replace(&mut self.members, members.clone());
         for slot in 0..before.len().max(members.len()) {
@@ -99,17 +99,18 @@
                 self.replace_member(slot as u8, old, new);
             }
         }
-        // What was promised and counted so far was counted by another table: partitions are taken anew by this one.
+        // Promises and acknowledgements so far were counted by another table: partitions are led under new epochs by
+        // this one.
         self.leaders.clear();
         self.pending_replies.clear();
         let own_member = members.get(usize::from(self.slot));
-        let is_named = own_member.is_some_and(|member| member.matches(&self.me()));
-        if self.slot != NO_SLOT && !is_named {
+        let is_still_member = own_member.is_some_and(|member| member.matches(&self.me()));
+        if self.slot != NO_SLOT && !is_still_member {
             self.mark_removed();
         }
     }
 
-    /// A slot went to another member, was added or was dropped.
+    /// Handles a slot that was assigned to another member, was added or was dropped.
     fn replace_member(&mut self, slot: u8, old: Option<Peer>, new: Option<Peer>) {
         let from = old.map_or(String::new(), |old| format!(" from {old}"));
         let to = new.map_or(String::new(), |new| new.to_string());
@@ -119,16 +120,16 @@
         let Some(status) = self.peers.remove(&slot) else {
             return;
         };
-        let stays = old
+        let is_same_incarnation = old
             .zip(new)
             .is_some_and(|(old, new)| new.matches(&Peer::new(old.address, status.incarnation)));
-        if !stays {
+        if !is_same_incarnation {
             self.retire_incarnation(status.incarnation);
         }
     }
 
-    /// What this disk sent counts for nothing any more. That is stored: whoever receives an acknowledgement of this
-    /// node learns of it first, over its restarts.
+    /// Retires an incarnation: messages of this disk are ignored from now on. The retirement is stored, so that a node
+    /// that receives an acknowledgement of this one learns of it first, even over restarts.
     pub(super) fn retire_incarnation(&mut self, incarnation: u64) {
         let is_own = incarnation == self.replica.incarnation;
         if is_own || self.retired_incarnations.contains(&incarnation) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Another node retired these.
+    /// Handles incarnations that another node retired.
     pub(super) fn on_retired_reported(&mut self, incarnations: &[u64]) {
         for incarnation in incarnations {
             self.retire_incarnation(*incarnation);
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Drops what was counted for a slot.
+    /// Drops the sessions and acknowledgements recorded for a slot.
     fn forget_slot(&mut self, slot: u8) {
         self.sessions.remove_table(slot);
         for leader in self.leaders.values_mut() {
@@ -173,10 +174,10 @@
         self.retired_incarnations.iter().copied().collect()
     }
 
-    /// A message of this incarnation came from a slot; an earlier one is retired.
+    /// Records a message of this incarnation from a slot, and retires an earlier incarnation.
     pub(super) fn on_member_contact(&mut self, slot: u8, incarnation: u64) {
         self.last_messages
-            .insert(slot, self.contact_watch.last_tick());
+            .insert(slot, self.failure_detector.last_tick());
         let status = self
             .peers
             .entry(slot)
@@ -189,7 +190,8 @@
         }
     }
 
-    /// The slot of this node went to another: it acknowledges nothing any more, over its restarts.
+    /// Marks this node as removed after its slot was assigned to another: it acknowledges nothing any more, even over
+    /// restarts.
     pub(super) fn mark_removed(&mut self) {
         if self.removed {
             return;
@@ -198,7 +200,7 @@
         self.store(&Record::Removed);
         self.leaders.clear();
         self.pending_replies.clear();
-        // Nobody replies to operators who called here any more: they learn that at once, not by a timeout.
+        // Calls from operators get no reply from the leader any more: they fail at once instead of by a timeout.
         self.fail_operator_calls();
         self.log_event(Event::MemberRemoved, format!("slot {}", self.slot));
     }
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -1,10 +1,10 @@
-//! A control node as a state machine without I/O: this module routes each input to the part of the node that owns
-//! the state it concerns.
+//! The control node as a state machine without I/O. This module routes each input to the submodule that owns the state
+//! it concerns.
 
 use crate::prelude::*;
 use assignments::AssignmentState;
 use contact::PeerStatus;
-use contact_watch::ContactWatch;
+use failure_detector::FailureDetector;
 use generation::GenerationState;
 use journal::Journal;
 use operation_expiry::FinishedOperations;
@@ -18,10 +18,10 @@
 mod assignments;
 mod changes;
 mod contact;
-mod contact_watch;
 mod disk_failure;
 mod edge_registry;
 mod edge_sessions;
+mod failure_detector;
 mod fleet_state;
 mod generation;
 mod joining;
@@ -45,72 +45,73 @@
 
 /// Slot number of a node that holds no slot (yet).
 const NO_SLOT: u8 = u8::MAX;
-/// Between sweeps of the operation ledger.
+/// Interval between sweeps of the operation ledger.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A control node without its I/O. Invariants:
-/// - A reply that speaks for the disk leaves only once all that was stored before it is synced.
-/// - While the disk is blank or has failed nothing is promised, stored for a leader or renewed here.
-/// - What an earlier incarnation (disk) of a slot sent counts for nothing once a later one was met, or once the slot
-///   went to another node.
-/// - A node without a slot (`NO_SLOT`) only requests one; one that was removed does nothing.
+/// State machine of a control node; it does no I/O itself. Invariants:
+/// - A reply that reports the state of the disk is sent only once all records stored before it are synced.
+/// - While the disk is blank or has failed, the node promises no epoch, stores nothing for a leader and renews no
+///   session.
+/// - Messages of an earlier incarnation (disk) of a slot are ignored once a later one has been seen, or once the slot
+///   was assigned to another node.
+/// - A node without a slot (`NO_SLOT`) only requests one; a removed node does nothing.
 pub struct ControlNode {
     slot: u8,
     address: SocketAddr,
-    /// Who holds the slots, by the newest table received; empty before one is.
+    /// Holders of the slots, by the newest table received; empty until one is received.
     members: Vec<Peer>,
-    /// Version of that table.
+    /// Version of the membership table in use.
     membership_version: u64,
-    /// When that table was adopted.
+    /// Time when the membership table in use was adopted.
     table_adopted_at: Duration,
     seeds: Vec<SocketAddr>,
-    /// Set if the seeds are not the table: it is founded or requested.
+    /// Set if the membership table is not given by the seeds but is founded or requested.
     bootstrap: Option<Bootstrap>,
-    /// The slot went to another node.
+    /// True if this node's slot was assigned to another node.
     removed: bool,
-    /// What the disk holds.
+    /// State of the local disk.
     replica: Replica,
-    /// Recovery of a blank disk.
+    /// Recovery of the local disk, while it is blank.
     recovery: Option<ReplicaRecovery>,
     journal: Journal,
-    /// Partitions that this node leads or stands for.
+    /// Partitions that this node leads or is a candidate for.
     leaders: BTreeMap<u8, PartitionLeader>,
     stale_epochs: StaleEpochs,
-    /// What the other members reported last.
+    /// Last reported status of the other members, by slot.
     peers: BTreeMap<u8, PeerStatus>,
-    /// When any message last came from whoever holds a slot, also when what its disk said counts for nothing.
+    /// Time of the last message from the holder of each slot, including holders whose disk is excluded from quorums.
     last_messages: BTreeMap<u8, Duration>,
-    /// Since when other members are heard without a pause of this node.
-    contact_watch: ContactWatch,
-    /// Since when no majority is in contact with this node.
+    /// Distinguishes silent members from a pause of this node.
+    failure_detector: FailureDetector,
+    /// Start of the current isolation: no majority has been in contact with this node since then.
     isolated_since: Option<Duration>,
-    /// The replica's, and those met while the disk was blank.
+    /// Retired incarnations: those stored in the replica, and those seen while the disk was blank.
     retired_incarnations: VecDeque<u64>,
     sessions: Sessions,
     update_replies: UpdateReplies,
-    /// Replies that wait for a version to be committed or settled, or for a round.
+    /// Replies that are sent once a version is committed or settled, or a round is confirmed.
     pending_replies: Vec<PendingReply>,
-    /// Calls from operators, by the id of the call.
+    /// Calls from operators, by their ids.
     operator_calls: BTreeMap<u64, OperatorCall>,
     relays: Relays,
     finished_operations: FinishedOperations,
     last_sweep: Duration,
-    /// Version of the configuration that was last published to the history.
+    /// Version of the configuration last published to the history.
     published_configuration: u64,
     generation: GenerationState,
-    /// As leader of the assignments: when edges of the registry were found to have departed.
+    /// On the leader of the assignments: time when each departed edge of the registry was first found to have departed.
     departed_since: BTreeMap<Peer, Duration>,
     assignments: AssignmentState,
     shutdown: ShutdownState,
     succession: Succession,
-    /// Outputs of the current step.
+    /// Outputs of the input being handled.
     outputs: Vec<Output>,
 }
 
 impl ControlNode {
-    /// `replica` as read from disk, or a `blank` one with a new incarnation. The node's slot is the one its address
-    /// holds; a blank node elsewhere requests one. The table begins with the seeds, unless there is a `bootstrap`.
-    /// `run` is unlike that of any other run of this node.
+    /// Creates a node from the `replica` read from disk, or from a `blank` one with a new incarnation. The node takes
+    /// the slot that the membership table assigns to its address; a blank node without one requests a slot. Without a
+    /// `bootstrap`, the seeds are the initial table. `run` must differ from that of every other run of this node.
     pub fn new(
         address: SocketAddr,
         seeds: Vec<SocketAddr>,
@@ -120,7 +121,7 @@
         run: u64,
     ) -> ControlNode {
         let table = initial_table(&replica, &seeds, bootstrap.as_mut());
-        // A node that knows a table was there before, or follows one that was.
+        // A node that knows a table belongs to a fleet that already ran, or replaces a member of one.
         let is_first_start = |bootstrap: &Bootstrap| bootstrap.first_start;
         let first_fleet_start =
             blank && table.members.is_empty() && bootstrap.as_ref().is_some_and(is_first_start);
@@ -138,7 +139,7 @@
         control_node
     }
 
-    /// A node that goes by a table, before anything happened.
+    /// Creates a node that uses this table, in its initial state.
     fn with_table(address: SocketAddr, table: MembershipTable, replica: Replica) -> ControlNode {
         let MembershipTable { version, members } = table;
         let slot = slot_at(&members, address).unwrap_or(NO_SLOT);
@@ -160,7 +161,7 @@
             stale_epochs: StaleEpochs::default(),
             peers: BTreeMap::new(),
             last_messages: BTreeMap::new(),
-            contact_watch: ContactWatch::default(),
+            failure_detector: FailureDetector::default(),
             isolated_since: None,
             sessions: Sessions::default(),
             update_replies: UpdateReplies::default(),
@@ -186,8 +187,8 @@
         self.log_event(Event::DiskBlank, format!("slot {}", self.slot));
     }
 
-    /// Sets how long the log on disk is already, and the snapshot that it begins with, in bytes: a node that is
-    /// often restarted must write a snapshot as soon as one that is not.
+    /// Sets the length of the existing log on disk and of the snapshot at its start, in bytes. Without them a node that
+    /// restarts often would never write a snapshot.
     pub fn with_log(self, log_bytes: usize, snapshot_bytes: usize) -> ControlNode {
         ControlNode {
             journal: self.journal.with_log(log_bytes, snapshot_bytes),
@@ -195,13 +196,13 @@
         }
     }
 
-    /// Sets how long outcomes of operations are retained.
+    /// Sets the retention of finished operations.
     pub fn with_operation_retention(mut self, retention: Duration) -> ControlNode {
         self.finished_operations.retention = retention;
         self
     }
 
-    /// The node's address and incarnation.
+    /// Returns the node's address and incarnation.
     pub fn me(&self) -> Peer {
         Peer::new(self.address, self.replica.incarnation)
     }
@@ -210,7 +211,7 @@
         Quorum::new(self.members.len())
     }
 
-    /// All slots but this node's.
+    /// Returns all slots except this node's.
     fn other_slots(&self) -> impl Iterator<Item = u8> + use<> {
         let own_slot = self.slot;
         (0..self.members.len() as u8).filter(move |slot| *slot != own_slot)
@@ -231,7 +232,7 @@
         });
     }
 
-    /// Sends once everything stored so far is synced.
+    /// Sends a message once all records stored so far are synced.
     fn send_after_sync(&mut self, to: SocketAddr, message: impl Into<Message>) {
         if self.journal.is_synced() {
             self.send(to, message);
@@ -240,7 +241,8 @@
         }
     }
 
-    /// Whether this node's disk counts: it may promise, store for a leader, and renew sessions.
+    /// Returns true if this node's disk is included in quorums: it may promise epochs, store for a leader, and renew
+    /// sessions.
     fn can_vote(&self) -> bool {
         self.replica.full && !self.journal.has_failed() && !self.removed && self.slot != NO_SLOT
     }
@@ -261,7 +263,7 @@
         for peer in self.sessions.tick(now) {
             self.log_event(Event::SessionLapsed, peer.to_string());
         }
-        self.contact_watch.tick(now);
+        self.failure_detector.tick(now);
         self.tick_handover(now);
         if self.removed {
             return;
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Messages that only members of the table may send; all others are handled as from anyone.
+    /// Handles messages that only members of the table may send; passes on all others as messages of any sender.
     fn handle_member_message(&mut self, now: Duration, from: Peer, slot: u8, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) if slot != self.slot => {
@@ -347,7 +349,7 @@
         }
     }
 
-    /// Messages of edges, and changes and their replies.
+    /// Handles messages of edges, and changes and their replies.
     fn handle_public_message(&mut self, now: Duration, from: Peer, message: Message) {
         match message {
             Message::RenewRequest(request) if self.can_vote() => {
@@ -364,8 +366,8 @@
     }
 }
 
-/// The newest table on disk, or that of the seeds. A node that knows a table founds none: if it was removed, it gets
-/// no slot of its own and opens no ledger.
+/// Returns the newest table on disk, or the table given by the seeds. A node that knows a table founds none: if it was
+/// removed, it does not assign itself a slot and does not open the ledger.
 fn initial_table(
     replica: &Replica,
     seeds: &[SocketAddr],
@@ -387,7 +389,7 @@
     }
 }
 
-/// The slot that an address holds.
+/// Returns the slot that an address holds.
 fn slot_at(members: &[Peer], address: SocketAddr) -> Option<u8> {
     let at = members.iter().position(|peer| peer.address == address)?;
     Some(at as u8)
--- a/control-plane/src/control_node/operation_expiry.rs
+++ b/control-plane/src/control_node/operation_expiry.rs
@@ -1,14 +1,15 @@
-//! Ends of operations in the ledger: abandoned ones become unknown, finished ones are dropped after their retention.
+//! Expiry of operations in the ledger: the outcome of abandoned ones becomes unknown, finished ones are dropped after
+//! their retention.
 
 #[cfg(test)]
 mod tests;
 
 use super::*;
 
-/// When finished operations were first found by this leader, by partition and key.
+/// Times when finished operations were first found by this leader, by partition and key.
 #[derive(Debug)]
 pub(super) struct FinishedOperations {
-    /// How long they are retained.
+    /// Retention of finished operations.
     pub(super) retention: Duration,
     by_partition: BTreeMap<u8, HashMap<String, FinishedOperation>>,
 }
@@ -17,6 +18,7 @@
 struct FinishedOperation {
     /// Version of the operation's row.
     version: u64,
+    /// Time when this leader first found the operation finished.
     since: Duration,
 }
 
@@ -30,12 +32,12 @@
 }
 
 impl FinishedOperations {
-    /// Forgets a partition: its operations are retained for their full time under a new leader.
+    /// Forgets a partition: under a new leader its operations are retained for the full time again.
     pub(super) fn forget(&mut self, partition: u8) {
         self.by_partition.remove(&partition);
     }
 
-    /// Removes and returns the keys of operations that finished longer ago than they are retained.
+    /// Removes and returns the keys of operations whose retention is over.
     fn take_expired(&mut self, now: Duration, leader: &PartitionLeader) -> Vec<String> {
         let finished = self.by_partition.entry(leader.partition).or_default();
         let mut expired = Vec::new();
@@ -64,7 +66,7 @@
 }
 
 impl ControlNode {
-    /// Sweeps the ledger partitions that this node leads.
+    /// Expires operations in the ledger partitions that this node leads.
     pub(super) fn expire_operations(&mut self, now: Duration) {
         let quorum = self.quorum();
         let mut abandoned = Vec::new();
@@ -90,7 +92,7 @@
     }
 }
 
-/// Running operations whose edge has departed.
+/// Returns running operations whose edge has departed.
 fn orphaned_operations(
     leader: &PartitionLeader,
     has_departed: &dyn Fn(Peer) -> bool,
--- a/control-plane/src/control_node/operation_expiry/tests.rs
+++ b/control-plane/src/control_node/operation_expiry/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the retention of finished operations.
 use super::*;
 
-/// As at the grown sites: keyed requests a second, and bytes of a response.
+/// Load of the largest deployments: operations with a key per second, and bytes of each response.
 const OPERATIONS_PER_SECOND: u64 = 180;
 const RESPONSE_BYTES: usize = 1_500;
 
@@ -19,17 +19,17 @@
     })
 }
 
-/// Regression: outcomes were retained for 180 s whatever the deployment's window for
-/// repeats, so control processes went over their memory in 200 s of ordinary traffic.
+/// Regression: outcomes were retained for 180 s regardless of the deployment's retention setting, so control nodes
+/// exceeded their memory limit after 200 s of ordinary traffic.
 #[test]
-fn finished_operations_are_dropped_after_the_retention_of_the_settings() {
+fn finished_operations_are_dropped_after_configured_retention() {
     let retention = Duration::from_secs(90);
     let mut operations = FinishedOperations {
         retention,
         ..FinishedOperations::default()
     };
     let mut leader = PartitionLeader::new(PUBLISHED_PARTITIONS, 1, 1, 0);
-    let mut most = 0;
+    let mut max_rows = 0;
     for second in 0..200 {
         for number in 0..OPERATIONS_PER_SECOND {
             let number = second * OPERATIONS_PER_SECOND + number;
@@ -43,8 +43,8 @@
         if now < retention {
             assert!(expired.is_empty(), "dropped at {now:?}");
         }
-        most = most.max(leader.rows.len() as u64);
+        max_rows = max_rows.max(leader.rows.len() as u64);
     }
     let bound = OPERATIONS_PER_SECOND * (retention.as_secs() + SWEEP_INTERVAL.as_secs());
-    assert!(most <= bound, "{most} operations of {bound}");
+    assert!(max_rows <= bound, "{max_rows} operations, bound {bound}");
 }
--- a/control-plane/src/control_node/operator_calls.rs
+++ b/control-plane/src/control_node/operator_calls.rs
@@ -3,20 +3,21 @@
 use super::changes::OPERATOR_CALL_TIMEOUT;
 use super::*;
 
-/// A call without a reply is sent again after this.
+/// Interval after which a call without a reply is sent again.
 const OPERATOR_CALL_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// An isolation of this length may be over before a caller could turn to another node.
+/// Minimum duration of an isolation before calls fail: a shorter one may end before a caller could turn to another
+/// node.
 const ISOLATION_GRACE: Duration = Duration::from_millis(600);
 
-/// A call from an operator, on its way to the leader of its partition.
+/// Call from an operator that waits for the leader of its partition.
 pub(super) struct OperatorCall {
     partition: u8,
     change: Change,
     deadline: Duration,
     retry_at: Duration,
-    /// The leader it was last meant for.
+    /// Slot of the leader to which it was last sent.
     sent_to: Option<u8>,
-    /// How often it was sent.
+    /// Number of times it was sent.
     attempts: u32,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The version that the change is made to replace, if it names one.
+    /// Returns the version that the change expects to replace, if it names one.
     fn expected_version(&self) -> Option<u64> {
         match &self.change {
             Change::PutConfiguration { expect, .. } | Change::PutOrigins { expect, .. } => *expect,
@@ -40,7 +41,8 @@
         }
     }
 
-    /// What is known of a call that is given up: reads have no effect, and what was never sent had none.
+    /// Returns the outcome of a call that has timed out: reads have no effect, and a change that was never sent had
+    /// none.
     fn timeout_outcome(&self) -> ChangeOutcome {
         let is_read = matches!(self.change, Change::GetConfiguration | Change::List);
         if is_read || self.attempts == 0 {
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Whether an earlier attempt may be what this one conflicts with: changes up to `complete_after` are not all
-    /// remembered.
+    /// Returns true if this attempt may conflict with an earlier attempt of the same call: changes up to
+    /// `complete_after` are not all remembered.
     fn may_conflict_with_itself(&self, complete_after: u64) -> bool {
         let is_forgotten = |expected: u64| expected < complete_after;
         self.attempts > 1 && self.expected_version().is_some_and(is_forgotten)
@@ -59,7 +61,7 @@
 }
 
 impl ControlNode {
-    /// An operator calls.
+    /// Handles a call from an operator.
     pub(super) fn handle_operator_request(
         &mut self,
         now: Duration,
@@ -87,15 +89,14 @@
         self.outputs.push(Output::OperatorResponse { id, response });
     }
 
-    /// Replies to all operators' calls with what is known of them by now.
+    /// Replies to all operators' calls with their outcomes as known now.
     pub(super) fn fail_operator_calls(&mut self) {
         for (id, call) in std::mem::take(&mut self.operator_calls) {
             self.reply_to_operator(id, call.timeout_outcome());
         }
     }
 
-    /// Sends operators' calls to the leaders of their partitions, again when there was no reply or when another
-    /// member leads.
+    /// Sends operators' calls to the leaders of their partitions, and again if no reply came or another member leads.
     pub(super) fn send_operator_calls(&mut self, now: Duration) {
         if self.is_isolated(now) {
             return self.fail_operator_calls();
@@ -138,7 +139,7 @@
         self.send(self.address(next_hop), request);
     }
 
-    /// A change has its reply: that of an operator here, or of a member that it was passed on for.
+    /// Handles the reply to a change: of an operator's call at this node, or of a member for which it was forwarded.
     pub(super) fn handle_change_reply(&mut self, reply: ChangeReply) {
         if let Some(relay) = self.relays.take(reply.id) {
             let relayed = ChangeReply {
@@ -151,7 +152,7 @@
             return;
         };
         let outcome = match reply.outcome {
-            // The node that was to pass it on is isolated: another way may be found.
+            // The node that was to forward it is isolated: the call is retried at once, since another route may exist.
             ChangeOutcome::NoMajority => {
                 call.retry_at = Duration::ZERO;
                 return;
@@ -167,7 +168,7 @@
         self.reply_to_operator(reply.id, outcome);
     }
 
-    /// Notes since when no majority is in contact with this node.
+    /// Updates the time since when no majority is in contact with this node.
     pub(super) fn track_isolation(&mut self, now: Duration) {
         if self.reaches_majority(now) {
             self.isolated_since = None;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether no majority has been in contact with this node for longer than a passing disturbance.
+    /// Returns true if no majority has been in contact with this node for longer than `ISOLATION_GRACE`.
     pub(super) fn is_isolated(&self, now: Duration) -> bool {
         let is_lasting = |since: Duration| now >= since + ISOLATION_GRACE;
         self.isolated_since.is_some_and(is_lasting) && !self.reaches_majority(now)
--- a/control-plane/src/control_node/pending_reply.rs
+++ b/control-plane/src/control_node/pending_reply.rs
@@ -1,23 +1,23 @@
-//! Replies to changes, and what the leader has to reach before they are sent.
+//! Replies to changes, and the progress that the leader must reach before they are sent.
 
 use super::*;
 
-/// A reply that waits for its leader to get so far.
+/// Reply that waits until its leader has reached the required progress.
 pub(super) struct PendingReply {
     pub(super) partition: u8,
     pub(super) requester: SocketAddr,
     pub(super) id: u64,
-    /// The version that must be committed.
+    /// Version that must be committed.
     pub(super) required_commit: u64,
-    /// The version that must be settled.
+    /// Version that must be settled.
     pub(super) required_settled: u64,
-    /// The round that must be confirmed.
+    /// Round that must be confirmed.
     pub(super) required_round: u64,
     pub(super) outcome: ChangeOutcome,
 }
 
 impl PendingReply {
-    /// A reply to this request that has to wait for nothing yet.
+    /// Returns a reply to this request without any requirement yet.
     pub(super) fn new(request: &ChangeRequest) -> PendingReply {
         PendingReply {
             partition: request.partition,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether the leader of its partition has got so far.
+    /// Returns true if the leader of its partition has reached the required progress.
     pub(super) fn is_due(&self, leader: &PartitionLeader) -> bool {
         self.partition == leader.partition
             && self.required_commit <= leader.committed()
@@ -46,27 +46,27 @@
         (self.requester, reply.into())
     }
 
-    /// Acknowledges once this version is in force everywhere.
+    /// Acknowledges once this version has settled, that is, every live edge uses it.
     pub(super) fn acknowledge(&mut self, version: u64) {
         self.required_settled = version;
         self.outcome = ChangeOutcome::Acknowledged { version };
     }
 
-    /// Acknowledges as soon as the version is on a majority of disks instead.
+    /// Acknowledges as soon as the version is on a majority of disks, without waiting until it settles.
     pub(super) fn acknowledge_commit(&mut self) {
         if self.required_settled > 0 {
             self.required_commit = std::mem::take(&mut self.required_settled);
         }
     }
 
-    /// Sends this outcome once its version is on a majority of disks.
+    /// Reports this outcome once its version is on a majority of disks.
     pub(super) fn report_commit(&mut self, (version, outcome): (u64, ChangeOutcome)) {
         self.required_commit = version;
         self.outcome = outcome;
     }
 
-    /// Refuses for what stands: only once that is on a majority of disks and the leader is confirmed, since one that
-    /// was superseded may not know what was accepted after it.
+    /// Refuses a change because of the current rows. The refusal is sent only once those are on a majority of disks and
+    /// the leader is confirmed, since a superseded leader may not know the changes accepted after it.
     pub(super) fn refuse(&mut self, leader: &mut PartitionLeader, outcome: ChangeOutcome) {
         self.required_commit = leader.version;
         self.required_round = leader.begin_read_round();
--- a/control-plane/src/control_node/recall.rs
+++ b/control-plane/src/control_node/recall.rs
@@ -1,10 +1,10 @@
-//! Recall: partitions that were founded, or lost a majority of their disks, first take back from the edges the rows
-//! that those were shown.
+//! Recall: partitions that were founded, or that lost a majority of their disks, first recover from the edges the rows
+//! that edges were shown.
 
 use super::*;
 
 impl ControlNode {
-    /// Follows the generation, and recalls rows for the partitions led here that may lack some.
+    /// Enters the current generation, and recalls rows for the partitions led by this node that may lack some.
     pub(super) fn recall_rows(&mut self, now: Duration) {
         self.enter_generation(now);
         self.request_next_generation();
@@ -12,7 +12,7 @@
         self.end_recalls(now);
     }
 
-    /// Requests from edges the rows beyond those known here.
+    /// Requests rows from edges that confirmed a newer version than this node holds.
     fn send_recall_requests(&mut self) {
         let mut requests = Vec::new();
         for (partition, leader) in &self.leaders {
@@ -27,10 +27,10 @@
         }
     }
 
-    /// Founds the partitions whose time of recall is over.
+    /// Founds the partitions whose recall period is over.
     fn end_recalls(&mut self, now: Duration) {
         let generation = self.next_generation();
-        // The ledger opens once the generation shows whether anything was lost.
+        // The ledger opens only once the generation shows whether rows were lost.
         let has_generation = self.generation.current != 0;
         let mut registry = None;
         let mut is_generation_founded = false;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The generation to follow all that are known here or at edges.
+    /// Returns the generation that follows all known at this node or at edges.
     fn next_generation(&self) -> u64 {
         let sessions = self.sessions.all();
         let reported = sessions.iter().map(|session| session.generation).max();
@@ -60,7 +60,7 @@
         Generation::after(latest, self.replica.incarnation)
     }
 
-    /// An edge sent the rows that it was shown.
+    /// Handles the rows that an edge was shown.
     pub(super) fn handle_recall_reply(&mut self, reply: RecallReply) {
         let RecallReply {
             partition,
--- a/control-plane/src/control_node/recovery.rs
+++ b/control-plane/src/control_node/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a blank disk, here and as a source for others.
+//! Recovery of a blank disk, on this node or, as a source of snapshots, on others.
 
 use super::*;
 
@@ -13,9 +13,9 @@
         }
     }
 
-    /// A blank disk requests all that this one holds.
+    /// Handles a blank disk's request for a snapshot of this disk.
     pub(super) fn handle_snapshot_request(&mut self, from: Peer, request: &SnapshotRequest) {
-        // In the first round nothing that is sent counts.
+        // The first round only fences the earlier disk, so its replies need no partitions.
         let partitions = if request.round == 0 {
             vec![]
         } else {
@@ -25,7 +25,7 @@
             slot: self.slot,
             requester_incarnation: from.incarnation,
             round: request.round,
-            // A first disk holds all that it ever acknowledged: nothing.
+            // The first disk of a slot is complete: it has never acknowledged anything.
             full: self.replica.full || self.replica.founding,
             lost_generation: self.lost_generation(),
             membership_version: self.edges_membership_version(),
@@ -34,8 +34,8 @@
         self.send_after_sync(from.address, reply);
     }
 
-    /// Version of the newest table by which edges may renew here. After a loss of everything no table is published
-    /// by anybody, and no edge is renewed that might go by another.
+    /// Returns the version of the newest table by which edges may renew at this node. After a loss of everything no
+    /// node has published a table, and no edge is renewed that could use another one.
     fn edges_membership_version(&self) -> u64 {
         let partition = self.replica.partition(MEMBERSHIP_PARTITION);
         if partition.state.version == 0 {
@@ -43,14 +43,15 @@
         }
         let table = self.replica.published_table();
         let published = table.map_or(0, |table| table.version);
-        // Whoever an edge might renew with by a table before a succession is lost for longer than a lease lasts.
+        // Members with which an edge could renew by a table before a succession have been lost for longer than a lease
+        // lasts.
         published.max(last_succession(self.membership_version))
     }
 
-    /// Another disk sent what it holds.
+    /// Handles a snapshot of another disk.
     pub(super) fn handle_snapshot_reply(&mut self, now: Duration, reply: SnapshotReply) {
         if reply.requester_incarnation != self.replica.incarnation {
-            return; // To an earlier disk of this slot, which acknowledged since.
+            return; // Addressed to an earlier disk of this slot, which may have acknowledged more since.
         }
         let recovered = self
             .recovery
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The blank disk got all that it needs to count.
+    /// Completes the recovery of the blank disk, which is included in quorums from now on.
     pub(super) fn finish_recovery(&mut self, now: Duration, recovered: RecoveredState) {
         let majority_lost = recovered.majority_lost;
         self.recovery = None;
@@ -79,7 +80,8 @@
         self.log_event(Event::DiskRecovered, format!("slot {}", self.slot));
     }
 
-    /// A generation met for the first time may have a ledger that is not complete.
+    /// Enters the generation of the recovered rows. The ledger of a generation seen for the first time may not be
+    /// complete.
     fn enter_recovered_generation(&mut self, now: Duration, majority_lost: bool) {
         let current = self.replica.generation();
         self.generation.current = current;
--- a/control-plane/src/control_node/relays.rs
+++ b/control-plane/src/control_node/relays.rs
@@ -1,29 +1,30 @@
-//! Changes that are passed on for other members, by the ids under which that is done.
+//! Changes that this node forwards for other members, by the ids under which it forwards them.
 
 use super::changes::OPERATOR_CALL_TIMEOUT;
 use crate::prelude::*;
 
-/// Set in the ids under which changes are passed on, and not in those of operators' calls.
+/// Bit that is set in the ids of forwarded changes, and not in those of operators' calls.
 const RELAY_ID_BIT: u64 = 1 << 63;
 
-/// Changes of other members that do not reach the leader themselves.
+/// Changes forwarded for members that do not reach the leader themselves.
 #[derive(Debug, Default)]
 pub(super) struct Relays {
     relays: BTreeMap<u64, Relay>,
     next_id: u64,
 }
 
-/// Where the reply to a passed-on change goes.
+/// Destination of the reply to a forwarded change.
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) requester: SocketAddr,
-    /// The requester's id of the change.
+    /// Id of the change at the requester.
     pub(super) id: u64,
     deadline: Duration,
 }
 
 impl Relays {
-    /// `run` is unlike that of any other run of this node, so that ids differ from earlier ones.
+    /// Creates an empty set. `run` must differ from that of every other run of this node, so that ids differ from
+    /// earlier ones.
     pub(super) fn new(run: u64) -> Relays {
         Relays {
             relays: BTreeMap::new(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The id under which a member's change is passed on, the same for a change that is retried.
+    /// Returns the id under which a member's change is forwarded, the same one if the change is retried.
     pub(super) fn id_for(&mut self, now: Duration, requester: SocketAddr, id: u64) -> u64 {
         let deadline = now + OPERATOR_CALL_TIMEOUT;
         let mut known = self.relays.iter_mut();
@@ -51,7 +52,7 @@
         relay_id
     }
 
-    /// Removes the relay of this id, to pass its reply back.
+    /// Removes and returns the relay of this id, so that its reply can be sent back.
     pub(super) fn take(&mut self, relay_id: u64) -> Option<Relay> {
         self.relays.remove(&relay_id)
     }
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -1,14 +1,15 @@
-//! Replication: standing for partitions under new epochs, storing rows as a replica, and counting replies as a leader.
+//! Replication: candidacies for partitions under new epochs, storage of rows as a replica, and evaluation of replies as
+//! a leader.
 
 use super::*;
 
-/// Rounds of recall before a leader serves: in the configuration's partition one more, since the generation is named
-/// last, when all have listened.
+/// Number of recall periods before a leader serves. The configuration's partition waits for one more, since it names
+/// the generation, which must happen after recall in the others.
 const RECALL_ROUNDS: u32 = 1;
 const CONFIGURATION_RECALL_ROUNDS: u32 = 2;
 
-/// An append whose rows are held already, maybe with later ones over them: a full state that comes late must not take
-/// those away.
+/// Returns the append without its rows, for a replica that already holds them and maybe later ones: a delayed full
+/// state must not remove those.
 fn without_rows(request: AppendRequest) -> AppendRequest {
     AppendRequest {
         full_state: false,
@@ -20,7 +21,7 @@
 }
 
 impl ControlNode {
-    /// Stands for the partitions that this node shall lead, and gives up candidacies for others.
+    /// Starts candidacies for the partitions that this node is preferred to lead, and withdraws those for others.
     pub(super) fn campaign(&mut self, now: Duration) {
         if !self.may_lead(now) {
             return;
@@ -30,9 +31,9 @@
             if self.preferred_leader_among(eligible, partition) != Some(self.slot) {
                 self.withdraw_candidacy(partition);
             } else if !self.leaders.contains_key(&partition)
-                && !self.stale_epochs.backs_off(now, partition)
+                && !self.stale_epochs.is_backing_off(now, partition)
             {
-                self.stand_for(partition);
+                self.start_candidacy(partition);
             }
         }
     }
@@ -44,14 +45,14 @@
         }
     }
 
-    fn stand_for(&mut self, partition: u8) {
+    fn start_candidacy(&mut self, partition: u8) {
         let promised = self.replica.partition(partition).promised_epoch;
         let highest = promised.max(self.stale_epochs.promised_epoch(partition));
-        // Epochs of one slot differ from those of all others.
+        // Epochs of different slots never collide.
         let slots = MAX_SLOTS as u64;
         let epoch = (highest / slots + 1) * slots + u64::from(self.slot);
-        // On the own disk before promises are requested: an epoch that others promised and this node forgot over a restart
-        // would be taken twice.
+        // Stored on this node's disk before promises are requested: an epoch that others promised and this node forgot
+        // over a restart would be used twice.
         self.store(&Record::Promise { partition, epoch });
         let local_state = self.replica.partition(partition).state.clone();
         let slots = self.members.len();
@@ -60,7 +61,7 @@
         self.leaders.insert(partition, leader);
     }
 
-    /// A candidate requests a promise.
+    /// Handles a candidate's request for a promise.
     pub(super) fn handle_prepare_request(&mut self, from: Peer, request: &PrepareRequest) {
         let (partition, epoch) = (request.partition, request.epoch);
         let promised = self.replica.partition(partition).promised_epoch;
@@ -91,7 +92,7 @@
         self.send_after_sync(from.address, refusal);
     }
 
-    /// A leader sends rows.
+    /// Handles rows sent by a leader.
     pub(super) fn handle_append_request(
         &mut self,
         now: Duration,
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Stores what of an accepted append is new. Applied again, rows of a request that was overtaken or came twice
-    /// would undo what was acknowledged since.
+    /// Stores the new part of an accepted append. Applying the rows of an overtaken or duplicated request again would
+    /// undo later acknowledged changes.
     fn store_append(&mut self, request: AppendRequest) {
         let stored = self.replica.partition(request.partition);
         let is_current =
@@ -148,10 +149,11 @@
         }
     }
 
-    /// A replica promised a higher epoch: another node leads the partition, or stands for it.
+    /// Handles the refusal of a replica that promised a higher epoch: another node leads the partition or is a
+    /// candidate for it.
     pub(super) fn handle_stale_epoch(&mut self, now: Duration, stale: &StaleEpoch) {
         let partition = stale.partition;
-        if self.leader_under(partition, stale.epoch).is_none() {
+        if self.leader_of_epoch(partition, stale.epoch).is_none() {
             return;
         }
         self.leaders.remove(&partition);
@@ -163,7 +165,8 @@
         self.log_event(Event::PartitionLost, text);
     }
 
-    /// Sends what the leaders here have to send after a step, and the replies that are due thereby.
+    /// Sends the messages of this node's leaders that are due after a step, and the replies that are due by their
+    /// progress.
     pub(super) fn flush_leaders(&mut self, now: Duration, tick: bool) {
         let mut messages = Vec::new();
         for leader in self.leaders.values_mut() {
@@ -183,11 +186,11 @@
         }
     }
 
-    /// A replica promised an epoch of this node's.
+    /// Handles a replica's promise of one of this node's epochs.
     pub(super) fn handle_prepare_reply(&mut self, now: Duration, slot: u8, reply: PrepareReply) {
         self.on_loss_reported(now, reply.lost_generation);
         self.on_retired_reported(&reply.retired_incarnations);
-        let Some(leader) = self.leader_under(reply.partition, reply.epoch) else {
+        let Some(leader) = self.leader_of_epoch(reply.partition, reply.epoch) else {
             return;
         };
         let was_active = leader.active_since.is_some();
@@ -197,13 +200,13 @@
         }
     }
 
-    /// A majority promised the epoch.
+    /// Starts leadership of a partition after a majority promised the epoch.
     fn on_leadership_won(&mut self, now: Duration, partition: u8) {
         let is_ledger_closed = now < self.generation.ledger_closed_until;
         let Some(leader) = self.leaders.get_mut(&partition) else {
             return;
         };
-        // Also a partition whose founding another leader began and did not end.
+        // Includes a partition whose founding was begun but not completed by another leader.
         if is_ledger_closed || !leader.rows.contains_key("founded") {
             let rounds = if partition == CONFIGURATION_PARTITION {
                 CONFIGURATION_RECALL_ROUNDS
@@ -218,28 +221,28 @@
         let text = format!("slice {partition} epoch {epoch} version {version}");
         self.log_event(Event::PartitionAcquired, text);
         if partition == ASSIGNMENTS_PARTITION {
-            // Which of the owners are still there?
+            // Renewals show which of the owners are still running.
             self.request_renewals();
         }
     }
 
-    /// A replica synced rows.
+    /// Handles a replica's acknowledgement of rows.
     pub(super) fn handle_append_reply(&mut self, slot: u8, reply: &AppendReply) {
         self.on_retired_reported(&reply.retired_incarnations);
-        if let Some(leader) = self.leader_under(reply.partition, reply.epoch) {
+        if let Some(leader) = self.leader_of_epoch(reply.partition, reply.epoch) {
             leader.on_append_reply(slot, reply);
         }
     }
 
-    /// The replica does not hold what was assumed: it gets everything.
+    /// Handles a replica that lacks rows it was assumed to hold: it is sent the full state.
     pub(super) fn handle_append_gap(&mut self, slot: u8, gap: &AppendGap) {
-        if let Some(leader) = self.leader_under(gap.partition, gap.epoch) {
+        if let Some(leader) = self.leader_of_epoch(gap.partition, gap.epoch) {
             leader.reset_replica(slot);
         }
     }
 
-    /// This node's own leadership of a partition, if it is under this epoch.
-    fn leader_under(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
+    /// Returns this node's leader of a partition, if it leads it under this epoch.
+    fn leader_of_epoch(&mut self, partition: u8, epoch: u64) -> Option<&mut PartitionLeader> {
         let leader = self.leaders.get_mut(&partition)?;
         Some(leader).filter(|leader| leader.epoch == epoch)
     }
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -1,64 +1,66 @@
-//! A member that is about to end hands its slot, with all that its disk holds, to an empty node that waits for one.
+//! Handover of the slot of a member that is shutting down, with the contents of its disk, to an empty node that waits
+//! for a slot.
 //!
-//! The leaving member offers its slot to the leader of the membership table, which writes a table that names the
-//! joiner in its place. From when the leaving member goes by that table it acknowledges nothing any more, over its
-//! restarts. Only then does it send what its disk holds, to its direct successor and to nobody else: the joiner's
-//! disk then is the one that the slot had, moved to another machine, and counts at once. If any message of it is lost
-//! for good, the joiner is recovered from the others as ever.
+//! The leaving member offers its slot to the leader of the membership table, which writes a table that assigns the slot
+//! to the joiner. Once the leaving member uses that table it acknowledges nothing any more, even over restarts. Only
+//! then does it send the contents of its disk, and only to its direct successor: the joiner's disk is then the slot's
+//! disk moved to another machine, and is included in quorums at once. If one of these messages is lost for good, the
+//! joiner is recovered from the others as usual.
 
 use super::*;
 
-/// A node that is to end waits this long for others to lead its partitions.
+/// Maximum time that a node that is shutting down waits for others to lead its partitions.
 const LEADER_HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
-/// An empty node that requested a slot within this time is there and waits.
+/// Maximum age of the last request of an empty node that is considered to wait for a slot.
 pub(super) const JOINER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A leader of the table that is newer than this may not have heard of a joiner that waits.
+/// Time after which a new leader of the table has received a request of every joiner that waits.
 const JOINER_DISCOVERY_TIME: Duration = Duration::from_millis(400);
-/// Operators' calls in flight here are replied to before the slot is offered, if that takes no longer.
+/// Maximum time for which the offer of the slot waits for replies to operators' calls in flight at this node.
 const CALL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// An offer without a reply for this long is given up.
+/// Time after which an offer without a reply is given up.
 const OFFER_TIMEOUT: Duration = LEADER_HANDOVER_TIMEOUT;
-/// A removed member stays for its successor until so long after the request to end: below the grace period of the
-/// platform.
+/// Maximum time after the shutdown request for which a removed member waits for its successor; below the grace period
+/// of the platform.
 const SUCCESSOR_WAIT_TIMEOUT: Duration = Duration::from_millis(5_200);
-/// What the disk holds is sent again when its receipt was not confirmed by then.
+/// Interval after which the contents of the disk are sent again if their receipt was not confirmed.
 const STATE_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 
-/// The end of this node, and as leader of the table the joiner that may follow another one.
+/// Shutdown of this node; on the leader of the table, also the joiner that may be assigned the slot of a leaving
+/// member.
 #[derive(Debug, Default)]
 pub(super) struct ShutdownState {
-    /// When the node was requested to end.
+    /// Time when the shutdown was requested.
     requested_at: Option<Duration>,
-    /// What becomes of its slot.
+    /// State of the handover of this node's slot.
     pub(super) handover: Handover,
-    /// As leader of the table: the empty node that last requested a slot here.
+    /// On the leader of the table: the empty node that last requested a slot from it.
     waiting_joiner: Option<WaitingJoiner>,
 }
 
-/// An empty node that waits for a slot.
+/// Empty node that waits for a slot.
 #[derive(Debug, Clone, Copy)]
 struct WaitingJoiner {
     peer: Peer,
     requested_at: Duration,
 }
 
-/// What becomes of a member's slot when it is requested to end.
+/// State of the handover of a member's slot when its shutdown is requested.
 #[derive(Debug, Default)]
 pub(super) enum Handover {
-    /// Not requested to end, or the offer has no reply yet.
+    /// No shutdown was requested, or the offer has no reply yet.
     #[default]
     Offered,
-    /// A joiner waits, and will have the slot.
+    /// A joiner waits, and will be assigned the slot.
     Deferred,
-    /// Nobody waits for the slot: the member retains it.
+    /// No node waits for the slot: the member retains it.
     Retained,
-    /// The table of this version gives it to the successor.
+    /// The table of this version assigns the slot to the successor.
     Assigned {
         version: u64,
         successor: Peer,
         last_sent: Option<Duration>,
     },
-    /// The successor's disk is full.
+    /// The successor confirmed that its disk is full.
     Received,
 }
 
@@ -67,7 +69,7 @@
         self.requested_at.is_some()
     }
 
-    /// An empty node requested a slot.
+    /// Records the request of an empty node for a slot.
     pub(super) fn note_joiner(&mut self, now: Duration, peer: Peer) {
         self.waiting_joiner = Some(WaitingJoiner {
             peer,
@@ -83,16 +85,17 @@
 }
 
 impl ControlNode {
-    /// The node is to end: its slot is offered, and others take its partitions.
+    /// Handles a shutdown request: the node's slot is offered, and others take over its partitions.
     pub(super) fn handle_shutdown_request(&mut self, now: Duration) {
         self.shutdown.requested_at.get_or_insert(now);
         self.offer_slot(now);
     }
 
-    /// Whether the node may end. When requested to, others take the partitions and a joiner the slot first; one that
-    /// was removed ends at once, and starts over with an empty disk. All operators' calls have their replies before.
+    /// Returns true if the process may exit. After a shutdown request, others first take over the partitions and a
+    /// joiner the slot; a removed node exits at once, and starts again with an empty disk. In both cases all operators'
+    /// calls are replied to first.
     pub(super) fn can_shut_down(&self, now: Duration) -> bool {
-        let is_over = match self.shutdown.requested_at {
+        let is_finished = match self.shutdown.requested_at {
             Some(requested_at) => {
                 let may_lead = now < requested_at + LEADER_HANDOVER_TIMEOUT;
                 let still_leads = !self.leaders.is_empty() && may_lead;
@@ -100,10 +103,10 @@
             }
             None => self.removed && self.journal.is_synced(),
         };
-        is_over && self.operator_calls.is_empty()
+        is_finished && self.operator_calls.is_empty()
     }
 
-    /// Offers the slot of a node that is to end to the leader of the table.
+    /// Offers the slot of a node that is shutting down to the leader of the table.
     fn offer_slot(&mut self, now: Duration) {
         let handover = &self.shutdown.handover;
         let is_decided = matches!(handover, Handover::Retained | Handover::Received);
@@ -119,11 +122,11 @@
     }
 
     fn drains_operator_calls(&self, now: Duration) -> bool {
-        let is_early = |since: Duration| now < since + CALL_DRAIN_TIMEOUT;
-        !self.operator_calls.is_empty() && self.shutdown.requested_at.is_some_and(is_early)
+        let in_drain_period = |since: Duration| now < since + CALL_DRAIN_TIMEOUT;
+        !self.operator_calls.is_empty() && self.shutdown.requested_at.is_some_and(in_drain_period)
     }
 
-    /// As leader of the table: gives a leaving member's slot to a joiner, if one waits.
+    /// Assigns a leaving member's slot to a joiner, if one waits and this node leads the table.
     pub(super) fn assign_offered_slot(&mut self, now: Duration, member: Peer) {
         let Some(slot) = self.members.iter().position(|known| known.matches(&member)) else {
             return;
@@ -135,7 +138,7 @@
         let outcome = match joiner {
             None if self.may_not_know_joiners(now) => return,
             None => SlotOfferOutcome::NoJoiner,
-            Some(_) if !self.membership_is_calm(now) => SlotOfferOutcome::Deferred,
+            Some(_) if !self.is_membership_stable(now) => SlotOfferOutcome::Deferred,
             Some(successor) => {
                 let mut members = self.members.clone();
                 members[slot] = successor;
@@ -148,7 +151,7 @@
         self.send(member.address, SlotOfferReply { outcome });
     }
 
-    /// Whether a joiner that waits may not have requested a slot from this leader yet.
+    /// Returns true if a waiting joiner may not have sent its request to this leader yet.
     fn may_not_know_joiners(&self, now: Duration) -> bool {
         let leader = self.leaders.get(&MEMBERSHIP_PARTITION);
         leader
@@ -156,7 +159,7 @@
             .is_none_or(|since| now < since + JOINER_DISCOVERY_TIME)
     }
 
-    /// The reply to this node's offer.
+    /// Handles the reply to this node's offer.
     pub(super) fn handle_slot_offer_reply(&mut self, now: Duration, reply: &SlotOfferReply) {
         let is_assigned = match self.shutdown.handover {
             Handover::Retained | Handover::Received => return,
@@ -171,7 +174,7 @@
         }
         self.shutdown.handover = match reply.outcome {
             SlotOfferOutcome::NoJoiner => Handover::Retained,
-            // To an offer made again while the table was on its way.
+            // Reply to an offer that was repeated while the table was in flight.
             SlotOfferOutcome::Deferred if is_assigned => return,
             SlotOfferOutcome::Deferred => Handover::Deferred,
             SlotOfferOutcome::Assigned { version, successor } => Handover::Assigned {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Makes the offer again, or sends what the disk holds once this node acknowledges nothing any more.
+    /// Repeats the offer, or sends the contents of the disk once this node acknowledges nothing any more.
     pub(super) fn tick_handover(&mut self, now: Duration) {
         if !self.shutdown.is_requested() {
             return;
@@ -223,9 +226,9 @@
         self.send_after_sync(successor.address, state);
     }
 
-    /// The disk of this node's slot, as the member before it left it. It counts only if no other held the slot
-    /// between: the table that first named this node is the one that followed the sender's, and gave it the sender's
-    /// slot.
+    /// Handles the contents of the slot's disk, as sent by the member that left it. They are valid only if no other
+    /// node held the slot in between: the first table that contains this node must directly follow the sender's, and
+    /// assign it the sender's slot.
     pub(super) fn handle_slot_state(&mut self, now: Duration, from: Peer, state: SlotState) {
         let version = state.version;
         let is_direct = self.membership_version == version && self.slot == state.slot;
@@ -244,7 +247,7 @@
         }
     }
 
-    /// The successor's disk is full.
+    /// Handles the successor's confirmation that its disk is full.
     pub(super) fn handle_slot_state_received(&mut self, received: &SlotStateReceived) {
         if let Handover::Assigned { version, .. } = self.shutdown.handover
             && version == received.version
@@ -253,12 +256,13 @@
         }
     }
 
-    /// Also true of one that was removed a moment ago: the reply to its offer may still be on its way.
+    /// Returns true if the node has a slot and a usable disk. That includes a node that was just removed: the reply to
+    /// its offer may still be in flight.
     fn has_slot_to_offer(&self) -> bool {
         self.slot != NO_SLOT && self.replica.full && !self.journal.has_failed()
     }
 
-    /// Whether nothing is left to do for the slot of a node that was requested to end.
+    /// Returns true if nothing is left to do for the slot of a node whose shutdown was requested.
     fn handover_complete(&self, now: Duration, requested_at: Duration) -> bool {
         match self.shutdown.handover {
             Handover::Offered => !self.has_slot_to_offer() || now >= requested_at + OFFER_TIMEOUT,
--- a/control-plane/src/control_node/stale_epochs.rs
+++ b/control-plane/src/control_node/stale_epochs.rs
@@ -1,16 +1,16 @@
-//! Epochs under which this node lost a partition, and the backoff before it stands again.
+//! Epochs under which this node lost a partition, and the backoff before it becomes a candidate again.
 
 use super::*;
 
-/// Without a loss for this long, the backoff starts short again.
+/// Time without a loss after which the backoff is reset.
 const BACKOFF_RESET: Duration = Duration::from_secs(10);
-/// The backoff doubles with each recent loss, at most so many times.
+/// Maximum number of doublings of the backoff, which doubles with each recent loss.
 const MAX_DOUBLINGS: u32 = 5;
-/// The shortest backoff, and what each slot adds to it so that two candidates differ.
+/// Shortest backoff, and the part added per slot number so that two candidates wait for different times.
 const MIN_BACKOFF_MILLIS: u64 = 40;
 const BACKOFF_MILLIS_PER_SLOT: u64 = 30;
 
-/// The last loss of each partition.
+/// Last loss of each partition.
 #[derive(Debug, Default)]
 pub(super) struct StaleEpochs {
     losses: BTreeMap<u8, Loss>,
@@ -18,17 +18,17 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Loss {
-    /// The epoch that a replica had promised instead.
+    /// Higher epoch that a replica had promised.
     promised_epoch: u64,
-    /// When this node may stand for the partition again.
+    /// Time from which this node may be a candidate for the partition again.
     retry_at: Duration,
-    /// How often the backoff was doubled.
+    /// Number of times the backoff was doubled.
     doublings: u32,
 }
 
 impl StaleEpochs {
-    /// Counts a loss. Two nodes that both think themselves preferred do not chase each other: each waits longer
-    /// after each loss, and not as long as the other.
+    /// Records a loss. Two nodes that both consider themselves preferred would otherwise displace each other
+    /// repeatedly, so each waits longer after each loss, and for a different time than the other.
     pub(super) fn on_loss(&mut self, now: Duration, slot: u8, stale: &StaleEpoch) {
         let recent = self
             .losses
@@ -45,15 +45,15 @@
         self.losses.insert(stale.partition, loss);
     }
 
-    /// The highest epoch of a partition that is known to be promised elsewhere; 0 if none is.
+    /// Returns the highest epoch of a partition known to be promised to another node; 0 if none is.
     pub(super) fn promised_epoch(&self, partition: u8) -> u64 {
         self.losses
             .get(&partition)
             .map_or(0, |loss| loss.promised_epoch)
     }
 
-    /// Whether this node has to wait before it stands for the partition.
-    pub(super) fn backs_off(&self, now: Duration, partition: u8) -> bool {
+    /// Returns true if this node has to wait before it becomes a candidate for the partition.
+    pub(super) fn is_backing_off(&self, now: Duration, partition: u8) -> bool {
         self.losses
             .get(&partition)
             .is_some_and(|loss| now < loss.retry_at)
--- a/control-plane/src/control_node/succession.rs
+++ b/control-plane/src/control_node/succession.rs
@@ -1,16 +1,16 @@
-//! A table that follows one whose majority was lost for good.
+//! Succession: a membership table that follows one whose majority was lost for good.
 //!
-//! Of an even table of twice as many members as the deployment tolerates to lose, the survivors of such a loss make no
-//! majority: they can neither change a row nor the table. But they hold all that was acknowledged, since any of its
-//! majorities includes one of them, and without them the others can commit nothing either. So once the lost members
-//! have been silent for longer than every lease lasts, and as many empty nodes request slots, the lowest surviving slot
-//! writes a table that names those in their places. Each survivor stores it before it goes by it, and from then on
-//! acknowledges nothing by the earlier one. The successors are recovered from all survivors that go by it, and only
-//! then there is a majority again.
+//! In a table with an even number of members, twice as many as the deployment tolerates to lose, the survivors of such
+//! a loss are no majority: they can change neither a row nor the table. But they hold everything that was acknowledged,
+//! since every majority includes one of them, and without them the lost members can commit nothing either. So once the
+//! lost members have been silent for longer than every lease lasts, and as many empty nodes request slots, the lowest
+//! surviving slot writes a table that assigns the lost slots to those nodes. Each survivor stores this table before
+//! using it, and from then on acknowledges nothing by the earlier one. The successors are recovered from all survivors
+//! that use the new table, and only then is there a majority again.
 //!
-//! Assumption: empty nodes request slots only in place of members that were removed for good. Were the lost members
-//! cut off instead, with as many empty nodes on their side, they could do the same: that would be more losses at once
-//! than the deployment tolerates.
+//! Assumption: empty nodes request slots only to replace members that were removed for good. If the lost members were
+//! cut off instead, with as many empty nodes on their side of the network partition, they could write such a table too:
+//! that would be more simultaneous losses than the deployment tolerates.
 
 #[cfg(test)]
 mod tests;
@@ -18,15 +18,16 @@
 use super::slot_handover::JOINER_TIMEOUT;
 use super::*;
 
-/// Members are silent for this long before others succeed them: longer than edges' leases, sessions and the time
-/// after which a single lost member is replaced by a majority.
+/// Time for which members are silent before others succeed them: longer than edges' leases, sessions and the time after
+/// which a majority replaces a single lost member.
 const SUCCESSION_TIMEOUT: Duration = Duration::from_secs(3);
-/// What is needed to succeed lost members.
+
+/// State needed to replace lost members without a majority.
 #[derive(Debug, Default)]
 pub(super) struct Succession {
-    /// Members that may be lost at once; none: no members are succeeded without a majority.
+    /// Number of members that may be lost at once; 0 if members are never replaced without a majority.
     tolerated_losses: usize,
-    /// Empty nodes that requested a slot, and when they last did.
+    /// Empty nodes that requested a slot, with the time of their last request.
     joiners: BTreeMap<Peer, Duration>,
 }
 
@@ -48,23 +49,23 @@
 }
 
 impl ControlNode {
-    /// Sets how many members may be lost at once.
+    /// Sets the number of members that may be lost at once.
     pub fn with_tolerated_losses(mut self, members: usize) -> ControlNode {
         self.succession.tolerated_losses = members;
         self
     }
 
-    /// An empty node elsewhere requests a slot.
+    /// Records the request for a slot of an empty node at an address that holds none.
     pub(super) fn note_succession_joiner(&mut self, peer: Peer, founding: bool) {
         let holds_address = slot_at(&self.members, peer.address).is_some();
         if !founding && !holds_address {
-            let now = self.contact_watch.last_tick();
+            let now = self.failure_detector.last_tick();
             self.succession.note_joiner(now, peer);
         }
     }
 
-    /// As the lowest surviving slot: gives the slots of members that were lost for good to empty nodes, if no majority
-    /// is left that could.
+    /// Assigns the slots of members that were lost for good to empty nodes, if no majority is left that could and this
+    /// is the lowest surviving slot.
     pub(super) fn succeed_lost_members(&mut self, now: Duration) {
         let Some(members) = self.succeeding_members(now) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The members with those that are lost replaced, if they are to be.
+    /// Returns the members with the lost ones replaced, if all conditions of a succession hold.
     fn succeeding_members(&self, now: Duration) -> Option<Vec<Peer>> {
         let lost = self.lost_without_majority(now)?;
         let survivors_agree = self.surviving_slots(&lost).all(|slot| {
@@ -93,7 +94,7 @@
                 || self
                     .peers
                     .get(&slot)
-                    .is_some_and(|peer| peer.lacks(now, &lost))
+                    .is_some_and(|peer| peer.has_lost_contact_with(now, &lost))
         });
         let is_lowest = self.surviving_slots(&lost).next() == Some(self.slot);
         let joiners = self.succession.waiting_joiners(now);
@@ -107,7 +108,7 @@
         Some(members)
     }
 
-    /// Slots without a message for long, if they are as many as may be lost and the others make no majority.
+    /// Returns the silent slots, if they are as many as may be lost and the other slots make no majority.
     fn lost_without_majority(&self, now: Duration) -> Option<Vec<u8>> {
         let tolerated = self.succession.tolerated_losses;
         if self.slot == NO_SLOT || tolerated == 0 || self.members.len() != 2 * tolerated {
@@ -123,7 +124,7 @@
     fn is_slot_silent(&self, now: Duration, slot: u8) -> bool {
         let last_message = self.last_messages.get(&slot).copied();
         let last_contact = last_message.unwrap_or(self.table_adopted_at);
-        self.contact_watch
+        self.failure_detector
             .is_silent(now, last_contact, SUCCESSION_TIMEOUT)
     }
 
--- a/control-plane/src/control_node/succession/tests.rs
+++ b/control-plane/src/control_node/succession/tests.rs
@@ -1,4 +1,4 @@
-//! When members that were lost for good are succeeded without a majority.
+//! Tests of the replacement of members that were lost for good, without a majority.
 use super::super::tests::member_heartbeat;
 use super::*;
 
@@ -7,47 +7,47 @@
     Peer::new(address, 10 + u64::from(number))
 }
 
-/// What a node of a table sees for six seconds.
-struct Sight {
+/// Conditions that a member observes for six seconds.
+struct Scenario {
     slots: u16,
     tolerated_losses: usize,
-    /// This node's slot.
+    /// Slot of the observing node.
     own: u16,
-    /// Members heard all the time; the others fall silent after half a second.
-    heard: &'static [u16],
-    /// Slots that those who are heard say they hear.
-    heard_by_others: &'static [u8],
+    /// Members whose heartbeats are received all the time; the others stop after half a second.
+    received: &'static [u16],
+    /// Slots that those members report as received.
+    received_by_others: &'static [u8],
     /// Empty nodes that request a slot.
     joiners: &'static [u16],
 }
 
-const TWO_OF_FOUR_LOST: Sight = Sight {
+const TWO_OF_FOUR_LOST: Scenario = Scenario {
     slots: 4,
     tolerated_losses: 2,
     own: 0,
-    heard: &[1],
-    heard_by_others: &[0, 1],
+    received: &[1],
+    received_by_others: &[0, 1],
     joiners: &[7, 8],
 };
 
-/// When this node writes a table of its own, in milliseconds, and that table.
-fn succession_of(sight: &Sight) -> Option<(u64, MembershipTable)> {
-    const SILENT_AFTER_MS: u64 = 500;
+/// Returns the time in milliseconds at which the node writes a succession table, and that table.
+fn succession_of(scenario: &Scenario) -> Option<(u64, MembershipTable)> {
+    const LOST_AFTER_MS: u64 = 500;
     let replica = Replica {
         full: true,
-        ..Replica::blank(peer(sight.own).incarnation)
+        ..Replica::blank(peer(scenario.own).incarnation)
     };
-    let seeds = (0..sight.slots).map(|slot| peer(slot).address).collect();
-    let mut node = ControlNode::new(peer(sight.own).address, seeds, replica, false, None, 1)
-        .with_tolerated_losses(sight.tolerated_losses);
+    let seeds = (0..scenario.slots).map(|slot| peer(slot).address).collect();
+    let mut node = ControlNode::new(peer(scenario.own).address, seeds, replica, false, None, 1)
+        .with_tolerated_losses(scenario.tolerated_losses);
     for ms in (0..6_000).step_by(100) {
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([Input::Tick]);
-        for slot in (0..sight.slots).filter(|slot| *slot != sight.own) {
-            let is_silent = ms > SILENT_AFTER_MS && !sight.heard.contains(&slot);
+        for slot in (0..scenario.slots).filter(|slot| *slot != scenario.own) {
+            let is_silent = ms > LOST_AFTER_MS && !scenario.received.contains(&slot);
             let mut heartbeat = member_heartbeat(slot as u8);
-            if ms > SILENT_AFTER_MS {
-                heartbeat.heard_slots = sight.heard_by_others.iter().copied().collect();
+            if ms > LOST_AFTER_MS {
+                heartbeat.heard_slots = scenario.received_by_others.iter().copied().collect();
                 heartbeat.mutual_contacts = heartbeat.heard_slots;
             }
             if !is_silent {
@@ -57,10 +57,15 @@
                 });
             }
         }
-        inputs.extend(sight.joiners.iter().map(|joiner| Input::MessageReceived {
-            from: peer(*joiner),
-            message: JoinRequest { founding: false }.into(),
-        }));
+        inputs.extend(
+            scenario
+                .joiners
+                .iter()
+                .map(|joiner| Input::MessageReceived {
+                    from: peer(*joiner),
+                    message: JoinRequest { founding: false }.into(),
+                }),
+        );
         while let Some(input) = inputs.pop_front() {
             for output in node.handle(now, input) {
                 match output {
@@ -77,12 +82,11 @@
     None
 }
 
-/// Regression: nothing could be read back or changed any more once two of four were
-/// lost for good.
+/// Regression: after two of four members were lost for good, nothing could be read or changed any more.
 #[test]
-fn lowest_survivor_gives_slots_of_two_lost_of_four_to_waiting_nodes() {
+fn lowest_survivor_assigns_lost_slots_to_waiting_nodes() {
     let (at_ms, table) = succession_of(&TWO_OF_FOUR_LOST).unwrap();
-    // The last contact is known by the tick before it.
+    // The time of the last contact is that of the tick before it.
     let silent_for = Duration::from_millis(at_ms - 500) + lease::CONTROL_TICK;
     assert!(silent_for >= SUCCESSION_TIMEOUT, "{silent_for:?}");
     let mut expected: Vec<Peer> = (0..2)
@@ -94,76 +98,76 @@
 }
 
 #[test]
-fn no_members_are_succeeded_while_a_majority_may_be_there() {
+fn no_member_is_succeeded_while_a_majority_may_exist() {
     let refused = [
         (
-            "not tolerated",
-            Sight {
+            "more lost than tolerated",
+            Scenario {
                 tolerated_losses: 1,
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "one is lost",
-            Sight {
-                heard: &[1, 2],
-                heard_by_others: &[0, 1, 2],
+            Scenario {
+                received: &[1, 2],
+                received_by_others: &[0, 1, 2],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "three are lost",
-            Sight {
-                heard: &[],
+            Scenario {
+                received: &[],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
-            "the other survivor hears one",
-            Sight {
-                heard_by_others: &[0, 1, 2],
+            "the other survivor receives one",
+            Scenario {
+                received_by_others: &[0, 1, 2],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "one empty node waits",
-            Sight {
+            Scenario {
                 joiners: &[7],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "three empty nodes wait",
-            Sight {
+            Scenario {
                 joiners: &[7, 8, 9],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "a majority is left of five",
-            Sight {
+            Scenario {
                 slots: 5,
-                heard: &[1, 2],
-                heard_by_others: &[0, 1, 2],
+                received: &[1, 2],
+                received_by_others: &[0, 1, 2],
                 ..TWO_OF_FOUR_LOST
             },
         ),
         (
             "not the lowest",
-            Sight {
+            Scenario {
                 own: 1,
-                heard: &[0],
+                received: &[0],
                 ..TWO_OF_FOUR_LOST
             },
         ),
     ];
-    for (case, sight) in refused {
-        assert_eq!(succession_of(&sight), None, "{case}");
+    for (case, scenario) in refused {
+        assert_eq!(succession_of(&scenario), None, "{case}");
     }
 }
 
 #[test]
-fn successions_rise_above_all_versions_of_the_tables_before() {
+fn succession_version_exceeds_all_earlier_versions() {
     let first = next_succession(9);
     assert!(first > 1 << 31 && last_succession(first) == first);
     assert_eq!(last_succession(first + 5), first);
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -1,4 +1,4 @@
-//! A control node with scripted peers on a fake clock.
+//! Tests of a control node with scripted peers on a simulated clock.
 
 use crate::prelude::*;
 
@@ -6,12 +6,12 @@
     SocketAddr::from(([127, 0, 0, 1], 100 + slot))
 }
 
-/// All slots that there may be.
+/// Returns all possible slots.
 pub(super) fn all_slots() -> SlotSet {
     (0..MAX_SLOTS as u8).collect()
 }
 
-/// The heartbeat of a member with a full disk that is in contact with all.
+/// Returns the heartbeat of a member with a full disk that is in contact with all others.
 pub(super) fn member_heartbeat(slot: u8) -> Heartbeat {
     Heartbeat {
         heard_slots: all_slots(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Slot 0 with a full disk that syncs at once; the peers are scripted.
+/// Slot 0 with a full disk that syncs at once, and scripted peers.
 struct ScriptedNode {
     control_node: ControlNode,
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What it sends to others; what it sends to itself it receives.
+    /// Handles an input and all messages that the node sends to itself. Returns the messages to others.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([input]);
@@ -107,8 +107,8 @@
         self.receive(ms, slot, incarnation, heartbeat)
     }
 
-    /// Ticks until a time while these peers promise and store all. The partition of purges or of origins that the
-    /// node then leads, if it leads one.
+    /// Ticks until a time while these peers promise and store everything. Returns the partition of purges or of origins
+    /// that the node then leads, if any.
     fn lead(&mut self, peers: &[u16], until_ms: u64) -> Option<LedPartition> {
         let mut led = None;
         for ms in (0..until_ms).step_by(100) {
@@ -134,7 +134,7 @@
         led
     }
 
-    /// A peer with an empty disk promises, or stores.
+    /// Replies like a peer with an empty disk that promises and stores.
     fn reply_as_peer(
         &mut self,
         ms: u64,
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Slot 1 requests a change of a partition that is led here. The version under which it is written.
+    /// Sends slot 1's request for a change of a partition that the node leads. Returns the version under which it is
+    /// written.
     fn request_change(&mut self, ms: u64, partition: u8) -> Option<u64> {
         let change = match partition {
             PURGES_PARTITION => Change::AddPurge {
@@ -205,7 +206,7 @@
 /// Id of the change that slot 1 requests.
 const CHANGE_ID: u64 = 7;
 
-/// Whether the requested change has its reply.
+/// Returns true if the messages contain the reply to the requested change.
 fn has_change_reply(messages: &[(SocketAddr, Message)]) -> bool {
     messages
         .iter()
@@ -214,13 +215,14 @@
 
 #[test]
 fn append_reply_of_replaced_disk_is_not_counted() {
-    let mut script = ScriptedNode::new(3);
-    let led = script.lead(&[1], 1_600);
-    let LedPartition { partition, epoch } = led.expect("one of the two is ours by weight");
-    let version = script.request_change(1_700, partition);
-    let version = version.expect("it is written at once");
-    // The disk of slot 1 is another now; what the earlier one sent comes late.
-    script.receive_heartbeat(1_710, 1, 12);
+    let mut node = ScriptedNode::new(3);
+    let led = node.lead(&[1], 1_600);
+    let LedPartition { partition, epoch } =
+        led.expect("the node leads one of the two partitions by weight");
+    let version = node.request_change(1_700, partition);
+    let version = version.expect("the change is written at once");
+    // The disk of slot 1 was replaced; a reply of the earlier disk arrives late.
+    node.receive_heartbeat(1_710, 1, 12);
     let append_reply = AppendReply {
         partition,
         epoch,
@@ -229,29 +231,29 @@
         sessions_confirmed: Some(version),
         retired_incarnations: vec![],
     };
-    assert!(!has_change_reply(&script.receive(
+    assert!(!has_change_reply(&node.receive(
         1_720,
         1,
         11,
         append_reply.clone()
     )));
-    assert!(!has_change_reply(&script.step(1_801, Input::Tick)));
-    let mut messages = script.receive(1_810, 1, 12, append_reply.clone());
-    messages.extend(script.step(1_901, Input::Tick));
-    messages.extend(script.receive(1_910, 1, 12, append_reply));
+    assert!(!has_change_reply(&node.step(1_801, Input::Tick)));
+    let mut messages = node.receive(1_810, 1, 12, append_reply.clone());
+    messages.extend(node.step(1_901, Input::Tick));
+    messages.extend(node.receive(1_910, 1, 12, append_reply));
     assert!(
         has_change_reply(&messages),
-        "the disk that is there now has it"
+        "the current disk holds the change"
     );
 }
 
-/// Five slots, ours is the first: disks 1 and 2 acknowledge a change, and with ours that is a majority. But disk 2 may
-/// know that disk 1 is another by now, recovered without it, and report that with its acknowledgement. Whether the
-/// change is acknowledged, if these are the incarnations that disk 2 reports.
+/// Returns true if a change on disks 0, 1 and 2 of five is acknowledged when disk 2 reports these retired incarnations.
+/// Disk 2 may know that disk 1 was replaced and recovered without the change, and reports that with its
+/// acknowledgement.
 fn is_acknowledged_with(retired_incarnations: Vec<u64>) -> Option<bool> {
-    let mut script = ScriptedNode::new(5);
-    let LedPartition { partition, epoch } = script.lead(&[1, 2, 3, 4], 2_500)?;
-    let version = script.request_change(2_600, partition)?;
+    let mut node = ScriptedNode::new(5);
+    let LedPartition { partition, epoch } = node.lead(&[1, 2, 3, 4], 2_500)?;
+    let version = node.request_change(2_600, partition)?;
     let append_reply = |retired_incarnations| AppendReply {
         partition,
         epoch,
@@ -260,10 +262,10 @@
         sessions_confirmed: Some(version),
         retired_incarnations,
     };
-    let mut messages = script.receive(2_610, 1, 11, append_reply(vec![]));
-    messages.extend(script.receive(2_611, 2, 12, append_reply(retired_incarnations)));
-    messages.extend(script.step(2_701, Input::Tick));
-    messages.extend(script.step(2_801, Input::Tick));
+    let mut messages = node.receive(2_610, 1, 11, append_reply(vec![]));
+    messages.extend(node.receive(2_611, 2, 12, append_reply(retired_incarnations)));
+    messages.extend(node.step(2_701, Input::Tick));
+    messages.extend(node.step(2_801, Input::Tick));
     Some(has_change_reply(&messages))
 }
 
@@ -272,16 +274,16 @@
     assert_eq!(
         is_acknowledged_with(vec![]),
         Some(true),
-        "three of five hold it"
+        "three of five disks hold the change"
     );
     assert_eq!(
         is_acknowledged_with(vec![11]),
         Some(false),
-        "only two of them do"
+        "only two disks hold the change"
     );
 }
 
-/// A control node whose disk retains what is synced over restarts; its peers are scripted.
+/// Control node whose disk retains synced records over restarts, and scripted peers.
 struct DurableNode {
     control_node: ControlNode,
     disk: Vec<Vec<u8>>,
@@ -309,7 +311,7 @@
         }
     }
 
-    /// What it sends; what it stores waits to be synced.
+    /// Returns the messages sent; stored records wait to be synced.
     fn step(&mut self, ms: u64, input: Input) -> Vec<(SocketAddr, Message)> {
         let mut messages = Vec::new();
         for output in self.control_node.handle(Duration::from_millis(ms), input) {
@@ -347,10 +349,11 @@
     }
 }
 
-fn membership_version(messages: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
+/// Returns the slots of the first membership table in the messages, by the numbers of their nodes.
+fn sent_table_slots(messages: &[(SocketAddr, Message)]) -> Option<Vec<u16>> {
     messages.iter().find_map(|(_, message)| match message {
-        Message::MembershipTable(membership_version) => Some(
-            membership_version
+        Message::MembershipTable(table) => Some(
+            table
                 .members
                 .iter()
                 .map(|peer| peer.address.port() - 100)
@@ -369,36 +372,36 @@
     founder.receive(120, 7, JoinRequest { founding: false });
     founder.sync(130);
     assert_eq!(
-        membership_version(&founder.step(600, Input::Tick)),
+        sent_table_slots(&founder.step(600, Input::Tick)),
         None,
         "not synced yet"
     );
-    // It ends before the sync: nobody was sent the table, and it starts over.
+    // The process ends before the sync: no node was sent the table, so the founding starts again.
     let mut restarted = DurableNode::start(0, founder.disk.clone(), true);
     assert!(restarted.control_node.members.is_empty());
     restarted.step(0, Input::Tick);
     restarted.receive(100, 5, JoinRequest { founding: true });
     restarted.step(600, Input::Tick);
     assert_eq!(
-        membership_version(&restarted.receive(601, 5, JoinRequest { founding: true })),
+        sent_table_slots(&restarted.receive(601, 5, JoinRequest { founding: true })),
         None,
         "still not synced"
     );
     assert_eq!(
-        membership_version(&restarted.sync(602)),
+        sent_table_slots(&restarted.sync(602)),
         Some(vec![0, 1, 2, 5])
     );
-    // It ends after it: the table is the one that was sent, whoever joins.
+    // The process ends after the sync: the table remains the one that was sent, regardless of later joiners.
     let mut restarted = DurableNode::start(0, restarted.disk, true);
     restarted.receive(10, 3, JoinRequest { founding: true });
     restarted.step(900, Input::Tick);
     assert_eq!(
-        membership_version(&restarted.receive(901, 1, JoinRequest { founding: true })),
+        sent_table_slots(&restarted.receive(901, 1, JoinRequest { founding: true })),
         Some(vec![0, 1, 2, 5])
     );
 }
 
-/// The founding table with these slots.
+/// Returns the founding table with these slots.
 fn table(slots: &[u16]) -> MembershipTable {
     let members = slots.iter().map(|slot| Peer::new(address(*slot), 0));
     MembershipTable {
@@ -412,8 +415,8 @@
     let mut seed = DurableNode::start(1, vec![], true);
     seed.step(0, Input::Tick);
     assert!(
-        (0..50).all(|more| membership_version(&seed.step(100 * more, Input::Tick)).is_none()),
-        "only the first seed makes one"
+        (0..50).all(|tick| sent_table_slots(&seed.step(100 * tick, Input::Tick)).is_none()),
+        "only the first seed creates a founding table"
     );
     seed.receive(5_001, 0, table(&[0, 1, 2, 3]));
     seed.receive(5_002, 0, table(&[0, 1, 2, 4]));
@@ -421,13 +424,13 @@
     assert_eq!(seed.control_node.members.len(), 4);
     let restarted = DurableNode::start(1, seed.disk, false);
     assert_eq!(restarted.control_node.members[3].address, address(3));
-    // A machine that replaces another never accepts or makes one.
+    // A replacement machine never accepts or creates a founding table.
     for slot in [0, 1] {
         let mut other = DurableNode::start(slot, vec![], false);
         other.step(0, Input::Tick);
         other.receive(10, 2, table(&[0, 1, 2]));
         assert!(
-            (1..20).all(|more| membership_version(&other.step(100 * more, Input::Tick)).is_none())
+            (1..20).all(|tick| sent_table_slots(&other.step(100 * tick, Input::Tick)).is_none())
         );
         assert!(other.control_node.members.is_empty());
         other.receive(
@@ -443,10 +446,10 @@
             (3, slot as u8)
         );
     }
-    // Nor does the first seed, if another node has one already.
-    let mut late = DurableNode::start(0, vec![], true);
-    late.step(0, Input::Tick);
-    late.receive(
+    // The first seed creates none either, if another node already has a table.
+    let mut late_founder = DurableNode::start(0, vec![], true);
+    late_founder.step(0, Input::Tick);
+    late_founder.receive(
         100,
         2,
         Heartbeat {
@@ -454,8 +457,8 @@
             ..member_heartbeat(2)
         },
     );
-    late.step(900, Input::Tick);
-    assert!(late.control_node.members.is_empty());
+    late_founder.step(900, Input::Tick);
+    assert!(late_founder.control_node.members.is_empty());
 }
 
 fn purge_rows(versions: std::ops::RangeInclusive<u64>) -> Vec<(String, Row)> {
@@ -469,12 +472,12 @@
         .collect()
 }
 
-/// Within an epoch a replica is complete up to its version: a full state that arrives late, over rows that were
-/// acknowledged since, removes none of them.
+/// Within an epoch a replica is complete up to its version: a full state that arrives late, after newer rows were
+/// acknowledged, removes none of them.
 #[test]
 fn late_full_state_removes_no_later_row() {
-    let mut script = ScriptedNode::new(3);
-    script.receive_heartbeat(10, 1, 11);
+    let mut node = ScriptedNode::new(3);
+    node.receive_heartbeat(10, 1, 11);
     let full_append = AppendRequest {
         partition: PURGES_PARTITION,
         epoch: 17,
@@ -488,7 +491,7 @@
         published: 0,
         base: None,
     };
-    script.receive(20, 1, 11, full_append.clone());
+    node.receive(20, 1, 11, full_append.clone());
     let next = AppendRequest {
         full_state: false,
         round: 2,
@@ -497,22 +500,22 @@
         rows: purge_rows(2..=2),
         ..full_append.clone()
     };
-    script.receive(30, 1, 11, next);
-    script.receive(40, 1, 11, full_append);
+    node.receive(30, 1, 11, next);
+    node.receive(40, 1, 11, full_append);
     let prepare = PrepareRequest {
         partition: PURGES_PARTITION,
         epoch: 34,
         membership_version: 0,
         requester_state: StateId::default(),
     };
-    let state = script
+    let state = node
         .receive(50, 1, 11, prepare)
         .into_iter()
         .find_map(|(_, message)| match message {
             Message::PrepareReply(PrepareReply {
-                state: PreparedState::Newer(prepared_state),
+                state: PreparedState::Newer(state),
                 ..
-            }) => Some(prepared_state),
+            }) => Some(state),
             _ => None,
         })
         .expect("the epoch is promised");
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -1,4 +1,4 @@
-//! Handing a slot over, and what a disk that moved may and may not acknowledge.
+//! Tests of slot handover, and of what a moved disk may acknowledge.
 
 use super::slot_handover::Handover;
 use super::tests::member_heartbeat;
@@ -18,7 +18,7 @@
     Peer::new(address(slot), incarnation(slot))
 }
 
-/// The table in which node 3 has the slot of node 0.
+/// Returns the table in which node 3 holds the slot of node 0.
 fn handed_over_table() -> MembershipTable {
     MembershipTable {
         version: VERSION,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A control node that syncs at once.
+/// Control node whose disk syncs at once.
 struct Node {
     control_node: ControlNode,
     records: Vec<Vec<u8>>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What it sends, and whether it ends.
+    /// Returns the messages sent, and whether the node ends.
     fn step(&mut self, ms: u64, input: Input) -> (Vec<(SocketAddr, Message)>, bool) {
         let mut inputs = VecDeque::from([input]);
         let (mut messages, mut ended) = (Vec::new(), false);
@@ -79,7 +79,7 @@
         self.receive(ms, slot, member_heartbeat(slot as u8));
     }
 
-    /// It is requested to end, and its offer gets this outcome.
+    /// Requests the node's shutdown, and replies to its offer with this outcome.
     fn begin_leaving(&mut self, outcome: SlotOfferOutcome) {
         self.step(0, Input::Tick);
         self.heartbeat(10, 1);
@@ -96,7 +96,7 @@
     }
 }
 
-fn states(messages: &[(SocketAddr, Message)]) -> usize {
+fn sent_states(messages: &[(SocketAddr, Message)]) -> usize {
     messages
         .iter()
         .filter(|(to, message)| *to == address(3) && matches!(message, Message::SlotState(_)))
@@ -109,13 +109,13 @@
     node.begin_leaving(assigned());
     let (messages, ended) = node.step(200, Input::Tick);
     assert_eq!(
-        (states(&messages), ended),
+        (sent_states(&messages), ended),
         (0, false),
-        "it still is a member"
+        "the node is still a member"
     );
     node.receive(250, 1, handed_over_table());
     let (messages, ended) = node.step(300, Input::Tick);
-    assert_eq!((states(&messages), ended), (1, false));
+    assert_eq!((sent_states(&messages), ended), (1, false));
     let prepare = PrepareRequest {
         partition: PURGES_PARTITION,
         epoch: 99,
@@ -124,7 +124,7 @@
     };
     assert!(
         node.receive(310, 1, prepare).is_empty(),
-        "it promises nothing"
+        "a removed node promises nothing"
     );
     let restarted = Replica::replay(
         &[Record::Incarnation {
@@ -135,12 +135,15 @@
         .chain(node.records.clone())
         .collect::<Vec<_>>(),
     );
-    assert!(restarted.unwrap().unwrap().removed, "over its restarts");
+    assert!(
+        restarted.unwrap().unwrap().removed,
+        "the removal persists over restarts"
+    );
     let (messages, ended) = node.step(1_000, Input::Tick);
-    assert_eq!((states(&messages), ended), (1, false), "sent again");
+    assert_eq!((sent_states(&messages), ended), (1, false), "sent again");
     node.receive(1_010, 3, SlotStateReceived { version: VERSION });
     let (messages, ended) = node.step(1_100, Input::Tick);
-    assert_eq!((states(&messages), ended), (0, true));
+    assert_eq!((sent_states(&messages), ended), (0, true));
 }
 
 #[test]
@@ -172,7 +175,7 @@
             node.control_node.shutdown.handover,
             Handover::Assigned { .. }
         ),
-        "a reply to an earlier offer takes nothing back"
+        "a reply to an earlier offer does not revoke the assignment"
     );
 }
 
@@ -222,9 +225,9 @@
     assert_eq!(
         node.control_node.replica.retired,
         [77],
-        "it reports what its predecessor would have"
+        "it reports the same retired incarnations as its predecessor"
     );
-    // A retry is confirmed again, and nothing is applied twice.
+    // A repeated state is confirmed again and not applied twice.
     assert_eq!(node.receive(200, 0, state(VERSION, 0)).len(), 1);
 }
 
@@ -233,7 +236,10 @@
     let mut node = Node::start(0, true);
     node.step(0, Input::Tick);
     node.receive(50, 1, handed_over_table());
-    assert!(node.step(100, Input::Tick).1, "it is no member any more");
+    assert!(
+        node.step(100, Input::Tick).1,
+        "the node is no longer a member"
+    );
     let renewed = node.control_node.replica.for_rejoin(500);
     assert!(!renewed.full && !renewed.removed && renewed.incarnation == 500);
     assert_eq!(renewed.newest_table(), Some(handed_over_table()));
@@ -259,15 +265,18 @@
 #[test]
 fn paused_node_declares_no_member_lost() {
     let at = Duration::from_millis;
-    let mut watch = ContactWatch::default();
-    (0..30).for_each(|tick| watch.tick(at(tick * 100)));
-    assert!(watch.is_lost(at(2_950), at(900)));
-    assert!(!watch.is_lost(at(2_950), at(1_000)));
-    assert!(!watch.is_lost(at(9_000), at(900)), "frozen since");
-    watch.tick(at(9_000));
+    let mut detector = FailureDetector::default();
+    (0..30).for_each(|tick| detector.tick(at(tick * 100)));
+    assert!(detector.is_lost(at(2_950), at(900)));
+    assert!(!detector.is_lost(at(2_950), at(1_000)));
+    assert!(
+        !detector.is_lost(at(9_000), at(900)),
+        "the node was paused since its last tick"
+    );
+    detector.tick(at(9_000));
     assert!(
-        !watch.is_lost(at(9_010), at(900)),
-        "it has just begun to hear"
+        !detector.is_lost(at(9_010), at(900)),
+        "the node has only just resumed"
     );
 }
 
@@ -281,7 +290,7 @@
     let now = Duration::from_millis(3_950);
     assert!(
         node.control_node.is_slot_lost(now, 2),
-        "it sent no message yet"
+        "slot 2 has sent no message yet"
     );
     let request = SnapshotRequest {
         slot: 2,
@@ -291,12 +300,12 @@
     node.receive(3_940, 2, request);
     assert!(
         !node.control_node.is_slot_lost(now, 2),
-        "it asks for what it lacks"
+        "a snapshot request is a message too"
     );
 }
 
-/// A disk wiped, and back within two seconds: another node reported that its earlier incarnation is retired, and its
-/// slot went to a joiner.
+/// A disk was wiped and returned within two seconds; another node then reported that its earlier incarnation is
+/// retired. The slot was assigned to a joiner, although it was never silent for long enough.
 #[test]
 fn reported_retirement_does_not_age_last_contact() {
     let mut node = Node::start(0, true);
--- a/control-plane/src/prelude.rs
+++ b/control-plane/src/prelude.rs
@@ -10,7 +10,7 @@
     MAX_RETIRED_INCARNATIONS, Record, ReplayError, Replica, ReplicaPartition, UnpublishedRows,
 };
 pub use crate::replica_recovery::{RecoveredState, ReplicaRecovery};
-pub use crate::sessions::{SessionStanding, Sessions};
+pub use crate::sessions::{SessionStatus, Sessions};
 pub use crate::succession_version::{last_succession, next_succession};
 pub use crate::update_replies::UpdateReplies;
 pub use kernel::prelude::*;
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of the edges: those at this control node, and those that the other nodes report.
+//! Sessions of the edges: those at this control node, and those that the other control nodes report.
 
 mod local_sessions;
 mod peer_sessions;
@@ -9,23 +9,23 @@
 use local_sessions::LocalSessions;
 use peer_sessions::PeerSessions;
 
-/// The sessions at this control node, and those that the other nodes report. Invariants:
-/// - A session is counted for `lease::SESSION_LEASE` after its last renewal was received; the edge relies on it for
-///   less, counted from sending.
-/// - A peer's table is, in all that decisions depend on, the one that the peer had when it sent it: deltas are
-///   applied only if the checksum is the peer's. A delta that does not fit changes nothing, does not count as a
-///   contact, and the full table is requested.
+/// Sessions at this control node, and those that the other control nodes report. Invariants:
+/// - A session is valid for `lease::SESSION_LEASE` after its last renewal was received; the edge relies on it for less,
+///   counted from when it sent the renewal.
+/// - A peer's table equals, in everything that decisions depend on, the table that the peer had when it sent it: a
+///   delta is applied only if the resulting checksum is the peer's. A delta that does not fit changes nothing, does not
+///   count as a contact, and causes a request for the full table.
 #[derive(Debug, Default)]
 pub struct Sessions {
     local: LocalSessions,
-    /// Tables of the other nodes, by slot.
+    /// Session tables of the other nodes, by slot.
     peer_tables: BTreeMap<u8, PeerSessions>,
-    /// The process that last returned a token of this run, at each address. An address is one process's at a time,
-    /// so another one that was there before that token was issued has ended.
+    /// Process that last returned a token of this run, at each address. Only one process at a time has an address, so
+    /// another one that was there before that token was issued has ended.
     current_incarnations: HashMap<SocketAddr, CurrentIncarnation>,
-    /// This run of the node; unlike that of any other.
+    /// Id of this run of the node; differs from that of every other run.
     run: u64,
-    /// Tokens issued in this run.
+    /// Number of tokens issued in this run.
     issued_tokens: u64,
     started_at: Option<Duration>,
 }
@@ -33,21 +33,21 @@
 #[derive(Debug)]
 struct CurrentIncarnation {
     incarnation: u64,
-    /// The newest token that it returned.
+    /// Newest token that it returned.
     token: u64,
 }
 
-/// What `Sessions::live` and `Sessions::has_departed` depend on, of one session.
+/// Fields of one session on which `Sessions::live` and `Sessions::has_departed` depend.
 #[derive(Debug, PartialEq)]
-pub struct SessionStanding {
-    /// The edge.
+pub struct SessionStatus {
+    /// Address and incarnation of the edge.
     pub peer: Peer,
-    /// Whether it takes no new assignments.
+    /// True if the edge takes no new assignments.
     pub draining: bool,
 }
 
 impl Sessions {
-    /// No sessions. `run` is unlike that of any other run of this node.
+    /// Creates an empty set. `run` must differ from that of every other run of this node.
     pub fn new(run: u64) -> Sessions {
         Sessions {
             run,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Counts as just started: others may hold sessions that are not known here.
+    /// Treats this node as just started: edges may hold sessions that are not known to it.
     pub fn restart(&mut self, now: Duration) {
         self.started_at = Some(now);
     }
 
-    /// A token for the next reply to a renewal.
+    /// Returns a new token for the next reply to a renewal.
     pub fn issue_token(&mut self) -> RenewalToken {
         self.issued_tokens += 1;
         RenewalToken {
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Number of tokens issued so far in this run.
+    /// Returns the number of tokens issued so far in this run.
     pub fn issued_tokens(&self) -> u64 {
         self.issued_tokens
     }
 
-    /// Renews a session. True if that opened it. Earlier incarnations at the address that are known to have ended
-    /// lose their sessions.
+    /// Opens or renews a session. Returns true if it was opened. Earlier incarnations at the address that are known to
+    /// have ended lose their sessions.
     pub fn renew(
         &mut self,
         now: Duration,
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Whether an incarnation that had begun when so many tokens were issued has ended since: another is at its
-    /// address.
+    /// Returns true if an incarnation that had started when this number of tokens was issued has ended since: another
+    /// one uses its address.
     pub fn has_ended(&self, peer: Peer, issued_tokens: u64) -> bool {
         self.current_incarnations
             .get(&peer.address)
@@ -115,23 +115,23 @@
             })
     }
 
-    /// Removes a session here. True if there was one.
+    /// Removes a session at this node. Returns true if it existed.
     pub fn remove(&mut self, peer: Peer) -> bool {
         self.local.remove(peer)
     }
 
-    /// Removes sessions whose lease has run out, and returns their edges.
+    /// Removes sessions whose lease has expired, and returns their edges.
     pub fn tick(&mut self, now: Duration) -> Vec<Peer> {
         self.started_at.get_or_insert(now);
         self.local.remove_lapsed(now)
     }
 
-    /// What a peer lacks that received the table here up to this revision.
+    /// Returns the changes that a peer lacks that received this node's table up to this revision.
     pub fn delta_since(&self, revision: u64) -> SessionsDelta {
         self.local.delta_since(revision)
     }
 
-    /// The revision up to which the table of a slot was received; 0: none.
+    /// Returns the revision up to which the table of a slot was received; 0 if none was.
     pub fn received_revision(&self, slot: u8) -> u64 {
         let table = self.peer_tables.get(&slot);
         table.map_or(0, PeerSessions::revision)
@@ -148,31 +148,32 @@
         self.peer_tables.remove(&slot);
     }
 
-    /// Whether all sessions at this node are known. After a start, earlier ones may stand until they would have
-    /// lapsed or been renewed.
+    /// Returns true if all sessions at this node are known. After a start, earlier ones may exist until they would have
+    /// expired or been renewed.
     pub fn is_complete(&self, now: Duration) -> bool {
         self.started_at
             .is_some_and(|started_at| now >= started_at + lease::SESSION_LEASE)
     }
 
-    /// The version of a partition, up to `published`, that every session at this node has confirmed.
+    /// Returns the version of a partition, up to `published`, that every session at this node has confirmed.
     pub fn confirmed_version(&self, now: Duration, partition: u8, published: u64) -> Option<u64> {
         let lowest = self.local.confirmed_versions(partition).min();
         self.is_complete(now)
             .then(|| lowest.unwrap_or(published).min(published))
     }
 
-    /// The sessions at this node.
+    /// Returns the sessions at this node.
     pub fn local_sessions(&self) -> Vec<SessionInfo> {
         self.local.infos().cloned().collect()
     }
 
-    /// Addresses of the edges with a session at this node.
+    /// Returns the addresses of the edges with a session at this node.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.local.infos().map(|info| info.peer.address).collect()
     }
 
-    /// Edges with a session at this node that have not confirmed this version of a partition, in this generation.
+    /// Returns the edges with a session at this node that have not confirmed this version of a partition, in this
+    /// generation.
     pub fn unconfirmed(&self, generation: u64, partition: u8, version: u64) -> Vec<SocketAddr> {
         let has_confirmed = |info: &SessionInfo| {
             let known = info.version_vector.get(usize::from(partition));
@@ -182,7 +183,7 @@
         unconfirmed.map(|info| info.peer.address).collect()
     }
 
-    /// Complete tables not older than `lease::CONTROL_PEER_TIMEOUT`, that of this node included.
+    /// Returns the complete tables not older than `lease::CONTROL_PEER_TIMEOUT`, including that of this node.
     fn current_tables(&self, now: Duration) -> Vec<Vec<&SessionInfo>> {
         let mut tables = Vec::new();
         if self.is_complete(now) {
@@ -196,26 +197,26 @@
         tables
     }
 
-    /// All that `live` and `has_departed` depend on, to see whether anything changed.
-    pub fn standing(&self, now: Duration) -> Vec<Vec<SessionStanding>> {
-        let standing = |info: &SessionInfo| SessionStanding {
+    /// Returns everything that `live` and `has_departed` depend on, for the detection of changes.
+    pub fn statuses(&self, now: Duration) -> Vec<Vec<SessionStatus>> {
+        let status = |info: &SessionInfo| SessionStatus {
             peer: info.peer,
             draining: info.draining,
         };
         let tables = self.current_tables(now).into_iter();
         tables
-            .map(|table| table.into_iter().map(standing).collect())
+            .map(|table| table.into_iter().map(status).collect())
             .collect()
     }
 
-    /// Every session known here, also of tables that are not current.
+    /// Returns every session known to this node, including those of tables that are not current.
     pub fn all(&self) -> Vec<&SessionInfo> {
         let reported = self.peer_tables.values().flat_map(PeerSessions::infos);
         self.local.infos().chain(reported).collect()
     }
 
-    /// Edges that confirmed more of a published partition than this version: here all of them, of each other
-    /// node's the one that confirmed most.
+    /// Returns the edges that confirmed a newer version of a published partition than this one: all such edges with a
+    /// session at this node, and of each other node the edge with the newest confirmed version.
     pub fn ahead_of(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
         let local = self.local.infos().filter_map(|info| {
             let confirmed = info.version_vector.get(usize::from(partition))?;
@@ -230,7 +231,8 @@
             .collect()
     }
 
-    /// Every edge with a session in `Quorum::rest` of the tables, as many as it takes to be live by its own rule.
+    /// Returns every edge with a session in at least `Quorum::intersecting` of the tables, the number that an edge
+    /// needs to be live by its own rule.
     pub fn live(&self, now: Duration, quorum: Quorum) -> Vec<SessionInfo> {
         let mut sessions: BTreeMap<Peer, (usize, &SessionInfo)> = BTreeMap::new();
         for info in self.current_tables(now).into_iter().flatten() {
@@ -244,9 +246,10 @@
             .collect()
     }
 
-    /// True only if a quorum reports that this peer has no session. Invariant: an edge that is live by its own rule
-    /// when they report so has not departed. It relies on `Quorum::rest` control nodes, each of which counts its
-    /// session for longer than it does; and of `Quorum::most` one is among those.
+    /// Returns true only if a quorum reports that this peer has no session. Invariant: an edge that is live by its own
+    /// rule at the time of these reports has not departed. It relies on `Quorum::intersecting` control nodes, each of
+    /// which keeps its session for longer than the edge relies on it, and any `Quorum::majority` of nodes includes one
+    /// of those.
     pub fn has_departed(&self, now: Duration, peer: Peer, quorum: Quorum) -> bool {
         let lacks_peer = |table: &&Vec<&SessionInfo>| table.iter().all(|info| info.peer != peer);
         self.current_tables(now).iter().filter(lacks_peer).count() >= quorum.majority()
--- a/control-plane/src/sessions/local_sessions.rs
+++ b/control-plane/src/sessions/local_sessions.rs
@@ -1,23 +1,23 @@
-//! The sessions at this control node, with their changes by revision.
+//! Sessions at this control node, with their changes by revision.
 
 use crate::prelude::*;
 
-/// Usage and origin health, which only operators read, are reported again no sooner than this.
+/// Minimum interval between reports of an edge's usage and origin health, which only operators read.
 const OPERATOR_DATA_INTERVAL: Duration = Duration::from_secs(5);
-/// Departures that are reported as differences; peers that lag further get the full table.
+/// Maximum number of departures that are reported as differences; peers that lag further are sent the full table.
 const MAX_DEPARTURES: usize = 4096;
 
-/// The sessions at this control node. Each change raises the revision, so that peers are sent the differences.
+/// Sessions at this control node. Each change raises the revision, so that peers can be sent the differences.
 #[derive(Debug, Default)]
 pub(super) struct LocalSessions {
     pub(super) sessions: BTreeMap<Peer, Session>,
     /// Rises by one with each change.
     revision: u64,
-    /// Exclusive or of the sums of all sessions.
+    /// Exclusive or of the checksums of all sessions.
     pub(super) checksum: u64,
-    /// Edges whose session ended, by the revision since which.
+    /// Edges whose session ended, by the revision of that change.
     departures: BTreeMap<u64, Peer>,
-    /// Peers below this revision are sent the full table.
+    /// Revision below which peers are sent the full table.
     delta_floor: u64,
 }
 
@@ -28,15 +28,15 @@
     last_renewal: Duration,
     /// Number of tokens issued when the session was opened.
     tokens_at_open: u64,
-    /// Sum of what others' decisions depend on.
+    /// Checksum of the fields on which the decisions of other nodes depend.
     checksum: u64,
-    /// The revision since which it is as it is, and when that was.
+    /// Revision and time of the last reported change.
     changed_revision: u64,
     changed_at: Duration,
 }
 
 impl LocalSessions {
-    /// Opens or renews a session. True if it was opened.
+    /// Opens or renews a session. Returns true if it was opened.
     pub(super) fn upsert(&mut self, now: Duration, info: SessionInfo, issued_tokens: u64) -> bool {
         let known = self.sessions.get_mut(&info.peer);
         let unchanged = known
@@ -75,7 +75,7 @@
         self.sessions.insert(session.info.peer, session);
     }
 
-    /// Removes a session. True if there was one.
+    /// Removes a session. Returns true if it existed.
     pub(super) fn remove(&mut self, peer: Peer) -> bool {
         let Some(removed) = self.sessions.remove(&peer) else {
             return false;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Removes sessions whose lease has run out, and returns their edges.
+    /// Removes sessions whose lease has expired, and returns their edges.
     pub(super) fn remove_lapsed(&mut self, now: Duration) -> Vec<Peer> {
         let lapsed: Vec<Peer> = self
             .sessions
@@ -123,14 +123,14 @@
         self.sessions.values().map(|session| &session.info)
     }
 
-    /// The version of a partition that each session has confirmed.
+    /// Returns the version of a partition that each session has confirmed.
     pub(super) fn confirmed_versions(&self, partition: u8) -> impl Iterator<Item = u64> {
         let at = usize::from(partition);
         self.infos()
             .filter_map(move |info| info.version_vector.get(at).copied())
     }
 
-    /// What a peer lacks that received the table up to this revision.
+    /// Returns the changes that a peer lacks that received the table up to this revision.
     pub(super) fn delta_since(&self, revision: u64) -> SessionsDelta {
         let is_covered = revision <= self.revision && revision >= self.delta_floor;
         let from = if is_covered { revision } else { 0 };
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The highest confirmed version of each published partition, and the edge that confirmed it.
+    /// Returns the highest confirmed version of each published partition, and the edge that confirmed it.
     fn newest_confirmations(&self) -> Vec<(u64, Peer)> {
         let confirmed = |info: &SessionInfo, partition: u8| {
             let version = info.version_vector.get(usize::from(partition));
--- a/control-plane/src/sessions/peer_sessions.rs
+++ b/control-plane/src/sessions/peer_sessions.rs
@@ -2,16 +2,16 @@
 
 use crate::prelude::*;
 
-/// The table of sessions that another control node reports.
+/// Table of sessions that another control node reports.
 #[derive(Debug, Default)]
 pub(super) struct PeerSessions {
-    /// When a delta last fitted.
+    /// Time when a delta was last applied.
     pub(super) last_contact: Duration,
-    /// The sender's revision up to which the table was received; 0 requests the full table.
+    /// Revision at the sender up to which the table was received; 0 requests the full table.
     revision: u64,
     checksum: u64,
     pub(super) sessions: BTreeMap<Peer, SessionInfo>,
-    /// The highest confirmed version of each published partition, and the edge that confirmed it.
+    /// Highest confirmed version of each published partition, and the edge that confirmed it.
     newest: Vec<(u64, Peer)>,
 }
 
@@ -32,11 +32,11 @@
         now < self.last_contact + lease::CONTROL_PEER_TIMEOUT
     }
 
-    /// Applies a delta, if the table then has the sender's checksum.
+    /// Applies a delta, if the resulting table has the sender's checksum.
     pub(super) fn apply_delta(&mut self, now: Duration, delta: SessionsDelta) {
         let checksum = self.checksum_after(&delta);
         if checksum != delta.checksum || delta.from > self.revision {
-            // Late, or of another run: the table here is not the one it was made for.
+            // The delta is late or of another run: it was made for another table than the present one.
             if delta.to >= self.revision || delta.from == 0 {
                 self.revision = 0;
             }
@@ -56,7 +56,7 @@
         self.newest = delta.newest;
     }
 
-    /// The checksum of the table with this delta applied.
+    /// Returns the checksum of the table with this delta applied.
     fn checksum_after(&self, delta: &SessionsDelta) -> u64 {
         let is_full = delta.from == 0;
         let known = |peer: &Peer| {
