--- a/control-plane/src/assignment_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -1,37 +1,38 @@
-//! Which edge owns each assignment: cache partitions and admission controllers.
+//! Choice of the edge that owns each assignment: cache partitions and admission controllers.
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Owned assignments that may be without an owner at a time because a better one is there, so that a join does not
-/// empty the whole ring at once.
+/// Maximum number of assignments that may be without an owner at a time because they move to a preferred edge, so that
+/// a joining edge does not empty the whole ring at once.
 const MAX_CONCURRENT_MOVES: usize = 64;
-/// The weight of an edge on a control node's host is divided by this where admission controllers are planned.
+/// Divisor of the weight of an edge on a control node's host for admission controllers.
 const CONTROL_HOST_WEIGHT_DIVISOR: u32 = 4;
 
-/// Decides which edge shall own each assignment. An assignment with an owner is first revoked; only when that has
-/// settled (every live edge knows, or has fenced itself) is it granted again, under a higher epoch.
+/// Decides which edge owns each assignment. An assignment with an owner is first revoked. Only when the revocation has
+/// settled (every live edge knows it, or has fenced itself) is the assignment granted again, under a higher epoch.
 pub struct AssignmentPlan<'a> {
-    /// Rows of the assignments' partition.
+    /// Rows of the partition of assignments.
     pub rows: &'a BTreeMap<String, Row>,
-    /// The version that has settled.
+    /// Version that has settled.
     pub settled: u64,
     /// Edges that are live.
     pub live: &'a [SessionInfo],
-    /// Whether a quorum reports that an edge has no session.
+    /// Returns true if a quorum reports that an edge has no session.
     pub departed: &'a dyn Fn(Peer) -> bool,
-    /// Whether an edge's process is known to have ended: it cannot come back, so what it owned needs no revoking.
+    /// Returns true if an edge's process is known to have ended: it cannot return, so its assignments need no
+    /// revocation.
     pub ended: &'a dyn Fn(Peer) -> bool,
-    /// Whether a control node is on the same host: its loss would take both.
+    /// Returns true if a control node is on the same host, so that both would be lost together.
     pub on_control_host: &'a dyn Fn(&SessionInfo) -> bool,
-    /// Not all sessions are known yet: only what edges that ended left is granted.
+    /// True if not all sessions are known yet: only the assignments of ended edges are granted.
     pub sessions_incomplete: bool,
 }
 
 impl AssignmentPlan<'_> {
-    /// The rows to write now, of these assignments.
+    /// Returns the rows to write now, of these assignments.
     pub fn next(&self, assignments: &[String]) -> Vec<(String, Assignment)> {
         let mut moves = self.unowned_count();
         let mut planned = Vec::new();
@@ -54,7 +55,7 @@
         self.rows.values().filter(is_unowned).count()
     }
 
-    /// Grants an assignment that has no row yet.
+    /// Returns the first grant of an assignment that has no row yet.
     fn first_grant(&self, preferred: Option<Peer>) -> Option<Assignment> {
         preferred
             .filter(|_| !self.sessions_incomplete)
@@ -65,7 +66,7 @@
             })
     }
 
-    /// Grants a revoked assignment, once its revocation of this version has settled.
+    /// Returns the grant of a revoked assignment, once its revocation with this version has settled.
     fn grant(
         &self,
         revoked: &Assignment,
@@ -80,7 +81,8 @@
         })
     }
 
-    /// Grants what an ended owner left, or revokes what the owner shall not have any more.
+    /// Returns the grant of an ended owner's assignment to another edge, or the revocation of an assignment that its
+    /// owner must give up.
     fn reassign(
         &self,
         name: &str,
@@ -126,7 +128,7 @@
         may_move || self.live.iter().any(is_draining)
     }
 
-    /// The nearest live edge by weighted rendezvous hashing.
+    /// Returns the nearest live edge by weighted rendezvous hashing.
     fn preferred_owner(&self, name: &str) -> Option<Peer> {
         let ring = assignment_ring(name);
         let is_eligible = |session: &&SessionInfo| {
@@ -136,17 +138,18 @@
             |session: &SessionInfo| session.peer.distance(name, self.weight(ring, session));
         let eligible = self.live.iter().filter(is_eligible);
         eligible
-            .min_by(|one, other| {
-                distance(one)
-                    .total_cmp(&distance(other))
-                    .then(one.peer.incarnation.cmp(&other.peer.incarnation))
+            .min_by(|left, right| {
+                distance(left)
+                    .total_cmp(&distance(right))
+                    .then(left.peer.incarnation.cmp(&right.peer.incarnation))
             })
             .map(|session| session.peer)
     }
 
-    /// A cached response goes from its one owner to every edge that requests it, so edges with narrow links own
-    /// next to nothing where wide ones are there. An admission controller is one node's work: the strong ones have
-    /// it, on a control node's host only where others are much weaker.
+    /// Returns the weight of an edge for an assignment. A cached response is sent by its only owner to every edge that
+    /// requests it, so edges with narrow links own few cache partitions where others have wide ones. An admission
+    /// controller is run by a single node, preferably a strong one, and on a control node's host only if all other
+    /// edges are much weaker.
     fn weight(&self, ring: Option<&str>, session: &SessionInfo) -> u32 {
         match ring {
             Some(_) => session.weight.saturating_pow(2),
--- a/control-plane/src/bootstrap.rs
+++ b/control-plane/src/bootstrap.rs
@@ -1,27 +1,27 @@
-//! How a node that is not given the membership table finds it or founds it.
+//! Discovery or founding of the membership table by a node that is not given one.
 
 use crate::prelude::*;
 
-/// How a node that is not given the membership table comes to know it. Invariant: only the first seed makes a
-/// founding table, only while `founding` (the fleet starts for the first time, or again after everything was lost)
-/// and only if nobody is met who has one; the table is on its disk before anybody is sent it.
+/// Discovery or founding of the membership table. Invariant: only the first seed creates a founding table, only while
+/// `founding` (the fleet starts for the first time, or again after everything was lost) and only if no node with a
+/// table is found. The table is on the first seed's disk before any node is sent it.
 #[derive(Debug)]
 pub struct Bootstrap {
-    /// Whether the fleet is being founded.
+    /// True if the fleet is being founded.
     pub founding: bool,
-    /// No fleet was there before this one, so no operation ran.
+    /// True if no fleet existed before this one, so that no operation has run.
     pub first_start: bool,
-    /// How long founding nodes may join before the table is made.
+    /// Time for which founding nodes may join before the table is created.
     join_window: Duration,
     started_at: Option<Duration>,
     /// Founding nodes that requested a slot.
     joiners: BTreeSet<SocketAddr>,
-    /// Another node goes by a table already.
+    /// True if another node already uses a table.
     table_exists: bool,
 }
 
 impl Bootstrap {
-    /// Of a fleet that starts for the first time, if `founding`, or of a node that joins one.
+    /// Returns the bootstrap of a fleet that starts for the first time, if `founding`, or of a node that joins a fleet.
     pub fn new(founding: bool, join_window: Duration) -> Bootstrap {
         Bootstrap {
             founding,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Of a fleet that is founded again after everything was lost: operations of the earlier one may still be
-    /// retried, so its ledger stays closed.
+    /// Returns the bootstrap of a fleet that is founded again after everything was lost: operations of the earlier
+    /// fleet may still be retried, so its ledger stays closed.
     pub fn refounding(join_window: Duration) -> Bootstrap {
         Bootstrap {
             first_start: false,
@@ -42,23 +42,24 @@
         }
     }
 
-    /// This node knows a table: it was there after the founding, whatever its settings still say.
+    /// Ends the founding, regardless of the node's settings: this node knows a table, so it was already part of the
+    /// fleet.
     pub fn end_founding(&mut self) {
         self.founding = false;
         self.first_start = false;
     }
 
-    /// A founding node requested a slot.
+    /// Records the request of a founding node for a slot.
     pub fn add_joiner(&mut self, address: SocketAddr) {
         self.joiners.insert(address);
     }
 
-    /// Another node goes by a table: none is founded here.
+    /// Records that another node uses a table, so that this node founds none.
     pub fn note_existing_table(&mut self) {
         self.table_exists = true;
     }
 
-    /// The founding table, once the join window is over: the seeds in their order, then the joiners by address.
+    /// Returns the founding table, once the join window is over: the seeds in their order, then the joiners by address.
     pub fn founding_table(&mut self, now: Duration, seeds: &[SocketAddr]) -> Option<Vec<Peer>> {
         let started_at = *self.started_at.get_or_insert(now);
         if !self.founding || self.table_exists || now < started_at + self.join_window {
--- a/control-plane/src/history.rs
+++ b/control-plane/src/history.rs
@@ -5,31 +5,32 @@
 
 use crate::prelude::*;
 
-/// Versions that wait for the writer; more are left out.
+/// Maximum number of versions that wait for the writer; further ones are dropped.
 const MAX_QUEUED_VERSIONS: usize = 64;
-/// Name of the one file in each commit.
+/// Name of the only file in each commit.
 const FILE: &str = "configuration.json";
-/// The branch whose newest commit is the parent of the next.
+/// Branch whose newest commit is the parent of the next.
 const BRANCH: &str = "refs/heads/main";
 
-/// Acknowledged configurations in a Git object store: one commit each, with a tag that is its version. A convenience
-/// beside the control state: written by a thread of its own, and nothing waits for it or depends on it.
+/// Store of acknowledged configurations in a Git object store: one commit per version, with a tag named by the version.
+/// It is a convenience in addition to the control state: a separate thread writes it, and no other part waits for it or
+/// depends on it.
 pub struct History {
     store: git2::Repository,
 }
 
-/// Why the history cannot be written or read.
+/// Error when the history is written or read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
     /// No configuration of this version is in the store.
     #[error("version {version} was not kept here: {cause}")]
     UnknownVersion {
-        /// The version that was looked up.
+        /// Requested version.
         version: u64,
-        /// What the store reports.
+        /// Error of the store.
         cause: git2::Error,
     },
-    /// A commit without the configuration's file.
+    /// A commit lacks the configuration's file.
     #[error("no file in it")]
     NoFile,
     /// The object store cannot be read or written.
@@ -38,10 +39,10 @@
 }
 
 impl History {
-    /// Opens the store below a data folder, or makes it.
+    /// Opens or creates the store in a data folder.
     ///
     /// # Errors
-    /// The store can be neither opened nor made.
+    /// The store can be neither opened nor created.
     pub fn open(data: &Path) -> Result<History, HistoryError> {
         let path = data.join("history");
         let store =
@@ -49,7 +50,7 @@
         Ok(History { store })
     }
 
-    /// Starts a thread that stores each version and text sent to it, below a data folder.
+    /// Starts a thread that stores each version and text sent to it, in a data folder.
     pub fn spawn_writer(data: PathBuf) -> Sender<(u64, Arc<str>)> {
         let (sender, receiver) = flume::bounded::<(u64, Arc<str>)>(MAX_QUEUED_VERSIONS);
         thread::spawn(move || {
@@ -68,8 +69,8 @@
         format!("refs/tags/{version}")
     }
 
-    /// Stores a version. One already stored with the same text stays as it is; with another text (the state was
-    /// lost and founded anew) the newer takes its place.
+    /// Stores a version. A version already stored with the same text is not written again; with another text (the state
+    /// was lost and founded again) the newer text replaces it.
     ///
     /// # Errors
     /// The store cannot be written.
@@ -109,7 +110,7 @@
         Ok(self.store.find_commit(id)?.tree()?)
     }
 
-    /// All stored versions, in ascending order.
+    /// Returns all stored versions, in ascending order.
     ///
     /// # Errors
     /// The store cannot be read.
@@ -122,7 +123,7 @@
         Ok(versions)
     }
 
-    /// The text of a version.
+    /// Returns the text of a version.
     ///
     /// # Errors
     /// The version is not stored, or the store cannot be read.
@@ -132,7 +133,7 @@
         Ok(self.store.find_blob(file.id())?.content().to_vec())
     }
 
-    /// Lines that differ between two versions, as a unified diff.
+    /// Returns the lines that differ between two versions, as a unified diff.
     ///
     /// # Errors
     /// A version is not stored, or the store cannot be read.
--- a/control-plane/src/ledger.rs
+++ b/control-plane/src/ledger.rs
@@ -1,16 +1,16 @@
-//! The rules of the operation ledger: claims, their ends, and what a retry finds.
+//! Rules of the operation ledger: claims, their completion, and the outcome of retries.
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// The rules of operations, over the leader of their partition. Each outcome comes with the version that must be
-/// committed before it is sent.
+/// Rules for operations, applied by the leader of their partition. Each outcome is returned with the version that must
+/// be committed before it is sent.
 pub struct Ledger;
 
 impl Ledger {
-    /// Claims an operation for a request, unless it is claimed already.
+    /// Claims an operation for a request, unless it is already claimed.
     pub fn claim(leader: &mut PartitionLeader, claim: Claim) -> (u64, ChangeOutcome) {
         let Some((version, operation)) = Ledger::find(leader, &claim) else {
             return Ledger::begin(leader, claim);
@@ -18,7 +18,7 @@
         let is_own = is_claimed_by(&operation, &claim);
         match operation.state {
             OperationState::Running if is_own => (version, ChangeOutcome::Claimed),
-            // The request gave up before this claim arrived.
+            // The request was given up before this claim arrived.
             OperationState::Released if is_own => (version, ChangeOutcome::Released),
             OperationState::Released => Ledger::begin(leader, claim),
             state => {
@@ -33,8 +33,8 @@
         (version, ChangeOutcome::Claimed)
     }
 
-    /// Ends a claim. A released one leaves its row even where no claim was received, so that a claim still in
-    /// flight finds it given up.
+    /// Completes a claim. A release writes a row even if no claim was received, so that a claim still in flight finds
+    /// it released.
     pub fn finish(
         leader: &mut PartitionLeader,
         claim: Claim,
@@ -54,9 +54,9 @@
                 OperationState::Running | OperationState::Unknown
             );
             let is_retry = is_own && operation.state == state;
-            // A release of a claim that another request owns frees nothing.
-            let frees_nothing = !is_own && is_release;
-            if is_retry || frees_nothing {
+            // A release does not affect a claim that another request owns.
+            let releases_other_claim = !is_own && is_release;
+            if is_retry || releases_other_claim {
                 return (version, outcome);
             }
             if !is_own && !is_released || is_own && !is_open {
@@ -66,14 +66,14 @@
         (Ledger::put(leader, claim, state), outcome)
     }
 
-    /// Whether the outcome of an operation is decided or under way. A released claim shows only that this request
-    /// did not run it: an earlier one may have.
+    /// Returns true if the outcome of an operation is decided or the operation is running. A released claim shows only
+    /// that this request did not run it: an earlier one may have.
     pub fn is_decided(leader: &PartitionLeader, claim: &Claim) -> bool {
         Ledger::find(leader, claim)
             .is_some_and(|(_, operation)| operation.state != OperationState::Released)
     }
 
-    /// The operation's row, with its version.
+    /// Returns the operation's row, with its version.
     fn find(leader: &PartitionLeader, claim: &Claim) -> Option<(u64, Operation)> {
         match leader.rows.get(&claim.operation) {
             Some(Row {
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control plane: replicated partitions and their leaders, membership, sessions of the edges, and what edges are
-//! assigned.
+//! The control plane: replicated partitions and their leaders, membership, sessions of the edges, and the edges'
+//! assignments.
 #![warn(missing_docs, unreachable_pub)]
 
 mod assignment_plan;
--- a/control-plane/src/operator_api.rs
+++ b/control-plane/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of a control node, over HTTP. Its paths, names and texts are stable.
+//! HTTP interface of a control node for operators. Its paths, names and texts are stable.
 
 mod history;
 mod items;
@@ -10,11 +10,11 @@
 use crate::prelude::*;
 use responses::{change_response, invalid, no_reply, outcome_unknown};
 
-/// How long a call waits for its outcome: longer than a front retries.
+/// Maximum time that a call waits for its outcome; longer than a control node retries it.
 const OPERATOR_REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A response, or the one that refuses the request.
-type Refusable<T> = Result<T, rouille::Response>;
+/// Result of handling a request: a value, or the response that refuses the request.
+type HandlerResult<T> = Result<T, rouille::Response>;
 
 inventory::submit!(PlugIn {
     name: "operators",
@@ -27,14 +27,14 @@
     let path = request.raw_url().strip_prefix("/.otterslip/v1/")?;
     Some(match (request.method(), path) {
         ("GET", "configuration") => get_configuration(port),
-        ("PUT", "configuration") => response_or_refusal(put_configuration(port, request)),
-        ("POST", "configuration/check") => response_or_refusal(check_configuration(request)),
-        ("POST", "purges") => response_or_refusal(add_purge(port, request)),
-        ("POST", "ledger/open") => response_or_refusal(open_ledger(port, request)),
+        ("PUT", "configuration") => into_response(put_configuration(port, request)),
+        ("POST", "configuration/check") => into_response(check_configuration(request)),
+        ("POST", "purges") => into_response(add_purge(port, request)),
+        ("POST", "ledger/open") => into_response(open_ledger(port, request)),
         ("GET", "origins") => list(port, ORIGINS_PARTITION, &origins::show),
-        ("PUT", "origins") => response_or_refusal(origins::put(port, request)),
+        ("PUT", "origins") => into_response(origins::put(port, request)),
         ("GET", "items") => items::get(port),
-        ("PATCH", "items") => response_or_refusal(items::put(port, request)),
+        ("PATCH", "items") => into_response(items::put(port, request)),
         ("GET", "duties") => list(port, ASSIGNMENTS_PARTITION, &show_assignments),
         ("GET", "state") => get_state(port),
         ("GET", _) if path == "history" || path.starts_with("history/") => history::get(port, path),
@@ -42,22 +42,22 @@
     })
 }
 
-fn response_or_refusal(result: Refusable<rouille::Response>) -> rouille::Response {
+fn into_response(result: HandlerResult<rouille::Response>) -> rouille::Response {
     result.unwrap_or_else(|refusal| refusal)
 }
 
-/// The request's body as text.
-fn body_text(request: &rouille::Request) -> Refusable<String> {
+/// Returns the request's body as text.
+fn body_text(request: &rouille::Request) -> HandlerResult<String> {
     let bytes = read_body(request, CONFIGURATION_BYTES).map_err(|refusal| refuse(&refusal))?;
     String::from_utf8(bytes).map_err(|_| invalid(&[Finding::new("", "not UTF-8")]))
 }
 
-/// A document of JSON, or a refusal that names what does not read.
-fn parse_json<T: serde::de::DeserializeOwned>(text: &str) -> Refusable<T> {
+/// Parses a JSON document, or returns a refusal that describes the syntax error.
+fn parse_json<T: serde::de::DeserializeOwned>(text: &str) -> HandlerResult<T> {
     serde_json::from_str(text).map_err(|error| invalid(&[Finding::new("", error.to_string())]))
 }
 
-/// Has a change made by the leader of its partition.
+/// Submits a change to the leader of its partition, and waits for the outcome.
 fn submit(port: &Port, partition: u8, change: &Change) -> ChangeOutcome {
     let input = |id| Input::Operator {
         id,
@@ -104,12 +104,12 @@
     }
 }
 
-fn check_configuration(request: &rouille::Request) -> Refusable<rouille::Response> {
+fn check_configuration(request: &rouille::Request) -> HandlerResult<rouille::Response> {
     Configuration::read(&body_text(request)?).map_err(|findings| invalid(&findings))?;
     Ok(json(200, &serde_json::json!({ "valid": true })))
 }
 
-fn put_configuration(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+fn put_configuration(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let text = body_text(request)?;
     Configuration::read(&text).map_err(|findings| invalid(&findings))?;
     let expect = expected_version(request)?;
@@ -122,8 +122,8 @@
     Ok(change_response(outcome))
 }
 
-/// The version that a change is made to replace, if it names one.
-fn expected_version(request: &rouille::Request) -> Refusable<Option<u64>> {
+/// Returns the version that a change expects to replace, if it names one.
+fn expected_version(request: &rouille::Request) -> HandlerResult<Option<u64>> {
     let read = |tag: &str| tag.trim_matches('"').parse();
     let malformed = |_| {
         refuse(&Rejection::not_run(
@@ -139,7 +139,7 @@
         .map_err(malformed)
 }
 
-fn add_purge(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+fn add_purge(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let purge: Purge = parse_json(&body_text(request)?)?;
     let findings = purge.findings();
     if !findings.is_empty() {
@@ -150,16 +150,18 @@
     Ok(change_response(outcome))
 }
 
-/// What an operator vouches for of a generation: nothing that may be retried ran before.
+/// Body of a request to open the ledger, by which an operator confirms that no operation that may be retried ran before
+/// this generation.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OpenLedger {
-    /// As `state` shows it, so that nobody opens another one by habit.
+    /// Generation as shown by `state`; required so that an operator does not open the ledger of another generation by
+    /// mistake.
     #[serde(rename = "realm")]
     generation: String,
 }
 
-fn open_ledger(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+fn open_ledger(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let open: OpenLedger = parse_json(&body_text(request)?)?;
     let generation = u64::from_str_radix(&open.generation, 16).map_err(|_| {
         let text = "must be 16 hexadecimal digits, as state shows it";
@@ -170,9 +172,9 @@
     Ok(change_response(outcome))
 }
 
-/// The id of a change. One that replaces a given version is the same change when it is retried, at whatever node:
-/// that version stands once only. Without a version, the same content is another change each time.
-fn change_id(expect: Option<u64>, content: &str) -> Refusable<u64> {
+/// Returns the id of a change. A change that replaces a given version has the same id when it is retried, at any node,
+/// since that version is current only once. Without a version, the same content is another change each time.
+fn change_id(expect: Option<u64>, content: &str) -> HandlerResult<u64> {
     match expect {
         Some(version) => Ok(idempotent_change_id(version, content)),
         None => new_change_id(),
@@ -187,14 +189,14 @@
     u64::from_be_bytes(hash[..8].try_into().expect("eight bytes"))
 }
 
-fn new_change_id() -> Refusable<u64> {
+fn new_change_id() -> HandlerResult<u64> {
     new_incarnation().map_err(|error| {
         let text = error.to_string();
         refuse(&Rejection::not_run(500, "no_randomness", &text))
     })
 }
 
-/// Shows the rows of a partition.
+/// Returns a response with the rows of a partition.
 fn list(
     port: &Port,
     partition: u8,
--- a/control-plane/src/operator_api/history.rs
+++ b/control-plane/src/operator_api/history.rs
@@ -1,8 +1,8 @@
-//! The configurations that this node has stored.
+//! Requests for the configurations stored on this node.
 
 use crate::prelude::*;
 
-/// Why no stored configuration is shown.
+/// Reason why no stored configuration is shown.
 #[derive(Debug, thiserror::Error)]
 enum NotShown {
     #[error("no data folder")]
@@ -13,7 +13,7 @@
     History(#[from] HistoryError),
 }
 
-/// All versions, the text of one, or the difference of two.
+/// Returns all versions, the text of one, or the difference of two.
 pub(super) fn get(port: &Port, path: &str) -> rouille::Response {
     let data = port.startup.data.as_deref();
     show(data, path).unwrap_or_else(|error| {
--- a/control-plane/src/operator_api/items.rs
+++ b/control-plane/src/operator_api/items.rs
@@ -1,21 +1,21 @@
-//! Items of the configuration: single orders to set or remove them, and those that stand.
+//! Requests for items of the configuration: to set or remove single items, and to list the current ones.
 
 use super::responses::{change_response, invalid, no_reply};
-use super::{Refusable, body_text, submit};
+use super::{HandlerResult, body_text, submit};
 use crate::prelude::*;
 
-/// An item as operators send it.
+/// Item as sent by operators.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SentItem {
     kind: ItemKind,
     name: String,
     revision: u64,
-    /// Null: it is removed. It must be given.
+    /// Content of the item; required. Null removes the item.
     value: Box<RawValue>,
 }
 
-/// An item as operators are shown it.
+/// Item as shown to operators.
 #[derive(Serialize)]
 struct ShownItem {
     kind: ItemKind,
@@ -24,7 +24,7 @@
     value: Box<RawValue>,
 }
 
-/// All items that stand.
+/// All current items.
 #[derive(Serialize)]
 struct ShownItems {
     version: u64,
@@ -46,7 +46,7 @@
 }
 
 impl ShownItem {
-    /// The row's item, unless the row is another's or the item was removed.
+    /// Returns the row's item, unless the row holds something else or the item was removed.
     fn of_row(row: Row) -> Option<serde_json::Result<ShownItem>> {
         let Value::Item(Item {
             kind,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The items of a call, or all that is wrong with each by itself.
+/// Parses the items of a call, or returns the findings in each single item.
 pub(super) fn parse_items(body: &str) -> Result<Vec<Item>, Vec<Finding>> {
     let sent: Vec<Box<RawValue>> =
         serde_json::from_str(body).map_err(|error| vec![Finding::new("", error.to_string())])?;
@@ -91,19 +91,20 @@
     }
 }
 
-/// A finding in one element of a list.
+/// Returns a finding with its place in an element of a list.
 pub(super) fn finding_at(at: usize, finding: Finding) -> Finding {
     Finding::new(format!("/{at}{}", finding.place), finding.text)
 }
 
-pub(super) fn put(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+pub(super) fn put(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let items = parse_items(&body_text(request)?).map_err(|findings| invalid(&findings))?;
     let change = Change::PutItems { items };
     let outcome = submit(port, CONFIGURATION_PARTITION, &change);
     Ok(change_response(outcome))
 }
 
-/// Those that stand, each byte for byte; of those sent in another form than the product's, what was read from them.
+/// Returns the current items, each byte for byte. For items sent in another form than this program's own, the value is
+/// the one read from that form.
 pub(super) fn get(port: &Port) -> rouille::Response {
     let (version, rows) = match submit(port, CONFIGURATION_PARTITION, &Change::List) {
         ChangeOutcome::Rows { version, rows } => (version, rows),
--- a/control-plane/src/operator_api/origins.rs
+++ b/control-plane/src/operator_api/origins.rs
@@ -1,14 +1,14 @@
-//! The list of origins, which is replaced as a unit.
+//! Requests for the list of origins, which is replaced as a unit.
 
 use super::items::finding_at;
 use super::responses::{change_response, invalid};
-use super::{Refusable, body_text, change_id, expected_version, parse_json, submit};
+use super::{HandlerResult, body_text, change_id, expected_version, parse_json, submit};
 use crate::prelude::*;
 
-/// The most origins that a list may hold.
+/// Maximum number of origins in a list.
 const MAX_LISTED_ORIGINS: usize = 1000;
 
-pub(super) fn put(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+pub(super) fn put(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let text = body_text(request)?;
     let elements: Vec<serde_json::Value> = parse_json(&text)?;
     let origins = parse_origins(elements).map_err(|findings| invalid(&findings))?;
@@ -23,7 +23,7 @@
     Ok(change_response(outcome))
 }
 
-/// The origins, or all that is wrong with the list.
+/// Parses the origins, or returns all findings in the list.
 fn parse_origins(elements: Vec<serde_json::Value>) -> Result<Vec<Origin>, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut origins: Vec<Origin> = Vec::new();
--- a/control-plane/src/operator_api/responses.rs
+++ b/control-plane/src/operator_api/responses.rs
@@ -1,11 +1,11 @@
-//! Responses to operators by the outcome of their changes.
+//! Responses to operators, by the outcome of their changes.
 
 use crate::prelude::*;
 
-/// When a caller may retry at an isolated node.
+/// Time after which a caller may retry at an isolated node.
 const NO_MAJORITY_RETRY: Duration = Duration::from_secs(1);
 
-/// No outcome came from the leader in time.
+/// Returns the rejection of a call without an outcome from the leader in time.
 pub(super) fn outcome_unknown() -> Rejection {
     Rejection::unknown(
         503,
@@ -14,13 +14,13 @@
     )
 }
 
-/// The node that was called is isolated: it neither did anything nor can it know what is in force.
+/// Returns the rejection of a call to an isolated node: the node did nothing, and does not know the current state.
 fn no_majority() -> Rejection {
     let text = "this node is not in contact with a majority; ask another one";
     Rejection::not_run(503, "no_majority", text).with_retry_after(NO_MAJORITY_RETRY)
 }
 
-/// Refuses a request for what is wrong in it.
+/// Returns the response to an invalid request, with its findings.
 pub(super) fn invalid(findings: &[Finding]) -> rouille::Response {
     let body = serde_json::json!({
         "code": "invalid",
@@ -31,7 +31,7 @@
     json(422, &body)
 }
 
-/// The response where the leader sent no reply.
+/// Returns the response to a call without a reply from the leader.
 pub(super) fn no_reply(outcome: &ChangeOutcome) -> rouille::Response {
     match outcome {
         ChangeOutcome::NoMajority => refuse(&no_majority()),
@@ -39,7 +39,7 @@
     }
 }
 
-/// The response to a change.
+/// Returns the response to a change.
 pub(super) fn change_response(outcome: ChangeOutcome) -> rouille::Response {
     match outcome {
         ChangeOutcome::Acknowledged { version } => {
@@ -64,7 +64,7 @@
     json(409, &body)
 }
 
-/// Names the items whose revision was accepted with another content.
+/// Returns the response that lists the items whose revision was accepted with different content.
 fn revision_conflict(findings: &[Finding]) -> rouille::Response {
     let body = serde_json::json!({
         "code": "revision_conflict",
@@ -75,7 +75,7 @@
     json(409, &body)
 }
 
-/// Names the items whose revision is below all that is remembered.
+/// Returns the response that lists the items whose revision is older than all remembered ones.
 fn revision_forgotten(findings: &[Finding]) -> rouille::Response {
     let body = serde_json::json!({
         "code": "revision_forgotten",
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -1,5 +1,5 @@
-//! Leadership of one partition under one epoch: adopting a state from a quorum, writing rows, and counting what
-//! replicas acknowledged.
+//! Leadership of one partition under one epoch: adoption of a state from a quorum, writes of rows, and evaluation of
+//! the replicas' acknowledgements.
 
 mod known_rows;
 mod messages;
@@ -11,44 +11,44 @@
 pub use known_rows::EdgeRegistry;
 use replica_progress::{InFlight, ReplicaProgress};
 
-/// How long replicas that have not promised yet are given, in time since the epoch became active, before they are
-/// sent the full state.
+/// Time since the epoch became active after which replicas that have not promised yet are sent the full state.
 pub const PREPARE_REPLY_GRACE: Duration = Duration::from_millis(200);
-/// Removed keys retained for replicas that lag; replicas behind the oldest of them get the full state.
+/// Maximum number of removed keys retained for replicas that lag; replicas behind the oldest of them are sent the full
+/// state.
 const MAX_REMOVED_KEYS: usize = 4096;
 
-/// The leader of one partition, for one epoch. Invariants:
-/// - All acknowledgements are counted by one membership table: another table needs another leader, under an epoch
+/// Leader of one partition, for one epoch. Invariants:
+/// - All acknowledgements are counted by one membership table. Another table requires another leader, under an epoch
 ///   that was promised by that table.
-/// - Until a quorum promised the epoch and holds the adopted state under it, nothing is served from `rows`.
+/// - Until a quorum promised the epoch and holds the adopted state under it, no request is served from `rows`.
 /// - `version` rises by one with each row put or removed.
-/// - A replica's `synced_version` counts only what it synced under this epoch.
-/// - `published` never exceeds what a quorum of replicas holds.
+/// - A replica's `synced_version` includes only what it synced under this epoch.
+/// - `published` never exceeds the version that a quorum of replicas holds.
 #[derive(Debug, Clone)]
 pub struct PartitionLeader {
-    /// The partition that is led.
+    /// Partition that is led.
     pub partition: u8,
-    /// The epoch under which it is led; unique to this leader.
+    /// Epoch under which it is led; unique to this leader.
     pub epoch: u64,
-    /// The partition's rows by key, the uncommitted ones included.
+    /// Rows of the partition by key, including uncommitted ones.
     pub rows: BTreeMap<String, Row>,
     /// Version of the newest change to `rows`.
     pub version: u64,
-    /// Highest version known to be on a quorum of replicas, and so fit to be shown to edges.
+    /// Highest version known to be on a quorum of replicas, up to which rows may be shown to edges.
     published: u64,
-    /// Keys by the version that removed them.
+    /// Removed keys, by the version that removed them.
     removed_keys: BTreeMap<u64, String>,
-    /// Replicas behind this version need the full state.
+    /// Version below which replicas need the full state.
     full_state_floor: u64,
-    /// Number of the newest round; each append carries the one it was sent in.
+    /// Number of the newest round; each append contains the round in which it was sent.
     round: u64,
-    /// When promises were last requested.
+    /// Time of the last requests for promises.
     last_prepare: Option<Duration>,
-    /// When a tick last began a round.
+    /// Time when a tick last began a round.
     last_tick_round: Duration,
     /// Promises received while the epoch is not active, by slot.
     prepared: BTreeMap<u8, PreparedState>,
-    /// What the node's own disk held when the epoch was begun.
+    /// State of the node's own disk when the epoch was begun.
     local_state: PartitionState,
     /// Id of the state that was adopted.
     adopted_state: StateId,
@@ -57,16 +57,16 @@
     /// Progress of each slot of the membership table that the epoch was begun under.
     replicas: Vec<ReplicaProgress>,
     quorum: Quorum,
-    /// Version of that table.
+    /// Version of the membership table.
     membership_version: u64,
-    /// When a quorum had promised the epoch; none before.
+    /// Time when a quorum had promised the epoch; none before.
     pub active_since: Option<Duration>,
-    /// Until then nothing is served: edges may hold rows that were lost here.
+    /// End of the recall period, before which no request is served: edges may hold rows that were lost by the disks.
     pub recall_until: Option<Duration>,
 }
 
 impl PartitionLeader {
-    /// A candidate for the partition, by a membership table of so many slots and this version.
+    /// Creates a candidate for the partition, by a membership table with this number of slots and this version.
     pub fn new(
         partition: u8,
         epoch: u64,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Names what the node's own disk holds: replicas that hold nothing newer need not send their state.
+    /// Sets the state of the node's own disk: replicas that hold nothing newer need not send their state.
     pub fn with_local_state(self, local_state: PartitionState) -> PartitionLeader {
         PartitionLeader {
             local_state,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A slot promised the epoch and reported its state.
+    /// Handles a slot's promise of the epoch and the state that it reported.
     pub fn on_prepare_reply(&mut self, now: Duration, slot: u8, state: PreparedState) {
         self.prepared_states.insert(slot, state.id());
         if self.active_since.is_some() {
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The state with the highest id of a quorum holds all that was ever acknowledged. The node's own state counts
-    /// beside it: a replica that sent no rows holds nothing newer.
+    /// Adopts the state with the highest id of a quorum, which holds everything that was ever acknowledged. The node's
+    /// own state is included in addition: a replica that sent no rows holds nothing newer.
     fn adopt_newest_state(&mut self, now: Duration) {
         let prepared = std::mem::take(&mut self.prepared);
         let published = prepared.values().map(PreparedState::published).max();
@@ -130,7 +130,7 @@
         let newest = newer_states
             .chain([local_state])
             .max_by_key(PartitionState::id)
-            .expect("the local state is always there");
+            .expect("the local state is always included");
         self.adopted_state = newest.id();
         self.version = newest.version;
         self.full_state_floor = newest.version;
@@ -138,23 +138,23 @@
         self.active_since = Some(now);
     }
 
-    /// Whether requests may be served: a quorum holds the adopted state under this epoch.
+    /// Returns true if requests may be served: a quorum holds the adopted state under this epoch.
     pub fn ready(&self) -> bool {
         let holds_state = |replica: &&ReplicaProgress| replica.synced_version.is_some();
         self.replicas.iter().filter(holds_state).count() >= self.quorum.majority()
     }
 
-    /// Whether rows may be read and changed: the leader is ready, and rows that edges may hold were recalled.
+    /// Returns true if rows may be read and changed: the leader is ready, and rows that edges may hold were recalled.
     pub fn is_serving(&self) -> bool {
         self.ready() && self.recall_until.is_none()
     }
 
-    /// Merges rows that an edge was shown up to `version`, where they are newer than the leader's. Returns how many
-    /// were.
+    /// Merges rows that an edge was shown up to `version`, where they are newer than the leader's. Returns the number
+    /// of rows merged.
     pub fn merge_recalled_rows(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
         let mut newer = 0;
         for (key, row) in rows {
-            // The generation of the lost state is not this one's.
+            // The generation of the lost state differs from the current one.
             let is_generation = matches!(row.value, Value::Founded { .. });
             let known = self.rows.get(&key);
             if !is_generation && known.is_none_or(|known| known.version < row.version) {
@@ -163,7 +163,7 @@
             }
         }
         self.version = self.version.max(version);
-        // Their versions may lie below what replicas hold: all replicas get the full state.
+        // Their versions may be below those that replicas hold, so all replicas are sent the full state.
         self.full_state_floor = self.version;
         for replica in &mut self.replicas {
             replica.synced_version = None;
@@ -179,7 +179,7 @@
         version
     }
 
-    /// Removes a row, if it is there.
+    /// Removes a row, if it exists.
     pub fn remove_row(&mut self, key: &str) {
         if self.rows.remove(key).is_some() {
             self.version += 1;
@@ -190,14 +190,14 @@
         }
     }
 
-    /// The highest value that a quorum of replicas has reached.
+    /// Returns the highest value that a quorum of replicas has reached.
     fn reached_by_quorum(&self, value_of: fn(&ReplicaProgress) -> u64) -> u64 {
         let mut values: Vec<u64> = self.replicas.iter().map(value_of).collect();
         values.sort_unstable();
         values[values.len() - self.quorum.majority()]
     }
 
-    /// The version up to which rows are on a quorum of disks; 0 while the leader is not ready.
+    /// Returns the version up to which rows are on a quorum of disks; 0 while the leader is not ready.
     pub fn committed(&self) -> u64 {
         if self.ready() {
             self.reached_by_quorum(|replica| replica.synced_version.unwrap_or(0))
@@ -206,18 +206,18 @@
         }
     }
 
-    /// The version that every live edge has confirmed: at a quorum of nodes every session had confirmed it when
-    /// that node replied, and later sessions get it first.
+    /// Returns the version that every live edge has confirmed: at a quorum of nodes every session had confirmed it when
+    /// that node replied, and later sessions receive it first.
     pub fn settled(&self) -> u64 {
         self.reached_by_quorum(|replica| replica.sessions_confirmed)
     }
 
-    /// The newest round that a quorum replied to: no other leader had taken over when it was sent.
+    /// Returns the newest round that a quorum replied to: no other leader had taken over when it was sent.
     pub fn confirmed_round(&self) -> u64 {
         self.reached_by_quorum(|replica| replica.confirmed_round)
     }
 
-    /// A slot synced what an append brought.
+    /// Handles a slot's acknowledgement of an append.
     pub fn on_append_reply(&mut self, slot: u8, reply: &AppendReply) {
         let Some(replica) = self.replicas.get_mut(usize::from(slot)) else {
             return;
@@ -227,7 +227,7 @@
         self.published = self.published.max(committed);
     }
 
-    /// Drops all that this slot acknowledged: its disk is another, or does not hold what was assumed.
+    /// Drops all acknowledgements of this slot: its disk was replaced, or lacks rows it was assumed to hold.
     pub fn reset_replica(&mut self, slot: u8) {
         self.prepared.remove(&slot);
         self.prepared_states.remove(&slot);
@@ -236,12 +236,13 @@
         }
     }
 
-    /// The membership table got another version with the same members.
+    /// Sets the version of the membership table after a change that kept its members.
     pub fn set_membership_version(&mut self, membership_version: u64) {
         self.membership_version = membership_version;
     }
 
-    /// Begins a round. A read begun now may be served once `confirmed_round` has reached the returned number.
+    /// Begins a round and returns its number. A read begun now may be served once `confirmed_round` has reached that
+    /// number.
     pub fn begin_read_round(&mut self) -> u64 {
         self.round += 1;
         self.round
--- a/control-plane/src/partition_leader/known_rows.rs
+++ b/control-plane/src/partition_leader/known_rows.rs
@@ -1,8 +1,8 @@
-//! Rows of fixed keys in a leader's partition, by their types.
+//! Typed access to rows with fixed keys in a leader's partition.
 
 use super::*;
 
-/// Key of the row that remembers the changes applied to the partition's one row that is replaced as a unit.
+/// Key of the row that lists the changes applied to the partition's one row that is replaced as a unit.
 const APPLIED_KEY: &str = "applied";
 
 /// Edges that may hold rows and operations of the fleet, as recorded by the leader of the assignments.
@@ -10,15 +10,15 @@
 pub struct EdgeRegistry {
     /// Edges with a session, or whose departure is not known by a quorum.
     pub members: Vec<Peer>,
-    /// Edges that departed within the time in which they may come back.
+    /// Edges that departed recently enough that they may return.
     pub departed: Vec<Peer>,
-    /// Whether the operation ledger was complete when this was written.
+    /// True if the operation ledger was complete when this was written.
     pub complete: bool,
 }
 
 impl PartitionLeader {
-    /// Changes applied to the partition's row that is replaced as a unit. They are a row of their own beside it:
-    /// on disk, on all replicas, and adopted with the rest.
+    /// Returns the changes applied to the partition's row that is replaced as a unit. They are a separate row: stored
+    /// on disk, replicated, and adopted with the other rows.
     pub fn applied_changes(&self) -> AppliedChanges {
         match self.rows.get(APPLIED_KEY) {
             Some(Row {
@@ -29,9 +29,10 @@
         }
     }
 
-    /// The version under which a change was applied to the row of this key, if it is remembered.
+    /// Returns the version under which a change was applied to the row of this key, if it is remembered.
     pub fn applied_version(&self, key: &str, change: u64) -> Option<u64> {
-        // The row itself names its change: after a loss it may have come from edges, without the memory.
+        // The row itself contains the id of its change: after a loss it may have been recalled from edges, without the
+        // list of applied changes.
         let current = self.rows.get(key).filter(|row| match &row.value {
             Value::Configuration { change: known, .. } | Value::Origins { change: known, .. } => {
                 *known == change
@@ -43,8 +44,8 @@
             .or_else(|| self.applied_changes().version_of(change))
     }
 
-    /// Replaces a row as a unit and remembers the change. Returns the row's version. The memory goes first: a
-    /// replica that has the row has the memory too.
+    /// Replaces a row as a unit and records the change. Returns the row's version. The list of applied changes is
+    /// written first, so that a replica that has the row also has the list.
     pub fn apply_change(&mut self, key: &str, value: Value, change: u64) -> u64 {
         let mut applied = self.applied_changes();
         applied.remember(change, self.version + 2);
@@ -52,7 +53,7 @@
         self.put(key.into(), value)
     }
 
-    /// Edges that may claim operations.
+    /// Returns the edges that may claim operations.
     pub fn enrolled(&self) -> Vec<Peer> {
         match self.rows.get("enrolled") {
             Some(Row {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The generation whose ledger is open, that is, known to be complete; 0 if none is.
+    /// Returns the generation whose ledger is open, that is, known to be complete; 0 if none is.
     pub fn opened_generation(&self) -> u64 {
         match self.rows.get("opened") {
             Some(Row {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The edge registry, in the partition that holds it.
+    /// Returns the edge registry, in the partition that holds it.
     pub fn edge_registry(&self) -> Option<EdgeRegistry> {
         match self.rows.get("roll") {
             Some(Row {
--- a/control-plane/src/partition_leader/messages.rs
+++ b/control-plane/src/partition_leader/messages.rs
@@ -1,21 +1,21 @@
-//! What a leader sends to its replicas, and when.
+//! Messages of a leader to its replicas, and their schedule.
 
 use super::*;
 
-/// An append without a reply is sent again after this, and after so much more for each row in it: one that is
-/// still on its way is not queued behind itself.
+/// Time after which an append without a reply is sent again, with the addition for each row in it, so that an append
+/// still in transit is not queued behind itself.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 const RESEND_INTERVAL_PER_ROW: Duration = Duration::from_millis(2);
-/// The longest that an append waits for its reply, however many rows it carries.
+/// Maximum time that an append waits for its reply, regardless of the number of its rows.
 const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(3);
-/// Between requests for promises. The replies bring full states: requested too often, they delay each other.
+/// Interval between requests for promises. The replies contain full states: requested too often, they delay each other.
 const PREPARE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// Between the rounds that ticks begin in a partition that is not published to edges.
+/// Interval between the rounds that ticks begin in a partition that is not published to edges.
 const LEDGER_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 impl PartitionLeader {
-    /// Messages due now, by slot. On a tick every replica gets a round; otherwise only those that lack something,
-    /// one message at a time: what gathers while one is in flight goes together in the next.
+    /// Returns the messages due now, by slot. On a tick every replica is sent a round; otherwise only those that lack
+    /// something, one message at a time: changes made while one is in flight are sent together in the next.
     pub fn due_messages(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
         if self.active_since.is_none() {
             return self.due_prepares(now, tick);
@@ -36,7 +36,7 @@
         messages
     }
 
-    /// Requests for promises to the slots that have not replied.
+    /// Returns requests for promises to the slots that have not replied.
     fn due_prepares(&mut self, now: Duration, tick: bool) -> Vec<(u8, Message)> {
         let is_due = |last: Duration| now >= last + PREPARE_RETRY_INTERVAL;
         if !tick || !self.last_prepare.is_none_or(is_due) {
@@ -59,8 +59,8 @@
         self.partition < PUBLISHED_PARTITIONS
     }
 
-    /// What edges are not shown needs no settling: its rounds are rare, and that a row is on a quorum goes along
-    /// with the next.
+    /// Returns true if a tick begins a round now. Partitions that edges are not shown need no settling, so their rounds
+    /// are rare, and replicas learn that a row is on a quorum with the next append.
     fn is_tick_round_due(&self, now: Duration) -> bool {
         self.is_published() || now >= self.last_tick_round + LEDGER_ROUND_INTERVAL
     }
@@ -72,11 +72,11 @@
             .is_none_or(|version| version < self.version);
         let lacks_published = self.is_published() && replica.sent_published < self.published;
         let lacks_round = replica.confirmed_round < self.round;
-        let is_wanted = begins_round || lacks_rows || lacks_published || lacks_round;
-        is_wanted && !replica.awaits_reply(now) && !self.awaits_prepare_reply(now, slot)
+        let is_needed = begins_round || lacks_rows || lacks_published || lacks_round;
+        is_needed && !replica.awaits_reply(now) && !self.awaits_prepare_reply(now, slot)
     }
 
-    /// All that the replica in this slot lacks, as far as known here.
+    /// Returns an append with everything that the replica in this slot lacks, to this leader's knowledge.
     fn append_for(&self, slot: u8) -> AppendRequest {
         let replica = &self.replicas[usize::from(slot)];
         let base = self.delta_base(slot);
@@ -127,8 +127,8 @@
         replica.sent_published = self.published;
     }
 
-    /// The ledger state that this disk held when it promised, if rows can be added to it. Its first
-    /// acknowledgement under this epoch takes its place.
+    /// Returns the ledger state that this disk held when it promised, if rows can be added to it. The disk's first
+    /// acknowledgement under this epoch replaces it.
     fn delta_base(&self, slot: u8) -> Option<StateId> {
         let is_unknown = self.replicas[usize::from(slot)].synced_version.is_none();
         self.prepared_states.get(&slot).copied().filter(|base| {
@@ -140,7 +140,7 @@
         })
     }
 
-    /// Whether this disk may still report what it holds, so that it need not be sent the full ledger.
+    /// Returns true if this disk may still report its state, so that it need not be sent the full ledger.
     fn awaits_prepare_reply(&self, now: Duration, slot: u8) -> bool {
         let in_grace = |since: Duration| now < since + PREPARE_REPLY_GRACE;
         let is_unknown = self.replicas[usize::from(slot)].synced_version.is_none();
--- a/control-plane/src/partition_leader/replica_progress.rs
+++ b/control-plane/src/partition_leader/replica_progress.rs
@@ -1,33 +1,33 @@
-//! What a leader knows of the replica on one disk.
+//! Replication progress of one replica, as its leader knows it.
 
 use crate::prelude::*;
 
-/// How far the replica in one slot has followed the leader, under the leader's epoch.
+/// Replication progress of the replica in one slot, under the leader's epoch.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReplicaProgress {
-    /// The version up to which its disk holds the leader's rows; none until it synced the first append.
+    /// Version up to which its disk holds the leader's rows; none until it synced the first append.
     pub(super) synced_version: Option<u64>,
-    /// The published version that it was last sent.
+    /// Published version that it was last sent.
     pub(super) sent_published: u64,
-    /// The newest round that it replied to.
+    /// Newest round that it replied to.
     pub(super) confirmed_round: u64,
-    /// The version that all sessions at its node have confirmed.
+    /// Version that all sessions at its node have confirmed.
     pub(super) sessions_confirmed: u64,
-    /// The append that it has not replied to.
+    /// Append that it has not replied to.
     pub(super) in_flight: Option<InFlight>,
 }
 
-/// An append without a reply.
+/// Append without a reply.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InFlight {
-    /// The round it was sent in.
+    /// Round in which it was sent.
     pub(super) round: u64,
-    /// When the next append may be sent even without a reply.
+    /// Time from which the next append may be sent even without a reply.
     pub(super) resend_at: Duration,
 }
 
 impl ReplicaProgress {
-    /// Counts a reply. Replies may arrive late and in any order, so nothing goes back.
+    /// Records a reply. Replies may arrive late and in any order, so no value decreases.
     pub(super) fn on_append_reply(&mut self, reply: &AppendReply) {
         if self
             .in_flight
@@ -42,7 +42,7 @@
         self.sessions_confirmed = self.sessions_confirmed.max(sessions_confirmed);
     }
 
-    /// Whether an append is in flight that should not be sent again yet.
+    /// Returns true if an append is in flight that should not be sent again yet.
     pub(super) fn awaits_reply(&self, now: Duration) -> bool {
         self.in_flight.is_some_and(|append| now < append.resend_at)
     }
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -1,4 +1,4 @@
-//! What one disk holds, and how its log is read back.
+//! The state of one disk, and replay of its log.
 
 mod partition;
 mod record;
@@ -9,39 +9,40 @@
 pub use partition::{ReplicaPartition, UnpublishedRows};
 pub use record::Record;
 
-/// Retired incarnations that are remembered: disks are lost rarely, and what an earlier one acknowledged is counted
-/// within seconds or never.
+/// Maximum number of retired incarnations that are remembered: disks are lost rarely, and acknowledgements of an
+/// earlier disk are counted within seconds or never.
 pub const MAX_RETIRED_INCARNATIONS: usize = 32;
 
-/// What one disk holds. All changes go through `apply`, while the node runs and when the log is read back.
+/// State of one disk. All changes are made by `apply`, both while the node runs and when the log is replayed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// The disk's own number, drawn when it was blank.
+    /// Random number that identifies the disk, drawn when it was blank.
     pub incarnation: u64,
-    /// Whether the disk counts toward quorums: it was recovered since it was blank.
+    /// True if the disk is included in quorums: it was recovered since it was blank.
     pub full: bool,
-    /// Its slot went to another node: it counts for nothing, for good.
+    /// True if its slot was assigned to another node: it is excluded from quorums for good.
     pub removed: bool,
-    /// The generation that may have lost something when this disk was recovered; 0 if none. Of any two disks one
-    /// knows, until the next generation is founded.
+    /// Generation that may have lost rows when this disk was recovered; 0 if none. Of any two disks at least one
+    /// records the loss, until the next generation is founded.
     pub lost_generation: u64,
-    /// A membership table received from others; the published one is preferred if it is as new.
+    /// Membership table received from others; the published one is preferred if it is at least as new.
     pub known_table: Option<MembershipTable>,
-    /// The first disk of its slot: it was there when the table was founded, and nothing was acknowledged before.
+    /// True if this is the first disk of its slot: it existed when the table was founded, and nothing was acknowledged
+    /// before.
     pub founding: bool,
-    /// Incarnations of slots that count for nothing any more, the latest last.
+    /// Retired incarnations of slots, the latest last.
     pub retired: VecDeque<u64>,
-    /// All partitions, by their numbers.
+    /// All partitions, indexed by their numbers.
     pub partitions: Vec<ReplicaPartition>,
 }
 
-/// The log holds a record that is not one of this program's.
+/// Error for a record in the log that cannot be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("record does not read")]
+#[error("record cannot be decoded")]
 pub struct ReplayError(#[from] bincode::Error);
 
 impl Replica {
-    /// An empty disk with this incarnation.
+    /// Returns the state of an empty disk with this incarnation.
     pub fn blank(incarnation: u64) -> Replica {
         Replica {
             incarnation,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// What a removed disk starts over with: a new incarnation, which holds nothing but the table that removed it.
+    /// Returns the state with which a removed disk starts again: a new incarnation that holds only the table that
+    /// removed it.
     pub fn for_rejoin(&self, incarnation: u64) -> Replica {
         Replica {
             known_table: self.newest_table(),
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Reads a log back. None if it names no incarnation: the disk is blank.
+    /// Replays a log. None if it contains no incarnation: the disk is blank.
     ///
     /// # Errors
     /// A record that cannot be decoded.
@@ -70,7 +72,7 @@
         Ok((replica.incarnation != 0).then_some(replica))
     }
 
-    /// The partition of this number.
+    /// Returns the partition with this number.
     pub fn partition(&self, partition: u8) -> &ReplicaPartition {
         &self.partitions[usize::from(partition)]
     }
@@ -126,7 +128,7 @@
         self.lost_generation = if majority_lost { self.generation() } else { 0 };
     }
 
-    /// All partitions, as another disk needs them to recover.
+    /// Returns snapshots of all partitions, for the recovery of another disk.
     pub fn snapshot(&self) -> Vec<PartitionSnapshot> {
         let numbered = (0u8..).zip(&self.partitions);
         numbered
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// Published rows that an edge lacks that knows the partitions up to these versions.
+    /// Returns the published rows that an edge with these versions of the partitions lacks.
     pub fn updates(&self, version_vector: &[u64]) -> Vec<PartitionUpdate> {
         let known_version = |number: u8| version_vector.get(usize::from(number)).copied();
         (0..PUBLISHED_PARTITIONS)
@@ -150,7 +152,7 @@
         Some(&row.value)
     }
 
-    /// The generation, as far as it is published here; 0 before the founding.
+    /// Returns the generation published on this node; 0 before the founding.
     pub fn generation(&self) -> u64 {
         match self.published_row(CONFIGURATION_PARTITION, "founded") {
             Some(Value::Founded { generation }) => *generation,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// The generation whose ledger is published to be complete; 0 if none is.
+    /// Returns the generation whose ledger is published as complete; 0 if none is.
     pub fn opened_generation(&self) -> u64 {
         match self.published_row(ASSIGNMENTS_PARTITION, "opened") {
             Some(Value::Opened { generation }) => *generation,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Whether an edge may claim operations: its loss would be noticed.
+    /// Returns true if an edge may claim operations: only the loss of enrolled edges is detected.
     pub fn is_enrolled(&self, peer: &Peer) -> bool {
         match self.published_row(ASSIGNMENTS_PARTITION, "enrolled") {
             Some(Value::Enrolled { members }) => members.contains(peer),
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The newest membership table known here, if any is.
+    /// Returns the newest membership table known on this node, if any is.
     pub fn newest_table(&self) -> Option<MembershipTable> {
         let published = self.published_table();
         let is_newer = |known: &&MembershipTable| {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// The membership table as it is published to edges, if it is.
+    /// Returns the membership table published to edges, if one is.
     pub fn published_table(&self) -> Option<MembershipTable> {
         let rows = &self.partition(MEMBERSHIP_PARTITION).published_rows;
         rows.values().find_map(|row| match &row.value {
@@ -200,7 +202,7 @@
         })
     }
 
-    /// The published configuration and its version.
+    /// Returns the published configuration and its version.
     pub fn configuration(&self) -> Option<(u64, Arc<str>)> {
         let rows = &self.partition(CONFIGURATION_PARTITION).published_rows;
         rows.values().find_map(|row| match &row.value {
--- a/control-plane/src/replica/partition.rs
+++ b/control-plane/src/replica/partition.rs
@@ -1,38 +1,36 @@
-//! One partition on one disk: what is accepted, and what of it is published to edges.
+//! One partition on one disk: acceptance of appends, and publication of rows to edges.
 
 use crate::prelude::*;
 
-/// One partition on one disk. Invariants:
-/// - `promised_epoch` never goes down, and nothing under a lower epoch is accepted.
+/// State of one partition on one disk. Invariants:
+/// - `promised_epoch` never decreases, and nothing under a lower epoch is accepted.
 /// - `state` is complete up to `state.version` under `state.epoch`.
-/// - `published_rows` is, for partitions that are published to edges, all rows for edges as they were at
-///   `state.published`. Rows that came after it wait in `unpublished`, by the version up to which each append made
-///   the state complete: what is published in between is not shown, since a later row may hide an earlier one of its
-///   key that was never received.
+/// - `published_rows` contains, for partitions that are published to edges, all rows for edges as of `state.published`.
+///   Later rows wait in `unpublished`, by the version up to which each append made the state complete. Versions in
+///   between are not published, since a later row may hide an earlier one of its key that was never received.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaPartition {
-    /// The highest epoch that was promised.
+    /// Highest epoch that was promised.
     pub promised_epoch: u64,
-    /// All rows, the unpublished ones included.
+    /// All rows, including unpublished ones.
     pub state: PartitionState,
-    /// Rows that edges are shown.
+    /// Rows that are shown to edges.
     pub published_rows: BTreeMap<String, Row>,
     /// Rows of later appends, in their order.
     pub unpublished: VecDeque<UnpublishedRows>,
 }
 
-/// The rows of one append that are not published yet.
+/// Rows of one append that are not published yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnpublishedRows {
-    /// The version up to which the append made the state complete.
+    /// Version up to which the append made the state complete.
     pub version: u64,
-    /// Its rows by key.
+    /// Rows of the append, with their keys.
     pub rows: Vec<(String, Row)>,
 }
 
 impl ReplicaPartition {
-    /// Whether an append follows on what is held here, so that it can be applied as it is. The epoch was checked
-    /// before.
+    /// Returns true if an append can be applied to the current state as it is. The epoch was checked before.
     pub fn accepts(&self, request: &AppendRequest) -> bool {
         let same_epoch =
             self.state.epoch == request.epoch && self.state.version >= request.after_version;
@@ -43,8 +41,8 @@
         request.full_state || same_epoch || base == Some(self.state.id())
     }
 
-    /// What is reported with a promise to a candidate that holds `requester_state`. Ledger states are large and
-    /// mostly the same at all replicas, so they are sent only if they are newer.
+    /// Returns the state to report with a promise to a candidate that holds `requester_state`. Ledger states are large
+    /// and mostly equal at all replicas, so they are sent only if they are newer.
     pub fn prepared_state(&self, partition: u8, requester_state: StateId) -> PreparedState {
         let id = self.state.id();
         if partition >= PUBLISHED_PARTITIONS && id <= requester_state {
@@ -55,7 +53,7 @@
         }
     }
 
-    /// The partition as another disk needs it to recover.
+    /// Returns a snapshot of the partition, for the recovery of another disk.
     pub(super) fn snapshot(&self, partition: u8) -> PartitionSnapshot {
         PartitionSnapshot {
             partition,
@@ -65,7 +63,7 @@
         }
     }
 
-    /// Takes over a snapshot of other disks. A promise that was made here stands.
+    /// Replaces the state by a snapshot of other disks. A promise made by this disk remains valid.
     pub(super) fn restore(&mut self, snapshot: &PartitionSnapshot) {
         self.promised_epoch = self.promised_epoch.max(snapshot.promised_epoch);
         self.state = snapshot.state.clone();
@@ -80,7 +78,7 @@
         }
     }
 
-    /// What an edge lacks that knows the partition up to this version, if anything.
+    /// Returns the rows that an edge with this version of the partition lacks, if any.
     pub(super) fn update_since(
         &self,
         partition: u8,
@@ -100,7 +98,7 @@
         })
     }
 
-    /// Applies an append that is accepted.
+    /// Applies an accepted append.
     pub(super) fn append(&mut self, request: &AppendRequest) {
         self.promised_epoch = self.promised_epoch.max(request.epoch);
         if request.full_state {
@@ -140,7 +138,7 @@
         }
     }
 
-    /// Shows edges what is committed up to this version.
+    /// Publishes to edges the rows that are committed up to this version.
     fn publish(&mut self, published: u64) {
         let is_committed = |append: &mut UnpublishedRows| append.version <= published;
         while let Some(append) = self.unpublished.pop_front_if(is_committed) {
@@ -154,7 +152,7 @@
     }
 }
 
-/// Inserts a row unless one as new is there.
+/// Inserts a row unless the present one is at least as new.
 fn insert_newer(rows: &mut BTreeMap<String, Row>, key: &str, row: &Row) {
     let known = rows.get(key);
     if known.is_none_or(|known| known.version < row.version) {
--- a/control-plane/src/replica/record.rs
+++ b/control-plane/src/replica/record.rs
@@ -1,4 +1,4 @@
-//! The entries of the log on disk.
+//! Entries of the log on disk.
 
 use super::Replica;
 use crate::prelude::*;
@@ -6,16 +6,16 @@
 /// One entry of the log on disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A blank disk drew its incarnation.
+    /// A blank disk was given its incarnation.
     Incarnation {
-        /// The disk's own number.
+        /// Random number that identifies the disk.
         incarnation: u64,
     },
     /// A blank disk was recovered from the others.
     Recovered {
         /// All partitions, merged.
         partitions: Vec<PartitionSnapshot>,
-        /// Whether they are what was left after a majority of disks was lost.
+        /// True if they are the rows that remained after a majority of disks was lost.
         majority_lost: bool,
     },
     /// The disk promised an epoch: nothing under a lower one is accepted.
@@ -30,23 +30,23 @@
         /// The append.
         request: AppendRequest,
     },
-    /// The complete replica; it takes the place of all records before it.
+    /// The complete replica; it replaces all records before it.
     Snapshot(Box<Replica>),
-    /// The slot went to another node.
+    /// The slot was assigned to another node.
     Removed,
     /// A membership table was received from others.
     MembershipTable {
         /// The table's version.
         version: u64,
-        /// Who holds the slots.
+        /// Holders of the slots.
         members: Vec<Peer>,
     },
-    /// The founding table, as the first seed fixed it.
+    /// The founding table, as created by the first seed.
     Founding {
-        /// Who holds the slots.
+        /// Holders of the slots.
         members: Vec<Peer>,
     },
-    /// An incarnation counts for nothing any more.
+    /// An incarnation was retired: its messages are ignored from then on.
     Retired {
         /// The incarnation of an earlier disk of a slot.
         incarnation: u64,
@@ -54,7 +54,7 @@
 }
 
 impl Record {
-    /// The record as it stands in the log.
+    /// Returns the record as it is encoded in the log.
     pub fn bytes(&self) -> Vec<u8> {
         bincode::serialize(self).expect("records serialize")
     }
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -5,29 +5,29 @@
 
 use crate::prelude::*;
 
-/// Between snapshot requests to one slot: a full snapshot takes this long over a slow link.
+/// Interval between snapshot requests to one slot: the transfer time of a full snapshot over a slow link.
 const SNAPSHOT_RETRY_INTERVAL: Duration = Duration::from_millis(600);
-/// The round that makes the others retire the slot's earlier disk; the next one brings the snapshots.
+/// Number of the round that makes the others retire the slot's earlier disk; the next round transfers the snapshots.
 const FENCING_ROUND: u8 = 0;
-/// The round whose snapshots are merged.
+/// Number of the round whose snapshots are merged.
 const SNAPSHOT_ROUND: u8 = 1;
 
-/// Recovers a blank disk, in two rounds with `Quorum::rest` of the others whose disks are full and who go by a
-/// membership table that names this one. After the first, those have retired the slot's earlier disk, and whoever
-/// receives an acknowledgement of theirs retires it too. So whatever is counted with the earlier disk's help lies
-/// on one of them when it replies in the second round, which brings it.
+/// Recovers a blank disk, in two rounds with `Quorum::intersecting` of the other nodes whose disks are full and who use
+/// a membership table that contains this disk. After the first round those nodes have retired the slot's earlier disk,
+/// and so does every node that receives an acknowledgement of theirs. So everything that was acknowledged with the
+/// earlier disk's help is on one of them when it replies in the second round, and is transferred then.
 ///
-/// If all others replied and fewer are full, a majority was lost, and what is left is taken. Until then recovery
-/// waits: one that is full may be slow.
+/// If all others replied and fewer are full, a majority was lost, and the remaining rows are adopted. Until all have
+/// replied, recovery waits, since a full disk may be slow to reply.
 #[derive(Debug, Clone)]
 pub struct ReplicaRecovery {
     slot: u8,
     quorum: Quorum,
     membership_version: u64,
     round: u8,
-    /// Replies in this round, by slot.
+    /// Replies in the current round, by slot.
     replies: BTreeMap<u8, ReceivedSnapshot>,
-    /// The last request to each slot.
+    /// Last request to each slot.
     last_requests: BTreeMap<u8, LastRequest>,
 }
 
@@ -39,24 +39,24 @@
 
 #[derive(Debug, Clone)]
 struct ReceivedSnapshot {
-    /// The sender's disk is full, by whichever table.
+    /// True if the sender's disk is full, by any membership table.
     full: bool,
-    /// And it counts: its edges are shown the table that names the recovering disk.
+    /// True if the disk is full and its edges are shown the table that contains the recovering disk.
     usable: bool,
     partitions: Vec<PartitionSnapshot>,
 }
 
-/// What a recovered disk holds.
+/// Contents of a recovered disk.
 pub struct RecoveredState {
     /// All partitions, merged.
     pub partitions: Vec<PartitionSnapshot>,
-    /// Whether a majority of disks was lost: too many others were blank too, or had just been recovered from what
-    /// was left, and yet there was something.
+    /// True if a majority of disks was lost: too many others were blank too, or had just been recovered from the
+    /// remaining rows, and some rows existed.
     pub majority_lost: bool,
 }
 
 impl ReplicaRecovery {
-    /// Recovery of a slot, by a membership table of so many slots and this version.
+    /// Starts the recovery of a slot, by a membership table with this number of slots and this version.
     pub fn new(slot: u8, slots: usize, membership_version: u64) -> ReplicaRecovery {
         ReplicaRecovery {
             slot,
@@ -68,8 +68,9 @@
         }
     }
 
-    /// Requests due now, by slot: to all whose reply may still change something, since blank ones may be full by
-    /// now. Each is sent no more often than its reply takes to arrive, or the replies delay each other.
+    /// Returns the requests due now, by slot. They go to all slots whose reply may still change the result, since blank
+    /// disks may have become full. Each request is sent no more often than its reply takes to arrive, since more
+    /// frequent replies would delay each other.
     pub fn tick(&mut self, now: Duration) -> Vec<(u8, Message)> {
         let request = SnapshotRequest {
             slot: self.slot,
@@ -100,7 +101,7 @@
             && self.last_requests.get(&slot).is_none_or(is_due)
     }
 
-    /// Counts a reply. All partitions merged, once the second round is complete.
+    /// Records a reply. Returns all partitions merged, once the second round is complete.
     pub fn on_snapshot_reply(&mut self, reply: SnapshotReply) -> Option<RecoveredState> {
         if reply.round != self.round || reply.slot == self.slot {
             return None;
@@ -108,7 +109,7 @@
         let full = reply.full && reply.lost_generation == 0;
         let received = ReceivedSnapshot {
             full,
-            // Else its edges may still go by the earlier table.
+            // Otherwise its edges may still use the earlier table.
             usable: full && reply.membership_version >= self.membership_version,
             partitions: reply.partitions,
         };
@@ -140,7 +141,7 @@
     }
 }
 
-/// The newest state of each partition, and the highest promise.
+/// Returns the newest state of each partition, and the highest promise.
 fn merge_snapshots(
     snapshots: impl Iterator<Item = Vec<PartitionSnapshot>>,
 ) -> Vec<PartitionSnapshot> {
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `replica_recovery`.
 use crate::prelude::*;
 
-/// Whether recovery needs more replies after this one.
+/// Returns true if recovery needs more replies after this one.
 fn is_incomplete(recovery: &mut ReplicaRecovery, reply: SnapshotReply) -> bool {
     recovery.on_snapshot_reply(reply).is_none()
 }
--- a/control-plane/src/update_replies.rs
+++ b/control-plane/src/update_replies.rs
@@ -1,27 +1,28 @@
-//! Updates for renewing edges, encoded once for all edges that lack the same.
+//! Updates for renewing edges, encoded once for all edges that lack the same updates.
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Replies retained for others that lack the same: edges that renew at one time know one of few versions.
+/// Maximum number of cached replies: edges that renew at the same time have one of only a few versions.
 const MAX_CACHED_REPLIES: usize = 8;
-/// Replies below this size are sent with every renewal that lacks them.
+/// Size in bytes below which replies are sent with every renewal that lacks them.
 const LARGE_BYTES: usize = 16 * 1024;
-/// The slowest link that is reckoned with: 4 Mbit/s. Renewals come faster than a large reply arrives over it.
+/// Bandwidth of the slowest supported link: 4 Mbit/s. Over it, renewals are more frequent than the time that a large
+/// reply takes.
 const SLOW_LINK_BYTES_PER_SECOND: usize = 500_000;
-/// Added to the time that a large reply takes over a slow link before it is sent again.
+/// Margin added to the transfer time of a large reply over a slow link before it is sent again.
 const RESEND_MARGIN: Duration = Duration::from_millis(250);
 
-/// Replies to renewals. Invariant: what is cached was taken from the replica as it is now.
+/// Cache of replies to renewals. Invariant: cached replies were created from the current state of the replica.
 #[derive(Debug, Default)]
 pub struct UpdateReplies {
     /// State of each published partition when the replies were cached.
     published: Vec<PublishedVersion>,
-    /// The latest replies, the newest last.
+    /// Latest replies, the newest last.
     cached: VecDeque<CachedReply>,
-    /// The large reply that was last sent to each edge.
+    /// Large reply that was last sent to each edge.
     in_flight: BTreeMap<Peer, InFlightReply>,
 }
 
@@ -33,23 +34,23 @@
 
 #[derive(Debug)]
 struct CachedReply {
-    /// The versions that the edge knows.
+    /// Versions that the edge has.
     known_versions: Vec<u64>,
     updates: SharedUpdates,
 }
 
-/// A large reply to an edge that has not confirmed it.
+/// Large reply to an edge that has not confirmed it.
 #[derive(Debug)]
 struct InFlightReply {
-    /// What the edge knew when it was sent.
+    /// Versions that the edge had when the reply was sent.
     known_versions: Vec<u64>,
-    /// Not sent again before.
+    /// Time before which the reply is not sent again.
     resend_at: Duration,
 }
 
 impl UpdateReplies {
-    /// What an edge lacks that knows these versions. None if it was sent the same a moment ago, and that may not
-    /// have arrived yet.
+    /// Returns the updates that an edge with these versions lacks. None if the same updates were sent a moment ago and
+    /// may still be in flight.
     pub fn reply(
         &mut self,
         now: Duration,
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -312,7 +312,7 @@
         state.expect("state is always reported")
     }
 
-    /// Whether a node reports that a majority is in contact with it.
+    /// Returns true if a node reports that a majority is in contact with it.
     pub fn has_majority(&mut self, node: usize) -> bool {
         self.state(node)["majority"] == true
     }
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -166,7 +166,7 @@
         self.slot_of(&self.me())
     }
 
-    /// Whether this disk counts (`ControlNode::can_vote`).
+    /// Returns true if this disk counts (`ControlNode::can_vote`).
     pub fn can_vote(&self) -> bool {
         let counts = self.replica.full
             || !self.has(Safeguard::BlankDiskTakesNoPart)
@@ -174,13 +174,13 @@
         counts && !self.replica.removed && self.slot().is_some()
     }
 
-    /// Whether it leads the partition with a majority's promises.
+    /// Returns true if it leads the partition with a majority's promises.
     pub fn is_active(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
         leader.is_some_and(|leader| leader.active_since.is_some())
     }
 
-    /// Whether a leader may serve its rows.
+    /// Returns true if a leader may serve its rows.
     pub fn can_serve(&self, leader: &PartitionLeader) -> bool {
         leader.ready()
             || !self.has(Safeguard::StateRewrittenBeforeAnswering) && leader.active_since.is_some()
@@ -439,7 +439,7 @@
             .collect()
     }
 
-    /// Whether a message can still change anything here; others are dropped,
+    /// Returns true if a message can still change anything here; others are dropped,
     /// which is one of the things that may happen to them anyway.
     pub fn accepts(&self, message: &Message) -> bool {
         let leads = |partition: u8, epoch: u64| {
--- a/control-plane/tests/replication/model/search.rs
+++ b/control-plane/tests/replication/model/search.rs
@@ -6,7 +6,7 @@
 
 /// What a search found.
 pub struct Found {
-    /// Whether every state within the bounds was met.
+    /// True if every state within the bounds was met.
     pub complete: bool,
     /// Distinct states met.
     pub states: usize,
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Whether a replica holds what a reply acknowledged.
+/// Returns true if a replica holds what a reply acknowledged.
 fn holds(replica: &Replica, reply: &Message) -> bool {
     match reply {
         Message::PrepareReply(reply) => {
