--- a/control-plane/src/assignment_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -35,7 +35,7 @@
     count
 }
 
-/// A plan in which no edge has departed or ended, none is on a control node's host, and all sessions are known.
+/// Returns a plan in which no edge has departed or ended, none is on a control node's host, and all sessions are known.
 fn plan<'a>(
     rows: &'a BTreeMap<String, Row>,
     settled: u64,
@@ -52,7 +52,7 @@
     }
 }
 
-fn names() -> Vec<String> {
+fn cache_assignments() -> Vec<String> {
     (0..CACHE_PARTITIONS)
         .map(|partition| cache_assignment("", partition))
         .collect()
@@ -62,14 +62,14 @@
 fn assignment_is_regranted_after_revocation_settles() {
     let mut rows = BTreeMap::new();
     let (first, second) = ([session(1, false)], [session(2, false)]);
-    let planned = plan(&rows, 0, &first).next(&names());
+    let planned = plan(&rows, 0, &first).next(&cache_assignments());
     apply(&mut rows, planned, 1);
     let has_departed: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
     let planned = AssignmentPlan {
         departed: has_departed,
         ..plan(&rows, 1, &second)
     }
-    .next(&names());
+    .next(&cache_assignments());
     assert!(
         planned
             .iter()
@@ -81,14 +81,14 @@
             departed: has_departed,
             ..plan(&rows, 1, &second)
         }
-        .next(&names())
+        .next(&cache_assignments())
         .is_empty()
     );
     let planned = AssignmentPlan {
         departed: has_departed,
         ..plan(&rows, 2, &second)
     }
-    .next(&names());
+    .next(&cache_assignments());
     assert!(
         planned.iter().all(
             |(_, assignment)| assignment.owner == Some(second[0].peer) && assignment.epoch == 3
@@ -100,7 +100,8 @@
 #[test]
 fn ended_owner_is_replaced_before_sessions_are_complete() {
     let mut rows = BTreeMap::new();
-    let planned = plan(&rows, 0, &[session(1, false), session(2, false)]).next(&names());
+    let planned =
+        plan(&rows, 0, &[session(1, false), session(2, false)]).next(&cache_assignments());
     apply(&mut rows, planned, 1);
     let restarted = SessionInfo {
         peer: Peer {
@@ -115,10 +116,10 @@
         sessions_incomplete: true,
         ..plan(&rows, 1, std::slice::from_ref(&restarted))
     }
-    .next(&names());
+    .next(&cache_assignments());
     assert!(
-        !planned.is_empty() && planned.len() < names().len(),
-        "what the other holds is left to it"
+        !planned.is_empty() && planned.len() < cache_assignments().len(),
+        "the other edge retains its assignments"
     );
     assert!(
         planned.iter().all(
@@ -131,15 +132,15 @@
 fn joining_edge_receives_its_partitions_in_bounded_batches() {
     let mut rows = BTreeMap::new();
     let mut live: Vec<SessionInfo> = (1..8).map(|port| session(port, false)).collect();
-    let planned = plan(&rows, 0, &live).next(&names());
+    let planned = plan(&rows, 0, &live).next(&cache_assignments());
     apply(&mut rows, planned, 1);
     live.push(session(8, false));
     let mut moved = 0;
     for version in (2..100).step_by(2) {
-        let planned = plan(&rows, version, &live).next(&names());
+        let planned = plan(&rows, version, &live).next(&cache_assignments());
         assert!(planned.len() <= 64);
         moved += apply(&mut rows, planned, version);
-        let planned = plan(&rows, version, &live).next(&names());
+        let planned = plan(&rows, version, &live).next(&cache_assignments());
         assert!(
             planned
                 .iter()
@@ -155,16 +156,16 @@
 
 #[test]
 fn cache_partitions_follow_edge_weight() {
-    let weighted = |port, strength| SessionInfo {
-        weight: strength,
+    let weighted = |port, weight| SessionInfo {
+        weight,
         ..session(port, false)
     };
     let live: Vec<SessionInfo> = (1..=4)
         .map(|port| weighted(port, 30))
         .chain((5..=34).map(|port| weighted(port, 1)))
         .collect();
-    let planned = plan(&BTreeMap::new(), 0, &live).next(&names());
-    let weighted = planned
+    let planned = plan(&BTreeMap::new(), 0, &live).next(&cache_assignments());
+    let strong_edges_share = planned
         .iter()
         .filter(|(_, assignment)| {
             assignment
@@ -172,10 +173,10 @@
                 .is_some_and(|peer| peer.address.port() <= 4)
         })
         .count();
-    // By the square: 4 x 900 of 3,630 parts.
+    // The share is proportional to the square of the weight: 4 x 900 of 3,630 parts.
     assert!(
-        (250..=256).contains(&weighted),
-        "{weighted} of 256: 99 of 100 parts"
+        (250..=256).contains(&strong_edges_share),
+        "{strong_edges_share} of 256, expected 99 of 100 parts"
     );
 }
 
@@ -185,10 +186,10 @@
         .map(|at| admission_assignment(&format!("s{at}")))
         .collect();
     let on_control_host = |session: &SessionInfo| session.peer.address.port() <= 4;
-    let owned = |other: u32| {
+    let owned_by_control_hosts = |other_weight: u32| {
         let live: Vec<SessionInfo> = (1..=14)
             .map(|port| SessionInfo {
-                weight: if port <= 4 { 35 } else { other },
+                weight: if port <= 4 { 35 } else { other_weight },
                 ..session(port, false)
             })
             .collect();
@@ -207,10 +208,10 @@
             .count()
     };
     assert!(
-        owned(20) < 20 && owned(1) > 180,
+        owned_by_control_hosts(20) < 20 && owned_by_control_hosts(1) > 180,
         "{} and {}",
-        owned(20),
-        owned(1)
+        owned_by_control_hosts(20),
+        owned_by_control_hosts(1)
     );
 }
 
@@ -234,7 +235,7 @@
     };
     assert_eq!(owned("a"), [Some(live[0].peer), Some(live[1].peer)].into());
     assert_eq!(owned("b"), [Some(live[2].peer)].into());
-    assert!(owned("c").is_empty(), "no edge of that ring is there");
+    assert!(owned("c").is_empty(), "the ring has no edge");
 }
 
 #[test]
--- a/control-plane/src/history/tests.rs
+++ b/control-plane/src/history/tests.rs
@@ -18,7 +18,7 @@
         "{diff}"
     );
     assert!(store.text(4).is_err());
-    // Something else lies where the store should be: an error, no more.
+    // Another file in place of the store causes an error and no panic.
     std::fs::remove_dir_all(data.join("history")).unwrap();
     std::fs::write(data.join("history"), "x").unwrap();
     assert!(History::open(&data).is_err());
--- a/control-plane/src/ledger/tests.rs
+++ b/control-plane/src/ledger/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)),
         (1, ChangeOutcome::Claimed),
-        "a duplicate"
+        "a duplicate claim"
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
@@ -45,7 +45,7 @@
     assert_eq!(
         Ledger::finish(&mut leader, claim(2, 0), done()).1,
         ChangeOutcome::Unknown,
-        "it never held it"
+        "the request never held the claim"
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), done()),
@@ -58,7 +58,7 @@
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), OperationState::Released).1,
         ChangeOutcome::Unknown,
-        "it ran"
+        "the operation has run"
     );
 }
 
@@ -72,7 +72,7 @@
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)).1,
         ChangeOutcome::Released,
-        "the late claim of who gave up"
+        "a late claim of a released request"
     );
     assert_eq!(
         Ledger::claim(&mut leader, claim(2, 0)).1,
@@ -85,7 +85,7 @@
     assert_eq!(
         Ledger::claim(&mut leader, claim(3, 0)).1,
         already_claimed(true, OperationState::Running),
-        "another's release frees nothing"
+        "a release by another request does not release the claim"
     );
 }
 
@@ -101,7 +101,7 @@
     assert_eq!(
         Ledger::claim(&mut leader, claim(1, 0)).1,
         already_claimed(true, OperationState::Unknown),
-        "nor by its own request"
+        "its own request cannot claim it either"
     );
     assert_eq!(
         Ledger::finish(&mut leader, claim(1, 0), done()).1,
--- a/control-plane/src/operator_api/tests.rs
+++ b/control-plane/src/operator_api/tests.rs
@@ -10,19 +10,19 @@
     assert_eq!(
         (items[0].text.as_deref(), &*items[0].source),
         (Some(group), group),
-        "as it was sent"
+        "the text is retained as sent"
     );
     assert_eq!((items[1].text.as_deref(), items[1].revision), (None, 2));
     let body = body
         .replace("9.50", "0")
         .replace(r#","value":null"#, "")
         .replace(']', r#",{"kind":"odd"}]"#);
-    let members: Vec<String> = super::items::parse_items(&body)
+    let places: Vec<String> = super::items::parse_items(&body)
         .unwrap_err()
         .into_iter()
-        .map(|one| one.place)
+        .map(|finding| finding.place)
         .collect();
-    assert_eq!(members, ["/0/rate", "/1", "/2"]);
+    assert_eq!(places, ["/0/rate", "/1", "/2"]);
 }
 
 #[test]
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -3,7 +3,8 @@
 
 const ZERO: Duration = Duration::ZERO;
 
-fn active() -> PartitionLeader {
+/// Returns a leader with the promises of two of three slots.
+fn active_leader() -> PartitionLeader {
     let mut leader = PartitionLeader::new(PURGES_PARTITION, 3, 3, 0);
     leader.on_prepare_reply(ZERO, 0, PreparedState::Newer(PartitionState::default()));
     leader.on_prepare_reply(ZERO, 1, PreparedState::Newer(PartitionState::default()));
@@ -20,13 +21,13 @@
     }
 }
 
-fn append_reply(round: u64, to: u64, clear: u64) -> AppendReply {
+fn append_reply(round: u64, synced_version: u64, confirmed: u64) -> AppendReply {
     AppendReply {
         partition: PURGES_PARTITION,
         epoch: 3,
         round,
-        synced_version: to,
-        sessions_confirmed: Some(clear),
+        synced_version,
+        sessions_confirmed: Some(confirmed),
         retired_incarnations: vec![],
     }
 }
@@ -51,10 +52,16 @@
     };
     let mut leader = PartitionLeader::new(PURGES_PARTITION, 9, 3, 0);
     leader.on_prepare_reply(ZERO, 2, PreparedState::Newer(state(5, 4)));
-    assert!(leader.active_since.is_none(), "one promise is no majority");
+    assert!(
+        leader.active_since.is_none(),
+        "one promise is not a majority"
+    );
     leader.on_prepare_reply(ZERO, 0, PreparedState::Newer(state(6, 2)));
     assert_eq!(leader.rows["k"].value, value(6));
-    assert!(!leader.ready(), "the image is not rewritten yet");
+    assert!(
+        !leader.ready(),
+        "the adopted state is not stored under the new epoch yet"
+    );
 }
 
 #[test]
@@ -70,7 +77,7 @@
     assert_eq!(message_counts, [3, 0, 0, 0, 3, 0, 0, 0, 3, 0]);
 }
 
-/// All three replicas of a ledger partition synced this version, in this round.
+/// Delivers replies of all three replicas of a ledger partition that synced this version, in this round.
 fn ledger_replies_from_all(leader: &mut PartitionLeader, round: u64, version: u64) {
     for slot in 0..3 {
         let reply = AppendReply {
@@ -86,7 +93,7 @@
     let at = Duration::from_millis;
     let mut leader = PartitionLeader {
         partition: PUBLISHED_PARTITIONS,
-        ..active()
+        ..active_leader()
     };
     assert_eq!(
         leader.due_messages(at(1000), true).len(),
@@ -107,13 +114,13 @@
     assert_eq!(leader.committed(), 1);
     assert!(
         leader.due_messages(at(2020), true).is_empty(),
-        "that it is on a majority can wait"
+        "the commit is reported with the next round"
     );
 }
 
 #[test]
 fn commit_needs_two_disks_and_settle_two_confirmed_nodes() {
-    let mut leader = active();
+    let mut leader = active_leader();
     let version = leader.put("k".into(), value(1));
     leader.due_messages(ZERO, true);
     leader.on_append_reply(0, &append_reply(1, 1, 0));
@@ -162,7 +169,7 @@
 
 #[test]
 fn reset_replica_does_not_count_toward_commit() {
-    let mut leader = active();
+    let mut leader = active_leader();
     leader.put("k".into(), value(1));
     leader.due_messages(ZERO, true);
     leader.on_append_reply(0, &append_reply(1, 1, 1));
@@ -173,7 +180,7 @@
 
 #[test]
 fn writes_during_in_flight_append_are_batched() {
-    let mut leader = active();
+    let mut leader = active_leader();
     assert_eq!(leader.due_messages(ZERO, true).len(), 3);
     for change in 0..20 {
         leader.put(format!("k{change}"), value(change));
--- a/control-plane/src/replica/tests.rs
+++ b/control-plane/src/replica/tests.rs
@@ -33,7 +33,7 @@
         request: append_request(0, 1, 0),
     });
     assert!(replica.updates(&[0; 4]).is_empty());
-    // Publishing 1 and adding 2 over it come in one message.
+    // One append publishes version 1 and replaces its row by version 2.
     replica.apply(&Record::Appended {
         request: append_request(1, 2, 1),
     });
@@ -42,8 +42,8 @@
     assert!(replica.updates(&[0, 1, 0, 0]).is_empty());
 }
 
-/// Once, a row that a lagging disk never got was claimed to be shown by it:
-/// the edge missed that its assignment had been revoked, and two held it.
+/// Regression: a lagging disk reported a row as published that it had never received. The edge missed the revocation of
+/// its assignment, and two edges held it.
 #[test]
 fn overwritten_row_is_not_reported_as_published() {
     let mut replica = Replica::blank(1);
@@ -54,7 +54,10 @@
     replica.apply(&Record::Appended {
         request: append_request(1, 4, 3),
     });
-    assert!(replica.updates(&[0, 1]).is_empty(), "3 is not known here");
+    assert!(
+        replica.updates(&[0, 1]).is_empty(),
+        "version 3 was not received"
+    );
     replica.apply(&Record::Appended {
         request: AppendRequest {
             rows: vec![],
--- a/control-plane/src/replica_recovery/tests.rs
+++ b/control-plane/src/replica_recovery/tests.rs
@@ -6,7 +6,7 @@
     recovery.on_snapshot_reply(reply).is_none()
 }
 
-/// One partition without rows.
+/// Returns snapshots of a single partition without rows.
 fn partitions(promised: u64, epoch: u64, version: u64) -> Vec<PartitionSnapshot> {
     let state = PartitionState {
         epoch,
@@ -48,7 +48,7 @@
     ));
     assert!(
         is_incomplete(&mut recovery, reply(2, 0, partitions(1, 1, 90))),
-        "late first round"
+        "late reply to the first round"
     );
     assert!(is_incomplete(
         &mut recovery,
@@ -86,13 +86,13 @@
     let mut recovery = ReplicaRecovery::new(3, 4, 5);
     assert!(is_incomplete(&mut recovery, snapshot_reply(0, 0, true, 9)));
     assert!(is_incomplete(&mut recovery, snapshot_reply(1, 0, false, 0)));
-    assert_eq!(recovery.round, 0, "one is blank: it does not count");
+    assert_eq!(recovery.round, 0, "a blank disk is not counted");
     assert!(
         recovery
             .tick(Duration::ZERO)
             .iter()
             .any(|(slot, _)| *slot == 1),
-        "and its request is retried"
+        "the request to a blank disk is retried"
     );
     assert!(is_incomplete(
         &mut recovery,
@@ -103,7 +103,7 @@
     ));
     assert_eq!(
         recovery.round, 0,
-        "one goes by an earlier table: it does not count"
+        "a disk with an earlier table is not counted"
     );
     assert!(is_incomplete(&mut recovery, snapshot_reply(2, 0, true, 9)));
     assert_eq!(recovery.round, 1);
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(
         table.confirmed_version(at(700), PURGES_PARTITION, 7),
         None,
-        "just started: earlier sessions may stand"
+        "just started: earlier sessions may exist"
     );
     assert_eq!(
         table.confirmed_version(at(1100), PURGES_PARTITION, 7),
@@ -54,58 +54,58 @@
     };
     let mut table = Sessions::new(7);
     table.tick(at(0));
-    let (sender, two) = (incarnation(8), incarnation(3));
-    table.renew(at(10), sender.clone(), None);
+    let (first, second) = (incarnation(8), incarnation(3));
+    table.renew(at(10), first.clone(), None);
     let renewal_token = table.issue_token();
-    table.renew(at(20), sender.clone(), Some(renewal_token));
-    table.renew(at(30), two.clone(), None);
+    table.renew(at(20), first.clone(), Some(renewal_token));
+    table.renew(at(30), second.clone(), None);
     assert_eq!(
         table.local_sessions().len(),
         2,
-        "a first renewal may have been long on the way"
+        "a first renewal may have been delayed"
     );
     table.renew(
         at(40),
-        two.clone(),
+        second.clone(),
         Some(RenewalToken { run: 6, count: 99 }),
     );
     assert!(
-        !table.has_ended(sender.peer, 0) && table.local_sessions().len() == 2,
+        !table.has_ended(first.peer, 0) && table.local_sessions().len() == 2,
         "a token of another run proves nothing"
     );
     let tokens = table.issued_tokens();
-    table.renew(at(45), two.clone(), Some(renewal_token));
+    table.renew(at(45), second.clone(), Some(renewal_token));
     assert!(
-        !table.has_ended(sender.peer, tokens),
-        "issued before it was known that the other had begun"
+        !table.has_ended(first.peer, tokens),
+        "issued before the other incarnation was known to have started"
     );
     let renewal_token = table.issue_token();
-    table.renew(at(50), two.clone(), Some(renewal_token));
-    assert!(table.has_ended(sender.peer, tokens) && !table.has_ended(two.peer, tokens));
-    assert_eq!(table.local_sessions(), std::slice::from_ref(&two));
-    table.renew(at(60), sender, None);
+    table.renew(at(50), second.clone(), Some(renewal_token));
+    assert!(table.has_ended(first.peer, tokens) && !table.has_ended(second.peer, tokens));
+    assert_eq!(table.local_sessions(), std::slice::from_ref(&second));
+    table.renew(at(60), first, None);
     let renewal_token = table.issue_token();
-    table.renew(at(70), two.clone(), Some(renewal_token));
+    table.renew(at(70), second.clone(), Some(renewal_token));
     assert_eq!(
         table.local_sessions(),
-        [two],
-        "the renewal of the earlier incarnation came late"
+        [second],
+        "the renewal of the earlier incarnation was late"
     );
 }
 
 fn full_delta(sessions: Vec<SessionInfo>) -> SessionsDelta {
-    let sum = sessions
+    let checksum = sessions
         .iter()
-        .fold(0, |sum, session| sum ^ session.checksum());
+        .fold(0, |checksum, session| checksum ^ session.checksum());
     SessionsDelta {
         to: 1,
-        checksum: sum,
+        checksum,
         upserted: sessions,
         ..SessionsDelta::default()
     }
 }
 
-/// Renews or ends a session, or restarts the sender.
+/// Renews or ends a session, or restarts the sender, at random.
 fn change_at_random(
     sender: &mut Sessions,
     now: Duration,
@@ -127,24 +127,25 @@
     }
 }
 
-/// Whatever is lost, duplicated, late, or sent by another run: a table counts as received only in a state that the
+/// Deltas are lost, duplicated, late, or sent by another run: a received table is current only in a state that the
 /// sender had.
 #[test]
 fn applied_deltas_match_a_table_the_sender_had() {
     let mut seed = 7u64;
-    let mut random = |most: u64| {
+    let mut random = |bound: u64| {
         seed = seed
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
-        (seed >> 33) % most
-    };
-    let core = |sessions: &mut dyn Iterator<Item = &SessionInfo>| -> BTreeSet<(Peer, bool)> {
-        sessions
-            .map(|session| (session.peer, session.draining))
-            .collect()
+        (seed >> 33) % bound
     };
+    let decision_fields =
+        |sessions: &mut dyn Iterator<Item = &SessionInfo>| -> BTreeSet<(Peer, bool)> {
+            sessions
+                .map(|session| (session.peer, session.draining))
+                .collect()
+        };
     let (mut sender, mut receiver) = (Sessions::default(), Sessions::default());
-    let (mut late, mut accepted) = (vec![], 0);
+    let (mut delayed, mut accepted) = (vec![], 0);
     let mut sent_tables: BTreeMap<u64, Vec<BTreeSet<(Peer, bool)>>> = BTreeMap::new();
     for step in 1..6000u64 {
         let now = Duration::from_millis(step * 100);
@@ -152,28 +153,28 @@
         sent_tables
             .entry(sender.local.checksum)
             .or_default()
-            .push(core(&mut sender.local.infos()));
+            .push(decision_fields(&mut sender.local.infos()));
         let delta = sender.delta_since(receiver.received_revision(1));
         if random(4) == 0 {
-            late.push(delta.clone());
+            delayed.push(delta.clone());
         }
-        let late = if !late.is_empty() && random(4) == 0 {
-            late.swap_remove(random(late.len() as u64) as usize)
+        let received_delta = if !delayed.is_empty() && random(4) == 0 {
+            delayed.swap_remove(random(delayed.len() as u64) as usize)
         } else {
             delta
         };
-        receiver.apply_delta(now, 1, late.clone());
+        receiver.apply_delta(now, 1, received_delta.clone());
         let table = &receiver.peer_tables[&1];
         if table.last_contact == now {
             accepted += 1;
-            let received = core(&mut table.infos());
+            let received = decision_fields(&mut table.infos());
             assert!(
-                sent_tables[&late.checksum].contains(&received),
+                sent_tables[&received_delta.checksum].contains(&received),
                 "step {step}"
             );
         }
     }
-    assert!(accepted > 3000, "{accepted} beats fitted");
+    assert!(accepted > 3000, "{accepted} deltas were applied");
 }
 
 #[test]
@@ -189,7 +190,7 @@
         ),
         (100, 0)
     );
-    // What was confirmed rises all the time, and the newest confirmation is reported.
+    // Confirmed versions rise constantly; only the newest confirmation is reported.
     table.renew(at(200), session(7, 2), None);
     let delta = table.delta_since(revision);
     assert_eq!(
@@ -222,7 +223,7 @@
     table.tick(at(0));
     assert!(
         !table.has_departed(at(5000), session(1, 1).peer, Quorum::new(3)),
-        "one table is no majority"
+        "one table is not a majority"
     );
     table.apply_delta(at(5000), 1, full_delta(vec![session(1, 1)]));
     assert!(!table.has_departed(at(5000), session(1, 1).peer, Quorum::new(3)));
@@ -230,8 +231,8 @@
     assert!(table.has_departed(at(5100), session(1, 1).peer, Quorum::new(3)));
 }
 
-/// Of any tables: an edge in `rest` of them is live and has not departed, whatever the others report; one in fewer is
-/// not live, and has departed once `most` lack it.
+/// For any tables, an edge in `Quorum::intersecting` of them is live and has not departed, regardless of the others. An
+/// edge in fewer is not live, and has departed once `Quorum::majority` of them lack it.
 #[test]
 fn live_edge_is_never_departed_for_any_slot_count() {
     let at = Duration::from_millis;
--- a/control-plane/src/update_replies/tests.rs
+++ b/control-plane/src/update_replies/tests.rs
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-/// Publishes so many rows more of the purges.
+/// Publishes this number of further purges.
 fn publish(replica: &mut Replica, count: u64) {
     let from = replica.partition(PURGES_PARTITION).state.version;
     let to = from + count;
@@ -41,6 +41,7 @@
     replica.apply(&Record::Appended { request });
 }
 
+/// Returns the reply to an edge with this version of the purges, which must be what the edge lacks.
 fn expect_reply(
     replies: &mut UpdateReplies,
     ms: u64,
@@ -51,7 +52,7 @@
     let vector = [0, known, 0, 0, 0];
     let updates = replies
         .reply(at(ms), to, &vector, from)
-        .expect("it is sent");
+        .expect("a reply is sent");
     assert_eq!(updates.to_vec(), from.updates(&vector));
     updates
 }
@@ -65,7 +66,7 @@
     let second = expect_reply(&mut replies, 0, edge(2), 0, &replica);
     assert!(Arc::ptr_eq(&first.encoded(), &second.encoded()));
     let behind = expect_reply(&mut replies, 0, edge(3), 399, &replica);
-    assert_eq!(behind[0].rows.len(), 1, "only what it lacks");
+    assert_eq!(behind[0].rows.len(), 1, "only the row that the edge lacks");
     assert!(expect_reply(&mut replies, 0, edge(4), 400, &replica).is_empty());
     publish(&mut replica, 1);
     let later = expect_reply(&mut replies, 0, edge(5), 0, &replica);
@@ -101,9 +102,9 @@
         assert_eq!(replies.reply(at(ms), edge(1), &vector, &replica), None);
     }
     expect_reply(&mut replies, 201, edge(2), 0, &replica);
-    // Another run of the edge, and one that has taken some of it, get theirs.
-    let incarnation = Peer::new(edge(1).address, 2);
-    expect_reply(&mut replies, 202, incarnation, 0, &replica);
+    // Another run of the edge, and the edge with some of the updates, are sent theirs.
+    let restarted = Peer::new(edge(1).address, 2);
+    expect_reply(&mut replies, 202, restarted, 0, &replica);
     expect_reply(&mut replies, 203, edge(1), 1_900, &replica);
     expect_reply(&mut replies, 204, edge(1), 0, &replica);
     expect_reply(&mut replies, 204 + resend_delay, edge(1), 0, &replica);
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -1,14 +1,14 @@
-//! Control nodes without edges in virtual time: the real state machines, a network that can be partitioned in either
-//! direction, and disks that retain what was synced.
+//! Control nodes without edges in virtual time: the real state machines, a network with links that can be blocked in
+//! each direction, and disks that retain synced records.
 
 use control_plane::{ControlNode, Replica};
 use kernel::prelude::*;
 
-/// From the sending of a message to its hearing.
+/// Latency of every message between nodes.
 const LATENCY: Duration = Duration::from_millis(1);
-/// How long a disk takes to sync.
+/// Time that a disk takes to sync a record.
 const SYNC: Duration = Duration::from_millis(5);
-/// Ports of the nodes begin here.
+/// Port of node 0; the others follow.
 const FIRST_PORT: u16 = 100;
 
 enum ScheduledEvent {
@@ -20,7 +20,7 @@
 
 struct Scheduled {
     node: usize,
-    /// The run of the node that this is meant for; a restart begins another.
+    /// Run of the node for which the event is scheduled; events of earlier runs are dropped.
     run: u64,
     event: ScheduledEvent,
 }
@@ -29,11 +29,11 @@
     control_node: ControlNode,
     run: u64,
     disk: Vec<Vec<u8>>,
-    /// It refuses writes.
+    /// True while it fails writes.
     full: bool,
 }
 
-/// A call of an operator: where and when it was made, and its outcome.
+/// Call of an operator: its node, its time, and its outcome.
 pub struct Call {
     pub node: usize,
     pub sent_at: Duration,
@@ -46,10 +46,10 @@
     nodes: Vec<Node>,
     scheduled: BTreeMap<(Duration, u64), Scheduled>,
     sequence: u64,
-    /// Directions, as (from, to), in which nothing gets through.
+    /// Directions, as (from, to), in which no message is delivered.
     blocked_links: BTreeSet<(usize, usize)>,
     pub calls: Vec<Call>,
-    /// Epochs under which partitions were led, by node.
+    /// Number of times a partition was acquired by any node.
     pub takeovers: usize,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Cluster {
-    /// Full disks that hold nothing yet; the fleet runs until it serves calls.
+    /// Starts nodes with recovered disks without rows, and runs until they serve calls.
     pub fn start(size: usize) -> Cluster {
         let mut cluster = Cluster {
             now: Duration::ZERO,
@@ -98,12 +98,15 @@
         cluster
     }
 
-    /// Vouches that nothing ran before, as operators do for a new fleet; until then
-    /// each takeover waits for what edges might still know.
+    /// Confirms that no operation ran before, as operators do for a new fleet. Until then each takeover waits for rows
+    /// that edges might still hold.
     fn open_ledger(&mut self) {
         let state = self.state(0);
-        let generation = state["ledger"]["realm"].as_str().expect("a text");
-        let generation = u64::from_str_radix(generation, 16).expect("a realm");
+        let generation = state["ledger"]["realm"]
+            .as_str()
+            .expect("the generation is a string");
+        let generation =
+            u64::from_str_radix(generation, 16).expect("the generation is hexadecimal");
         let at = self.submit(0, ASSIGNMENTS_PARTITION, Change::OpenLedger { generation });
         self.run(Duration::from_secs(2));
         let response = &self.calls[at].response;
@@ -122,25 +125,25 @@
 
     fn schedule(&mut self, after: Duration, node: usize, event: ScheduledEvent) {
         self.sequence += 1;
-        // Of the node's current run; of none while it is being made.
+        // The event belongs to the node's current run, or to its first one while the node is being created.
         let run = self.nodes.get(node).map_or(1, |running| running.run);
         let scheduled = Scheduled { node, run, event };
         let key = (self.now + after, self.sequence);
         self.scheduled.insert(key, scheduled);
     }
 
-    /// Nothing gets from the first to the second any more.
+    /// Blocks messages from the first node to the second.
     pub fn block(&mut self, from: usize, to: usize) {
         self.blocked_links.insert((from, to));
     }
 
-    /// Nothing gets through between the two.
+    /// Blocks messages between two nodes.
     pub fn block_both_ways(&mut self, first: usize, other: usize) {
         self.block(first, other);
         self.block(other, first);
     }
 
-    /// Cuts a node off from all others.
+    /// Blocks messages between a node and all others.
     pub fn isolate(&mut self, node: usize) {
         for other in self.others(node) {
             self.block_both_ways(node, other);
@@ -155,21 +158,21 @@
         self.blocked_links.clear();
     }
 
-    /// From now on the node's disk refuses writes, or accepts them.
+    /// Sets whether the node's disk fails writes.
     pub fn set_disk_full(&mut self, node: usize, full: bool) {
         self.nodes[node].full = full;
     }
 
-    /// The process restarts with what its disk holds.
+    /// Restarts a process with the contents of its disk.
     pub fn restart(&mut self, node: usize) {
         let size = self.size();
         let running = &mut self.nodes[node];
         let replica = Replica::replay(&running.disk)
-            .expect("reads")
-            .expect("full");
+            .expect("records can be decoded")
+            .expect("the disk is not blank");
         running.run += 1;
         running.control_node = Cluster::control_node(node, size, replica, running.run);
-        // Callers there see the connection end.
+        // Callers connected to this node lose their connection.
         let now = self.now;
         for call in &mut self.calls {
             if call.node == node && call.response.is_none() {
@@ -179,16 +182,16 @@
         self.schedule(Duration::ZERO, node, ScheduledEvent::Tick);
     }
 
-    /// Runs for a span of virtual time.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Runs for this duration of virtual time.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         self.run_until(end, |_| false);
         self.now = end;
     }
 
-    /// Runs until the condition holds, at most for the span; whether it held.
-    pub fn run_while_not(&mut self, span: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
-        let end = self.now + span;
+    /// Runs until the condition holds, at most for this duration. Returns true if it held.
+    pub fn run_while_not(&mut self, duration: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
+        let end = self.now + duration;
         self.run_until(end, done)
     }
 
@@ -268,7 +271,7 @@
         self.schedule(latency, receiver, ScheduledEvent::Deliver { from, message });
     }
 
-    /// An operator calls a node. The call's index.
+    /// Submits an operator's call to a node. Returns the call's index.
     pub fn submit(&mut self, node: usize, partition: u8, change: Change) -> usize {
         self.calls.push(Call {
             node,
@@ -281,22 +284,26 @@
         self.calls.len() - 1
     }
 
-    /// The same, and the outcome with how long it took, waited for at the most
-    /// as long as the span.
+    /// Submits an operator's call and waits for its outcome, at most for this duration. Returns the elapsed time and
+    /// the outcome.
     pub fn response(
         &mut self,
         node: usize,
         change: Change,
-        span: Duration,
+        duration: Duration,
     ) -> (Duration, ChangeOutcome) {
         let at = self.submit(node, CONFIGURATION_PARTITION, change);
-        let responded = self.run_while_not(span, |cluster| cluster.calls[at].response.is_some());
-        assert!(responded, "no response at node {node} within {span:?}");
-        let (when, outcome) = self.calls[at].response.clone().expect("just seen");
+        let responded =
+            self.run_while_not(duration, |cluster| cluster.calls[at].response.is_some());
+        assert!(responded, "no response at node {node} within {duration:?}");
+        let (when, outcome) = self.calls[at]
+            .response
+            .clone()
+            .expect("the response was received");
         (when - self.calls[at].sent_at, outcome)
     }
 
-    /// What a node reports of itself.
+    /// Returns the state that a node reports to operators.
     pub fn state(&mut self, node: usize) -> serde_json::Value {
         let request = OperatorRequest::State;
         let outputs = self.nodes[node]
@@ -317,7 +324,7 @@
         self.state(node)["majority"] == true
     }
 
-    /// The node that leads a partition under the highest epoch, as they report.
+    /// Returns the node that leads a partition under the highest epoch, by the nodes' reports.
     pub fn leader(&mut self, partition: u8) -> usize {
         let led = |state: serde_json::Value| {
             let partitions = state["owned_slices"]
@@ -331,19 +338,19 @@
         };
         let epochs = (0..self.size()).map(|node| (led(self.state(node)), node));
         let (epoch, node) = epochs.collect::<Vec<_>>().into_iter().max().expect("nodes");
-        assert!(epoch.is_some(), "nobody leads partition {partition}");
+        assert!(epoch.is_some(), "no node leads partition {partition}");
         node
     }
 }
 
-/// An order that sets a group of origins under a revision.
+/// Returns a change that sets a group of origins under a revision.
 pub fn put_group(name: &str, revision: u64) -> Change {
     let text: Arc<str> =
         format!(r#"{{"service":"{name}","rate":9,"concurrency":2,"proof":"named"}}"#).into();
     put_item(ItemKind::Group, name, revision, text)
 }
 
-/// An order that sets an entry which needs a group.
+/// Returns a change that sets an entry which refers to a group.
 pub fn put_entry(name: &str, revision: u64, group: &str) -> Change {
     let text: Arc<str> = format!(
         r#"{{"name":"{name}","path":"/{name}/","methods":[],"group":"{group}","rank":1,"kind":"repeatable"}}"#
@@ -363,7 +370,7 @@
     Change::PutItems { items: vec![item] }
 }
 
-/// The revision of an item in a reply to `Change::List`, if it is there.
+/// Returns the revision of an item in a reply to `Change::List`, if the item exists.
 pub fn revision_of(outcome: &ChangeOutcome, name: &str) -> Option<u64> {
     let ChangeOutcome::Rows { rows, .. } = outcome else {
         return None;
--- a/control-plane/tests/faults/disk_failure.rs
+++ b/control-plane/tests/faults/disk_failure.rs
@@ -1,30 +1,31 @@
-//! Disks that refuse writes for a while, one after the other.
+//! Tests of disks that temporarily fail writes, one after the other.
 
 use crate::cluster::{Cluster, put_group, revision_of};
 use kernel::prelude::*;
 
+/// Maximum time to wait for the outcome of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
-/// A node counts again within two attempts, and edges' sessions are known then.
+/// Time within which a node is included in quorums again after at most two attempts, and edges' sessions are known.
 const RESTORED: Duration = Duration::from_secs(3);
 
-/// Two full disks, one after the other, must not add up to a lost majority.
+/// Two disks that are full one after the other must not be treated as the loss of a majority.
 #[test]
-fn recovered_disk_counts_without_restart() {
+fn restored_disk_rejoins_quorum_without_restart() {
     for size in [3, 4, 5] {
         let mut cluster = Cluster::start(size);
         for round in 1..=2 * size {
             let node = round % size;
             cluster.set_disk_full(node, true);
             let other = cluster.others(node)[0];
-            let order = put_group("s", round as u64);
-            let (_, outcome) = cluster.response(other, order, CALL_TIMEOUT);
+            let change = put_group("s", round as u64);
+            let (_, outcome) = cluster.response(other, change, CALL_TIMEOUT);
             let is_acknowledged = matches!(outcome, ChangeOutcome::Acknowledged { .. });
             assert!(is_acknowledged, "{size} nodes, round {round}: {outcome:?}");
             cluster.set_disk_full(node, false);
             cluster.run(RESTORED);
             assert_eq!(cluster.state(node)["control"][node]["full"], true);
         }
-        // What it holds outlives its process.
+        // The disk's contents survive a restart of the process.
         for node in 0..size {
             cluster.restart(node);
         }
--- a/control-plane/tests/faults/isolation.rs
+++ b/control-plane/tests/faults/isolation.rs
@@ -1,22 +1,23 @@
-//! An isolated control node neither serves what may be stale nor confirms nor refuses anything, and the
-//! majority goes on without it.
+//! Tests of isolated control nodes: they serve no stale state and neither confirm nor refuse changes, while the
+//! majority continues without them.
 
 use crate::cluster::{Cluster, address, put_entry, put_group, revision_of};
 use kernel::prelude::*;
 
-/// A node that detected its isolation replies within the same step.
+/// Response time of a node that has detected its isolation: it replies within the same step.
 const IMMEDIATELY: Duration = Duration::ZERO;
-/// It detects that after the timeout of its peers, a grace and a tick.
+/// Time within which a node detects its isolation: the timeout of its peers, a grace period and a tick.
 const DETECTION_TIME: Duration = Duration::from_millis(1_200);
-/// The majority takes over what the isolated node led within this.
+/// Time within which the majority takes over the partitions that the isolated node led.
 const TAKEOVER: Duration = Duration::from_millis(1_500);
+/// Maximum time to wait for the outcome of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
 
 fn is_acknowledged(outcome: &ChangeOutcome) -> bool {
     matches!(outcome, ChangeOutcome::Acknowledged { .. })
 }
 
-/// Each kind of call that operators make.
+/// Returns a change of each kind that operators request.
 fn operator_changes(revision: u64) -> Vec<Change> {
     vec![
         Change::List,
@@ -49,13 +50,13 @@
             let (_, outcome) = cluster.response(node, put_group("s", 1), CALL_TIMEOUT);
             assert!(
                 is_acknowledged(&outcome),
-                "{size} nodes, joined again: {outcome:?}"
+                "{size} nodes, reconnected: {outcome:?}"
             );
         }
     }
 }
 
-/// The call comes before the isolation is detected, and may already be in flight.
+/// The call is made before the isolation is detected, so it may already be in flight.
 #[test]
 fn call_during_isolation_has_unknown_outcome() {
     for size in [3, 5] {
@@ -95,7 +96,7 @@
             let mut sees_majority = || cluster.has_majority(leader);
             assert!(
                 !sees_majority(),
-                "it hears of the end of the cut by messages"
+                "messages must arrive before the node detects the end of the partition"
             );
             while !cluster.has_majority(leader) {
                 cluster.run(Duration::from_millis(1));
@@ -107,8 +108,8 @@
     }
 }
 
-/// As soon as it is connected, the old leader still thinks that it leads,
-/// and its rows are stale: it must not refuse a change for them.
+/// Once connected again, the old leader still considers itself the leader, and its rows are stale: it must not refuse a
+/// change because of them.
 #[test]
 fn rejoined_leader_does_not_refuse_by_stale_rows() {
     for size in [3, 4, 5] {
@@ -143,26 +144,26 @@
             let (elapsed, outcome) = cluster.response(other, put_group("s", 1), CALL_TIMEOUT);
             assert!(
                 is_acknowledged(&outcome),
-                "{size} nodes, deaf {inbound}: {outcome:?}"
+                "{size} nodes, inbound blocked: {inbound}: {outcome:?}"
             );
             assert!(
                 elapsed <= TAKEOVER,
-                "{size} nodes, deaf {inbound}: {elapsed:?}"
+                "{size} nodes, inbound blocked: {inbound}: {elapsed:?}"
             );
             cluster.run(DETECTION_TIME);
             let (elapsed, outcome) = cluster.response(leader, put_group("s", 2), CALL_TIMEOUT);
             assert_eq!(
                 outcome,
                 ChangeOutcome::NoMajority,
-                "{size} nodes, deaf {inbound}"
+                "{size} nodes, inbound blocked: {inbound}"
             );
             assert_eq!(elapsed, IMMEDIATELY);
         }
     }
 }
 
-/// Where it still reaches somebody who reaches the majority, it forwards, and
-/// all agree on the leader.
+/// A node that still reaches a member in contact with the majority forwards calls through it, and all nodes agree on
+/// the leader.
 #[test]
 fn node_partitioned_from_leader_forwards_without_takeover() {
     for size in [3, 4, 5, 8] {
@@ -187,7 +188,7 @@
 
 #[test]
 fn restart_during_partition_changes_nothing() {
-    for restarted_is_cut_off in [true, false] {
+    for restarted_is_isolated in [true, false] {
         let mut cluster = Cluster::start(3);
         let leader = cluster.leader(CONFIGURATION_PARTITION);
         let others = cluster.others(leader);
@@ -195,7 +196,7 @@
         assert!(is_acknowledged(&outcome));
         cluster.isolate(leader);
         cluster.run(Duration::from_secs(2));
-        match restarted_is_cut_off {
+        match restarted_is_isolated {
             true => cluster.restart(leader),
             false => others.iter().for_each(|node| cluster.restart(*node)),
         }
--- a/control-plane/tests/faults/main.rs
+++ b/control-plane/tests/faults/main.rs
@@ -1,4 +1,4 @@
-//! Control nodes in virtual time, under cuts and failing disks.
+//! Tests of control nodes in virtual time, with network partitions and failing disks.
 
 mod cluster;
 
--- a/control-plane/tests/leader_epoch.rs
+++ b/control-plane/tests/leader_epoch.rs
@@ -1,5 +1,5 @@
-//! A leader's epoch is on its own disk before anybody else is asked to promise
-//! it, so that no epoch is taken twice over a restart.
+//! Tests that a leader's epoch is on its own disk before other nodes are requested to promise it, so that no epoch is
+//! used twice over a restart.
 use control_plane::{ControlNode, Record, Replica};
 use kernel::prelude::*;
 
@@ -7,7 +7,7 @@
     SocketAddr::from(([127, 0, 0, 1], 100 + slot))
 }
 
-/// Slot 0 of three, on a full disk.
+/// Starts slot 0 of three, with a full disk.
 fn start(replica: Replica) -> ControlNode {
     let seeds = (0..3).map(address).collect();
     ControlNode::new(address(0), seeds, replica, false, None, 1)
@@ -34,8 +34,8 @@
     }
 }
 
-/// Partition and epoch of each request for a promise that goes to another node.
-fn requests(outputs: &[Output]) -> BTreeSet<(u8, u64)> {
+/// Returns the partition and epoch of each request for a promise to another node.
+fn promise_requests(outputs: &[Output]) -> BTreeSet<(u8, u64)> {
     let request = |output: &Output| match output {
         Output::Send {
             to,
@@ -56,7 +56,10 @@
     let mut control_node = start(full.clone());
     control_node.handle(now, heartbeat());
     let outputs = control_node.handle(now, Input::Tick);
-    assert!(requests(&outputs).is_empty(), "nothing is synced yet");
+    assert!(
+        promise_requests(&outputs).is_empty(),
+        "nothing is synced yet"
+    );
     let mut replica = full;
     let mut last_serial = 0;
     for output in outputs {
@@ -65,15 +68,18 @@
             replica.apply(&bincode::deserialize::<Record>(&record).unwrap());
         }
     }
-    let requested = requests(&control_node.handle(
+    let requested = promise_requests(&control_node.handle(
         now,
         Input::Stored {
             serial: last_serial,
         },
     ));
-    assert!(!requested.is_empty(), "some partitions are ours by weight");
+    assert!(
+        !requested.is_empty(),
+        "the node leads some partitions by weight"
+    );
 
-    // The process ends before any reply, and restarts on what was synced.
+    // The process ends before any reply, and restarts with the synced records.
     let mut control_node = start(replica);
     control_node.handle(now, heartbeat());
     let outputs = control_node.handle(now, Input::Tick);
@@ -82,7 +88,8 @@
         _ => None,
     });
     let serial = stored.max().expect("promises are stored");
-    let requested_after_restart = requests(&control_node.handle(now, Input::Stored { serial }));
+    let requested_after_restart =
+        promise_requests(&control_node.handle(now, Input::Stored { serial }));
     for (partition, epoch) in requested_after_restart {
         let earlier = requested.iter().filter(|(other, _)| *other == partition);
         assert!(earlier.map(|(_, epoch)| *epoch).all(|known| known < epoch));
--- a/control-plane/tests/recovery_replies.rs
+++ b/control-plane/tests/recovery_replies.rs
@@ -1,16 +1,16 @@
-//! Which replies recover a blank disk.
+//! Tests of the replies that a blank disk accepts for its recovery.
 use control_plane::prelude::*;
 use std::net::SocketAddr;
 
-/// The incarnation of the blank disk in slot 0, and that of the disk before it.
+/// Incarnation of the blank disk in slot 0, and that of the disk before it.
 const INCARNATION: u64 = 7;
-const EARLIER: u64 = 6;
+const EARLIER_INCARNATION: u64 = 6;
 
 fn address(slot: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 100 + slot))
 }
 
-/// All outputs of an input; what is stored is synced at once.
+/// Returns all outputs of an input; stored records are synced at once.
 fn step(control_node: &mut ControlNode, ms: u64, input: Input) -> Vec<Output> {
     let mut inputs = VecDeque::from([input]);
     let mut outputs = Vec::new();
@@ -25,7 +25,8 @@
     outputs
 }
 
-/// Both others reply, to the disk of this incarnation. True if the disk is full now.
+/// Delivers replies of both other slots, addressed to the disk of this incarnation. Returns true if the disk was
+/// recovered.
 fn deliver_both_replies(
     control_node: &mut ControlNode,
     ms: u64,
@@ -72,12 +73,22 @@
         1,
     );
     step(&mut control_node, 0, Input::Tick);
-    assert!(!deliver_both_replies(&mut control_node, 10, EARLIER, 0));
-    assert!(!deliver_both_replies(&mut control_node, 20, EARLIER, 1));
+    assert!(!deliver_both_replies(
+        &mut control_node,
+        10,
+        EARLIER_INCARNATION,
+        0
+    ));
+    assert!(!deliver_both_replies(
+        &mut control_node,
+        20,
+        EARLIER_INCARNATION,
+        1
+    ));
     assert!(!deliver_both_replies(&mut control_node, 30, INCARNATION, 0));
     assert!(
-        !deliver_both_replies(&mut control_node, 40, EARLIER, 1),
-        "late to the earlier"
+        !deliver_both_replies(&mut control_node, 40, EARLIER_INCARNATION, 1),
+        "a late reply to the earlier disk"
     );
     assert!(deliver_both_replies(&mut control_node, 50, INCARNATION, 1));
 }
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -1,21 +1,20 @@
-//! Exhaustive, bounded search of replication: three slots, few rows, messages
-//! in any order or lost, crashes, one wiped disk, one replaced member. Each
-//! search is run again without a safeguard, and must then find a violation.
+//! Exhaustive, bounded search of replication: three slots, few rows, messages in any order or lost, crashes, one wiped
+//! disk, one replaced member. Each search is repeated with a safeguard disabled, and must then find a violation.
 
 use crate::model::cluster::{Budget, Cluster};
 use crate::model::safeguard::Safeguard;
 use crate::model::search::search;
 use kernel::prelude::*;
 
-/// A ledger partition: rows are not shown to edges.
+/// A ledger partition; its rows are not shown to edges.
 const LEDGER: u8 = PUBLISHED_PARTITIONS;
 const SLOTS: usize = 3;
 
-/// A scenario with more states than this is too large to be searched completely.
-const MOST_STATES: usize = 1_000_000;
+/// Maximum number of states of a scenario that is searched completely.
+const MAX_STATES: usize = 1_000_000;
 
-/// A leader writes while another takes the partition and writes.
-fn taking(disabled: Option<Safeguard>) -> Cluster {
+/// A leader writes while another takes over the partition and writes.
+fn takeover(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .established(&[(0, LEDGER)])
@@ -26,8 +25,8 @@
         })
 }
 
-/// A leader is read from while another takes the partition and writes.
-fn reading(disabled: Option<Safeguard>) -> Cluster {
+/// A leader is read from while another takes over the partition and writes.
+fn read_during_takeover(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .established(&[(0, LEDGER)])
@@ -40,7 +39,7 @@
 }
 
 /// A row reached one disk; two leaders follow.
-fn taking_twice(disabled: Option<Safeguard>) -> Cluster {
+fn two_takeovers(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .established(&[(0, LEDGER)])
@@ -51,7 +50,7 @@
         })
 }
 
-/// A leader restarts while it takes the partition and writes.
+/// A leader restarts while it takes over the partition and writes.
 fn leader_crash(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
@@ -76,9 +75,8 @@
         })
 }
 
-/// A leader that got its promises sends its state twice and writes a row; then
-/// another leads.
-fn retransmitting(disabled: Option<Safeguard>) -> Cluster {
+/// A leader that has its promises sends its state twice and writes a row; then another leads.
+fn retransmission(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .promised(0, LEDGER)
@@ -91,8 +89,8 @@
         .with_blocked_links(&[(0, 2)])
 }
 
-/// A row is under way while a disk is wiped and refilled, which then leads.
-fn refilling(disabled: Option<Safeguard>) -> Cluster {
+/// A row is in flight while a disk is wiped and recovered, which then leads.
+fn recovery(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .established(&[(0, LEDGER)])
         .with(Budget {
@@ -103,8 +101,8 @@
         })
 }
 
-/// Two rows are under way while a disk is wiped and refilled.
-fn refilling_between_writes(disabled: Option<Safeguard>) -> Cluster {
+/// Two rows are in flight while a disk is wiped and recovered.
+fn recovery_between_writes(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .established(&[(0, LEDGER)])
         .with(Budget {
@@ -114,8 +112,8 @@
         })
 }
 
-/// A member is replaced while it leads; the newcomer leads next.
-fn replacing(disabled: Option<Safeguard>) -> Cluster {
+/// A member is replaced while it leads; the joiner leads next.
+fn replacement(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
@@ -126,9 +124,9 @@
             ..Budget::default()
         })
 }
-/// A member that holds an acknowledged row was replaced; the newcomer, which is
-/// not refilled yet, leads as soon as it may.
-fn newcomer_leads(disabled: Option<Safeguard>) -> Cluster {
+/// A member that holds an acknowledged row was replaced; the joiner, which is not recovered yet, leads as soon as it
+/// may.
+fn joiner_leads(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(SLOTS, disabled)
         .with_known_members()
         .established(&[(0, MEMBERSHIP_PARTITION), (1, LEDGER)])
@@ -152,11 +150,10 @@
         })
 }
 
-/// Of five members one was replaced. Node 4 did not hear of it and writes; it
-/// reaches node 0 and the removed node 1. The newcomer, refilled from nodes 0,
-/// 2 and 3, leads and reaches nodes 2 and 3. (Of three, two majorities always
-/// meet in a member that goes by the new table.)
-fn leading_by_an_old_table(disabled: Option<Safeguard>) -> Cluster {
+/// Of five members one was replaced. Node 4 did not receive the new table and writes; it reaches node 0 and the removed
+/// node 1. The joiner, recovered from nodes 0, 2 and 3, leads and reaches nodes 2 and 3. (Of three members, two
+/// majorities always share a member that uses the new table.)
+fn leader_with_stale_table(disabled: Option<Safeguard>) -> Cluster {
     Cluster::new(5, disabled)
         .established(&[(4, LEDGER)])
         .established_without((0, MEMBERSHIP_PARTITION), 1)
@@ -169,10 +166,10 @@
         })
 }
 
-/// Two of four members are lost for good while one of them writes; the survivors and two outsiders succeed them, and
-/// the first of these, recovered from the survivors, leads. The lost ones may still be heard by the survivors.
-fn two_of_four_succeeded(disabled: Option<Safeguard>) -> Cluster {
-    Cluster::of_four_with_two_outsiders(disabled)
+/// Two of four members are lost for good while one of them writes. The first survivor replaces them by two joiners, and
+/// the first joiner, recovered from the survivors, leads. Messages of the lost members may still reach the survivors.
+fn succession_of_two_of_four(disabled: Option<Safeguard>) -> Cluster {
+    Cluster::of_four_with_two_joiners(disabled)
         .established(&[(3, LEDGER)])
         .with_blocked_links(&[(4, 2), (4, 3), (4, 5), (5, 0), (5, 1), (5, 2), (5, 3)])
         .with(Budget {
@@ -183,9 +180,9 @@
         })
 }
 
-/// A row of a lost leader reached one survivor, who restarts while the lost members are succeeded.
+/// A row of a lost leader reached one survivor, which restarts while the lost members are replaced.
 fn survivor_restarts_during_succession(disabled: Option<Safeguard>) -> Cluster {
-    Cluster::of_four_with_two_outsiders(disabled)
+    Cluster::of_four_with_two_joiners(disabled)
         .established(&[(3, LEDGER)])
         .written(3, LEDGER, &[1, 2])
         .with_blocked_links(&[(4, 5), (5, 0), (5, 1), (2, 0), (2, 1), (3, 0), (3, 1)])
@@ -198,10 +195,10 @@
         })
 }
 
-/// Lost members that were merely away come back: the earlier leader writes and reaches the survivors, while a successor
-/// leads with the other one.
+/// Members considered lost return: the earlier leader writes and reaches the survivors, while a successor leads with
+/// the other one.
 fn earlier_leader_after_succession(disabled: Option<Safeguard>) -> Cluster {
-    Cluster::of_four_with_two_outsiders(disabled)
+    Cluster::of_four_with_two_joiners(disabled)
         .established(&[(3, LEDGER)])
         .succeeded(0)
         .with_blocked_links(&[(4, 1), (5, 1), (3, 0), (2, 0), (4, 2), (4, 3)])
@@ -214,24 +211,24 @@
 
 type Scenario = fn(Option<Safeguard>) -> Cluster;
 
-/// All states of the scenario satisfy the invariants; prints how many there are.
-fn holds(name: &str, scenario: Scenario) {
-    let found = search(scenario(None), MOST_STATES);
+/// Asserts that all states of the scenario satisfy the invariants; prints their number.
+fn assert_safe(name: &str, scenario: Scenario) {
+    let result = search(scenario(None), MAX_STATES);
     println!(
         "{name}: {} states, {} transitions",
-        found.states, found.transitions
+        result.states, result.transitions
     );
-    assert_eq!(found.violation, None);
-    assert!(found.complete, "more than {MOST_STATES} states");
+    assert_eq!(result.violation, None);
+    assert!(result.complete, "more than {MAX_STATES} states");
 }
 
-/// Without the safeguard some state breaks an invariant; prints the way there.
-fn finds(name: &str, scenario: Scenario, disabled: Safeguard) {
-    let found = search(scenario(Some(disabled)), MOST_STATES);
-    let trace = found.violation.unwrap_or_default();
+/// Asserts that without the safeguard some state violates an invariant; prints the path to it.
+fn assert_violated(name: &str, scenario: Scenario, disabled: Safeguard) {
+    let result = search(scenario(Some(disabled)), MAX_STATES);
+    let trace = result.violation.unwrap_or_default();
     println!(
         "{name} without {disabled:?}: {} states\n{trace}",
-        found.states
+        result.states
     );
     assert!(
         !trace.is_empty(),
@@ -241,115 +238,111 @@
 
 #[test]
 fn acknowledged_row_survives_leader_change() {
-    holds("taking", taking);
-    finds("taking", taking, Safeguard::PromiseCheckedOnAppend);
+    assert_safe("takeover", takeover);
+    assert_violated("takeover", takeover, Safeguard::PromiseCheckedOnAppend);
 }
 
 #[test]
 fn read_includes_previously_acknowledged_rows() {
-    holds("reading", reading);
-    finds("reading", reading, Safeguard::ReadConfirmedByRound);
+    assert_safe("read during takeover", read_during_takeover);
+    assert_violated(
+        "read during takeover",
+        read_during_takeover,
+        Safeguard::ReadConfirmedByRound,
+    );
 }
 
 #[test]
 fn adopted_and_read_row_survives_leader_change() {
-    holds("taking twice", taking_twice);
-    let disabled = Safeguard::StateRewrittenBeforeAnswering;
-    finds("taking twice", taking_twice, disabled);
+    assert_safe("two takeovers", two_takeovers);
+    let disabled = Safeguard::StateRewrittenBeforeServing;
+    assert_violated("two takeovers", two_takeovers, disabled);
 }
 
 #[test]
 fn restarted_leader_takes_new_epoch() {
-    holds("leader crash", leader_crash);
-    finds("leader crash", leader_crash, Safeguard::OwnPromiseFirst);
+    assert_safe("leader crash", leader_crash);
+    assert_violated(
+        "leader crash",
+        leader_crash,
+        Safeguard::OwnPromiseStoredFirst,
+    );
 }
 
 #[test]
 fn restarted_replica_retains_acknowledged_rows() {
-    holds("replica crash", replica_crash);
-    finds("replica crash", replica_crash, Safeguard::ReplyAfterSync);
+    assert_safe("replica crash", replica_crash);
+    assert_violated("replica crash", replica_crash, Safeguard::ReplyAfterSync);
 }
 
 #[test]
 fn late_append_does_not_regress_replica() {
-    holds("retransmitting", retransmitting);
+    assert_safe("retransmission", retransmission);
     let disabled = Safeguard::OutdatedAppendIgnored;
-    finds("retransmitting", retransmitting, disabled);
+    assert_violated("retransmission", retransmission, disabled);
 }
 
 #[test]
 fn recovered_disk_contains_rows_its_predecessor_acknowledged() {
-    holds("refilling", refilling);
-    finds("refilling", refilling, Safeguard::SecondRecoveryRound);
+    assert_safe("recovery", recovery);
+    assert_violated("recovery", recovery, Safeguard::SecondRecoveryRound);
 }
 
 #[test]
 fn wiped_disk_acknowledgement_is_not_counted() {
-    finds(
-        "refilling",
-        refilling,
-        Safeguard::RetiredIncarnationsNotCounted,
-    );
+    assert_violated("recovery", recovery, Safeguard::RetiredIncarnationsIgnored);
 }
 
 #[test]
 fn recovered_disk_rejects_append_for_predecessor() {
-    holds("refilling between writes", refilling_between_writes);
+    assert_safe("recovery between writes", recovery_between_writes);
     let disabled = Safeguard::GapRefused;
-    finds(
-        "refilling between writes",
-        refilling_between_writes,
-        disabled,
-    );
+    assert_violated("recovery between writes", recovery_between_writes, disabled);
 }
 
 #[test]
 fn blank_disk_does_not_vote() {
-    holds("wiped disk leads", wiped_disk_leads);
-    let disabled = Safeguard::BlankDiskTakesNoPart;
-    finds("wiped disk leads", wiped_disk_leads, disabled);
+    assert_safe("wiped disk leads", wiped_disk_leads);
+    let disabled = Safeguard::BlankDiskExcluded;
+    assert_violated("wiped disk leads", wiped_disk_leads, disabled);
 }
 
 #[test]
 fn member_is_replaced_while_leading() {
-    holds("replacing", replacing);
+    assert_safe("replacement", replacement);
 }
 
 #[test]
 fn joiner_does_not_count_before_recovery() {
-    holds("newcomer leads", newcomer_leads);
-    finds(
-        "newcomer leads",
-        newcomer_leads,
-        Safeguard::LearnerDoesNotCount,
-    );
+    assert_safe("joiner leads", joiner_leads);
+    assert_violated("joiner leads", joiner_leads, Safeguard::JoinerExcluded);
 }
 
 #[test]
 fn leader_with_stale_table_gets_no_acknowledgement() {
-    holds("leading by an old table", leading_by_an_old_table);
+    assert_safe("leader with stale table", leader_with_stale_table);
     let disabled = Safeguard::MembershipVersionFences;
-    finds("leading by an old table", leading_by_an_old_table, disabled);
+    assert_violated("leader with stale table", leader_with_stale_table, disabled);
 }
 
-/// Regression: two of four control nodes that were lost for good left no majority, and nothing could be read or changed
-/// any more. Whoever succeeds them holds all that was acknowledged.
+/// Regression: after two of four control nodes were lost for good there was no majority, and nothing could be read or
+/// changed any more. The nodes that replace them hold all acknowledged rows.
 #[test]
 fn successors_of_two_lost_members_hold_what_was_acknowledged() {
-    holds("two of four succeeded", two_of_four_succeeded);
+    assert_safe("succession of two of four", succession_of_two_of_four);
 }
 
 #[test]
 fn earlier_leader_commits_nothing_after_succession() {
     let name = "earlier leader after succession";
-    holds(name, earlier_leader_after_succession);
+    assert_safe(name, earlier_leader_after_succession);
     let disabled = Safeguard::SurvivorAbandonsEarlierTable;
-    finds(name, earlier_leader_after_succession, disabled);
+    assert_violated(name, earlier_leader_after_succession, disabled);
 }
 
 #[test]
 fn succession_survives_restart_of_a_survivor() {
-    holds(
+    assert_safe(
         "a survivor restarts during succession",
         survivor_restarts_during_succession,
     );
--- a/control-plane/tests/replication/main.rs
+++ b/control-plane/tests/replication/main.rs
@@ -1,5 +1,5 @@
-//! Model tests of replication: an exhaustive, bounded search and drawn
-//! sequences with shrinking. See docs/testing.md.
+//! Model tests of replication: an exhaustive, bounded search, and random sequences with shrinking. See
+//! docs/testing.md.
 mod exhaustive;
 mod model;
 mod sequences;
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -1,15 +1,14 @@
-//! The cluster: nodes, messages on their way, what was acknowledged so far,
-//! the actions that may come next, and the invariants.
+//! The cluster: nodes, messages in flight, acknowledged rows, the actions that may come next, and the invariants.
 
 use super::fingerprint::{Hashed, fingerprint};
 use super::node::{Envelope, Node, address, node_at};
 use super::safeguard::Safeguard;
 use control_plane::prelude::*;
 
-/// What may happen next.
+/// Action that may be applied next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// The message with this fingerprint arrives. One that never does is lost.
+    /// The message with this fingerprint arrives. A message that is never delivered is lost.
     Deliver(u64),
     Elect {
         node: usize,
@@ -29,28 +28,28 @@
     Wipe {
         node: usize,
     },
-    /// The leader of the membership table gives slot 1 to the outsider.
+    /// The leader of the membership table assigns slot 1 to the joiner.
     Replace {
         node: usize,
     },
-    /// The outsider learns the new table from this node.
+    /// The joiner receives the new table from this node.
     JoinTable {
         from: usize,
     },
-    /// The lowest survivor gives the slots of two lost members to the outsiders.
+    /// The lowest survivor assigns the slots of two lost members to the joiners.
     Succeed {
         node: usize,
     },
-    /// Time passes at this node: it retries what has no reply.
+    /// Time passes at this node: it retries messages without a reply.
     Retry {
         node: usize,
     },
 }
 
-/// How often each kind of action may still be taken, and where.
+/// Remaining number of actions of each kind, with their nodes.
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
-    /// Node and partition of each election that may come.
+    /// Node and partition of each remaining election.
     pub elections: Vec<(usize, u8)>,
     pub writes: Vec<(usize, u8)>,
     pub reads: Vec<(usize, u8)>,
@@ -61,15 +60,15 @@
     pub retries: Vec<usize>,
 }
 
-/// A row that was acknowledged, or shown to edges.
+/// Row that was acknowledged, or shown to edges.
 #[derive(Debug, Clone, PartialEq)]
 struct AcknowledgedRow {
-    /// Lowest epoch under which it was.
+    /// Lowest epoch under which it was acknowledged.
     epoch: u64,
     row: Row,
 }
 
-/// What was acknowledged to outsiders, by partition and key.
+/// Rows acknowledged to clients, by partition and key.
 #[derive(Debug, Clone, Default)]
 struct Acknowledged {
     rows: BTreeMap<(u8, String), AcknowledgedRow>,
@@ -81,26 +80,26 @@
     network: BTreeMap<u64, Arc<Envelope>>,
     acknowledged: Hashed<Acknowledged>,
     budget: Hashed<Budget>,
-    /// Pairs of nodes between which nothing gets through.
+    /// Pairs of nodes between which no message is delivered.
     blocked_links: Arc<BTreeSet<(usize, usize)>>,
     pub violation: Option<String>,
 }
 
-/// The slot that the outsider gets.
+/// Slot that is assigned to the joiner.
 const REPLACED_SLOT: usize = 1;
 /// Slots whose members are lost for good in a succession.
 const LOST_SLOTS: [usize; 2] = [2, 3];
-/// Incarnations of wiped disks follow those of the first ones.
+/// Offset of the incarnations of wiped disks, above those of the first disks.
 const WIPED_INCARNATION: u64 = 100;
 
 impl Cluster {
-    /// So many members with full, empty disks and one outsider with a blank one.
+    /// Creates this number of members with full, empty disks, and one joiner with a blank disk.
     pub fn new(slots: usize, disabled: Option<Safeguard>) -> Cluster {
         let members: Vec<Peer> = (0..slots).map(|node| Peer::new(address(node), 0)).collect();
         let mut nodes: Vec<Hashed<Node>> = (0..slots)
             .map(|node| Hashed::new(Node::member(node, members.clone(), disabled)))
             .collect();
-        nodes.push(Hashed::new(Node::outsider(slots, disabled)));
+        nodes.push(Hashed::new(Node::joiner(slots, disabled)));
         Cluster {
             nodes,
             network: BTreeMap::new(),
@@ -111,27 +110,27 @@
         }
     }
 
-    /// Four members of which two may be lost for good, and two outsiders.
-    pub fn of_four_with_two_outsiders(disabled: Option<Safeguard>) -> Cluster {
+    /// Creates four members, of which two may be lost for good, and two joiners.
+    pub fn of_four_with_two_joiners(disabled: Option<Safeguard>) -> Cluster {
         let mut cluster = Cluster::new(4, disabled);
-        cluster.nodes.push(Hashed::new(Node::outsider(5, disabled)));
+        cluster.nodes.push(Hashed::new(Node::joiner(5, disabled)));
         cluster
     }
 
-    fn outsider(&self) -> usize {
+    fn joiner(&self) -> usize {
         self.nodes.len() - 1
     }
 
-    /// The same with all members known to each other.
+    /// Lets all members know each other's disks.
     pub fn with_known_members(mut self) -> Cluster {
-        let outsider = self.outsider();
-        for node in &mut self.nodes[..outsider] {
+        let joiner = self.joiner();
+        for node in &mut self.nodes[..joiner] {
             node.update(Node::with_known_members);
         }
         self
     }
 
-    /// The same after these elections, with all messages delivered.
+    /// Runs these elections, with all messages delivered.
     pub fn established(mut self, leaders: &[(usize, u8)]) -> Cluster {
         for (node, partition) in leaders {
             self.run(*node, |node| node.elect(*partition));
@@ -140,7 +139,7 @@
         self
     }
 
-    /// The same after this node got its promises; its state is on the way.
+    /// Runs an election until this node has its promises; its state is in flight.
     pub fn promised(mut self, leader: usize, partition: u8) -> Cluster {
         self.run(leader, |node| node.elect(partition));
         while !self.nodes[leader].is_active(partition) {
@@ -157,14 +156,14 @@
         self
     }
 
-    /// The same after this election, of which one node receives nothing.
+    /// Runs this election, of which one node receives no message.
     pub fn established_without(mut self, leader: (usize, u8), absent: usize) -> Cluster {
         self.run(leader.0, |node| node.elect(leader.1));
         self.deliver_all(&|from, to| from != absent && to != absent);
         self
     }
 
-    /// The same after this node wrote a row that reached these disks only.
+    /// Writes a row on this node that reaches these disks only.
     pub fn written(mut self, node: usize, partition: u8, reached: &[usize]) -> Cluster {
         self = self.with(Budget {
             writes: vec![(node, partition)],
@@ -175,8 +174,7 @@
         self
     }
 
-    /// The same after the outsider got its slot by a table that all but these
-    /// nodes received; it is not recovered yet.
+    /// Assigns the joiner its slot by a table that all but these nodes receive; the joiner is not recovered yet.
     pub fn replaced(mut self, leader: usize, unaware: &[usize]) -> Cluster {
         self = self.with(Budget {
             replacements: vec![leader],
@@ -188,8 +186,8 @@
         self
     }
 
-    /// The same after this survivor gave the lost members' slots to the outsiders, who were recovered; the lost members
-    /// heard nothing of it.
+    /// Assigns the lost members' slots to the joiners by this survivor, and recovers the joiners; the lost members
+    /// receive no message.
     pub fn succeeded(mut self, survivor: usize) -> Cluster {
         self = self.with(Budget {
             successions: vec![survivor],
@@ -199,16 +197,19 @@
         let arrives =
             |from: usize, to: usize| !LOST_SLOTS.contains(&from) && !LOST_SLOTS.contains(&to);
         self.deliver_all(&arrives);
-        for outsider in self.nodes.len() - LOST_SLOTS.len()..self.nodes.len() {
-            // A survivor may have had its first request before the table.
-            self.run(outsider, Node::retry);
+        for joiner in self.nodes.len() - LOST_SLOTS.len()..self.nodes.len() {
+            // A survivor may have received the first request before the table.
+            self.run(joiner, Node::retry);
             self.deliver_all(&arrives);
-            assert!(self.nodes[outsider].can_vote(), "{outsider} is recovered");
+            assert!(
+                self.nodes[joiner].can_vote(),
+                "joiner {joiner} is not recovered"
+            );
         }
         self
     }
 
-    /// The same with these nodes cut off from each other.
+    /// Blocks messages between these pairs of nodes.
     pub fn with_blocked_links(mut self, blocked_links: &[(usize, usize)]) -> Cluster {
         let both = blocked_links
             .iter()
@@ -217,8 +218,7 @@
         self
     }
 
-    /// Delivers what may arrive, by sender and receiver, until nothing of that
-    /// is left; the rest is lost.
+    /// Delivers messages selected by sender and receiver, until none of them is left; the rest is lost.
     fn deliver_all(&mut self, arrives: &dyn Fn(usize, usize) -> bool) {
         loop {
             let next = self.network.iter().find(|(_, envelope)| {
@@ -232,7 +232,7 @@
         self.network.clear();
     }
 
-    /// The same with these actions to come.
+    /// Sets the actions that may be applied.
     pub fn with(mut self, budget: Budget) -> Cluster {
         self.budget = Hashed::new(budget);
         self
@@ -291,10 +291,10 @@
                 actions.push(Action::Replace { node });
             }
         }
-        if self.nodes[self.outsider()].members.is_empty() {
+        if self.nodes[self.joiner()].members.is_empty() {
             let knows = |node: &usize| self.nodes[*node].membership_version > 0;
             actions.extend(
-                (0..self.outsider())
+                (0..self.joiner())
                     .filter(knows)
                     .map(|from| Action::JoinTable { from }),
             );
@@ -315,39 +315,39 @@
         node.can_vote() && leader.is_some_and(|leader| node.can_serve(leader))
     }
 
-    /// The tolerated number of wiped disks among three is one at a time.
+    /// Returns true if all other members' disks are full: of three disks, one may be wiped at a time.
     fn others_are_full(&self, node: usize) -> bool {
-        (0..self.outsider()).all(|other| other == node || self.nodes[other].replica.full)
+        (0..self.joiner()).all(|other| other == node || self.nodes[other].replica.full)
     }
 
     pub fn apply(&mut self, action: Action) {
         match action {
             Action::Deliver(key) => self.deliver(key),
             Action::Elect { node, partition } => {
-                self.spend(|budget| &mut budget.elections, (node, partition));
+                self.consume(|budget| &mut budget.elections, (node, partition));
                 self.run(node, |node| node.elect(partition));
             }
             Action::Write { node, partition } => self.write(node, partition),
             Action::Read { node, partition } => {
-                self.spend(|budget| &mut budget.reads, (node, partition));
+                self.consume(|budget| &mut budget.reads, (node, partition));
                 let required = self.acknowledged_keys(partition);
                 self.run(node, |node| node.read(partition, required));
             }
             Action::Crash { node } => {
-                self.spend(|budget| &mut budget.crashes, node);
+                self.consume(|budget| &mut budget.crashes, node);
                 self.drop_messages_to_itself(node);
                 self.run(node, Node::crash);
             }
             Action::Wipe { node } => {
-                self.spend(|budget| &mut budget.wipes, node);
+                self.consume(|budget| &mut budget.wipes, node);
                 self.drop_messages_to_itself(node);
                 let incarnation = WIPED_INCARNATION + self.nodes[node].replica.incarnation;
                 self.run(node, |node| node.wipe(incarnation));
             }
             Action::Replace { node } => {
-                self.spend(|budget| &mut budget.replacements, node);
+                self.consume(|budget| &mut budget.replacements, node);
                 let mut members = self.nodes[node].members.clone();
-                members[REPLACED_SLOT] = self.nodes[self.outsider()].me();
+                members[REPLACED_SLOT] = self.nodes[self.joiner()].me();
                 self.run(node, |node| {
                     node.write(
                         MEMBERSHIP_PARTITION,
@@ -358,40 +358,40 @@
             }
             Action::JoinTable { from } => {
                 let (version, members) = {
-                    let teller = &self.nodes[from];
-                    (teller.membership_version, teller.members.clone())
+                    let source = &self.nodes[from];
+                    (source.membership_version, source.members.clone())
                 };
-                self.run(self.outsider(), |node| node.join_table(version, members));
+                self.run(self.joiner(), |node| node.join_table(version, members));
             }
             Action::Succeed { node } => {
-                self.spend(|budget| &mut budget.successions, node);
+                self.consume(|budget| &mut budget.successions, node);
                 let mut members = self.nodes[node].members.clone();
-                let outsiders = self.nodes.len() - LOST_SLOTS.len();
+                let joiners = self.nodes.len() - LOST_SLOTS.len();
                 for (at, slot) in LOST_SLOTS.into_iter().enumerate() {
-                    members[slot] = self.nodes[outsiders + at].me();
+                    members[slot] = self.nodes[joiners + at].me();
                 }
                 self.run(node, |node| node.succeed(members));
             }
             Action::Retry { node } => {
-                self.spend(|budget| &mut budget.retries, node);
+                self.consume(|budget| &mut budget.retries, node);
                 self.run(node, Node::retry);
             }
         }
-        self.judge();
+        self.check_invariants();
     }
 
-    fn spend<T: PartialEq>(&mut self, of: fn(&mut Budget) -> &mut Vec<T>, one: T) {
+    fn consume<T: PartialEq>(&mut self, list_of: fn(&mut Budget) -> &mut Vec<T>, entry: T) {
         self.budget.update(|budget| {
-            let list = of(budget);
-            let at = list.iter().position(|known| *known == one);
-            list.remove(at.expect("was offered"));
+            let list = list_of(budget);
+            let at = list.iter().position(|known| *known == entry);
+            list.remove(at.expect("the action is in the budget"));
         });
     }
 
-    /// Each row has a key and a value of its own.
+    /// Writes a row with a unique key and value.
     fn write(&mut self, node: usize, partition: u8) {
         let number = self.budget.writes.len() as u64;
-        self.spend(|budget| &mut budget.writes, (node, partition));
+        self.consume(|budget| &mut budget.writes, (node, partition));
         let value = Value::Opened { generation: number };
         self.run(node, |node| {
             node.write(partition, format!("row-{number}"), value)
@@ -399,14 +399,14 @@
     }
 
     fn deliver(&mut self, key: u64) {
-        let envelope = self.network.remove(&key).expect("is on its way");
+        let envelope = self.network.remove(&key).expect("the message is in flight");
         let Envelope { from, to, message } = (*envelope).clone();
         self.run(node_at(to), |node| node.receive(from, message));
     }
 
     fn run(&mut self, node: usize, step: impl FnOnce(&mut Node) -> Vec<Envelope>) {
-        let out = self.nodes[node].update(step);
-        for envelope in out {
+        let sent = self.nodes[node].update(step);
+        for envelope in sent {
             let to = node_at(envelope.to);
             if self.blocked_links.contains(&(node, to)) {
                 continue;
@@ -419,7 +419,7 @@
             .retain(|_, envelope| nodes[node_at(envelope.to)].accepts(&envelope.message));
     }
 
-    /// What a process sent to itself ends with it.
+    /// Drops the messages that a process sent to itself, which are lost with it.
     fn drop_messages_to_itself(&mut self, node: usize) {
         let me = self.nodes[node].address;
         self.network
@@ -433,16 +433,16 @@
             .collect()
     }
 
-    /// Notes what was acknowledged and judges the invariants.
-    fn judge(&mut self) {
-        self.note_acknowledged();
-        self.judge_reads();
-        self.judge_images();
-        self.judge_published();
-        self.judge_leaders();
+    /// Records acknowledged rows and checks the invariants.
+    fn check_invariants(&mut self) {
+        self.record_acknowledged();
+        self.check_reads();
+        self.check_replica_states();
+        self.check_published_rows();
+        self.check_leaders();
     }
 
-    fn note_acknowledged(&mut self) {
+    fn record_acknowledged(&mut self) {
         let mut fresh = Vec::new();
         for node in self.nodes.iter().filter(|node| node.can_vote()) {
             for leader in node
@@ -457,8 +457,8 @@
                 };
                 for (key, row) in &leader.rows {
                     let known = self.acknowledged.rows.get(&(leader.partition, key.clone()));
-                    let messages = row.version <= committed;
-                    if messages && known.is_none_or(|known| known.epoch > leader.epoch) {
+                    let is_committed = row.version <= committed;
+                    if is_committed && known.is_none_or(|known| known.epoch > leader.epoch) {
                         fresh.push((leader.partition, leader.epoch, key.clone(), row.clone()));
                     }
                 }
@@ -469,7 +469,7 @@
         }
     }
 
-    /// Two rows are never acknowledged under one version of a partition.
+    /// Records an acknowledged row. Invariant: two rows are never acknowledged under one version of a partition.
     fn acknowledge(&mut self, partition: u8, epoch: u64, key: String, row: Row) {
         let other = self.acknowledged.rows.iter().find(|((of, name), known)| {
             *of == partition && known.row.version == row.version && *name != key
@@ -487,17 +487,17 @@
         });
     }
 
-    /// A read includes what was acknowledged before it began.
-    fn judge_reads(&mut self) {
+    /// Checks that a read includes the rows acknowledged before it began.
+    fn check_reads(&mut self) {
         for node in &mut self.nodes {
             if node.reads.is_empty() {
                 continue;
             }
-            let answered = node.update(Node::finished_reads);
-            for read in answered {
+            let finished = node.update(Node::finished_reads);
+            for read in finished {
                 if !read.required.is_subset(&read.keys) {
                     let text = format!(
-                        "a read at {} tells {:?} and lacks some of {:?}",
+                        "a read at {} returns {:?} and lacks some of {:?}",
                         node.address.port(),
                         read.keys,
                         read.required
@@ -508,14 +508,14 @@
         }
     }
 
-    /// Two disks with one epoch and version of a partition hold the same rows.
-    fn judge_images(&mut self) {
+    /// Checks that two disks with the same epoch and version of a partition hold the same rows.
+    fn check_replica_states(&mut self) {
         let full = || self.nodes.iter().filter(|node| node.replica.full);
         for (one, other) in full().flat_map(|one| full().map(move |other| (one, other))) {
             for (mine, theirs) in one.replica.partitions.iter().zip(&other.replica.partitions) {
                 let (mine, theirs) = (&mine.state, &theirs.state);
-                let level = (mine.epoch, mine.version) == (theirs.epoch, theirs.version);
-                if level && mine.rows != theirs.rows {
+                let same_version = (mine.epoch, mine.version) == (theirs.epoch, theirs.version);
+                if same_version && mine.rows != theirs.rows {
                     let text = format!(
                         "epoch {} version {} holds other rows at {} than at {}",
                         mine.epoch,
@@ -529,8 +529,8 @@
         }
     }
 
-    /// Edges are shown only what was acknowledged.
-    fn judge_published(&mut self) {
+    /// Checks that edges are shown acknowledged rows only.
+    fn check_published_rows(&mut self) {
         for node in &self.nodes {
             for (partition, replica_partition) in node.replica.partitions.iter().enumerate() {
                 for (key, row) in &replica_partition.published_rows {
@@ -542,15 +542,15 @@
                     if !known {
                         let port = node.address.port();
                         self.violation =
-                            Some(format!("{port} shows {key}, which nobody acknowledged"));
+                            Some(format!("{port} shows {key}, which was not acknowledged"));
                     }
                 }
             }
         }
     }
 
-    /// Every later leader that serves holds what was acknowledged.
-    fn judge_leaders(&mut self) {
+    /// Checks that every later leader that serves holds the acknowledged rows.
+    fn check_leaders(&mut self) {
         for node in self.nodes.iter().filter(|node| node.can_vote()) {
             for leader in node
                 .leaders
--- a/control-plane/tests/replication/model/fingerprint.rs
+++ b/control-plane/tests/replication/model/fingerprint.rs
@@ -1,10 +1,10 @@
-//! Fingerprints of states, by which the search knows where it has been.
+//! Fingerprints of states, by which the search detects states already visited.
 use std::fmt::{self, Debug, Write};
 use std::hash::{DefaultHasher, Hasher};
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// Feeds what is written to a hasher.
+/// Writer that passes its text to a hasher.
 struct HashWriter(DefaultHasher);
 
 impl Write for HashWriter {
@@ -14,14 +14,14 @@
     }
 }
 
-/// Hash of a value's `Debug` form: it shows every field.
+/// Returns the hash of a value's `Debug` form, which contains every field.
 pub fn fingerprint(value: &impl Debug) -> u64 {
     let mut writer = HashWriter(DefaultHasher::new());
     write!(writer, "{value:?}").expect("hashing does not fail");
     writer.0.finish()
 }
 
-/// A shared value with its fingerprint, computed once.
+/// Shared value with its fingerprint, computed once.
 #[derive(Debug)]
 pub struct Hashed<T> {
     value: Arc<T>,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Changes a copy of the value and takes its place.
+    /// Replaces the value by a changed copy.
     pub fn update<R>(&mut self, change: impl FnOnce(&mut T) -> R) -> R {
         let mut value = T::clone(&self.value);
         let result = change(&mut value);
--- a/control-plane/tests/replication/model/mod.rs
+++ b/control-plane/tests/replication/model/mod.rs
@@ -1,6 +1,5 @@
-//! A model of replication for exhaustive, bounded search: the product's own
-//! state machines, a network that delivers in any order or never, crashes,
-//! wiped disks, and invariants judged in every state.
+//! A model of replication for exhaustive, bounded search: the production state machines, a network that delivers
+//! messages in any order or never, crashes, wiped disks, and invariants that are checked in every state.
 pub mod cluster;
 pub mod fingerprint;
 pub mod node;
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -1,15 +1,14 @@
-//! One control node of the model: the product's `Replica`, `PartitionLeader`
-//! and `ReplicaRecovery`, wired as `ControlNode` wires them.
+//! One control node of the model: the production `Replica`, `PartitionLeader` and `ReplicaRecovery`, combined as in
+//! `ControlNode`.
 //!
-//! Left out, since safety must not depend on it: heartbeats, the choice of the
-//! leader by weight (any node may stand at any moment), notices of a stale
-//! epoch (a leader that does not know that it was superseded is the more
-//! dangerous one), edges and sessions.
+//! The model omits the following, since safety must not depend on it: heartbeats, the choice of the leader by weight
+//! (any node may be a candidate at any time), notices of a stale epoch (a leader that does not know that it was
+//! superseded is the more dangerous one), edges and sessions.
 
 use super::safeguard::Safeguard;
 use control_plane::prelude::*;
 
-/// A message on its way.
+/// Message in flight.
 #[derive(Debug, Clone)]
 pub struct Envelope {
     pub from: Peer,
@@ -17,7 +16,7 @@
     pub message: Message,
 }
 
-/// A read that waits for its round to be confirmed.
+/// Read that waits for its round to be confirmed.
 #[derive(Debug, Clone)]
 pub struct PendingRead {
     pub partition: u8,
@@ -34,14 +33,13 @@
 pub struct Node {
     pub address: SocketAddr,
     pub replica: Replica,
-    /// What a crash leaves, where that is behind `replica`: only without
-    /// `ReplyAfterSync`.
+    /// State that a crash leaves, where it is behind `replica`: only without `ReplyAfterSync`.
     disk: Option<Replica>,
     pub membership_version: u64,
     pub members: Vec<Peer>,
-    /// Of the table before, if they still count: only without a safeguard.
+    /// Members of the previous table, if they are still accepted: only with a safeguard disabled.
     earlier_members: Vec<Peer>,
-    /// Disks last met, by slot.
+    /// Last known incarnations of disks, by slot.
     incarnations: BTreeMap<u8, u64>,
     retired: VecDeque<u64>,
     pub leaders: BTreeMap<u8, PartitionLeader>,
@@ -50,31 +48,31 @@
     first_replies: Vec<SnapshotReply>,
     pub reads: Vec<PendingRead>,
     now: Duration,
-    /// It got its slot by a later table.
+    /// True if it was assigned its slot by a later table.
     joined: bool,
     disabled: Option<Safeguard>,
 }
 
-/// Longer than the product waits before it retries a message.
+/// Time that passes on a retry; longer than every retry interval in production.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Partitions of a model replica: up to the first ledger partition.
+/// Number of partitions of a model replica: up to the first ledger partition.
 const PARTITIONS: usize = PUBLISHED_PARTITIONS as usize + 1;
 
-/// Shows all that the node's behaviour hangs on; partitions nobody touched are
-/// left out, since states are distinguished by this text.
+/// Contains everything that determines the node's behaviour, since states are distinguished by this text; unused
+/// partitions are left out.
 impl fmt::Debug for Node {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let replicas: Vec<_> = std::iter::once(&self.replica)
             .chain(&self.disk)
             .map(|replica| {
-                let touched = replica.partitions.iter().enumerate();
-                let touched: Vec<_> = touched
+                let used = replica.partitions.iter().enumerate();
+                let used: Vec<_> = used
                     .filter(|(_, stored)| **stored != ReplicaPartition::default())
                     .collect();
                 (
                     (replica.incarnation, replica.full, replica.removed),
                     (&replica.known_table, &replica.retired),
-                    touched,
+                    used,
                 )
             })
             .collect();
@@ -92,7 +90,7 @@
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + node as u16))
 }
 
-/// The node that listens at an address.
+/// Returns the node that listens at an address.
 pub fn node_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
@@ -104,16 +102,16 @@
 }
 
 impl Node {
-    /// A member with a full disk, by the first table.
+    /// Creates a member with a full disk, by the first table.
     pub fn member(node: usize, members: Vec<Peer>, disabled: Option<Safeguard>) -> Node {
-        let mut node = Node::outsider(node, disabled);
+        let mut node = Node::joiner(node, disabled);
         node.members = members;
         node.replica.full = true;
         node
     }
 
-    /// A node with a blank disk and no slot.
-    pub fn outsider(node: usize, disabled: Option<Safeguard>) -> Node {
+    /// Creates a node with a blank disk and no slot.
+    pub fn joiner(node: usize, disabled: Option<Safeguard>) -> Node {
         let replica = empty_replica(node as u64 + 1);
         Node {
             address: address(node),
@@ -134,7 +132,7 @@
         }
     }
 
-    /// Every member's first disk was met here.
+    /// Lets the node know every member's first disk.
     pub fn with_known_members(&mut self) {
         self.incarnations = (0..self.members.len())
             .map(|slot| (slot as u8, slot as u64 + 1))
@@ -148,7 +146,7 @@
         Peer::new(self.address, self.replica.incarnation)
     }
 
-    fn has(&self, safeguard: Safeguard) -> bool {
+    fn enforces(&self, safeguard: Safeguard) -> bool {
         self.disabled != Some(safeguard)
     }
 
@@ -166,15 +164,15 @@
         self.slot_of(&self.me())
     }
 
-    /// Returns true if this disk counts (`ControlNode::can_vote`).
+    /// Returns true if this disk is included in quorums (`ControlNode::can_vote`).
     pub fn can_vote(&self) -> bool {
-        let counts = self.replica.full
-            || !self.has(Safeguard::BlankDiskTakesNoPart)
-            || !self.has(Safeguard::LearnerDoesNotCount) && self.joined;
-        counts && !self.replica.removed && self.slot().is_some()
+        let is_counted = self.replica.full
+            || !self.enforces(Safeguard::BlankDiskExcluded)
+            || !self.enforces(Safeguard::JoinerExcluded) && self.joined;
+        is_counted && !self.replica.removed && self.slot().is_some()
     }
 
-    /// Returns true if it leads the partition with a majority's promises.
+    /// Returns true if the node leads the partition with a majority's promises.
     pub fn is_active(&self, partition: u8) -> bool {
         let leader = self.leaders.get(&partition);
         leader.is_some_and(|leader| leader.active_since.is_some())
@@ -183,7 +181,8 @@
     /// Returns true if a leader may serve its rows.
     pub fn can_serve(&self, leader: &PartitionLeader) -> bool {
         leader.ready()
-            || !self.has(Safeguard::StateRewrittenBeforeAnswering) && leader.active_since.is_some()
+            || !self.enforces(Safeguard::StateRewrittenBeforeServing)
+                && leader.active_since.is_some()
     }
 
     fn envelope(&self, to: SocketAddr, message: impl Into<Message>) -> Envelope {
@@ -195,7 +194,7 @@
     }
 
     fn store(&mut self, record: &Record) {
-        if !self.has(Safeguard::ReplyAfterSync) {
+        if !self.enforces(Safeguard::ReplyAfterSync) {
             self.disk = Some(self.replica.clone());
         }
         self.replica.apply(record);
@@ -213,12 +212,12 @@
     fn adopt_table(&mut self, version: u64, members: Vec<Peer>) {
         self.membership_version = version;
         let before = std::mem::replace(&mut self.members, members);
-        if !self.has(Safeguard::SurvivorAbandonsEarlierTable) {
+        if !self.enforces(Safeguard::SurvivorAbandonsEarlierTable) {
             self.earlier_members = before.clone();
         }
-        let moved = before.into_iter().zip(self.members.clone());
-        for (slot, (old, new)) in moved.enumerate() {
-            if old == new || !self.has(Safeguard::SurvivorAbandonsEarlierTable) {
+        let changed = before.into_iter().zip(self.members.clone());
+        for (slot, (old, new)) in changed.enumerate() {
+            if old == new || !self.enforces(Safeguard::SurvivorAbandonsEarlierTable) {
                 continue;
             }
             if let Some(incarnation) = self.incarnations.remove(&(slot as u8))
@@ -245,7 +244,7 @@
     }
 
     fn on_retired_reported(&mut self, incarnations: &[u64]) {
-        if !self.has(Safeguard::RetiredIncarnationsNotCounted) {
+        if !self.enforces(Safeguard::RetiredIncarnationsIgnored) {
             return;
         }
         for incarnation in incarnations {
@@ -269,10 +268,10 @@
         }
     }
 
-    /// A message of this disk came from a slot; an earlier one is retired.
+    /// Records a message of this disk from a slot, and retires an earlier disk.
     fn on_member_contact(&mut self, slot: u8, incarnation: u64) {
         let known = *self.incarnations.entry(slot).or_insert(incarnation);
-        if known != incarnation && self.has(Safeguard::RetiredIncarnationsNotCounted) {
+        if known != incarnation && self.enforces(Safeguard::RetiredIncarnationsIgnored) {
             self.incarnations.insert(slot, incarnation);
             self.reset_replica(slot);
             self.retire_incarnation(known);
@@ -283,12 +282,12 @@
         self.retired.iter().copied().collect()
     }
 
-    /// Stands as leader of a partition (`ControlNode::campaign`).
+    /// Starts a candidacy for a partition (`ControlNode::campaign`).
     pub fn elect(&mut self, partition: u8) -> Vec<Envelope> {
-        let slot = self.slot().expect("a member");
+        let slot = self.slot().expect("the node is a member");
         let highest = self.replica.partition(partition).promised_epoch;
         let epoch = (highest / MAX_SLOTS as u64 + 1) * MAX_SLOTS as u64 + u64::from(slot);
-        if self.has(Safeguard::OwnPromiseFirst) {
+        if self.enforces(Safeguard::OwnPromiseStoredFirst) {
             self.store(&Record::Promise { partition, epoch });
         }
         let leader = PartitionLeader::new(
@@ -302,21 +301,27 @@
         self.flush(true)
     }
 
-    /// Puts a row as leader.
+    /// Writes a row as leader.
     pub fn write(&mut self, partition: u8, key: String, value: Value) -> Vec<Envelope> {
-        let leader = self.leaders.get_mut(&partition).expect("leads");
+        let leader = self
+            .leaders
+            .get_mut(&partition)
+            .expect("the node leads the partition");
         leader.put(key, value);
         self.flush(false)
     }
 
     /// Begins a read of all rows (`Change::List`).
     pub fn read(&mut self, partition: u8, required: BTreeSet<String>) -> Vec<Envelope> {
-        let confirmed = !self.has(Safeguard::ReadConfirmedByRound);
-        let leader = self.leaders.get_mut(&partition).expect("leads");
+        let skips_round = !self.enforces(Safeguard::ReadConfirmedByRound);
+        let leader = self
+            .leaders
+            .get_mut(&partition)
+            .expect("the node leads the partition");
         self.reads.push(PendingRead {
             partition,
             epoch: leader.epoch,
-            round: if confirmed {
+            round: if skips_round {
                 0
             } else {
                 leader.begin_read_round()
@@ -328,7 +333,7 @@
         self.flush(false)
     }
 
-    /// Reads that are finished now.
+    /// Returns the reads that are finished now.
     pub fn finished_reads(&mut self) -> Vec<PendingRead> {
         let leaders = &self.leaders;
         let done = |read: &PendingRead| {
@@ -345,7 +350,7 @@
         done
     }
 
-    /// Time passes: what has no reply is retried.
+    /// Lets time pass and retries messages without a reply.
     pub fn retry(&mut self) -> Vec<Envelope> {
         self.now += RETRY_INTERVAL;
         let mut out = self.flush(true);
@@ -353,13 +358,13 @@
         out
     }
 
-    /// The process restarts on its disk.
+    /// Restarts the process with its disk.
     pub fn crash(&mut self) -> Vec<Envelope> {
         let replica = self.disk.take().unwrap_or_else(|| self.replica.clone());
         self.start(replica)
     }
 
-    /// The process restarts on a blank disk.
+    /// Restarts the process with a blank disk.
     pub fn wipe(&mut self, incarnation: u64) -> Vec<Envelope> {
         self.start(empty_replica(incarnation))
     }
@@ -392,7 +397,7 @@
             .collect()
     }
 
-    /// An outsider learns a table that names it (`ControlNode::join_table`).
+    /// Adopts a table that contains this joiner (`ControlNode::join_table`).
     pub fn join_table(&mut self, version: u64, members: Vec<Peer>) -> Vec<Envelope> {
         self.store(&Record::MembershipTable {
             version,
@@ -403,7 +408,7 @@
         self.begin_recovery()
     }
 
-    /// Gives slots of lost members to others without a majority (`ControlNode::succeed_lost_members`).
+    /// Assigns slots of lost members to others without a majority (`ControlNode::succeed_lost_members`).
     pub fn succeed(&mut self, members: Vec<Peer>) -> Vec<Envelope> {
         let table = MembershipTable {
             version: next_succession(self.membership_version),
@@ -423,7 +428,7 @@
             .collect()
     }
 
-    /// What the leaders send now (`ControlNode::flush_leaders`).
+    /// Returns the messages that leaders send now (`ControlNode::flush_leaders`).
     fn flush(&mut self, tick: bool) -> Vec<Envelope> {
         if !self.can_vote() {
             return vec![];
@@ -439,8 +444,8 @@
             .collect()
     }
 
-    /// Returns true if a message can still change anything here; others are dropped,
-    /// which is one of the things that may happen to them anyway.
+    /// Returns true if a message can still change the state of this node. Others are dropped, which may happen to any
+    /// message anyway.
     pub fn accepts(&self, message: &Message) -> bool {
         let leads = |partition: u8, epoch: u64| {
             self.leaders
@@ -458,13 +463,13 @@
             }
             Message::AppendRequest(request) => {
                 request.epoch >= self.replica.partition(request.partition).promised_epoch
-                    || !self.has(Safeguard::PromiseCheckedOnAppend)
+                    || !self.enforces(Safeguard::PromiseCheckedOnAppend)
             }
             _ => true,
         }
     }
 
-    /// Takes a message (`ControlNode::handle_message`) and returns what is sent.
+    /// Handles a message (`ControlNode::handle_message`) and returns the messages sent.
     pub fn receive(&mut self, from: Peer, message: Message) -> Vec<Envelope> {
         let mut out = self.handle(from, message);
         out.extend(self.flush(false));
@@ -485,12 +490,12 @@
             };
             return vec![self.envelope(from.address, table)];
         }
-        let counts_retired = !self.has(Safeguard::RetiredIncarnationsNotCounted);
-        let retired = self.retired.contains(&from.incarnation) && !counts_retired;
+        let accepts_retired = !self.enforces(Safeguard::RetiredIncarnationsIgnored);
+        let retired = self.retired.contains(&from.incarnation) && !accepts_retired;
         let Some(slot) = self.slot_of(&from).filter(|_| !retired) else {
             return vec![];
         };
-        if Some(slot) != self.slot() && self.has(Safeguard::SurvivorAbandonsEarlierTable) {
+        if Some(slot) != self.slot() && self.enforces(Safeguard::SurvivorAbandonsEarlierTable) {
             self.on_member_contact(slot, from.incarnation);
         }
         match message {
@@ -520,8 +525,8 @@
             _ => return false,
         };
         version < self.membership_version
-            && self.has(Safeguard::MembershipVersionFences)
-            && self.has(Safeguard::SurvivorAbandonsEarlierTable)
+            && self.enforces(Safeguard::MembershipVersionFences)
+            && self.enforces(Safeguard::SurvivorAbandonsEarlierTable)
     }
 
     fn handle_table(&mut self, table: MembershipTable) -> Vec<Envelope> {
@@ -574,10 +579,10 @@
             request.to_version,
         );
         let stored = self.replica.partition(partition);
-        if epoch < stored.promised_epoch && self.has(Safeguard::PromiseCheckedOnAppend) {
+        if epoch < stored.promised_epoch && self.enforces(Safeguard::PromiseCheckedOnAppend) {
             return vec![];
         }
-        if !stored.accepts(&request) && self.has(Safeguard::GapRefused) {
+        if !stored.accepts(&request) && self.enforces(Safeguard::GapRefused) {
             let gap = AppendGap {
                 partition,
                 epoch,
@@ -587,7 +592,7 @@
         }
         let current = stored.state.epoch == epoch && stored.promised_epoch == epoch;
         let is_stored = current && stored.state.version >= to;
-        if !is_stored || request.full_state && !self.has(Safeguard::OutdatedAppendIgnored) {
+        if !is_stored || request.full_state && !self.enforces(Safeguard::OutdatedAppendIgnored) {
             self.store(&Record::Appended { request });
         } else if request.published > stored.state.published {
             let request = AppendRequest {
@@ -618,7 +623,7 @@
             let was_active = leader.active_since.is_some();
             leader.on_prepare_reply(self.now, slot, reply.state);
             if !was_active && leader.active_since.is_some() {
-                // Those that have not promised were waited for.
+                // The leader waits for replicas that have not promised.
                 self.now += PREPARE_REPLY_GRACE;
             }
         }
@@ -636,24 +641,25 @@
     }
 
     fn snapshot(&self, from: Peer, request: SnapshotRequest) -> Envelope {
-        let counts = request.round > 0 || !self.has(Safeguard::SecondRecoveryRound);
+        let includes_partitions =
+            request.round > 0 || !self.enforces(Safeguard::SecondRecoveryRound);
         let founding = self.replica.partition(MEMBERSHIP_PARTITION).state.version == 0;
-        let shown = self
+        let published = self
             .replica
             .published_table()
             .map_or(0, |table| table.version);
         let reply = SnapshotReply {
             requester_incarnation: from.incarnation,
-            slot: self.slot().expect("a member"),
+            slot: self.slot().expect("the node is a member"),
             round: request.round,
             full: self.replica.full,
             lost_generation: 0,
             membership_version: if founding {
                 self.membership_version
             } else {
-                shown.max(last_succession(self.membership_version))
+                published.max(last_succession(self.membership_version))
             },
-            partitions: if counts {
+            partitions: if includes_partitions {
                 self.replica.snapshot()
             } else {
                 vec![]
@@ -666,7 +672,7 @@
         if reply.requester_incarnation != self.replica.incarnation {
             return vec![];
         }
-        if !self.has(Safeguard::SecondRecoveryRound) {
+        if !self.enforces(Safeguard::SecondRecoveryRound) {
             return self.accept_first_replies(reply);
         }
         let recovered = self
@@ -682,19 +688,19 @@
         }
     }
 
-    /// Without the second round, the first replies stand for both.
+    /// Uses the first replies for both rounds, without the second round.
     fn accept_first_replies(&mut self, reply: SnapshotReply) -> Vec<Envelope> {
         let Some(recovery) = &mut self.recovery else {
             return vec![];
         };
         self.first_replies.push(reply.clone());
         let _ = recovery.on_snapshot_reply(reply);
-        let again = self.first_replies.iter().cloned().map(|mut keys| {
-            keys.round = 1;
-            keys
+        let second_replies = self.first_replies.iter().cloned().map(|mut reply| {
+            reply.round = 1;
+            reply
         });
-        let recovered = again
-            .filter_map(|keys| recovery.on_snapshot_reply(keys))
+        let recovered = second_replies
+            .filter_map(|reply| recovery.on_snapshot_reply(reply))
             .last();
         if let Some(recovered) = recovered {
             self.recover_from(recovered);
--- a/control-plane/tests/replication/model/search.rs
+++ b/control-plane/tests/replication/model/search.rs
@@ -1,27 +1,26 @@
-//! Breadth-first search over all states a cluster can reach: the first
-//! violation that is met is one with the fewest actions.
+//! Breadth-first search over all states that a cluster can reach: the first violation found is one with the fewest
+//! actions.
 
 use super::cluster::{Action, Cluster};
 use std::collections::{HashMap, VecDeque};
 
-/// What a search found.
-pub struct Found {
-    /// True if every state within the bounds was met.
+/// Result of a search.
+pub struct SearchResult {
+    /// True if every state within the bounds was visited.
     pub complete: bool,
-    /// Distinct states met.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Actions tried.
+    /// Number of actions applied.
     pub transitions: usize,
-    /// The shortest way to a violation, one action a line.
+    /// Shortest sequence of actions to a violation, one action per line.
     pub violation: Option<String>,
 }
 
-/// Where a state was first come to from, and by what.
+/// Predecessor of each state on the first path to it, and the action between them.
 type Parents = HashMap<u64, Option<(u64, Action)>>;
 
-/// Searches all states that `start` can reach, up to the first violation or to
-/// so many states.
-pub fn search(start: Cluster, most_states: usize) -> Found {
+/// Searches all states reachable from `start`, up to the first violation or this number of states.
+pub fn search(start: Cluster, max_states: usize) -> SearchResult {
     let mut parents: Parents = HashMap::from([(start.fingerprint(), None)]);
     let mut frontier = VecDeque::from([start.clone()]);
     let mut transitions = 0;
@@ -38,7 +37,7 @@
             parents.insert(to, Some((from, action)));
             if let Some(text) = &next.violation {
                 let violation = Some(format!("{}{text}", trace(start, &parents, to)));
-                return Found {
+                return SearchResult {
                     complete: false,
                     states: parents.len(),
                     transitions,
@@ -47,11 +46,11 @@
             }
             frontier.push_back(next);
         }
-        if parents.len() >= most_states {
+        if parents.len() >= max_states {
             break;
         }
     }
-    Found {
+    SearchResult {
         complete: frontier.is_empty(),
         states: parents.len(),
         transitions,
@@ -59,7 +58,7 @@
     }
 }
 
-/// The actions from the start to a state.
+/// Returns the actions from the start to a state.
 fn trace(start: Cluster, parents: &Parents, end: u64) -> String {
     let mut actions = Vec::new();
     let mut at = end;
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -1,5 +1,5 @@
-//! Drawn sequences of operations and faults over `ControlNode`,
-//! `PartitionLeader` and `Replica`; proptest makes a failing one short.
+//! Random sequences of operations and faults over `ControlNode`, `PartitionLeader` and `Replica`; proptest shrinks a
+//! failing sequence.
 
 use crate::model::node::{Node, address};
 use control_plane::prelude::*;
@@ -67,7 +67,7 @@
     })
 }
 
-/// Requests of two other members to slot 0.
+/// Generates requests of two other members to slot 0.
 fn request() -> impl Strategy<Value = (u16, Message)> {
     (
         1u16..3,
@@ -96,7 +96,7 @@
     Input::MessageReceived { from, message }
 }
 
-/// One step after which everything is synced at once.
+/// Handles an input with all records synced at once. Returns the messages sent.
 fn step_synced(control_node: &mut ControlNode, input: Input) -> Vec<Message> {
     let mut inputs = VecDeque::from([input]);
     let mut messages = Vec::new();
@@ -112,7 +112,7 @@
     messages
 }
 
-/// Of what the model leaves out nothing is compared.
+/// Returns the message without the parts that the model omits, or none if it omits the message.
 fn comparable(message: Message) -> Option<Message> {
     match message {
         Message::StaleEpoch(_) => None,
@@ -145,9 +145,9 @@
     }
 }
 
-/// Appends and syncs each record to a log in a fresh folder, and cuts the last:
-/// what was synced before it must be there.
-fn torn_log(records: &[Vec<u8>], with_blocked_links: usize) -> Vec<Vec<u8>> {
+/// Appends and syncs each record to a log in a new folder, and truncates the last record. Returns the records read
+/// back, which must include all synced before it.
+fn torn_log(records: &[Vec<u8>], cut_bytes: usize) -> Vec<Vec<u8>> {
     static FOLDERS: AtomicU64 = AtomicU64::new(0);
     let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
     let name = format!("replication-sequences-{}-{number}", std::process::id());
@@ -173,24 +173,24 @@
     let length = std::fs::metadata(&segment).unwrap().len();
     let last = records.last().map_or(0, Vec::len) as u64;
     let file = std::fs::File::options().write(true).open(&segment).unwrap();
-    file.set_len(length - 1 - with_blocked_links as u64 % last.max(1))
+    file.set_len(length - 1 - cut_bytes as u64 % last.max(1))
         .unwrap();
     let read = SegmentLog::open(&folder).unwrap().records;
     std::fs::remove_dir_all(&folder).unwrap();
     read
 }
 
-/// A leader and the replicas of the three slots, with a network between.
-struct Lane {
+/// A leader, the replicas of the three slots, and the network between them.
+struct LeaderAndReplicas {
     leader: PartitionLeader,
     replicas: Vec<Node>,
     network: Vec<(u8, Message)>,
     now: Duration,
-    /// Rows by version, as the leader had them.
+    /// Rows of the leader, by version.
     states: BTreeMap<u64, BTreeMap<String, Row>>,
 }
 
-/// What happens next between a leader and its replicas.
+/// Action between a leader and its replicas.
 #[derive(Debug, Clone)]
 enum Step {
     Put(u64),
@@ -214,9 +214,9 @@
 
 const EPOCH: u64 = 16;
 
-impl Lane {
-    fn new(partition: u8) -> Lane {
-        let mut lane = Lane {
+impl LeaderAndReplicas {
+    fn new(partition: u8) -> LeaderAndReplicas {
+        let mut cluster = LeaderAndReplicas {
             leader: PartitionLeader::new(partition, EPOCH, 3, 0),
             replicas: (0..3)
                 .map(|node| Node::member(node, members(), None))
@@ -226,11 +226,11 @@
             states: BTreeMap::new(),
         };
         for slot in 0..2 {
-            let nothing = PreparedState::Newer(PartitionState::default());
-            lane.leader.on_prepare_reply(lane.now, slot, nothing);
+            let empty = PreparedState::Newer(PartitionState::default());
+            cluster.leader.on_prepare_reply(cluster.now, slot, empty);
         }
-        lane.flush(true);
-        lane
+        cluster.flush(true);
+        cluster
     }
 
     fn flush(&mut self, tick: bool) {
@@ -240,7 +240,7 @@
             .extend(self.leader.due_messages(self.now, tick));
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         let at = |index: &usize| index % self.network.len().max(1);
         match step {
             Step::Put(key) => {
@@ -279,18 +279,18 @@
         }
     }
 
-    /// All messages arrive until nothing is left to send.
+    /// Delivers all messages until nothing is left to send.
     fn heal(&mut self) {
         for _ in 0..6 {
-            self.take(&Step::Tick);
+            self.apply(&Step::Tick);
             while !self.network.is_empty() {
-                self.take(&Step::Deliver(0));
+                self.apply(&Step::Deliver(0));
             }
         }
     }
 
-    /// Every replica is the leader's state of some version, in full, and a
-    /// majority holds what the leader counts as committed.
+    /// Checks that every replica equals the leader's state of some version, and that a majority holds the version that
+    /// the leader counts as committed.
     fn check(&self) -> Result<(), TestCaseError> {
         let partition = self.leader.partition;
         let holding = self.replicas.iter().filter(|node| {
@@ -317,18 +317,18 @@
 }
 
 proptest! {
-    /// The log read back at any synced prefix is the state that was replied
-    /// from, also once a snapshot replaced the records before it.
+    /// The log replayed at any synced prefix yields the state on which replies were based, including after a snapshot
+    /// replaced the records before it.
     #[test]
     fn synced_log_prefix_contains_replied_state(
         requests in prop::collection::vec(request(), 1..40),
-        image_at in any::<prop::sample::Index>(),
+        snapshot_at in any::<prop::sample::Index>(),
     ) {
         let mut control_node = member(full_replica());
         let mut replica = full_replica();
         let start = Record::Snapshot(Box::new(replica.clone()));
         let mut log = vec![bincode::serialize(&start).unwrap()];
-        let image_at = image_at.index(requests.len());
+        let snapshot_at = snapshot_at.index(requests.len());
         for (at, (from, message)) in requests.into_iter().enumerate() {
             let outputs = control_node.handle(Duration::from_secs(1), received(from, message));
             let mut last = None;
@@ -341,7 +341,7 @@
                     last = Some(serial);
                 }
             }
-            if at == image_at {
+            if at == snapshot_at {
                 let snapshot = Record::Snapshot(Box::new(replica.clone()));
                 log = vec![bincode::serialize(&snapshot).unwrap()];
             }
@@ -354,11 +354,11 @@
         }
     }
 
-    /// A last record that is torn at any byte costs that record alone.
+    /// A last record that is truncated at any byte loses that record only.
     #[test]
     fn torn_last_record_restores_previous_state(
         requests in prop::collection::vec(request(), 1..12),
-        with_blocked_links in any::<usize>(),
+        cut_bytes in any::<usize>(),
     ) {
         let mut control_node = member(full_replica());
         let first = bincode::serialize(&Record::Snapshot(Box::new(full_replica()))).unwrap();
@@ -370,34 +370,34 @@
                 }
             }
         }
-        let read = torn_log(&log, with_blocked_links);
+        let read = torn_log(&log, cut_bytes);
         prop_assert_eq!(&read, &log[..log.len() - 1]);
         let before = Replica::replay(&log[..log.len() - 1]).unwrap();
         prop_assert_eq!(Replica::replay(&read).unwrap(), before);
     }
 
-    /// Appends in any order, lost and doubled: each replica is the leader's
-    /// state of some version, and catching up by deltas ends in the full state.
+    /// Appends arrive in any order, lost and duplicated: each replica equals the leader's state of some version, and
+    /// catching up by deltas ends in the full state.
     #[test]
     fn reordered_appends_yield_complete_states(
         partition in partition(),
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut lane = Lane::new(partition);
+        let mut cluster = LeaderAndReplicas::new(partition);
         for step in &steps {
-            lane.take(step);
-            lane.check()?;
+            cluster.apply(step);
+            cluster.check()?;
         }
-        lane.heal();
-        lane.check()?;
-        prop_assert_eq!(lane.leader.committed(), lane.leader.version);
-        for node in &lane.replicas {
-            prop_assert_eq!(&node.replica.partition(partition).state.rows, &lane.leader.rows);
+        cluster.heal();
+        cluster.check()?;
+        prop_assert_eq!(cluster.leader.committed(), cluster.leader.version);
+        for node in &cluster.replicas {
+            prop_assert_eq!(&node.replica.partition(partition).state.rows, &cluster.leader.rows);
         }
     }
 
-    /// Membership tables in any order and doubled: the newest stays, also over
-    /// a restart on what was stored.
+    /// Membership tables arrive in any order and duplicated: the newest one remains in use, even after a restart with
+    /// the stored records.
     #[test]
     fn newest_membership_table_wins(
         versions in prop::collection::vec(0u64..8, 1..12),
@@ -407,7 +407,7 @@
         let mut newest = 0;
         for version in versions {
             newest = newest.max(version);
-            // Slot 1 goes to another address with each version.
+            // Each version assigns slot 1 to another address.
             let mut members = members();
             members[1] = Peer::new(address(10 + version as usize), 50 + version);
             let table = MembershipTable { version, members };
@@ -417,10 +417,10 @@
                     control_node.handle(Duration::from_secs(1), Input::Stored { serial });
                 }
             }
-            let mut again = member(replica.clone());
-            for control_node in [&mut control_node, &mut again] {
-                let asked = received(2, JoinRequest { founding: false }.into());
-                let messages = step_synced(control_node, asked);
+            let mut restarted = member(replica.clone());
+            for control_node in [&mut control_node, &mut restarted] {
+                let join_request = received(2, JoinRequest { founding: false }.into());
+                let messages = step_synced(control_node, join_request);
                 let known = messages.iter().find_map(|message| match message {
                     Message::MembershipTable(table) => Some(table.version),
                     _ => None,
@@ -430,7 +430,7 @@
         }
     }
 
-    /// The model of the exhaustive search replies as `ControlNode` does.
+    /// The model of the exhaustive search replies like `ControlNode`.
     #[test]
     fn model_replies_match_control_node(
         requests in prop::collection::vec(request(), 1..40),
@@ -441,11 +441,11 @@
             let messages = step_synced(&mut control_node, received(from, message.clone()));
             let messages: Vec<Message> = messages.into_iter().filter_map(comparable).collect();
             let peer = Peer::new(address(from.into()), u64::from(from) + 1);
-            let modelled = node.receive(peer, message).into_iter();
-            let modelled: Vec<Message> = modelled
+            let model_messages = node.receive(peer, message).into_iter();
+            let model_messages: Vec<Message> = model_messages
                 .filter_map(|envelope| comparable(envelope.message))
                 .collect();
-            prop_assert_eq!(messages, modelled);
+            prop_assert_eq!(messages, model_messages);
         }
     }
 }
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -1,20 +1,20 @@
-//! A partition of the ledger is taken over by the next leader: what is sent, and
-//! what replicas hold afterwards.
+//! Tests of the takeover of a ledger partition by the next leader: the bytes sent, and the resulting state of the
+//! replicas.
 use control_plane::prelude::*;
 
 const SLOTS: usize = 5;
 const FIRST_EPOCH: u64 = 16;
 const NEXT_EPOCH: u64 = 33;
-/// The slot that takes over.
+/// Slot of the next leader.
 const CANDIDATE: usize = 1;
 
-/// Small numbers that hang on a seed alone.
+/// Generator of small numbers, determined by a seed.
 struct SeededRandom(u64);
 
 impl SeededRandom {
-    fn below(&mut self, most: u64) -> u64 {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % bound
     }
 }
 
@@ -32,8 +32,8 @@
     })
 }
 
-/// Delivers a leader's due messages to the replicas that `reaches` lets through, and their replies back. The bytes
-/// that were sent.
+/// Delivers a leader's due messages to the replicas that `reaches` selects, and their replies back. Returns the number
+/// of bytes sent.
 fn exchange(
     leader: &mut PartitionLeader,
     replicas: &mut [Replica],
@@ -64,7 +64,7 @@
     bytes
 }
 
-/// A replica promises, and reports its state.
+/// Stores a replica's promise. Returns the state that it reports.
 fn promise(replica: &mut Replica, request: &PrepareRequest) -> PreparedState {
     let (partition, epoch) = (request.partition, request.epoch);
     replica.apply(&Record::Promise { partition, epoch });
@@ -73,7 +73,7 @@
         .prepared_state(partition, request.requester_state)
 }
 
-/// A replica stores rows; none if they do not follow on what it holds.
+/// Stores rows in a replica. None if they do not follow on its current state.
 fn append(replica: &mut Replica, request: AppendRequest) -> Option<AppendReply> {
     if !replica.partition(request.partition).accepts(&request) {
         return None;
@@ -90,8 +90,8 @@
     Some(reply)
 }
 
-/// Replicas of a partition after a leader's epoch in which messages were lost:
-/// each lags by as much as it lags. What was committed is on three of five.
+/// Returns the replicas of a partition and their leader after writes, of which replicas miss some if the network is
+/// `lossy`, so that each lags differently. Committed rows are on three of five replicas.
 fn replicas_after_writes(
     random: &mut SeededRandom,
     writes: u64,
@@ -116,15 +116,15 @@
             leader.put(key, operation(write, bytes));
         }
         now += Duration::from_millis(10);
-        let down = random.below(SLOTS as u64 * 2) as usize;
+        let unreachable = random.below(SLOTS as u64 * 2) as usize;
         exchange(&mut leader, &mut replicas, now, false, |slot| {
-            !lossy || slot != down
+            !lossy || slot != unreachable
         });
     }
     (replicas, leader)
 }
 
-/// The next leader's epoch until every replica holds what it holds; the bytes sent.
+/// Runs the next leader until every replica holds its state. Returns the leader and the number of bytes sent.
 fn take_over(replicas: &mut [Replica]) -> (PartitionLeader, usize) {
     let local_state = replicas[CANDIDATE]
         .partition(PUBLISHED_PARTITIONS)
@@ -151,7 +151,7 @@
     assert!(ledger_bytes > 400_000, "{ledger_bytes} bytes of ledger");
     let (next, bytes) = take_over(&mut replicas);
     assert!(next.ready());
-    // Before: five times with the promises, and five times to be written.
+    // Before this was fixed, the ledger was sent five times with the promises and five times in appends.
     assert!(
         bytes < ledger_bytes / 10,
         "{bytes} bytes to take over {ledger_bytes}"
@@ -210,7 +210,7 @@
     }
 }
 
-/// Another state under the same version number, of another epoch, is no base.
+/// A state with the same version number but of another epoch is not a valid base.
 #[test]
 fn delta_applies_to_its_base_state_alone() {
     let (mut replicas, _) = replicas_after_writes(&mut SeededRandom(3), 40, 10, false);
@@ -243,7 +243,7 @@
         !other[4].partition(PUBLISHED_PARTITIONS).accepts(&request),
         "another epoch"
     );
-    image_version(&mut replicas[4], request.after_version + 1);
+    set_version(&mut replicas[4], request.after_version + 1);
     assert!(
         !replicas[4]
             .partition(PUBLISHED_PARTITIONS)
@@ -252,7 +252,7 @@
     );
 }
 
-fn image_version(replica: &mut Replica, version: u64) {
+fn set_version(replica: &mut Replica, version: u64) {
     replica.partitions[usize::from(PUBLISHED_PARTITIONS)]
         .state
         .version = version;
