--- a/control-plane/src/assignment_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -21,12 +21,12 @@
     /// Edges that are live.
     pub live: &'a [SessionInfo],
     /// Returns true if a quorum reports that an edge has no session.
-    pub departed: &'a dyn Fn(Peer) -> bool,
+    pub has_departed: &'a dyn Fn(Peer) -> bool,
     /// Returns true if an edge's process is known to have ended: it cannot return, so its assignments need no
     /// revocation.
-    pub ended: &'a dyn Fn(Peer) -> bool,
+    pub has_ended: &'a dyn Fn(Peer) -> bool,
     /// Returns true if a control node is on the same host, so that both would be lost together.
-    pub on_control_host: &'a dyn Fn(&SessionInfo) -> bool,
+    pub is_on_control_host: &'a dyn Fn(&SessionInfo) -> bool,
     /// True if not all sessions are known yet: only the assignments of ended edges are granted.
     pub sessions_incomplete: bool,
 }
@@ -91,7 +91,7 @@
         preferred: Option<Peer>,
         moves: &mut usize,
     ) -> Option<Assignment> {
-        if preferred.is_some() && (self.ended)(owner) {
+        if preferred.is_some() && (self.has_ended)(owner) {
             return Some(Assignment {
                 owner: preferred,
                 previous_owner: None,
@@ -104,7 +104,7 @@
         *moves += 1;
         Some(Assignment {
             owner: None,
-            previous_owner: Some(owner).filter(|owner| !(self.departed)(*owner)),
+            previous_owner: Some(owner).filter(|owner| !(self.has_departed)(*owner)),
             epoch: current.epoch + 1,
         })
     }
@@ -116,7 +116,7 @@
         preferred: Option<Peer>,
         moves: usize,
     ) -> bool {
-        if (self.departed)(owner) {
+        if (self.has_departed)(owner) {
             return true;
         }
         let Some(preferred) = preferred else {
@@ -153,7 +153,7 @@
     fn weight(&self, ring: Option<&str>, session: &SessionInfo) -> u32 {
         match ring {
             Some(_) => session.weight.saturating_pow(2),
-            None if (self.on_control_host)(session) => {
+            None if (self.is_on_control_host)(session) => {
                 let reduced = session.weight / CONTROL_HOST_WEIGHT_DIVISOR;
                 reduced.max(1).saturating_pow(3)
             }
--- a/control-plane/src/assignment_plan/tests.rs
+++ b/control-plane/src/assignment_plan/tests.rs
@@ -45,9 +45,9 @@
         rows,
         settled,
         live,
-        departed: &|_| false,
-        ended: &|_| false,
-        on_control_host: &|_| false,
+        has_departed: &|_| false,
+        has_ended: &|_| false,
+        is_on_control_host: &|_| false,
         sessions_incomplete: false,
     }
 }
@@ -66,7 +66,7 @@
     apply(&mut rows, planned, 1);
     let has_departed: &dyn Fn(Peer) -> bool = &|peer| peer.address.port() == 1;
     let planned = AssignmentPlan {
-        departed: has_departed,
+        has_departed,
         ..plan(&rows, 1, &second)
     }
     .next(&cache_assignments());
@@ -78,14 +78,14 @@
     assert_eq!(apply(&mut rows, planned, 2), usize::from(CACHE_PARTITIONS));
     assert!(
         AssignmentPlan {
-            departed: has_departed,
+            has_departed,
             ..plan(&rows, 1, &second)
         }
         .next(&cache_assignments())
         .is_empty()
     );
     let planned = AssignmentPlan {
-        departed: has_departed,
+        has_departed,
         ..plan(&rows, 2, &second)
     }
     .next(&cache_assignments());
@@ -112,7 +112,7 @@
     };
     let has_ended: &dyn Fn(Peer) -> bool = &|peer| peer == session(1, false).peer;
     let planned = AssignmentPlan {
-        ended: has_ended,
+        has_ended,
         sessions_incomplete: true,
         ..plan(&rows, 1, std::slice::from_ref(&restarted))
     }
@@ -185,7 +185,7 @@
     let admissions: Vec<String> = (0..200)
         .map(|at| admission_assignment(&format!("s{at}")))
         .collect();
-    let on_control_host = |session: &SessionInfo| session.peer.address.port() <= 4;
+    let is_on_control_host = |session: &SessionInfo| session.peer.address.port() <= 4;
     let owned_by_control_hosts = |other_weight: u32| {
         let live: Vec<SessionInfo> = (1..=14)
             .map(|port| SessionInfo {
@@ -194,7 +194,7 @@
             })
             .collect();
         let planned = AssignmentPlan {
-            on_control_host: &on_control_host,
+            is_on_control_host: &is_on_control_host,
             ..plan(&BTreeMap::new(), 0, &live)
         }
         .next(&admissions);
--- a/control-plane/src/bootstrap.rs
+++ b/control-plane/src/bootstrap.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that another node uses a table, so that this node founds none.
-    pub fn note_existing_table(&mut self) {
+    pub fn record_existing_table(&mut self) {
         self.table_exists = true;
     }
 
--- a/control-plane/src/control_node/assignments.rs
+++ b/control-plane/src/control_node/assignments.rs
@@ -110,7 +110,7 @@
         let quorum = self.quorum();
         let is_complete = self.sessions.is_complete(now);
         let live = if is_complete {
-            self.sessions.live(now, quorum)
+            self.sessions.live_sessions(now, quorum)
         } else {
             self.sessions.local_sessions()
         };
@@ -120,9 +120,9 @@
             rows: &leader.rows,
             settled: leader.settled(),
             live: &live,
-            departed: &|peer| self.sessions.has_departed(now, peer, quorum),
-            ended: &|peer| inputs.ended.contains(&peer),
-            on_control_host: &|session| {
+            has_departed: &|peer| self.sessions.has_departed(now, peer, quorum),
+            has_ended: &|peer| inputs.ended.contains(&peer),
+            is_on_control_host: &|session| {
                 let mut members = self.members.iter();
                 members.any(|member| is_on_host(session, member))
             },
--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -14,8 +14,9 @@
 /// Maximum number of control nodes that forward a change: one that received it by mistake, and one between that node
 /// and the leader.
 const MAX_HOPS: u8 = 2;
-/// Keys of the rows that are replaced as a unit.
+/// Key of the row that holds the configuration, which is replaced as a unit.
 const CONFIGURATION_KEY: &str = "configuration";
+/// Key of the row that holds the list of origins, which is replaced as a unit.
 const ORIGINS_KEY: &str = "origins";
 
 /// New value for a row that is replaced as a unit.
@@ -214,13 +215,13 @@
         reply
     }
 
-    fn leader_for(&mut self, reply: &PendingReply) -> &mut PartitionLeader {
+    fn leader_of(&mut self, reply: &PendingReply) -> &mut PartitionLeader {
         let leader = self.leaders.get_mut(&reply.partition);
         leader.expect("this node leads the partition")
     }
 
     fn read_configuration(&mut self, reply: &mut PendingReply) {
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         reply.required_round = leader.begin_read_round();
         let (version, text) = match leader.rows.get(CONFIGURATION_KEY) {
             Some(Row {
@@ -234,7 +235,7 @@
     }
 
     fn list_rows(&mut self, reply: &mut PendingReply) {
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         reply.required_round = leader.begin_read_round();
         reply.required_commit = leader.version;
         let rows = leader.rows.iter();
@@ -261,14 +262,14 @@
             change,
         };
         let validate = || Configuration::read(text).map(drop);
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         if let Some(version) = reply.replace_row(leader, replacement, &validate) {
             self.log_event(Event::ConfigurationPut, format!("version {version}"));
         }
     }
 
     fn put_items(&mut self, reply: &mut PendingReply, items: Vec<Item>) {
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         if let Some((count, version)) = reply.apply_items(leader, items) {
             let text = format!("{count} items, version {version}");
             self.log_event(Event::ConfigurationPut, text);
@@ -276,7 +277,7 @@
     }
 
     fn add_purge(&mut self, reply: &mut PendingReply, purge: Purge, change: u64) {
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         let is_same = |row: &&Row| matches!(&row.value, Value::Purge { change: known, .. } if *known == change);
         let known = leader.rows.values().find(is_same).map(|row| row.version);
         let version = known.unwrap_or_else(|| {
@@ -300,7 +301,7 @@
             expect,
             change,
         };
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         if let Some(version) = reply.replace_row(leader, replacement, &|| Ok(())) {
             self.log_event(Event::OriginsPut, format!("version {version}"));
         }
@@ -318,7 +319,7 @@
             reply.outcome = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
             return;
         }
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         let version = if leader.opened_generation() == generation {
             leader.version
         } else {
@@ -336,7 +337,7 @@
     /// is refused.
     fn claim_operation(&mut self, now: Duration, reply: &mut PendingReply, claim: Claim) {
         let remaining = self.generation.ledger_closed_until.saturating_sub(now);
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         if !remaining.is_zero() && !Ledger::is_decided(leader, &claim) {
             reply.outcome = ChangeOutcome::LedgerClosed { remaining };
         } else {
@@ -345,7 +346,7 @@
     }
 
     fn finish_operation(&mut self, reply: &mut PendingReply, claim: Claim, state: OperationState) {
-        let leader = self.leader_for(reply);
+        let leader = self.leader_of(reply);
         reply.report_commit(Ledger::finish(leader, claim, state));
     }
 }
--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -3,14 +3,15 @@
 use crate::prelude::*;
 
 /// Latency of every message.
-const DELAY: Duration = Duration::from_millis(2);
+const MESSAGE_LATENCY: Duration = Duration::from_millis(2);
 /// Time that a disk takes to sync a record.
-const SYNC: Duration = Duration::from_millis(1);
+const SYNC_LATENCY: Duration = Duration::from_millis(1);
 /// Interval between ticks.
 const TICK: Duration = Duration::from_millis(100);
+/// Number of control nodes.
 const SLOTS: usize = 3;
 /// Time by which the partitions are founded and led.
-const FOUNDED: Duration = Duration::from_secs(6);
+const FOUNDING_TIME: Duration = Duration::from_secs(6);
 
 enum ScheduledEvent {
     Tick { run: u64 },
@@ -26,6 +27,7 @@
     unsynced: VecDeque<(u64, Vec<u8>)>,
 }
 
+/// Three control nodes, the network between them and their disks, in virtual time.
 pub(super) struct Cluster {
     pub(super) now: Duration,
     serial: u64,
@@ -36,6 +38,7 @@
     pub(super) isolated: BTreeSet<usize>,
     /// True while replies to changes are lost.
     pub(super) replies_lost: bool,
+    /// Outcomes of operators' calls, by the ids of the calls.
     pub(super) outcomes: BTreeMap<u64, ChangeOutcome>,
 }
 
@@ -63,7 +66,7 @@
             outcomes: BTreeMap::new(),
         };
         (0..SLOTS).for_each(|slot| cluster.start(slot));
-        cluster.run_for(FOUNDED);
+        cluster.run_for(FOUNDING_TIME);
         assert!(
             cluster.leader(CONFIGURATION_PARTITION).is_some(),
             "no node leads"
@@ -99,6 +102,7 @@
         self.nodes[slot].unsynced.clear();
     }
 
+    /// Ends a process and wipes its disk.
     pub(super) fn wipe(&mut self, slot: usize) {
         self.kill(slot);
         self.nodes[slot].disk.clear();
@@ -166,6 +170,7 @@
         panic!("no outcome")
     }
 
+    /// Runs for this duration of virtual time.
     pub(super) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -224,7 +229,11 @@
                 Output::Send { to, message } => self.deliver(slot, from, to, message),
                 Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                     self.nodes[slot].unsynced.push_back((serial, record));
-                    self.push(now + SYNC, slot, ScheduledEvent::Synced { run, serial });
+                    self.push(
+                        now + SYNC_LATENCY,
+                        slot,
+                        ScheduledEvent::Synced { run, serial },
+                    );
                 }
                 Output::OperatorResponse {
                     id,
@@ -249,6 +258,6 @@
         }
         let message = Box::new(message);
         let event = ScheduledEvent::Received { from, message };
-        self.push(self.now + DELAY, to, event);
+        self.push(self.now + MESSAGE_LATENCY, to, event);
     }
 }
--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -2,6 +2,7 @@
 use super::cluster::Cluster;
 use crate::prelude::*;
 
+/// Time within which calls are replied to, including after a takeover.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 fn group(name: &str, revision: u64, rate: u32) -> Item {
@@ -352,6 +353,7 @@
 /// not delay that: an origin that is removed meanwhile would become known too late.
 #[test]
 fn committed_acknowledgement_of_origins_ignores_slow_edge() {
+    /// Time for which the edge applies no update.
     const SLOW: Duration = Duration::from_secs(1);
     for (acknowledge, within) in [
         (Acknowledge::Settled, false),
--- a/control-plane/src/control_node/disk_failure.rs
+++ b/control-plane/src/control_node/disk_failure.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Returns true if a snapshot is to be written now.
     pub(super) fn is_retry_due(&self, now: Duration) -> bool {
         self.snapshot_serial.is_none() && now >= self.retry_at
     }
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Returns true if the disk holds the complete replica once it has synced up to this serial.
     pub(super) fn is_restored_by(&self, synced_serial: u64) -> bool {
         self.snapshot_serial
             .is_some_and(|serial| synced_serial >= serial)
--- a/control-plane/src/control_node/edge_registry.rs
+++ b/control-plane/src/control_node/edge_registry.rs
@@ -19,7 +19,7 @@
         } else {
             leader.opened_generation() == self.generation.current
         };
-        let live = self.sessions.live(now, quorum);
+        let live = self.sessions.live_sessions(now, quorum);
         let mut members: BTreeSet<Peer> = live.iter().map(|session| session.peer).collect();
         let mut departed = known.departed;
         for peer in known.members {
@@ -66,7 +66,7 @@
             return false;
         };
         let current = self.generation.current;
-        let sessions = self.sessions.all();
+        let sessions = self.sessions.all_sessions();
         let has_reported = |peer: &Peer| {
             sessions.iter().any(|session| {
                 session.peer == *peer && session.generation == current && session.recall_complete
--- a/control-plane/src/control_node/edge_sessions.rs
+++ b/control-plane/src/control_node/edge_sessions.rs
@@ -15,7 +15,9 @@
     pub(super) fn send_update_notices(&mut self, partition: u8, version: u64) {
         let renewal_token = self.sessions.issue_token();
         let generation = self.replica.generation();
-        let edges = self.sessions.unconfirmed(generation, partition, version);
+        let edges = self
+            .sessions
+            .unconfirmed_edges(generation, partition, version);
         for edge in edges {
             let notice = UpdateNotice {
                 partition,
--- a/control-plane/src/control_node/failure_detector.rs
+++ b/control-plane/src/control_node/failure_detector.rs
@@ -16,6 +16,7 @@
 }
 
 impl FailureDetector {
+    /// Records a tick; a late one shows that this node was paused.
     pub(super) fn tick(&mut self, now: Duration) {
         if !self.is_unpaused(now) {
             self.unpaused_since = now;
--- a/control-plane/src/control_node/fleet_state.rs
+++ b/control-plane/src/control_node/fleet_state.rs
@@ -6,7 +6,7 @@
 impl ControlNode {
     /// Returns the state of the fleet as this node knows it.
     pub(super) fn fleet_state(&self, now: Duration) -> Json {
-        let live = self.sessions.live(now, self.quorum());
+        let live = self.sessions.live_sessions(now, self.quorum());
         json!({
             "slot": self.slot,
             "majority": self.reaches_majority(now),
@@ -41,7 +41,7 @@
     }
 
     fn partition_states(&self) -> Vec<Json> {
-        let serving = self.leaders.values().filter(|leader| leader.ready());
+        let serving = self.leaders.values().filter(|leader| leader.is_ready());
         serving.map(partition_state).collect()
     }
 }
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -5,7 +5,7 @@
 
 /// Minimum extension of the ledger's closing that is adopted from a heartbeat. Without it the transit time of
 /// heartbeats would prolong the closing each time two nodes report it to each other.
-const CLOSING_TOLERANCE: Duration = Duration::from_secs(1);
+const MIN_CLOSURE_EXTENSION: Duration = Duration::from_secs(1);
 
 /// Generation of this node, and the closing of its operation ledger.
 #[derive(Debug, Default)]
@@ -78,7 +78,7 @@
     /// Extends the closing to the remaining time that another node reported.
     pub(super) fn extend_ledger_closure(&mut self, now: Duration, closed_for: Duration) {
         let until = now + closed_for;
-        let is_longer = until > self.generation.ledger_closed_until + CLOSING_TOLERANCE;
+        let is_longer = until > self.generation.ledger_closed_until + MIN_CLOSURE_EXTENSION;
         if is_longer && !self.is_ledger_open() {
             self.generation.ledger_closed_until = until;
         }
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -20,7 +20,7 @@
             // The sender considers this node a member. Unlike the seeds, which may have left, it is reachable.
             Message::Heartbeat(_) => {
                 if let Some(bootstrap) = &mut self.bootstrap {
-                    bootstrap.note_existing_table();
+                    bootstrap.record_existing_table();
                     let founding = self.is_founding();
                     self.send(from.address, JoinRequest { founding });
                 }
@@ -97,7 +97,7 @@
         if self.removed {
             return;
         }
-        self.note_succession_joiner(from, founding);
+        self.record_succession_joiner(from, founding);
         // The change is routed to the leader of the table like this node's own changes.
         let change = Change::JoinRequest {
             peer: from,
@@ -110,7 +110,7 @@
     /// Handles a membership table of another node: stores and adopts it if it is newer.
     pub(super) fn handle_membership_table(&mut self, now: Duration, table: MembershipTable) {
         if let Some(bootstrap) = &mut self.bootstrap {
-            bootstrap.note_existing_table();
+            bootstrap.record_existing_table();
         }
         let me = self.me();
         let slot = table.members.iter().position(|peer| peer.matches(&me));
--- a/control-plane/src/control_node/journal.rs
+++ b/control-plane/src/control_node/journal.rs
@@ -32,6 +32,7 @@
 }
 
 impl Journal {
+    /// Sets the length of the existing log and of the snapshot at its start.
     pub(super) fn with_log(self, log_bytes: usize, snapshot_bytes: usize) -> Journal {
         Journal {
             log_bytes: self.log_bytes + log_bytes,
@@ -45,6 +46,7 @@
         self.synced_serial >= self.stored_serial
     }
 
+    /// Returns true if a write failed and the complete replica is not on the disk again.
     pub(super) fn has_failed(&self) -> bool {
         self.failure.is_some()
     }
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -170,6 +170,7 @@
         }
     }
 
+    /// Returns the retired incarnations known to this node, the latest last.
     pub(super) fn retired_incarnations(&self) -> Vec<u64> {
         self.retired_incarnations.iter().copied().collect()
     }
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -187,8 +187,8 @@
         self.log_event(Event::DiskBlank, format!("slot {}", self.slot));
     }
 
-    /// Sets the length of the existing log on disk and of the snapshot at its start, in bytes. Without them a node that
-    /// restarts often would never write a snapshot.
+    /// Sets the length of the existing log on disk and of the snapshot at its start, in bytes, so that a node that
+    /// restarts often writes a snapshot as soon as a node that does not.
     pub fn with_log(self, log_bytes: usize, snapshot_bytes: usize) -> ControlNode {
         ControlNode {
             journal: self.journal.with_log(log_bytes, snapshot_bytes),
--- a/control-plane/src/control_node/operation_expiry.rs
+++ b/control-plane/src/control_node/operation_expiry.rs
@@ -72,7 +72,7 @@
         let mut abandoned = Vec::new();
         let leaders = self.leaders.values_mut();
         let ledgers =
-            leaders.filter(|leader| leader.partition >= PUBLISHED_PARTITIONS && leader.ready());
+            leaders.filter(|leader| leader.partition >= PUBLISHED_PARTITIONS && leader.is_ready());
         for leader in ledgers {
             let has_departed = |peer: Peer| self.sessions.has_departed(now, peer, quorum);
             let orphaned = orphaned_operations(leader, &has_departed);
--- a/control-plane/src/control_node/operation_expiry/tests.rs
+++ b/control-plane/src/control_node/operation_expiry/tests.rs
@@ -1,8 +1,9 @@
 //! Tests of the retention of finished operations.
 use super::*;
 
-/// Load of the largest deployments: operations with a key per second, and bytes of each response.
+/// Operations with a key per second, in the largest deployments.
 const OPERATIONS_PER_SECOND: u64 = 180;
+/// Bytes of each response, in the largest deployments.
 const RESPONSE_BYTES: usize = 1_500;
 
 fn finished(number: u64) -> Value {
--- a/control-plane/src/control_node/pending_reply.rs
+++ b/control-plane/src/control_node/pending_reply.rs
@@ -4,8 +4,11 @@
 
 /// Reply that waits until its leader has reached the required progress.
 pub(super) struct PendingReply {
+    /// Partition of the change.
     pub(super) partition: u8,
+    /// Address to which the reply is sent.
     pub(super) requester: SocketAddr,
+    /// Id of the change at the requester.
     pub(super) id: u64,
     /// Version that must be committed.
     pub(super) required_commit: u64,
@@ -13,6 +16,7 @@
     pub(super) required_settled: u64,
     /// Round that must be confirmed.
     pub(super) required_round: u64,
+    /// Outcome that is sent.
     pub(super) outcome: ChangeOutcome,
 }
 
@@ -38,6 +42,7 @@
             && self.required_round <= leader.confirmed_round()
     }
 
+    /// Returns the receiver's address and the reply.
     pub(super) fn into_message(self) -> (SocketAddr, Message) {
         let reply = ChangeReply {
             id: self.id,
--- a/control-plane/src/control_node/recall.rs
+++ b/control-plane/src/control_node/recall.rs
@@ -16,9 +16,9 @@
     fn send_recall_requests(&mut self) {
         let mut requests = Vec::new();
         for (partition, leader) in &self.leaders {
-            let recalls = leader.ready() && leader.recall_until.is_some();
+            let recalls = leader.is_ready() && leader.recall_until.is_some();
             if recalls && *partition < PUBLISHED_PARTITIONS {
-                let edges = self.sessions.ahead_of(*partition, leader.version);
+                let edges = self.sessions.edges_ahead_of(*partition, leader.version);
                 requests.extend(edges.into_iter().map(|edge| (edge, *partition)));
             }
         }
@@ -37,7 +37,7 @@
         for (partition, leader) in &mut self.leaders {
             let is_over = leader.recall_until.is_some_and(|until| now >= until);
             let may_end = *partition < PUBLISHED_PARTITIONS || has_generation;
-            if !leader.ready() || !is_over || !may_end {
+            if !leader.is_ready() || !is_over || !may_end {
                 continue;
             }
             leader.recall_until = None;
@@ -54,7 +54,7 @@
 
     /// Returns the generation that follows all known at this node or at edges.
     fn next_generation(&self) -> u64 {
-        let sessions = self.sessions.all();
+        let sessions = self.sessions.all_sessions();
         let reported = sessions.iter().map(|session| session.generation).max();
         let latest = reported.unwrap_or(0).max(self.replica.generation());
         Generation::after(latest, self.replica.incarnation)
--- a/control-plane/src/control_node/relays.rs
+++ b/control-plane/src/control_node/relays.rs
@@ -16,6 +16,7 @@
 /// Destination of the reply to a forwarded change.
 #[derive(Debug)]
 pub(super) struct Relay {
+    /// Address of the member that requested the change.
     pub(super) requester: SocketAddr,
     /// Id of the change at the requester.
     pub(super) id: u64,
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -3,9 +3,10 @@
 
 use super::*;
 
-/// Number of recall periods before a leader serves. The configuration's partition waits for one more, since it names
-/// the generation, which must happen after recall in the others.
+/// Number of recall periods before a leader serves.
 const RECALL_ROUNDS: u32 = 1;
+/// Number of recall periods in the configuration's partition: one more than in the others, since it names the
+/// generation, which must happen after recall in all partitions.
 const CONFIGURATION_RECALL_ROUNDS: u32 = 2;
 
 /// Returns the append without its rows, for a replica that already holds them and maybe later ones: a delayed full
--- a/control-plane/src/control_node/slot_assignment.rs
+++ b/control-plane/src/control_node/slot_assignment.rs
@@ -68,7 +68,7 @@
         // A node with a new disk at an address that holds a slot requests that slot.
         let own_slot = slot_at(&self.members, peer.address);
         if own_slot.is_none() {
-            self.shutdown.note_joiner(now, peer);
+            self.shutdown.record_joiner(now, peer);
         }
         if !self.table_has_settled() {
             return;
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -65,12 +65,13 @@
 }
 
 impl ShutdownState {
+    /// Returns true if the node's shutdown was requested.
     pub(super) fn is_requested(&self) -> bool {
         self.requested_at.is_some()
     }
 
     /// Records the request of an empty node for a slot.
-    pub(super) fn note_joiner(&mut self, now: Duration, peer: Peer) {
+    pub(super) fn record_joiner(&mut self, now: Duration, peer: Peer) {
         self.waiting_joiner = Some(WaitingJoiner {
             peer,
             requested_at: now,
--- a/control-plane/src/control_node/stale_epochs.rs
+++ b/control-plane/src/control_node/stale_epochs.rs
@@ -6,8 +6,9 @@
 const BACKOFF_RESET: Duration = Duration::from_secs(10);
 /// Maximum number of doublings of the backoff, which doubles with each recent loss.
 const MAX_DOUBLINGS: u32 = 5;
-/// Shortest backoff, and the part added per slot number so that two candidates wait for different times.
+/// Shortest backoff, in milliseconds.
 const MIN_BACKOFF_MILLIS: u64 = 40;
+/// Addition to the backoff per slot number, in milliseconds, so that two candidates wait for different times.
 const BACKOFF_MILLIS_PER_SLOT: u64 = 30;
 
 /// Last loss of each partition.
--- a/control-plane/src/control_node/succession.rs
+++ b/control-plane/src/control_node/succession.rs
@@ -32,7 +32,7 @@
 }
 
 impl Succession {
-    fn note_joiner(&mut self, now: Duration, peer: Peer) {
+    fn record_joiner(&mut self, now: Duration, peer: Peer) {
         self.joiners
             .retain(|_, requested_at| now < *requested_at + JOINER_TIMEOUT);
         self.joiners.insert(peer, now);
@@ -56,11 +56,11 @@
     }
 
     /// Records the request for a slot of an empty node at an address that holds none.
-    pub(super) fn note_succession_joiner(&mut self, peer: Peer, founding: bool) {
+    pub(super) fn record_succession_joiner(&mut self, peer: Peer, founding: bool) {
         let holds_address = slot_at(&self.members, peer.address).is_some();
         if !founding && !holds_address {
             let now = self.failure_detector.last_tick();
-            self.succession.note_joiner(now, peer);
+            self.succession.record_joiner(now, peer);
         }
     }
 
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -4,6 +4,7 @@
 use super::tests::member_heartbeat;
 use super::*;
 
+/// Version of the table that assigns the slot to the joiner.
 const VERSION: u64 = 9;
 
 fn address(slot: u16) -> SocketAddr {
--- a/control-plane/src/history.rs
+++ b/control-plane/src/history.rs
@@ -8,7 +8,7 @@
 /// Maximum number of versions that wait for the writer; further ones are dropped.
 const MAX_QUEUED_VERSIONS: usize = 64;
 /// Name of the only file in each commit.
-const FILE: &str = "configuration.json";
+const FILE_NAME: &str = "configuration.json";
 /// Branch whose newest commit is the parent of the next.
 const BRANCH: &str = "refs/heads/main";
 
@@ -88,7 +88,7 @@
     fn commit(&self, version: u64, text: &str) -> Result<git2::Oid, git2::Error> {
         let blob = self.store.blob(text.as_bytes())?;
         let mut tree = self.store.treebuilder(None)?;
-        tree.insert(FILE, blob, 0o100_644)?;
+        tree.insert(FILE_NAME, blob, 0o100_644)?;
         let tree = self.store.find_tree(tree.write()?)?;
         let author = git2::Signature::now("otterslip", "control-node@otterslip.invalid")?;
         let parent = self
@@ -129,7 +129,7 @@
     /// The version is not stored, or the store cannot be read.
     pub fn text(&self, version: u64) -> Result<Vec<u8>, HistoryError> {
         let tree = self.tree(version)?;
-        let file = tree.get_name(FILE).ok_or(HistoryError::NoFile)?;
+        let file = tree.get_name(FILE_NAME).ok_or(HistoryError::NoFile)?;
         Ok(self.store.find_blob(file.id())?.content().to_vec())
     }
 
--- a/control-plane/src/operator_api/items.rs
+++ b/control-plane/src/operator_api/items.rs
@@ -96,6 +96,7 @@
     Finding::new(format!("/{at}{}", finding.place), finding.text)
 }
 
+/// Sets or removes the items in the request's body.
 pub(super) fn put(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let items = parse_items(&body_text(request)?).map_err(|findings| invalid(&findings))?;
     let change = Change::PutItems { items };
--- a/control-plane/src/operator_api/origins.rs
+++ b/control-plane/src/operator_api/origins.rs
@@ -8,6 +8,7 @@
 /// Maximum number of origins in a list.
 const MAX_LISTED_ORIGINS: usize = 1000;
 
+/// Replaces the list of origins by the one in the request's body.
 pub(super) fn put(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let text = body_text(request)?;
     let elements: Vec<serde_json::Value> = parse_json(&text)?;
@@ -53,6 +54,7 @@
     }
 }
 
+/// Returns the document that shows the list of origins.
 pub(super) fn show(version: u64, rows: Vec<(String, Row)>) -> serde_json::Value {
     let origins = rows.into_iter().find_map(|(_, row)| match row.value {
         Value::Origins { list, .. } => Some(list),
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -139,14 +139,14 @@
     }
 
     /// Returns true if requests may be served: a quorum holds the adopted state under this epoch.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let holds_state = |replica: &&ReplicaProgress| replica.synced_version.is_some();
         self.replicas.iter().filter(holds_state).count() >= self.quorum.majority()
     }
 
     /// Returns true if rows may be read and changed: the leader is ready, and rows that edges may hold were recalled.
     pub fn is_serving(&self) -> bool {
-        self.ready() && self.recall_until.is_none()
+        self.is_ready() && self.recall_until.is_none()
     }
 
     /// Merges rows that an edge was shown up to `version`, where they are newer than the leader's. Returns the number
@@ -199,7 +199,7 @@
 
     /// Returns the version up to which rows are on a quorum of disks; 0 while the leader is not ready.
     pub fn committed(&self) -> u64 {
-        if self.ready() {
+        if self.is_ready() {
             self.reached_by_quorum(|replica| replica.synced_version.unwrap_or(0))
         } else {
             0
--- a/control-plane/src/partition_leader/messages.rs
+++ b/control-plane/src/partition_leader/messages.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Time after which an append without a reply is sent again, with the addition for each row in it, so that an append
-/// still in transit is not queued behind itself.
+/// Time after which an append without a reply is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
+/// Addition to the resend interval per row of the append, so that an append still in transit is not queued behind
+/// itself.
 const RESEND_INTERVAL_PER_ROW: Duration = Duration::from_millis(2);
 /// Maximum time that an append waits for its reply, regardless of the number of its rows.
 const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(3);
--- a/control-plane/src/partition_leader/tests.rs
+++ b/control-plane/src/partition_leader/tests.rs
@@ -59,7 +59,7 @@
     leader.on_prepare_reply(ZERO, 0, PreparedState::Newer(state(6, 2)));
     assert_eq!(leader.rows["k"].value, value(6));
     assert!(
-        !leader.ready(),
+        !leader.is_ready(),
         "the adopted state is not stored under the new epoch yet"
     );
 }
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -12,10 +12,10 @@
 /// Number of the round whose snapshots are merged.
 const SNAPSHOT_ROUND: u8 = 1;
 
-/// Recovers a blank disk, in two rounds with `Quorum::intersecting` of the other nodes whose disks are full and who use
-/// a membership table that contains this disk. After the first round those nodes have retired the slot's earlier disk,
-/// and so does every node that receives an acknowledgement of theirs. So everything that was acknowledged with the
-/// earlier disk's help is on one of them when it replies in the second round, and is transferred then.
+/// Recovers a blank disk, in two rounds with `Quorum::intersecting` of the other nodes whose disks are full and that
+/// use a membership table that contains this disk. After the first round those nodes have retired the slot's earlier
+/// disk, and so does every node that receives an acknowledgement of theirs. So everything that was acknowledged with
+/// the earlier disk's help is on one of them when it replies in the second round, and is transferred then.
 ///
 /// If all others replied and fewer are full, a majority was lost, and the remaining rows are adopted. Until all have
 /// replied, recovery waits, since a full disk may be slow to reply.
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -21,7 +21,7 @@
     /// Session tables of the other nodes, by slot.
     peer_tables: BTreeMap<u8, PeerSessions>,
     /// Process that last returned a token of this run, at each address. Only one process at a time has an address, so
-    /// another one that was there before that token was issued has ended.
+    /// another process that used it before that token was issued has ended.
     current_incarnations: HashMap<SocketAddr, CurrentIncarnation>,
     /// Id of this run of the node; differs from that of every other run.
     run: u64,
@@ -37,7 +37,7 @@
     token: u64,
 }
 
-/// Fields of one session on which `Sessions::live` and `Sessions::has_departed` depend.
+/// Fields of one session on which `Sessions::live_sessions` and `Sessions::has_departed` depend.
 #[derive(Debug, PartialEq)]
 pub struct SessionStatus {
     /// Address and incarnation of the edge.
@@ -85,13 +85,13 @@
         let peer = info.peer;
         let opened = self.local.upsert(now, info, self.issued_tokens);
         if let Some(token) = last_token.filter(|token| token.run == self.run) {
-            self.note_returned_token(peer, token.count);
+            self.record_returned_token(peer, token.count);
             self.local.remove_predecessors(peer, token.count);
         }
         opened
     }
 
-    fn note_returned_token(&mut self, peer: Peer, token: u64) {
+    fn record_returned_token(&mut self, peer: Peer, token: u64) {
         let current = self
             .current_incarnations
             .entry(peer.address)
@@ -174,7 +174,12 @@
 
     /// Returns the edges with a session at this node that have not confirmed this version of a partition, in this
     /// generation.
-    pub fn unconfirmed(&self, generation: u64, partition: u8, version: u64) -> Vec<SocketAddr> {
+    pub fn unconfirmed_edges(
+        &self,
+        generation: u64,
+        partition: u8,
+        version: u64,
+    ) -> Vec<SocketAddr> {
         let has_confirmed = |info: &SessionInfo| {
             let known = info.version_vector.get(usize::from(partition));
             info.generation == generation && known.is_some_and(|known| *known >= version)
@@ -197,7 +202,7 @@
         tables
     }
 
-    /// Returns everything that `live` and `has_departed` depend on, for the detection of changes.
+    /// Returns everything that `live_sessions` and `has_departed` depend on, for the detection of changes.
     pub fn statuses(&self, now: Duration) -> Vec<Vec<SessionStatus>> {
         let status = |info: &SessionInfo| SessionStatus {
             peer: info.peer,
@@ -210,14 +215,14 @@
     }
 
     /// Returns every session known to this node, including those of tables that are not current.
-    pub fn all(&self) -> Vec<&SessionInfo> {
+    pub fn all_sessions(&self) -> Vec<&SessionInfo> {
         let reported = self.peer_tables.values().flat_map(PeerSessions::infos);
         self.local.infos().chain(reported).collect()
     }
 
     /// Returns the edges that confirmed a newer version of a published partition than this one: all such edges with a
     /// session at this node, and of each other node the edge with the newest confirmed version.
-    pub fn ahead_of(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
+    pub fn edges_ahead_of(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
         let local = self.local.infos().filter_map(|info| {
             let confirmed = info.version_vector.get(usize::from(partition))?;
             Some((*confirmed, info.peer))
@@ -233,7 +238,7 @@
 
     /// Returns every edge with a session in at least `Quorum::intersecting` of the tables, the number that an edge
     /// needs to be live by its own rule.
-    pub fn live(&self, now: Duration, quorum: Quorum) -> Vec<SessionInfo> {
+    pub fn live_sessions(&self, now: Duration, quorum: Quorum) -> Vec<SessionInfo> {
         let mut sessions: BTreeMap<Peer, (usize, &SessionInfo)> = BTreeMap::new();
         for info in self.current_tables(now).into_iter().flatten() {
             let (tables, _) = sessions.entry(info.peer).or_insert((0, info));
--- a/control-plane/src/sessions/local_sessions.rs
+++ b/control-plane/src/sessions/local_sessions.rs
@@ -10,6 +10,7 @@
 /// Sessions at this control node. Each change raises the revision, so that peers can be sent the differences.
 #[derive(Debug, Default)]
 pub(super) struct LocalSessions {
+    /// Sessions by edge.
     pub(super) sessions: BTreeMap<Peer, Session>,
     /// Rises by one with each change.
     revision: u64,
@@ -21,9 +22,10 @@
     delta_floor: u64,
 }
 
-/// One session.
+/// Session of one edge.
 #[derive(Debug)]
 pub(super) struct Session {
+    /// Fields of the last renewal.
     pub(super) info: SessionInfo,
     last_renewal: Duration,
     /// Number of tokens issued when the session was opened.
@@ -119,6 +121,7 @@
         lapsed
     }
 
+    /// Returns the fields of all sessions.
     pub(super) fn infos(&self) -> impl Iterator<Item = &SessionInfo> {
         self.sessions.values().map(|session| &session.info)
     }
--- a/control-plane/src/sessions/peer_sessions.rs
+++ b/control-plane/src/sessions/peer_sessions.rs
@@ -10,24 +10,29 @@
     /// Revision at the sender up to which the table was received; 0 requests the full table.
     revision: u64,
     checksum: u64,
+    /// Sessions by edge.
     pub(super) sessions: BTreeMap<Peer, SessionInfo>,
     /// Highest confirmed version of each published partition, and the edge that confirmed it.
     newest: Vec<(u64, Peer)>,
 }
 
 impl PeerSessions {
+    /// Returns the revision at the sender up to which the table was received; 0 if none was.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Returns all sessions of the table.
     pub(super) fn infos(&self) -> impl Iterator<Item = &SessionInfo> {
         self.sessions.values()
     }
 
+    /// Returns the highest confirmed version of a published partition, and the edge that confirmed it.
     pub(super) fn newest(&self, partition: u8) -> Option<(u64, Peer)> {
         self.newest.get(usize::from(partition)).copied()
     }
 
+    /// Returns true if a delta was applied within the peer timeout.
     pub(super) fn is_current(&self, now: Duration) -> bool {
         now < self.last_contact + lease::CONTROL_PEER_TIMEOUT
     }
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -252,7 +252,7 @@
                 );
             }
             let (live, departed) = (
-                !table.live(at(5000), quorum).is_empty(),
+                !table.live_sessions(at(5000), quorum).is_empty(),
                 table.has_departed(at(5000), session(1, 1).peer, quorum),
             );
             assert_eq!(
--- a/control-plane/src/update_replies.rs
+++ b/control-plane/src/update_replies.rs
@@ -8,7 +8,7 @@
 /// Maximum number of cached replies: edges that renew at the same time have one of only a few versions.
 const MAX_CACHED_REPLIES: usize = 8;
 /// Size in bytes below which replies are sent with every renewal that lacks them.
-const LARGE_BYTES: usize = 16 * 1024;
+const LARGE_REPLY_BYTES: usize = 16 * 1024;
 /// Bandwidth of the slowest supported link: 4 Mbit/s. Over it, renewals are more frequent than the time that a large
 /// reply takes.
 const SLOW_LINK_BYTES_PER_SECOND: usize = 500_000;
@@ -72,7 +72,7 @@
         } else {
             updates.encoded().len()
         };
-        if bytes < LARGE_BYTES {
+        if bytes < LARGE_REPLY_BYTES {
             self.in_flight.remove(&edge);
         } else {
             self.mark_in_flight(now, edge, known_versions, bytes);
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -5,9 +5,9 @@
 use kernel::prelude::*;
 
 /// Latency of every message between nodes.
-const LATENCY: Duration = Duration::from_millis(1);
+const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
 /// Time that a disk takes to sync a record.
-const SYNC: Duration = Duration::from_millis(5);
+const SYNC_LATENCY: Duration = Duration::from_millis(5);
 /// Port of node 0; the others follow.
 const FIRST_PORT: u16 = 100;
 
@@ -35,24 +35,30 @@
 
 /// Call of an operator: its node, its time, and its outcome.
 pub struct Call {
+    /// Node that was called.
     pub node: usize,
+    /// Time of the call.
     pub sent_at: Duration,
+    /// Time and outcome of the response, once there is one.
     pub response: Option<(Duration, ChangeOutcome)>,
 }
 
 /// A fleet of control nodes whose seeds are the membership table.
 pub struct Cluster {
+    /// Current virtual time.
     pub now: Duration,
     nodes: Vec<Node>,
     scheduled: BTreeMap<(Duration, u64), Scheduled>,
     sequence: u64,
     /// Directions, as (from, to), in which no message is delivered.
     blocked_links: BTreeSet<(usize, usize)>,
+    /// All calls submitted so far.
     pub calls: Vec<Call>,
     /// Number of times a partition was acquired by any node.
     pub takeovers: usize,
 }
 
+/// Returns the address of a node.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + node as u16))
 }
@@ -119,6 +125,7 @@
         ControlNode::new(address(node), seeds, replica, false, None, run)
     }
 
+    /// Returns the number of nodes.
     pub fn size(&self) -> usize {
         self.nodes.len()
     }
@@ -150,10 +157,12 @@
         }
     }
 
+    /// Returns all nodes except this one.
     pub fn others(&self, node: usize) -> Vec<usize> {
         (0..self.size()).filter(|other| *other != node).collect()
     }
 
+    /// Unblocks all links.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
     }
@@ -239,10 +248,14 @@
             match output {
                 Output::Send { to, message } => self.deliver(node, from, to, message),
                 Output::Store { .. } | Output::StoreSnapshot { .. } if self.nodes[node].full => {
-                    self.schedule(SYNC, node, ScheduledEvent::StoreFailed);
+                    self.schedule(SYNC_LATENCY, node, ScheduledEvent::StoreFailed);
                 }
                 Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
-                    self.schedule(SYNC, node, ScheduledEvent::Synced { serial, record });
+                    self.schedule(
+                        SYNC_LATENCY,
+                        node,
+                        ScheduledEvent::Synced { serial, record },
+                    );
                 }
                 Output::OperatorResponse {
                     id,
@@ -265,7 +278,7 @@
         let latency = if receiver == node {
             Duration::ZERO
         } else {
-            LATENCY
+            MESSAGE_LATENCY
         };
         let message = Box::new(message);
         self.schedule(latency, receiver, ScheduledEvent::Deliver { from, message });
--- a/control-plane/tests/faults/disk_failure.rs
+++ b/control-plane/tests/faults/disk_failure.rs
@@ -6,7 +6,7 @@
 /// Maximum time to wait for the outcome of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
 /// Time within which a node is included in quorums again after at most two attempts, and edges' sessions are known.
-const RESTORED: Duration = Duration::from_secs(3);
+const RESTORE_TIME: Duration = Duration::from_secs(3);
 
 /// Two disks that are full one after the other must not be treated as the loss of a majority.
 #[test]
@@ -22,14 +22,14 @@
             let is_acknowledged = matches!(outcome, ChangeOutcome::Acknowledged { .. });
             assert!(is_acknowledged, "{size} nodes, round {round}: {outcome:?}");
             cluster.set_disk_full(node, false);
-            cluster.run(RESTORED);
+            cluster.run(RESTORE_TIME);
             assert_eq!(cluster.state(node)["control"][node]["full"], true);
         }
         // The disk's contents survive a restart of the process.
         for node in 0..size {
             cluster.restart(node);
         }
-        cluster.run(RESTORED);
+        cluster.run(RESTORE_TIME);
         let (_, outcome) = cluster.response(0, Change::List, CALL_TIMEOUT);
         assert_eq!(revision_of(&outcome, "s"), Some(2 * size as u64));
     }
--- a/control-plane/tests/faults/isolation.rs
+++ b/control-plane/tests/faults/isolation.rs
@@ -9,7 +9,7 @@
 /// Time within which a node detects its isolation: the timeout of its peers, a grace period and a tick.
 const DETECTION_TIME: Duration = Duration::from_millis(1_200);
 /// Time within which the majority takes over the partitions that the isolated node led.
-const TAKEOVER: Duration = Duration::from_millis(1_500);
+const TAKEOVER_TIME: Duration = Duration::from_millis(1_500);
 /// Maximum time to wait for the outcome of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(13);
 
@@ -90,7 +90,7 @@
             cluster.isolate(leader);
             let (elapsed, outcome) = cluster.response(other, put_group("s", round), CALL_TIMEOUT);
             assert!(is_acknowledged(&outcome), "{size} nodes: {outcome:?}");
-            assert!(elapsed <= TAKEOVER, "{size} nodes: {elapsed:?}");
+            assert!(elapsed <= TAKEOVER_TIME, "{size} nodes: {elapsed:?}");
             cluster.run(Duration::from_secs(20));
             cluster.heal();
             let mut sees_majority = || cluster.has_majority(leader);
@@ -147,7 +147,7 @@
                 "{size} nodes, inbound blocked: {inbound}: {outcome:?}"
             );
             assert!(
-                elapsed <= TAKEOVER,
+                elapsed <= TAKEOVER_TIME,
                 "{size} nodes, inbound blocked: {inbound}: {elapsed:?}"
             );
             cluster.run(DETECTION_TIME);
--- a/control-plane/tests/recovery_replies.rs
+++ b/control-plane/tests/recovery_replies.rs
@@ -2,8 +2,9 @@
 use control_plane::prelude::*;
 use std::net::SocketAddr;
 
-/// Incarnation of the blank disk in slot 0, and that of the disk before it.
+/// Incarnation of the blank disk in slot 0.
 const INCARNATION: u64 = 7;
+/// Incarnation of the earlier disk in slot 0.
 const EARLIER_INCARNATION: u64 = 6;
 
 fn address(slot: u16) -> SocketAddr {
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -8,6 +8,7 @@
 
 /// A ledger partition; its rows are not shown to edges.
 const LEDGER: u8 = PUBLISHED_PARTITIONS;
+/// Number of members.
 const SLOTS: usize = 3;
 
 /// Maximum number of states of a scenario that is searched completely.
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -74,6 +74,7 @@
     rows: BTreeMap<(u8, String), AcknowledgedRow>,
 }
 
+/// State of the model: nodes, messages in flight, acknowledged rows and the remaining actions.
 #[derive(Clone)]
 pub struct Cluster {
     nodes: Vec<Hashed<Node>>,
@@ -82,6 +83,7 @@
     budget: Hashed<Budget>,
     /// Pairs of nodes between which no message is delivered.
     blocked_links: Arc<BTreeSet<(usize, usize)>>,
+    /// Description of the violated invariant, if one is violated.
     pub violation: Option<String>,
 }
 
@@ -238,6 +240,7 @@
         self
     }
 
+    /// Returns the fingerprint of the state, by which the search recognizes visited states.
     pub fn fingerprint(&self) -> u64 {
         let nodes: Vec<u64> = self.nodes.iter().map(|node| node.fingerprint).collect();
         let messages: Vec<u64> = self.network.keys().copied().collect();
@@ -250,6 +253,7 @@
         ))
     }
 
+    /// Returns a line that describes an action.
     pub fn describe(&self, action: Action) -> String {
         match action {
             Action::Deliver(key) => {
@@ -260,6 +264,7 @@
         }
     }
 
+    /// Returns all actions that may be applied in this state.
     pub fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> = self.network.keys().copied().map(Action::Deliver).collect();
         let budget = &*self.budget;
@@ -320,6 +325,7 @@
         (0..self.joiner()).all(|other| other == node || self.nodes[other].replica.full)
     }
 
+    /// Applies an action and checks the invariants.
     pub fn apply(&mut self, action: Action) {
         match action {
             Action::Deliver(key) => self.deliver(key),
@@ -450,7 +456,7 @@
                 .values()
                 .filter(|leader| node.can_serve(leader))
             {
-                let committed = if leader.ready() {
+                let committed = if leader.is_ready() {
                     leader.committed()
                 } else {
                     leader.version
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -22,6 +22,7 @@
     pub partition: u8,
     pub epoch: u64,
     pub round: u64,
+    /// Version that must be committed before the read is finished.
     pub commit: u64,
     /// Keys in the result.
     pub keys: BTreeSet<String>,
@@ -29,6 +30,7 @@
     pub required: BTreeSet<String>,
 }
 
+/// One control node of the model.
 #[derive(Clone)]
 pub struct Node {
     pub address: SocketAddr,
@@ -86,6 +88,7 @@
 /// Port of node 0.
 const FIRST_PORT: u16 = 100;
 
+/// Returns the address of a node.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + node as u16))
 }
@@ -142,6 +145,7 @@
         }
     }
 
+    /// Returns the node's address and incarnation.
     pub fn me(&self) -> Peer {
         Peer::new(self.address, self.replica.incarnation)
     }
@@ -160,6 +164,7 @@
         at.or_else(in_earlier).map(|at| at as u8)
     }
 
+    /// Returns the node's slot by the table, if it has one.
     pub fn slot(&self) -> Option<u8> {
         self.slot_of(&self.me())
     }
@@ -180,7 +185,7 @@
 
     /// Returns true if a leader may serve its rows.
     pub fn can_serve(&self, leader: &PartitionLeader) -> bool {
-        leader.ready()
+        leader.is_ready()
             || !self.enforces(Safeguard::StateRewrittenBeforeServing)
                 && leader.active_since.is_some()
     }
--- a/control-plane/tests/replication/sequences.rs
+++ b/control-plane/tests/replication/sequences.rs
@@ -212,6 +212,7 @@
     ]
 }
 
+/// Epoch of the leader.
 const EPOCH: u64 = 16;
 
 impl LeaderAndReplicas {
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -2,8 +2,11 @@
 //! replicas.
 use control_plane::prelude::*;
 
+/// Number of replicas.
 const SLOTS: usize = 5;
+/// Epoch of the first leader.
 const FIRST_EPOCH: u64 = 16;
+/// Epoch of the leader that takes over.
 const NEXT_EPOCH: u64 = 33;
 /// Slot of the next leader.
 const CANDIDATE: usize = 1;
@@ -150,7 +153,7 @@
         .unwrap() as usize;
     assert!(ledger_bytes > 400_000, "{ledger_bytes} bytes of ledger");
     let (next, bytes) = take_over(&mut replicas);
-    assert!(next.ready());
+    assert!(next.is_ready());
     // Before this was fixed, the ledger was sent five times with the promises and five times in appends.
     assert!(
         bytes < ledger_bytes / 10,
@@ -187,7 +190,7 @@
         let (mut replicas, leader) = replicas_after_writes(&mut random, writes, 10, true);
         let committed = leader.committed();
         let (next, _) = take_over(&mut replicas);
-        assert!(next.ready(), "seed {seed}");
+        assert!(next.is_ready(), "seed {seed}");
         assert!(next.version >= committed, "seed {seed}");
         for (key, row) in leader
             .rows
