--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 /// Maximum age of the last heartbeat of a member that is listed as a leader candidate to others. It is shorter than the
-/// peer timeout: by the time this node takes a member for departed, no other member lists it any more.
+/// peer timeout: by the time this node considers a member departed, no other member lists it any more.
 const CANDIDATE_TIMEOUT: Duration =
     lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
@@ -191,8 +191,8 @@
         self.eligible_contacts(now, CANDIDATE_TIMEOUT)
     }
 
-    /// Returns all members that may lead. Members in contact with this node are judged by this node alone; any other
-    /// member is eligible if a contact lists it as a leader candidate.
+    /// Returns all members that may lead. This node alone decides about members in contact with it; any other member is
+    /// eligible if a contact lists it as a leader candidate.
     pub(super) fn eligible_leaders(&self, now: Duration) -> SlotSet {
         let contacts = self.mutual_contacts(now);
         let listed = contacts
--- a/control-plane/src/control_node/failure_detector.rs
+++ b/control-plane/src/control_node/failure_detector.rs
@@ -1,5 +1,4 @@
-//! Failure detection: distinguishes members that are lost from members not received because this node itself was
-//! paused.
+//! Failure detection: distinguishes lost members from members that seem silent because this node itself was paused.
 
 use crate::prelude::*;
 
--- a/control-plane/src/control_node/operator_calls.rs
+++ b/control-plane/src/control_node/operator_calls.rs
@@ -55,8 +55,8 @@
     /// Returns true if this attempt may conflict with an earlier attempt of the same call: changes up to
     /// `complete_after` are not all remembered.
     fn may_conflict_with_itself(&self, complete_after: u64) -> bool {
-        let is_forgotten = |expected: u64| expected < complete_after;
-        self.attempts > 1 && self.expected_version().is_some_and(is_forgotten)
+        let may_be_forgotten = |expected: u64| expected < complete_after;
+        self.attempts > 1 && self.expected_version().is_some_and(may_be_forgotten)
     }
 }
 
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn joiner_accepts_state_of_direct_predecessor_alone() {
+fn joiner_accepts_state_of_direct_predecessor_only() {
     let joiner = || {
         let mut node = Node::start(3, false);
         node.step(0, Input::Tick);
--- a/control-plane/src/sessions/tests.rs
+++ b/control-plane/src/sessions/tests.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn delta_carries_changes_at_once_and_usage_seldom() {
+fn delta_reports_changes_at_once_and_usage_rarely() {
     let at = Duration::from_millis;
     let mut table = Sessions::default();
     (1..=100).for_each(|port| assert!(table.renew(at(0), session(port, 1), None)));
--- a/control-plane/src/update_replies.rs
+++ b/control-plane/src/update_replies.rs
@@ -9,8 +9,8 @@
 const MAX_CACHED_REPLIES: usize = 8;
 /// Size in bytes below which replies are sent with every renewal that lacks them.
 const LARGE_REPLY_BYTES: usize = 16 * 1024;
-/// Bandwidth of the slowest supported link: 4 Mbit/s. Over it, renewals are more frequent than the time that a large
-/// reply takes.
+/// Bandwidth of the slowest supported link: 4 Mbit/s. Over it, a large reply takes longer to arrive than the interval
+/// between renewals.
 const SLOW_LINK_BYTES_PER_SECOND: usize = 500_000;
 /// Margin added to the transfer time of a large reply over a slow link before it is sent again.
 const RESEND_MARGIN: Duration = Duration::from_millis(250);
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -449,7 +449,7 @@
     }
 
     fn record_acknowledged(&mut self) {
-        let mut fresh = Vec::new();
+        let mut newly_acknowledged = Vec::new();
         for node in self.nodes.iter().filter(|node| node.can_vote()) {
             for leader in node
                 .leaders
@@ -465,12 +465,17 @@
                     let known = self.acknowledged.rows.get(&(leader.partition, key.clone()));
                     let is_committed = row.version <= committed;
                     if is_committed && known.is_none_or(|known| known.epoch > leader.epoch) {
-                        fresh.push((leader.partition, leader.epoch, key.clone(), row.clone()));
+                        newly_acknowledged.push((
+                            leader.partition,
+                            leader.epoch,
+                            key.clone(),
+                            row.clone(),
+                        ));
                     }
                 }
             }
         }
-        for (partition, epoch, key, row) in fresh {
+        for (partition, epoch, key, row) in newly_acknowledged {
             self.acknowledge(partition, epoch, key, row);
         }
     }
@@ -518,14 +523,14 @@
     fn check_replica_states(&mut self) {
         let full = || self.nodes.iter().filter(|node| node.replica.full);
         for (one, other) in full().flat_map(|one| full().map(move |other| (one, other))) {
-            for (mine, theirs) in one.replica.partitions.iter().zip(&other.replica.partitions) {
-                let (mine, theirs) = (&mine.state, &theirs.state);
-                let same_version = (mine.epoch, mine.version) == (theirs.epoch, theirs.version);
-                if same_version && mine.rows != theirs.rows {
+            for (left, right) in one.replica.partitions.iter().zip(&other.replica.partitions) {
+                let (left, right) = (&left.state, &right.state);
+                let same_version = (left.epoch, left.version) == (right.epoch, right.version);
+                if same_version && left.rows != right.rows {
                     let text = format!(
                         "epoch {} version {} holds other rows at {} than at {}",
-                        mine.epoch,
-                        mine.version,
+                        left.epoch,
+                        left.version,
                         one.address.port(),
                         other.address.port()
                     );
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -215,7 +215,7 @@
 
 /// A state with the same version number but of another epoch is not a valid base.
 #[test]
-fn delta_applies_to_its_base_state_alone() {
+fn delta_applies_to_its_base_state_only() {
     let (mut replicas, _) = replicas_after_writes(&mut SeededRandom(3), 40, 10, false);
     let (mut other, _) = replicas_after_writes(&mut SeededRandom(4), 40, 10, false);
     let local_state = replicas[CANDIDATE]
