--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -1,16 +1,17 @@
-//! Three control nodes in virtual time without edges, for tests of orders that
-//! are retried while nodes are lost.
+//! Three control nodes in virtual time without edges, for tests of changes that are retried while nodes are lost.
 
 use crate::prelude::*;
 
-/// Every message takes this long.
-const DELAY: Duration = Duration::from_millis(2);
-/// What is stored is synced after this.
-const SYNC: Duration = Duration::from_millis(1);
+/// Latency of every message.
+const MESSAGE_LATENCY: Duration = Duration::from_millis(2);
+/// Time that a disk takes to sync a record.
+const SYNC_LATENCY: Duration = Duration::from_millis(1);
+/// Interval between ticks.
 const TICK: Duration = Duration::from_millis(100);
+/// Number of control nodes.
 const SLOTS: usize = 3;
-/// By then the partitions are founded and led.
-const FOUNDED: Duration = Duration::from_secs(6);
+/// Time by which the partitions are founded and led.
+const FOUNDING_TIME: Duration = Duration::from_secs(6);
 
 enum ScheduledEvent {
     Tick { run: u64 },
@@ -20,22 +21,24 @@
 
 struct Node {
     control_node: Option<ControlNode>,
-    /// Counts its starts: what was due for an earlier one is dropped.
+    /// Number of starts; events scheduled for an earlier run are dropped.
     run: u64,
     disk: Vec<Vec<u8>>,
     unsynced: VecDeque<(u64, Vec<u8>)>,
 }
 
+/// Three control nodes, the network between them and their disks, in virtual time.
 pub(super) struct Cluster {
     pub(super) now: Duration,
     serial: u64,
     queue: BTreeMap<(Duration, u64), (usize, ScheduledEvent)>,
     nodes: Vec<Node>,
     incarnations: u64,
-    /// Nodes that no message reaches or leaves.
+    /// Nodes that exchange no messages with others.
     pub(super) isolated: BTreeSet<usize>,
-    /// Replies to changes are lost.
+    /// True while replies to changes are lost.
     pub(super) replies_lost: bool,
+    /// Outcomes of operators' calls, by the ids of the calls.
     pub(super) outcomes: BTreeMap<u64, ChangeOutcome>,
 }
 
@@ -44,7 +47,7 @@
 }
 
 impl Cluster {
-    /// Founded and led.
+    /// Starts the nodes, and runs until the partitions are founded and led.
     pub(super) fn new() -> Cluster {
         let node = || Node {
             control_node: None,
@@ -63,17 +66,17 @@
             outcomes: BTreeMap::new(),
         };
         (0..SLOTS).for_each(|slot| cluster.start(slot));
-        cluster.run_for(FOUNDED);
+        cluster.run_for(FOUNDING_TIME);
         assert!(
             cluster.leader(CONFIGURATION_PARTITION).is_some(),
-            "nobody leads"
+            "no node leads"
         );
         cluster
     }
 
-    /// Starts a node on what its disk holds.
+    /// Starts a node with the contents of its disk.
     pub(super) fn start(&mut self, slot: usize) {
-        let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("own records read");
+        let disk_replica = Replica::replay(&self.nodes[slot].disk).expect("records can be decoded");
         let blank = disk_replica.is_none();
         self.incarnations += 1;
         let replica = disk_replica.unwrap_or_else(|| Replica::blank(1000 + self.incarnations));
@@ -93,18 +96,19 @@
         self.push(self.now, slot, ScheduledEvent::Tick { run });
     }
 
-    /// The process ends at once; what was not synced is lost.
+    /// Ends a process at once; records that were not synced are lost.
     pub(super) fn kill(&mut self, slot: usize) {
         self.nodes[slot].control_node = None;
         self.nodes[slot].unsynced.clear();
     }
 
+    /// Ends a process and wipes its disk.
     pub(super) fn wipe(&mut self, slot: usize) {
         self.kill(slot);
         self.nodes[slot].disk.clear();
     }
 
-    /// For so long an edge renews with all nodes and applies no updates.
+    /// Renews an edge's session with all nodes for this time, without applying any update.
     pub(super) fn renew_without_applying(&mut self, span: Duration) {
         let until = self.now + span;
         let edge = Peer::new(address(SLOTS + 1), 77);
@@ -131,12 +135,12 @@
         }
     }
 
-    /// Another node than this one.
+    /// Returns a node other than this one.
     pub(super) fn other(&self, slot: usize) -> usize {
         (slot + 1) % SLOTS
     }
 
-    /// The node that leads a partition and may serve it.
+    /// Returns the node that leads a partition and may serve it.
     pub(super) fn leader(&self, partition: u8) -> Option<usize> {
         let leads = |slot: &usize| {
             let control_node = self.nodes[*slot].control_node.as_ref();
@@ -146,13 +150,13 @@
         (0..SLOTS).find(leads)
     }
 
-    /// An operator calls a node; the outcome is stored under this id.
+    /// Submits an operator's call to a node; the outcome is stored under this id.
     pub(super) fn submit(&mut self, slot: usize, id: u64, partition: u8, change: Change) {
         let request = OperatorRequest::Change { partition, change };
         self.step(slot, Input::Operator { id, request });
     }
 
-    /// An operator calls a node and waits for the outcome.
+    /// Submits an operator's call to a node, and waits for the outcome.
     pub(super) fn outcome(&mut self, slot: usize, partition: u8, change: Change) -> ChangeOutcome {
         self.serial += 1;
         let id = 1_000_000 + self.serial;
@@ -163,9 +167,10 @@
             }
             self.run_for(TICK);
         }
-        panic!("no answer")
+        panic!("no outcome")
     }
 
+    /// Runs for this duration of virtual time.
     pub(super) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -205,8 +210,8 @@
 
     fn sync(&mut self, slot: usize, serial: u64) {
         let node = &mut self.nodes[slot];
-        let synced = |(disk_replica, _): &mut (u64, Vec<u8>)| *disk_replica <= serial;
-        while let Some((_, record)) = node.unsynced.pop_front_if(synced) {
+        let is_synced = |(stored_serial, _): &mut (u64, Vec<u8>)| *stored_serial <= serial;
+        while let Some((_, record)) = node.unsynced.pop_front_if(is_synced) {
             node.disk.push(record);
         }
     }
@@ -224,7 +229,11 @@
                 Output::Send { to, message } => self.deliver(slot, from, to, message),
                 Output::Store { serial, record } | Output::StoreSnapshot { serial, record } => {
                     self.nodes[slot].unsynced.push_back((serial, record));
-                    self.push(now + SYNC, slot, ScheduledEvent::Synced { run, serial });
+                    self.push(
+                        now + SYNC_LATENCY,
+                        slot,
+                        ScheduledEvent::Synced { run, serial },
+                    );
                 }
                 Output::OperatorResponse {
                     id,
@@ -241,14 +250,14 @@
         let Some(to) = (0..SLOTS).find(|slot| address(*slot) == to) else {
             return;
         };
-        let partitioned =
+        let is_blocked =
             to != slot && (self.isolated.contains(&slot) || self.isolated.contains(&to));
-        let lost = self.replies_lost && matches!(message, Message::ChangeReply(_));
-        if partitioned || lost {
+        let is_lost = self.replies_lost && matches!(message, Message::ChangeReply(_));
+        if is_blocked || is_lost {
             return;
         }
         let message = Box::new(message);
         let event = ScheduledEvent::Received { from, message };
-        self.push(self.now + DELAY, to, event);
+        self.push(self.now + MESSAGE_LATENCY, to, event);
     }
 }
--- a/control-plane/src/operator_api/origins.rs
+++ b/control-plane/src/operator_api/origins.rs
@@ -1,14 +1,15 @@
-//! The list of origins, which is replaced as a unit.
+//! Requests for the list of origins, which is replaced as a unit.
 
 use super::items::finding_at;
 use super::responses::{change_response, invalid};
-use super::{Refusable, body_text, change_id, expected_version, parse_json, submit};
+use super::{HandlerResult, body_text, change_id, expected_version, parse_json, submit};
 use crate::prelude::*;
 
-/// The most origins that a list may hold.
+/// Maximum number of origins in a list.
 const MAX_LISTED_ORIGINS: usize = 1000;
 
-pub(super) fn put(port: &Port, request: &rouille::Request) -> Refusable<rouille::Response> {
+/// Replaces the list of origins by the one in the request's body.
+pub(super) fn put(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
     let text = body_text(request)?;
     let elements: Vec<serde_json::Value> = parse_json(&text)?;
     let origins = parse_origins(elements).map_err(|findings| invalid(&findings))?;
@@ -23,7 +24,7 @@
     Ok(change_response(outcome))
 }
 
-/// The origins, or all that is wrong with the list.
+/// Parses the origins, or returns all findings in the list.
 fn parse_origins(elements: Vec<serde_json::Value>) -> Result<Vec<Origin>, Vec<Finding>> {
     let mut findings = Vec::new();
     let mut origins: Vec<Origin> = Vec::new();
@@ -53,6 +54,7 @@
     }
 }
 
+/// Returns the document that shows the list of origins.
 pub(super) fn show(version: u64, rows: Vec<(String, Row)>) -> serde_json::Value {
     let origins = rows.into_iter().find_map(|(_, row)| match row.value {
         Value::Origins { list, .. } => Some(list),
