--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to origins.
+//! Calls to origins and their outcomes.
 use crate::prelude::*;
 
 /// A call to an origin.
@@ -10,62 +10,62 @@
     pub method: String,
     /// Path and query.
     pub url: String,
-    /// The `Host`; empty for a health check.
+    /// The value of the `Host` header; empty for a health check.
     pub host: String,
     /// The client's headers.
     pub headers: Vec<(String, String)>,
     /// The complete body.
     pub body: Arc<Vec<u8>>,
-    /// The key under which it runs once.
+    /// The operation key under which the request is executed at most once.
     pub operation: Option<String>,
     /// The client's own id of the request.
     pub request_id: Option<String>,
-    /// Binds the response to this one call.
+    /// Request id that binds the response to this call.
     pub request: u64,
     /// The group's key for signatures.
     pub key: String,
-    /// How the origin proves its identity.
+    /// Method by which the origin proves its identity.
     pub proof: Proof,
-    /// How long it may take.
+    /// Timeout of the call.
     pub timeout: Duration,
-    /// Connections that this process may have with that origin.
+    /// Maximum number of connections of this process to the origin.
     pub max_connections: usize,
-    /// For whom it is made.
+    /// Purpose of the call.
     pub purpose: CallPurpose,
 }
 
-/// For whom a call is made.
+/// The purpose of a call, which decides whether it may be cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// For one client; it is idempotent, so it may be cancelled.
+    /// For one client. The request is idempotent, so it may be cancelled.
     Client,
-    /// It may run once only: once sent, it goes on to its end.
+    /// For a request that is executed at most once: after it was sent, it is not
+    /// cancelled.
     RunOnce,
-    /// To fill the cache, for a response that only this client is known to wait
-    /// for.
+    /// Cache fill for which only this client is known to wait.
     CacheFill,
-    /// To fill the cache, for a response that others wait for, here or at its
+    /// Cache fill for which other requests wait too, at this edge or at the cache
     /// owner.
     SharedCacheFill,
-    /// A health check.
+    /// Health check.
     HealthCheck,
 }
 
-/// What came of a call, after the signature was checked.
+/// The outcome of a call, after the signature was verified.
 #[derive(Debug, Clone)]
 pub enum CallOutcome {
     /// The origin's own response.
     Success(Reply),
-    /// Nothing was sent, by our own decision: the lease is over, or the client
-    /// has disconnected. It shows nothing of the origin.
+    /// This process did not send the request: its lease has ended, or the client
+    /// has disconnected. It does not affect the origin's health.
     NotSent,
-    /// Nothing was sent: the origin could not be reached.
+    /// Nothing was sent: the connection to the origin failed.
     Unreachable,
-    /// The origin states that it did not execute it (it is overloaded, or
-    /// drains).
+    /// The origin states that it did not execute the request (it is overloaded or
+    /// draining).
     NotExecuted,
-    /// Another instance listens there; it did not execute it.
+    /// Another instance listens at the address; it did not execute the request.
     WrongInstance,
-    /// Sent, but no acceptable response came; why.
+    /// The request was sent, but no valid response arrived; holds the reason.
     Failure(String),
 }
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -1,70 +1,69 @@
-//! The host of a node's state machine: sockets, disk, ticks and signals.
+//! The host of a node's state machine: drives it with sockets, disk, ticks and signals.
 use crate::prelude::*;
 
-/// How long a watched connection may take to open.
+/// Timeout for opening a watched connection.
 const WATCH_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The last messages have this long to leave before the process ends.
+/// Maximum time for sending the last messages before the process ends.
 const FINAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// While more inputs wait, messages leave after so many of them at the latest,
-/// together.
+/// Maximum number of inputs handled before the queued messages are flushed together.
 const MAX_INPUTS_PER_FLUSH: u32 = 32;
 
-/// Why a process could not start.
+/// Reasons why a process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// A setting is missing that this program needs.
+    /// A required setting is missing.
     #[error("{0} is not set")]
     MissingSetting(&'static str),
-    /// An address is taken or is not this machine's.
+    /// The address is in use or does not belong to this machine.
     #[error("cannot listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The links between processes could not be set up.
+    /// The links to peers could not be opened.
     #[error("cannot open the links to peers")]
     Links(#[source] std::io::Error),
-    /// The system has no randomness.
+    /// The operating system provided no random bytes.
     #[error(transparent)]
     Randomness(#[from] RandomnessError),
     /// The frontend could not be opened.
     #[error("cannot open the frontend")]
     Frontend(#[from] FrontendError),
-    /// Signals cannot be received.
+    /// The signal handler could not be installed.
     #[error("cannot receive signals")]
     Signals(#[source] std::io::Error),
 }
 
-/// Drives one state machine: sockets, disk, ticks and calls are out here.
+/// Drives one state machine: performs its I/O on sockets, disk and clocks.
 pub struct NodeHost {
     /// This process.
     pub me: Peer,
-    /// The program's name, by which plug-ins register.
+    /// The program's name, under which plug-ins register.
     pub program: &'static str,
     /// The process's settings.
     pub startup: Startup,
-    /// The span between two ticks.
+    /// Time between two ticks.
     pub tick: Duration,
-    /// Where records go; none for a node without a disk.
+    /// Store of the node's records; `None` for a node without a disk.
     pub store: Option<Box<dyn Store>>,
-    /// Where clients, operators and origins are met.
+    /// Frontend that serves clients and operators and calls origins.
     pub frontend: Box<dyn Frontend>,
-    /// Where committed configurations go; never waited for.
+    /// Channel for committed configurations; the host never blocks on it.
     pub history: Option<Sender<(u64, Arc<str>)>>,
 }
 
-/// What the thread of the state machine works with while it runs.
+/// State of a running host, owned by the thread of the state machine.
 struct Running {
     host: NodeHost,
     mesh: SocketAddr,
     inputs: Receiver<Input>,
-    give: Sender<Input>,
+    input_sender: Sender<Input>,
     links: Links,
     port: Arc<Port>,
     store: Option<Sender<PendingWrite>>,
-    /// Inputs handled since messages last left.
+    /// Number of inputs handled since the last flush.
     unflushed: u32,
 }
 
@@ -74,13 +73,13 @@
         let mut running = self.start()?;
         running.drive(state_machine);
         running.links.drain(FINAL_DRAIN_TIMEOUT);
-        log_event(Event::Ended, "nothing is left to do");
+        log_event(Event::Ended, "shutdown complete");
         Ok(())
     }
 
     /// Opens sockets, the frontend, the disk's writer and the signal handler.
     fn start(mut self) -> Result<Running, HostError> {
-        let (give, inputs) = flume::unbounded::<Input>();
+        let (input_sender, inputs) = flume::unbounded::<Input>();
         let mesh = self
             .startup
             .mesh
@@ -89,15 +88,16 @@
             address: mesh,
             source,
         })?;
-        let links = Links::open(self.me, listener, give.clone()).map_err(HostError::Links)?;
-        let port = Arc::new(Port::new(give.clone(), self.startup.clone())?);
+        let links =
+            Links::open(self.me, listener, input_sender.clone()).map_err(HostError::Links)?;
+        let port = Arc::new(Port::new(input_sender.clone(), self.startup.clone())?);
         self.frontend.open(&port)?;
         self.start_sources(&port);
         let store = self
             .store
             .take()
-            .map(|store| store::spawn_writer(store, give.clone()));
-        watch_signals(&give, self.startup.grace()).map_err(HostError::Signals)?;
+            .map(|store| store::spawn_writer(store, input_sender.clone()));
+        watch_signals(&input_sender, self.startup.grace()).map_err(HostError::Signals)?;
         let text = format!(
             "{} {} mesh {mesh} http {:?}",
             self.program, self.me, self.startup.http
@@ -107,7 +107,7 @@
             host: self,
             mesh,
             inputs,
-            give,
+            input_sender,
             links,
             port,
             store,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Starts what registered itself to run beside this program.
+    /// Starts a thread for each background source registered for this program.
     fn start_sources(&self, port: &Arc<Port>) {
         let registered = inventory::iter::<SourcePlugIn>();
         for source in registered.filter(|source| source.program == self.program) {
@@ -128,7 +128,7 @@
 impl Running {
     fn drive(&mut self, mut state_machine: Box<dyn StateMachine>) {
         let mut next_tick = self.port.now();
-        // After the end, requests that still come are answered: by rejections.
+        // After the state machine has shut down, it still rejects late requests.
         while !(self.port.ending.load(Ordering::Acquire) && self.host.frontend.is_done()) {
             let Some(input) = self.next_input(&mut next_tick) else {
                 continue;
@@ -148,7 +148,8 @@
         }
     }
 
-    /// A tick if one is due, else the next input that arrives before it.
+    /// Returns a tick if one is due, else the next input that arrives before the
+    /// next tick.
     fn next_input(&self, next_tick: &mut Duration) -> Option<Input> {
         let now = self.port.now();
         if now >= *next_tick {
@@ -169,9 +170,9 @@
     fn perform(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => self.send(to, message),
-            Output::Store { serial, record } => self.put(PendingWrite::Append { serial, record }),
+            Output::Store { serial, record } => self.write(PendingWrite::Append { serial, record }),
             Output::StoreSnapshot { serial, record } => {
-                self.put(PendingWrite::Snapshot { serial, record })
+                self.write(PendingWrite::Snapshot { serial, record })
             }
             Output::ClientResponse { id, .. } | Output::OperatorResponse { id, .. } => {
                 self.port.complete(id, output)
@@ -180,13 +181,13 @@
             Output::CancelCall { id } => self.host.frontend.cancel_call(id),
             Output::ExtendCall { id, limit } => self.host.frontend.extend_call(id, limit),
             Output::WatchConnection { address } => {
-                let give = self.give.clone();
-                thread::spawn(move || watch_connection(address, &give));
+                let inputs = self.input_sender.clone();
+                thread::spawn(move || watch_connection(address, &inputs));
             }
             Output::Log { event, text } => log_event(event, &text),
             Output::Publish(state) => self.publish(state),
             Output::ShutdownComplete => {
-                // The state machine rejects what still comes.
+                // The state machine rejects requests that arrive from now on.
                 self.host.frontend.finish();
                 self.port.ending.store(true, Ordering::Release);
             }
@@ -196,13 +197,15 @@
     fn send(&self, to: SocketAddr, message: Message) {
         if to == self.mesh {
             let from = self.host.me;
-            let _ = self.give.send(Input::MessageReceived { from, message });
+            let _ = self
+                .input_sender
+                .send(Input::MessageReceived { from, message });
         } else {
             self.links.send(to, &message);
         }
     }
 
-    fn put(&self, write: PendingWrite) {
+    fn write(&self, write: PendingWrite) {
         if let Some(store) = &self.store {
             let _ = store.send(write);
         }
@@ -223,37 +226,37 @@
     }
 }
 
-/// Sends nothing on the connection; its end is the end of the process that
-/// accepted it, or of its idle limit: either way it must prove its identity
-/// again.
-fn watch_connection(address: SocketAddr, give: &Sender<Input>) {
+/// Opens a connection to an origin, sends nothing, and reports when it opens and
+/// closes. It closes when the origin's process ends or its idle timeout expires: in
+/// both cases the origin must prove its identity again.
+fn watch_connection(address: SocketAddr, inputs: &Sender<Input>) {
     let change = |open| Input::ConnectionChanged { address, open };
     if let Ok(mut stream) = TcpStream::connect_timeout(&address, WATCH_CONNECT_TIMEOUT) {
-        let _ = give.send(change(true));
+        let _ = inputs.send(change(true));
         while matches!(stream.read(&mut [0; 64]), Ok(size) if size > 0) {}
     }
-    let _ = give.send(change(false));
+    let _ = inputs.send(change(false));
 }
 
-/// The first signal goes to the state machine; after the grace time the process
-/// ends regardless.
-fn watch_signals(give: &Sender<Input>, grace: Duration) -> std::io::Result<()> {
+/// Reports the first termination signal to the state machine, and exits the process
+/// after the grace period in any case.
+fn watch_signals(inputs: &Sender<Input>, grace: Duration) -> std::io::Result<()> {
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
         signal_hook::consts::SIGHUP,
     ])?;
-    let give = give.clone();
+    let inputs = inputs.clone();
     thread::spawn(move || {
-        // SIGHUP asks to read the settings anew: what depends on them is learned
-        // from the peers all the time.
-        let ends = |signal| signal != signal_hook::consts::SIGHUP;
-        if signals.forever().any(ends) {
-            let text = format!("ending within {grace:?}");
+        // SIGHUP requests a reload of the settings. It is ignored, since the state
+        // that depends on them is continuously updated by the peers.
+        let terminates = |signal| signal != signal_hook::consts::SIGHUP;
+        if signals.forever().any(terminates) {
+            let text = format!("shutting down within {grace:?}");
             log_event(Event::ShutdownRequested, &text);
-            let _ = give.send(Input::ShutdownRequested);
+            let _ = inputs.send(Input::ShutdownRequested);
             thread::sleep(grace);
-            log_event(Event::Ended, "grace time is over");
+            log_event(Event::Ended, "grace period expired");
             std::process::exit(1);
         }
     });
--- a/kernel/src/lease.rs
+++ b/kernel/src/lease.rs
@@ -1,49 +1,50 @@
-//! Lease arithmetic. All spans are monotonic; none depends on a wall clock.
+//! Lease durations. All times are read from monotonic clocks; none depends on a wall clock.
 //!
-//! An edge counts a renewal from when it SENT it and holds it for `EDGE_LEASE`; a
-//! control node counts it from when it HEARD it and holds it for `SESSION_LEASE`.
-//! Hearing is never before sending, so an edge fences itself at least
-//! `SESSION_LEASE - EDGE_LEASE` (200 ms, or 25 % of clock rate error) before it is counted
-//! lapsed.
+//! An edge's lease runs for `EDGE_LEASE` from the time it SENT the renewal; the
+//! session at the control node runs for `SESSION_LEASE` from the time the renewal
+//! was RECEIVED. A message is never received before it is sent, so an edge fences
+//! itself at least `SESSION_LEASE - EDGE_LEASE` (200 ms, or 25 % of clock rate error)
+//! before the control node treats its session as lapsed.
 //!
-//! Settle bound: a change is published within one control tick of its
-//! majority write; every session then confirms (nudge or next edge tick) or
-//! lapses: at most `SESSION_LEASE` (800 ms) after its last renewal was heard, plus
-//! two control ticks (200 ms) to see and collect it, plus syncs. 0.8 + 0.2 +
-//! two syncs stays below 2 s, under the brief's 2 to 2.5 s, and the
-//! acknowledgement comes after it, so "in force everywhere" is already true
-//! when an operator reads the answer.
+//! Bound on settling: a change is published within one control tick of its
+//! majority write; every session then confirms it (after an update notice, or at
+//! the next edge tick) or lapses, at most `SESSION_LEASE` (800 ms) after its last
+//! renewal was received. Detecting and collecting that takes two more control
+//! ticks (200 ms), plus fsyncs. 0.8 + 0.2 + two fsyncs stays below 2 s, within the
+//! required 2 to 2.5 s. The change is acknowledged after that, so it is in effect
+//! everywhere by the time an operator reads the response.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// How often an edge renews with each control node.
+/// Interval at which an edge renews its lease with each control node.
 pub const EDGE_TICK: Duration = Duration::from_millis(200);
-/// How often control nodes confirm their partitions with each other.
+/// Interval at which control nodes confirm their partitions with each other.
 pub const CONTROL_TICK: Duration = Duration::from_millis(100);
-/// How long an edge relies on one control node's renewal, from its sending.
+/// Lifetime of a lease at the edge, counted from the sending of the renewal.
 pub const EDGE_LEASE: Duration = Duration::from_millis(600);
-/// How long a control node counts a session as standing, from its hearing.
+/// Lifetime of a session at a control node, counted from the receipt of the renewal.
 pub const SESSION_LEASE: Duration = Duration::from_millis(800);
-/// How long a control node counts another as live without a word from it.
+/// Time without a message after which a control node considers another one down.
 pub const CONTROL_PEER_TIMEOUT: Duration = Duration::from_millis(450);
-/// A permit is good for this long from its granting: a leaving origin gets no
-/// request later than this after the admission controller dropped it. Also the arrival jitter
-/// in the rate bound: 5.2 s of rate fit into any 5 s window (104 %), the rest
-/// up to 110 % is the bucket's burst.
+/// Lifetime of a permit from its grant: a draining origin gets no request later
+/// than this after the admission controller removed it. It is also the arrival
+/// jitter in the rate bound: any 5 s window can contain the calls of 5.2 s (104 %);
+/// the remainder up to 110 % is the token bucket's burst.
 pub const PERMIT_VALIDITY: Duration = Duration::from_millis(200);
-/// Outcomes of operation keys stand for this long after they were recorded,
-/// in full again after a change of owner, unless the settings say otherwise.
+/// Default retention of the outcome of an operation key, counted from its recording
+/// and restarted by a change of owner.
 pub const OPERATION_RETENTION: Duration = Duration::from_secs(180);
-/// An origin is only called while its last verified answer is this young.
+/// Maximum age of an origin's last verified response for the origin to be called.
 pub const ORIGIN_PROOF_VALIDITY: Duration = Duration::from_secs(2);
-/// A proof older than this is renewed by a probe.
+/// Age after which an origin's proof of identity is renewed by a health check.
 pub const ORIGIN_PROOF_REFRESH: Duration = Duration::from_secs(1);
-/// A partition that was founded, or lost a majority of its disks, hears the edges
-/// for this long before it answers: each renews five times in it.
+/// Time for which a partition that was founded, or lost a majority of its disks,
+/// collects reports from the edges before it replies: each edge renews five times
+/// in this period.
 pub const RECALL_PERIOD: Duration = Duration::from_millis(1200);
-/// After a loss of a majority, unknown operations are not run for as long as a
-/// repeat of a lost one may come ("within about a minute": 70 s, and some more
-/// for what was under way when the disks went).
+/// Time after the loss of a majority during which unknown operations are not run:
+/// a client may still repeat an operation whose record was lost ("within about a
+/// minute": 70 s, plus a margin for operations in flight when the disks were lost).
 pub const LEDGER_CLOSED_AFTER_LOSS: Duration = Duration::from_secs(75);
--- a/kernel/src/quorum.rs
+++ b/kernel/src/quorum.rs
@@ -2,31 +2,32 @@
 #[cfg(test)]
 mod tests;
 
-/// How many of the slots of the control plane it takes. Invariants, of any
-/// sets of slots of one table:
-/// - two of `most` share a slot: what one set of disks holds, the next owner
-///   finds.
-/// - one of `most` and one of `rest` share a slot: an edge that is live by
-///   `rest` is seen by whoever asks `most`, and a blank disk that asks `rest`
-///   of the others finds all that `most` ever held.
+/// Quorum sizes of a control plane with a given number of slots. Invariants for
+/// sets of slots of one membership table:
+/// - any two sets of `majority()` slots share a slot: the next leader finds all
+///   that a majority of disks holds.
+/// - any set of `majority()` slots and any set of `intersecting()` slots share a
+///   slot: an edge with leases from `intersecting()` slots is found by a reader of
+///   a majority, and a blank disk that reads `intersecting()` of the other slots
+///   finds all that a majority ever held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quorum {
-    /// Slots of the control plane.
+    /// Number of slots of the control plane.
     pub slots: usize,
 }
 
 impl Quorum {
-    /// The quorums of a table with so many slots.
+    /// Returns the quorum sizes of a membership table with this many slots.
     pub fn new(slots: usize) -> Quorum {
         Quorum { slots }
     }
 
-    /// The least number of which any two sets share a slot.
+    /// Smallest size for which any two sets of slots share a slot.
     pub fn majority(self) -> usize {
         self.slots / 2 + 1
     }
 
-    /// The least number that meets every set of `most`.
+    /// Smallest size for which any set of slots intersects every majority.
     pub fn intersecting(self) -> usize {
         self.slots - self.slots.min(self.majority()) + 1
     }
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -1,10 +1,10 @@
-//! Rows of the control state: the values that stand under their keys.
+//! Rows of the control state: versioned values stored under keys.
 use crate::prelude::*;
 
-/// A value under a key.
+/// A value with its version, stored under a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Counts within the partition and never goes down.
+    /// Counter within the partition that never decreases.
     pub version: u64,
     /// The value.
     pub value: Value,
@@ -16,94 +16,96 @@
 pub enum Value {
     /// The configuration document.
     Configuration {
-        /// As it was put, byte for byte.
+        /// The document, byte for byte as it was put.
         text: Arc<str>,
-        /// The change that put it.
+        /// Id of the change that put it.
         change: u64,
     },
-    /// A named item of the configuration, beside the document.
+    /// A named item of the configuration, in addition to the document.
     Item(Item),
     /// A purge of cached responses.
     Purge {
-        /// What it matches.
+        /// The responses that it matches.
         purge: Purge,
-        /// The change that put it.
+        /// Id of the change that put it.
         change: u64,
     },
     /// The platform's complete list of origins.
     Origins {
         /// The list.
         list: Arc<Vec<Origin>>,
-        /// The change that put it.
+        /// Id of the change that put it.
         change: u64,
     },
-    /// Which edge owns an assignment.
+    /// The edge that owns an assignment.
     Assignment(Assignment),
-    /// Who holds the slots of the control plane, 1 to [`MAX_SLOTS`] of them;
-    /// incarnation 0: whoever listens there.
+    /// The members that hold the slots of the control plane, 1 to [`MAX_SLOTS`]
+    /// of them; incarnation 0 matches any process at that address.
     Members(Vec<Peer>),
-    /// Edges whose operations may be repeated.
+    /// The registry of edges whose operations may be repeated.
     EdgeRegistry {
-        /// Edges that have a session.
+        /// Edges with a session.
         members: Vec<Peer>,
-        /// Edges without one for less than `lease::LEDGER_CLOSED_AFTER_LOSS`.
+        /// Edges whose session ended less than `lease::LEDGER_CLOSED_AFTER_LOSS` ago.
         departed: Vec<Peer>,
-        /// The ledger was complete by then: all these edges together know of
-        /// all operations.
+        /// True if the ledger was complete at that time: these edges together
+        /// know of all operations.
         complete: bool,
     },
-    /// Edges of the registry whose being in it has settled: they may claim
-    /// operations, since after a loss every other edge would miss them.
+    /// Edges whose entry in the registry has settled. Only these may claim
+    /// operations: after a loss, the operations of an unregistered edge would be
+    /// missing without being noticed.
     Enrolled {
         /// The edges.
         members: Vec<Peer>,
     },
-    /// The generation's ledger is complete: all registered edges reported what
-    /// they knew, or no repeat of what it lacks can arrive any more, or
-    /// operators declared so.
+    /// Marks the generation's ledger as complete: all registered edges reported
+    /// what they knew, or operations that it lacks can no longer be repeated, or
+    /// operators declared it complete.
     Opened {
         /// The generation.
         generation: u64,
     },
-    /// The founding of the partition; in the configuration's, names the
-    /// generation (see [`Generation`]).
+    /// Marks the founding of the partition. In the configuration's partition it
+    /// names the generation (see [`Generation`]).
     Founded {
         /// The generation.
         generation: u64,
     },
-    /// What became of an operation key.
+    /// The state of an operation key.
     Operation(Operation),
-    /// Revisions an item was accepted under before the one that stands.
+    /// Revisions under which an item was accepted before the current one.
     Accepted(AcceptedRevisions),
-    /// Changes that were applied to a row that is replaced whole.
+    /// Changes that were applied to a row that is replaced as a whole.
     Applied(AppliedChanges),
 }
 
 impl Value {
-    /// Whether edges get rows of this kind; the others only serve to judge
-    /// changes.
+    /// Returns true if rows of this kind are sent to edges; the others are only
+    /// used to validate changes.
     pub fn visible_to_edges(&self) -> bool {
         !matches!(self, Value::Accepted(_) | Value::Applied(_))
     }
 }
 
-/// A named item of the configuration, with a revision that its operators gave
-/// it: per kind and name the highest holds, also of removals.
+/// A named item of the configuration, with a revision chosen by its operators.
+/// For each kind and name the highest revision is in effect, also if it is a
+/// removal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it configures.
+    /// The kind of the item.
     pub kind: ItemKind,
-    /// Its name within the kind.
+    /// The item's name, unique within the kind.
     pub name: String,
-    /// The operators' number of this content.
+    /// The operators' revision number of this content.
     pub revision: u64,
-    /// A `Group`, an `Entry` or `Bounds` as JSON; none: it is removed.
+    /// A `Group`, an `Entry` or `Bounds` as JSON; `None`: the item is removed.
     pub text: Option<Arc<str>>,
-    /// What the operators sent, in their own layout, for them to read back.
+    /// The text that operators sent, in their own layout, for them to read back.
     pub source: Arc<str>,
 }
 
-/// What an item configures.
+/// The kind of configuration that an item holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ItemKind {
@@ -111,38 +113,38 @@
     Group,
     /// A route.
     Entry,
-    /// Bounds on what clients may send.
+    /// Limits on client requests.
     Bounds,
 }
 
-/// Which edge owns a cache partition or an admission controller. It goes from
-/// one owner to the next only through a settled row without an owner.
+/// The owner of a cache partition or an admission controller. The ownership moves
+/// from one edge to the next only through a settled row without an owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Who owns it now.
+    /// The current owner.
     pub owner: Option<Peer>,
-    /// Who owned it before: a new owner asks it for what it left.
+    /// The previous owner, from which a new owner requests the handover.
     pub previous_owner: Option<Peer>,
-    /// Rises with every row.
+    /// Epoch of the ownership; increases with every row.
     pub epoch: u64,
 }
 
-/// What became of an operation key.
+/// The claim of an operation key and the state of the operation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Operation {
     /// Hash over client, entry, method, target and body.
     pub fingerprint: CacheKey,
     /// The edge that holds the claim.
     pub claimant: Peer,
-    /// The edge's id of the request.
+    /// The edge's request id.
     pub request: u64,
-    /// What became of it so far.
+    /// The current state of the operation.
     pub state: OperationState,
 }
 
-/// The states of an operation. `Running` goes to one of the others. `Released`
-/// may be claimed again. `Unknown` may still become `Released` or `Done`, but
-/// only by the claim that was held. `Done` stays.
+/// The states of an operation. `Running` changes to one of the others. `Released`
+/// may be claimed again. `Unknown` may still become `Released` or `Done`, but only
+/// through the claim that was held. `Done` is final.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OperationState {
     /// A request with this key may be in flight.
--- a/kernel/src/state_machine.rs
+++ b/kernel/src/state_machine.rs
@@ -1,18 +1,18 @@
-//! The interface of a node's logic: a state machine without I/O.
+//! The interface of a node's logic: a state machine without I/O, its inputs and outputs.
 use crate::prelude::*;
 
-/// A state machine without I/O. It is given the time (a span since some start,
-/// monotonic) with each input and returns what shall be done. Tests and the
-/// simulator drive the same code as the processes.
+/// A state machine without I/O. It receives the time (monotonic, since an arbitrary
+/// start) with each input and returns the outputs to perform. Tests and the simulator
+/// drive the same code as the processes.
 pub trait StateMachine: Send {
     /// Handles one input at the time `now`.
     fn handle(&mut self, now: Duration, input: Input) -> Vec<Output>;
 }
 
-/// What happens to a node.
+/// An input of a node's state machine.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed.
+    /// The tick interval has passed.
     Tick,
     /// A message arrived from another process.
     MessageReceived {
@@ -21,22 +21,22 @@
         /// The message.
         message: Message,
     },
-    /// All that was stored up to this serial is synced.
+    /// All records up to this serial are synced.
     Stored {
         /// The serial of the last synced record.
         serial: u64,
     },
-    /// A write or sync failed. Nothing is stored until a complete snapshot is.
+    /// A write or sync failed. No record is stored until a complete snapshot is.
     StoreFailed,
-    /// A client's request was read.
+    /// A client's request was read completely.
     ClientRequest {
-        /// Names the request until its response.
+        /// Identifies the request until its response.
         id: u64,
         /// The request.
         request: ClientRequest,
     },
-    /// The client of this request has closed its connection: nobody waits for
-    /// the response any more.
+    /// The client of this request has closed its connection and no longer waits
+    /// for the response.
     ClientDisconnected {
         /// The id of the request.
         id: u64,
@@ -45,29 +45,30 @@
     CallCompleted {
         /// The id of the call.
         id: u64,
-        /// What came of it.
+        /// The outcome of the call.
         result: CallOutcome,
     },
-    /// An operator's request.
+    /// An operator's request was read.
     Operator {
-        /// Names the request until its response.
+        /// Identifies the request until its response.
         id: u64,
         /// The request.
         request: OperatorRequest,
     },
-    /// A watched connection to an origin is open, or has ended: then the
-    /// process that listens there may be another.
+    /// A watched connection to an origin was opened or closed. After it was
+    /// closed, another process may listen at that address.
     ConnectionChanged {
         /// The origin.
         address: SocketAddr,
-        /// Whether it is open.
+        /// True if it is open.
         open: bool,
     },
-    /// Shut down soon: hand over, answer what was read, leave.
+    /// The process shall shut down: the node hands over, responds to the requests
+    /// that were read, and leaves the fleet.
     ShutdownRequested,
 }
 
-/// What a node wants done.
+/// An output of a node's state machine, performed by the host.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Send a message; it may be lost.
@@ -79,14 +80,14 @@
     },
     /// Append to the log; `Input::Stored` follows once it is synced.
     Store {
-        /// Names the record.
+        /// Identifies the record.
         serial: u64,
         /// The record.
         record: Vec<u8>,
     },
-    /// Store everything up to now, in place of all earlier records.
+    /// Store a snapshot of the complete state, which replaces all earlier records.
     StoreSnapshot {
-        /// Names the record.
+        /// Identifies the record.
         serial: u64,
         /// The record.
         record: Vec<u8>,
@@ -100,7 +101,7 @@
     },
     /// Call an origin; `Input::CallCompleted` follows.
     Call {
-        /// Names the call.
+        /// Identifies the call.
         id: u64,
         /// The call.
         call: Call,
@@ -112,8 +113,8 @@
         /// The response.
         response: OperatorResponse,
     },
-    /// Open a connection to this origin; `Input::ConnectionChanged` says when
-    /// it is open and when it ends.
+    /// Open a connection to this origin; `Input::ConnectionChanged` reports when it
+    /// opens and when it closes.
     WatchConnection {
         /// The origin.
         address: SocketAddr,
@@ -122,40 +123,40 @@
     Log {
         /// The event.
         event: Event,
-        /// What happened.
+        /// Description of the event.
         text: String,
     },
-    /// What threads beside the state machine may read.
+    /// Publish state to other threads of the process.
     Publish(PublishedState),
-    /// Nobody waits for this call any more: its connection is closed.
+    /// Cancel a call that no client waits for any longer, and close its connection.
     CancelCall {
         /// The id of the call.
         id: u64,
     },
-    /// The call in flight gets this much time from now.
+    /// Extend the timeout of a call in flight.
     ExtendCall {
         /// The id of the call.
         id: u64,
-        /// The time.
+        /// The new timeout, counted from now.
         limit: Duration,
     },
-    /// Nothing is left to do after `Input::ShutdownRequested`.
+    /// Report that the shutdown started by `Input::ShutdownRequested` is complete.
     ShutdownComplete,
 }
 
-/// What threads beside the state machine may read.
+/// State of a node that other threads of the process may read.
 #[derive(Debug, Clone)]
 pub enum PublishedState {
-    /// The lease: nothing may be served later than `until`.
+    /// The lease: no response may be served after `until`.
     Fence {
-        /// When the lease ends.
+        /// End of the lease.
         until: Duration,
-        /// Whether clients may come.
+        /// True if the process is ready for clients.
         ready: bool,
     },
-    /// The configuration to route requests by.
+    /// The configuration by which requests are routed.
     Configuration(Arc<RouteTable>),
-    /// A configuration in force, for the history.
+    /// A committed configuration, for the history.
     CommittedConfiguration {
         /// Its version.
         version: u64,
@@ -164,29 +165,29 @@
     },
     /// The assignments owned now, by name.
     Assignments(Vec<String>),
-    /// Small messages are so late on this machine's link.
+    /// The measured delay of small messages on this machine's link.
     LinkDelay(Duration),
 }
 
-/// What operators ask of a control node.
+/// A request of an operator to a control node.
 #[derive(Debug, Clone)]
 pub enum OperatorRequest {
-    /// To change or read a partition.
+    /// Change or read a partition.
     Change {
         /// The partition.
         partition: u8,
         /// The change.
         change: Change,
     },
-    /// To show what the node knows of the fleet.
+    /// Show the node's view of the fleet.
     State,
 }
 
-/// What operators get.
+/// The response to an operator's request.
 #[derive(Debug, Clone)]
 pub enum OperatorResponse {
-    /// What became of a change.
+    /// The outcome of a change.
     ChangeOutcome(ChangeOutcome),
-    /// What the node knows of the fleet.
+    /// The node's view of the fleet.
     State(serde_json::Value),
 }
