--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -1,63 +1,64 @@
-//! Frames between our processes. A frame is a header of eight bytes and a
-//! body: the body's length with two flags, a checksum over that word and the
-//! body, then the body. A message is one frame, or, if it is large, several
-//! chunks: other frames may go between them, so that a large message holds up
-//! no small one. A frame that does not check out ends its session and nothing
-//! else.
+//! The frame codec between processes of a fleet. A frame is a header of eight bytes
+//! and a body. The header is the body's length with two flags (4 bytes), and a
+//! checksum over that word and the body (4 bytes). A message is one frame or, if it
+//! is large, several chunks: other frames may be sent between them, so that a large
+//! message does not delay small ones. An invalid frame ends its session only.
 use crate::prelude::*;
 use bincode::Options;
 
-/// Larger than any whole partition snapshot we send.
+/// Maximum size of a frame and of a message, in bytes: larger than any complete
+/// partition snapshot.
 pub const FRAME_BYTES: usize = 64 * 1024 * 1024;
-/// A larger message that need not hurry goes in chunks of this size.
+/// Size of a chunk, in bytes: a larger bulk message is split into such chunks.
 pub const CHUNK_BYTES: usize = 16 * 1024;
-/// What an empty list is encoded as: its length.
+/// Size of an encoded empty list, which is only its length.
 const EMPTY_LIST_BYTES: usize = 8;
 const HEADER_BYTES: usize = 8;
-/// The body is a chunk of a message.
+/// Flag: the body is a chunk of a message.
 const CHUNK: u32 = 1 << 30;
-/// Further chunks of the message follow.
+/// Flag: further chunks of the message follow.
 const MORE_CHUNKS: u32 = 1 << 31;
-const LENGTH: u32 = CHUNK - 1;
+/// Bits of the first header word that hold the body's length.
+const LENGTH_MASK: u32 = CHUNK - 1;
 
-/// Why a session's bytes are no frames of ours.
+/// Reasons why received bytes are not valid frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A body of so many bytes is announced, or gathered from chunks.
+    /// The announced body, or the body assembled from chunks, has too many bytes.
     #[error("frame of {0} bytes")]
     TooLarge(usize),
-    /// The body is not the one that was sent.
+    /// The body does not match the checksum.
     #[error("frame does not match its checksum")]
     ChecksumMismatch,
-    /// The flags are none that we write.
+    /// The flags are not a valid combination.
     #[error("frame with unknown flags")]
     UnknownFlags,
 }
 
-/// Why a message cannot be sent.
+/// Reasons why a message cannot be encoded.
 #[derive(Debug, thiserror::Error)]
 pub enum EncodeError {
-    /// It is larger than a frame may be.
+    /// The message is larger than the frame limit.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// It has no encoding.
+    /// The serializer failed.
     #[error(transparent)]
     Encoding(#[from] bincode::Error),
 }
 
-/// The body of a frame is no message of ours.
+/// The body of a frame is not a valid message.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct DecodeError(#[from] bincode::Error);
 
-/// A message as it is sent: bytes of its own, and after them those that it
-/// shares with messages to others.
+/// An encoded message: its own bytes, followed by bytes that it shares with messages
+/// to other peers.
 #[derive(Debug, Clone)]
 pub struct EncodedMessage {
     own: Vec<u8>,
     shared: Option<Arc<[u8]>>,
-    /// Nobody waits for it from then on.
-    expires: Option<Instant>,
+    /// Time after which the receiver no longer waits for it.
+    expires_at: Option<Instant>,
 }
 
 impl EncodedMessage {
@@ -65,12 +66,12 @@
     pub fn new(from: Peer, message: &Message) -> Result<EncodedMessage, EncodeError> {
         let encoded = match message {
             Message::RenewReply(reply) if !reply.updates.is_empty() => {
-                EncodedMessage::sharing_updates(from, reply)?
+                EncodedMessage::with_shared_updates(from, reply)?
             }
             _ => EncodedMessage {
                 own: bincode::serialize(&(from, message))?,
                 shared: None,
-                expires: message.awaited().map(|span| Instant::now() + span),
+                expires_at: message.max_wait().map(|span| Instant::now() + span),
             },
         };
         if encoded.len() > FRAME_BYTES {
@@ -79,53 +80,54 @@
         Ok(encoded)
     }
 
-    /// Updates is the last field of a reply, so it stands at the end.
-    fn sharing_updates(from: Peer, reply: &RenewReply) -> Result<EncodedMessage, EncodeError> {
-        let without = RenewReply {
+    /// Encodes a reply with its updates as shared bytes. This is possible since
+    /// `updates` is the last field of a reply.
+    fn with_shared_updates(from: Peer, reply: &RenewReply) -> Result<EncodedMessage, EncodeError> {
+        let without_updates = RenewReply {
             updates: SharedUpdates::default(),
             ..reply.clone()
         };
-        let mut own = bincode::serialize(&(from, Message::from(without)))?;
+        let mut own = bincode::serialize(&(from, Message::from(without_updates)))?;
         own.truncate(own.len() - EMPTY_LIST_BYTES);
         Ok(EncodedMessage {
             own,
             shared: Some(reply.updates.encoded()),
-            expires: None,
+            expires_at: None,
         })
     }
 
-    /// Whether nobody waits for it any more.
-    pub fn expired(&self) -> bool {
-        self.expires.is_some_and(|end| Instant::now() >= end)
+    /// Returns true if the receiver no longer waits for it.
+    pub fn is_expired(&self) -> bool {
+        self.expires_at.is_some_and(|end| Instant::now() >= end)
     }
 
-    /// Bytes of the complete message.
+    /// Returns the size of the complete message in bytes.
     pub fn len(&self) -> usize {
         self.own.len() + self.shared().map_or(0, |shared| shared.len())
     }
 
-    /// Whether it has no bytes.
+    /// Returns true if it has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that no other message has.
+    /// Returns the number of bytes that are not shared.
     pub fn own_len(&self) -> usize {
         self.own.len()
     }
 
-    /// Bytes that other messages have, too.
+    /// Returns the bytes shared with other messages.
     pub fn shared(&self) -> Option<&Arc<[u8]>> {
         self.shared.as_ref()
     }
 
-    /// Appends the whole message as one frame.
+    /// Appends the complete message as one frame.
     pub fn write_whole(&self, out: &mut Vec<u8>) {
         self.write_frame(0, self.len(), 0, out);
     }
 
-    /// Appends the chunk that begins at `from`, and returns where it ends. A
-    /// message that fits into one chunk is one frame.
+    /// Appends the chunk that starts at offset `from`, and returns the offset of its
+    /// end. A message that fits into one chunk is written as one frame.
     pub fn write_chunk(&self, from: usize, out: &mut Vec<u8>) -> usize {
         let to = self.len().min(from + CHUNK_BYTES);
         let flags = match (from, to == self.len()) {
@@ -147,19 +149,19 @@
         if let Some(shared) = &self.shared {
             out.extend(&shared[from.max(own) - own..to.max(own) - own]);
         }
-        let sum = checksum(word, &out[start + HEADER_BYTES..]);
-        out[start + 4..start + HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
+        let checksum = checksum(word, &out[start + HEADER_BYTES..]);
+        out[start + 4..start + HEADER_BYTES].copy_from_slice(&checksum.to_be_bytes());
     }
 }
 
-/// A message as one frame.
+/// Encodes a message as one frame.
 pub fn write(from: Peer, message: &Message) -> Result<Vec<u8>, EncodeError> {
     let mut frame = Vec::new();
     EncodedMessage::new(from, message)?.write_whole(&mut frame);
     Ok(frame)
 }
 
-/// Reads a whole message back; nothing may be left over.
+/// Decodes a complete message; trailing bytes are an error.
 pub fn decode(body: &[u8]) -> Result<(Peer, Message), DecodeError> {
     let options = bincode::options()
         .with_fixint_encoding()
@@ -174,27 +176,28 @@
     hasher.finalize()
 }
 
-/// Finds the messages in the bytes of one session, however they are cut. Holds
+/// Decodes the messages of one session from reads with arbitrary boundaries. Holds
 /// memory only while a message is incomplete.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
-    /// The start of a frame whose end has not come.
+    /// The received part of an incomplete frame.
     partial: Vec<u8>,
-    /// Pieces of a message whose last has not come.
-    gathered: Vec<u8>,
+    /// The received chunks of an incomplete message.
+    chunks: Vec<u8>,
 }
 
 impl FrameDecoder {
-    /// Hands the body of each message that is complete by now to `take`.
-    pub fn feed(&mut self, bytes: &[u8], take: &mut dyn FnMut(&[u8])) -> Result<(), FrameError> {
+    /// Adds received bytes and calls `on_body` with the body of each message that
+    /// they complete.
+    pub fn feed(&mut self, bytes: &[u8], on_body: &mut dyn FnMut(&[u8])) -> Result<(), FrameError> {
         if self.partial.is_empty() {
-            let used = self.take_frames(bytes, take)?;
+            let used = self.decode_frames(bytes, on_body)?;
             self.partial.extend(&bytes[used..]);
             return Ok(());
         }
         self.partial.extend(bytes);
         let partial = std::mem::take(&mut self.partial);
-        let used = self.take_frames(&partial, take)?;
+        let used = self.decode_frames(&partial, on_body)?;
         if used < partial.len() {
             self.partial = partial;
             self.partial.drain(..used);
@@ -202,23 +205,23 @@
         Ok(())
     }
 
-    /// Bytes held of what is incomplete.
-    pub fn held(&self) -> usize {
-        self.partial.len() + self.gathered.len()
+    /// Returns the number of buffered bytes of incomplete messages.
+    pub fn buffered_bytes(&self) -> usize {
+        self.partial.len() + self.chunks.len()
     }
 
-    /// Returns how many bytes the complete frames take.
-    fn take_frames(
+    /// Decodes all complete frames and returns the number of bytes they use.
+    fn decode_frames(
         &mut self,
         bytes: &[u8],
-        take: &mut dyn FnMut(&[u8]),
+        on_body: &mut dyn FnMut(&[u8]),
     ) -> Result<usize, FrameError> {
         let mut used = 0;
         while let Some(header) = bytes[used..].first_chunk::<HEADER_BYTES>() {
             let [a, b, c, d, sum @ ..] = *header;
             let word = [a, b, c, d];
-            let flagged = u32::from_be_bytes(word);
-            let length = (flagged & LENGTH) as usize;
+            let length_and_flags = u32::from_be_bytes(word);
+            let length = (length_and_flags & LENGTH_MASK) as usize;
             if length > FRAME_BYTES {
                 return Err(FrameError::TooLarge(length));
             }
@@ -229,29 +232,29 @@
             if checksum(word, body) != u32::from_be_bytes(sum) {
                 return Err(FrameError::ChecksumMismatch);
             }
-            self.take_body(flagged & !LENGTH, body, take)?;
+            self.handle_body(length_and_flags & !LENGTH_MASK, body, on_body)?;
             used = start + length;
         }
         Ok(used)
     }
 
-    fn take_body(
+    fn handle_body(
         &mut self,
         flags: u32,
         body: &[u8],
-        take: &mut dyn FnMut(&[u8]),
+        on_body: &mut dyn FnMut(&[u8]),
     ) -> Result<(), FrameError> {
         match flags {
-            0 => take(body),
+            0 => on_body(body),
             MORE_CHUNKS => return Err(FrameError::UnknownFlags),
             _ => {
-                let bytes = self.gathered.len() + body.len();
+                let bytes = self.chunks.len() + body.len();
                 if bytes > FRAME_BYTES {
                     return Err(FrameError::TooLarge(bytes));
                 }
-                self.gathered.extend(body);
+                self.chunks.extend(body);
                 if flags & MORE_CHUNKS == 0 {
-                    take(&std::mem::take(&mut self.gathered));
+                    on_body(&std::mem::take(&mut self.chunks));
                 }
             }
         }
--- a/kernel/src/link/backlog.rs
+++ b/kernel/src/link/backlog.rs
@@ -1,14 +1,15 @@
-//! What was received and is not processed yet, bounded in bytes.
+//! Messages that were received and are not processed yet, bounded in bytes.
 use crate::prelude::*;
 use std::sync::atomic::AtomicUsize;
 
-/// Above this nothing more is read; the senders' queues fill, and drop.
+/// Backlog size, in bytes, at which reading pauses: the senders' queues then fill up
+/// and drop messages.
 const PAUSE_BYTES: usize = 4 * 1024 * 1024;
-/// Below this reading goes on.
+/// Backlog size, in bytes, below which reading resumes.
 const RESUME_BYTES: usize = PAUSE_BYTES / 2;
 
-/// Counts received bytes from the event loop to the thread that processes
-/// them, in order.
+/// Counts the bytes of received messages on their way, in order, from the event
+/// loop to the thread that processes them.
 #[derive(Debug, Default)]
 pub(super) struct Backlog {
     sizes: Mutex<VecDeque<usize>>,
@@ -17,7 +18,7 @@
 }
 
 impl Backlog {
-    /// Counts a message that was read.
+    /// Adds a received message.
     pub(super) fn received(&self, bytes: usize) {
         self.sizes
             .lock()
@@ -26,8 +27,8 @@
         self.bytes.fetch_add(bytes, Ordering::SeqCst);
     }
 
-    /// The earliest message received was processed. True if the event loop is
-    /// to be woken, since it may read again.
+    /// Removes the earliest received message after it was processed. Returns true
+    /// if the event loop must be woken, since it may read again.
     pub(super) fn processed(&self) -> bool {
         let Some(bytes) = self.sizes.lock().expect("no holder panics").pop_front() else {
             return false;
@@ -36,18 +37,18 @@
         left < RESUME_BYTES && self.paused.swap(false, Ordering::SeqCst)
     }
 
-    /// Whether reading must wait. Who is told so is woken by `processed`.
-    pub(super) fn full(&self) -> bool {
+    /// Returns true if reading must wait; `processed` then wakes the event loop.
+    pub(super) fn is_full(&self) -> bool {
         if self.bytes.load(Ordering::SeqCst) < PAUSE_BYTES {
             return false;
         }
         self.paused.store(true, Ordering::SeqCst);
-        // It may have been emptied in between.
+        // The backlog may have been drained in between.
         let low = self.bytes.load(Ordering::SeqCst) < RESUME_BYTES;
         !(low && self.paused.swap(false, Ordering::SeqCst))
     }
 
-    /// Bytes that are not processed yet.
+    /// Returns the number of bytes that are not processed yet.
     pub(super) fn bytes(&self) -> usize {
         self.bytes.load(Ordering::SeqCst)
     }
--- a/kernel/src/link/counters.rs
+++ b/kernel/src/link/counters.rs
@@ -1,13 +1,13 @@
-//! Counts of what the links have come to.
+//! Counters of the sessions, errors and dropped messages of a process's links.
 use crate::link::Priority;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A number that others may read at any time.
+/// A number that other threads may read at any time.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicUsize);
 
 impl Counter {
-    /// The number now.
+    /// Returns the current number.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -21,20 +21,20 @@
     }
 }
 
-/// What a process's links have come to.
+/// Counters of a process's links.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Sessions that are open, opened by peers.
+    /// Number of open sessions that peers opened.
     pub inbound: Counter,
-    /// Sessions that are open, opened by this process.
+    /// Number of open sessions that this process opened.
     pub outbound: Counter,
-    /// Sessions ended for their bytes.
+    /// Number of sessions closed because of an invalid frame or sender.
     pub refused_frames: Counter,
-    /// Messages that could not be decoded.
+    /// Number of messages that could not be decoded.
     pub undecodable: Counter,
-    /// Urgent messages for which a queue had no capacity.
+    /// Number of urgent messages dropped because a queue was full.
     pub dropped_urgent: Counter,
-    /// Bulk messages for which a queue had no capacity.
+    /// Number of bulk messages dropped because a queue was full.
     pub dropped_bulk: Counter,
 }
 
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -1,4 +1,4 @@
-//! The one thread that owns the listener and all sessions.
+//! The event loop: one thread that owns the listener and all sessions.
 use crate::link::Shared;
 use crate::link::inbound::{Inbound, Reading};
 use crate::link::outbound::{Connection, Outbound, Writing};
@@ -9,48 +9,50 @@
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
 
+/// Token of the waker that `Links` triggers.
 const WAKER: usize = 0;
 const LISTENER: usize = 1;
 const FIRST_SESSION: usize = 2;
-const CONNECT: Duration = Duration::from_millis(500);
-/// Between tries to connect to one peer.
-const RETRY: Duration = Duration::from_millis(100);
-/// A peer that acknowledges nothing for this long is dropped and met anew:
-/// left to itself, TCP would wait ever longer between tries, and a healed cut
-/// would go unnoticed for many seconds.
-const STALL: Duration = Duration::from_millis(1500);
-/// An idle session to a machine that vanished ends after about this long.
-const IDLE: Duration = Duration::from_secs(15);
-/// After the system gave no descriptor for a new session.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Minimum time between two attempts to connect to a peer.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time without an acknowledgement after which a session is closed and the peer is
+/// reconnected: TCP alone would wait ever longer between retransmissions, and the
+/// end of a network partition would go unnoticed for many seconds.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Approximate time after which an idle session to a machine that disappeared ends
+/// (TCP keepalive).
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(15);
+/// Pause before accepting again after the system had no descriptor for a new session.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// What the system holds of a session that is not read: the sender's queue,
-/// where what is urgent goes first, is the better place.
+/// Size of the socket receive buffer. Kept small: a message is better held in the
+/// sender's queue, where urgent messages go first.
 const RECEIVE_BYTES: usize = 256 * 1024;
 const SCRATCH_BYTES: usize = 64 * 1024;
-const EVENTS: usize = 256;
-
-/// Invariants:
-/// - A token is never used twice, so a late event or deadline finds nobody.
-/// - Events come once an edge: `Inbound::unread` and `Connection::Blocked`
-///   remember them until the socket has said that there is no more.
-/// - Of the sessions that one address opened only the latest is read, so what
-///   a peer says is processed in the order in which it was said.
+const EVENT_CAPACITY: usize = 256;
+
+/// Owns the listener and all sessions. Invariants:
+/// - A token is never reused, so a late event or deadline finds no session.
+/// - Events are edge-triggered: `Inbound::unread` and `Connection::Blocked` keep the
+///   readiness until the socket returns `WouldBlock`.
+/// - Of the sessions that one address opened only the latest is read, so the
+///   messages of a peer are processed in the order in which they were sent.
 pub(super) struct EventLoop {
     poll: Poll,
     listener: TcpListener,
     shared: Arc<Shared>,
-    take: Sender<Input>,
+    inputs: Sender<Input>,
     inbound: HashMap<Token, Inbound>,
-    /// The session that each address opened last, of those that have spoken.
-    speaking: HashMap<SocketAddr, Token>,
+    /// The latest session of each address from which a message was received.
+    latest_inbound: HashMap<SocketAddr, Token>,
     outbound: HashMap<SocketAddr, Outbound>,
-    /// Whom an outbound session's token stands for.
+    /// The peer address of each outbound session.
     outbound_tokens: HashMap<Token, SocketAddr>,
-    /// When a peer that is not connected may be tried next.
+    /// Earliest time of the next attempt to connect to a peer.
     retry: HashMap<SocketAddr, Instant>,
-    /// When to look at an outbound session or a retry again.
+    /// Times at which to check an outbound session or a retry again.
     deadlines: BTreeSet<(Instant, SocketAddr)>,
-    /// Sessions with more to read, and peers with more to write.
+    /// Sessions with more to read. `unwritten`: peers with more to write.
     unread: Vec<Token>,
     unwritten: Vec<SocketAddr>,
     accept_again: Option<Instant>,
@@ -64,7 +66,7 @@
         poll: Poll,
         listener: std::net::TcpListener,
         shared: Arc<Shared>,
-        take: Sender<Input>,
+        inputs: Sender<Input>,
     ) -> io::Result<EventLoop> {
         let _ = SockRef::from(&listener).set_recv_buffer_size(RECEIVE_BYTES);
         listener.set_nonblocking(true)?;
@@ -75,9 +77,9 @@
             poll,
             listener,
             shared,
-            take,
+            inputs,
             inbound: HashMap::new(),
-            speaking: HashMap::new(),
+            latest_inbound: HashMap::new(),
             outbound: HashMap::new(),
             outbound_tokens: HashMap::new(),
             retry: HashMap::new(),
@@ -91,9 +93,9 @@
         })
     }
 
-    /// Ends once the links are dropped.
+    /// Runs until the links are dropped.
     pub(super) fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         while !self.shared.closing.load(Ordering::SeqCst) {
             let polled = self.poll.poll(&mut events, self.timeout());
             self.shared.woken.store(false, Ordering::SeqCst);
@@ -105,12 +107,12 @@
             }
             self.write_ready();
             self.read_unread();
-            self.expire();
+            self.handle_deadlines();
         }
     }
 
     fn timeout(&self) -> Option<Duration> {
-        let readable = !self.unread.is_empty() && !self.shared.backlog.full();
+        let readable = !self.unread.is_empty() && !self.shared.backlog.is_full();
         if readable || !self.unwritten.is_empty() {
             return Some(Duration::ZERO);
         }
@@ -140,7 +142,7 @@
     fn accept(&mut self) {
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.accepted(stream),
+                Ok((stream, _)) => self.register_inbound(stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error)
                     if matches!(
@@ -155,8 +157,8 @@
         }
     }
 
-    fn accepted(&mut self, mut stream: mio::net::TcpStream) {
-        keep_alive(&stream);
+    fn register_inbound(&mut self, mut stream: mio::net::TcpStream) {
+        enable_keepalive(&stream);
         let token = self.new_token();
         let registry = self.poll.registry();
         if registry
@@ -179,7 +181,7 @@
 
     fn read_unread(&mut self) {
         for token in std::mem::take(&mut self.unread) {
-            if self.shared.backlog.full() {
+            if self.shared.backlog.is_full() {
                 self.unread.push(token);
             } else {
                 self.read(token);
@@ -225,7 +227,7 @@
         self.count_sessions();
     }
 
-    /// False if the session is not to go on.
+    /// Handles a decoded message. Returns false if the session must be closed.
     fn on_message(
         &mut self,
         token: Token,
@@ -238,30 +240,31 @@
             return false;
         }
         if *peer.get_or_insert(from) != from {
-            let text = format!("{from} on a session of another");
+            let text = format!("{from} sent a message on the session of another peer");
             log_event(Event::FrameRefused, &text);
             self.shared.counters.refused_frames.add(1);
             return false;
         }
         self.shared.backlog.received(bytes);
-        self.take
+        self.inputs
             .send(Input::MessageReceived { from, message })
             .is_ok()
     }
 
-    /// Of the sessions that an address opened, the latest counts: its process
-    /// has given up the others, or has ended.
+    /// Makes the latest session of an address the valid one: the process there has
+    /// closed its earlier sessions, or has ended. Returns false if the session must
+    /// be closed.
     fn accept_first_message(&mut self, token: Token, from: Peer) -> bool {
         if from == self.shared.me {
             return false;
         }
-        let known = self.speaking.get(&from.address).copied();
-        if known.is_some_and(|known| known > token) {
+        let latest = self.latest_inbound.get(&from.address).copied();
+        if latest.is_some_and(|latest| latest > token) {
             return false;
         }
-        self.speaking.insert(from.address, token);
-        if let Some(known) = known {
-            self.inbound.remove(&known);
+        self.latest_inbound.insert(from.address, token);
+        if let Some(earlier) = latest {
+            self.inbound.remove(&earlier);
         }
         true
     }
@@ -269,7 +272,7 @@
     fn continues_after(&mut self, token: Token, reading: &Reading) -> bool {
         match reading {
             Reading::Drained => true,
-            Reading::Interrupted => {
+            Reading::Yielded => {
                 self.unread.push(token);
                 true
             }
@@ -277,7 +280,7 @@
                 log_event(Event::LinkBroken, &error.to_string());
                 false
             }
-            Reading::Refused(error) => {
+            Reading::InvalidFrame(error) => {
                 log_event(Event::FrameRefused, &error.to_string());
                 self.shared.counters.refused_frames.add(1);
                 false
@@ -285,19 +288,19 @@
         }
     }
 
-    /// The session's socket closes when it is dropped.
+    /// Unregisters a closed session. Its socket closes when it is dropped.
     fn end_inbound(&mut self, token: Token, session: &Inbound) {
         if let Some(peer) = session.peer
-            && self.speaking.get(&peer.address) == Some(&token)
+            && self.latest_inbound.get(&peer.address) == Some(&token)
         {
-            self.speaking.remove(&peer.address);
+            self.latest_inbound.remove(&peer.address);
         }
     }
 
     // Outbound sessions.
 
     fn write_ready(&mut self) {
-        let ready = self.shared.lock_outbox().take_ready();
+        let ready = self.shared.lock_queues().take_ready();
         let unwritten = std::mem::take(&mut self.unwritten);
         for address in ready.into_iter().chain(unwritten) {
             self.send(address);
@@ -317,19 +320,19 @@
             self.deadlines.insert((*at, to));
             return;
         }
-        self.retry.insert(to, self.now + RETRY);
+        self.retry.insert(to, self.now + RETRY_DELAY);
         let token = self.new_token();
-        let begun =
-            Outbound::connect(token, to, self.now + CONNECT, STALL).and_then(|mut session| {
-                let both = Interest::READABLE | Interest::WRITABLE;
+        let connecting = Outbound::connect(token, to, self.now + CONNECT_TIMEOUT, STALL_TIMEOUT)
+            .and_then(|mut session| {
+                let interests = Interest::READABLE | Interest::WRITABLE;
                 self.poll
                     .registry()
-                    .register(&mut session.stream, token, both)?;
+                    .register(&mut session.stream, token, interests)?;
                 Ok(session)
             });
-        match begun {
+        match connecting {
             Ok(session) => {
-                keep_alive(&session.stream);
+                enable_keepalive(&session.stream);
                 self.deadlines.extend(session.deadline().map(|at| (at, to)));
                 self.outbound.insert(to, session);
                 self.outbound_tokens.insert(token, to);
@@ -339,10 +342,10 @@
         }
     }
 
-    /// What gathered meanwhile is old by now.
+    /// Drops the peer's queue after a failed attempt: its messages are outdated.
     fn connect_failed(&mut self, to: SocketAddr) {
         self.close_outbound(to);
-        self.shared.lock_outbox().forget(to);
+        self.shared.lock_queues().drop_all(to);
         self.forget_retry_later(to);
     }
 
@@ -351,14 +354,14 @@
             return;
         };
         if let Connection::Connecting { .. } = session.state {
-            match session.connected() {
+            match session.is_connected() {
                 Ok(true) => session.state = Connection::Open,
                 Ok(false) => return,
                 Err(_) => return self.connect_failed(to),
             }
         }
         if event.is_error() || event.is_read_closed() {
-            return self.broken(to, &ErrorKind::ConnectionReset.into());
+            return self.close_broken(to, &ErrorKind::ConnectionReset.into());
         }
         if event.is_writable() {
             session.state = Connection::Open;
@@ -370,45 +373,45 @@
         let Some(session) = self.outbound.get_mut(&to) else {
             return;
         };
-        match session.write(to, &self.shared.outbox) {
+        match session.write(to, &self.shared.queues) {
             Writing::Done => session.state = Connection::Open,
-            Writing::Interrupted => {
+            Writing::Yielded => {
                 session.state = Connection::Open;
                 self.unwritten.push(to);
             }
             Writing::Blocked { progress } => {
                 let until = match session.state {
                     Connection::Blocked { until } if !progress => until,
-                    _ => self.now + STALL,
+                    _ => self.now + STALL_TIMEOUT,
                 };
                 session.state = Connection::Blocked { until };
-                if !std::mem::replace(&mut session.watched, true) {
+                if !std::mem::replace(&mut session.deadline_set, true) {
                     self.deadlines.insert((until, to));
                 }
             }
-            Writing::Broken(error) => self.broken(to, &error),
+            Writing::Broken(error) => self.close_broken(to, &error),
         }
     }
 
-    /// The session ended; whoever still has something waiting is met anew.
-    fn broken(&mut self, to: SocketAddr, error: &io::Error) {
+    /// Closes an outbound session, and reconnects if messages wait for the peer.
+    fn close_broken(&mut self, to: SocketAddr, error: &io::Error) {
         log_event(Event::LinkBroken, &format!("{to}: {error}"));
         self.close_outbound(to);
-        let mut outbox = self.shared.lock_outbox();
-        outbox.drop_begun(to);
-        let waits = !outbox.is_empty(to);
-        if !waits {
-            outbox.forget(to);
-        }
-        drop(outbox);
-        if waits {
+        let mut queues = self.shared.lock_queues();
+        queues.drop_partially_sent(to);
+        let has_messages = !queues.is_empty(to);
+        if !has_messages {
+            queues.drop_all(to);
+        }
+        drop(queues);
+        if has_messages {
             self.connect(to);
         } else {
             self.forget_retry_later(to);
         }
     }
 
-    /// The last try is remembered until its pause is over.
+    /// Schedules the removal of the peer's retry time once it has passed.
     fn forget_retry_later(&mut self, to: SocketAddr) {
         let at = self.retry.get(&to).copied().unwrap_or(self.now);
         self.deadlines.insert((at.max(self.now), to));
@@ -421,15 +424,15 @@
         }
     }
 
-    // Time.
+    // Deadlines.
 
-    fn expire(&mut self) {
+    fn handle_deadlines(&mut self) {
         while let Some((at, address)) = self.deadlines.first().copied() {
             if at > self.now {
                 break;
             }
             self.deadlines.pop_first();
-            self.expired(address);
+            self.handle_deadline(address);
         }
         if self.accept_again.is_some_and(|at| at <= self.now) {
             self.accept_again = None;
@@ -437,18 +440,18 @@
         }
     }
 
-    fn expired(&mut self, address: SocketAddr) {
+    fn handle_deadline(&mut self, address: SocketAddr) {
         match self.outbound.get(&address).map(|session| session.state) {
             Some(Connection::Connecting { until }) if until <= self.now => {
                 self.connect_failed(address);
             }
             Some(Connection::Blocked { until }) if until <= self.now => {
-                self.broken(address, &ErrorKind::TimedOut.into());
+                self.close_broken(address, &ErrorKind::TimedOut.into());
             }
-            Some(state) => self.watch_again(address, state),
+            Some(state) => self.renew_deadline(address, state),
             None => {
-                let waits = !self.shared.lock_outbox().is_empty(address);
-                if waits {
+                let has_messages = !self.shared.lock_queues().is_empty(address);
+                if has_messages {
                     self.connect(address);
                 } else if self.retry.get(&address).is_some_and(|at| *at <= self.now) {
                     self.retry.remove(&address);
@@ -457,8 +460,9 @@
         }
     }
 
-    /// A session that was blocked when it was watched has gone on since.
-    fn watch_again(&mut self, address: SocketAddr, state: Connection) {
+    /// Renews or removes the deadline of a session that made progress since it was
+    /// set.
+    fn renew_deadline(&mut self, address: SocketAddr, state: Connection) {
         let Some(session) = self.outbound.get_mut(&address) else {
             return;
         };
@@ -466,7 +470,7 @@
             Connection::Blocked { until } => {
                 self.deadlines.insert((until, address));
             }
-            Connection::Open => session.watched = false,
+            Connection::Open => session.deadline_set = false,
             Connection::Connecting { .. } => {}
         }
     }
@@ -478,19 +482,19 @@
     }
 }
 
-/// A session to a machine that vanished ends after some time, also an idle one.
-fn keep_alive(stream: &mio::net::TcpStream) {
-    let alive = socket2::TcpKeepalive::new()
-        .with_time(IDLE)
-        .with_interval(IDLE / 3);
-    let _ = SockRef::from(stream).set_tcp_keepalive(&alive);
+/// Enables TCP keepalive, so that an idle session to a machine that disappeared ends.
+fn enable_keepalive(stream: &mio::net::TcpStream) {
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE / 3);
+    let _ = SockRef::from(stream).set_tcp_keepalive(&keepalive);
 }
 
-/// One line for what was read together; the count has them all.
+/// Logs one line for all undecodable messages of a read; the counter includes each.
 fn log_undecodable(session: &Inbound, error: &frame::DecodeError) {
     let from = match session.peer {
         Some(peer) => peer.to_string(),
-        None => "a stranger".into(),
+        None => "an unknown peer".into(),
     };
     log_event(Event::MessageRefused, &format!("from {from}: {error}"));
 }
--- a/kernel/src/link/inbound.rs
+++ b/kernel/src/link/inbound.rs
@@ -1,31 +1,32 @@
-//! A session that a peer opened: it only speaks, we only listen.
+//! An inbound session: the peer that opened it only sends, this process only reads.
 use crate::frame::{FrameDecoder, FrameError};
 use crate::prelude::*;
 use mio::net::TcpStream;
 
-/// Reads in a row before others have their turn.
-const ROUNDS: usize = 4;
+/// Number of consecutive reads before other sessions are served.
+const MAX_READS: usize = 4;
 
+/// An inbound session with its decoder.
 pub(super) struct Inbound {
     pub stream: TcpStream,
-    /// Who speaks here, once known.
+    /// The sender, known from its first message.
     pub peer: Option<Peer>,
-    /// The socket may hold more than was read.
+    /// True if the socket may hold unread bytes.
     pub unread: bool,
-    /// The other side has closed: read until the end is seen.
+    /// True if the peer has closed the session: it is read until its end.
     pub closed: bool,
     decoder: FrameDecoder,
 }
 
-/// What reading has come to.
+/// Result of reading from a session.
 #[derive(Debug)]
 pub(super) enum Reading {
-    /// All there was.
+    /// All available bytes were read.
     Drained,
-    /// Others have their turn first.
-    Interrupted,
+    /// More bytes may be available, but other sessions are served first.
+    Yielded,
     Ended(std::io::Error),
-    Refused(FrameError),
+    InvalidFrame(FrameError),
 }
 
 impl Inbound {
@@ -39,18 +40,18 @@
         }
     }
 
-    /// Hands the body of each message that is complete to `take`.
-    pub(super) fn read(&mut self, scratch: &mut [u8], take: &mut dyn FnMut(&[u8])) -> Reading {
-        for _ in 0..ROUNDS {
+    /// Calls `on_body` with the body of each complete message.
+    pub(super) fn read(&mut self, scratch: &mut [u8], on_body: &mut dyn FnMut(&[u8])) -> Reading {
+        for _ in 0..MAX_READS {
             match self.stream.read(scratch) {
                 Ok(0) => {
                     return Reading::Ended(std::io::ErrorKind::UnexpectedEof.into());
                 }
                 Ok(size) => {
-                    if let Err(error) = self.decoder.feed(&scratch[..size], take) {
-                        return Reading::Refused(error);
+                    if let Err(error) = self.decoder.feed(&scratch[..size], on_body) {
+                        return Reading::InvalidFrame(error);
                     }
-                    // A short read has emptied the socket, unless its end is behind.
+                    // A short read has drained the socket, unless the end of the stream follows.
                     if size < scratch.len() && !self.closed {
                         self.unread = false;
                         return Reading::Drained;
@@ -64,6 +65,6 @@
                 Err(error) => return Reading::Ended(error),
             }
         }
-        Reading::Interrupted
+        Reading::Yielded
     }
 }
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -1,44 +1,46 @@
 //! Sessions between the processes of a fleet, over TCP, in one event loop.
 //!
-//! Each process opens one session to every peer that it speaks to, and listens
-//! on those that peers open to it. A link may lose what it was given: the state
-//! machines say again what was not answered. What arrives from one peer arrives
-//! in the order in which it was said, within each of two priorities.
+//! Each process opens one outbound session to every peer that it sends messages
+//! to, and accepts inbound sessions from peers. A link may lose messages: the state
+//! machines send unanswered messages again. Messages from one peer arrive in the
+//! order in which they were sent, within each of two priorities.
 //!
-//! Queues are bounded in bytes, for each peer and for the process
-//! ([`QueueLimits`]). What is urgent (heartbeats, renewals, agreements, permits)
-//! goes ahead of bulk (snapshots, updates, rows, copies), and bulk goes in chunks,
-//! so a heartbeat waits for no snapshot. When there is no room, bulk is dropped
-//! first.
+//! Outgoing queues are bounded in bytes, for each peer and for the process
+//! ([`QueueLimits`]). Urgent messages (heartbeats, renewals, consensus, permits) go
+//! ahead of bulk messages (snapshots, updates, rows, cached responses), and bulk
+//! messages are sent in chunks, so a heartbeat never waits for a snapshot. Urgent
+//! and bulk messages have separate limits: when bulk is dropped because its queue
+//! is full, urgent messages are still accepted.
 //!
 //! # Why no receiver depends on the order between the two priorities
 //!
-//! A bulk message may arrive after urgent ones that were sent later. Each kind
-//! is safe, since it is judged by what it says and not by when it comes:
+//! A bulk message may arrive after urgent ones that were sent later. This is safe for
+//! every kind, since receivers evaluate a message by its content and not by its time
+//! of arrival:
 //!
-//! - `AppendRequest` is bulk for a ledger's partition, and for the others if it is
-//!   large. One that is overtaken by a later one finds its rows held already; the
-//!   later one, if rows before it are missing, is answered with `AppendGap` and
-//!   the whole state follows. One that comes after a later `PrepareRequest` is
-//!   refused by its epoch, one that comes after a later `MembershipTable` by the
-//!   version of the table it names.
-//! - `PrepareReply` names its epoch; a leader that is active by now ignores it.
-//! - `SnapshotReply` names its round and table. What the sender acknowledges
-//!   later tells its leader of the incarnations that count no more, by itself.
-//! - `RenewReply` with updates: an edge takes rows above the version it has, its
-//!   lease runs from the sending of its renewal and never goes back, and a reply
+//! - `AppendRequest` is bulk for partitions of the ledger, and for the others if it
+//!   is large. If a later request overtakes it, its rows are already present when it
+//!   arrives; the later one, if rows before it are missing, is answered with
+//!   `AppendGap`, and the complete state follows. A request that arrives after a
+//!   later `PrepareRequest` is rejected by its epoch, and one that arrives after a
+//!   later `MembershipTable` by its table version.
+//! - `PrepareReply` carries its epoch; a leader that is already active ignores it.
+//! - `SnapshotReply` carries its round and table version. The sender's later
+//!   acknowledgements report the retired incarnations to the leader independently.
+//! - `RenewReply` with updates: an edge applies only rows above the version it has,
+//!   its lease runs from the sending of its renewal and never moves back, and a reply
 //!   of an older generation is dropped. A reply without updates is sent only to a
-//!   renewal that confirmed all that is shown here, so no lease counts before
-//!   the updates that belong to it are applied. An older renewal token given back proves
-//!   less, never more.
-//! - `RecallReply` names version and rows; rows count by their versions.
-//! - `CacheCopy`, `CachePut`, `HandoverReply`: their age is counted from the asking, purges
-//!   are compared by number, and a put goes by its token, after which a
-//!   `CacheFillFailed` with another token changes nothing.
-//! - Large changes and answers (configuration, lists) are of other partitions than
-//!   the claims and purges beside them, and are told apart by id.
+//!   renewal that confirmed everything published at the sender, so no lease takes
+//!   effect before the updates that belong to it are applied. An older renewal token
+//!   proves less, never more.
+//! - `RecallReply` carries version and rows; rows are compared by their versions.
+//! - `CacheCopy`, `CachePut`, `HandoverReply`: the age of a response is counted from
+//!   the request, purges are compared by version, and a put is matched by its token,
+//!   after which a `CacheFillFailed` with another token changes nothing.
+//! - Large changes and replies (configuration, lists) belong to other partitions than
+//!   the claims and purges sent in parallel, and are matched by id.
 //!
-//! A message that was dropped is like one lost with its session.
+//! A dropped message has the same effect as one lost with its session.
 mod backlog;
 mod counters;
 mod event_loop;
@@ -49,7 +51,7 @@
 
 pub use counters::{Counter, LinkCounters};
 pub use priority::Priority;
-pub use queue::{Outbox, QueueLimits};
+pub use queue::{OutgoingQueues, QueueLimits};
 
 use crate::frame::EncodedMessage;
 use crate::prelude::*;
@@ -58,32 +60,32 @@
 use std::sync::MutexGuard;
 
 const WAKER: mio::Token = mio::Token(0);
-/// Between looks at what is left to be sent before the process ends.
-const DRAIN_STEP: Duration = Duration::from_millis(5);
-/// Dropped messages are noted at most this often.
+/// Interval at which `drain` checks the queues.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum time between two log lines about dropped messages.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The sessions of this process.
+/// The sessions of this process, served by an event loop on its own thread.
 pub struct Links {
     shared: Arc<Shared>,
     last_drop_logged: Mutex<Option<Instant>>,
 }
 
-/// What the event loop shares with those who send and process.
+/// State shared by the event loop and the threads that send and process messages.
 struct Shared {
     me: Peer,
     waker: mio::Waker,
-    /// The event loop was woken and has not looked yet.
+    /// True if the event loop was woken and has not polled since.
     woken: AtomicBool,
     closing: AtomicBool,
-    outbox: Mutex<Outbox>,
+    queues: Mutex<OutgoingQueues>,
     backlog: Backlog,
     counters: LinkCounters,
 }
 
 impl Shared {
-    fn lock_outbox(&self) -> MutexGuard<'_, Outbox> {
-        self.outbox.lock().expect("no holder panics")
+    fn lock_queues(&self) -> MutexGuard<'_, OutgoingQueues> {
+        self.queues.lock().expect("no holder panics")
     }
 
     fn wake(&self) {
@@ -94,16 +96,16 @@
 }
 
 impl Links {
-    /// Listens for peers and hands their messages to `take`.
-    pub fn open(me: Peer, listener: TcpListener, take: Sender<Input>) -> std::io::Result<Links> {
-        Links::open_with(me, listener, take, QueueLimits::default())
+    /// Accepts sessions from peers and sends their messages to `inputs`.
+    pub fn open(me: Peer, listener: TcpListener, inputs: Sender<Input>) -> std::io::Result<Links> {
+        Links::open_with(me, listener, inputs, QueueLimits::default())
     }
 
-    /// The same with other bounds of the queues.
+    /// Like [`Links::open`], with other limits of the outgoing queues.
     pub fn open_with(
         me: Peer,
         listener: TcpListener,
-        take: Sender<Input>,
+        inputs: Sender<Input>,
         limits: QueueLimits,
     ) -> std::io::Result<Links> {
         let poll = mio::Poll::new()?;
@@ -113,11 +115,11 @@
             waker,
             woken: AtomicBool::new(false),
             closing: AtomicBool::new(false),
-            outbox: Mutex::new(Outbox::new(limits)),
+            queues: Mutex::new(OutgoingQueues::new(limits)),
             backlog: Backlog::default(),
             counters: LinkCounters::default(),
         });
-        let event_loop = EventLoop::new(poll, listener, shared.clone(), take)?;
+        let event_loop = EventLoop::new(poll, listener, shared.clone(), inputs)?;
         thread::Builder::new()
             .name("links".into())
             .spawn(move || event_loop.run())?;
@@ -127,62 +129,64 @@
         })
     }
 
-    /// Queues a message. It leaves with the next `flush`.
+    /// Queues a message, which is sent after the next `flush`. Drops it if the queue
+    /// is full.
     pub fn send(&self, to: SocketAddr, message: &Message) {
         let Ok(encoded) = EncodedMessage::new(self.shared.me, message) else {
             return;
         };
         let priority = Priority::of(message, encoded.len());
-        let taken = self.shared.lock_outbox().push(to, priority, encoded);
-        if !taken {
+        let queued = self.shared.lock_queues().push(to, priority, encoded);
+        if !queued {
             self.shared.counters.dropped(priority).add(1);
             self.log_dropped(to);
         }
     }
 
-    /// Has all that was queued sent.
+    /// Wakes the event loop to send all queued messages.
     pub fn flush(&self) {
-        let ready = self.shared.lock_outbox().has_ready();
+        let ready = self.shared.lock_queues().has_ready();
         if ready {
             self.shared.wake();
         }
     }
 
-    /// Has all that was queued sent and waits for it, for so long at most.
+    /// Flushes, and waits until all queued messages are sent or `limit` is over.
     pub fn drain(&self, limit: Duration) {
         let end = Instant::now() + limit;
         self.flush();
         while self.queued_bytes() > 0 && Instant::now() < end {
-            thread::sleep(DRAIN_STEP);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
-    /// The earliest message received that was not processed yet, is now.
+    /// Reports that the earliest unprocessed message was processed, which releases
+    /// its share of the backlog.
     pub fn processed(&self) {
         if self.shared.backlog.processed() {
             self.shared.wake();
         }
     }
 
-    /// Counts for operators and tests.
+    /// Returns the counters, for operators and tests.
     pub fn counters(&self) -> &LinkCounters {
         &self.shared.counters
     }
 
-    /// Bytes that wait to be sent, to all peers together.
+    /// Returns the number of bytes that wait to be sent to all peers together.
     pub fn queued_bytes(&self) -> usize {
-        self.shared.lock_outbox().bytes()
+        self.shared.lock_queues().bytes()
     }
 
-    /// Bytes that were received and are not processed yet.
+    /// Returns the number of bytes that were received and are not processed yet.
     pub fn backlog_bytes(&self) -> usize {
         self.shared.backlog.bytes()
     }
 
     fn log_dropped(&self, to: SocketAddr) {
-        let mut noted = self.last_drop_logged.lock().expect("no holder panics");
-        if noted.is_none_or(|at| at.elapsed() >= DROP_LOG_INTERVAL) {
-            *noted = Some(Instant::now());
+        let mut last_logged = self.last_drop_logged.lock().expect("no holder panics");
+        if last_logged.is_none_or(|at| at.elapsed() >= DROP_LOG_INTERVAL) {
+            *last_logged = Some(Instant::now());
             let counters = &self.shared.counters;
             let text = format!(
                 "to {to}; in all {} urgent and {} bulk",
--- a/kernel/src/link/outbound.rs
+++ b/kernel/src/link/outbound.rs
@@ -1,51 +1,54 @@
-//! A session that we opened to a peer: we only speak.
-use crate::link::queue::Outbox;
+//! An outbound session: this process opened it to a peer and only sends.
+use crate::link::queue::OutgoingQueues;
 use crate::prelude::*;
 use mio::Token;
 use mio::net::TcpStream;
 use socket2::SockRef;
 use std::io;
 
-/// Bytes put together for one write.
+/// Number of bytes gathered for one write.
 const BATCH_BYTES: usize = 16 * 1024;
-/// Writes in a row before others have their turn.
-const ROUNDS: usize = 8;
-/// Bytes the system holds unsent, before it takes no more: what is urgent waits
+/// Number of consecutive writes before other sessions are served.
+const MAX_WRITES: usize = 8;
+/// Maximum number of unsent bytes in the socket buffer: an urgent message waits
 /// behind no more than this.
 const UNSENT_BYTES: u32 = 32 * 1024;
 
+/// An outbound session with the bytes that are being written.
 pub(super) struct Outbound {
     pub token: Token,
     pub stream: TcpStream,
     pub state: Connection,
-    /// A deadline for being blocked is set.
-    pub watched: bool,
-    /// What was taken from the queue and not by the system.
-    rest: Vec<u8>,
+    /// True if a deadline for a blocked session is set.
+    pub deadline_set: bool,
+    /// Bytes taken from the queue, of which the first `written` are in the socket.
+    batch: Vec<u8>,
     written: usize,
 }
 
+/// State of the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Connection {
-    /// Given up at this time.
+    /// The attempt fails at this time.
     Connecting {
         until: Instant,
     },
     Open,
-    /// Takes no more; dropped at this time unless it does again.
+    /// The socket buffer is full; closed at this time unless bytes are written
+    /// before.
     Blocked {
         until: Instant,
     },
 }
 
-/// What writing has come to.
+/// Result of writing to a session.
 #[derive(Debug)]
 pub(super) enum Writing {
-    /// Nothing waits.
+    /// The queue is empty.
     Done,
-    /// Others have their turn first.
-    Interrupted,
-    /// The system takes no more for now; whether it took anything.
+    /// More bytes wait, but other sessions are served first.
+    Yielded,
+    /// The socket buffer is full; `progress` is true if any bytes were written.
     Blocked {
         progress: bool,
     },
@@ -53,7 +56,7 @@
 }
 
 impl Outbound {
-    /// Begins to connect.
+    /// Starts to connect.
     pub(super) fn connect(
         token: Token,
         to: SocketAddr,
@@ -69,19 +72,19 @@
             token,
             stream,
             state: Connection::Connecting { until },
-            watched: false,
-            rest: Vec::new(),
+            deadline_set: false,
+            batch: Vec::new(),
             written: 0,
         })
     }
 
-    /// Whether the connection stands now; an error: it came to nothing.
-    pub(super) fn connected(&self) -> io::Result<bool> {
+    /// Returns true if the connection is established, or an error if it failed.
+    pub(super) fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
         }
         match self.stream.peer_addr() {
-            // To a port where nobody listens, a connection can meet itself.
+            // A connection to a port without a listener can connect to itself.
             Ok(peer) if self.stream.local_addr()? == peer => {
                 Err(io::ErrorKind::ConnectionRefused.into())
             }
@@ -98,18 +101,18 @@
         }
     }
 
-    /// Writes what waits for this peer, several frames at a time.
-    pub(super) fn write(&mut self, to: SocketAddr, outbox: &Mutex<Outbox>) -> Writing {
+    /// Writes the queued messages of this peer, several frames at a time.
+    pub(super) fn write(&mut self, to: SocketAddr, queues: &Mutex<OutgoingQueues>) -> Writing {
         let mut progress = false;
-        for _ in 0..ROUNDS {
-            if self.rest.is_empty() {
-                let mut outbox = outbox.lock().expect("no holder panics");
-                outbox.take_frames(to, BATCH_BYTES, &mut self.rest);
+        for _ in 0..MAX_WRITES {
+            if self.batch.is_empty() {
+                let mut queues = queues.lock().expect("no holder panics");
+                queues.take_frames(to, BATCH_BYTES, &mut self.batch);
             }
-            if self.rest.is_empty() {
+            if self.batch.is_empty() {
                 return Writing::Done;
             }
-            match self.stream.write(&self.rest[self.written..]) {
+            match self.stream.write(&self.batch[self.written..]) {
                 Ok(0) => return Writing::Broken(io::ErrorKind::WriteZero.into()),
                 Ok(size) => {
                     progress = true;
@@ -121,12 +124,12 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Writing::Broken(error),
             }
-            if self.written == self.rest.len() {
-                // An idle session holds no memory.
-                self.rest = Vec::new();
+            if self.written == self.batch.len() {
+                // Replaced and not cleared, so that an idle session holds no memory.
+                self.batch = Vec::new();
                 self.written = 0;
             }
         }
-        Writing::Interrupted
+        Writing::Yielded
     }
 }
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -1,24 +1,24 @@
-//! Which messages go ahead of others.
+//! Priorities of messages.
 use crate::prelude::*;
 
-/// Which of two queues a message waits in. See the module's page on why no
-/// receiver depends on the order between them.
+/// The queue, of two, that a message waits in. The documentation of the parent
+/// module explains why no receiver depends on the order between the two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Priority {
-    /// Keeps sessions, leases and agreements alive, or is awaited by a caller;
-    /// small.
+    /// Small messages that keep sessions, leases and consensus alive, or that a
+    /// client waits for.
     Urgent,
-    /// Carries state or content, and may be large.
+    /// Messages that carry state or content, and may be large.
     Bulk,
 }
 
-/// Rows of the partitions that all edges wait for (configuration, purges,
-/// origins, assignments, members) are urgent up to this size: they do not stand
-/// behind ledgers, which are large and many after a loss.
+/// Maximum size, in bytes, of urgent messages with rows of the partitions that all
+/// edges wait for (configuration, purges, origins, assignments, members): these do
+/// not queue behind ledgers, which are large and many after a loss.
 const URGENT_STATE_BYTES: usize = 64 * 1024;
 
 impl Priority {
-    /// `bytes`: the size of the message as it is sent.
+    /// Returns the priority of a message whose encoding has this many bytes.
     pub fn of(message: &Message, bytes: usize) -> Priority {
         let partition = match message {
             Message::AppendRequest(request) => Some(request.partition),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Only operators' and the platform's own changes are large and in no
-    /// hurry; all that concerns one operation key goes one way.
+    /// Returns the priority of a change. Only configuration changes are large and
+    /// not urgent; all messages about an operation key have the same priority.
     fn of_change(change: &Change) -> Priority {
         match change {
             Change::PutConfiguration { .. } | Change::PutItems { .. } => Priority::Bulk,
--- a/kernel/src/link/queue.rs
+++ b/kernel/src/link/queue.rs
@@ -1,19 +1,19 @@
-//! What waits to be sent, bounded in bytes for each peer and for the process.
+//! The outgoing queues, bounded in bytes for each peer and for the process.
 use crate::frame::EncodedMessage;
 use crate::link::priority::Priority;
 use crate::prelude::*;
 
-/// Bytes that may wait. A message is taken while less than this waits, so that
-/// one larger than a bound can be sent at all.
+/// Limits of the outgoing queues, in bytes. A message is accepted while the queue
+/// is below its limit, so that a message larger than a limit can still be sent.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueLimits {
-    /// Urgent bytes for one peer.
+    /// Urgent bytes to one peer.
     pub peer_urgent: usize,
-    /// Bulk bytes for one peer.
+    /// Bulk bytes to one peer.
     pub peer_bulk: usize,
-    /// Urgent bytes of all peers together; what is shared counts once.
+    /// Urgent bytes to all peers together; shared bytes are counted once.
     pub process_urgent: usize,
-    /// Bulk bytes of all peers together; what is shared counts once.
+    /// Bulk bytes to all peers together; shared bytes are counted once.
     pub process_bulk: usize,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-/// The queues of all peers. Invariant: each class has bytes of its own, so that no
-/// bulk message, however large, takes room from what is urgent.
+/// The outgoing queues of all peers. Invariant: each priority has its own limits, so
+/// that no bulk message, however large, takes space from urgent ones.
 #[derive(Debug)]
-pub struct Outbox {
+pub struct OutgoingQueues {
     limits: QueueLimits,
     peers: HashMap<SocketAddr, PeerQueue>,
     urgent_bytes: ProcessBytes,
     bulk_bytes: ProcessBytes,
-    /// Who was given something since the event loop last looked.
+    /// Peers that got messages since the last `take_ready`.
     ready: Vec<SocketAddr>,
 }
 
@@ -46,16 +46,16 @@
     urgent_bytes: usize,
     bulk: VecDeque<EncodedMessage>,
     bulk_bytes: usize,
-    /// Of the first bulk message, how much was taken.
+    /// Number of bytes already taken of the first bulk message.
     bulk_taken: usize,
-    /// It stands in `Outbox::ready`.
-    ready: bool,
+    /// True if the peer is listed in `OutgoingQueues::ready`.
+    is_ready: bool,
 }
 
-impl Outbox {
-    /// Empty queues.
-    pub fn new(limits: QueueLimits) -> Outbox {
-        Outbox {
+impl OutgoingQueues {
+    /// Creates empty queues.
+    pub fn new(limits: QueueLimits) -> OutgoingQueues {
+        OutgoingQueues {
             limits,
             peers: HashMap::new(),
             urgent_bytes: ProcessBytes::default(),
@@ -64,62 +64,62 @@
         }
     }
 
-    /// Whether there was room.
+    /// Queues a message. Returns false, and drops it, if the queue is full.
     pub fn push(&mut self, to: SocketAddr, priority: Priority, message: EncodedMessage) -> bool {
         let limits = self.limits;
         let queue = self.peers.entry(to).or_default();
-        let (process, has_room) = match priority {
+        let (process_bytes, has_space) = match priority {
             Priority::Urgent => {
-                let has_room = queue.urgent_bytes < limits.peer_urgent
+                let has_space = queue.urgent_bytes < limits.peer_urgent
                     && self.urgent_bytes.total < limits.process_urgent;
-                (&mut self.urgent_bytes, has_room)
+                (&mut self.urgent_bytes, has_space)
             }
             Priority::Bulk => {
-                let has_room = queue.bulk_bytes < limits.peer_bulk
+                let has_space = queue.bulk_bytes < limits.peer_bulk
                     && self.bulk_bytes.total < limits.process_bulk;
-                (&mut self.bulk_bytes, has_room)
+                (&mut self.bulk_bytes, has_space)
             }
         };
-        if !has_room {
+        if !has_space {
             return false;
         }
-        process.add(&message);
+        process_bytes.add(&message);
         queue.push(priority, message);
-        if !queue.ready {
-            queue.ready = true;
+        if !queue.is_ready {
+            queue.is_ready = true;
             self.ready.push(to);
         }
         true
     }
 
-    /// Peers that were given something since this was last asked.
+    /// Returns the peers that got messages since the last call.
     pub fn take_ready(&mut self) -> Vec<SocketAddr> {
         let ready = std::mem::take(&mut self.ready);
         for address in &ready {
             if let Some(queue) = self.peers.get_mut(address) {
-                queue.ready = false;
+                queue.is_ready = false;
             }
         }
         ready
     }
 
-    /// Whether a peer was given something since the event loop last looked.
+    /// Returns true if any peer got messages since the last `take_ready`.
     pub fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
-    /// Whether nothing waits for this peer.
+    /// Returns true if no message waits for this peer.
     pub fn is_empty(&self, to: SocketAddr) -> bool {
         self.peers.get(&to).is_none_or(PeerQueue::is_empty)
     }
 
-    /// Bytes that wait for all peers together.
+    /// Returns the number of bytes that wait for all peers together.
     pub fn bytes(&self) -> usize {
         self.urgent_bytes.total + self.bulk_bytes.total
     }
 
-    /// Appends frames for this peer, what is urgent first, until `out` has
-    /// `enough` bytes or nothing waits.
+    /// Appends frames for this peer, urgent messages first, until `out` has
+    /// `enough` bytes or the queue is empty.
     pub fn take_frames(&mut self, to: SocketAddr, enough: usize, out: &mut Vec<u8>) {
         let Some(queue) = self.peers.get_mut(&to) else {
             return;
@@ -138,9 +138,9 @@
         }
     }
 
-    /// The session ended: the rest of a message of which a part was taken makes
-    /// no sense on the next one.
-    pub fn drop_begun(&mut self, to: SocketAddr) {
+    /// Drops a message of which some chunks were taken, after its session ended:
+    /// the remaining chunks are meaningless in the next session.
+    pub fn drop_partially_sent(&mut self, to: SocketAddr) {
         if let Some(queue) = self.peers.get_mut(&to)
             && queue.bulk_taken > 0
             && let Some(message) = queue.pop_bulk()
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Nothing is left for this peer.
-    pub fn forget(&mut self, to: SocketAddr) {
+    /// Drops all messages for this peer.
+    pub fn drop_all(&mut self, to: SocketAddr) {
         if let Some(queue) = self.peers.remove(&to) {
             for message in &queue.urgent {
                 self.urgent_bytes.remove(message);
@@ -193,14 +193,15 @@
         Some(message)
     }
 
-    /// The first bulk message, if it was not begun and nobody waits for it any
-    /// more.
+    /// Removes the first bulk message if it has expired and no chunk of it was
+    /// taken.
     fn pop_expired(&mut self) -> Option<EncodedMessage> {
-        let expired = self.bulk_taken == 0 && self.bulk.front()?.expired();
+        let expired = self.bulk_taken == 0 && self.bulk.front()?.is_expired();
         if expired { self.pop_bulk() } else { None }
     }
 
-    /// Appends the next chunk of bulk; the message, if that was its last.
+    /// Appends the next chunk of the first bulk message. Removes and returns the
+    /// message if that was its last chunk.
     fn take_chunk(&mut self, out: &mut Vec<u8>) -> Option<EncodedMessage> {
         let message = self.bulk.front()?;
         self.bulk_taken = message.write_chunk(self.bulk_taken, out);
@@ -211,12 +212,12 @@
     }
 }
 
-/// Memory that the waiting messages take: shared bytes count once, as long as
-/// any message with them waits.
+/// Memory used by the waiting messages: shared bytes are counted once while any
+/// message with them waits.
 #[derive(Debug, Default)]
 struct ProcessBytes {
     total: usize,
-    /// Messages that wait, by where their shared bytes are.
+    /// Number of waiting messages, by the memory address of their shared bytes.
     shared: HashMap<usize, usize>,
 }
 
@@ -224,7 +225,7 @@
     fn add(&mut self, message: &EncodedMessage) {
         self.total += message.own_len();
         if let Some(shared) = message.shared() {
-            let uses = self.shared.entry(Self::place(shared)).or_insert(0);
+            let uses = self.shared.entry(Self::memory_address(shared)).or_insert(0);
             *uses += 1;
             if *uses == 1 {
                 self.total += shared.len();
@@ -235,17 +236,17 @@
     fn remove(&mut self, message: &EncodedMessage) {
         self.total -= message.own_len();
         if let Some(shared) = message.shared() {
-            let place = Self::place(shared);
-            let uses = self.shared.get_mut(&place).expect("it was added");
+            let address = Self::memory_address(shared);
+            let uses = self.shared.get_mut(&address).expect("it was added");
             *uses -= 1;
             if *uses == 0 {
-                self.shared.remove(&place);
+                self.shared.remove(&address);
                 self.total -= shared.len();
             }
         }
     }
 
-    fn place(shared: &Arc<[u8]>) -> usize {
+    fn memory_address(shared: &Arc<[u8]>) -> usize {
         Arc::as_ptr(shared).cast::<u8>() as usize
     }
 }
--- a/kernel/src/message/admission.rs
+++ b/kernel/src/message/admission.rs
@@ -1,20 +1,20 @@
-//! What admission control says of permits and calls.
+//! Permit refusals and call results of admission control.
 use crate::prelude::*;
 
-/// Why no permit was granted.
+/// The reason why no permit was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitRefusalReason {
-    /// More is requested than the origins may be called.
+    /// The requested calls exceed the rate or concurrency of the origins.
     Overloaded,
     /// The retry budget is spent.
     RetryBudgetExhausted,
-    /// No origin can be called now.
+    /// No origin can be called at present.
     NoHealthyOrigin,
     /// The receiver does not own this admission controller.
     NotOwner,
 }
 
-/// What the end of a call shows of its origin.
+/// The result of a call, from which the origin's health is judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallResult {
     /// A complete response with a valid signature.
@@ -29,7 +29,7 @@
     WrongInstance,
     /// The permit was not used.
     Unused,
-    /// Sent, and cancelled by the edge since nobody waited any more. It shows
-    /// nothing of the origin.
+    /// The call was sent, and cancelled by the edge since no client waited any
+    /// longer. It does not affect the origin's health.
     Cancelled,
 }
--- a/kernel/src/message/cache.rs
+++ b/kernel/src/message/cache.rs
@@ -1,59 +1,59 @@
-//! Cached responses as they travel between edges.
+//! Cached responses in messages between edges.
 use crate::prelude::*;
 
-/// Ties a put to what the owner knew when it replied with a miss.
+/// Ties a put to the owner's state at the time of the cache miss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FillToken {
-    /// The number of the fill.
+    /// Serial number of the fill.
     pub serial: u64,
-    /// The owner's epoch: a put to a later owner is dropped.
+    /// Epoch of the owner: a put to a later owner is dropped.
     pub epoch: u64,
-    /// Purges that the owner knew: a later one that matches the key drops the
-    /// put.
+    /// Version of the purges that the owner knew: the put is dropped if a later
+    /// purge matches the key.
     pub purge_version: u64,
 }
 
-/// A response as the owner hands it out.
+/// A cached response as the owner returns it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CachedResponse {
     /// The response.
     pub reply: Reply,
-    /// Purges up to here do not match it.
+    /// Version up to which no purge matches the response.
     pub purge_version: u64,
-    /// Since the start of its fetch.
+    /// Age since the start of the fetch.
     pub age: Duration,
-    /// Until its minor expiry: for so long it is served without asking again.
+    /// Remaining time until the minor expiry: until then the response is served
+    /// without a new request to the owner.
     pub fresh_for: Duration,
-    /// Until its major expiry.
+    /// Remaining time until the major expiry.
     pub remaining_ttl: Duration,
-    /// How long the owner held the request back: the rest of the time until the
-    /// response arrives was spent on the way and counts against
-    /// `remaining_ttl`.
+    /// Time the owner delayed the request: the rest of the time until the response
+    /// arrives was spent in transit and is subtracted from `remaining_ttl`.
     pub owner_delay: Duration,
 }
 
-/// A cached response on its way to a new owner, with its expiries as spans from
-/// now.
+/// A cached response that is handed over to a new owner, with its expiries as
+/// remaining durations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HandedOverResponse {
-    /// Its cache key.
+    /// The cache key.
     pub key: CacheKey,
-    /// The configuration's entry it belongs to.
+    /// Name of the configuration entry that the response belongs to.
     pub entry: String,
-    /// The entry's host; empty if it serves any.
+    /// The entry's host; empty if it serves any host.
     pub host: String,
     /// Path and query.
     pub url: String,
-    /// How long such a response is kept.
+    /// Time to live of responses of the entry.
     pub ttl: Duration,
     /// The response.
     pub reply: Reply,
-    /// Purges up to here do not match it.
+    /// Version up to which no purge matches the response.
     pub purge_version: u64,
-    /// Since the start of its fetch.
+    /// Age since the start of the fetch.
     pub age: Duration,
-    /// Until its minor expiry.
+    /// Remaining time until the minor expiry.
     pub minor_expiry: Duration,
-    /// Until its major expiry.
+    /// Remaining time until the major expiry.
     pub major_expiry: Duration,
 }
--- a/kernel/src/message/change.rs
+++ b/kernel/src/message/change.rs
@@ -1,103 +1,104 @@
-//! Changes and reads of the control state, and what becomes of them.
+//! Changes and reads of the control state, and their outcomes.
 use crate::prelude::*;
 
-/// What became of a draining member's offer of its slot.
+/// Outcome of a draining member's offer of its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotOfferOutcome {
     /// No empty node waits for a slot.
     NoJoiner,
-    /// One waits, but another change of the table must be over first.
+    /// An empty node waits, but another change of the table must finish first.
     Deferred,
-    /// The slot has a successor.
+    /// The slot is assigned to a successor.
     Assigned {
-        /// The table that says so: it comes directly after the one by which
-        /// the member holds the slot.
+        /// Version of the table that contains the successor: it directly follows
+        /// the table in which the member holds the slot.
         version: u64,
-        /// Who holds the slot from then on.
+        /// The new holder of the slot.
         successor: Peer,
     },
 }
 
-/// What may be asked of a partition's leader. Each names itself (`change`, a
-/// revision or a claim), so that applying a repeated request is harmless.
+/// A change or read requested from a partition's leader. Each change carries an
+/// identifier (`change`, a revision or a claim), so that a repeated request is
+/// idempotent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// Replaces the configuration document.
     PutConfiguration {
         /// The document.
         text: Arc<str>,
-        /// Only if this version stands.
+        /// Applied only if this is the current version.
         expect: Option<u64>,
-        /// Names the change.
+        /// Id of the change.
         change: u64,
     },
     /// Reads the configuration document.
     GetConfiguration,
-    /// Sets or removes named items, all or none; one that is not newer than
-    /// what is known under its name has no effect. Name, revision and content
-    /// make a repeat harmless.
+    /// Sets or removes named items, all or none. An item that is not newer than
+    /// the known one of its name has no effect. Name, revision and content make a
+    /// repeated request idempotent.
     PutItems {
         /// The items.
         items: Vec<Item>,
     },
     /// Adds a purge.
     AddPurge {
-        /// What it reaches.
+        /// The responses to purge.
         purge: Purge,
-        /// Names the change.
+        /// Id of the change.
         change: u64,
     },
     /// Replaces the list of origins.
     PutOrigins {
         /// The list.
         list: Arc<Vec<Origin>>,
-        /// The version that it was made to replace: one that arrives late, over
-        /// a newer list, changes nothing.
+        /// Version that the list replaces: a list that arrives late, when a newer
+        /// one is in effect, changes nothing.
         expect: Option<u64>,
-        /// Names the change.
+        /// Id of the change.
         change: u64,
-        /// When it is acknowledged.
+        /// Condition for the acknowledgement.
         acknowledge: Acknowledge,
     },
-    /// Reads all rows of a published partition, confirmed at a majority.
+    /// Reads all rows of a published partition, confirmed by a majority.
     List,
-    /// Declares that no operation from before this generation can be repeated.
+    /// Declares that no operation of an earlier generation can be repeated.
     OpenLedger {
         /// The generation.
         generation: u64,
     },
-    /// Puts the peer in the place of a lost slot, if there is one.
+    /// Assigns the slot of a lost member to the peer, if there is one.
     JoinRequest {
         /// The empty node.
         peer: Peer,
-        /// It gets a slot of its own.
+        /// True to add a new slot for the peer.
         founding: bool,
     },
-    /// The member is about to shut down: its slot goes to an empty node that
-    /// waits for one, if there is one.
+    /// Offers the slot of a member that is about to shut down to an empty node
+    /// that waits for one, if any.
     OfferSlot {
         /// The draining member.
         member: Peer,
     },
-    /// Acknowledged rows may be lost: begin a new generation.
+    /// Starts a new generation, since acknowledged rows may be lost.
     FoundGeneration {
-        /// The generation before it.
+        /// The preceding generation.
         after: u64,
     },
     /// Claims an operation key.
     Claim(Claim),
-    /// Nothing was sent under the claim and nothing will be.
+    /// Releases a claim under which nothing was sent and nothing will be.
     Release(Claim),
-    /// What came of the operation; none if that is not known.
+    /// Records the outcome of the operation; `None` if it is unknown.
     RecordOutcome(Claim, Option<Arc<Reply>>),
 }
 
-/// When a change is acknowledged.
+/// Condition under which a change is acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Acknowledge {
-    /// On a majority of disks: it will be in force.
+    /// It is on a majority of disks, so it will take effect.
     Committed,
-    /// In force at every live edge.
+    /// It is in effect at every live edge.
     Settled,
 }
 
@@ -110,24 +111,24 @@
     pub fingerprint: CacheKey,
     /// The edge that serves the request.
     pub claimant: Peer,
-    /// The edge's id of the request.
+    /// The edge's request id.
     pub request: u64,
 }
 
-/// What became of a change.
+/// Outcome of a change or read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// In force under this version.
+    /// Applied, and in effect under this version.
     Acknowledged {
         /// The version.
         version: u64,
     },
-    /// Another change came first.
+    /// Another change was applied first.
     VersionConflict {
-        /// The version in force.
+        /// The current version.
         version: u64,
-        /// Whether a change made to replace a version below this was applied
-        /// earlier is not known any more.
+        /// For a change that replaces a version below this, it is no longer known
+        /// whether it was applied earlier.
         complete_after: u64,
     },
     /// The configuration document.
@@ -144,35 +145,36 @@
         /// The rows by key.
         rows: Vec<(String, Row)>,
     },
-    /// Rejected: all that is wrong with it.
+    /// Rejected, with all findings.
     Findings(Vec<Finding>),
     /// The key is claimed for this request.
     Claimed,
     /// The key is claimed by another request.
     AlreadyClaimed {
-        /// That request has the same fingerprint.
+        /// True if that request has the same fingerprint.
         same: bool,
-        /// What became of it so far.
+        /// The current state of the operation.
         state: OperationState,
     },
     /// The claim is released.
     Released,
     /// The result is recorded.
     Recorded,
-    /// No leader replied in time: it may or may not have been applied.
+    /// No leader replied in time: the change may or may not have been applied.
     Unknown,
-    /// The node is not in contact with a majority: nothing was done, and
-    /// nothing can be said.
+    /// The node is not in contact with a majority: nothing was changed, and the
+    /// current state is unknown.
     NoMajority,
-    /// Acknowledged operations may be lost: unknown keys are not run.
+    /// Rejected because acknowledged operations may be lost: operations with an
+    /// unknown key are not run.
     LedgerClosed {
-        /// For how much longer.
+        /// Remaining time in which the ledger is closed.
         remaining: Duration,
     },
-    /// A revision was accepted before with another content. Nothing of the call
-    /// took effect; the findings name the items.
+    /// A revision was accepted earlier with different content. No part of the
+    /// call took effect; the findings name the items.
     RevisionConflict(Vec<Finding>),
-    /// A revision is so old that whether it was accepted is not known any more.
-    /// The call has no effect now; the findings name the items.
+    /// A revision is so old that it is no longer known whether it was accepted.
+    /// This call has no effect; the findings name the items.
     RevisionForgotten(Vec<Finding>),
 }
--- a/kernel/src/message/mod.rs
+++ b/kernel/src/message/mod.rs
@@ -1,8 +1,8 @@
-//! Every message that processes of a fleet send each other.
+//! The messages that processes of a fleet send to each other.
 //!
-//! One macro declares them all, in groups by who talks to whom. Their order,
-//! and that of their fields, is the wire format (`bincode`): a message may be
-//! renamed, never moved. `kernel/tests/wire_format` holds the bytes.
+//! One macro declares all messages, grouped by sender and receiver. The order of
+//! messages and of their fields is the wire format (`bincode`): a message may be
+//! renamed but never moved. `kernel/tests/wire_format` holds the expected bytes.
 mod admission;
 mod cache;
 mod change;
@@ -21,8 +21,8 @@
 
 use crate::prelude::*;
 
-/// Declares every message between our processes with its derives, and the
-/// enum that carries them.
+/// Declares the message structs with their derives, and the `Message` enum with
+/// one variant for each.
 macro_rules! messages {
     ($(
         $(#[$attribute:meta])*
@@ -40,7 +40,7 @@
             }
         )*
 
-        /// A message of any kind, as it goes in a frame.
+        /// A message of any kind, as carried by a frame.
         #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
         pub enum Message {
             $($(#[$attribute])* $name($name)),*
@@ -57,72 +57,73 @@
 
 // Between control nodes: liveness, replication, recovery and changes.
 messages! {
-    /// Tells another control node that the sender is alive, with what its disk
-    /// holds and which edges have a session with it.
+    /// Reports to another control node that the sender is alive, with the state of
+    /// its disk and the edges that have a session with it.
     Heartbeat {
         /// The slot that the sender holds.
         slot: u8,
-        /// The disk counts for quorums: it holds all it ever acknowledged.
+        /// True if the disk is included in quorums: it holds all it ever
+        /// acknowledged.
         full: bool,
-        /// The disk is empty and was not refilled by the others yet.
+        /// True if the disk is empty and not yet refilled by the other replicas.
         blank: bool,
-        /// The membership table that the sender goes by.
+        /// Version of the sender's membership table.
         membership_version: u64,
-        /// For so long no unknown operation may be claimed.
+        /// Remaining time in which no unknown operation may be claimed.
         ledger_closed_for: Duration,
         /// The generation whose acknowledged rows may be lost; 0: none.
         lost_generation: u64,
-        /// Slots whose heartbeats arrive at the sender.
+        /// Slots from which the sender receives heartbeats.
         heard_slots: SlotSet,
-        /// Those of `heard_slots` that receive the sender's heartbeats too.
+        /// Slots in `heard_slots` that also receive the sender's heartbeats.
         mutual_contacts: SlotSet,
-        /// Those of `mutual_contacts` that may lead partitions.
+        /// Slots in `mutual_contacts` that may lead partitions.
         leader_candidates: SlotSet,
-        /// Which state of the receiver's session table the sender has.
+        /// State of the receiver's session table that the sender has.
         acknowledged_sessions: u64,
-        /// The sender's session table, as far as the receiver lacks it; none
-        /// while it is not known yet.
+        /// Changes to the sender's session table that the receiver lacks; `None`
+        /// while the sender does not know its sessions yet.
         sessions: Option<SessionsDelta>,
     }
-    /// Asks another replica for all that it holds, to refill an empty disk.
-    /// Whoever goes by a newer membership table replies with that instead.
+    /// Requests all that another replica holds, to refill an empty disk. A
+    /// replica with a newer membership table replies with the table instead.
     SnapshotRequest {
         /// The slot that the sender holds.
         slot: u8,
-        /// 0 only makes the others forget what the slot's earlier disk
-        /// acknowledged; what is sent for round 1 counts.
+        /// Round 0 only makes the other replicas discard the acknowledgements of
+        /// the slot's earlier disk; the disk is refilled from the replies of round 1.
         round: u8,
-        /// The membership table that the sender goes by.
+        /// Version of the sender's membership table.
         membership_version: u64,
     }
     /// All partitions of one replica.
     SnapshotReply {
         /// The slot that the sender holds.
         slot: u8,
-        /// The disk that sent the request: a later disk of the slot starts
-        /// again with round 0 and ignores replies to an earlier one.
+        /// Incarnation of the disk that sent the request: a later disk of the
+        /// slot restarts at round 0 and ignores replies to an earlier disk.
         requester_incarnation: u64,
         /// The round of the request.
         round: u8,
-        /// The sender's disk holds all that it ever acknowledged.
+        /// True if the sender's disk holds all that it ever acknowledged.
         full: bool,
         /// The generation whose acknowledged rows may be lost; 0: none.
         lost_generation: u64,
-        /// The membership table that edges are shown at the sender.
+        /// Version of the membership table that the sender publishes to edges.
         membership_version: u64,
-        /// What the sender holds of each partition.
+        /// The state of each partition on the sender's disk.
         partitions: Vec<PartitionSnapshot>,
     }
-    /// Phase one of a change of leader: whoever replies promises to accept no
-    /// lower epoch.
+    /// Phase one of a change of leader: a replica that replies promises to accept
+    /// no lower epoch.
     PrepareRequest {
         /// The partition to lead.
         partition: u8,
         /// The new leader's epoch.
         epoch: u64,
-        /// The membership table that the sender goes by.
+        /// Version of the sender's membership table.
         membership_version: u64,
-        /// What the sender's own disk holds: nothing older need be sent.
+        /// State of the sender's own disk: replies need not carry an older one.
         requester_state: StateId,
     }
     /// The promise of one replica, with its state of the partition.
@@ -133,38 +134,39 @@
         epoch: u64,
         /// The generation whose acknowledged rows may be lost; 0: none.
         lost_generation: u64,
-        /// Disks whose acknowledgements count no more.
+        /// Disks whose acknowledgements are no longer valid.
         retired_incarnations: Vec<u64>,
         /// The replica's state, if it is newer than the requester's.
         state: PreparedState,
     }
-    /// Replicates rows of a partition. An empty one is a read round: it
-    /// collects the sessions and confirms that the sender still leads.
+    /// Replicates rows of a partition. A request without rows is a read round: it
+    /// collects the confirmed versions of sessions and confirms that the sender is
+    /// still the leader.
     AppendRequest {
         /// The partition of the rows.
         partition: u8,
         /// The leader's epoch.
         epoch: u64,
-        /// The membership table that the sender goes by.
+        /// Version of the sender's membership table.
         membership_version: u64,
-        /// The leader's count of requests, given back by the reply.
+        /// The leader's request counter, returned by the reply.
         round: u64,
-        /// `rows` are the complete state and replace what the replica holds.
+        /// True if `rows` are the complete state and replace the replica's rows.
         full_state: bool,
-        /// The version that `rows` are added to.
+        /// Version of the state that `rows` are added to.
         after_version: u64,
-        /// The version that the replica has afterwards.
+        /// Version of the replica's state afterwards.
         to_version: u64,
-        /// Rows with a version in between, by key.
+        /// Rows with versions above `after_version`, up to `to_version`, by key.
         rows: Vec<(String, Row)>,
-        /// Keys that are removed.
+        /// Keys to remove.
         removed_keys: Vec<String>,
-        /// Committed up to here: replicas may show it to edges.
+        /// Highest committed version: replicas may publish rows up to it to edges.
         published: u64,
-        /// `rows` are added to a state of an earlier epoch, this one.
+        /// The state of an earlier epoch that `rows` are added to, if any.
         base: Option<EarlierState>,
     }
-    /// The rows are on the replica's disk.
+    /// Acknowledges an append: the rows are on the replica's disk.
     AppendReply {
         /// The partition of the request.
         partition: u8,
@@ -172,16 +174,16 @@
         epoch: u64,
         /// The round of the request.
         round: u64,
-        /// Synced up to this version.
+        /// Highest version synced to disk.
         synced_version: u64,
-        /// Every session at this node has confirmed this version; none while
-        /// the sessions are not known yet.
+        /// Version confirmed by every session at this node; `None` while the
+        /// sessions are not known yet.
         sessions_confirmed: Option<u64>,
-        /// Disks whose acknowledgements count no more; applied by the leader
-        /// before it counts this reply.
+        /// Disks whose acknowledgements are no longer valid; the leader applies
+        /// this list before it counts the reply.
         retired_incarnations: Vec<u64>,
     }
-    /// Rows before `after_version` are missing at the replica.
+    /// Rejects an append: rows before `after_version` are missing at the replica.
     AppendGap {
         /// The partition of the request.
         partition: u8,
@@ -190,197 +192,203 @@
         /// The round of the request.
         round: u64,
     }
-    /// The request was rejected: the replica promised a higher epoch.
+    /// Rejects a request: the replica promised a higher epoch.
     StaleEpoch {
         /// The partition of the request.
         partition: u8,
         /// The epoch of the request.
         epoch: u64,
-        /// The epoch that was promised.
+        /// The promised epoch.
         promised_epoch: u64,
     }
-    /// A change on its way to the leader of its partition.
+    /// Carries a change to the leader of its partition.
     ChangeRequest {
-        /// Who gets the reply.
+        /// Address that the reply is sent to.
         requester: SocketAddr,
         /// The requester's id of this change.
         id: u64,
         /// The partition that the change is for.
         partition: u8,
-        /// How many control nodes forwarded it.
+        /// Number of control nodes that forwarded it.
         hops: u8,
-        /// What is to be changed or read.
+        /// The change or read.
         change: Change,
     }
-    /// What became of a change.
+    /// Reports the outcome of a change.
     ChangeReply {
         /// The id of the request.
         id: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: ChangeOutcome,
     }
 
     // Between control nodes: membership.
-    /// An empty control node without a slot asks for one.
+    /// Requests a slot for an empty control node.
     JoinRequest {
-        /// For a slot of its own in a fleet that starts for the first time;
-        /// otherwise for one whose member is lost.
+        /// True to request a new slot in a fleet that starts for the first time;
+        /// false to request the slot of a lost member.
         founding: bool,
     }
-    /// Who holds the slots. Sent to whoever asks for a slot or goes by an older
-    /// table: a node that is not in it was removed.
+    /// The members that hold the slots. Sent to a node that requests a slot or has
+    /// an older table: a node that is not in the table was removed.
     MembershipTable {
-        /// 0 is the founding table, which the first seed fixes.
+        /// Version of the table. 0 is the founding table, which the first seed
+        /// fixes.
         version: u64,
         /// The member in each slot.
         members: Vec<Peer>,
     }
-    /// To a draining member that offered its slot.
+    /// Replies to a draining member that offered its slot.
     SlotOfferReply {
-        /// What became of the offer.
+        /// The outcome of the offer.
         outcome: SlotOfferOutcome,
     }
-    /// All that the disk of a removed member ever acknowledged, to its direct
-    /// successor. The removed member acknowledges nothing any more.
+    /// Sends all that the disk of a removed member ever acknowledged to its direct
+    /// successor. The removed member acknowledges nothing after this.
     SlotState {
-        /// The table by which the receiver is the successor.
+        /// Version of the table in which the receiver is the successor.
         version: u64,
         /// The slot that is handed over.
         slot: u8,
         /// The generation whose acknowledged rows may be lost; 0: none.
         lost_generation: u64,
-        /// Disks whose acknowledgements count no more.
+        /// Disks whose acknowledgements are no longer valid.
         retired_incarnations: Vec<u64>,
-        /// What the sender held of each partition.
+        /// The state of each partition on the sender's disk.
         partitions: Vec<PartitionSnapshot>,
     }
-    /// The successor has stored the slot's state.
+    /// Confirms that the successor has stored the slot's state.
     SlotStateReceived {
-        /// The table of the `SlotState`.
+        /// Table version of the `SlotState`.
         version: u64,
     }
 
     // Between edges and control nodes: leases and published updates.
     /// Renews an edge's lease with one control node.
     RenewRequest {
-        /// When it was sent, by the edge's clock: the lease counts from here.
+        /// Send time by the edge's clock: the lease runs from here.
         sent: Duration,
-        /// The last token of this control node, none before the first.
+        /// The last token of this control node; `None` before the first.
         last_token: Option<RenewalToken>,
-        /// The generation that the edge goes by.
+        /// The edge's generation of the control state.
         generation: u64,
-        /// In this generation, nothing of an earlier one is left to report.
+        /// True if the edge has reported all it knew of earlier generations.
         recall_complete: bool,
-        /// The version that the edge has of each published partition.
+        /// The edge's version of each published partition.
         version_vector: Vec<u64>,
         /// The edge's zone.
         zone: String,
         /// The ring of cache partitions that it takes part in.
         ring: String,
-        /// What it can carry beside other edges.
+        /// Relative capacity of the edge's machine.
         weight: u32,
-        /// It shuts down and gives its assignments away.
+        /// True if the edge shuts down and hands over its assignments.
         draining: bool,
-        /// What it has served since its start.
+        /// Requests served since the edge's start.
         usage: Usage,
-        /// How the origins of its admission controllers are doing.
+        /// Health of the origins of the edge's admission controllers.
         origin_health: Vec<OriginHealth>,
     }
-    /// The lease is renewed, and what the edge lacks of the published rows.
+    /// Renews the lease and carries the published rows that the edge lacks.
     RenewReply {
-        /// The edge's incarnation that sent the request.
+        /// Incarnation of the edge that sent the request.
         incarnation: u64,
-        /// To be given back with the next renewal.
+        /// Token to return with the next renewal.
         renewal_token: RenewalToken,
         /// `sent` of the request.
         sent: Duration,
         /// The generation of the control state.
         generation: u64,
-        /// Acknowledged operations may be lost: report those that are known.
+        /// True if acknowledged operations may be lost: the edge reports those
+        /// that it knows.
         recall_requested: bool,
-        /// What the edge lacks. The last field: it is encoded once for all
-        /// edges that lack the same.
+        /// Rows that the edge lacks. Must stay the last field: it is encoded once
+        /// for all edges that lack the same rows.
         updates: SharedUpdates,
     }
-    /// Asks an edge for all rows it knows of a partition: more than the
-    /// partition's leader has.
+    /// Requests all rows of a partition that an edge knows: the partition's leader
+    /// may have lost some of them.
     RecallRequest {
         /// The partition.
         partition: u8,
     }
-    /// The rows that an edge knows.
+    /// Reports all rows of a partition that an edge knows.
     RecallReply {
         /// The partition of the request.
         partition: u8,
-        /// The version that the edge has.
+        /// The edge's version of the partition.
         version: u64,
         /// All rows, by key.
         rows: Vec<(String, Row)>,
     }
-    /// A newer version is published than the edge has confirmed: it renews now
-    /// unless it has that version from another control node.
+    /// Notifies an edge of a published version newer than the one it confirmed: the
+    /// edge renews now unless it has that version from another control node.
     UpdateNotice {
         /// The partition.
         partition: u8,
-        /// The version that is published.
+        /// The published version.
         version: u64,
-        /// To be given back with the renewal.
+        /// Token to return with the renewal.
         renewal_token: RenewalToken,
     }
-    /// Asks an edge to renew now: a decision depends on which edges are alive.
+    /// Requests an immediate renewal from an edge: a decision depends on which
+    /// edges are alive.
     RenewPrompt {
-        /// To be given back with the renewal.
+        /// Token to return with the renewal.
         renewal_token: RenewalToken,
     }
-    /// The edge has fenced itself for good: its session ends now.
+    /// Closes the session of an edge that has fenced itself permanently.
     SessionClose {}
 
     // Between edges: the shared cache.
-    /// Asks the owner of a cache partition for a cached response.
+    /// Requests a cached response from the owner of a cache partition.
     CacheGet {
-        /// The requester's id, given back by every reply.
+        /// The requester's id of the request, returned by every reply.
         id: u64,
         /// The key of the response.
         key: CacheKey,
-        /// The configuration's entry that the response belongs to.
+        /// Name of the configuration entry that the response belongs to.
         entry: String,
-        /// The entry's host; empty if it serves any.
+        /// The entry's host; empty if it serves any host.
         host: String,
         /// Path and query.
         url: String,
-        /// How long the response is kept.
+        /// Time to live of the response.
         ttl: Duration,
-        /// For so long the requester waits.
+        /// Maximum time the requester waits.
         max_wait: Duration,
-        /// The requester's own fill failed: a response of any age will do.
+        /// True if a response of any age is accepted: the requester's own fill
+        /// failed.
         accepts_any_age: bool,
     }
-    /// A cached response.
+    /// Returns a cached response.
     CacheCopy {
         /// The id of the request.
         id: u64,
         /// The key of the request.
         key: CacheKey,
-        /// For so long the requester waits: later it need not be sent.
+        /// Maximum time the requester waits: the message is not sent later.
         max_wait: Duration,
         /// The response and its age.
         response: CachedResponse,
     }
-    /// The request waits for the fill in progress, or its reply is on the way.
+    /// Reports that the request waits for the fill in progress, or that its reply
+    /// has been sent.
     CacheGetQueued {
         /// The id of the request.
         id: u64,
     }
-    /// Nothing is cached: the requester shall fetch it and put it.
+    /// Reports a cache miss: the requester fetches the response and puts it.
     CacheMiss {
         /// The id of the request.
         id: u64,
         /// The key of the request.
         key: CacheKey,
-        /// To be given with the put.
+        /// Token to send with the put.
         token: FillToken,
     }
-    /// The owner cannot help: the requester fetches for itself alone.
+    /// Reports that the owner cannot serve the request: the requester fetches the
+    /// response for its own client only.
     CacheUnavailable {
         /// The id of the request.
         id: u64,
@@ -396,26 +404,26 @@
         /// The verified response.
         reply: Reply,
     }
-    /// The fill after a `CacheMiss` failed.
+    /// Reports that the fill after a `CacheMiss` failed.
     CacheFillFailed {
         /// The key of the response.
         key: CacheKey,
         /// The token of the miss.
         token: FillToken,
-        /// A response came, which must not be shared.
+        /// True if a response arrived that must not be shared.
         private: bool,
     }
 
-    /// The new owner of a cache partition asks the last one for its responses.
+    /// Requests the cached responses of a partition from its previous owner.
     HandoverRequest {
         /// The cache partition.
         partition: u16,
         /// The new owner's epoch.
         epoch: u64,
-        /// When it was sent, by the requester's clock.
+        /// Send time by the requester's clock.
         sent: Duration,
     }
-    /// Cached responses of a partition that changed its owner.
+    /// Sends the cached responses of a partition to its new owner.
     HandoverReply {
         /// The cache partition.
         partition: u16,
@@ -423,28 +431,28 @@
         epoch: u64,
         /// `sent` of the request.
         sent: Duration,
-        /// The responses, with expiries as spans from now.
+        /// The responses, with expiries as remaining durations.
         copies: Vec<HandedOverResponse>,
     }
 
     // Between edges: admission control.
-    /// Asks a service's admission controller for a permit to call an origin.
+    /// Requests a permit to call an origin from a service's admission controller.
     PermitRequest {
         /// The service.
         service: String,
-        /// The requester's id, given back by every reply.
+        /// The requester's id of the request, returned by every reply.
         id: u64,
         /// Priority: higher ranks are served first.
         rank: u32,
-        /// For so long the requester waits.
+        /// Maximum time the requester waits.
         max_wait: Duration,
-        /// When it was sent, by the requester's clock.
+        /// Send time by the requester's clock.
         sent: Duration,
-        /// Not the first attempt: it counts against the retry budget.
+        /// True if it is not the first attempt: it uses the retry budget.
         is_retry: bool,
-        /// How long the call may take.
+        /// Timeout of the call.
         call_timeout: Duration,
-        /// How soon the client should have its response.
+        /// Target latency of the client's response.
         latency_target: Duration,
         /// The requester's zone: origins there are preferred.
         zone: String,
@@ -453,7 +461,7 @@
         /// Origins that failed this request before.
         excluded_origins: Vec<SocketAddr>,
     }
-    /// A permit for one call to one origin, valid for `lease::PERMIT_VALIDITY`.
+    /// Grants one call to one origin, valid for `lease::PERMIT_VALIDITY`.
     Permit {
         /// The id of the request.
         id: u64,
@@ -467,34 +475,34 @@
         origin: Origin,
         /// `sent` of the request.
         sent: Duration,
-        /// How long the request waited at the admission controller.
+        /// Time the request waited at the admission controller.
         queued_for: Duration,
-        /// How long a call there takes by recent experience.
+        /// Expected latency of a call to the origin, estimated from recent calls.
         expected_latency: Duration,
     }
-    /// The request waits in the admission controller's queue.
+    /// Reports that the request waits in the admission controller's queue.
     PermitQueued {
         /// The id of the request.
         id: u64,
     }
-    /// No permit is granted.
+    /// Refuses a permit.
     PermitRefused {
         /// The id of the request.
         id: u64,
-        /// Why.
+        /// The reason for the refusal.
         reason: PermitRefusalReason,
-        /// When to try again.
+        /// Delay before a retry.
         retry_after: Duration,
     }
-    /// Calls in flight by permits of an earlier owner, told to a new one.
+    /// Reports to a new owner the calls in flight under permits of earlier owners.
     CallsInProgress {
         /// The service.
         service: String,
-        /// Epoch and serial of the permit, the origin, and for how long the
-        /// call has been in flight.
+        /// Epoch and serial of the permit, the origin, and the time since the
+        /// call was sent.
         calls: Vec<(u64, u64, SocketAddr, Duration)>,
     }
-    /// A call by a permit has ended.
+    /// Reports the end of a call made under a permit.
     CallDone {
         /// The service.
         service: String,
@@ -502,20 +510,20 @@
         epoch: u64,
         /// The serial of the permit.
         serial: u64,
-        /// What it showed of the origin.
+        /// The result of the call, for the origin's health.
         result: CallResult,
-        /// How long it took.
+        /// Duration of the call.
         took: Duration,
     }
 
-    /// Nobody waits for this permit any more.
+    /// Withdraws a permit request: the requester no longer waits.
     PermitWithdrawn {
         /// The service.
         service: String,
         /// The id of the request.
         id: u64,
     }
-    /// Nobody waits for this cached response any more.
+    /// Withdraws a cache request: the requester no longer waits.
     CacheGetWithdrawn {
         /// The key of the request.
         key: CacheKey,
@@ -525,9 +533,9 @@
 }
 
 impl Message {
-    /// For how long somebody waits for this message; none if it matters
-    /// whenever it arrives.
-    pub fn awaited(&self) -> Option<Duration> {
+    /// Returns how long the receiver waits for this message; `None` if it is
+    /// useful at any time.
+    pub fn max_wait(&self) -> Option<Duration> {
         match self {
             Message::CacheCopy(copy) => Some(copy.max_wait),
             _ => None,
--- a/kernel/src/message/partition_state.rs
+++ b/kernel/src/message/partition_state.rs
@@ -1,16 +1,16 @@
-//! The state of one partition at a replica, and how two states compare.
+//! The state of one partition at a replica, and the order of two states.
 use crate::prelude::*;
 
-/// All that one disk holds of a partition.
+/// The complete state of a partition on one disk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionSnapshot {
     /// The partition.
     pub partition: u8,
-    /// The highest epoch that was promised.
+    /// The highest promised epoch.
     pub promised_epoch: u64,
     /// The rows and their version.
     pub state: PartitionState,
-    /// The rows of a published partition as they were at `state.published`.
+    /// The rows of a published partition at version `state.published`.
     pub published_rows: BTreeMap<String, Row>,
 }
 
@@ -23,15 +23,15 @@
     pub epoch: u64,
     /// The version up to which the rows are complete.
     pub version: u64,
-    /// Committed up to here: may be shown to edges.
+    /// Highest committed version: rows up to it may be published to edges.
     pub published: u64,
     /// The rows by key.
     pub rows: BTreeMap<String, Row>,
 }
 
-/// Tells one state of a partition from another: within an epoch, the states of
-/// all replicas at one version are the same. The later in this order holds all
-/// that was acknowledged in the earlier, if both are on a majority's disks.
+/// Identifies a state of a partition: within an epoch, the states of all replicas
+/// at one version are equal. A later state in this order holds all that was
+/// acknowledged in an earlier one, if both are on the disks of a majority.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -43,7 +43,7 @@
 }
 
 impl PartitionState {
-    /// Which state it is.
+    /// Returns the id of this state.
     pub fn id(&self) -> StateId {
         StateId {
             epoch: self.epoch,
@@ -52,22 +52,22 @@
     }
 }
 
-/// A replica's state as it goes with a prepare reply.
+/// A replica's state in a prepare reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PreparedState {
-    /// The requester holds nothing older.
+    /// The replica's state is not newer than the requester's.
     NotNewer {
-        /// Which state the replica has.
+        /// Id of the replica's state.
         id: StateId,
-        /// Committed up to here.
+        /// Highest committed version.
         published: u64,
     },
-    /// The complete state, which the requester may lack.
+    /// The complete state, which is newer than the requester's.
     Newer(PartitionState),
 }
 
 impl PreparedState {
-    /// Which state the replica has.
+    /// Returns the id of the replica's state.
     pub fn id(&self) -> StateId {
         match self {
             PreparedState::NotNewer { id, .. } => *id,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Committed up to here.
+    /// Returns the highest committed version.
     pub fn published(&self) -> u64 {
         match self {
             PreparedState::NotNewer { published, .. } => *published,
@@ -90,7 +90,7 @@
 pub struct EarlierState {
     /// The earlier epoch.
     pub epoch: u64,
-    /// All keys that remain afterwards; none: those of that state.
+    /// All keys that remain afterwards; `None`: the keys of that state.
     pub keys: Option<Vec<String>>,
 }
 
@@ -99,8 +99,8 @@
 pub struct PartitionUpdate {
     /// The partition.
     pub partition: u8,
-    /// The version that the edge has with these rows.
+    /// The edge's version after it has applied these rows.
     pub version: u64,
-    /// Rows after the version that the edge had, by key.
+    /// Rows with a version above the edge's earlier one, by key.
     pub rows: Vec<(String, Row)>,
 }
--- a/kernel/src/message/session.rs
+++ b/kernel/src/message/session.rs
@@ -8,56 +8,57 @@
     pub peer: Peer,
     /// The edge's zone.
     pub zone: String,
-    /// The ring of cache partitions it takes part in.
+    /// The ring of cache partitions that the edge is a member of.
     pub ring: String,
-    /// What it can carry beside other edges (1: the least).
+    /// Relative capacity of the edge's machine (minimum 1).
     pub weight: u32,
-    /// It shuts down: its assignments move.
+    /// True if the edge shuts down and its assignments move.
     pub draining: bool,
-    /// The generation that it goes by.
+    /// The edge's generation of the control state.
     pub generation: u64,
-    /// It has reported all it knew of earlier generations.
+    /// True if the edge has reported all it knew of earlier generations.
     pub recall_complete: bool,
-    /// The version it has confirmed of each published partition.
+    /// The confirmed version of each published partition.
     pub version_vector: Vec<u64>,
-    /// What it has served since its start.
+    /// Requests served since the edge's start.
     pub usage: Usage,
-    /// How the origins of its admission controllers are doing.
+    /// Health of the origins of the edge's admission controllers.
     pub origin_health: Vec<OriginHealth>,
 }
 
-/// Proves that an edge was alive after the token was sent: the edge gives it
-/// back with its next renewal.
+/// Proves that an edge was alive after the token was sent: the edge returns it
+/// with its next renewal.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RenewalToken {
-    /// The control node's process.
+    /// Identifies the control node's process.
     pub run: u64,
-    /// Rises within the process.
+    /// Counter that increases within the process.
     pub count: u64,
 }
 
-/// How a table of sessions differs from an earlier state of it.
+/// The difference between a table of sessions and an earlier state of it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct SessionsDelta {
-    /// The state that it is applied to; 0: an empty table.
+    /// State that the delta applies to; 0: an empty table.
     pub from: u64,
-    /// The state that comes of it.
+    /// Resulting state.
     pub to: u64,
-    /// The checksum of the complete table afterwards: a receiver that comes to
-    /// another one does not have it.
+    /// Checksum of the complete resulting table: a receiver that computes another
+    /// value does not have that state.
     pub checksum: u64,
     /// Sessions that are new or changed.
     pub upserted: Vec<SessionInfo>,
     /// Sessions that ended.
     pub removed: Vec<Peer>,
-    /// For each published partition the highest version confirmed at the sender
-    /// right now, and by whom: version vectors rise with each change and are
-    /// not sent as differences.
+    /// For each published partition, the highest version currently confirmed at
+    /// the sender and the edge that confirmed it. Sent in full since version
+    /// vectors increase with every change.
     pub newest: Vec<(u64, Peer)>,
 }
 
 impl SessionInfo {
-    /// All that others' decisions depend on; the rest is for operators to read.
+    /// Returns the fields that decisions of other nodes depend on; the others are
+    /// for operators only.
     pub fn decision_fields(&self) -> (Peer, &str, &str, u32, bool, u64, bool) {
         (
             self.peer,
@@ -70,71 +71,71 @@
         )
     }
 
-    /// The checksum of its core.
+    /// Returns a checksum of the decision fields.
     pub fn checksum(&self) -> u64 {
         let bytes = bincode::serialize(&self.decision_fields()).expect("sessions serialize");
         u64::from_be_bytes(Sha256::digest(bytes)[..8].try_into().expect("eight bytes"))
     }
 }
 
-/// An origin as its admission controller judges it.
+/// The health of an origin as its admission controller sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OriginHealth {
-    /// Where it listens.
+    /// The address on which the origin listens.
     pub address: SocketAddr,
     /// The service it belongs to.
     pub service: String,
-    /// Its instance id.
+    /// The origin's instance id.
     pub instance: String,
-    /// Whether it may be called.
+    /// The condition that decides whether the origin may be called.
     pub condition: OriginCondition,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub calls: u32,
 }
 
-/// Whether an origin may be called.
+/// The condition that decides whether an origin may be called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OriginCondition {
     /// It proved its identity recently.
     Proven,
-    /// It has not proved its identity, or not recently.
+    /// It has not proved its identity recently.
     Unproven,
-    /// It failed and is not called for a while (outlier ejection).
+    /// It failed and is not called for some time (outlier ejection).
     #[serde(rename = "aside")]
     Ejected,
 }
 
-/// What an edge has served since its start. Goes out as JSON to operators,
-/// under the names it always had.
+/// Counters of the requests that an edge served since its start. Shown to
+/// operators as JSON, where the old field names are kept.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests received.
+    /// Number of requests received.
     #[serde(rename = "errands")]
     pub requests: u64,
-    /// Served from the edge's own near cache, without asking the owner.
+    /// Requests served from the edge's own near cache, without contacting the owner.
     #[serde(rename = "near")]
     pub near_cache_hits: u64,
-    /// Answered with a response.
+    /// Requests that ended with a response.
     #[serde(rename = "answered")]
     pub completed: u64,
-    /// Answered with a rejection.
+    /// Requests that ended with a rejection.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Served from the shared cache.
+    /// Requests served from the shared cache.
     #[serde(rename = "copies")]
     pub cache_hits: u64,
-    /// Calls to origins.
+    /// Number of calls to origins.
     pub calls: u64,
-    /// Calls that were retries.
+    /// Number of calls that were retries.
     #[serde(rename = "extra")]
     pub retries: u64,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub pending: u64,
-    /// Clients that disconnected before their response.
+    /// Number of clients that disconnected before their response.
     #[serde(rename = "left")]
     pub client_disconnects: u64,
-    /// Calls begun, or kept in flight, for clients that had disconnected; must
+    /// Calls started, or kept in flight, for clients that had disconnected; must
     /// stay 0.
     pub abandoned: u64,
 }
--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -102,7 +102,11 @@
     let expected = vec![heartbeat(); chunks.len() - 1];
     assert_eq!(found[..chunks.len() - 1], expected);
     assert_eq!(found[chunks.len() - 1..], [large(1), heartbeat()]);
-    assert_eq!(decoder.held(), 0, "nothing is held once all is complete");
+    assert_eq!(
+        decoder.buffered_bytes(),
+        0,
+        "nothing is held once all is complete"
+    );
 }
 
 #[test]
@@ -230,6 +234,6 @@
             }
         }
         proptest::prop_assert_eq!(found, expected);
-        proptest::prop_assert_eq!(decoder.held(), 0);
+        proptest::prop_assert_eq!(decoder.buffered_bytes(), 0);
     }
 }
