--- a/kernel/src/accepted.rs
+++ b/kernel/src/accepted.rs
@@ -1,32 +1,32 @@
-//! Which content each revision of a configuration item was accepted with, so
-//! that a call sent again is told from another call under the same revision.
+//! The content with which each revision of a configuration item was accepted. It
+//! distinguishes a repeated call from another call with the same revision.
 
 use crate::prelude::*;
 
-/// Accepted revisions remembered per item besides the one that stands. The
-/// bound is argued in docs/guarantees/point-2.md.
+/// Maximum number of accepted revisions remembered per item, in addition to the
+/// current one. The reasons for the bound are in docs/guarantees/point-2.md.
 pub const ACCEPTED_REVISIONS: usize = 64;
 
-/// Bytes of a SHA-256 that are kept: enough that two contents never share a
-/// digest by chance.
+/// Number of bytes of the SHA-256 that are kept: enough that an accidental collision
+/// of two contents is practically impossible.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of what operators sent for one revision of an item: the source text
-/// byte for byte, or that the item is removed.
+/// Digest of the content that operators sent for one revision of an item: the source
+/// text byte for byte, or a marker for a removal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentDigest([u8; DIGEST_BYTES]);
 
 impl ContentDigest {
-    /// The digest of an item's source text, or of its removal.
+    /// Computes the digest of an item's source text, or of its removal.
     pub fn of(item: &Item) -> ContentDigest {
         const SET: [u8; 1] = [0];
         const REMOVED: [u8; 1] = [1];
-        let content = Sha256::new();
+        let hasher = Sha256::new();
         let hash = match item.text {
-            Some(_) => content
+            Some(_) => hasher
                 .chain_update(SET)
                 .chain_update(item.source.as_bytes()),
-            None => content.chain_update(REMOVED),
+            None => hasher.chain_update(REMOVED),
         }
         .finalize();
         let mut bytes = [0; DIGEST_BYTES];
@@ -40,12 +40,12 @@
 pub struct AcceptedRevision {
     /// The revision.
     pub revision: u64,
-    /// What it was accepted with.
+    /// Digest of the accepted content.
     pub digest: ContentDigest,
 }
 
 impl AcceptedRevision {
-    /// The revision of an item as it was sent.
+    /// Returns the revision and digest of an item as it was sent.
     pub fn of(item: &Item) -> AcceptedRevision {
         AcceptedRevision {
             revision: item.revision,
@@ -54,22 +54,22 @@
     }
 }
 
-/// How a revision compares with those that were accepted before.
+/// Result of comparing a revision with the accepted ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It was accepted with this content.
+    /// The revision was accepted with the same content.
     Same,
-    /// It was accepted with another content.
+    /// The revision was accepted with different content.
     Conflict,
-    /// It was not accepted.
+    /// The revision was never accepted.
     Never,
-    /// It is older than what is remembered: it may have been accepted.
+    /// The revision is older than the remembered ones: it may have been accepted.
     Forgotten,
 }
 
-/// Accepted revisions of one item below the one that stands. Invariants:
-/// - `revisions` rise and are at most `ACCEPTED_REVISIONS`.
-/// - Each revision above `forgotten` that was accepted is among them.
+/// Accepted revisions of one item below the current one. Invariants:
+/// - `revisions` are in ascending order, at most `ACCEPTED_REVISIONS` of them.
+/// - Each accepted revision above `forgotten` is among them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedRevisions {
     revisions: VecDeque<AcceptedRevision>,
@@ -78,45 +78,47 @@
 }
 
 impl AcceptedRevisions {
-    /// How `asked`, below the standing revision, compares with what is
-    /// remembered.
-    pub fn compare(&self, asked: AcceptedRevision) -> Acceptance {
-        if let Ok(at) = self.position(asked.revision) {
-            return if self.revisions[at].digest == asked.digest {
+    /// Compares `requested`, a revision below the current one, with the remembered
+    /// ones.
+    pub fn compare(&self, requested: AcceptedRevision) -> Acceptance {
+        if let Ok(index) = self.position(requested.revision) {
+            return if self.revisions[index].digest == requested.digest {
                 Acceptance::Same
             } else {
                 Acceptance::Conflict
             };
         }
-        let dropped = self.forgotten.is_some_and(|last| asked.revision <= last);
-        // It could not be remembered: it would be the first to be dropped.
-        let no_room = self.revisions.len() >= ACCEPTED_REVISIONS
+        let dropped = self
+            .forgotten
+            .is_some_and(|last| requested.revision <= last);
+        // There is no space to remember it: it would be the first to be dropped.
+        let no_space = self.revisions.len() >= ACCEPTED_REVISIONS
             && self
                 .revisions
                 .front()
-                .is_some_and(|oldest| asked.revision < oldest.revision);
-        if dropped || no_room {
+                .is_some_and(|oldest| requested.revision < oldest.revision);
+        if dropped || no_space {
             Acceptance::Forgotten
         } else {
             Acceptance::Never
         }
     }
 
-    /// Remembers a revision that is not remembered yet; the oldest is dropped
-    /// if there are too many.
+    /// Adds a revision unless it is remembered already; drops the oldest if there
+    /// are too many.
     pub fn remember(&mut self, accepted: AcceptedRevision) {
-        if let Err(at) = self.position(accepted.revision) {
-            self.revisions.insert(at, accepted);
+        if let Err(index) = self.position(accepted.revision) {
+            self.revisions.insert(index, accepted);
         }
         while self.revisions.len() > ACCEPTED_REVISIONS {
             let oldest = self.revisions.pop_front();
-            self.forgotten = oldest.map(|one| one.revision).max(self.forgotten);
+            self.forgotten = oldest.map(|oldest| oldest.revision).max(self.forgotten);
         }
     }
 
-    /// Where the revision is, or where it belongs.
+    /// Returns the index of the revision, or the index at which to insert it.
     fn position(&self, revision: u64) -> Result<usize, usize> {
         self.revisions
-            .binary_search_by_key(&revision, |known| known.revision)
+            .binary_search_by_key(&revision, |accepted| accepted.revision)
     }
 }
--- a/kernel/src/applied.rs
+++ b/kernel/src/applied.rs
@@ -1,16 +1,16 @@
-//! Which changes of a row that is replaced whole were applied, so that a
-//! change sent again is acknowledged again and neither refused nor repeated.
+//! The changes applied to a row that is replaced as a whole. They allow a repeated
+//! change to be acknowledged again, and neither rejected nor applied twice.
 
 use crate::prelude::*;
 
-/// Applied changes remembered per row. The bound is argued in
-/// docs/guarantees/point-2.md.
+/// Maximum number of applied changes remembered per row. The reasons for the bound
+/// are in docs/guarantees/point-2.md.
 pub const APPLIED_CHANGES: usize = 128;
 
-/// A change and the version under which it was applied.
+/// An applied change and the resulting version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
-    /// Names the change.
+    /// Id of the change.
     pub change: u64,
     /// The version under which it was applied.
     pub version: u64,
@@ -26,20 +26,20 @@
 }
 
 impl AppliedChanges {
-    /// The version under which a change was applied, if it is remembered.
+    /// Returns the version under which a change was applied, if it is remembered.
     pub fn version_of(&self, change: u64) -> Option<u64> {
         self.changes
             .iter()
-            .find(|known| known.change == change)
-            .map(|known| known.version)
+            .find(|applied| applied.change == change)
+            .map(|applied| applied.version)
     }
 
-    /// Every change applied after this version is remembered.
+    /// Returns the version after which every applied change is remembered.
     pub fn complete_after(&self) -> u64 {
         self.complete_after
     }
 
-    /// Remembers a change; the oldest is dropped if there are too many.
+    /// Adds a change; drops the oldest if there are too many.
     pub fn remember(&mut self, change: u64, version: u64) {
         self.changes.push_back(AppliedChange { change, version });
         while self.changes.len() > APPLIED_CHANGES {
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -1,16 +1,17 @@
 //! Named items of the configuration, merged into one document.
 use crate::prelude::*;
 
-/// The named parts of the configuration, read once each. Invariants:
-/// - `parts` holds, per row key, what the row of that version says.
-/// - What is in force is the document and all parts that stand, together:
-///   they share names and places, and are valid only as a whole.
+/// The parsed parts of the configuration: the document and the named items.
+/// Invariants:
+/// - `parts` holds, for each row key, the version and the parsed content of the row.
+/// - The document and all items take effect together: names and paths must be
+///   unique among them, and they are valid only as a whole.
 #[derive(Debug, Default, Clone)]
 pub struct Items {
     parts: BTreeMap<String, (u64, ItemContent)>,
 }
 
-/// One named part, read.
+/// The parsed content of one part.
 #[derive(Debug, Clone)]
 pub(crate) enum ItemContent {
     Document(Arc<Configuration>),
@@ -20,11 +21,11 @@
     Removed,
 }
 
-/// All items as one document, with the bounds if any are set.
+/// All parts merged into one document, with the bounds if any are set.
 pub type Merged = (Configuration, Option<Arc<Bounds>>);
 
 impl Items {
-    /// Row key of an item.
+    /// Returns the row key of an item.
     pub fn key(kind: ItemKind, name: &str) -> String {
         match kind {
             ItemKind::Group => format!("item/group/{name}"),
@@ -33,13 +34,14 @@
         }
     }
 
-    /// Row key of the revisions an item was accepted under earlier.
+    /// Returns the row key of an item's earlier accepted revisions.
     pub fn accepted_key(kind: ItemKind, name: &str) -> String {
         format!("accepted/{}", Items::key(kind, name))
     }
 
-    /// Takes one row of the configuration's partition; others than document and
-    /// items are passed over. Findings have places within the item.
+    /// Applies a row of the configuration's partition; rows other than the document
+    /// and items are ignored. Returns true if the row was applied. The places of
+    /// findings are relative to the item.
     pub fn apply_row(&mut self, key: &str, row: &Row) -> Result<bool, Vec<Finding>> {
         if self
             .parts
@@ -64,16 +66,16 @@
             return Ok(ItemContent::Removed);
         };
         let part = match item.kind {
-            ItemKind::Group => ItemContent::Group(Arc::new(read_content(text)?)),
-            ItemKind::Entry => ItemContent::Entry(Arc::new(read_content(text)?)),
-            ItemKind::Bounds => ItemContent::Bounds(Arc::new(read_content(text)?)),
+            ItemKind::Group => ItemContent::Group(Arc::new(parse_content(text)?)),
+            ItemKind::Entry => ItemContent::Entry(Arc::new(parse_content(text)?)),
+            ItemKind::Bounds => ItemContent::Bounds(Arc::new(parse_content(text)?)),
         };
-        let own = match &part {
+        let own_name = match &part {
             ItemContent::Group(group) => group.service.as_str(),
             ItemContent::Entry(entry) => entry.name.as_str(),
             _ => "",
         };
-        if own == item.name {
+        if own_name == item.name {
             Ok(part)
         } else {
             Err(vec![Finding::new(
@@ -83,25 +85,26 @@
         }
     }
 
-    /// What is wrong with one item by itself; places are within it.
+    /// Validates one item by itself and returns its findings; places are relative to
+    /// the item.
     pub fn findings(item: &Item) -> Vec<Finding> {
         Items::read(item).err().unwrap_or_default()
     }
 
-    /// All that stands, as one document, with the bounds if any are set; each
-    /// finding's place begins with the row key of its item.
+    /// Returns all current parts as one document, with the bounds if any are set.
+    /// Each finding's place starts with the row key of its item.
     pub fn merged(&self) -> Result<Merged, Vec<Finding>> {
-        self.joined().map_err(|found| {
+        self.merge_with_keys().map_err(|found| {
             found
                 .into_iter()
-                .map(|(key, one)| Finding::new(format!("{key}{}", one.place), one.text))
+                .map(|(key, finding)| Finding::new(format!("{key}{}", finding.place), finding.text))
                 .collect()
         })
     }
 
-    /// The same; each finding with its item's row key (none: of no one item),
-    /// and its place within.
-    pub(crate) fn joined(&self) -> Result<Merged, Vec<(String, Finding)>> {
+    /// Like [`Items::merged`], but each finding comes with the row key of its item
+    /// (empty if it concerns no single item) and a place relative to the item.
+    pub(crate) fn merge_with_keys(&self) -> Result<Merged, Vec<(String, Finding)>> {
         let mut document = Configuration {
             groups: Vec::new(),
             entries: Vec::new(),
@@ -110,13 +113,13 @@
         let mut bounds = None;
         for (key, (_, part)) in &self.parts {
             match part {
-                ItemContent::Document(whole) => {
-                    document.groups.extend(whole.groups.iter().cloned());
-                    document.entries.extend(whole.entries.iter().cloned());
+                ItemContent::Document(base) => {
+                    document.groups.extend(base.groups.iter().cloned());
+                    document.entries.extend(base.entries.iter().cloned());
                 }
                 ItemContent::Group(group) => document.groups.push((**group).clone()),
                 ItemContent::Entry(entry) => document.entries.push((**entry).clone()),
-                ItemContent::Bounds(known) => bounds = Some(known.clone()),
+                ItemContent::Bounds(item) => bounds = Some(item.clone()),
                 ItemContent::Removed => {}
             }
             group_keys.resize(document.groups.len(), key);
@@ -126,33 +129,36 @@
         if found.is_empty() {
             return Ok((document, bounds));
         }
-        let of_item = |one: Finding| {
-            let words: Vec<&str> = one.place.splitn(4, '/').collect();
-            let at = words.get(2).and_then(|word| word.parse::<usize>().ok());
-            let keys = if words.get(1) == Some(&"groups") {
+        let with_item_key = |finding: Finding| {
+            let segments: Vec<&str> = finding.place.splitn(4, '/').collect();
+            let index = segments
+                .get(2)
+                .and_then(|segment| segment.parse::<usize>().ok());
+            let keys = if segments.get(1) == Some(&"groups") {
                 &group_keys
             } else {
                 &entry_keys
             };
-            match at.and_then(|at| keys.get(at)) {
+            match index.and_then(|index| keys.get(index)) {
                 Some(key) => (
                     (*key).clone(),
-                    Finding::new(format!("/{}", words.get(3).unwrap_or(&"")), one.text),
+                    Finding::new(format!("/{}", segments.get(3).unwrap_or(&"")), finding.text),
                 ),
-                None => (String::new(), one),
+                None => (String::new(), finding),
             }
         };
-        Err(found.into_iter().map(of_item).collect())
+        Err(found.into_iter().map(with_item_key).collect())
     }
 
-    /// Takes a part that no row holds yet, to see whether all fits together.
+    /// Inserts a part that is not stored in a row yet, to validate it together with
+    /// the others.
     pub(crate) fn insert_unstored(&mut self, key: String, part: ItemContent) {
         self.parts.insert(key, (0, part));
     }
 }
 
-/// One part from its JSON, with all that is wrong in it by itself.
-fn read_content<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
+/// Parses and validates one part by itself; returns all findings.
+fn parse_content<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
     let part: T =
         serde_json::from_str(text).map_err(|error| vec![Finding::new("", error.to_string())])?;
     let found = findings_of(part.validate());
--- a/kernel/src/items_change.rs
+++ b/kernel/src/items_change.rs
@@ -1,64 +1,64 @@
-//! Judges a call that sets or removes items: what it puts, or why nothing of
-//! it takes effect.
+//! Validates a call that sets or removes configuration items: the rows to put, or the
+//! reasons for its rejection.
 
 use crate::prelude::*;
 
 #[cfg(test)]
 mod tests;
 
-/// What a call does that may be acknowledged.
+/// The effect of a valid call.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ItemsChange {
-    /// Rows to put; none if all of the call was accepted before.
+    /// Rows to put; empty if every item of the call was accepted earlier.
     pub rows: Vec<(String, Value)>,
-    /// Row keys that speak of the call's items: it is acknowledged once these,
-    /// as they are after the change, have settled.
+    /// Keys of the rows about the call's items. The call is acknowledged when the
+    /// state of these rows after the change has settled.
     pub keys: BTreeSet<String>,
 }
 
-/// Why nothing of a call takes effect. The place of a finding begins with the
-/// item's in the call, or with the row key of an item that stands.
+/// The reason why a call is rejected as a whole. The place of a finding starts with
+/// the item's index in the call, or with the row key of a current item.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ItemsRejection {
-    /// Something is wrong in an item, or with all that would stand.
+    /// An item is invalid by itself, or together with the other items.
     Invalid(Vec<Finding>),
-    /// A revision was accepted before with another content.
+    /// A revision was accepted earlier with different content.
     Conflict(Vec<Finding>),
-    /// It is not known any more whether a revision was accepted.
+    /// It is no longer known whether a revision was accepted.
     Forgotten(Vec<Finding>),
 }
 
 impl ItemsChange {
-    /// Judges a call against the rows that stand.
+    /// Validates a call against the current rows.
     pub fn validate(
         rows: &BTreeMap<String, Row>,
         items: Vec<Item>,
     ) -> Result<ItemsChange, ItemsRejection> {
-        let mut judgement = Judgement::new(rows);
-        for (at, item) in items.into_iter().enumerate() {
-            judgement.add(at, item);
+        let mut validator = CallValidator::new(rows);
+        for (index, item) in items.into_iter().enumerate() {
+            validator.add(index, item);
         }
-        judgement.conclude()
+        validator.finish()
     }
 }
 
-/// An item of the call: what stands under its name and what is remembered, as
-/// they would be after the state machine of the call judged so far.
-struct Subject {
-    standing: Option<AcceptedRevision>,
-    /// The item to put, with its place in the call.
-    fresh: Option<(usize, Item)>,
+/// State of an item that the call names: its current and remembered revisions, as
+/// they would be after the part of the call that was validated so far.
+struct ItemState {
+    current: Option<AcceptedRevision>,
+    /// The item to put, with its index in the call.
+    to_put: Option<(usize, Item)>,
     earlier: AcceptedRevisions,
     earlier_changed: bool,
 }
 
-impl Subject {
-    fn of(rows: &BTreeMap<String, Row>, item: &Item) -> Subject {
-        let standing = match rows.get(&Items::key(item.kind, &item.name)) {
+impl ItemState {
+    fn of(rows: &BTreeMap<String, Row>, item: &Item) -> ItemState {
+        let current = match rows.get(&Items::key(item.kind, &item.name)) {
             Some(Row {
-                value: Value::Item(known),
+                value: Value::Item(stored),
                 ..
-            }) => Some(AcceptedRevision::of(known)),
+            }) => Some(AcceptedRevision::of(stored)),
             _ => None,
         };
         let earlier = match rows.get(&Items::accepted_key(item.kind, &item.name)) {
@@ -68,36 +68,38 @@
             }) => earlier.clone(),
             _ => AcceptedRevisions::default(),
         };
-        Subject {
-            standing,
-            fresh: None,
+        ItemState {
+            current,
+            to_put: None,
             earlier,
             earlier_changed: false,
         }
     }
 
-    /// How a revision compares with what stands and what stood before.
-    fn compare(&self, asked: AcceptedRevision) -> Acceptance {
-        match self.standing {
+    /// Compares a revision with the current one and the earlier ones.
+    fn compare(&self, requested: AcceptedRevision) -> Acceptance {
+        match self.current {
             None => Acceptance::Never,
-            Some(standing) if asked.revision > standing.revision => Acceptance::Never,
-            Some(standing) if asked.revision < standing.revision => self.earlier.compare(asked),
-            Some(standing) if asked.digest == standing.digest => Acceptance::Same,
+            Some(current) if requested.revision > current.revision => Acceptance::Never,
+            Some(current) if requested.revision < current.revision => {
+                self.earlier.compare(requested)
+            }
+            Some(current) if requested.digest == current.digest => Acceptance::Same,
             Some(_) => Acceptance::Conflict,
         }
     }
 
-    /// Accepts a revision for the first time: it stands if it is the highest.
-    /// An older one is remembered, so that no other content is confirmed under
-    /// it later, and has no other effect.
-    fn accept(&mut self, at: usize, item: Item) {
-        let asked = AcceptedRevision::of(&item);
-        let superseded = match self.standing {
-            Some(standing) if asked.revision < standing.revision => Some(asked),
-            standing => {
-                self.standing = Some(asked);
-                self.fresh = Some((at, item));
-                standing
+    /// Accepts a revision for the first time. It becomes the current one if it is
+    /// the highest. An older one is only remembered, so that no other content is
+    /// confirmed under it later.
+    fn accept(&mut self, index: usize, item: Item) {
+        let requested = AcceptedRevision::of(&item);
+        let superseded = match self.current {
+            Some(current) if requested.revision < current.revision => Some(requested),
+            current => {
+                self.current = Some(requested);
+                self.to_put = Some((index, item));
+                current
             }
         };
         if let Some(superseded) = superseded {
@@ -107,59 +109,61 @@
     }
 }
 
-/// The judgement of one call, item by item.
-struct Judgement<'a> {
+/// Validates one call, item by item.
+struct CallValidator<'a> {
     rows: &'a BTreeMap<String, Row>,
-    known: Items,
-    subjects: BTreeMap<(ItemKind, String), Subject>,
+    merged: Items,
+    item_states: BTreeMap<(ItemKind, String), ItemState>,
     invalid: Vec<Finding>,
     conflicts: Vec<Finding>,
     forgotten: Vec<Finding>,
 }
 
-impl<'a> Judgement<'a> {
-    fn new(rows: &'a BTreeMap<String, Row>) -> Judgement<'a> {
-        let mut known = Items::default();
+impl<'a> CallValidator<'a> {
+    fn new(rows: &'a BTreeMap<String, Row>) -> CallValidator<'a> {
+        let mut merged = Items::default();
         for (key, row) in rows {
-            // What stands was judged before.
-            let _ = known.apply_row(key, row);
+            // The current rows were validated when they were put.
+            let _ = merged.apply_row(key, row);
         }
-        Judgement {
+        CallValidator {
             rows,
-            known,
-            subjects: BTreeMap::new(),
+            merged,
+            item_states: BTreeMap::new(),
             invalid: Vec::new(),
             conflicts: Vec::new(),
             forgotten: Vec::new(),
         }
     }
 
-    fn add(&mut self, at: usize, item: Item) {
+    fn add(&mut self, index: usize, item: Item) {
         let part = match Items::read(&item) {
             Ok(part) => part,
             Err(found) => {
-                let placed = |one: Finding| Finding::new(format!("/{at}{}", one.place), one.text);
+                let placed = |finding: Finding| {
+                    Finding::new(format!("/{index}{}", finding.place), finding.text)
+                };
                 return self.invalid.extend(found.into_iter().map(placed));
             }
         };
         let (kind, name, revision) = (item.kind, item.name.clone(), item.revision);
         let key = Items::key(kind, &name);
         let rows = self.rows;
-        let subject = self
-            .subjects
+        let item_state = self
+            .item_states
             .entry((kind, name))
-            .or_insert_with(|| Subject::of(rows, &item));
-        let place = format!("/{at}/revision");
-        match subject.compare(AcceptedRevision::of(&item)) {
+            .or_insert_with(|| ItemState::of(rows, &item));
+        let place = format!("/{index}/revision");
+        match item_state.compare(AcceptedRevision::of(&item)) {
             Acceptance::Same => {}
             Acceptance::Never => {
-                subject.accept(at, item);
-                if subject
-                    .fresh
+                item_state.accept(index, item);
+                if item_state
+                    .to_put
                     .as_ref()
-                    .is_some_and(|(fresh, _)| *fresh == at)
+                    .is_some_and(|(put_index, _)| *put_index == index)
                 {
-                    self.known.insert_unstored(key, part);
+                    self.merged.insert_unstored(key, part);
                 }
             }
             Acceptance::Conflict => self.conflicts.push(Finding::new(
@@ -173,7 +177,7 @@
         }
     }
 
-    fn conclude(self) -> Result<ItemsChange, ItemsRejection> {
+    fn finish(self) -> Result<ItemsChange, ItemsRejection> {
         if !self.invalid.is_empty() {
             return Err(ItemsRejection::Invalid(self.invalid));
         }
@@ -183,43 +187,45 @@
         if !self.forgotten.is_empty() {
             return Err(ItemsRejection::Forgotten(self.forgotten));
         }
-        if let Err(found) = self.known.joined() {
+        if let Err(found) = self.merged.merge_with_keys() {
             return Err(ItemsRejection::Invalid(self.placed_in_call(found)));
         }
         Ok(self.change())
     }
 
-    /// Findings of all that would stand; those of an item of the call get its
-    /// place there.
+    /// Converts the findings of the merged configuration; for an item of the call,
+    /// the place starts with its index in the call.
     fn placed_in_call(&self, found: Vec<(String, Finding)>) -> Vec<Finding> {
-        let fresh: BTreeMap<String, usize> = self
-            .subjects
+        let put_indexes: BTreeMap<String, usize> = self
+            .item_states
             .iter()
-            .filter_map(|((kind, name), subject)| {
-                let (at, _) = subject.fresh.as_ref()?;
-                Some((Items::key(*kind, name), *at))
+            .filter_map(|((kind, name), item_state)| {
+                let (index, _) = item_state.to_put.as_ref()?;
+                Some((Items::key(*kind, name), *index))
             })
             .collect();
-        let place = |key: String| match fresh.get(&key) {
-            Some(at) => format!("/{at}"),
+        let place = |key: String| match put_indexes.get(&key) {
+            Some(index) => format!("/{index}"),
             None => key,
         };
         found
             .into_iter()
-            .map(|(key, one)| Finding::new(format!("{}{}", place(key), one.place), one.text))
+            .map(|(key, finding)| {
+                Finding::new(format!("{}{}", place(key), finding.place), finding.text)
+            })
             .collect()
     }
 
     fn change(self) -> ItemsChange {
         let mut change = ItemsChange::default();
-        for ((kind, name), subject) in self.subjects {
+        for ((kind, name), item_state) in self.item_states {
             let key = Items::key(kind, &name);
             let accepted_key = Items::accepted_key(kind, &name);
-            if let Some((_, item)) = subject.fresh {
+            if let Some((_, item)) = item_state.to_put {
                 change.rows.push((key.clone(), Value::Item(item)));
             }
-            if subject.earlier_changed {
-                let value = Value::Accepted(subject.earlier);
+            if item_state.earlier_changed {
+                let value = Value::Accepted(item_state.earlier);
                 change.rows.push((accepted_key.clone(), value));
             }
             change.keys.extend([key, accepted_key]);
--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `items_change`.
+//! Tests of the `items_change` module.
 use crate::prelude::*;
 
 fn item(kind: ItemKind, name: &str, revision: u64, text: Option<String>) -> Item {
@@ -28,7 +28,7 @@
     item(ItemKind::Entry, name, revision, None)
 }
 
-/// The rows of one partition, changed as its leader changes them.
+/// The rows of one partition, changed in the same way as by its leader.
 #[derive(Default, Clone)]
 struct Partition {
     rows: BTreeMap<String, Row>,
@@ -36,14 +36,14 @@
 }
 
 impl Partition {
-    /// One with a group to which entries may go.
+    /// Creates a partition with a group that entries can refer to.
     fn with_group() -> Partition {
         let mut partition = Partition::default();
         assert_eq!(partition.put(vec![group("s", 1)]), Ok(1));
         partition
     }
 
-    /// The number of items put, or why the call was refused.
+    /// Applies a call and returns the number of items put, or the rejection.
     fn put(&mut self, items: Vec<Item>) -> Result<usize, ItemsRejection> {
         let change = ItemsChange::validate(&self.rows, items)?;
         let is_item = |(_, value): &&(String, Value)| matches!(value, Value::Item(_));
@@ -56,22 +56,23 @@
         Ok(count)
     }
 
-    /// What the call is refused for, as one text.
-    fn invalid(&mut self, items: Vec<Item>) -> String {
+    /// Returns the findings of an invalid call as one text.
+    fn put_invalid(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
             Err(ItemsRejection::Invalid(found)) => joined(&found),
             other => panic!("{other:?}"),
         }
     }
 
-    fn conflict(&mut self, items: Vec<Item>) -> String {
+    /// Returns the findings of a conflicting call as one text.
+    fn put_conflicting(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
             Err(ItemsRejection::Conflict(found)) => joined(&found),
             other => panic!("{other:?}"),
         }
     }
 
-    fn standing(&self, name: &str) -> Option<u64> {
+    fn current_revision(&self, name: &str) -> Option<u64> {
         match &self.rows.get(&Items::key(ItemKind::Entry, name))?.value {
             Value::Item(item) => Some(item.revision),
             _ => None,
@@ -96,7 +97,7 @@
         Ok(0),
         "not newer: no effect"
     );
-    let found = partition.invalid(vec![
+    let found = partition.put_invalid(vec![
         entry("b", 9, "/b/", "s"),
         entry("c", 9, "/c/", "none"),
     ]);
@@ -108,36 +109,40 @@
         name: "d".into(),
         ..entry("c", 9, "/c/", "s")
     };
-    assert!(partition.invalid(vec![other]).contains("another name"));
-    assert_eq!(partition.standing("b"), None, "no part of an invalid call");
-    let found = partition.invalid(vec![entry("b", 9, "/a/", "s")]);
-    assert!(!found.is_empty(), "two entries at one place");
+    assert!(partition.put_invalid(vec![other]).contains("another name"));
+    assert_eq!(
+        partition.current_revision("b"),
+        None,
+        "no part of an invalid call is applied"
+    );
+    let found = partition.put_invalid(vec![entry("b", 9, "/a/", "s")]);
+    assert!(!found.is_empty(), "two entries with one path");
     assert_eq!(
         partition.put(vec![removal("a", 12), entry("b", 9, "/a/", "s")]),
         Ok(2),
-        "it made room in the same call"
+        "the removal frees the path in the same call"
     );
     assert_eq!(
         partition.put(vec![entry("a", 11, "/z/", "s")]),
         Ok(0),
         "older than the removal"
     );
-    let found = partition.invalid(vec![item(ItemKind::Group, "s", 20, None)]);
+    let found = partition.put_invalid(vec![item(ItemKind::Group, "s", 20, None)]);
     assert!(
         found.contains("item/entry/b/group"),
-        "an entry still goes to it: {found}"
+        "an entry still refers to it: {found}"
     );
     assert_eq!(partition.put(vec![entry("a", 13, "/z/", "s")]), Ok(1));
 }
 
-/// Once, the second of two operators under one revision was acknowledged,
-/// while the first one's content stood.
+/// Regression: two operators put different content under one revision. The second call
+/// was acknowledged although the first one's content was in effect.
 #[test]
 fn revision_with_other_content_conflicts_and_call_has_no_effect() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 7, "/a/", "s")]), Ok(1));
     let before = partition.rows.clone();
-    let found = partition.conflict(vec![
+    let found = partition.put_conflicting(vec![
         entry("b", 7, "/b/", "s"),
         entry("a", 7, "/other/", "s"),
     ]);
@@ -145,30 +150,30 @@
         found.contains("/1/revision") && found.contains("item/entry/a: revision 7"),
         "{found}"
     );
-    partition.conflict(vec![removal("a", 7)]);
-    assert_eq!(partition.rows, before, "also the new item is not put");
+    partition.put_conflicting(vec![removal("a", 7)]);
+    assert_eq!(partition.rows, before, "the new item is not put either");
     assert_eq!(
         partition.put(vec![entry("a", 7, "/a/", "s"), entry("b", 7, "/b/", "s")]),
         Ok(1),
-        "the accepted one is no hindrance to others"
+        "an item accepted earlier does not block the others"
     );
 }
 
 #[test]
 fn contradictory_call_conflicts_and_highest_revision_wins() {
     let mut partition = Partition::with_group();
-    partition.conflict(vec![entry("a", 7, "/a/", "s"), entry("a", 7, "/b/", "s")]);
+    partition.put_conflicting(vec![entry("a", 7, "/a/", "s"), entry("a", 7, "/b/", "s")]);
     assert_eq!(
         partition.put(vec![entry("a", 7, "/a/", "s"), entry("a", 7, "/a/", "s")]),
         Ok(1),
-        "the same twice"
+        "the same item twice"
     );
     assert_eq!(
         partition.put(vec![entry("b", 9, "/b/", "s"), entry("b", 8, "/c/", "s")]),
         Ok(1)
     );
-    assert_eq!(partition.standing("b"), Some(9));
-    partition.conflict(vec![entry("b", 8, "/d/", "s")]);
+    assert_eq!(partition.current_revision("b"), Some(9));
+    partition.put_conflicting(vec![entry("b", 8, "/d/", "s")]);
 }
 
 #[test]
@@ -181,8 +186,8 @@
     let before = partition.rows.clone();
     assert_eq!(partition.put(vec![entry("a", 5, "/5/", "s")]), Ok(0));
     assert_eq!(partition.put(vec![entry("a", 3, "/3/", "s")]), Ok(0));
-    partition.conflict(vec![entry("a", 5, "/other/", "s")]);
-    partition.conflict(vec![removal("a", 3)]);
+    partition.put_conflicting(vec![entry("a", 5, "/other/", "s")]);
+    partition.put_conflicting(vec![removal("a", 3)]);
     assert_eq!(partition.rows, before, "a repeat changes nothing");
 }
 
@@ -191,23 +196,23 @@
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 9, "/9/", "s")]), Ok(1));
     assert_eq!(partition.put(vec![entry("a", 7, "/7/", "s")]), Ok(0));
-    assert_eq!(partition.standing("a"), Some(9));
+    assert_eq!(partition.current_revision("a"), Some(9));
     assert_eq!(partition.put(vec![entry("a", 7, "/7/", "s")]), Ok(0));
-    partition.conflict(vec![entry("a", 7, "/other/", "s")]);
+    partition.put_conflicting(vec![entry("a", 7, "/other/", "s")]);
     assert_eq!(partition.put(vec![removal("a", 12)]), Ok(1));
     assert_eq!(partition.put(vec![entry("a", 9, "/9/", "s")]), Ok(0));
-    partition.conflict(vec![entry("a", 12, "/back/", "s")]);
+    partition.put_conflicting(vec![entry("a", 12, "/back/", "s")]);
 }
 
 #[test]
 fn removals_compare_equal_in_any_layout() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![removal("a", 4)]), Ok(1));
-    let in_other_words = Item {
+    let in_another_layout = Item {
         source: "".into(),
         ..removal("a", 4)
     };
-    assert_eq!(partition.put(vec![in_other_words]), Ok(0));
+    assert_eq!(partition.put(vec![in_another_layout]), Ok(0));
 }
 
 #[test]
@@ -218,26 +223,29 @@
     let again = ItemsChange::validate(&partition.rows, vec![entry("a", 7, "/a/", "s")]).unwrap();
     assert!(again.rows.is_empty());
     assert!(again.keys.contains("item/entry/a") && again.keys.contains("accepted/item/entry/a"));
-    assert!(!again.keys.contains("item/entry/b"), "of no concern to it");
+    assert!(
+        !again.keys.contains("item/entry/b"),
+        "not an item of the call"
+    );
 }
 
 #[test]
 fn revision_memory_is_bounded_and_forgotten_is_reported() {
     let mut partition = Partition::with_group();
     let newest = 2 * ACCEPTED_REVISIONS as u64;
-    let at = |revision: u64| entry("a", revision, &format!("/{revision}/"), "s");
+    let revision_item = |revision: u64| entry("a", revision, &format!("/{revision}/"), "s");
     for revision in 1..=newest {
-        assert_eq!(partition.put(vec![at(revision)]), Ok(1));
+        assert_eq!(partition.put(vec![revision_item(revision)]), Ok(1));
     }
     let oldest_known = newest - ACCEPTED_REVISIONS as u64;
-    assert_eq!(partition.put(vec![at(oldest_known)]), Ok(0));
-    partition.conflict(vec![entry("a", oldest_known, "/other/", "s")]);
+    assert_eq!(partition.put(vec![revision_item(oldest_known)]), Ok(0));
+    partition.put_conflicting(vec![entry("a", oldest_known, "/other/", "s")]);
     let before = partition.rows.clone();
     for content in ["/1/", "/other/"] {
-        let told = partition.put(vec![entry("a", 1, content, "s")]);
+        let result = partition.put(vec![entry("a", 1, content, "s")]);
         assert!(
-            matches!(told, Err(ItemsRejection::Forgotten(_))),
-            "{content}: {told:?}"
+            matches!(result, Err(ItemsRejection::Forgotten(_))),
+            "{content}: {result:?}"
         );
     }
     assert_eq!(partition.rows, before);
--- a/kernel/src/shared_updates.rs
+++ b/kernel/src/shared_updates.rs
@@ -1,10 +1,10 @@
-//! Updates as it is told to many edges at once.
+//! Updates that are sent to many edges at once.
 use crate::prelude::*;
 use serde::{Deserializer, Serializer};
 use std::sync::OnceLock;
 
-/// Updates that lack the same: held once and encoded once, however many edges it
-/// is told to. On the wire it is a list of [`PartitionUpdate`].
+/// Updates for all edges that lack the same rows: held and encoded once, however many
+/// edges they are sent to. The wire format is a list of [`PartitionUpdate`].
 #[derive(Debug, Clone, Default)]
 pub struct SharedUpdates(Option<Arc<UpdateBody>>);
 
@@ -15,10 +15,10 @@
 }
 
 impl SharedUpdates {
-    /// As it goes on the wire.
+    /// Returns the wire encoding.
     pub fn encoded(&self) -> Arc<[u8]> {
         let encode = |updates: &[PartitionUpdate]| -> Arc<[u8]> {
-            let bytes = bincode::serialize(updates).expect("news serialize");
+            let bytes = bincode::serialize(updates).expect("updates serialize");
             bytes.into()
         };
         match &self.0 {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The updates itself, copied only if others hold it too.
+    /// Returns the updates, cloned only if they are shared.
     pub fn into_updates(self) -> Vec<PartitionUpdate> {
         match self.0.map(Arc::try_unwrap) {
             Some(Ok(body)) => body.updates,
