--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -4,49 +4,49 @@
 
 use crate::prelude::*;
 
-/// The largest document that is read.
+/// Maximum size of a document in bytes.
 pub const CONFIGURATION_BYTES: usize = 4 * 1024 * 1024;
-/// Entries that a document may have.
+/// Maximum number of entries in a document.
 pub const MAX_ENTRIES: u64 = 10_000;
-/// Groups that a document may have.
+/// Maximum number of groups in a document.
 pub const MAX_GROUPS: u64 = 64;
 
-/// The operators' complete document. Unknown fields are findings; nothing of a
-/// document with a finding takes effect.
+/// The operators' complete configuration document. Unknown fields are findings; no
+/// part of a document with a finding takes effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Configuration {
-    /// Groups of origins, one a service.
+    /// Groups of origins, one for each service.
     #[validate(length(max = "MAX_GROUPS"), nested)]
     pub groups: Vec<Group>,
-    /// Entries: which requests go to which group.
+    /// Entries that route requests to groups.
     #[validate(length(max = "MAX_ENTRIES"), nested)]
     pub entries: Vec<Entry>,
 }
 
-/// The origins of one service and how they may be called. A service has one
-/// group, so budgets and rates of a service have one admission controller.
+/// The origins of one service and the limits for calling them. A service has one
+/// group, so its budgets and rates are enforced by one admission controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Group {
-    /// The service, by which origins are listed.
+    /// The service, under which origins are listed.
     #[validate(length(min = 1, max = 64))]
     pub service: String,
-    /// Calls a second to one origin.
+    /// Maximum rate of calls to one origin, per second.
     #[validate(range(min = 0.5, max = 10000.0))]
     pub rate: f64,
-    /// Calls at a time to one origin.
+    /// Maximum number of concurrent calls to one origin.
     #[validate(range(min = 1, max = 1000))]
     pub concurrency: u32,
-    /// ed25519 public key, base64; none if origins are `Named`.
+    /// ed25519 public key in base64; empty if origins are `Named`.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub key: String,
-    /// How an origin's response is known to be its own.
-    #[serde(default, skip_serializing_if = "Proof::usual")]
+    /// Method by which an origin's response is authenticated.
+    #[serde(default, skip_serializing_if = "Proof::is_default")]
     pub proof: Proof,
-    /// Calls a second to all its origins together.
+    /// Maximum rate of calls to all origins of the group together, per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 0.1, max = 1000000.0))]
     pub total_rate: Option<f64>,
-    /// Connections that one origin accepts from all edges together.
+    /// Maximum number of connections to one origin from all edges together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 100000))]
     pub sessions: Option<u32>,
@@ -54,160 +54,164 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(length(min = 1, max = 1024))]
     pub probe: Option<String>,
-    /// The service itself executes an operation key once, however often it is
-    /// called.
+    /// True if the service itself executes an operation key once, however often
+    /// it is called.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub keeps_keys: bool,
 }
 
-/// How an origin's response is known to be its own.
+/// Method by which an origin's response is authenticated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Proof {
-    /// It signs each response with the group's key.
+    /// The origin signs each response with the group's key.
     #[default]
     Seal,
-    /// Each call names the instance it is meant for; another one refuses it,
-    /// and the response names the request.
+    /// Each call names its target instance; another instance rejects it, and the
+    /// response names the request.
     Named,
 }
 
 impl Proof {
-    fn usual(&self) -> bool {
+    fn is_default(&self) -> bool {
         *self == Proof::Seal
     }
 }
 
-/// A weighted part of an entry's requests that goes to another group.
+/// A weighted share of an entry's requests that is routed to another group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
     /// The other group.
     #[validate(length(min = 1, max = 64))]
     pub group: String,
-    /// Its part of the sum of all weights.
+    /// Weight, relative to the sum of all weights.
     #[validate(range(min = 0.0, max = 1000000.0))]
     pub weight: f64,
 }
 
-/// What clients may send and how long they may take.
+/// Limits on the size and timing of client requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// The largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[validate(range(min = 256, max = 1048576))]
     pub head_bytes: u64,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[validate(range(min = 0, max = 1073741824))]
     pub body_bytes: u64,
-    /// From the first byte of a head to its last, in milliseconds.
+    /// Timeout from the first byte of a head to its last, in milliseconds.
     #[validate(range(min = 10, max = 600000))]
     pub head_ms: u64,
-    /// Between two requests on one connection, in milliseconds.
+    /// Idle timeout between two requests on one connection, in milliseconds.
     #[validate(range(min = 10, max = 3600000))]
     pub idle_ms: u64,
 }
 
-/// How often a request may be executed, and whether its response is shared.
+/// The kind of an entry: how often a request may be executed, and whether its response
+/// is shared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Its response is shared through the cache.
+    /// The response is shared through the cache.
     Cached,
-    /// Carries an operation key; executed at most once.
+    /// The request carries an operation key and is executed at most once.
     Keyed,
-    /// Idempotent: may be executed more than once.
+    /// The request is idempotent and may be executed more than once.
     Repeatable,
-    /// Executed at most once, without a key; only GET and HEAD are retried.
+    /// The request has no key and is executed at most once; only GET and HEAD are
+    /// retried.
     Plain,
-    /// Executed at most once, without a key and whatever its method.
+    /// The request has no key and is executed at most once, for every method.
     Once,
 }
 
-/// A route: requests that match go to `group` with `rank`; a higher rank has
-/// priority.
+/// A route: matching requests are sent to `group` with priority `rank`; a higher rank
+/// is served first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the entry.
     #[validate(length(min = 1, max = 64))]
     pub name: String,
-    /// The host it is for; none: any.
+    /// Host that the entry serves; `None`: any host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(length(min = 1, max = 255))]
     pub host: Option<String>,
-    /// Requests for this path and below it match.
+    /// Path prefix: requests for this path and below it match.
     #[validate(length(min = 1, max = 1024))]
     pub path: String,
-    /// In items, none means all; the document lists them.
-    #[serde(default = "Entry::usual_methods")]
+    /// HTTP methods that match. Empty means all methods in an item, and is invalid
+    /// in the document.
+    #[serde(default = "Entry::default_methods")]
     #[validate(length(max = 8))]
     pub methods: Vec<String>,
-    /// The group that serves it.
+    /// Group that serves the requests.
     #[validate(length(min = 1, max = 64))]
     pub group: String,
-    /// Its priority: higher is served first.
+    /// Priority: a higher rank is served first.
     #[validate(range(min = 0, max = 1000))]
     pub rank: u32,
-    /// How often it may be executed, and whether its response is shared.
+    /// Kind of the entry.
     pub kind: Kind,
-    /// How long a cached response is kept, in seconds.
+    /// Time to live of a cached response, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 0.1, max = 86400.0))]
     pub cache_ttl_s: Option<f64>,
-    /// How long a request may take, in milliseconds, unless the client says so.
-    #[serde(default = "Entry::usual_deadline")]
+    /// Timeout of a request, in milliseconds, unless the client sends one.
+    #[serde(default = "Entry::default_deadline_ms")]
     #[validate(range(min = 1, max = 600000))]
     pub deadline_ms: u64,
-    /// Where requests go instead of all to `group`, by weight.
+    /// Weighted groups that requests are distributed over, instead of `group`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[validate(nested)]
     pub split: Vec<Share>,
-    /// Origins that one request may be sent to, at most.
+    /// Maximum number of origins that one request may be sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 100))]
     pub attempts: Option<u32>,
-    /// The latency target in milliseconds: a response in this time is worth
-    /// most.
+    /// Latency target in milliseconds: a response within this time has the
+    /// highest value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(range(min = 1, max = 600000))]
     pub aim_ms: Option<u64>,
 }
 
 impl Entry {
-    fn usual_methods() -> Vec<String> {
+    fn default_methods() -> Vec<String> {
         vec!["GET".into()]
     }
 
-    fn usual_deadline() -> u64 {
+    fn default_deadline_ms() -> u64 {
         5000
     }
 
-    /// Whether a request of this method is the entry's.
+    /// Returns true if the entry matches requests with this method.
     pub fn accepts(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|known| known == method)
     }
 
-    /// The group of one request: by weight, and alike for one key, so that an
-    /// object has one source and a retry meets the same service.
+    /// Returns the group for a request: chosen by weight, and always the same for
+    /// one key, so that an object has one source and a retry reaches the same
+    /// service.
     pub fn group_for(&self, key: &[u8]) -> &str {
-        let whole: f64 = self.split.iter().map(|share| share.weight).sum();
-        let mut left = f64::from(crc32fast::hash(key)) / f64::from(u32::MAX) * whole;
+        let total: f64 = self.split.iter().map(|share| share.weight).sum();
+        let mut remaining = f64::from(crc32fast::hash(key)) / f64::from(u32::MAX) * total;
         for share in self.split.iter().filter(|share| share.weight > 0.0) {
-            left -= share.weight;
-            if left <= 0.0 {
+            remaining -= share.weight;
+            if remaining <= 0.0 {
                 return &share.group;
             }
         }
         &self.group
     }
 
-    /// How long a request may take unless the client says so.
+    /// Returns the timeout of a request, unless the client sends one.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// How long a cached response is kept: the major expiry; the minor one is
-    /// half.
+    /// Returns the time to live of a cached response, which is the major expiry;
+    /// the minor expiry is half of it.
     pub fn cache_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.cache_ttl_s.unwrap_or(10.0))
     }
@@ -216,13 +220,13 @@
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS"];
 
 impl Configuration {
-    /// The group of a service.
+    /// Returns the group of a service.
     pub fn group(&self, service: &str) -> Option<&Group> {
         self.groups.iter().find(|group| group.service == service)
     }
 
-    /// What is wrong between the parts of a document whose parts were read
-    /// one by one; places name the entry or group.
+    /// Validates the document as a document_json, after its parts were validated one by
+    /// one; places name the entry or group.
     pub fn findings(&self) -> Vec<Finding> {
         let mut found = Vec::new();
         let groups: Vec<Option<&Group>> = self.groups.iter().map(Some).collect();
@@ -241,7 +245,7 @@
         found
     }
 
-    /// Reads and checks a document: all findings come together.
+    /// Parses and validates a document; returns all findings together.
     pub fn read(text: &str) -> Result<Configuration, Vec<Finding>> {
         if text.len() > CONFIGURATION_BYTES {
             let text = format!(
@@ -250,20 +254,20 @@
             );
             return Err(vec![Finding::new("", text)]);
         }
-        let whole: serde_json::Value = serde_json::from_str(text)
+        let document_json: serde_json::Value = serde_json::from_str(text)
             .map_err(|error| vec![Finding::new("", format!("not JSON: {error}"))])?;
         let mut found = Vec::new();
-        let Some(top) = whole.as_object() else {
+        let Some(fields) = document_json.as_object() else {
             return Err(vec![Finding::new("", "must be an object")]);
         };
-        for name in top
+        for name in fields
             .keys()
             .filter(|name| !["groups", "entries"].contains(&name.as_str()))
         {
             found.push(Finding::new(pointer(&[name]), "unknown field"));
         }
-        let groups: Vec<Option<Group>> = read_list(&whole, "groups", &mut found);
-        let entries: Vec<Option<Entry>> = read_list(&whole, "entries", &mut found);
+        let groups: Vec<Option<Group>> = read_list(&document_json, "groups", &mut found);
+        let entries: Vec<Option<Entry>> = read_list(&document_json, "entries", &mut found);
         check_groups(
             &groups.iter().map(Option::as_ref).collect::<Vec<_>>(),
             &mut found,
@@ -273,14 +277,14 @@
             &groups.iter().map(Option::as_ref).collect::<Vec<_>>(),
             &mut found,
         );
-        for (at, entry) in entries
+        for (index, entry) in entries
             .iter()
             .enumerate()
-            .filter_map(|(at, entry)| Some((at, entry.as_ref()?)))
+            .filter_map(|(index, entry)| Some((index, entry.as_ref()?)))
         {
             if entry.methods.is_empty() {
                 found.push(Finding::new(
-                    pointer(&["entries", &at.to_string(), "methods"]),
+                    pointer(&["entries", &index.to_string(), "methods"]),
                     "length out of bounds (min 1, max 8)",
                 ));
             }
@@ -304,9 +308,9 @@
 
 fn check_groups(groups: &[Option<&Group>], found: &mut Vec<Finding>) {
     let mut seen = HashSet::new();
-    for (at, group) in groups.iter().enumerate() {
+    for (index, group) in groups.iter().enumerate() {
         let Some(group) = group else { continue };
-        let place = |field: &str| pointer(&["groups", &at.to_string(), field]);
+        let place = |field: &str| pointer(&["groups", &index.to_string(), field]);
         if !seen.insert(&group.service) {
             found.push(Finding::new(
                 place("service"),
@@ -325,102 +329,103 @@
 }
 
 fn check_entries(entries: &[Option<&Entry>], groups: &[Option<&Group>], found: &mut Vec<Finding>) {
-    let known: HashSet<&str> = groups
+    let services: HashSet<&str> = groups
         .iter()
         .flatten()
         .map(|group| group.service.as_str())
         .collect();
     let mut names = HashSet::new();
     let mut matches = HashSet::new();
-    for (at, entry) in entries.iter().enumerate() {
+    for (index, entry) in entries.iter().enumerate() {
         let Some(entry) = entry else { continue };
-        let place = |field: &str| pointer(&["entries", &at.to_string(), field]);
-        let mut say = |field: &str, text: &str| found.push(Finding::new(place(field), text));
+        let place = |field: &str| pointer(&["entries", &index.to_string(), field]);
+        let mut report = |field: &str, text: &str| found.push(Finding::new(place(field), text));
         if !names.insert(&entry.name) {
-            say("name", "name is taken");
+            report("name", "name is taken");
         }
-        if !known.contains(entry.group.as_str()) {
-            say("group", "no such group");
+        if !services.contains(entry.group.as_str()) {
+            report("group", "no such group");
         }
         if entry
             .split
             .iter()
-            .any(|share| !known.contains(share.group.as_str()))
+            .any(|share| !services.contains(share.group.as_str()))
         {
-            say("split", "no such group");
+            report("split", "no such group");
         }
         if !entry.split.is_empty()
             && entry.split.iter().map(|share| share.weight).sum::<f64>() <= 0.0
         {
-            say("split", "some weight must be above 0");
+            report("split", "some weight must be above 0");
         }
         if !entry.path.starts_with('/') {
-            say("path", "must start with /");
+            report("path", "must start with /");
         }
         if entry.methods.is_empty() && !matches.insert((&entry.host, &entry.path, "")) {
-            say("path", "another entry has this host and path");
+            report("path", "another entry has this host and path");
         }
         for method in &entry.methods {
             if !METHODS.contains(&method.as_str()) {
-                say("methods", &format!("method {method} is not served"));
+                report("methods", &format!("method {method} is not served"));
             }
             if !matches.insert((&entry.host, &entry.path, method.as_str())) {
-                say(
+                report(
                     "path",
                     &format!("another entry has this host, path and method {method}"),
                 );
             }
         }
         if entry.kind == Kind::Cached && !entry.methods.is_empty() && entry.methods != ["GET"] {
-            say("methods", "a cached entry serves GET only");
+            report("methods", "a cached entry serves GET only");
         }
         if (entry.kind == Kind::Cached) != entry.cache_ttl_s.is_some() {
-            say("cache_ttl_s", "goes with kind cached, and only with it");
+            report("cache_ttl_s", "goes with kind cached, and only with it");
         }
     }
 }
 
-/// Reads each item by itself, so that one bad item does not hide another.
+/// Parses each element by itself, so that one invalid element does not hide the findings
+/// of another.
 fn read_list<T: for<'a> Deserialize<'a> + Serialize + Validate>(
-    whole: &serde_json::Value,
+    document_json: &serde_json::Value,
     name: &str,
     found: &mut Vec<Finding>,
 ) -> Vec<Option<T>> {
-    let Some(list) = whole.get(name).and_then(|list| list.as_array()) else {
+    let Some(list) = document_json.get(name).and_then(|list| list.as_array()) else {
         found.push(Finding::new(pointer(&[name]), "must be a list"));
         return Vec::new();
     };
     let mut read = Vec::new();
-    for (at, item) in list.iter().enumerate() {
-        let place = pointer(&[name, &at.to_string()]);
+    for (index, item) in list.iter().enumerate() {
+        let place = pointer(&[name, &index.to_string()]);
         match serde_json::from_value::<T>(item.clone()) {
             Err(error) => {
                 found.push(Finding::new(place, error.to_string()));
                 read.push(None);
             }
-            Ok(good) => {
-                for finding in findings_of(good.validate()) {
+            Ok(parsed) => {
+                for finding in findings_of(parsed.validate()) {
                     found.push(Finding::new(
                         format!("{place}{}", finding.place),
                         finding.text,
                     ));
                 }
-                unknown_fields(item, &good, &place, found);
-                read.push(Some(good));
+                report_unknown_fields(item, &parsed, &place, found);
+                read.push(Some(parsed));
             }
         }
     }
     read
 }
 
-/// A field that does not survive reading is one we do not know.
-fn unknown_fields<T: Serialize>(
+/// Reports fields that are not part of the parsed value.
+fn report_unknown_fields<T: Serialize>(
     item: &serde_json::Value,
-    good: &T,
+    parsed: &T,
     place: &str,
     found: &mut Vec<Finding>,
 ) {
-    let known = serde_json::to_value(good).unwrap_or_default();
+    let known = serde_json::to_value(parsed).unwrap_or_default();
     let optional = [
         "host",
         "cache_ttl_s",
@@ -455,7 +460,7 @@
         .collect()
 }
 
-/// The validator's tree of errors as a flat list with pointers.
+/// Converts the validator's tree of errors to a flat list of findings with JSON pointers.
 pub fn findings_of(checked: Result<(), validator::ValidationErrors>) -> Vec<Finding> {
     fn walk(errors: &validator::ValidationErrors, place: &str, found: &mut Vec<Finding>) {
         for (field, kind) in errors.errors() {
@@ -463,8 +468,8 @@
             match kind {
                 validator::ValidationErrorsKind::Struct(inner) => walk(inner, &place, found),
                 validator::ValidationErrorsKind::List(list) => {
-                    for (at, inner) in list {
-                        walk(inner, &format!("{place}/{at}"), found);
+                    for (index, inner) in list {
+                        walk(inner, &format!("{place}/{index}"), found);
                     }
                 }
                 validator::ValidationErrorsKind::Field(list) => {
--- a/kernel/src/configuration/tests.rs
+++ b/kernel/src/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `configuration`.
+//! Tests of the `configuration` module.
 use crate::prelude::*;
 
 #[test]
@@ -27,9 +27,9 @@
 fn entry_limit_is_enforced() {
     let text = |count: usize| {
         let entries: Vec<String> = (0..count)
-            .map(|at| {
+            .map(|index| {
                 format!(
-                    r#"{{"name":"e{at}","path":"/p/{at}","group":"s","rank":1,"kind":"plain"}}"#
+                    r#"{{"name":"e{index}","path":"/p/{index}","group":"s","rank":1,"kind":"plain"}}"#
                 )
             })
             .collect();
--- a/kernel/src/event.rs
+++ b/kernel/src/event.rs
@@ -2,22 +2,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Declares the numbered events of the log; docs/events.md lists them all and
-/// a test holds the two against each other.
+/// Declares the numbered events of the log. docs/events.md lists them all, and a test
+/// compares the two.
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident;)*) => {
         /// A numbered event of the log.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Event {
             $(
-                #[doc = concat!("E", stringify!($number), " in docs/events.md, written as ", stringify!($level), ".")]
+                #[doc = concat!("Event E", stringify!($number), " in docs/events.md, level ", stringify!($level), ".")]
                 $name = $number,
             )*
         }
         impl Event {
             /// All events.
             pub const ALL: &[Event] = &[$(Event::$name),*];
-            /// The level at which it is written.
+            /// Returns the level at which the event is logged.
             pub fn level(self) -> log::Level {
                 match self { $(Event::$name => log::Level::$level),* }
             }
--- a/kernel/src/event/tests.rs
+++ b/kernel/src/event/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `event`.
+//! Tests of the `event` module.
 use crate::prelude::*;
 
 #[test]
@@ -15,7 +15,7 @@
                 .join(" ")
         })
         .collect();
-    let known: Vec<String> = Event::ALL
+    let declared: Vec<String> = Event::ALL
         .iter()
         .map(|event| {
             format!(
@@ -25,5 +25,5 @@
             )
         })
         .collect();
-    assert_eq!(listed, known);
+    assert_eq!(listed, declared);
 }
--- a/kernel/src/finding.rs
+++ b/kernel/src/finding.rs
@@ -1,18 +1,18 @@
-//! Findings: what is wrong with settings and documents, reported together.
+//! Findings: validation errors of settings and documents, reported together.
 use crate::prelude::*;
 
-/// One thing wrong with a document or a setting. Findings are collected and
-/// reported together.
+/// A validation error of a document or a setting. Findings are collected and reported
+/// together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where: a JSON pointer, or the flag's name.
+    /// Location: a JSON pointer, or the name of a flag or setting.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub text: String,
 }
 
 impl Finding {
-    /// A finding at `place`.
+    /// Creates a finding at `place`.
     pub fn new(place: impl Into<String>, text: impl Into<String>) -> Finding {
         Finding {
             place: place.into(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Prints everything that is wrong and ends the program with code 2.
+/// Prints all findings and exits the program with status 2.
 pub fn exit_with_findings(program: &str, found: &[Finding]) -> ! {
     for finding in found {
         eprintln!("{program}: {finding}");
--- a/kernel/src/frontend.rs
+++ b/kernel/src/frontend.rs
@@ -1,50 +1,52 @@
-//! The frontend of a process: where it meets clients, operators and origins.
+//! The frontend of a process: its connections with clients, operators and origins.
 use crate::prelude::*;
 
-/// Why a frontend cannot be opened.
+/// Reasons why a frontend could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontendError {
-    /// A setting is missing that it needs.
+    /// A required setting is missing.
     #[error("{0} is not set")]
     MissingSetting(&'static str),
-    /// An address is taken or is not this machine's.
+    /// The address is in use or does not belong to this machine.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system or the HTTP library said.
+        /// The error of the operating system or the HTTP library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The thread that serves could not be started.
+    /// The server thread could not be started.
     #[error(transparent)]
     Start(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Where a process meets callers, operators, the platform and origins: it puts
-/// inputs to its part through the port and carries the state machine's calls out.
+/// The interface of a process to clients, operators, the platform and origins: it sends
+/// their requests to the state machine through the port, and makes the state machine's
+/// calls to origins.
 pub trait Frontend: Send {
-    /// Listens and serves until the port says that the process ends.
+    /// Starts to listen and serve; ends when the port is ending.
     fn open(&mut self, port: &Arc<Port>) -> Result<(), FrontendError>;
 
-    /// Makes a call; `Input::CallCompleted` follows.
+    /// Makes a call to an origin; `Input::CallCompleted` follows.
     fn call(&self, id: u64, call: Call);
 
-    /// Ends the call, if it is under way; no `Input::CallCompleted` follows.
+    /// Cancels a call in flight; no `Input::CallCompleted` follows.
     fn cancel_call(&self, _id: u64) {}
 
-    /// The call under way gets this much time from now.
+    /// Sets the remaining time of a call in flight.
     fn extend_call(&self, _id: u64, _limit: Duration) {}
 
-    /// Small messages are so late on this machine's link.
+    /// Reports the measured delay of small messages on this machine's link.
     fn link_delay(&self, _delay: Duration) {}
 
-    /// The process ends soon: no new sessions are begun.
+    /// Prepares for shutdown: drains the client connections; no new sessions start.
     fn prepare_shutdown(&self) {}
 
-    /// The state machine has ended: nobody is accepted any more, and each
-    /// connection ends with its next response, or once none is under way.
+    /// Finishes after the state machine has shut down: no connection is accepted any
+    /// longer, and each one closes after its next response, or when no response is
+    /// pending.
     fn finish(&self) {}
 
-    /// After `finish`: all connections of clients have ended.
+    /// Returns true if, after `finish`, all client connections are closed.
     fn is_done(&self) -> bool;
 }
--- a/kernel/src/lease/tests.rs
+++ b/kernel/src/lease/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of `lease`.
+//! Tests of the `lease` module.
 use crate::prelude::*;
 
-/// Clocks jump: nothing the product decides may hang on one that can.
+/// Wall clocks can jump, so no decision of the product may depend on one.
 #[test]
 fn product_reads_no_wall_clock() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
@@ -14,23 +14,23 @@
     ]
     .map(|name| root.join(name).join("src"))
     .into();
-    let mut read = 0;
+    let mut file_count = 0;
     while let Some(folder) = folders.pop() {
         for file in std::fs::read_dir(folder).unwrap() {
             let path = file.unwrap().path();
             if path.is_dir() {
                 folders.push(path);
             } else {
-                read += 1;
+                file_count += 1;
                 let text = std::fs::read_to_string(&path).unwrap();
-                let word = ["System", "Time"].concat();
+                let wall_clock_type = ["System", "Time"].concat();
                 assert!(
-                    !text.contains(&word),
+                    !text.contains(&wall_clock_type),
                     "{} reads a wall clock",
                     path.display()
                 );
             }
         }
     }
-    assert!(read > 30);
+    assert!(file_count > 30);
 }
--- a/kernel/src/lib.rs
+++ b/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every otterslip process is built on: settings, messages, frames, links,
-//! ticks, events and the host that drives a state machine.
+//! The common base of all otterslip processes: settings, messages, frames, links,
+//! events, and the host that drives a node's state machine.
 #![warn(missing_docs, unreachable_pub)]
 
 pub mod accepted;
--- a/kernel/src/operator_server.rs
+++ b/kernel/src/operator_server.rs
@@ -1,17 +1,20 @@
-//! The frontend of a process that only operators and the platform call.
+//! The frontend of a process that serves only operators and the platform.
 use crate::prelude::*;
 
-/// Serves operators and the platform: one thread a request, plug-ins in their
-/// order. It makes no calls.
+/// Interval at which the server checks whether the process is ending.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// A frontend that serves operators and the platform with the program's plug-ins, with
+/// one thread for each request. It makes no calls to origins.
 pub struct OperatorServer {
-    /// The program whose plug-ins are served.
+    /// Program whose plug-ins are served.
     pub program: &'static str,
-    /// The thread that accepts connections, once it is open.
+    /// Thread that accepts connections, once the frontend is open.
     pub server: Option<thread::JoinHandle<()>>,
 }
 
 impl OperatorServer {
-    /// A server that is not open yet.
+    /// Creates a server that is not open yet.
     pub fn new(program: &'static str) -> OperatorServer {
         OperatorServer {
             program,
@@ -27,15 +30,15 @@
             .http
             .ok_or(FrontendError::MissingSetting("http address"))?;
         let plug_ins = PlugIn::of(self.program);
-        let frontend = port.clone();
+        let handler_port = port.clone();
         let server = rouille::Server::new(address, move |request| {
-            serve_plug_ins(&plug_ins, &frontend, request)
+            serve_plug_ins(&plug_ins, &handler_port, request)
         })
         .map_err(|source| FrontendError::Listen { address, source })?;
         let port = port.clone();
         self.server = Some(thread::spawn(move || {
             while !port.ending.load(Ordering::Acquire) {
-                server.poll_timeout(Duration::from_millis(50));
+                server.poll_timeout(POLL_INTERVAL);
             }
             server.join();
         }));
--- a/kernel/src/origin.rs
+++ b/kernel/src/origin.rs
@@ -1,53 +1,53 @@
-//! Origins as the platform lists them, and their responses.
+//! Origins as listed by the platform, and their responses.
 use crate::prelude::*;
 
-/// A complete, verified response of an origin as it goes to a client.
+/// A complete, verified response of an origin.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// Names and values in order.
+    /// Header names and values in order.
     pub headers: Vec<(String, String)>,
     /// The complete body.
     pub body: Arc<Vec<u8>>,
-    /// What the origin tagged it with, for purges.
+    /// Tags set by the origin, matched by purges.
     pub tags: Vec<String>,
 }
 
 impl Reply {
-    /// Bytes of its headers and body.
+    /// Returns the size of headers and body in bytes.
     pub fn bytes(&self) -> usize {
         let header = |(name, value): &(String, String)| name.len() + value.len();
         self.body.len() + self.headers.iter().map(header).sum::<usize>()
     }
 }
 
-/// One origin as the platform lists it.
+/// An origin as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Origin {
-    /// Where it listens.
+    /// Address on which the origin listens.
     pub address: SocketAddr,
-    /// The service it belongs to.
+    /// Service that the origin belongs to.
     #[validate(length(min = 1, max = 64))]
     pub service: String,
-    /// Its instance id, which it proves with its responses.
+    /// Instance id, which the origin proves with its responses.
     #[validate(length(min = 1, max = 64))]
     pub instance: String,
-    /// It shuts down: it gets no further requests.
+    /// True if the origin shuts down: it gets no further requests.
     #[serde(default, rename = "leaving")]
     pub draining: bool,
-    /// Its zone.
+    /// Zone of the origin.
     #[serde(default)]
     pub zone: String,
-    /// Its region.
+    /// Region of the origin.
     #[serde(default)]
     pub region: String,
-    /// Calls it works on at a time; 0: as its group says.
+    /// Maximum number of concurrent calls; 0: the limit of its group applies.
     #[serde(default)]
     pub capacity: u32,
-    /// How much longer it is warming up (slow start), in milliseconds, when it
-    /// was first listed.
+    /// Remaining warm-up time (slow start) when the origin was first listed, in
+    /// milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
 }
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -1,12 +1,12 @@
-//! Processes of the fleet, and how work is spread over them.
+//! Processes of the fleet, and the rendezvous hashing that assigns work to them.
 use crate::prelude::*;
 
-/// The system has no randomness.
+/// The operating system provided no random bytes.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error("no randomness: {0}")]
 pub struct RandomnessError(getrandom::Error);
 
-/// A number that no other process, disk or change has; never 0.
+/// Returns a random number that identifies a process, disk or change; never 0.
 pub fn new_incarnation() -> Result<u64, RandomnessError> {
     let mut bytes = [0u8; 8];
     getrandom::fill(&mut bytes).map_err(RandomnessError)?;
@@ -16,15 +16,15 @@
 /// A process of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where it listens for peers; its name.
+    /// Address on which it listens for peers; serves as its name.
     pub address: SocketAddr,
-    /// Tells one process (edge) or one disk (control node) at that address from
-    /// the next, so that nothing an earlier one sent is attributed to a later.
+    /// Distinguishes successive processes (edge) or disks (control node) at that
+    /// address, so that a message of an earlier one is not attributed to a later one.
     pub incarnation: u64,
 }
 
 impl Peer {
-    /// The peer at an address.
+    /// Creates a peer.
     pub fn new(address: SocketAddr, incarnation: u64) -> Peer {
         Peer {
             address,
@@ -32,16 +32,16 @@
         }
     }
 
-    /// Whether an entry of the membership table (incarnation 0: whoever is
-    /// there) names this peer.
+    /// Returns true if this entry of the membership table names `peer`; incarnation 0
+    /// matches any process at the address.
     pub fn matches(&self, peer: &Peer) -> bool {
         self.address == peer.address
             && (self.incarnation == 0 || self.incarnation == peer.incarnation)
     }
 
-    /// Rendezvous weight of this peer for a named assignment: the live peer
-    /// with the highest weight is wanted, so one peer that comes or goes moves
-    /// only its own.
+    /// Returns the rendezvous weight of this peer for a named assignment. The live
+    /// peer with the highest weight is chosen, so a peer that joins or leaves moves
+    /// only its own assignments.
     pub fn weight(&self, assignment: &str) -> u64 {
         let mut hash = Sha256::new();
         hash.update(assignment.as_bytes());
@@ -51,8 +51,9 @@
 }
 
 impl Peer {
-    /// The same among peers of unlike weights: each is wanted for its part of
-    /// the sum. The peer with the lowest distance wins.
+    /// Returns the weighted rendezvous distance of this peer for an assignment: each
+    /// peer is chosen in proportion to its capacity. The peer with the lowest distance
+    /// is chosen.
     pub fn distance(&self, assignment: &str, strength: u32) -> f64 {
         let mut hash = std::hash::DefaultHasher::new();
         std::hash::Hash::hash(&(assignment, self.address), &mut hash);
--- a/kernel/src/plug_in.rs
+++ b/kernel/src/plug_in.rs
@@ -1,35 +1,35 @@
-//! HTTP handlers and background sources that register themselves at link time.
+//! Plug-ins: HTTP handlers and background sources that register themselves at link time.
 use crate::prelude::*;
 
-/// An HTTP handler of a process that registers itself: it serves calls under
-/// its paths. Collected at link time; the kernel knows none by name.
+/// An HTTP handler that registers itself and serves requests under its paths.
+/// Collected at link time; the kernel does not name any of them.
 pub struct PlugIn {
-    /// Its name, for people.
+    /// Human-readable name.
     pub name: &'static str,
-    /// Which program it belongs to; empty: to every one.
+    /// Program that it belongs to; empty: every program.
     pub program: &'static str,
-    /// Lower is tried first; any may respond.
+    /// Position in the order of plug-ins: lower ones are tried first.
     pub order: u32,
-    /// Responds to a request, or passes it on.
+    /// Responds to a request, or returns `None` to pass it to the next plug-in.
     pub serve: fn(&Port, &rouille::Request) -> Option<rouille::Response>,
 }
 
 inventory::collect!(PlugIn);
 
-/// A background source that runs beside a program's state machine for its whole
-/// incarnation (it feeds the port from outside) and registers itself.
+/// A background source that registers itself. It runs on its own thread for the
+/// lifetime of the process and sends inputs through the port.
 pub struct SourcePlugIn {
-    /// Its name, for people.
+    /// Human-readable name.
     pub name: &'static str,
-    /// Which program it belongs to.
+    /// Program that it belongs to.
     pub program: &'static str,
-    /// Runs until the port ends.
+    /// Runs until the port is ending.
     pub run: fn(&Port),
 }
 
 inventory::collect!(SourcePlugIn);
 
-/// The one description of all remote calls.
+/// The OpenAPI document of all HTTP interfaces, as JSON.
 pub const SCHEMA: &str = include_str!("../../schema/otterslip.json");
 
 inventory::submit!(PlugIn {
@@ -59,17 +59,17 @@
 }
 
 impl PlugIn {
-    /// The plug-ins of a program, in order.
+    /// Returns the plug-ins of a program, in order.
     pub fn of(program: &str) -> Vec<&'static PlugIn> {
         let mut list: Vec<&PlugIn> = inventory::iter::<PlugIn>()
-            .filter(|one| one.program.is_empty() || one.program == program)
+            .filter(|plug_in| plug_in.program.is_empty() || plug_in.program == program)
             .collect();
-        list.sort_by_key(|one| one.order);
+        list.sort_by_key(|plug_in| plug_in.order);
         list
     }
 }
 
-/// The response of the first plug-in that has one.
+/// Returns the response of the first plug-in that handles the request.
 pub fn serve_plug_ins(
     plug_ins: &[&PlugIn],
     port: &Port,
@@ -77,7 +77,7 @@
 ) -> rouille::Response {
     plug_ins
         .iter()
-        .find_map(|one| (one.serve)(port, request))
+        .find_map(|plug_in| (plug_in.serve)(port, request))
         .unwrap_or_else(|| {
             refuse(&Rejection::not_run(
                 404,
@@ -87,27 +87,26 @@
         })
 }
 
-/// A JSON response.
+/// Creates a JSON response.
 pub fn json(status: u16, body: &impl Serialize) -> rouille::Response {
     let text = serde_json::to_string(body).unwrap_or_default();
-    let mut answer = rouille::Response::from_data("application/json", text);
-    answer.status_code = status;
-    answer
+    let mut response = rouille::Response::from_data("application/json", text);
+    response.status_code = status;
+    response
 }
 
-/// A rejection as an HTTP response.
-pub fn refuse(refusal: &Rejection) -> rouille::Response {
-    let answer = json(refusal.status, refusal);
-    match refusal.retry_after_s {
-        // Whole seconds, rounded up: no one comes back too early.
-        Some(span) => {
-            answer.with_additional_header("Retry-After", (span.ceil().max(1.0) as u64).to_string())
-        }
-        None => answer,
+/// Converts a rejection to an HTTP response.
+pub fn refuse(rejection: &Rejection) -> rouille::Response {
+    let response = json(rejection.status, rejection);
+    match rejection.retry_after_s {
+        // Whole seconds, rounded up, so that no client retries too early.
+        Some(seconds) => response
+            .with_additional_header("Retry-After", (seconds.ceil().max(1.0) as u64).to_string()),
+        None => response,
     }
 }
 
-/// Reads a complete body, or rejects it when over `limit` bytes.
+/// Reads a complete body, or rejects it if it has more than `limit` bytes.
 pub fn read_body(request: &rouille::Request, limit: usize) -> Result<Vec<u8>, Rejection> {
     let mut body = Vec::new();
     let Some(stream) = request.data() else {
--- a/kernel/src/port.rs
+++ b/kernel/src/port.rs
@@ -1,39 +1,40 @@
-//! The port: what threads beside the state machine's thread share with it.
+//! The port: state shared between the state machine's thread and other threads.
 use crate::prelude::*;
 
-/// What is done with the output that completes a request.
+/// Callback for the output that completes a request.
 type Continuation = Box<dyn FnOnce(Output) + Send>;
 
-/// What HTTP threads share with the state machine's thread: they put inputs in
-/// and read what it publishes; tables are replaced as a whole.
+/// State that HTTP threads share with the state machine's thread: they send inputs
+/// and read published state; tables are replaced as a whole.
 pub struct Port {
-    /// Inputs for the state machine.
+    /// Channel for inputs of the state machine.
     pub inputs: Sender<Input>,
     started_at: Instant,
     next_id: AtomicU64,
-    /// Requests that were handed in and are not completed, by id.
+    /// Callbacks of the requests that are not completed yet, by id.
     pending: Mutex<HashMap<u64, Continuation>>,
-    /// The configuration to route requests by, once there is one.
+    /// The configuration by which requests are routed, once there is one.
     pub routes: ArcSwap<Option<Arc<RouteTable>>>,
-    /// When the lease ends, in nanoseconds since the start.
+    /// End of the lease, in nanoseconds since the start.
     fence: AtomicU64,
     ready: AtomicBool,
-    /// The state machine has ended; what was read is still answered.
+    /// True once the state machine has shut down; requests that were read are still
+    /// answered.
     pub ending: AtomicBool,
-    /// The assignments held now, by name.
+    /// The assignments owned at present, by name.
     pub assignments: ArcSwap<Vec<String>>,
     /// The process's settings.
     pub startup: Startup,
 }
 
 impl Port {
-    /// Inputs for the state machine go to `give`. Not live until a fence is
-    /// set. Fails if the system has no randomness.
-    pub fn new(give: Sender<Input>, startup: Startup) -> Result<Port, RandomnessError> {
+    /// Creates a port that sends inputs to `inputs`. It is not live until a fence is
+    /// set. Fails if the operating system provides no random bytes.
+    pub fn new(inputs: Sender<Input>, startup: Startup) -> Result<Port, RandomnessError> {
         Ok(Port {
-            inputs: give,
+            inputs,
             started_at: Instant::now(),
-            // Not where an earlier run began: its late answers fit no call of ours.
+            // Random, so that late replies to an earlier process match no request of this one.
             next_id: AtomicU64::new(new_incarnation()? >> 1),
             pending: Mutex::default(),
             routes: ArcSwap::from_pointee(None),
@@ -45,19 +46,20 @@
         })
     }
 
-    /// The lease lasts until then; `ready`: clients may come.
+    /// Sets the end of the lease; `ready`: the process is ready for clients.
     pub fn set_fence(&self, until: Duration, ready: bool) {
         self.ready.store(ready, Ordering::Release);
         self.fence.store(until.as_nanos() as u64, Ordering::Release);
     }
 
-    /// The time since the start, as the state machine counts it.
+    /// Returns the time since the start, which is the state machine's clock.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Hands `make(id)` to the state machine; `then` runs on its thread with the
-    /// output that completes it, and must not block. Returns the id.
+    /// Sends the input `make(id)` to the state machine and returns the id. `then` is
+    /// called on the state machine's thread with the output that completes the
+    /// request, and must not block.
     pub fn begin(&self, make: &dyn Fn(u64) -> Input, then: Continuation) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         self.pending
@@ -70,7 +72,7 @@
         id
     }
 
-    /// Nobody waits for this request any more.
+    /// Removes the callback of a request that no caller waits for any longer.
     pub fn forget(&self, id: u64) {
         self.pending
             .lock()
@@ -78,22 +80,22 @@
             .remove(&id);
     }
 
-    /// Hands `make(id)` to the state machine and waits for the output that
-    /// completes it; none after `limit`.
+    /// Sends the input `make(id)` to the state machine and waits for the output that
+    /// completes it; returns `None` after `limit`.
     pub fn request(&self, limit: Duration, make: &dyn Fn(u64) -> Input) -> Option<Output> {
-        let (give, take) = flume::bounded(1);
+        let (sender, receiver) = flume::bounded(1);
         let id = self.begin(
             make,
             Box::new(move |output| {
-                let _ = give.send(output);
+                let _ = sender.send(output);
             }),
         );
-        let output = take.recv_timeout(limit).ok();
+        let output = receiver.recv_timeout(limit).ok();
         self.forget(id);
         output
     }
 
-    /// Hands an output to whoever waits for it under this id, if anyone does.
+    /// Calls the callback registered under this id, if any, with an output.
     pub fn complete(&self, id: u64, output: Output) {
         let then = self
             .pending
@@ -105,20 +107,22 @@
         }
     }
 
-    /// Whether this process owns an assignment now, as far as it knows.
+    /// Returns true if this process owns an assignment, according to the latest
+    /// published state.
     pub fn owns(&self, assignment: &str) -> bool {
         self.assignments
             .load()
             .iter()
-            .any(|known| known == assignment)
+            .any(|owned| owned == assignment)
     }
 
-    /// True while the lease lasts; read anew right before a response is sent.
+    /// Returns true while the lease is valid; checked again immediately before a
+    /// response is sent.
     pub fn live(&self) -> bool {
         self.now() < Duration::from_nanos(self.fence.load(Ordering::Acquire))
     }
 
-    /// Whether clients may come.
+    /// Returns true if the process is live and ready for clients.
     pub fn ready(&self) -> bool {
         self.live() && self.ready.load(Ordering::Acquire)
     }
--- a/kernel/src/prelude.rs
+++ b/kernel/src/prelude.rs
@@ -1,4 +1,4 @@
-//! What most files of the product need. The rest is imported by name.
+//! Names that most files of the product use. Others are imported explicitly.
 pub use arc_swap::ArcSwap;
 pub use base64::Engine as _;
 pub use base64::engine::general_purpose::STANDARD as BASE64;
--- a/kernel/src/protocol.rs
+++ b/kernel/src/protocol.rs
@@ -1,25 +1,23 @@
-//! The protocol adapter: how clients and origins are spoken to.
+//! The protocol adapter: translates between the node and the platform's HTTP conventions.
 use crate::prelude::*;
 
-/// How clients and origins are spoken to: the headers and statuses of one
-/// platform. It only translates: what a request is worth, where it goes and
-/// what is remembered of it is decided elsewhere.
+/// Translates between the node and the headers and statuses of one platform. It makes
+/// no decisions: priority, routing and recorded outcomes are determined elsewhere.
 pub trait ProtocolAdapter: Send + Sync {
-    /// How long the client says it will wait.
+    /// Returns the client's timeout, if the headers contain one.
     fn timeout(&self, headers: &[(String, String)]) -> Option<Duration>;
 
-    /// The key under which the client's operation runs once.
+    /// Returns the operation key under which the request is executed at most once.
     fn operation_key<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
-    /// The client's own id of its request, if it has one: it goes on to the
-    /// origin.
+    /// Returns the client's own request id, if any, which is forwarded to the origin.
     fn request_id<'a>(&self, headers: &'a [(String, String)]) -> Option<&'a str>;
 
-    /// The headers of a call in order, `Host` among them, and the header that
-    /// its response must carry, if any.
+    /// Returns the headers of a call in order, including `Host`, and the header that
+    /// its response must contain, if any.
     fn origin_headers(&self, call: &Call) -> CallHeaders;
 
-    /// What a response to `call` is, after it was read completely.
+    /// Classifies a response to `call` that was read completely.
     fn classify(
         &self,
         call: &Call,
@@ -28,9 +26,14 @@
         body: &[u8],
     ) -> OriginVerdict;
 
-    /// What the client of a request with these headers gets: a reply's own
-    /// headers are in it already, a rejection becomes what clients understand.
-    fn client_response(&self, asked: &[(String, String)], answer: &ClientResponse) -> HttpResponse;
+    /// Converts a response for the client of a request with these headers. The
+    /// headers of a reply are already in it; a rejection is converted to the
+    /// platform's error format.
+    fn client_response(
+        &self,
+        request_headers: &[(String, String)],
+        response: &ClientResponse,
+    ) -> HttpResponse;
 }
 
 /// The headers of a call to an origin.
@@ -38,7 +41,7 @@
 pub struct CallHeaders {
     /// Names and values in order.
     pub headers: Vec<(String, String)>,
-    /// What its response must carry.
+    /// Header that the response must contain.
     pub echo: Option<(String, String)>,
 }
 
@@ -47,26 +50,26 @@
 pub struct HttpResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Headers beside those of framing.
+    /// Headers, without those of HTTP framing.
     pub headers: Vec<(String, String)>,
     /// The complete body.
     pub body: Arc<Vec<u8>>,
 }
 
-/// What a response of an origin is.
+/// The classification of an origin's response.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OriginVerdict {
-    /// The origin's own response.
+    /// A valid response of the origin.
     Accepted {
-        /// The headers that go on with it.
+        /// Headers to forward with the response.
         headers: Vec<(String, String)>,
-        /// What it is tagged with, for purges.
+        /// Tags of the response, matched by purges.
         tags: Vec<String>,
     },
     /// The origin states that it did not execute the request.
     NotExecuted,
-    /// Another instance listens at that address; it did not run it.
+    /// Another instance listens at the address; it did not execute the request.
     WrongInstance,
-    /// Nothing that could be passed on; why.
+    /// The response is invalid and not forwarded; holds the reason.
     Rejected(String),
 }
--- a/kernel/src/purge.rs
+++ b/kernel/src/purge.rs
@@ -1,70 +1,72 @@
 //! Purges and the cached responses that they match.
 use crate::prelude::*;
 
-/// What a purge matches: all that is given must match. `entry` alone: all
-/// responses of the entry. (Travels as `bincode` too, which allows no field to
-/// be left out.)
+/// The conditions of a purge: all given ones must match. `entry` alone matches all
+/// responses of the entry. (Also encoded with `bincode`, so no field may be skipped
+/// in serialization.)
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Purge {
-    /// Responses of this entry.
+    /// Matches responses of this entry.
     #[serde(default)]
     #[validate(length(min = 1, max = 64))]
     pub entry: Option<String>,
-    /// Responses with this path, or this path and query.
+    /// Matches responses with this path, or this path and query.
     #[serde(default)]
     #[validate(length(min = 1, max = 2048))]
     pub url: Option<String>,
-    /// Responses whose path begins so.
+    /// Matches responses whose path starts with this prefix.
     #[serde(default)]
     #[validate(length(min = 1, max = 2048))]
     pub prefix: Option<String>,
-    /// Responses of this host.
+    /// Matches responses of this host.
     #[serde(default)]
     #[validate(length(min = 1, max = 255))]
     pub host: Option<String>,
-    /// Responses that carry this tag.
+    /// Matches responses with this tag.
     #[serde(default)]
     #[validate(length(min = 1, max = 255))]
     pub tag: Option<String>,
 }
 
-/// What a cached response is known by when a purge is compared with it.
+/// The attributes of a cached response that a purge is compared with.
 #[derive(Debug, Clone, Copy)]
 pub struct CacheEntryName<'a> {
-    /// The configuration's entry.
+    /// Name of the configuration entry.
     pub entry: &'a str,
-    /// Empty if the response serves any host.
+    /// Host of the entry; empty if the response serves any host.
     pub host: &'a str,
     /// Path and query.
     pub url: &'a str,
-    /// None while the response is not there yet: then every tag matches.
+    /// Tags of the response; `None` while it has not arrived yet: every tag then
+    /// matches.
     pub tags: Option<&'a [String]>,
 }
 
 impl Purge {
-    /// Whether the purge removes this response.
-    pub fn matches(&self, copy: CacheEntryName) -> bool {
-        self.entry.as_deref().is_none_or(|name| name == copy.entry)
-            && self
-                .host
-                .as_deref()
-                .is_none_or(|name| copy.host.is_empty() || name.eq_ignore_ascii_case(copy.host))
-            && self
-                .url
-                .as_deref()
-                .is_none_or(|one| one == copy.url || copy.url.split('?').next() == Some(one))
+    /// Returns true if the purge removes this response.
+    pub fn matches(&self, response: CacheEntryName) -> bool {
+        self.entry
+            .as_deref()
+            .is_none_or(|name| name == response.entry)
+            && self.host.as_deref().is_none_or(|name| {
+                response.host.is_empty() || name.eq_ignore_ascii_case(response.host)
+            })
+            && self.url.as_deref().is_none_or(|url| {
+                url == response.url || response.url.split('?').next() == Some(url)
+            })
             && self
                 .prefix
                 .as_deref()
-                .is_none_or(|start| copy.url.starts_with(start))
+                .is_none_or(|prefix| response.url.starts_with(prefix))
             && self.tag.as_deref().is_none_or(|tag| {
-                copy.tags
-                    .is_none_or(|tags| tags.iter().any(|known| known == tag))
+                response
+                    .tags
+                    .is_none_or(|tags| tags.iter().any(|response_tag| response_tag == tag))
             })
     }
 
-    /// All that is wrong with the purge.
+    /// Validates the purge and returns all findings.
     pub fn findings(&self) -> Vec<Finding> {
         let mut found = findings_of(self.validate());
         if self.entry.is_none()
--- a/kernel/src/quorum/tests.rs
+++ b/kernel/src/quorum/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `quorum`.
+//! Tests of the `quorum` module.
 use crate::prelude::*;
 
-/// Every set of so many of the slots, as bits.
+/// All sets of `size` of the slots, as bit masks.
 fn sets(slots: usize, size: usize) -> Vec<u32> {
     (0..1u32 << slots)
         .filter(|set| set.count_ones() as usize == size)
         .collect()
 }
 
-fn all_meet(one: &[u32], other: &[u32]) -> bool {
+fn all_intersect(one: &[u32], other: &[u32]) -> bool {
     one.iter()
         .all(|first| other.iter().all(|second| first & second != 0))
 }
@@ -17,54 +17,58 @@
 fn majorities_intersect_and_are_minimal() {
     for slots in 1..=8 {
         let quorum = Quorum::new(slots);
-        let (most, rest) = (
+        let (majorities, intersecting) = (
             sets(slots, quorum.majority()),
             sets(slots, quorum.intersecting()),
         );
-        assert!(all_meet(&most, &most) && all_meet(&rest, &most), "{slots}");
-        let (fewer, less) = (
+        assert!(
+            all_intersect(&majorities, &majorities) && all_intersect(&intersecting, &majorities),
+            "{slots}"
+        );
+        let (smaller_majorities, smaller_intersecting) = (
             sets(slots, quorum.majority() - 1),
             sets(slots, quorum.intersecting() - 1),
         );
         assert!(
-            !all_meet(&fewer, &fewer) && !all_meet(&less, &most),
+            !all_intersect(&smaller_majorities, &smaller_majorities)
+                && !all_intersect(&smaller_intersecting, &majorities),
             "{slots}"
         );
     }
-    let known = [3, 4, 5, 8].map(|slots| {
+    let sizes = [3, 4, 5, 8].map(|slots| {
         (
             Quorum::new(slots).majority(),
             Quorum::new(slots).intersecting(),
         )
     });
-    assert_eq!(known, [(2, 2), (3, 2), (3, 3), (5, 4)]);
+    assert_eq!(sizes, [(2, 2), (3, 2), (3, 3), (5, 4)]);
 }
 
-/// One slot more at a time: who still goes by the smaller table and who
-/// goes by the larger one share a disk, and a newcomer that was refilled
-/// from `rest` of the larger one asked somebody of every majority and of
-/// every live edge of the smaller one.
+/// The table grows by one slot at a time: a majority of the smaller table and one of the
+/// larger table share a disk, and a new disk that was refilled from an intersecting set
+/// of the larger table contacted a member of every majority, and of every set that keeps
+/// an edge live, of the smaller one.
 #[test]
 fn quorums_of_adjacent_tables_intersect() {
     for slots in 1..8 {
         let (small, large) = (Quorum::new(slots), Quorum::new(slots + 1));
-        assert!(all_meet(
+        assert!(all_intersect(
             &sets(slots, small.majority()),
             &sets(slots + 1, large.majority())
         ));
-        assert!(all_meet(
+        assert!(all_intersect(
             &sets(slots, small.majority()),
             &sets(slots, large.intersecting().min(slots))
         ));
-        assert!(all_meet(
+        assert!(all_intersect(
             &sets(slots, small.intersecting()),
             &sets(slots, large.intersecting().min(slots))
         ));
     }
 }
 
-/// A blank disk in the place of one of `most` asks `rest` of the others:
-/// one of them is another of that majority.
+/// A blank disk that replaces a member of a majority is refilled from an intersecting
+/// set of the other slots: one of these belongs to the same majority.
 #[test]
 fn recovery_quorum_intersects_majorities_of_lost_disk() {
     for slots in 2..=8 {
@@ -78,6 +82,6 @@
             .filter(|set| set & 1 == 1)
             .map(|set| set & !1)
             .collect();
-        assert!(all_meet(&others, &without), "{slots}");
+        assert!(all_intersect(&others, &without), "{slots}");
     }
 }
--- a/kernel/src/route_table.rs
+++ b/kernel/src/route_table.rs
@@ -1,28 +1,27 @@
-//! The routing table: a configuration with an index over its entries.
+//! The routing table, which finds the entry of a request.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// A configuration with an index over its entries; never changed, only replaced
-/// as a whole.
+/// A configuration with an index over its entries; immutable, replaced as a whole.
 #[derive(Debug, PartialEq)]
 pub struct RouteTable {
     /// The configuration's version.
     pub version: u64,
     /// The configuration.
     pub document: Configuration,
-    /// What callers may send, if operators said so.
+    /// Limits on client requests, if operators set any.
     pub bounds: Option<Arc<Bounds>>,
     by_path: HashMap<String, Vec<usize>>,
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Builds the index of a configuration.
     pub fn new(version: u64, document: Configuration) -> RouteTable {
         let mut by_path: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, entry) in document.entries.iter().enumerate() {
-            by_path.entry(entry.path.clone()).or_default().push(at);
+        for (index, entry) in document.entries.iter().enumerate() {
+            by_path.entry(entry.path.clone()).or_default().push(index);
         }
         RouteTable {
             version,
@@ -32,41 +31,42 @@
         }
     }
 
-    /// The same, with the clients' bounds.
+    /// Sets the limits on client requests.
     pub fn within(self, bounds: Option<Arc<Bounds>>) -> RouteTable {
         RouteTable { bounds, ..self }
     }
 
-    /// The entry with the longest path that is the request's path or a whole
-    /// part of its start; of two alike the one that names the host.
+    /// Returns the index of the entry with the longest path that equals the request's
+    /// path or is a prefix of it at a `/` boundary. Of two entries with the same path,
+    /// the one that names the host is chosen.
     pub fn find(&self, host: &str, url: &str, method: &str) -> Option<usize> {
         let path = url.split(['?', '#']).next().unwrap_or(url);
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let cuts = path
+        let prefix_lengths = path
             .match_indices('/')
-            .flat_map(|(at, _)| [at, at + 1])
+            .flat_map(|(slash, _)| [slash, slash + 1])
             .chain([path.len()]);
-        let cuts: BTreeSet<usize> = cuts.filter(|at| *at > 0).collect();
-        for cut in cuts.into_iter().rev() {
-            let fits = |at: &&usize| {
-                let entry = &self.document.entries[**at];
+        let prefix_lengths: BTreeSet<usize> = prefix_lengths.filter(|length| *length > 0).collect();
+        for length in prefix_lengths.into_iter().rev() {
+            let matches = |index: &&usize| {
+                let entry = &self.document.entries[**index];
                 entry.accepts(method)
                     && entry
                         .host
                         .as_deref()
-                        .is_none_or(|known| known.eq_ignore_ascii_case(host))
+                        .is_none_or(|entry_host| entry_host.eq_ignore_ascii_case(host))
             };
-            let list = self
+            let candidates = self
                 .by_path
-                .get(&path[..cut])
+                .get(&path[..length])
                 .map(Vec::as_slice)
                 .unwrap_or_default();
-            if let Some(at) = list
+            if let Some(index) = candidates
                 .iter()
-                .filter(fits)
-                .max_by_key(|at| self.document.entries[**at].host.is_some())
+                .filter(matches)
+                .max_by_key(|index| self.document.entries[**index].host.is_some())
             {
-                return Some(*at);
+                return Some(*index);
             }
         }
         None
--- a/kernel/src/route_table/tests.rs
+++ b/kernel/src/route_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `route_table`.
+//! Tests of the `route_table` module.
 use crate::prelude::*;
 
 #[test]
@@ -33,7 +33,7 @@
     let find = |host: &str, url: &str| {
         table
             .find(host, url, "GET")
-            .map(|at| table.document.entries[at].name.clone())
+            .map(|index| table.document.entries[index].name.clone())
     };
     assert_eq!(find("b.example", "/list/4?x=/t/").as_deref(), Some("list"));
     assert_eq!(find("A.example:80", "/list").as_deref(), Some("ours"));
--- a/kernel/src/slot_set.rs
+++ b/kernel/src/slot_set.rs
@@ -2,45 +2,45 @@
 
 use crate::prelude::*;
 
-/// A set of slots, one bit each: small enough to go with each heartbeat.
+/// A set of slots with one bit for each: small enough to be sent in every heartbeat.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotSet(u16);
 
-// One bit for each slot there may be.
+// Every slot needs a bit.
 const _: () = assert!(MAX_SLOTS <= u16::BITS as usize);
 
 impl SlotSet {
-    /// Adds a slot; one beyond `MAX_SLOTS` is no slot and changes nothing.
+    /// Adds a slot; a number of `MAX_SLOTS` or above is ignored.
     pub fn insert(&mut self, slot: u8) {
         self.0 |= SlotSet::bit(slot);
     }
 
-    /// Whether the slot is in the set.
+    /// Returns true if the slot is in the set.
     pub fn contains(self, slot: u8) -> bool {
         self.0 & SlotSet::bit(slot) != 0
     }
 
-    /// How many slots are in the set.
+    /// Returns the number of slots in the set.
     pub fn len(self) -> usize {
         self.0.count_ones() as usize
     }
 
-    /// Whether no slot is in the set.
+    /// Returns true if the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// The slots in rising order.
+    /// Iterates over the slots in ascending order.
     pub fn iter(self) -> impl Iterator<Item = u8> {
         (0..MAX_SLOTS as u8).filter(move |slot| self.contains(*slot))
     }
 
-    /// Slots that are in one of the two.
+    /// Returns the slots that are in either set.
     pub fn union(self, other: SlotSet) -> SlotSet {
         SlotSet(self.0 | other.0)
     }
 
-    /// Slots of this set that are not in the other.
+    /// Returns the slots of this set that are not in the other.
     pub fn without(self, other: SlotSet) -> SlotSet {
         SlotSet(self.0 & !other.0)
     }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -1,69 +1,72 @@
-//! Settings of a process: from a file and flags, all findings at once.
+//! Settings of a process, read from a file and flags; all findings are reported together.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// The settings of a process. From a JSON file (`--startup`) and flags; a flag
-/// goes first. Everything wrong is reported at once.
+/// The settings of a process, read from a JSON file (`--startup`) and flags. A flag
+/// overrides the file. All errors are reported together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Startup {
-    /// Where peers reach us.
+    /// Address on which this process listens for peers.
     pub mesh: Option<SocketAddr>,
-    /// Where callers, operators and the platform reach us.
+    /// Address on which this process listens for clients, operators and the platform.
     pub http: Option<SocketAddr>,
-    /// The zone of this machine.
+    /// Zone of this machine.
     pub zone: String,
-    /// Zones of one region are near each other.
+    /// Region of this machine: the zones of one region are near each other.
     pub region: String,
-    /// Edges: whose copies are shared. None: those of the region.
+    /// Edges: the ring within which cached responses are shared. `None`: the region.
     pub ring: Option<String>,
-    /// Edges: what this machine can carry beside others (default 1): assignments go
-    /// by it.
+    /// Edges: relative capacity of this machine (default 1), by which assignments are
+    /// distributed.
     pub strength: Option<u32>,
-    /// Edges: no callers come here, so `http` is not needed; it owns copies and
-    /// admission for the others.
+    /// Edges: serves no clients, so `http` is not required; owns cache partitions and
+    /// admission controllers for the other edges.
     pub shield: bool,
-    /// Extra tries that a service may get in ten seconds beside a fifth of the
-    /// first ones (default 3).
+    /// Number of retries that a service may get in ten seconds, in addition to a fifth of
+    /// its first attempts (default 3).
     pub extra_tries: Option<u32>,
-    /// Where the platform asks whether callers may come, if not at `http`.
+    /// Address on which the platform checks readiness for clients, if not `http`.
     pub ready: Option<SocketAddr>,
-    /// Memory this process may use; sizes follow from it.
+    /// Memory limit of this process, in bytes, from which other sizes are derived.
     pub memory_bytes: Option<u64>,
-    /// The machine's link, in megabits a second: answers are paced to a part of
-    /// it. None: they are not paced.
+    /// Bandwidth of the machine's link, in megabits per second: responses are paced to a
+    /// fraction of it. `None`: no pacing.
     pub link_mbps: Option<f64>,
-    /// Descriptors this process may open.
+    /// Maximum number of file descriptors of this process.
     pub descriptors: Option<u64>,
-    /// Control nodes to begin with. Without `gather_ms` the three that hold the
-    /// slots, in their order; with it one to three of them, and who holds the
-    /// slots is asked there.
+    /// Addresses of the initial control nodes. Without `gather_ms`, the three that hold
+    /// the slots, in slot order; with it, one to three control nodes from which the
+    /// membership table is requested.
     pub seeds: Vec<SocketAddr>,
-    /// True only when the whole fleet starts for the first time, with empty
-    /// disks. Heeded by control nodes with `gather_ms` only.
+    /// True only when the complete fleet starts for the first time, with empty disks.
+    /// Used only by control nodes with `gather_ms`.
     pub founding: bool,
-    /// In place of `founding` when operators found the fleet again after every
-    /// disk and every edge was lost: operations of the earlier fleet may still
-    /// be repeated, so the ledger stays closed.
+    /// Replaces `founding` when operators found the fleet again after every disk and
+    /// every edge was lost: operations of the earlier fleet may still be repeated, so
+    /// the ledger stays closed.
     pub refounding: bool,
-    /// How long the first seed collects founding control nodes before it fixes
-    /// the table of slots. Edges: that the seeds are not that table.
+    /// Time, in milliseconds, for which the first seed collects founding control nodes
+    /// before it fixes the membership table. At edges, any value means that the seeds
+    /// are not the membership table.
     pub gather_ms: Option<u64>,
-    /// Control nodes: how many of them may be lost at once, for good. Where those left then make no majority, empty
-    /// ones take the places of the lost (default 0: never).
+    /// Control nodes: number of members that may be lost permanently at the same time.
+    /// If the remaining ones are no majority, empty nodes replace the lost members
+    /// (default 0: never).
     pub tolerated_losses: Option<u32>,
-    /// Control nodes only.
+    /// Control nodes: folder of the data.
     pub data: Option<PathBuf>,
-    /// How long a warned process goes on before it ends regardless.
+    /// Grace period in milliseconds: a process exits at the latest this long after it was
+    /// requested to shut down.
     pub grace_ms: Option<u64>,
-    /// How long outcomes of operations are retained (default 180 s): as long as a
-    /// repeat may come. Memory of control nodes and edges grows with it.
+    /// Retention of operation outcomes in milliseconds (default 180 s): the time in which
+    /// a client may repeat an operation. Memory of control nodes and edges grows with it.
     pub operation_retention_ms: Option<u64>,
-    /// Edges: memory for cached responses, in bytes.
+    /// Edges: maximum memory for cached responses, in bytes.
     pub cache_bytes: Option<u64>,
-    /// The log level: error, warn, info or debug.
+    /// Log level: error, warn, info or debug.
     pub log: Option<String>,
 }
 
@@ -82,17 +85,17 @@
     "--cache-bytes",
     "--log",
 ];
-/// The longest time from a warning to the end, if the settings give none.
+/// Default of `grace_ms`.
 const DEFAULT_GRACE_MS: u64 = 20_000;
 
-/// Why nothing can be logged.
+/// Reasons why the logger could not be installed.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggerError {
-    /// The settings name a level that does not exist.
+    /// The settings name an unknown level.
     #[error("no such log level")]
     Level(#[from] log::ParseLevelError),
-    /// The process logs already.
-    #[error("the process logs already")]
+    /// The process has a logger already.
+    #[error("a logger is already installed")]
     AlreadySet(#[from] log::SetLoggerError),
 }
 
@@ -101,7 +104,7 @@
     serde_json::from_str(&text).map_err(|error| error.to_string())
 }
 
-/// Prints help or version where that is asked for, and ends the program.
+/// Prints help or version and exits the program, if a flag requests it.
 pub fn help_or_version(program: &str, flags: &mut pico_args::Arguments, help: &str) {
     if flags.contains(["-h", "--help"]) {
         println!("{help}");
@@ -114,39 +117,43 @@
 }
 
 impl Startup {
-    /// Reads flags and file for `program`; prints help, version or findings
-    /// and exits where that is all there is to do.
-    pub fn gather(program: &str, about: &str, disk: bool) -> Startup {
+    /// Reads the settings of `program` from its flags and file. Prints help, version
+    /// or findings and exits the program if there are any to print.
+    pub fn gather(program: &str, about: &str, has_disk: bool) -> Startup {
         let mut flags = pico_args::Arguments::from_env();
-        help_or_version(program, &mut flags, &Startup::help(program, about, disk));
-        Startup::read(flags, disk).unwrap_or_else(|found| exit_with_findings(program, &found))
+        help_or_version(
+            program,
+            &mut flags,
+            &Startup::help(program, about, has_disk),
+        );
+        Startup::read(flags, has_disk).unwrap_or_else(|found| exit_with_findings(program, &found))
     }
 
-    fn help(program: &str, about: &str, disk: bool) -> String {
+    fn help(program: &str, about: &str, has_disk: bool) -> String {
         let mut text = format!(
             "{program}: {about}\n\nUsage: {program} [--startup FILE] [flags]\n\n\
-             --startup FILE   JSON with the fields named below; flags go first\n\
+             --startup FILE   JSON with the fields named below; flags override it\n\
              --mesh IP:PORT   where other nodes reach this one\n\
-             --http IP:PORT   where HTTP callers reach this one\n\
+             --http IP:PORT   where HTTP clients reach this one\n\
              --zone NAME      zone of this machine\n\
              --seeds A,B,C    mesh addresses of the three control nodes, by slot\n\
-             --gather-ms N    one to three seeds, who are asked who holds the slots; the first\n\
-             \x20                one collects founding control nodes for so long\n"
+             --gather-ms N    one to three seeds, which report who holds the slots; the first\n\
+             \x20                one collects founding control nodes for N milliseconds\n"
         );
-        if disk {
+        if has_disk {
             text += "--founding true  the whole fleet starts for the first time, with empty disks\n\
-                     --refounding true  instead: it is founded again after everything was lost\n\
-                     --data DIR       the data folder\n\nThe node holds the slot whose seed address is its --mesh. One elsewhere, with an\nempty folder, waits for a lost slot and takes it.\n\n";
+                     --refounding true  instead: the fleet is founded again after all data was lost\n\
+                     --data DIR       the data folder\n\nA node whose --mesh is a seed address holds the slot of that seed. Any other node,\nwith an empty folder, waits for a lost slot and takes it over.\n\n";
         } else {
-            text += "--cache-bytes N  memory for copies (default 268435456)\n\
-                     --shield true    instead of --http: owns copies and admission for other edges\n";
+            text += "--cache-bytes N  memory for cached responses (default 268435456)\n\
+                     --shield true    instead of --http: owns cache partitions and admission for other edges\n";
         }
         text + "--grace-ms N     longest time from SIGTERM to the end (default 20000)\n\
                 --log LEVEL      error, warn, info or debug (default info)\n\
                 --help, --version"
     }
 
-    fn read(mut flags: pico_args::Arguments, disk: bool) -> Result<Startup, Vec<Finding>> {
+    fn read(mut flags: pico_args::Arguments, has_disk: bool) -> Result<Startup, Vec<Finding>> {
         let mut found = Vec::new();
         let mut startup = Startup::from_file(&mut flags, &mut found);
         for flag in FLAGS {
@@ -159,10 +166,10 @@
             };
             found.extend(set.err().map(|error| Finding::new(flag, error)));
         }
-        for rest in flags.finish() {
-            found.push(Finding::new(rest.to_string_lossy(), "unknown flag"));
+        for unknown in flags.finish() {
+            found.push(Finding::new(unknown.to_string_lossy(), "unknown flag"));
         }
-        found.extend(startup.findings(disk));
+        found.extend(startup.findings(has_disk));
         if found.is_empty() {
             Ok(startup)
         } else {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// The settings of the file that `--startup` names, or none.
+    /// Reads the file that `--startup` names; returns the defaults without one.
     fn from_file(flags: &mut pico_args::Arguments, found: &mut Vec<Finding>) -> Startup {
         let read = match flags.opt_value_from_str::<_, PathBuf>("--startup") {
             Ok(None) => return Startup::default(),
@@ -185,7 +192,7 @@
         })
     }
 
-    /// Sets what one of [`FLAGS`] stands for.
+    /// Sets the field of one of [`FLAGS`].
     fn set(&mut self, flag: &str, text: &str) -> Result<(), Box<dyn std::error::Error>> {
         match flag {
             "--mesh" => self.mesh = Some(text.parse()?),
@@ -208,52 +215,52 @@
         Ok(())
     }
 
-    fn findings(&self, disk: bool) -> Vec<Finding> {
+    fn findings(&self, has_disk: bool) -> Vec<Finding> {
         let mut found = Vec::new();
-        let mut need = |bad: bool, place: &str, text: &str| {
-            if bad {
+        let mut report_if = |invalid: bool, place: &str, text: &str| {
+            if invalid {
                 found.push(Finding::new(place, text));
             }
         };
-        need(self.mesh.is_none(), "mesh", "is needed");
-        need(self.http.is_none() && !self.shield, "http", "is needed");
-        need(
-            self.shield && (self.http.is_some() || disk),
+        report_if(self.mesh.is_none(), "mesh", "is needed");
+        report_if(self.http.is_none() && !self.shield, "http", "is needed");
+        report_if(
+            self.shield && (self.http.is_some() || has_disk),
             "shield",
             "is for edges without http",
         );
-        need(self.zone.is_empty(), "zone", "is needed");
-        let unlike: BTreeSet<_> = self.seeds.iter().collect();
-        let few = self.gather_ms.is_some() && (1..=3).contains(&self.seeds.len());
-        need(
-            !few && self.seeds.len() != 3 || unlike.len() != self.seeds.len(),
+        report_if(self.zone.is_empty(), "zone", "is needed");
+        let distinct_seeds: BTreeSet<_> = self.seeds.iter().collect();
+        let few_are_valid = self.gather_ms.is_some() && (1..=3).contains(&self.seeds.len());
+        report_if(
+            !few_are_valid && self.seeds.len() != 3 || distinct_seeds.len() != self.seeds.len(),
             "seeds",
             "must be three unlike addresses (or one to three with gather_ms)",
         );
-        need(
+        report_if(
             self.founding && self.refounding,
             "refounding",
             "must be false where founding is true",
         );
         let level = self.log.as_deref().unwrap_or("info");
-        need(
+        report_if(
             level.parse::<log::LevelFilter>().is_err(),
             "log",
             "no such level",
         );
-        if disk {
-            need(self.data.is_none(), "data", "is needed");
+        if has_disk {
+            report_if(self.data.is_none(), "data", "is needed");
         }
         found
     }
 
-    /// How long founding control nodes are collected; none if the seeds are
-    /// the table of slots.
+    /// Returns the time for which founding control nodes are collected; `None` if the
+    /// seeds are the membership table.
     pub fn gather_span(&self) -> Option<Duration> {
         self.gather_ms.map(Duration::from_millis)
     }
 
-    /// Where this process runs.
+    /// Returns the location and capacity of this process.
     pub fn locality(&self) -> Locality {
         let ring = self.ring.clone().unwrap_or_else(|| self.region.clone());
         Locality {
@@ -264,30 +271,30 @@
         }
     }
 
-    /// The longest time from a warning to the end.
+    /// Returns the maximum time from the shutdown request to the exit.
     pub fn grace(&self) -> Duration {
         Duration::from_millis(self.grace_ms.unwrap_or(DEFAULT_GRACE_MS))
     }
 
-    /// How long outcomes of operations are retained.
+    /// Returns the retention of operation outcomes.
     pub fn operation_retention(&self) -> Duration {
         self.operation_retention_ms
             .map_or(lease::OPERATION_RETENTION, Duration::from_millis)
     }
 
-    /// Logs to standard error, one event a line.
+    /// Installs the logger, which writes one line per event to standard error.
     pub fn log(&self) -> Result<(), LoggerError> {
         let level = self
             .log
             .as_deref()
             .unwrap_or("info")
             .parse::<log::LevelFilter>()?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         fern::Dispatch::new()
             .format(move |out, text, record| {
                 out.finish(format_args!(
                     "{:9.3} {:5} {text}",
-                    began.elapsed().as_secs_f64(),
+                    started_at.elapsed().as_secs_f64(),
                     record.level()
                 ))
             })
--- a/kernel/src/startup/tests.rs
+++ b/kernel/src/startup/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `startup`.
+//! Tests of the `startup` module.
 use crate::prelude::*;
 
 #[test]
--- a/kernel/src/store.rs
+++ b/kernel/src/store.rs
@@ -2,26 +2,26 @@
 
 use crate::prelude::*;
 
-/// Why an operation of a store failed. The text is that of the cause.
+/// Reasons why an operation of a store failed. The text is that of the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A read, write or sync was refused by the file system.
+    /// A read, write or sync of the file system failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The stored records could not be read again.
+    /// The store could not be reopened.
     #[error(transparent)]
     Reopen(Box<dyn std::error::Error + Send + Sync>),
 }
 
 /// A log of records. A record is durable once a later `sync` has returned.
 pub trait Store: Send {
-    /// Adds a record behind all earlier ones.
+    /// Appends a record.
     fn append(&mut self, record: &[u8]) -> Result<(), StoreError>;
     /// Writes a record that replaces all earlier ones.
     fn write_snapshot(&mut self, record: &[u8]) -> Result<(), StoreError>;
     /// Makes all earlier writes durable.
     fn sync(&mut self) -> Result<(), StoreError>;
-    /// Starts again from what the disk holds, after a write that failed.
+    /// Reloads the store from disk after a failed write.
     fn reopen(&mut self) -> Result<(), StoreError>;
 }
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// Spawns the thread that writes queued records and reports each batch to
-/// `inputs`. One sync serves all records that queued up during the one before.
-/// After a failed write records are dropped until the next snapshot, which
-/// contains all that was lost. The thread ends with either channel.
+/// Spawns the thread that writes queued records and reports each batch to `inputs`.
+/// One fsync covers all records that were queued during the previous one (group
+/// commit). After a failed write, records are dropped until the next snapshot, which
+/// contains all that was lost. The thread ends when either channel is closed.
 pub fn spawn_writer(mut store: Box<dyn Store>, inputs: Sender<Input>) -> Sender<PendingWrite> {
     let (queue, queued) = flume::unbounded::<PendingWrite>();
     thread::spawn(move || {
@@ -88,8 +88,9 @@
     queue
 }
 
-/// The serial of the last record, once the batch is durable; none if nothing
-/// was to be written: after a failure only a snapshot and what follows it is.
+/// Writes and syncs a batch, and returns the serial of its last record. After a
+/// failure only a snapshot and the records after it are written; returns `None` if
+/// the batch contains none.
 fn write_batch(
     store: &mut dyn Store,
     batch: &[PendingWrite],
