--- a/kernel/tests/frames.rs
+++ b/kernel/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames and messages, as they come and as they should not.
+//! Tests of the frame codec with valid, corrupted and arbitrary input.
 use kernel::frame::{CHUNK_BYTES, EncodedMessage, FrameDecoder, FrameError};
 use kernel::prelude::*;
 use proptest::prelude::{any, prop};
@@ -27,13 +27,13 @@
     .into()
 }
 
-/// Larger than several chunks, and unlike everywhere.
+/// A message larger than several chunks, whose content varies throughout.
 fn large(fill: u32) -> Message {
-    let row = |at: u32| {
+    let row = |index: u32| {
         let value = Value::Founded {
-            generation: u64::from(at * fill),
+            generation: u64::from(index * fill),
         };
-        (format!("row {at}"), Row { version: 1, value })
+        (format!("row {index}"), Row { version: 1, value })
     };
     RecallReply {
         partition: 3,
@@ -46,11 +46,11 @@
 fn in_chunks(message: &Message) -> Vec<Vec<u8>> {
     let encoded = EncodedMessage::new(peer(), message).unwrap();
     let mut chunks = Vec::new();
-    let mut at = 0;
-    while at < encoded.len() {
-        let mut piece = Vec::new();
-        at = encoded.write_chunk(at, &mut piece);
-        chunks.push(piece);
+    let mut offset = 0;
+    while offset < encoded.len() {
+        let mut chunk = Vec::new();
+        offset = encoded.write_chunk(offset, &mut chunk);
+        chunks.push(chunk);
     }
     chunks
 }
@@ -61,10 +61,10 @@
     Ok(messages)
 }
 
-/// The messages of bytes that are to be ours.
+/// Decodes the messages of valid bytes.
 fn messages(decoder: &mut FrameDecoder, bytes: &[u8]) -> Vec<Message> {
     let found = read(decoder, bytes).unwrap();
-    found.into_iter().map(|one| one.unwrap().1).collect()
+    found.into_iter().map(|result| result.unwrap().1).collect()
 }
 
 #[test]
@@ -73,17 +73,20 @@
     let found = read(&mut FrameDecoder::default(), &good).unwrap();
     assert_eq!(found.len(), 1);
     assert_eq!(*found[0].as_ref().unwrap(), (peer(), heartbeat()));
-    for at in 0..good.len() {
+    for index in 0..good.len() {
         for bit in 0..8 {
             let mut bad = good.clone();
-            bad[at] ^= 1 << bit;
+            bad[index] ^= 1 << bit;
             let found = read(&mut FrameDecoder::default(), &bad);
-            // A greater length waits for bytes that never come.
-            let nothing = found.as_ref().is_ok_and(Vec::is_empty);
-            assert!(nothing || found.is_err(), "flip of bit {bit} at {at}");
+            // With a greater length the decoder waits for more bytes.
+            let is_incomplete = found.as_ref().is_ok_and(Vec::is_empty);
+            assert!(
+                is_incomplete || found.is_err(),
+                "flip of bit {bit} at byte {index}"
+            );
         }
-        let cut = read(&mut FrameDecoder::default(), &good[..at]).unwrap();
-        assert!(cut.is_empty(), "cut at {at}");
+        let cut = read(&mut FrameDecoder::default(), &good[..index]).unwrap();
+        assert!(cut.is_empty(), "cut at byte {index}");
     }
 }
 
@@ -91,12 +94,12 @@
 fn large_message_is_chunked_and_others_interleave() {
     let chunks = in_chunks(&large(1));
     assert!(chunks.len() > 3);
-    assert!(chunks.iter().all(|piece| piece.len() <= CHUNK_BYTES + 8));
+    assert!(chunks.iter().all(|chunk| chunk.len() <= CHUNK_BYTES + 8));
     let small = frame::write(peer(), &heartbeat()).unwrap();
     let mut decoder = FrameDecoder::default();
     let mut found = Vec::new();
-    for piece in &chunks {
-        found.extend(messages(&mut decoder, piece));
+    for chunk in &chunks {
+        found.extend(messages(&mut decoder, chunk));
         found.extend(messages(&mut decoder, &small));
     }
     let expected = vec![heartbeat(); chunks.len() - 1];
@@ -105,7 +108,7 @@
     assert_eq!(
         decoder.buffered_bytes(),
         0,
-        "nothing is held once all is complete"
+        "nothing is buffered after a complete message"
     );
 }
 
@@ -113,18 +116,18 @@
 fn chunks_beyond_frame_limit_are_rejected() {
     let chunks = in_chunks(&large(1));
     let mut decoder = FrameDecoder::default();
-    let most = frame::FRAME_BYTES / CHUNK_BYTES;
-    let refused = (0..most + 1).find_map(|_| read(&mut decoder, &chunks[0]).err());
-    assert!(matches!(refused, Some(FrameError::TooLarge(_))));
+    let max_chunks = frame::FRAME_BYTES / CHUNK_BYTES;
+    let error = (0..max_chunks + 1).find_map(|_| read(&mut decoder, &chunks[0]).err());
+    assert!(matches!(error, Some(FrameError::TooLarge(_))));
 }
 
 #[test]
 fn announced_length_beyond_limit_is_rejected_at_once() {
     let mut header = (frame::FRAME_BYTES as u32 + 1).to_be_bytes().to_vec();
     header.extend([0; 4]);
-    let refused = read(&mut FrameDecoder::default(), &header);
+    let error = read(&mut FrameDecoder::default(), &header);
     assert_eq!(
-        refused.err(),
+        error.err(),
         Some(FrameError::TooLarge(frame::FRAME_BYTES + 1))
     );
 }
@@ -193,7 +196,7 @@
         let _ = frame::decode(&body);
     }
 
-    /// Bodies near true ones get further than any bytes do.
+    /// Slightly corrupted bodies reach deeper into the decoder than arbitrary bytes.
     #[test]
     fn corrupted_body_decodes_or_is_rejected(
         kind in 0..2,
@@ -202,9 +205,9 @@
     ) {
         let message = if kind == 0 { heartbeat() } else { large(3) };
         let mut body = frame::write(peer(), &message).unwrap()[8..].to_vec();
-        for (at, byte) in changes {
-            let at = at.index(body.len());
-            body[at] = byte;
+        for (index, byte) in changes {
+            let index = index.index(body.len());
+            body[index] = byte;
         }
         let _ = frame::decode(&body);
         let _ = frame::decode(&body[..cut.index(body.len())]);
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -1,18 +1,19 @@
-//! The event loop of links over loopback, with peers that behave and others.
+//! Tests of the links' event loop over loopback, with well-behaved and faulty peers.
 use kernel::frame::{CHUNK_BYTES, FrameDecoder};
 use kernel::prelude::*;
 use std::sync::atomic::AtomicU16;
 
-const SOON: Duration = Duration::from_secs(10);
+/// Timeout for anything that a test waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Node {
     me: Peer,
     links: Links,
-    take: Receiver<Input>,
+    inputs: Receiver<Input>,
 }
 
-/// Each node has an address of its own: connections come from another, so one
-/// to a port where nobody listens cannot meet itself.
+/// Binds a listener on an IP address of its own. Connections originate from another
+/// address, so a connection to a port without a listener cannot connect to itself.
 fn listen() -> TcpListener {
     static NEXT: AtomicU16 = AtomicU16::new(2);
     let [high, low] = NEXT.fetch_add(1, Ordering::SeqCst).to_be_bytes();
@@ -31,9 +32,9 @@
     fn start_with(limits: QueueLimits) -> Node {
         let listener = listen();
         let me = peer_at(&listener);
-        let (give, take) = flume::unbounded();
-        let links = Links::open_with(me, listener, give, limits).unwrap();
-        Node { me, links, take }
+        let (sender, inputs) = flume::unbounded();
+        let links = Links::open_with(me, listener, sender, limits).unwrap();
+        Node { me, links, inputs }
     }
 
     fn send(&self, to: SocketAddr, message: impl Into<Message>) {
@@ -42,7 +43,10 @@
     }
 
     fn receive(&self) -> (Peer, Message) {
-        let input = self.take.recv_timeout(SOON).expect("something is heard");
+        let input = self
+            .inputs
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("a message arrives");
         self.links.processed();
         match input {
             Input::MessageReceived { from, message } => (from, message),
@@ -50,17 +54,17 @@
         }
     }
 
-    /// Tells a number again until it is heard: a link may lose what it is given.
+    /// Sends a message repeatedly until it is received, since a link may lose messages.
     fn send_until_received(&self, to: &Node, id: u64) {
-        let until = Instant::now() + SOON;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             self.send(to.me.address, PermitQueued { id });
-            if to.take.recv_timeout(Duration::from_millis(50)).is_ok() {
+            if to.inputs.recv_timeout(Duration::from_millis(50)).is_ok() {
                 to.links.processed();
                 return;
             }
         }
-        panic!("{id} is not heard");
+        panic!("message {id} is not received");
     }
 }
 
@@ -68,7 +72,7 @@
     PermitQueued { id }.into()
 }
 
-/// Bulk of so many bytes and a few more.
+/// A bulk message of slightly more than `bytes` bytes.
 fn bulk(id: u64, bytes: usize) -> Message {
     CachePut {
         key: [0; 32],
@@ -85,23 +89,23 @@
     .into()
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + SOON;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !is_met() {
+        assert!(Instant::now() < deadline, "timed out until {condition}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// All messages that a stream brings until `enough` of them are there.
+/// Reads messages from a stream until `enough` returns true for them.
 fn read_messages(stream: &mut TcpStream, enough: impl Fn(&[Message]) -> bool) -> Vec<Message> {
-    stream.set_read_timeout(Some(SOON)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut decoder = FrameDecoder::default();
     let mut found = Vec::new();
     let mut scratch = [0; 4096];
     while !enough(&found) {
         let size = stream.read(&mut scratch).unwrap();
-        assert!(size > 0, "the session goes on");
+        assert!(size > 0, "the session stays open");
         let decode = &mut |body: &[u8]| found.push(frame::decode(body).unwrap().1);
         decoder.feed(&scratch[..size], decode).unwrap();
     }
@@ -136,18 +140,20 @@
     assert_eq!(node.receive(), (other, urgent(1)));
     let frame = frame::write(one, &urgent(2)).unwrap();
     broken.write_all(&frame[..frame.len() - 3]).unwrap();
-    until("both are there", || {
+    wait_until("both sessions are open", || {
         node.links.counters().inbound.get() == 2
     });
-    let linger = socket2::SockRef::from(&broken);
-    linger.set_linger(Some(Duration::ZERO)).unwrap();
+    let socket = socket2::SockRef::from(&broken);
+    socket.set_linger(Some(Duration::ZERO)).unwrap();
     drop(broken);
-    until("one is left", || node.links.counters().inbound.get() == 1);
+    wait_until("one session is left", || {
+        node.links.counters().inbound.get() == 1
+    });
     whole
         .write_all(&frame::write(other, &urgent(3)).unwrap())
         .unwrap();
     assert_eq!(node.receive(), (other, urgent(3)));
-    // The one that was reset comes again, and its half frame is forgotten.
+    // The peer of the reset session reconnects, and its incomplete frame is discarded.
     let mut again = TcpStream::connect(node.me.address).unwrap();
     again.write_all(&frame).unwrap();
     assert_eq!(node.receive(), (one, urgent(2)));
@@ -163,17 +169,17 @@
     assert_eq!(node.receive(), (from, urgent(1)));
     let mut flipped = frame::write(peer_at(&listen()), &urgent(2)).unwrap();
     *flipped.last_mut().unwrap() ^= 1;
-    for (at, bytes) in [b"GET / HTTP/1.1\r\n\r\n".to_vec(), flipped]
+    for (index, bytes) in [b"GET / HTTP/1.1\r\n\r\n".to_vec(), flipped]
         .into_iter()
         .enumerate()
     {
         let mut foreign = TcpStream::connect(node.me.address).unwrap();
         foreign.write_all(&bytes).unwrap();
-        foreign.set_read_timeout(Some(SOON)).unwrap();
-        // Closed with bytes unread, the system may answer with a reset.
+        foreign.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        // Since bytes are unread, the operating system may close with a reset.
         assert!(matches!(foreign.read(&mut [0; 8]), Ok(0) | Err(_)));
-        until("it is counted", || {
-            node.links.counters().refused_frames.get() == at + 1
+        wait_until("the invalid frame is counted", || {
+            node.links.counters().refused_frames.get() == index + 1
         });
     }
     good.write_all(&frame::write(from, &urgent(3)).unwrap())
@@ -192,8 +198,8 @@
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&word);
     hasher.update(&body);
-    let sum = hasher.finalize().to_be_bytes();
-    let unknown = [&word[..], &sum, &body].concat();
+    let checksum = hasher.finalize().to_be_bytes();
+    let unknown = [&word[..], &checksum, &body].concat();
     let mut stream = TcpStream::connect(node.me.address).unwrap();
     for bytes in [
         unknown.clone(),
@@ -222,9 +228,14 @@
     late.write_all(&frame::write(from, &urgent(2)).unwrap())
         .unwrap();
     assert_eq!(node.receive(), (from, urgent(2)));
-    early.set_read_timeout(Some(SOON)).unwrap();
-    assert!(matches!(early.read(&mut [0; 8]), Ok(0)), "it was closed");
-    until("one is left", || node.links.counters().inbound.get() == 1);
+    early.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    assert!(
+        matches!(early.read(&mut [0; 8]), Ok(0)),
+        "the earlier session is closed"
+    );
+    wait_until("one session is left", || {
+        node.links.counters().inbound.get() == 1
+    });
 }
 
 #[test]
@@ -236,10 +247,10 @@
         let _ = stream.write_all(&frame::write(from, &urgent(id)).unwrap());
     }
     assert_eq!(node.receive(), (one, urgent(1)));
-    until("it is refused", || {
+    wait_until("the second sender is rejected", || {
         node.links.counters().refused_frames.get() == 1
     });
-    assert!(node.take.is_empty());
+    assert!(node.inputs.is_empty());
 }
 
 #[test]
@@ -268,17 +279,17 @@
     let node = Node::start_with(limits);
     let listener = listen();
     let to = listener.local_addr().unwrap();
-    let small = socket2::SockRef::from(&listener);
-    small.set_recv_buffer_size(64 * 1024).unwrap();
+    let socket = socket2::SockRef::from(&listener);
+    socket.set_recv_buffer_size(64 * 1024).unwrap();
     node.send(to, urgent(0));
     let (mut stream, _) = listener.accept().unwrap();
     for id in 0..40 {
         node.send(to, bulk(id, LARGE));
     }
     let dropped = node.links.counters().dropped_bulk.get();
-    assert!(dropped >= 20, "{dropped} of 40 times 100 kB found no room");
+    assert!(dropped >= 20, "{dropped} of 40 messages of 100 kB dropped");
     assert!(node.links.queued_bytes() <= 1_000_000 + LARGE + 200);
-    until("the system takes no more", || {
+    wait_until("the socket buffers are full", || {
         let before = node.links.queued_bytes();
         thread::sleep(Duration::from_millis(100));
         node.links.queued_bytes() == before
@@ -286,20 +297,23 @@
     node.send(to, urgent(1));
     node.send(to, urgent(2));
     assert_eq!(node.links.counters().dropped_urgent.get(), 0);
-    // It reads again, within the time after which it would be met anew.
+    // The peer reads again before the stall timeout would close the session.
     let last = urgent(2);
     let found = read_messages(&mut stream, |found| found.contains(&last));
     let bulk_before = found
         .iter()
-        .filter(|one| matches!(one, Message::CachePut(_)));
+        .filter(|message| matches!(message, Message::CachePut(_)));
     let waiting = 40 - dropped;
     let before = bulk_before.count();
-    assert!(before < waiting, "{before} of {waiting} were ahead");
-    let small: Vec<&Message> = found
+    assert!(
+        before < waiting,
+        "{before} of {waiting} bulk messages sent first"
+    );
+    let urgent_messages: Vec<&Message> = found
         .iter()
-        .filter(|one| !matches!(one, Message::CachePut(_)))
+        .filter(|message| !matches!(message, Message::CachePut(_)))
         .collect();
-    assert_eq!(small, [&urgent(0), &urgent(1), &urgent(2)]);
+    assert_eq!(urgent_messages, [&urgent(0), &urgent(1), &urgent(2)]);
 }
 
 #[test]
@@ -310,11 +324,11 @@
         ..QueueLimits::default()
     };
     let node = Node::start_with(limits);
-    // They accept, by the system alone, and read nothing.
+    // The operating system accepts the connections; nothing reads from them.
     let peers: Vec<TcpListener> = (0..20).map(|_| listen()).collect();
     for listener in &peers {
-        let small = socket2::SockRef::from(listener);
-        small.set_recv_buffer_size(16 * 1024).unwrap();
+        let socket = socket2::SockRef::from(listener);
+        socket.set_recv_buffer_size(16 * 1024).unwrap();
         for id in 0..10 {
             node.links
                 .send(listener.local_addr().unwrap(), &bulk(id, 100_000));
@@ -328,18 +342,19 @@
     assert_eq!(node.links.counters().dropped_urgent.get(), 0);
 }
 
-/// Regression: one bulk message larger than all bounds (the snapshots of a control
-/// node's partitions) took the room of urgent messages to every peer: no heartbeat
-/// and no renewal left until it was sent.
+/// Regression: one bulk message larger than all limits (the snapshots of a control
+/// node's partitions) used the queue space of urgent messages to every peer: no
+/// heartbeat and no renewal was sent before it.
 #[test]
 fn bulk_message_larger_than_all_bounds_leaves_room_for_urgent_ones() {
     let node = Node::start();
     let slow = listen();
-    let small = socket2::SockRef::from(&slow);
-    small.set_recv_buffer_size(16 * 1024).unwrap();
-    let huge = 20 * 1024 * 1024;
-    node.links.send(slow.local_addr().unwrap(), &bulk(0, huge));
-    assert!(node.links.queued_bytes() >= huge);
+    let socket = socket2::SockRef::from(&slow);
+    socket.set_recv_buffer_size(16 * 1024).unwrap();
+    let huge_bytes = 20 * 1024 * 1024;
+    node.links
+        .send(slow.local_addr().unwrap(), &bulk(0, huge_bytes));
+    assert!(node.links.queued_bytes() >= huge_bytes);
     let other = Node::start();
     for id in 0..100 {
         node.links.send(slow.local_addr().unwrap(), &urgent(id));
@@ -354,16 +369,16 @@
     let node = Node::start();
     let listener = listen();
     let me = peer_at(&listener);
-    let (give, take) = flume::unbounded();
-    let first = Links::open(me, listener, give).unwrap();
+    let (sender, inputs) = flume::unbounded();
+    let first = Links::open(me, listener, sender).unwrap();
     let mut other = Node {
         me,
         links: first,
-        take,
+        inputs,
     };
     node.send_until_received(&other, 1);
     drop(other.links);
-    until("the session has ended", || {
+    wait_until("the session is closed", || {
         node.send(me.address, PermitQueued { id: 2 });
         node.links.counters().outbound.get() == 0
     });
@@ -373,16 +388,16 @@
     }
     assert!(node.links.queued_bytes() < 100_000);
     let listener = TcpListener::bind(me.address).unwrap();
-    let (give, take) = flume::unbounded();
-    let incarnation = Peer::new(me.address, new_incarnation().unwrap());
+    let (sender, inputs) = flume::unbounded();
+    let restarted = Peer::new(me.address, new_incarnation().unwrap());
     other = Node {
-        me: incarnation,
-        links: Links::open(incarnation, listener, give).unwrap(),
-        take,
+        me: restarted,
+        links: Links::open(restarted, listener, sender).unwrap(),
+        inputs,
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     node.send_until_received(&other, 4);
-    assert!(began.elapsed() < Duration::from_secs(3));
+    assert!(started_at.elapsed() < Duration::from_secs(3));
 }
 
 #[test]
@@ -390,12 +405,12 @@
     let node = Node::start();
     let listener = listen();
     let to = listener.local_addr().unwrap();
-    // It closes each session at once.
+    // The listener closes each session immediately.
     let count = thread::spawn(move || {
-        let end = Instant::now() + Duration::from_secs(1);
+        let deadline = Instant::now() + Duration::from_secs(1);
         listener.set_nonblocking(true).unwrap();
         let mut sessions = 0;
-        while Instant::now() < end {
+        while Instant::now() < deadline {
             match listener.accept() {
                 Ok((stream, _)) => {
                     sessions += 1;
@@ -411,7 +426,10 @@
         thread::sleep(Duration::from_millis(1));
     }
     let sessions = count.join().unwrap();
-    assert!((2..=12).contains(&sessions), "{sessions} in a second");
+    assert!(
+        (2..=12).contains(&sessions),
+        "{sessions} sessions in a second"
+    );
 }
 
 #[test]
@@ -427,13 +445,13 @@
     for id in 0..COUNT {
         one.send(other.me.address, bulk(id, LARGE));
     }
-    until("reading has paused", || {
+    wait_until("reading has paused", || {
         other.links.backlog_bytes() >= 4 * 1024 * 1024
     });
     thread::sleep(Duration::from_millis(100));
-    // What one turn of reading brings, and a message that was begun before.
-    let most = 4 * 1024 * 1024 + 4 * 64 * 1024 + LARGE + 1_000;
-    assert!(other.links.backlog_bytes() <= most);
+    // The limit, the reads of one turn, and a message that was partially read before.
+    let max_backlog = 4 * 1024 * 1024 + 4 * 64 * 1024 + LARGE + 1_000;
+    assert!(other.links.backlog_bytes() <= max_backlog);
     for id in 0..COUNT {
         let (_, message) = other.receive();
         assert!(matches!(message, Message::CachePut(put) if put.token.serial == id));
@@ -446,12 +464,12 @@
     let node = Node::start();
     let listener = listen();
     let to = listener.local_addr().unwrap();
-    let small = socket2::SockRef::from(&listener);
-    small.set_recv_buffer_size(32 * 1024).unwrap();
+    let socket = socket2::SockRef::from(&listener);
+    socket.set_recv_buffer_size(32 * 1024).unwrap();
     node.send(to, bulk(0, CHUNKS * CHUNK_BYTES));
     let (mut stream, _) = listener.accept().unwrap();
     thread::sleep(Duration::from_millis(100));
     node.send(to, urgent(1));
     let found = read_messages(&mut stream, |found| found.len() == 2);
-    assert_eq!(found[0], urgent(1), "it did not wait for all of the bulk");
+    assert_eq!(found[0], urgent(1), "it did not wait for the complete bulk");
 }
--- a/kernel/tests/samples/mod.rs
+++ b/kernel/tests/samples/mod.rs
@@ -1,13 +1,15 @@
-//! A value of every kind that stands in messages and in the stored log, each
-//! field unlike its neighbours: a swapped or reordered field changes the bytes.
+//! Sample values of every kind in messages and in the stored log. All fields have
+//! different values, so that a swapped or reordered field changes the bytes.
 use kernel::prelude::*;
 
+/// Returns an address derived from a number.
 pub fn address(number: u16) -> SocketAddr {
     format!("10.1.0.{}:{}", number % 250, 7000 + number)
         .parse()
         .unwrap()
 }
 
+/// Returns accepted revisions beyond the bound, so that the oldest are dropped.
 pub fn accepted_revisions() -> AcceptedRevisions {
     let mut accepted = AcceptedRevisions::default();
     for revision in 0..ACCEPTED_REVISIONS as u64 + 2 {
@@ -22,6 +24,7 @@
     accepted
 }
 
+/// Returns applied changes beyond the bound, so that the oldest are dropped.
 pub fn applied_changes() -> AppliedChanges {
     let mut applied = AppliedChanges::default();
     for change in 0..APPLIED_CHANGES as u64 + 2 {
@@ -30,7 +33,7 @@
     applied
 }
 
-/// A row with each kind of value.
+/// Returns rows with every kind of value.
 pub fn rows() -> Vec<(String, Row)> {
     let values = vec![
         Value::Configuration {
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -1,8 +1,8 @@
-//! A disk that refuses writes for a while.
+//! Tests of the store writer with a disk that temporarily rejects writes.
 
 use kernel::prelude::*;
 
-/// A log in memory that refuses writes while it is full.
+/// An in-memory store that rejects writes while it is full.
 #[derive(Clone, Default)]
 struct MemoryStore {
     full: Arc<AtomicBool>,
@@ -65,7 +65,7 @@
     snapshot(3, vec![1, 2]);
     assert!(matches!(next(), Input::StoreFailed), "it is still full");
     memory.full.store(false, Ordering::Release);
-    // Alone it would follow a record that is missing.
+    // Dropped: without a snapshot it would follow a missing record.
     append(4, vec![4]);
     snapshot(5, vec![1, 2, 4]);
     assert!(matches!(next(), Input::Stored { serial: 5 }));
--- a/kernel/tests/wire_format/main.rs
+++ b/kernel/tests/wire_format/main.rs
@@ -1,7 +1,7 @@
-//! The wire format between processes, held by bytes written by commit 3cfc7c8.
+//! Tests of the wire format between processes against bytes written by commit 3cfc7c8.
 //!
-//! `frames.hex` is never edited: a renamed message, field or variant leaves
-//! it as it is, and a reordered, swapped or retyped one does not.
+//! `frames.hex` is never edited: renaming a message, field or variant does not change
+//! the bytes, but reordering, swapping or retyping one does.
 #[path = "../samples/mod.rs"]
 mod samples;
 
@@ -9,9 +9,9 @@
 
 use kernel::prelude::*;
 
-/// One frame a line, in hexadecimal digits, in the order of `messages()`.
+/// The expected frames, one per line in hexadecimal digits, in the order of `messages()`.
 const FRAMES: &str = include_str!("frames.hex");
-/// How many kinds of messages the earlier version knew.
+/// Number of message kinds when the frames were written.
 const MESSAGE_KINDS: usize = 40;
 
 fn sender() -> Peer {
@@ -22,9 +22,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hexadecimal: &str) -> Vec<u8> {
+fn parse_hexadecimal(hexadecimal: &str) -> Vec<u8> {
     (0..hexadecimal.len() / 2)
-        .map(|at| u8::from_str_radix(&hexadecimal[2 * at..2 * at + 2], 16).unwrap())
+        .map(|index| u8::from_str_radix(&hexadecimal[2 * index..2 * index + 2], 16).unwrap())
         .collect()
 }
 
@@ -45,7 +45,7 @@
         let mut decoder = frame::FrameDecoder::default();
         let mut decoded = Vec::new();
         decoder
-            .feed(&bytes_of(frame), &mut |body| {
+            .feed(&parse_hexadecimal(frame), &mut |body| {
                 decoded.push(frame::decode(body))
             })
             .unwrap();
@@ -60,7 +60,8 @@
     assert_eq!(names.len(), MESSAGE_KINDS);
 }
 
-/// What `operate state` shows of an edge and of an origin goes out as JSON.
+/// `operate state` shows the usage of edges and the health of origins as JSON; the names
+/// must not change.
 #[test]
 fn usage_and_origin_health_keep_their_json_names() {
     let usage = Usage {
--- a/kernel/tests/wire_format/messages.rs
+++ b/kernel/tests/wire_format/messages.rs
@@ -1,7 +1,8 @@
-//! A message of every kind, with each choice that a field of it has.
+//! Sample messages of every kind, with each variant that their fields can have.
 use crate::samples::{address, rows};
 use kernel::prelude::*;
 
+/// Returns the sample messages, in the order of `frames.hex`.
 pub fn messages() -> Vec<Message> {
     vec![
         Heartbeat {
