--- a/segment-log/src/folder.rs
+++ b/segment-log/src/folder.rs
@@ -1,31 +1,31 @@
-//! The file system as far as the log needs it: a real folder, or a model in tests.
+//! The file system operations of the log, on a real folder or on a model in tests.
 
 use crate::prelude::*;
 
-/// The operations of a log on its folder. Written bytes are durable after
-/// `sync_file`; created, renamed and removed names are durable after `sync`.
+/// The folder of a log. Written bytes are durable after `sync_file`; created, renamed
+/// and removed names are durable after `sync`.
 pub trait Folder: Send + Sized {
-    /// The same folder opened anew, without any cached state.
+    /// Opens the same folder again, without cached state.
     fn reopen(&self) -> io::Result<Self>;
-    /// Where the folder is, for messages.
+    /// Returns the path of the folder, for messages.
     fn path(&self) -> &Path;
-    /// Names of all files, in any order.
+    /// Returns the names of all files, in any order.
     fn names(&self) -> io::Result<Vec<String>>;
-    /// All bytes of a file.
+    /// Reads all bytes of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates an empty file, replacing an earlier one.
+    /// Creates an empty file, replacing an existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Writes to the end of a file.
+    /// Appends bytes to a file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Shortens a file to so many bytes.
+    /// Truncates a file to `size` bytes.
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()>;
     /// Makes a file's bytes durable.
     fn sync_file(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, replacing a file of that name.
+    /// Renames a file, replacing an existing file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Deletes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the folder's names durable.
+    /// Makes created, renamed and removed names durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct DiskFolder {
     path: PathBuf,
-    /// The file that was last written to, open for appends.
+    /// The last written file, open for appends.
     pub(crate) open_file: Option<OpenFile>,
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl DiskFolder {
-    /// Creates the folder if it is not there, durably: an acknowledged record
-    /// must not vanish with its folder.
+    /// Opens the folder. Creates it durably if it does not exist: an acknowledged
+    /// record must not be lost with its folder.
     pub fn open(path: &Path) -> io::Result<DiskFolder> {
         let missing: Vec<&Path> = path
             .ancestors()
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The file opened for appends.
+    /// Returns the file, opened for appends.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if self.open_file.as_ref().is_none_or(|open| open.name != name) {
             let path = self.path.join(name);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Syncs the folder that a folder or file lies in.
+/// Syncs the parent folder of a folder or file.
 pub(crate) fn sync_parent(path: &Path) -> io::Result<()> {
     match path.parent() {
         Some(parent) if parent == Path::new("") => File::open(".")?.sync_all(),
--- a/segment-log/src/frame.rs
+++ b/segment-log/src/frame.rs
@@ -1,28 +1,29 @@
-//! The bytes of a file: a header, then checksummed frames of records.
+//! The file format: a header, followed by checksummed frames that contain records.
 
-/// The last byte is the version of the format. Files of version 0 have no
-/// header, and a record where later ones have a batch; they are still read.
+/// Header of a file. The last byte is the format version. Files of version 0 have no
+/// header, and a frame contains one record instead of a batch; they can still be read.
 pub(crate) const HEADER: [u8; 8] = *b"OTSLOG\0\x01";
-/// Length and checksum in front of a frame's content.
+/// Size of the length and checksum before a frame's content.
 pub(crate) const FRAME_PREFIX_BYTES: usize = 8;
-/// Length in front of a record in a batch.
+/// Size of the length before a record in a batch.
 const RECORD_PREFIX_BYTES: usize = 4;
-/// A file that does not begin as ours is searched this far for a frame of ours.
+/// Number of bytes that are searched for a valid frame if a file does not start with a
+/// header or frame.
 const SEARCHED_BYTES: usize = 64 * 1024;
 
-/// One file as read.
+/// The contents of a file.
 pub(crate) struct FileContents {
     pub(crate) records: Vec<Vec<u8>>,
-    /// How many bytes from the start are valid; the rest is torn or corrupt.
+    /// Number of valid bytes from the start; the rest is torn or corrupt.
     pub(crate) valid_bytes: usize,
     pub(crate) total_bytes: usize,
-    /// Whether a valid frame follows the first invalid bytes.
+    /// True if a valid frame follows the first invalid bytes.
     pub(crate) valid_frame_follows: bool,
-    /// Whether it holds batches, not single records as before version 1.
+    /// True if frames contain batches, and not single records as in version 0.
     pub(crate) has_batches: bool,
 }
 
-/// Why a file is not one of ours.
+/// Reasons why a file is not in a supported format.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ForeignContent {
     #[error("format {found}, not {expected}")]
@@ -31,7 +32,7 @@
     UnknownFormat,
 }
 
-/// The records of a file.
+/// Parses the contents of a file.
 pub(crate) fn parse(bytes: &[u8]) -> Result<FileContents, ForeignContent> {
     let (magic, version) = HEADER.split_at(HEADER.len() - 1);
     if bytes.starts_with(&HEADER) {
@@ -49,7 +50,7 @@
     Ok(read_frames(bytes, 0, false))
 }
 
-/// Reads frames from `start` on: batches or, as before version 1, records.
+/// Parses frames from `start` on: batches or, in version 0, single records.
 fn read_frames(bytes: &[u8], start: usize, has_batches: bool) -> FileContents {
     let mut records = Vec::new();
     let mut valid_bytes = start;
@@ -73,7 +74,8 @@
     }
 }
 
-/// The content of a frame that begins here, if it is complete.
+/// Returns the content of the frame at the start of `bytes`, if it is complete and
+/// valid.
 fn frame_at(bytes: &[u8]) -> Option<&[u8]> {
     let length = u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_be_bytes(bytes.get(4..8)?.try_into().ok()?);
@@ -81,12 +83,13 @@
     (length > 0 && crc32fast::hash(content) == checksum).then_some(content)
 }
 
-/// A torn write has no valid frame behind it; corruption in the middle does.
+/// Returns true if a valid frame follows invalid bytes. This distinguishes corruption in
+/// the middle of a file from a torn write at its end.
 fn valid_frame_follows(rest: &[u8]) -> bool {
     (1..rest.len()).any(|offset| frame_at(&rest[offset..]).is_some())
 }
 
-/// A frame around this content.
+/// Encodes a frame with this content.
 pub(crate) fn encode_frame(content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(content.len() + FRAME_PREFIX_BYTES);
     bytes.extend((content.len() as u32).to_be_bytes());
@@ -95,7 +98,7 @@
     bytes
 }
 
-/// A record as it stands in a batch.
+/// Encodes a record of a batch.
 pub(crate) fn encode_record(record: &[u8]) -> Vec<u8> {
     let length = (record.len() as u32).to_be_bytes();
     [&length[..], record].concat()
--- a/segment-log/src/lib.rs
+++ b/segment-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! A durable log: segments of checksummed records with a snapshot beside them.
+//! A durable write-ahead log: segments of checksummed records, compacted by snapshots.
 #![warn(missing_docs, unreachable_pub)]
 mod file_names;
 mod folder;
--- a/segment-log/src/open_error.rs
+++ b/segment-log/src/open_error.rs
@@ -1,36 +1,37 @@
-//! Why a log was not opened.
+//! Errors of opening a log.
 
 use crate::prelude::*;
 
-/// Why a log was not opened. Nothing was changed on disk then.
+/// Reasons why a log could not be opened. In this case nothing was changed on disk.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The file system refused; what is on the disk is not known.
+    /// A file system operation failed; the state of the disk is unknown.
     #[error("{file}: {error}")]
     Io {
         /// Path of the file or folder.
         file: String,
-        /// What the file system reported. Part of the text, so no source.
+        /// The error of the file system. It is part of the text and therefore not the
+        /// error's source.
         error: io::Error,
     },
-    /// A file that this program did not write, or another version of it.
+    /// A file was not written by this program, or by another version of it.
     #[error("{file} is not a file of this program: {found}")]
     Foreign {
         /// Path of the file.
         file: String,
-        /// What it holds instead.
+        /// Description of the contents found.
         found: String,
     },
-    /// A file of ours that is corrupt before its tail: what followed cannot be
-    /// trusted to be complete.
+    /// A file of the log is corrupt before its tail: the following records may be
+    /// incomplete.
     #[error("{file} is damaged at byte {at}")]
     Damaged {
         /// Path of the file.
         file: String,
-        /// Offset of the first bad byte.
+        /// Offset of the first invalid byte.
         at: usize,
     },
-    /// A segment between others is missing.
+    /// A segment is missing between others.
     #[error("{file} is missing")]
     Missing {
         /// Path of the missing file.
@@ -39,8 +40,8 @@
 }
 
 impl OpenError {
-    /// Whether the files are ours: then the log may be refilled by the other
-    /// replicas once these files are quarantined.
+    /// Returns true if the files belong to this log: it may be refilled from the other
+    /// replicas after these files were quarantined.
     pub fn is_recoverable_from_peers(&self) -> bool {
         matches!(self, OpenError::Damaged { .. } | OpenError::Missing { .. })
     }
--- a/segment-log/src/power_loss_tests.rs
+++ b/segment-log/src/power_loss_tests.rs
@@ -1,6 +1,6 @@
-//! Property tests over a model of what a loss of power may undo: each name
-//! changed since the folder's last sync may persist or be lost by itself, and each
-//! write since its file's last sync may be there, missing, torn or with a hole.
+//! Property tests with a model of a loss of power: each name changed since the folder's
+//! last sync persists or is lost independently, and each write since its file's last
+//! sync is complete, missing, torn or has a hole.
 
 use crate::prelude::*;
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
     Unlink(String),
 }
 
-/// What is on the disk, and what is not synced yet.
+/// The synced state of a disk, and the changes that are not synced yet.
 #[derive(Debug, Clone, Default)]
 struct Disk {
     files: Vec<ModelFile>,
@@ -52,8 +52,8 @@
             .concat()
     }
 
-    /// Each disk that a loss of power may leave: every subset of name changes with
-    /// every outcome of unsynced writes.
+    /// Returns each state that the disk may have after a loss of power: every subset
+    /// of the name changes with every outcome of the unsynced writes.
     fn after_power_loss(&self) -> Vec<Disk> {
         let mut survivors = Vec::new();
         for persisted in 0..1u32 << self.changes.len() {
@@ -80,7 +80,7 @@
         survivors
     }
 
-    /// A disk for each outcome of one unsynced write.
+    /// Returns the disk after each possible outcome of one unsynced write.
     fn with_outcomes(disk: Disk, file: usize, write: usize) -> Vec<Disk> {
         let bytes = disk.files[file].unsynced[write].clone();
         let middle = bytes.len() / 2;
@@ -111,7 +111,7 @@
     disk: Disk,
     /// The disk after each operation.
     history: Vec<Disk>,
-    /// Operations until the disk is full.
+    /// Number of operations until the disk is full.
     free_operations: Option<usize>,
 }
 
@@ -130,15 +130,15 @@
         self.0.lock().unwrap()
     }
 
-    /// One operation; one that is refused may have begun.
-    fn change(&self, what: impl FnOnce(&mut Disk, bool)) -> io::Result<()> {
+    /// Performs an operation; one that fails may have been partially applied.
+    fn change(&self, apply: impl FnOnce(&mut Disk, bool)) -> io::Result<()> {
         let mut model = self.model();
-        let refused = model.free_operations == Some(0);
+        let fails = model.free_operations == Some(0);
         model.free_operations = model.free_operations.map(|left| left.saturating_sub(1));
-        what(&mut model.disk, refused);
+        apply(&mut model.disk, fails);
         let disk = model.disk.clone();
         model.history.push(disk);
-        if refused {
+        if fails {
             return Err(io::Error::other("disk full"));
         }
         Ok(())
@@ -164,8 +164,8 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.change(|disk, refused| {
-            if !refused {
+        self.change(|disk, fails| {
+            if !fails {
                 let file = disk.files.len();
                 disk.files.push(ModelFile::default());
                 disk.changes.push(NameChange::Link(name.into(), file));
@@ -174,24 +174,21 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.change(|disk, refused| {
+        self.change(|disk, fails| {
             let file = disk.names()[name];
-            let written = if refused {
-                bytes.len() / 2
-            } else {
-                bytes.len()
-            };
+            let written = if fails { bytes.len() / 2 } else { bytes.len() };
             disk.files[file].unsynced.push(bytes[..written].to_vec());
         })
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
-        // Whether it persists or not: the cut bytes are no complete batch.
-        self.change(|disk, refused| {
+        // Modelled as durable at once: the truncated bytes are no complete batch, so it
+        // makes no difference whether the truncation persists.
+        self.change(|disk, fails| {
             let file = disk.names()[name];
             let mut content = disk.content(file);
             let rest = content.split_off(size as usize);
-            if refused {
+            if fails {
                 disk.files[file] = ModelFile {
                     synced: content,
                     unsynced: vec![rest],
@@ -206,9 +203,9 @@
     }
 
     fn sync_file(&mut self, name: &str) -> io::Result<()> {
-        self.change(|disk, refused| {
+        self.change(|disk, fails| {
             let file = disk.names()[name];
-            if !refused {
+            if !fails {
                 let file = &mut disk.files[file];
                 let unsynced = std::mem::take(&mut file.unsynced);
                 file.synced.extend(unsynced.concat());
@@ -217,8 +214,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.change(|disk, refused| {
-            if !refused {
+        self.change(|disk, fails| {
+            if !fails {
                 let file = disk.names()[from];
                 disk.changes.push(NameChange::Link(to.into(), file));
                 disk.changes.push(NameChange::Unlink(from.into()));
@@ -227,16 +224,16 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.change(|disk, refused| {
-            if !refused {
+        self.change(|disk, fails| {
+            if !fails {
                 disk.changes.push(NameChange::Unlink(name.into()));
             }
         })
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.change(|disk, refused| {
-            if !refused {
+        self.change(|disk, fails| {
+            if !fails {
                 disk.synced_names = disk.names();
                 disk.changes.clear();
             }
@@ -261,21 +258,21 @@
     ]
 }
 
-/// A log whose records are numbered from one on; a snapshot stands for all
-/// records up to its number.
+/// A log whose records are numbered from 1; a snapshot replaces all records up to its
+/// number.
 struct NumberedLog {
     folder: ModelFolder,
     log: SegmentLog<ModelFolder>,
     appended: u32,
     synced: u32,
-    /// How many records were synced and appended after each operation.
+    /// Numbers of synced and of appended records after each operation.
     bounds: Vec<(u32, u32)>,
 }
 
 impl NumberedLog {
     fn open(folder: ModelFolder) -> NumberedLog {
         let loaded = SegmentLog::open_in(folder.clone()).unwrap();
-        let known = read_back(&loaded.records);
+        let known = last_record_number(&loaded.records);
         let mut log = NumberedLog {
             folder,
             log: loaded.log,
@@ -312,7 +309,7 @@
             }
             Step::Restart => {
                 let loaded = SegmentLog::open_in(self.folder.clone())?;
-                let known = read_back(&loaded.records);
+                let known = last_record_number(&loaded.records);
                 assert!(known >= self.synced && known <= self.appended);
                 self.log = loaded.log;
                 (self.appended, self.synced) = (known, known);
@@ -323,8 +320,8 @@
     }
 }
 
-/// Up to which number the records go, without a gap.
-fn read_back(records: &[Vec<u8>]) -> u32 {
+/// Returns the number of the last record; panics if there is a gap.
+fn last_record_number(records: &[Vec<u8>]) -> u32 {
     let number = |bytes: &[u8]| u32::from_be_bytes(bytes[..4].try_into().unwrap());
     let mut known = 0;
     for record in records {
@@ -342,13 +339,15 @@
     known
 }
 
-fn assert_reads(disk: Disk, synced: u32, appended: u32) -> Disk {
+/// Opens the log on a disk and asserts that it contains all synced records and none that
+/// was never appended. Returns the disk after the recovery.
+fn assert_recovers(disk: Disk, synced: u32, appended: u32) -> Disk {
     let folder = ModelFolder::on(disk.clone());
     let loaded = match SegmentLog::open_in(folder.clone()) {
         Ok(loaded) => loaded,
         Err(error) => panic!("{error}: {disk:?}"),
     };
-    let known = read_back(&loaded.records);
+    let known = last_record_number(&loaded.records);
     assert!(
         synced <= known && known <= appended,
         "{known} of {synced} synced and {appended} appended: {disk:?}"
@@ -359,7 +358,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// After each operation, for each subset of what is not synced.
+    /// Power is lost after each operation, with each outcome of the unsynced changes.
     #[test]
     fn synced_records_survive_power_loss(
         steps in proptest::collection::vec(step(), 1..16),
@@ -372,13 +371,13 @@
         let history = log.folder.model().history.clone();
         for (disk, (synced, appended)) in history.iter().zip(&log.bounds) {
             for survivor in disk.after_power_loss() {
-                assert_reads(survivor, *synced, *appended);
+                assert_recovers(survivor, *synced, *appended);
             }
         }
     }
 
-    /// The process ends after any operation and is started again: what it reads
-    /// then counts as durable, so no later loss of power may take it back.
+    /// The process ends after any operation and is restarted. The records that it
+    /// reads are treated as durable, so a later loss of power must not remove them.
     #[test]
     fn records_read_after_restart_survive_power_loss(
         steps in proptest::collection::vec(step(), 1..12),
@@ -392,13 +391,13 @@
             let restarted = NumberedLog::open(ModelFolder::on(disk));
             let disk = restarted.folder.model().disk.clone();
             for survivor in disk.after_power_loss() {
-                assert_reads(survivor, restarted.synced, restarted.appended);
+                assert_recovers(survivor, restarted.synced, restarted.appended);
             }
         }
     }
 
-    /// The disk refuses at any operation; the process ends, with or without a
-    /// loss of power, and has space when it is started again.
+    /// The disk is full from any operation on. The process ends, with or without a
+    /// loss of power, and finds free space when it is restarted.
     #[test]
     fn synced_records_survive_full_disk(
         steps in proptest::collection::vec(step(), 1..16),
@@ -414,16 +413,16 @@
         log.folder.model().free_operations = None;
         let disk = log.folder.model().disk.clone();
         for survivor in disk.after_power_loss() {
-            let repaired = assert_reads(survivor, log.synced, log.appended);
+            let repaired = assert_recovers(survivor, log.synced, log.appended);
             let mut restarted = NumberedLog::open(ModelFolder::on(repaired));
             restarted.run(&Step::Append(5)).unwrap();
             restarted.run(&Step::Sync).unwrap();
             restarted.run(&Step::Restart).unwrap();
         }
-        assert_reads(disk, log.synced, log.appended);
+        assert_recovers(disk, log.synced, log.appended);
     }
 
-    /// Restarts alone leave no more files than a running log does.
+    /// Repeated restarts leave no more files than a running log.
     #[test]
     fn restart_loop_leaves_two_files_at_most(
         steps in proptest::collection::vec(step(), 1..16),
--- a/segment-log/src/prelude.rs
+++ b/segment-log/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Names that the modules of this crate share.
+//! Names that most modules of this crate use.
 
 pub use crate::folder::{DiskFolder, Folder};
 pub use crate::open_error::OpenError;
--- a/segment-log/src/recovery.rs
+++ b/segment-log/src/recovery.rs
@@ -1,21 +1,21 @@
-//! Reads a log's files at the start, and repairs what an interruption left.
+//! Recovery: reads a log's files on open, and repairs the result of an interruption.
 
 use crate::file_names::*;
 use crate::frame::{FileContents, ForeignContent, HEADER, parse};
 use crate::prelude::*;
 
-/// The segments as read, before anything is changed.
+/// The contents of the segments, read before anything is changed.
 pub(crate) struct Segments {
     pub(crate) records: Vec<Vec<u8>>,
     pub(crate) newest: Option<u64>,
-    /// Valid bytes of the newest segment, out of `total_bytes`.
+    /// Number of valid bytes of the newest segment, out of `total_bytes`.
     pub(crate) valid_bytes: usize,
     pub(crate) total_bytes: usize,
-    /// Whether the newest holds batches, so that more may follow in it.
+    /// True if the newest segment contains batches, so that it can be appended to.
     pub(crate) has_batches: bool,
 }
 
-/// The record of a snapshot, which must be complete.
+/// Reads the record of a snapshot, which must be complete.
 pub(crate) fn read_snapshot(folder: &impl Folder, number: u64) -> Result<Vec<u8>, OpenError> {
     let name = snapshot_name(number);
     let mut contents = read_file(folder, &name)?;
@@ -25,7 +25,7 @@
     Ok(contents.records.remove(0))
 }
 
-/// All segments from the snapshot on; only the newest may end in a torn batch.
+/// Reads all segments from the snapshot on; only the newest may end in a torn batch.
 pub(crate) fn read_segments(folder: &impl Folder, snapshot: u64) -> Result<Segments, OpenError> {
     let mut numbers = numbers_after(folder, SEGMENT_PREFIX)?;
     numbers.retain(|number| *number >= snapshot);
@@ -75,8 +75,8 @@
     Ok(contents)
 }
 
-/// The newest segment may be one whose header did not get to the disk: then
-/// nothing followed it.
+/// Reads the newest segment. If its header was not written completely, it is empty:
+/// the header is synced before anything follows it.
 fn read_newest(folder: &impl Folder, name: &str) -> Result<FileContents, OpenError> {
     let bytes = read_bytes(folder, name)?;
     if bytes.len() <= HEADER.len() && bytes != HEADER {
@@ -117,8 +117,8 @@
     }
 }
 
-/// Makes the folder ready for appends: truncates a torn tail, creates segment
-/// `number` if it is not there, and removes what an interrupted snapshot left.
+/// Prepares the folder for appends: truncates a torn tail, creates segment `number` if
+/// it does not exist, and removes the files left by an interrupted snapshot.
 pub(crate) fn repair(
     folder: &mut impl Folder,
     number: u64,
@@ -130,8 +130,8 @@
     if let Some(newest) = newest.filter(|_| is_torn) {
         folder.truncate(&segment_name(newest), segments.valid_bytes as u64)?;
     }
-    // What was read may still be on its way to the disk: the process may have
-    // ended between a write and its sync.
+    // The bytes that were read may not be durable yet: the process may have ended
+    // between a write and its fsync.
     if let Some(newest) = newest {
         folder.sync_file(&segment_name(newest))?;
     }
@@ -153,7 +153,7 @@
     folder.sync_file(&name)
 }
 
-/// Removes the files that a snapshot with this number replaced.
+/// Removes the files replaced by the snapshot with this number.
 pub(crate) fn remove_below(folder: &mut impl Folder, number: u64) -> io::Result<()> {
     for name in folder.names()? {
         if file_number(&name).is_some_and(|known| known < number) {
--- a/segment-log/src/segment_log.rs
+++ b/segment-log/src/segment_log.rs
@@ -1,4 +1,4 @@
-//! The log: appends in batches, rolls segments and writes snapshots.
+//! The segmented log: appends records in batches, rolls segments and writes snapshots.
 
 #[cfg(test)]
 mod tests;
@@ -9,44 +9,44 @@
 use crate::prelude::*;
 use crate::recovery::{create_segment, read_segments, read_snapshot, remove_below, repair};
 
-/// A folder of segments. Invariants:
-/// - Snapshot N replaces everything before segment N; a segment below the
-///   newest snapshot's number is of no more use and is removed.
-/// - A file begins with a header, which is synced before anything follows it.
-/// - A snapshot is written under another name, synced, renamed, and the folder
-///   is synced, before an older file goes.
-/// - Between two syncs there is one write at most, of one batch: `length,
-///   checksum, records`, each record with its length. So a loss of power leaves
-///   a batch complete or not at all, in whichever order its bytes reach the
-///   disk, and only the newest segment may end in a torn one.
+/// A write-ahead log in a folder of segments. Invariants:
+/// - Snapshot N replaces everything before segment N; segments below the number of
+///   the newest snapshot are obsolete and removed.
+/// - A file starts with a header, which is synced before anything follows it.
+/// - A snapshot is written under a temporary name, synced and renamed, and the folder
+///   is synced, before older files are removed.
+/// - Between two fsyncs there is at most one write, of one batch: `length, checksum,
+///   records`, each record with its length. Therefore, after a loss of power, a batch
+///   is either complete or discarded, in whatever order its bytes reach the disk, and
+///   only the newest segment may end in a torn batch.
 pub struct SegmentLog<F: Folder = DiskFolder> {
     folder: F,
-    /// The segment that is appended to.
+    /// Number of the segment that is appended to.
     number: u64,
     segment_bytes: u64,
-    /// Records appended, and written as one batch with the next sync.
+    /// Encoded records that the next sync writes as one batch.
     pending: Vec<u8>,
 }
 
-/// A log as it was opened, with what was on disk.
+/// An opened log with the contents read from disk.
 pub struct Loaded<F: Folder = DiskFolder> {
     /// The log, ready for appends.
     pub log: SegmentLog<F>,
     /// All records, oldest first; the first may be a snapshot.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a torn tail that were truncated.
+    /// Number of bytes of a torn tail that were truncated.
     pub truncated_bytes: u64,
-    /// Bytes of the snapshot record.
+    /// Size of the snapshot record in bytes.
     pub snapshot_bytes: usize,
-    /// Bytes of the records after the snapshot.
+    /// Size of the records after the snapshot in bytes.
     pub log_bytes: usize,
 }
 
-/// A segment of more bytes than this is followed by a new one.
+/// Size of a segment, in bytes, above which the next record starts a new one.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
 impl SegmentLog {
-    /// Opens the folder, which is created if it is not there.
+    /// Opens the log in a folder, which is created if it does not exist.
     pub fn open(path: &Path) -> Result<Loaded, OpenError> {
         let folder = DiskFolder::open(path).map_err(|error| OpenError::Io {
             file: path.display().to_string(),
@@ -55,9 +55,9 @@
         SegmentLog::open_in(folder)
     }
 
-    /// Renames a folder that cannot be trusted to the first free name
-    /// `corrupt-N`, durably: a later loss of power must not bring it back in
-    /// place of its successor.
+    /// Renames the folder of a damaged log to the first free name `corrupt-N`. The
+    /// rename is durable: a later loss of power must not restore the folder in place
+    /// of its successor.
     pub fn quarantine(folder: &Path) -> io::Result<PathBuf> {
         for number in 1.. {
             let quarantined = folder.with_extension(format!("corrupt-{number}"));
@@ -72,8 +72,8 @@
 }
 
 impl<F: Folder> SegmentLog<F> {
-    /// Reads all files before anything is changed: what cannot be read is left
-    /// as it is.
+    /// Opens the log. All files are read before anything is changed: files that
+    /// cannot be read are left unchanged.
     pub fn open_in(mut folder: F) -> Result<Loaded<F>, OpenError> {
         let snapshots = numbers_after(&folder, SNAPSHOT_PREFIX)?;
         let snapshot = snapshots.into_iter().max().unwrap_or(0);
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Writes the pending records as one batch, without a sync.
+    /// Writes the pending records as one batch, without an fsync.
     fn flush(&mut self) -> io::Result<()> {
         if !self.pending.is_empty() {
             let batch = encode_frame(&self.pending);
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Begins the next segment.
+    /// Starts the next segment.
     fn roll(&mut self) -> io::Result<()> {
         self.flush()?;
         self.folder.sync_file(&segment_name(self.number))?;
--- a/segment-log/src/segment_log/tests.rs
+++ b/segment-log/src/segment_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log on a real folder.
+//! Tests of the `segment_log` module on a real folder.
 use super::*;
 use crate::folder::OpenFile;
 
@@ -16,17 +16,17 @@
     }
 }
 
-/// Bytes of a batch of one record of so many bytes.
-const fn one_record_batch_bytes(record: usize) -> usize {
-    8 + 4 + record
+/// Returns the size of a batch with one record of `record_bytes` bytes.
+const fn one_record_batch_bytes(record_bytes: usize) -> usize {
+    8 + 4 + record_bytes
 }
 
-/// Where the last batch of a write_three_records log begins, and where it ends.
+/// Start and end offsets of the last batch of a log from `write_three_records`.
 const LAST_BATCH_START: usize = HEADER.len() + 2 * one_record_batch_bytes(3);
 const LAST_BATCH_END: usize = LAST_BATCH_START + one_record_batch_bytes(5);
 
-/// Regression: of two writes since the last sync the earlier was lost and the
-/// later persisted: two disks of four counted as blank after a loss of power.
+/// Regression: of two writes since the last fsync, the earlier was lost and the later
+/// persisted, so that two of four disks were treated as blank after a loss of power.
 #[test]
 fn sync_writes_one_batch() {
     let path = temporary_path("one-write");
@@ -55,23 +55,23 @@
 #[test]
 fn torn_tail_of_every_length_is_truncated() {
     let path = temporary_path("torn");
-    for left in LAST_BATCH_START..LAST_BATCH_END {
+    for kept in LAST_BATCH_START..LAST_BATCH_END {
         let _ = fs::remove_dir_all(&path);
         write_three_records(&path);
         let file = path.join("segment-00000001");
         let bytes = fs::read(&file).unwrap();
         assert_eq!(bytes.len(), LAST_BATCH_END);
-        fs::write(&file, &bytes[..left]).unwrap();
+        fs::write(&file, &bytes[..kept]).unwrap();
         let loaded = SegmentLog::open(&path).unwrap();
         assert_eq!(loaded.records, [b"one".to_vec(), b"two".to_vec()]);
-        assert_eq!(loaded.truncated_bytes, (left - LAST_BATCH_START) as u64);
+        assert_eq!(loaded.truncated_bytes, (kept - LAST_BATCH_START) as u64);
         assert_eq!(SegmentLog::open(&path).unwrap().truncated_bytes, 0);
     }
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// A copy of the log as a loss of power leaves it: so many bytes of one file, and a
-/// torn draft of a snapshot.
+/// Copies the log as after a loss of power: with only `bytes` of one file, and a torn
+/// draft of a snapshot.
 fn copy_after_power_loss(path: &Path, file: &Path, bytes: &[u8], draft: &[u8]) -> PathBuf {
     let copy = temporary_path("cut-copy");
     fs::create_dir_all(&copy).unwrap();
@@ -84,13 +84,12 @@
     copy
 }
 
-/// The power goes at any byte of what was written since the last sync, in
-/// the middle of a roll or of a snapshot too: all that was synced is read
-/// back, in order, and nothing that was never written.
+/// Power is lost at any byte written since the last fsync, including during a roll or a
+/// snapshot: all synced records are read in order, and none that was never written.
 #[test]
 fn synced_records_survive_power_loss_at_every_unsynced_byte() {
     let path = temporary_path("cut");
-    let record = |at: u32| at.to_be_bytes().repeat(40);
+    let record = |number: u32| number.to_be_bytes().repeat(40);
     let mut log = SegmentLog::open(&path).unwrap().log;
     let mut written = Vec::new();
     for round in 0..6u32 {
@@ -98,22 +97,22 @@
             log.write_snapshot(&record(1000)).unwrap();
             written = vec![record(1000)];
         }
-        for at in 0..5 {
-            log.append(&record(round * 5 + at)).unwrap();
-            written.push(record(round * 5 + at));
+        for index in 0..5 {
+            log.append(&record(round * 5 + index)).unwrap();
+            written.push(record(round * 5 + index));
         }
         log.sync().unwrap();
         let file = path.join(format!("segment-{:08}", log.number));
         let synced = fs::metadata(&file).unwrap().len();
         log.append(&record(900 + round)).unwrap();
-        // Written by the sync that the loss of power interrupts.
+        // The loss of power interrupts the sync after its write.
         log.flush().unwrap();
         let bytes = fs::read(&file).unwrap();
-        for left in synced..=bytes.len() as u64 {
-            let draft = &bytes[..(left - synced) as usize];
-            let copy = copy_after_power_loss(&path, &file, &bytes[..left as usize], draft);
+        for kept in synced..=bytes.len() as u64 {
+            let draft = &bytes[..(kept - synced) as usize];
+            let copy = copy_after_power_loss(&path, &file, &bytes[..kept as usize], draft);
             let read = SegmentLog::open(&copy).unwrap().records;
-            let expected = if left == bytes.len() as u64 {
+            let expected = if kept == bytes.len() as u64 {
                 written.len() + 1
             } else {
                 written.len()
@@ -121,7 +120,7 @@
             assert_eq!(
                 read.len(),
                 expected,
-                "round {round}, {left} of {} bytes",
+                "round {round}, {kept} of {} bytes",
                 bytes.len()
             );
             assert!(read.starts_with(&written));
@@ -132,20 +131,20 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// Garbled bytes in the unsynced tail are truncated, as a torn record is, as
-/// long as no valid frame follows.
+/// Corrupted bytes in the unsynced tail are truncated like a torn record, provided that
+/// no valid frame follows.
 #[test]
 fn garbled_last_record_is_truncated() {
     let path = temporary_path("garbled");
     write_three_records(&path);
     let file = path.join("segment-00000001");
     let good = fs::read(&file).unwrap();
-    for at in LAST_BATCH_START..good.len() {
+    for offset in LAST_BATCH_START..good.len() {
         let mut bad = good.clone();
-        bad[at] ^= 0x55;
+        bad[offset] ^= 0x55;
         fs::write(&file, &bad).unwrap();
         let read = SegmentLog::open(&path).unwrap().records;
-        assert_eq!(read, [b"one".to_vec(), b"two".to_vec()], "byte {at}");
+        assert_eq!(read, [b"one".to_vec(), b"two".to_vec()], "byte {offset}");
         fs::write(&file, &good).unwrap();
     }
     fs::remove_dir_all(&path).unwrap();
@@ -155,14 +154,14 @@
 fn failed_write_is_reported_by_sync() {
     let path = temporary_path("refused");
     let mut log = SegmentLog::open(&path).unwrap().log;
-    // A device that is always full, in the segment's place.
+    // Replaces the segment by a device that is always full.
     let full = OpenOptions::new().append(true).open("/dev/full").unwrap();
     log.folder.open_file = Some(OpenFile {
         name: "segment-00000001".into(),
         file: full,
     });
     log.append(b"record").unwrap();
-    assert!(log.sync().is_err(), "before anything counts as stored");
+    assert!(log.sync().is_err(), "no record is reported as stored");
     fs::remove_dir_all(&path).unwrap();
 }
 
@@ -172,11 +171,11 @@
     write_three_records(&path);
     let file = path.join("segment-00000001");
     let good = fs::read(&file).unwrap();
-    for at in 0..LAST_BATCH_START {
+    for offset in 0..LAST_BATCH_START {
         let mut bad = good.clone();
-        bad[at] ^= 1;
+        bad[offset] ^= 1;
         fs::write(&file, &bad).unwrap();
-        assert!(SegmentLog::open(&path).is_err(), "byte {at}");
+        assert!(SegmentLog::open(&path).is_err(), "byte {offset}");
     }
     fs::remove_dir_all(&path).unwrap();
 }
@@ -198,8 +197,8 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// Puts foreign content into a file: the log is refused, the file named, and
-/// the folder left as it was.
+/// Writes foreign content to a file and asserts that the log is not opened, that the
+/// error names the file, and that the folder is unchanged.
 fn assert_refused_unchanged(path: &Path, name: &str, content: &[u8]) {
     let file = path.join(name);
     fs::write(&file, content).unwrap();
@@ -240,7 +239,7 @@
 
 #[test]
 fn damaged_log_is_quarantined_with_its_bytes() {
-    let path = temporary_path("aside");
+    let path = temporary_path("quarantine");
     write_three_records(&path);
     let file = path.join("segment-00000001");
     let mut bytes = fs::read(&file).unwrap();
@@ -261,7 +260,7 @@
     fs::remove_dir_all(&quarantined).unwrap();
 }
 
-/// As written before files had a header.
+/// Files of version 0 have no header.
 #[test]
 fn headerless_files_are_read_and_not_appended_to() {
     let path = temporary_path("version-0");
@@ -283,7 +282,8 @@
     fs::remove_dir_all(&path).unwrap();
 }
 
-/// Regression: the draft of a snapshot stayed on a full disk and took its space.
+/// Regression: the draft of an interrupted snapshot remained on a full disk and occupied
+/// its space.
 #[test]
 fn interrupted_snapshot_draft_is_removed_on_open() {
     let path = temporary_path("draft");
