--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -37,10 +37,9 @@
 /// The purpose of a call, which decides whether it may be cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// For one client. The request is idempotent, so it may be cancelled.
+    /// Serves one client. The request is idempotent, so it may be cancelled.
     Client,
-    /// For a request that is executed at most once: after it was sent, it is not
-    /// cancelled.
+    /// Executes a request at most once: after it was sent, it is not cancelled.
     RunOnce,
     /// Cache fill for which only this client is known to wait.
     CacheFill,
--- a/kernel/src/client.rs
+++ b/kernel/src/client.rs
@@ -107,7 +107,7 @@
     pub status: u16,
     /// Stable identifier of the error.
     pub code: String,
-    /// State that tells whether the request may have been executed.
+    /// Execution state: whether the request may have been executed.
     pub outcome: RunState,
     /// True if nothing was sent for this request and nothing will be; other requests
     /// with the same operation key may have been sent.
@@ -139,7 +139,7 @@
 /// Retry delay of a node that shuts down as planned: other nodes already serve.
 const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// State that tells whether a request may have been executed.
+/// Execution state of a request: whether it may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -187,7 +187,7 @@
 
     /// Returns true if the entry matches requests with this method.
     pub fn accepts(&self, method: &str) -> bool {
-        self.methods.is_empty() || self.methods.iter().any(|known| known == method)
+        self.methods.is_empty() || self.methods.iter().any(|allowed| allowed == method)
     }
 
     /// Returns the group for a request: chosen by weight, and always the same for
@@ -228,21 +228,21 @@
     /// Validates the document as a document_json, after its parts were validated one by
     /// one; places name the entry or group.
     pub fn findings(&self) -> Vec<Finding> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         let groups: Vec<Option<&Group>> = self.groups.iter().map(Some).collect();
-        check_groups(&groups, &mut found);
+        check_groups(&groups, &mut findings);
         check_entries(
             &self.entries.iter().map(Some).collect::<Vec<_>>(),
             &groups,
-            &mut found,
+            &mut findings,
         );
         if self.entries.len() as u64 > MAX_ENTRIES {
-            found.push(Finding::new("/entries", format!("more than {MAX_ENTRIES}")));
+            findings.push(Finding::new("/entries", format!("more than {MAX_ENTRIES}")));
         }
         if self.groups.len() as u64 > MAX_GROUPS {
-            found.push(Finding::new("/groups", format!("more than {MAX_GROUPS}")));
+            findings.push(Finding::new("/groups", format!("more than {MAX_GROUPS}")));
         }
-        found
+        findings
     }
 
     /// Parses and validates a document; returns all findings together.
@@ -256,7 +256,7 @@
         }
         let document_json: serde_json::Value = serde_json::from_str(text)
             .map_err(|error| vec![Finding::new("", format!("not JSON: {error}"))])?;
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         let Some(fields) = document_json.as_object() else {
             return Err(vec![Finding::new("", "must be an object")]);
         };
@@ -264,18 +264,18 @@
             .keys()
             .filter(|name| !["groups", "entries"].contains(&name.as_str()))
         {
-            found.push(Finding::new(pointer(&[name]), "unknown field"));
+            findings.push(Finding::new(pointer(&[name]), "unknown field"));
         }
-        let groups: Vec<Option<Group>> = read_list(&document_json, "groups", &mut found);
-        let entries: Vec<Option<Entry>> = read_list(&document_json, "entries", &mut found);
+        let groups: Vec<Option<Group>> = read_list(&document_json, "groups", &mut findings);
+        let entries: Vec<Option<Entry>> = read_list(&document_json, "entries", &mut findings);
         check_groups(
             &groups.iter().map(Option::as_ref).collect::<Vec<_>>(),
-            &mut found,
+            &mut findings,
         );
         check_entries(
             &entries.iter().map(Option::as_ref).collect::<Vec<_>>(),
             &groups.iter().map(Option::as_ref).collect::<Vec<_>>(),
-            &mut found,
+            &mut findings,
         );
         for (index, entry) in entries
             .iter()
@@ -283,36 +283,36 @@
             .filter_map(|(index, entry)| Some((index, entry.as_ref()?)))
         {
             if entry.methods.is_empty() {
-                found.push(Finding::new(
+                findings.push(Finding::new(
                     pointer(&["entries", &index.to_string(), "methods"]),
                     "length out of bounds (min 1, max 8)",
                 ));
             }
         }
-        if !found.is_empty() {
-            found.sort_by(|a, b| a.place.cmp(&b.place));
-            return Err(found);
+        if !findings.is_empty() {
+            findings.sort_by(|a, b| a.place.cmp(&b.place));
+            return Err(findings);
         }
         let document = Configuration {
             groups: groups.into_iter().flatten().collect(),
             entries: entries.into_iter().flatten().collect(),
         };
-        let found = findings_of(document.validate());
-        if found.is_empty() {
+        let findings = findings_of(document.validate());
+        if findings.is_empty() {
             Ok(document)
         } else {
-            Err(found)
+            Err(findings)
         }
     }
 }
 
-fn check_groups(groups: &[Option<&Group>], found: &mut Vec<Finding>) {
+fn check_groups(groups: &[Option<&Group>], findings: &mut Vec<Finding>) {
     let mut seen = HashSet::new();
     for (index, group) in groups.iter().enumerate() {
         let Some(group) = group else { continue };
         let place = |field: &str| pointer(&["groups", &index.to_string(), field]);
         if !seen.insert(&group.service) {
-            found.push(Finding::new(
+            findings.push(Finding::new(
                 place("service"),
                 "service has a group already",
             ));
@@ -320,15 +320,19 @@
         let key = BASE64.decode(&group.key).unwrap_or_default();
         if group.proof == Proof::Named {
             if !group.key.is_empty() {
-                found.push(Finding::new(place("key"), "goes with proof seal only"));
+                findings.push(Finding::new(place("key"), "goes with proof seal only"));
             }
         } else if key.len() != 32 {
-            found.push(Finding::new(place("key"), "must be 32 bytes in base64"));
+            findings.push(Finding::new(place("key"), "must be 32 bytes in base64"));
         }
     }
 }
 
-fn check_entries(entries: &[Option<&Entry>], groups: &[Option<&Group>], found: &mut Vec<Finding>) {
+fn check_entries(
+    entries: &[Option<&Entry>],
+    groups: &[Option<&Group>],
+    findings: &mut Vec<Finding>,
+) {
     let services: HashSet<&str> = groups
         .iter()
         .flatten()
@@ -339,7 +343,7 @@
     for (index, entry) in entries.iter().enumerate() {
         let Some(entry) = entry else { continue };
         let place = |field: &str| pointer(&["entries", &index.to_string(), field]);
-        let mut report = |field: &str, text: &str| found.push(Finding::new(place(field), text));
+        let mut report = |field: &str, text: &str| findings.push(Finding::new(place(field), text));
         if !names.insert(&entry.name) {
             report("name", "name is taken");
         }
@@ -389,10 +393,10 @@
 fn read_list<T: for<'a> Deserialize<'a> + Serialize + Validate>(
     document_json: &serde_json::Value,
     name: &str,
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
 ) -> Vec<Option<T>> {
     let Some(list) = document_json.get(name).and_then(|list| list.as_array()) else {
-        found.push(Finding::new(pointer(&[name]), "must be a list"));
+        findings.push(Finding::new(pointer(&[name]), "must be a list"));
         return Vec::new();
     };
     let mut read = Vec::new();
@@ -400,17 +404,17 @@
         let place = pointer(&[name, &index.to_string()]);
         match serde_json::from_value::<T>(item.clone()) {
             Err(error) => {
-                found.push(Finding::new(place, error.to_string()));
+                findings.push(Finding::new(place, error.to_string()));
                 read.push(None);
             }
             Ok(parsed) => {
                 for finding in findings_of(parsed.validate()) {
-                    found.push(Finding::new(
+                    findings.push(Finding::new(
                         format!("{place}{}", finding.place),
                         finding.text,
                     ));
                 }
-                report_unknown_fields(item, &parsed, &place, found);
+                report_unknown_fields(item, &parsed, &place, findings);
                 read.push(Some(parsed));
             }
         }
@@ -423,9 +427,9 @@
     item: &serde_json::Value,
     parsed: &T,
     place: &str,
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
 ) {
-    let known = serde_json::to_value(parsed).unwrap_or_default();
+    let parsed_json = serde_json::to_value(parsed).unwrap_or_default();
     let optional = [
         "host",
         "cache_ttl_s",
@@ -444,8 +448,8 @@
         .into_iter()
         .flat_map(|fields| fields.keys())
     {
-        if known.get(name).is_none() && !optional.contains(&name.as_str()) {
-            found.push(Finding::new(
+        if parsed_json.get(name).is_none() && !optional.contains(&name.as_str()) {
+            findings.push(Finding::new(
                 format!("{place}{}", pointer(&[name])),
                 "unknown field",
             ));
@@ -462,14 +466,14 @@
 
 /// Converts the validator's tree of errors to a flat list of findings with JSON pointers.
 pub fn findings_of(checked: Result<(), validator::ValidationErrors>) -> Vec<Finding> {
-    fn walk(errors: &validator::ValidationErrors, place: &str, found: &mut Vec<Finding>) {
+    fn walk(errors: &validator::ValidationErrors, place: &str, findings: &mut Vec<Finding>) {
         for (field, kind) in errors.errors() {
             let place = format!("{place}{}", pointer(&[field]));
             match kind {
-                validator::ValidationErrorsKind::Struct(inner) => walk(inner, &place, found),
+                validator::ValidationErrorsKind::Struct(inner) => walk(inner, &place, findings),
                 validator::ValidationErrorsKind::List(list) => {
                     for (index, inner) in list {
-                        walk(inner, &format!("{place}/{index}"), found);
+                        walk(inner, &format!("{place}/{index}"), findings);
                     }
                 }
                 validator::ValidationErrorsKind::Field(list) => {
@@ -483,7 +487,7 @@
                                     .map(|bound| format!("{name} {bound}"))
                             })
                             .collect();
-                        found.push(Finding::new(
+                        findings.push(Finding::new(
                             &place,
                             format!("{} out of bounds ({})", error.code, bounds.join(", ")),
                         ));
@@ -492,10 +496,10 @@
             }
         }
     }
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     if let Err(errors) = checked {
-        walk(&errors, "", &mut found);
-        found.sort_by(|a, b| a.place.cmp(&b.place));
+        walk(&errors, "", &mut findings);
+        findings.sort_by(|a, b| a.place.cmp(&b.place));
     }
-    found
+    findings
 }
--- a/kernel/src/configuration/tests.rs
+++ b/kernel/src/configuration/tests.rs
@@ -7,8 +7,8 @@
         {"service":"book","rate":5,"concurrency":0,"key":"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=","colour":1}],
         "entries":[{"name":"a","path":"x","group":"none","rank":1,"kind":"cached"},
         {"name":"a","path":"/k","rank":"high"}],"more":1}"#;
-    let found = Configuration::read(text).unwrap_err();
-    let shown: Vec<String> = found.iter().map(|finding| finding.to_string()).collect();
+    let findings = Configuration::read(text).unwrap_err();
+    let shown: Vec<String> = findings.iter().map(|finding| finding.to_string()).collect();
     expect_test::expect![[r#"
         /entries/0/cache_ttl_s: goes with kind cached, and only with it
         /entries/0/group: no such group
@@ -43,7 +43,7 @@
         Configuration::read(&text(5000)).unwrap().entries.len(),
         5000
     );
-    let found = Configuration::read(&text(MAX_ENTRIES as usize + 1)).unwrap_err();
-    assert_eq!(found.len(), 1);
-    assert_eq!(found[0].place, "/entries");
+    let findings = Configuration::read(&text(MAX_ENTRIES as usize + 1)).unwrap_err();
+    assert_eq!(findings.len(), 1);
+    assert_eq!(findings[0].place, "/entries");
 }
--- a/kernel/src/finding.rs
+++ b/kernel/src/finding.rs
@@ -22,13 +22,13 @@
 }
 
 /// Prints all findings and exits the program with status 2.
-pub fn exit_with_findings(program: &str, found: &[Finding]) -> ! {
-    for finding in found {
+pub fn exit_with_findings(program: &str, findings: &[Finding]) -> ! {
+    for finding in findings {
         eprintln!("{program}: {finding}");
     }
     eprintln!(
         "{program}: {} finding(s); see {program} --help",
-        found.len()
+        findings.len()
     );
     std::process::exit(2);
 }
--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The announced body, or the body assembled from chunks, has too many bytes.
-    #[error("frame of {0} bytes")]
+    #[error("frame of {0} bytes exceeds the limit")]
     TooLarge(usize),
     /// The body does not match the checksum.
     #[error("frame does not match its checksum")]
     ChecksumMismatch,
     /// The flags are not a valid combination.
-    #[error("frame with unknown flags")]
+    #[error("frame has unknown flags")]
     UnknownFlags,
 }
 
@@ -140,16 +140,16 @@
     }
 
     fn write_frame(&self, from: usize, to: usize, flags: u32, out: &mut Vec<u8>) {
-        let word = ((to - from) as u32 | flags).to_be_bytes();
+        let length_word = ((to - from) as u32 | flags).to_be_bytes();
         let start = out.len();
-        out.extend(word);
+        out.extend(length_word);
         out.extend([0; HEADER_BYTES - 4]);
         let own = self.own.len();
         out.extend(&self.own[from.min(own)..to.min(own)]);
         if let Some(shared) = &self.shared {
             out.extend(&shared[from.max(own) - own..to.max(own) - own]);
         }
-        let checksum = checksum(word, &out[start + HEADER_BYTES..]);
+        let checksum = checksum(length_word, &out[start + HEADER_BYTES..]);
         out[start + 4..start + HEADER_BYTES].copy_from_slice(&checksum.to_be_bytes());
     }
 }
@@ -169,9 +169,9 @@
     Ok(options.deserialize(body)?)
 }
 
-fn checksum(word: [u8; 4], body: &[u8]) -> u32 {
+fn checksum(length_word: [u8; 4], body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&word);
+    hasher.update(&length_word);
     hasher.update(body);
     hasher.finalize()
 }
@@ -219,8 +219,8 @@
         let mut used = 0;
         while let Some(header) = bytes[used..].first_chunk::<HEADER_BYTES>() {
             let [a, b, c, d, sum @ ..] = *header;
-            let word = [a, b, c, d];
-            let length_and_flags = u32::from_be_bytes(word);
+            let length_word = [a, b, c, d];
+            let length_and_flags = u32::from_be_bytes(length_word);
             let length = (length_and_flags & LENGTH_MASK) as usize;
             if length > FRAME_BYTES {
                 return Err(FrameError::TooLarge(length));
@@ -229,7 +229,7 @@
             let Some(body) = bytes.get(start..start + length) else {
                 break;
             };
-            if checksum(word, body) != u32::from_be_bytes(sum) {
+            if checksum(length_word, body) != u32::from_be_bytes(sum) {
                 return Err(FrameError::ChecksumMismatch);
             }
             self.handle_body(length_and_flags & !LENGTH_MASK, body, on_body)?;
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -142,7 +142,7 @@
                 self.perform(output);
             }
             if from_peer {
-                self.links.processed();
+                self.links.mark_processed();
             }
             self.flush_if_due();
         }
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -94,8 +94,8 @@
     /// Returns all current parts as one document, with the bounds if any are set.
     /// Each finding's place starts with the row key of its item.
     pub fn merged(&self) -> Result<Merged, Vec<Finding>> {
-        self.merge_with_keys().map_err(|found| {
-            found
+        self.merge_with_keys().map_err(|findings| {
+            findings
                 .into_iter()
                 .map(|(key, finding)| Finding::new(format!("{key}{}", finding.place), finding.text))
                 .collect()
@@ -125,8 +125,8 @@
             group_keys.resize(document.groups.len(), key);
             entry_keys.resize(document.entries.len(), key);
         }
-        let found = document.findings();
-        if found.is_empty() {
+        let findings = document.findings();
+        if findings.is_empty() {
             return Ok((document, bounds));
         }
         let with_item_key = |finding: Finding| {
@@ -147,7 +147,7 @@
                 None => (String::new(), finding),
             }
         };
-        Err(found.into_iter().map(with_item_key).collect())
+        Err(findings.into_iter().map(with_item_key).collect())
     }
 
     /// Inserts a part that is not stored in a row yet, to validate it together with
@@ -161,10 +161,10 @@
 fn parse_content<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
     let part: T =
         serde_json::from_str(text).map_err(|error| vec![Finding::new("", error.to_string())])?;
-    let found = findings_of(part.validate());
-    if found.is_empty() {
+    let findings = findings_of(part.validate());
+    if findings.is_empty() {
         Ok(part)
     } else {
-        Err(found)
+        Err(findings)
     }
 }
--- a/kernel/src/items_change.rs
+++ b/kernel/src/items_change.rs
@@ -24,7 +24,7 @@
     Invalid(Vec<Finding>),
     /// A revision was accepted earlier with different content.
     Conflict(Vec<Finding>),
-    /// It is no longer known whether a revision was accepted.
+    /// A revision is so old that it is no longer known whether it was accepted.
     Forgotten(Vec<Finding>),
 }
 
@@ -139,11 +139,11 @@
     fn add(&mut self, index: usize, item: Item) {
         let part = match Items::read(&item) {
             Ok(part) => part,
-            Err(found) => {
+            Err(findings) => {
                 let placed = |finding: Finding| {
                     Finding::new(format!("/{index}{}", finding.place), finding.text)
                 };
-                return self.invalid.extend(found.into_iter().map(placed));
+                return self.invalid.extend(findings.into_iter().map(placed));
             }
         };
         let (kind, name, revision) = (item.kind, item.name.clone(), item.revision);
@@ -187,15 +187,15 @@
         if !self.forgotten.is_empty() {
             return Err(ItemsRejection::Forgotten(self.forgotten));
         }
-        if let Err(found) = self.merged.merge_with_keys() {
-            return Err(ItemsRejection::Invalid(self.placed_in_call(found)));
+        if let Err(findings) = self.merged.merge_with_keys() {
+            return Err(ItemsRejection::Invalid(self.placed_in_call(findings)));
         }
         Ok(self.change())
     }
 
     /// Converts the findings of the merged configuration; for an item of the call,
     /// the place starts with its index in the call.
-    fn placed_in_call(&self, found: Vec<(String, Finding)>) -> Vec<Finding> {
+    fn placed_in_call(&self, findings: Vec<(String, Finding)>) -> Vec<Finding> {
         let put_indexes: BTreeMap<String, usize> = self
             .item_states
             .iter()
@@ -208,7 +208,7 @@
             Some(index) => format!("/{index}"),
             None => key,
         };
-        found
+        findings
             .into_iter()
             .map(|(key, finding)| {
                 Finding::new(format!("{}{}", place(key), finding.place), finding.text)
--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -59,7 +59,7 @@
     /// Returns the findings of an invalid call as one text.
     fn put_invalid(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
-            Err(ItemsRejection::Invalid(found)) => joined(&found),
+            Err(ItemsRejection::Invalid(findings)) => joined(&findings),
             other => panic!("{other:?}"),
         }
     }
@@ -67,7 +67,7 @@
     /// Returns the findings of a conflicting call as one text.
     fn put_conflicting(&mut self, items: Vec<Item>) -> String {
         match self.put(items) {
-            Err(ItemsRejection::Conflict(found)) => joined(&found),
+            Err(ItemsRejection::Conflict(findings)) => joined(&findings),
             other => panic!("{other:?}"),
         }
     }
@@ -80,8 +80,8 @@
     }
 }
 
-fn joined(found: &[Finding]) -> String {
-    let texts: Vec<String> = found.iter().map(ToString::to_string).collect();
+fn joined(findings: &[Finding]) -> String {
+    let texts: Vec<String> = findings.iter().map(ToString::to_string).collect();
     texts.join("; ")
 }
 
@@ -97,13 +97,13 @@
         Ok(0),
         "not newer: no effect"
     );
-    let found = partition.put_invalid(vec![
+    let findings = partition.put_invalid(vec![
         entry("b", 9, "/b/", "s"),
         entry("c", 9, "/c/", "none"),
     ]);
     assert!(
-        found.contains("/1/group") && found.contains("no such group"),
-        "{found}"
+        findings.contains("/1/group") && findings.contains("no such group"),
+        "{findings}"
     );
     let other = Item {
         name: "d".into(),
@@ -115,8 +115,8 @@
         None,
         "no part of an invalid call is applied"
     );
-    let found = partition.put_invalid(vec![entry("b", 9, "/a/", "s")]);
-    assert!(!found.is_empty(), "two entries with one path");
+    let findings = partition.put_invalid(vec![entry("b", 9, "/a/", "s")]);
+    assert!(!findings.is_empty(), "two entries with one path");
     assert_eq!(
         partition.put(vec![removal("a", 12), entry("b", 9, "/a/", "s")]),
         Ok(2),
@@ -127,10 +127,10 @@
         Ok(0),
         "older than the removal"
     );
-    let found = partition.put_invalid(vec![item(ItemKind::Group, "s", 20, None)]);
+    let findings = partition.put_invalid(vec![item(ItemKind::Group, "s", 20, None)]);
     assert!(
-        found.contains("item/entry/b/group"),
-        "an entry still refers to it: {found}"
+        findings.contains("item/entry/b/group"),
+        "an entry still refers to it: {findings}"
     );
     assert_eq!(partition.put(vec![entry("a", 13, "/z/", "s")]), Ok(1));
 }
@@ -142,13 +142,13 @@
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 7, "/a/", "s")]), Ok(1));
     let before = partition.rows.clone();
-    let found = partition.put_conflicting(vec![
+    let findings = partition.put_conflicting(vec![
         entry("b", 7, "/b/", "s"),
         entry("a", 7, "/other/", "s"),
     ]);
     assert!(
-        found.contains("/1/revision") && found.contains("item/entry/a: revision 7"),
-        "{found}"
+        findings.contains("/1/revision") && findings.contains("item/entry/a: revision 7"),
+        "{findings}"
     );
     partition.put_conflicting(vec![removal("a", 7)]);
     assert_eq!(partition.rows, before, "the new item is not put either");
--- a/kernel/src/link/backlog.rs
+++ b/kernel/src/link/backlog.rs
@@ -19,7 +19,7 @@
 
 impl Backlog {
     /// Adds a received message.
-    pub(super) fn received(&self, bytes: usize) {
+    pub(super) fn add(&self, bytes: usize) {
         self.sizes
             .lock()
             .expect("no holder panics")
@@ -29,7 +29,7 @@
 
     /// Removes the earliest received message after it was processed. Returns true
     /// if the event loop must be woken, since it may read again.
-    pub(super) fn processed(&self) -> bool {
+    pub(super) fn remove_earliest(&self) -> bool {
         let Some(bytes) = self.sizes.lock().expect("no holder panics").pop_front() else {
             return false;
         };
@@ -37,7 +37,7 @@
         left < RESUME_BYTES && self.paused.swap(false, Ordering::SeqCst)
     }
 
-    /// Returns true if reading must wait; `processed` then wakes the event loop.
+    /// Returns true if reading must wait; `remove_earliest` then reports when it may resume.
     pub(super) fn is_full(&self) -> bool {
         if self.bytes.load(Ordering::SeqCst) < PAUSE_BYTES {
             return false;
--- a/kernel/src/link/counters.rs
+++ b/kernel/src/link/counters.rs
@@ -29,7 +29,7 @@
     /// Number of open sessions that this process opened.
     pub outbound: Counter,
     /// Number of sessions closed because of an invalid frame or sender.
-    pub refused_frames: Counter,
+    pub rejected_frames: Counter,
     /// Number of messages that could not be decoded.
     pub undecodable: Counter,
     /// Number of urgent messages dropped because a queue was full.
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -49,13 +49,14 @@
     /// The peer address of each outbound session.
     outbound_tokens: HashMap<Token, SocketAddr>,
     /// Earliest time of the next attempt to connect to a peer.
-    retry: HashMap<SocketAddr, Instant>,
-    /// Times at which to check an outbound session or a retry again.
+    next_attempt: HashMap<SocketAddr, Instant>,
+    /// Times at which to check an outbound session, or a peer that is not connected, again.
     deadlines: BTreeSet<(Instant, SocketAddr)>,
-    /// Sessions with more to read. `unwritten`: peers with more to write.
+    /// Sessions with more to read.
     unread: Vec<Token>,
+    /// Peers with more to write.
     unwritten: Vec<SocketAddr>,
-    accept_again: Option<Instant>,
+    resume_accept_at: Option<Instant>,
     next_token: usize,
     scratch: Vec<u8>,
     now: Instant,
@@ -82,11 +83,11 @@
             latest_inbound: HashMap::new(),
             outbound: HashMap::new(),
             outbound_tokens: HashMap::new(),
-            retry: HashMap::new(),
+            next_attempt: HashMap::new(),
             deadlines: BTreeSet::new(),
             unread: Vec::new(),
             unwritten: Vec::new(),
-            accept_again: None,
+            resume_accept_at: None,
             next_token: FIRST_SESSION,
             scratch: vec![0; SCRATCH_BYTES],
             now: Instant::now(),
@@ -117,7 +118,7 @@
             return Some(Duration::ZERO);
         }
         let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let next = deadline.into_iter().chain(self.accept_again).min();
+        let next = deadline.into_iter().chain(self.resume_accept_at).min();
         next.map(|at| at.saturating_duration_since(Instant::now()))
     }
 
@@ -150,7 +151,7 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
                     ) => {}
                 Err(_) => {
-                    self.accept_again = Some(self.now + ACCEPT_PAUSE);
+                    self.resume_accept_at = Some(self.now + ACCEPT_PAUSE);
                     return;
                 }
             }
@@ -242,10 +243,10 @@
         if *peer.get_or_insert(from) != from {
             let text = format!("{from} sent a message on the session of another peer");
             log_event(Event::FrameRefused, &text);
-            self.shared.counters.refused_frames.add(1);
+            self.shared.counters.rejected_frames.add(1);
             return false;
         }
-        self.shared.backlog.received(bytes);
+        self.shared.backlog.add(bytes);
         self.inputs
             .send(Input::MessageReceived { from, message })
             .is_ok()
@@ -282,7 +283,7 @@
             }
             Reading::InvalidFrame(error) => {
                 log_event(Event::FrameRefused, &error.to_string());
-                self.shared.counters.refused_frames.add(1);
+                self.shared.counters.rejected_frames.add(1);
                 false
             }
         }
@@ -316,11 +317,11 @@
     }
 
     fn connect(&mut self, to: SocketAddr) {
-        if let Some(at) = self.retry.get(&to).filter(|at| **at > self.now) {
+        if let Some(at) = self.next_attempt.get(&to).filter(|at| **at > self.now) {
             self.deadlines.insert((*at, to));
             return;
         }
-        self.retry.insert(to, self.now + RETRY_DELAY);
+        self.next_attempt.insert(to, self.now + RETRY_DELAY);
         let token = self.new_token();
         let connecting = Outbound::connect(token, to, self.now + CONNECT_TIMEOUT, STALL_TIMEOUT)
             .and_then(|mut session| {
@@ -346,7 +347,7 @@
     fn connect_failed(&mut self, to: SocketAddr) {
         self.close_outbound(to);
         self.shared.lock_queues().drop_all(to);
-        self.forget_retry_later(to);
+        self.schedule_attempt_removal(to);
     }
 
     fn handle_outbound(&mut self, to: SocketAddr, event: &Readiness) {
@@ -407,13 +408,13 @@
         if has_messages {
             self.connect(to);
         } else {
-            self.forget_retry_later(to);
+            self.schedule_attempt_removal(to);
         }
     }
 
     /// Schedules the removal of the peer's retry time once it has passed.
-    fn forget_retry_later(&mut self, to: SocketAddr) {
-        let at = self.retry.get(&to).copied().unwrap_or(self.now);
+    fn schedule_attempt_removal(&mut self, to: SocketAddr) {
+        let at = self.next_attempt.get(&to).copied().unwrap_or(self.now);
         self.deadlines.insert((at.max(self.now), to));
     }
 
@@ -434,8 +435,8 @@
             self.deadlines.pop_first();
             self.handle_deadline(address);
         }
-        if self.accept_again.is_some_and(|at| at <= self.now) {
-            self.accept_again = None;
+        if self.resume_accept_at.is_some_and(|at| at <= self.now) {
+            self.resume_accept_at = None;
             self.accept();
         }
     }
@@ -453,8 +454,12 @@
                 let has_messages = !self.shared.lock_queues().is_empty(address);
                 if has_messages {
                     self.connect(address);
-                } else if self.retry.get(&address).is_some_and(|at| *at <= self.now) {
-                    self.retry.remove(&address);
+                } else if self
+                    .next_attempt
+                    .get(&address)
+                    .is_some_and(|at| *at <= self.now)
+                {
+                    self.next_attempt.remove(&address);
                 }
             }
         }
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -162,8 +162,8 @@
 
     /// Reports that the earliest unprocessed message was processed, which releases
     /// its share of the backlog.
-    pub fn processed(&self) {
-        if self.shared.backlog.processed() {
+    pub fn mark_processed(&self) {
+        if self.shared.backlog.remove_earliest() {
             self.shared.wake();
         }
     }
--- a/kernel/src/message/admission.rs
+++ b/kernel/src/message/admission.rs
@@ -19,7 +19,7 @@
 pub enum CallResult {
     /// A complete response with a valid signature.
     Success,
-    /// No response, or one that is not acceptable.
+    /// No response, or an invalid one.
     Failure,
     /// Nothing was sent: the connection was refused.
     Unreachable,
--- a/kernel/src/message/change.rs
+++ b/kernel/src/message/change.rs
@@ -96,9 +96,9 @@
 /// Condition under which a change is acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Acknowledge {
-    /// It is on a majority of disks, so it will take effect.
+    /// Committed: on the disks of a majority, so it will take effect.
     Committed,
-    /// It is in effect at every live edge.
+    /// Settled: in effect at every live edge.
     Settled,
 }
 
--- a/kernel/src/message/generation.rs
+++ b/kernel/src/message/generation.rs
@@ -8,9 +8,9 @@
 pub struct Generation;
 
 impl Generation {
-    /// Returns the generation that follows `known`, created by the disk `incarnation`.
-    pub fn after(known: u64, incarnation: u64) -> u64 {
-        ((known >> 32) + 1) << 32 | u64::from(incarnation as u32)
+    /// Returns the generation that follows `current`, created by the disk `incarnation`.
+    pub fn after(current: u64, incarnation: u64) -> u64 {
+        ((current >> 32) + 1) << 32 | u64::from(incarnation as u32)
     }
 
     /// Returns true if it is not the first generation: rows may have been lost
@@ -24,8 +24,8 @@
         format!("{generation:016x}")
     }
 
-    /// Returns true if the counter of `one` is lower than that of `other`.
-    pub fn older(one: u64, other: u64) -> bool {
-        one >> 32 < other >> 32
+    /// Returns true if the counter of `generation` is lower than that of `other`.
+    pub fn older(generation: u64, other: u64) -> bool {
+        generation >> 32 < other >> 32
     }
 }
--- a/kernel/src/message/mod.rs
+++ b/kernel/src/message/mod.rs
@@ -47,7 +47,7 @@
         }
 
         impl Message {
-            /// The name of this kind of message.
+            /// Returns the name of this kind of message.
             pub fn name(&self) -> &'static str {
                 match self { $(Message::$name(_) => stringify!($name)),* }
             }
@@ -96,7 +96,7 @@
         /// Version of the sender's membership table.
         membership_version: u64,
     }
-    /// All partitions of one replica.
+    /// Sends all partitions of one replica.
     SnapshotReply {
         /// The slot that the sender holds.
         slot: u8,
@@ -126,7 +126,7 @@
         /// State of the sender's own disk: replies need not carry an older one.
         requester_state: StateId,
     }
-    /// The promise of one replica, with its state of the partition.
+    /// Returns the promise of a replica, with its state of the partition.
     PrepareReply {
         /// The partition of the request.
         partition: u8,
@@ -278,7 +278,7 @@
         version_vector: Vec<u64>,
         /// The edge's zone.
         zone: String,
-        /// The ring of cache partitions that it takes part in.
+        /// The ring of cache partitions that the edge is a member of.
         ring: String,
         /// Relative capacity of the edge's machine.
         weight: u32,
--- a/kernel/src/message/session.rs
+++ b/kernel/src/message/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of edges with control nodes, and what edges report through them.
+//! Sessions of edges with control nodes, and the state that edges report through them.
 use crate::prelude::*;
 
 /// An edge's session at a control node.
@@ -83,7 +83,7 @@
 pub struct OriginHealth {
     /// The address on which the origin listens.
     pub address: SocketAddr,
-    /// The service it belongs to.
+    /// The service that the origin belongs to.
     pub service: String,
     /// The origin's instance id.
     pub instance: String,
@@ -97,11 +97,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OriginCondition {
-    /// It proved its identity recently.
+    /// The origin proved its identity recently.
     Proven,
-    /// It has not proved its identity recently.
+    /// The origin has not proved its identity recently.
     Unproven,
-    /// It failed and is not called for some time (outlier ejection).
+    /// The origin failed and is not called for some time (outlier ejection).
     #[serde(rename = "aside")]
     Ejected,
 }
--- a/kernel/src/purge.rs
+++ b/kernel/src/purge.rs
@@ -68,21 +68,21 @@
 
     /// Validates the purge and returns all findings.
     pub fn findings(&self) -> Vec<Finding> {
-        let mut found = findings_of(self.validate());
+        let mut findings = findings_of(self.validate());
         if self.entry.is_none()
             && self.url.is_none()
             && self.prefix.is_none()
             && self.host.is_none()
             && self.tag.is_none()
         {
-            found.push(Finding::new(
+            findings.push(Finding::new(
                 "",
                 "one of entry, host, url, prefix or tag must be given",
             ));
         }
         if self.url.is_some() && self.prefix.is_some() {
-            found.push(Finding::new("/prefix", "url and prefix exclude each other"));
+            findings.push(Finding::new("/prefix", "url and prefix exclude each other"));
         }
-        found
+        findings
     }
 }
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -11,7 +11,7 @@
 }
 
 /// A value of the control state. The order of the variants is the format of the
-/// stored log: append new ones.
+/// stored log: append new variants at the end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Value {
     /// The configuration document.
@@ -151,8 +151,8 @@
     Running,
     /// Nothing was sent under the claim.
     Released,
-    /// The origin may have executed it.
+    /// The origin may have executed the request.
     Unknown,
-    /// It was executed, with this response.
+    /// The request was executed, with this response.
     Done(Arc<Reply>),
 }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -126,7 +126,8 @@
             &mut flags,
             &Startup::help(program, about, has_disk),
         );
-        Startup::read(flags, has_disk).unwrap_or_else(|found| exit_with_findings(program, &found))
+        Startup::read(flags, has_disk)
+            .unwrap_or_else(|findings| exit_with_findings(program, &findings))
     }
 
     fn help(program: &str, about: &str, has_disk: bool) -> String {
@@ -154,8 +155,8 @@
     }
 
     fn read(mut flags: pico_args::Arguments, has_disk: bool) -> Result<Startup, Vec<Finding>> {
-        let mut found = Vec::new();
-        let mut startup = Startup::from_file(&mut flags, &mut found);
+        let mut findings = Vec::new();
+        let mut startup = Startup::from_file(&mut flags, &mut findings);
         for flag in FLAGS {
             let set = match flags.opt_value_from_str::<_, String>(flag) {
                 Ok(None) => Ok(()),
@@ -164,21 +165,21 @@
                     .map_err(|error| format!("{text}: {error}")),
                 Err(error) => Err(error.to_string()),
             };
-            found.extend(set.err().map(|error| Finding::new(flag, error)));
+            findings.extend(set.err().map(|error| Finding::new(flag, error)));
         }
         for unknown in flags.finish() {
-            found.push(Finding::new(unknown.to_string_lossy(), "unknown flag"));
+            findings.push(Finding::new(unknown.to_string_lossy(), "unknown flag"));
         }
-        found.extend(startup.findings(has_disk));
-        if found.is_empty() {
+        findings.extend(startup.findings(has_disk));
+        if findings.is_empty() {
             Ok(startup)
         } else {
-            Err(found)
+            Err(findings)
         }
     }
 
     /// Reads the file that `--startup` names; returns the defaults without one.
-    fn from_file(flags: &mut pico_args::Arguments, found: &mut Vec<Finding>) -> Startup {
+    fn from_file(flags: &mut pico_args::Arguments, findings: &mut Vec<Finding>) -> Startup {
         let read = match flags.opt_value_from_str::<_, PathBuf>("--startup") {
             Ok(None) => return Startup::default(),
             Ok(Some(path)) => {
@@ -187,7 +188,7 @@
             Err(error) => Err(Finding::new("--startup", error.to_string())),
         };
         read.unwrap_or_else(|finding| {
-            found.push(finding);
+            findings.push(finding);
             Startup::default()
         })
     }
@@ -216,10 +217,10 @@
     }
 
     fn findings(&self, has_disk: bool) -> Vec<Finding> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         let mut report_if = |invalid: bool, place: &str, text: &str| {
             if invalid {
-                found.push(Finding::new(place, text));
+                findings.push(Finding::new(place, text));
             }
         };
         report_if(self.mesh.is_none(), "mesh", "is needed");
@@ -251,7 +252,7 @@
         if has_disk {
             report_if(self.data.is_none(), "data", "is needed");
         }
-        found
+        findings
     }
 
     /// Returns the time for which founding control nodes are collected; `None` if the
--- a/kernel/src/startup/tests.rs
+++ b/kernel/src/startup/tests.rs
@@ -11,8 +11,11 @@
         "--odd",
     ];
     let flags = pico_args::Arguments::from_vec(words.iter().map(|word| word.into()).collect());
-    let found = Startup::read(flags, true).unwrap_err();
-    let places: Vec<&str> = found.iter().map(|finding| finding.place.as_str()).collect();
+    let findings = Startup::read(flags, true).unwrap_err();
+    let places: Vec<&str> = findings
+        .iter()
+        .map(|finding| finding.place.as_str())
+        .collect();
     assert_eq!(
         places,
         ["--mesh", "--odd", "mesh", "http", "zone", "seeds", "data"]
@@ -41,8 +44,8 @@
             true,
         )
     };
-    let found = read(&["--seeds", "127.0.0.1:1"]).unwrap_err();
-    assert_eq!(found.len(), 1, "{found:?}");
+    let findings = read(&["--seeds", "127.0.0.1:1"]).unwrap_err();
+    assert_eq!(findings.len(), 1, "{findings:?}");
     let startup = read(&[
         "--seeds",
         "127.0.0.1:1",
@@ -64,6 +67,6 @@
     let startup = read(&again).unwrap();
     assert!(startup.refounding && !startup.founding);
     let both = [&again[..], &["--founding", "true"]].concat();
-    let found = read(&both).unwrap_err();
-    assert_eq!(found.len(), 1, "{found:?}");
+    let findings = read(&both).unwrap_err();
+    assert_eq!(findings.len(), 1, "{findings:?}");
 }
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -47,7 +47,7 @@
             .inputs
             .recv_timeout(WAIT_TIMEOUT)
             .expect("a message arrives");
-        self.links.processed();
+        self.links.mark_processed();
         match input {
             Input::MessageReceived { from, message } => (from, message),
             other => panic!("{other:?}"),
@@ -60,7 +60,7 @@
         while Instant::now() < deadline {
             self.send(to.me.address, PermitQueued { id });
             if to.inputs.recv_timeout(Duration::from_millis(50)).is_ok() {
-                to.links.processed();
+                to.links.mark_processed();
                 return;
             }
         }
@@ -179,7 +179,7 @@
         // Since bytes are unread, the operating system may close with a reset.
         assert!(matches!(foreign.read(&mut [0; 8]), Ok(0) | Err(_)));
         wait_until("the invalid frame is counted", || {
-            node.links.counters().refused_frames.get() == index + 1
+            node.links.counters().rejected_frames.get() == index + 1
         });
     }
     good.write_all(&frame::write(from, &urgent(3)).unwrap())
@@ -212,7 +212,7 @@
     assert_eq!(node.receive(), (from, urgent(2)));
     assert_eq!(node.receive(), (from, urgent(3)));
     assert_eq!(node.links.counters().undecodable.get(), 2);
-    assert_eq!(node.links.counters().refused_frames.get(), 0);
+    assert_eq!(node.links.counters().rejected_frames.get(), 0);
 }
 
 #[test]
@@ -248,7 +248,7 @@
     }
     assert_eq!(node.receive(), (one, urgent(1)));
     wait_until("the second sender is rejected", || {
-        node.links.counters().refused_frames.get() == 1
+        node.links.counters().rejected_frames.get() == 1
     });
     assert!(node.inputs.is_empty());
 }
--- a/segment-log/src/frame.rs
+++ b/segment-log/src/frame.rs
@@ -26,9 +26,9 @@
 /// Reasons why a file is not in a supported format.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ForeignContent {
-    #[error("format {found}, not {expected}")]
+    #[error("format version {found} instead of {expected}")]
     OtherVersion { found: u8, expected: u8 },
-    #[error("it does not begin as one")]
+    #[error("unknown format")]
     UnknownFormat,
 }
 
--- a/segment-log/src/segment_log.rs
+++ b/segment-log/src/segment_log.rs
@@ -67,7 +67,7 @@
                 return Ok(quarantined);
             }
         }
-        Err(io::Error::other("no free name"))
+        Err(io::Error::other("no unused folder name"))
     }
 }
 
--- a/segment-log/src/segment_log/tests.rs
+++ b/segment-log/src/segment_log/tests.rs
@@ -134,8 +134,8 @@
 /// Corrupted bytes in the unsynced tail are truncated like a torn record, provided that
 /// no valid frame follows.
 #[test]
-fn garbled_last_record_is_truncated() {
-    let path = temporary_path("garbled");
+fn corrupted_last_record_is_truncated() {
+    let path = temporary_path("corrupted");
     write_three_records(&path);
     let file = path.join("segment-00000001");
     let good = fs::read(&file).unwrap();
