--- a/kernel/src/client.rs
+++ b/kernel/src/client.rs
@@ -14,7 +14,7 @@
     pub headers: Vec<(String, String)>,
     /// The complete body.
     pub body: Arc<Vec<u8>>,
-    /// The client's `Authorization` header, or its address without one.
+    /// The value of the client's `Authorization` header; empty without one.
     pub caller: String,
     /// The configuration in effect for this request until its end.
     pub routes: Arc<RouteTable>,
