--- a/http-line/src/body.rs
+++ b/http-line/src/body.rs
@@ -1,8 +1,8 @@
-//! The bytes of a body.
+//! The bytes of a message body.
 
 use crate::prelude::*;
 
-/// A range of shared bytes; never copied before the socket.
+/// A range of shared bytes, written to the socket without an intermediate copy.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Body {
     bytes: Arc<Vec<u8>>,
@@ -10,7 +10,7 @@
 }
 
 impl Body {
-    /// The bytes of this range, clamped to the bytes there are.
+    /// Returns the given range of `bytes`, clamped to their length.
     pub fn slice(bytes: Arc<Vec<u8>>, range: Range<usize>) -> Body {
         let end = range.end.min(bytes.len());
         Body {
@@ -24,12 +24,12 @@
         self.range.len()
     }
 
-    /// Whether there are no bytes.
+    /// Returns true if the body has no bytes.
     pub fn is_empty(&self) -> bool {
         self.range.is_empty()
     }
 
-    /// The bytes.
+    /// The bytes of the body.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.range.clone()]
     }
--- a/http-line/src/body_reader.rs
+++ b/http-line/src/body_reader.rs
@@ -1,8 +1,8 @@
-//! Reads the body of a message.
+//! Reads the body of an HTTP message.
 
 use crate::prelude::*;
 
-/// How the end of a body is known.
+/// Framing of a body: the rule by which its end is found.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Framing {
     Length(usize),
@@ -10,7 +10,7 @@
     UntilClose,
 }
 
-/// Why a body is not read further.
+/// The reason why a body cannot be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum BodyError {
     #[error("{0}")]
@@ -19,16 +19,16 @@
     TooLarge,
 }
 
-/// What one input did for a body.
+/// Result of feeding one piece of input to a [`BodyReader`].
 #[derive(Debug, PartialEq)]
 pub(crate) struct BodyProgress {
-    /// Bytes of the input that belong to the body.
+    /// Number of input bytes that belong to the body.
     pub(crate) consumed: usize,
-    /// Whether the body's end was read.
+    /// True once the end of the body has been read.
     pub(crate) complete: bool,
 }
 
-/// A body being read. Invariant: `body` is at most `limit` bytes.
+/// Reader of one body. Invariant: `body` is at most `limit` bytes.
 pub(crate) struct BodyReader {
     framing: Framing,
     chunked: ChunkedDecoder,
@@ -36,7 +36,8 @@
     limit: usize,
 }
 
-/// Allocated at once for a body whose length was only announced.
+/// Maximum buffer size in bytes that is allocated for a `Content-Length` before
+/// any of the body has been received.
 const INITIAL_CAPACITY_BYTES: usize = 64 * 1024;
 
 impl BodyReader {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Grows the buffer by doubling, never beyond the announced length.
+    /// Grows the buffer by doubling, never beyond the announced length of the body.
     fn read_up_to(&mut self, length: usize, input: &[u8]) -> BodyProgress {
         let consumed = input.len().min(length - self.body.len());
         let needed = self.body.len() + consumed;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether the end of the connection is the body's end.
+    /// Returns true if the body ends where the connection ends.
     pub(crate) fn ends_with_connection(&self) -> bool {
         self.framing == Framing::UntilClose
     }
--- a/http-line/src/call.rs
+++ b/http-line/src/call.rs
@@ -1,51 +1,53 @@
-//! A request to another address.
+//! Requests sent to origins and other addresses.
 
 use crate::prelude::*;
 
-/// A request to another address. Its outcome is handed to the handler once
-/// with its `id`, unless the call is cancelled before.
+/// A request to another address. Its outcome is passed to the handler exactly
+/// once, with its `id`, unless the call is cancelled first.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Unique among all calls in flight.
+    /// Identifier of the call, unique among all calls in flight.
     pub id: u64,
-    /// Where the request goes.
+    /// Destination of the request.
     pub address: SocketAddr,
     /// The method, as sent.
     pub method: String,
     /// The request target, as sent.
     pub target: String,
-    /// Names and values, in the order sent. `Host` is up to the caller; lengths
-    /// and encodings are left out.
+    /// Header names and values, in the order sent. The caller provides `Host`;
+    /// `Content-Length`, `Transfer-Encoding` and `Expect` are omitted.
     pub headers: Vec<(String, String)>,
     /// The body, sent with a `Content-Length`.
     pub body: Arc<Vec<u8>>,
-    /// For the entire exchange, from `EventLoopHandle::call` on.
+    /// Timeout of the entire exchange, counted from `EventLoopHandle::call`.
     pub timeout: Duration,
-    /// The request that this is an attempt of, if its response could be mistaken
-    /// for that of another attempt.
+    /// Identifier of the request that this call is an attempt of, if its response
+    /// could be mistaken for the response to another attempt.
     pub request: Option<u64>,
-    /// The response must carry this header with this value.
+    /// Header name and value that the response must carry.
     pub echo: Option<(String, String)>,
-    /// Most connections to this address from this process.
+    /// Maximum number of connections from this process to this address.
     pub max_connections: usize,
 }
 
-/// Why a call cannot be written as a request.
+/// The reason why a call cannot be written as a request.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum InvalidCall {
     /// The method is not a token.
-    #[error("the method is no token")]
+    #[error("the method is not a token")]
     Method,
-    /// The target is empty or has controls or spaces.
-    #[error("the target has controls, spaces or nothing")]
+    /// The target is empty or contains control characters or spaces.
+    #[error("the target is empty or contains control characters or spaces")]
     Target,
-    /// A header's name is not a token, or its value has controls.
-    #[error("header {0:?} has controls")]
+    /// The name of a header is not a token, or its value contains control
+    /// characters.
+    #[error("the name of header {0:?} is not a token, or its value contains control characters")]
     Header(String),
 }
 
 impl Call {
-    /// Whether nothing in it can end a line of the head early.
+    /// Checks that no part of the call can end a line of the head early, so that
+    /// no header or request can be injected.
     pub fn check(&self) -> Result<(), InvalidCall> {
         if !is_token(&self.method) {
             return Err(InvalidCall::Method);
@@ -68,7 +70,7 @@
             .all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte))
 }
 
-/// Whether the header cannot end its line early.
+/// Returns true if the header cannot end its line early.
 pub(crate) fn is_valid_header((name, value): &(String, String)) -> bool {
     is_token(name)
         && value
--- a/http-line/src/chunked_decoder.rs
+++ b/http-line/src/chunked_decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes a body in chunks.
+//! Decoder for the chunked transfer coding.
 
 #[cfg(test)]
 mod tests;
@@ -6,7 +6,8 @@
 use crate::body_reader::BodyProgress;
 use crate::prelude::*;
 
-/// Decodes chunked bytes, strictly: CRLF only, no space around a size.
+/// Strict decoder for the chunked transfer coding: lines end with CRLF only, and
+/// no space is allowed around a chunk size.
 /// Invariant: `overhead_bytes` counts all bytes of extensions and trailers.
 pub(crate) struct ChunkedDecoder {
     state: State,
@@ -15,11 +16,11 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    /// The size so far, and its digits.
+    /// Chunk size read so far, and its number of digits.
     Size(usize, u8),
     Extension(usize),
     SizeLineFeed(usize),
-    /// Bytes of the chunk still to come.
+    /// Number of bytes of the chunk that are still to be received.
     Data(usize),
     DataCarriageReturn,
     DataLineFeed,
@@ -30,9 +31,9 @@
     Done,
 }
 
-/// Most bytes of extensions and trailers of one body.
+/// Maximum number of bytes of extensions and trailers in one body.
 const MAX_OVERHEAD_BYTES: usize = 8 * 1024;
-/// Most hexadecimal digits of a chunk's size.
+/// Maximum number of hexadecimal digits of a chunk size.
 const MAX_SIZE_DIGITS: u8 = 8;
 
 impl ChunkedDecoder {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Appends decoded bytes to `body`, up to `limit` bytes in all.
+    /// Appends decoded bytes to `body`, up to a total of `limit` bytes.
     pub(crate) fn feed(
         &mut self,
         input: &[u8],
--- a/http-line/src/chunked_decoder/tests.rs
+++ b/http-line/src/chunked_decoder/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of the chunked decoder.
 use super::*;
 
-/// Decodes the input in pieces of so many bytes; the body, the bytes consumed and
-/// whether it is complete.
+/// Decodes the input in pieces of `step` bytes. Returns the body, the number of bytes
+/// consumed and whether the body is complete.
 fn decode(input: &[u8], step: usize) -> Result<(Vec<u8>, usize, bool), BodyError> {
     let (mut decoder, mut body, mut consumed) = (ChunkedDecoder::new(), Vec::new(), 0);
     for bytes in input.chunks(step) {
--- a/http-line/src/client_connection.rs
+++ b/http-line/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to another address, without its socket.
+//! Protocol state of a connection to another address, without its socket.
 
 mod reader;
 mod request_head;
@@ -7,25 +7,26 @@
 use crate::prelude::*;
 use request_head::encode_head;
 
-/// One connection to another address, without its socket. Invariant: while idle
-/// (`exchange` is none) nothing may be received, and it may be reused before
-/// `reusable_until` only.
+/// Protocol state of one connection to another address, without its socket.
+/// Invariant: while the connection is idle (`exchange` is `None`) nothing may be
+/// received, and it may be reused only before `reusable_until`.
 pub struct ClientConnection {
-    /// Where it goes.
+    /// Remote address of the connection.
     pub address: SocketAddr,
     exchange: Option<Exchange>,
-    /// The start of a head.
+    /// Buffered start of a response head.
     input: Vec<u8>,
-    /// Bytes at the start of `input` known to hold no end of a head.
+    /// Number of bytes at the start of `input` known not to contain the end of a head.
     scanned_bytes: usize,
     response: Option<PartialResponse>,
-    /// Bytes of the request that are still to be written.
+    /// Request bytes that are still to be written.
     pub output: SendQueue,
     exchanges_begun: u64,
-    /// Responses to other calls that were received for the current one.
-    foreign_responses: u32,
-    /// Hashes that tie the last calls here to their responses, oldest first.
-    recent_marks: VecDeque<u64>,
+    /// Number of responses to other calls received during the current call.
+    mismatched_responses: u32,
+    /// Correlation hashes of the last calls on this connection, oldest first.
+    recent_correlation_hashes: VecDeque<u64>,
+    /// Time until which the idle connection may be reused.
     reusable_until: Option<Instant>,
 }
 
@@ -33,12 +34,12 @@
 struct Exchange {
     id: u64,
     is_head_request: bool,
-    /// The request asks to close the connection after it.
+    /// True if the request asks to close the connection after the response.
     requests_close: bool,
     echo: Option<(String, String)>,
-    /// The socket took bytes of it.
+    /// True once the socket has accepted bytes of the request.
     sent: bool,
-    /// Bytes were received since.
+    /// True once bytes have been received during the exchange.
     received: bool,
     deadline: Instant,
     connect_deadline: Instant,
@@ -50,24 +51,24 @@
     body: BodyReader,
 }
 
-/// How a call ended, and whether the connection may serve another.
+/// Result of a finished call, and whether the connection may serve another call.
 pub struct FinishedExchange {
-    /// The call's id.
+    /// Identifier of the call.
     pub id: u64,
-    /// The response, or why there is none.
+    /// The response, or the reason why there is none.
     pub outcome: ExchangeOutcome,
-    /// How long the connection may stay idle; none: it must be closed.
+    /// Maximum idle time of the connection before reuse; `None` if it must be closed.
     pub reusable_for: Option<Duration>,
 }
 
-/// Echoed ids and requests of a connection's last calls that are remembered.
-const MAX_RECENT_MARKS: usize = 64;
-/// A connection that is not established by then is given up: its address was
-/// chosen from a list that becomes stale.
+/// Maximum number of correlation hashes kept for the last calls of a connection.
+const MAX_RECENT_CORRELATION_HASHES: usize = 64;
+/// Maximum time to establish a connection. The address was chosen from a list that
+/// becomes stale.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ClientConnection {
-    /// A connection that has served no call.
+    /// Creates the state of a connection that has not served a call.
     pub fn new(address: SocketAddr) -> ClientConnection {
         ClientConnection {
             address,
@@ -77,19 +78,19 @@
             response: None,
             output: SendQueue::default(),
             exchanges_begun: 0,
-            foreign_responses: 0,
-            recent_marks: VecDeque::new(),
+            mismatched_responses: 0,
+            recent_correlation_hashes: VecDeque::new(),
             reusable_until: None,
         }
     }
 
-    /// Queues the call's request. The call's timeout runs from `started`.
+    /// Queues the request of a call, whose timeout is counted from `started`.
     pub fn begin(&mut self, call: &Call, started: Instant, now: Instant) {
         self.output.push(encode_head(call).into());
         self.output.push(call.body.clone().into());
         self.exchanges_begun += 1;
-        self.foreign_responses = 0;
-        self.remember(call);
+        self.mismatched_responses = 0;
+        self.remember_correlation_hashes(call);
         self.reusable_until = None;
         let mut connection_options = list_items(&call.headers, "connection");
         self.exchange = Some(Exchange {
@@ -105,52 +106,52 @@
         });
     }
 
-    /// Whether one of the last calls here was an attempt of the same request, or
-    /// had the same echoed id. A second response to that call could not be told
-    /// from the response to this one.
+    /// Returns true if one of the last calls on this connection was an attempt of the
+    /// same request, or had the same echoed id. A duplicate response to that call
+    /// could not be distinguished from the response to this one.
     pub fn recently_carried(&self, call: &Call) -> bool {
-        response_marks(call).any(|mark| self.recent_marks.contains(&mark))
+        correlation_hashes(call).any(|hash| self.recent_correlation_hashes.contains(&hash))
     }
 
-    fn remember(&mut self, call: &Call) {
-        for mark in response_marks(call) {
-            if self.recent_marks.len() == MAX_RECENT_MARKS {
-                self.recent_marks.pop_front();
+    fn remember_correlation_hashes(&mut self, call: &Call) {
+        for hash in correlation_hashes(call) {
+            if self.recent_correlation_hashes.len() == MAX_RECENT_CORRELATION_HASHES {
+                self.recent_correlation_hashes.pop_front();
             }
-            self.recent_marks.push_back(mark);
+            self.recent_correlation_hashes.push_back(hash);
         }
     }
 
-    /// The call in flight does not time out before this time.
+    /// Extends the timeout of the call in flight to at least `deadline`.
     pub fn extend_deadline(&mut self, deadline: Instant) {
         if let Some(exchange) = &mut self.exchange {
             exchange.deadline = exchange.deadline.max(deadline);
         }
     }
 
-    /// Whether no call is in flight.
+    /// Returns true if no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.exchange.is_none()
     }
 
-    /// Whether the socket took any byte of the call in flight.
+    /// Returns true if the socket has accepted any byte of the call in flight.
     pub fn is_sent(&self) -> bool {
         self.exchange.as_ref().is_some_and(|exchange| exchange.sent)
     }
 
-    /// The socket took bytes of the call in flight.
+    /// Records that the socket has accepted bytes of the call in flight.
     pub fn mark_sent(&mut self) {
         if let Some(exchange) = &mut self.exchange {
             exchange.sent = true;
         }
     }
 
-    /// Lets the idle connection be reused before `until`.
+    /// Allows the idle connection to be reused before `until`.
     pub fn allow_reuse(&mut self, until: Instant) {
         self.reusable_until = Some(until);
     }
 
-    /// Whether an idle connection may still be reused.
+    /// Returns true if the idle connection may still be reused.
     pub fn is_reusable(&self, now: Instant) -> bool {
         self.reusable_until.is_some_and(|until| now < until)
     }
@@ -173,13 +174,14 @@
         Some(FinishedExchange::failed(exchange.id, error))
     }
 
-    /// The connection has ended, `in_order` if the other side closed it.
-    pub fn end(&mut self, in_order: bool, reason: &str) -> Option<FinishedExchange> {
+    /// Handles the end of the connection; `is_orderly` is true if the peer closed it
+    /// without an error.
+    pub fn end(&mut self, is_orderly: bool, reason: &str) -> Option<FinishedExchange> {
         let is_complete = self
             .response
             .as_ref()
             .is_some_and(|response| response.body.ends_with_connection());
-        if in_order
+        if is_orderly
             && is_complete
             && let Some(finished) = self.finish_response(true)
         {
@@ -191,20 +193,20 @@
         self.fail(reason)
     }
 
-    /// The call in flight has timed out.
+    /// Ends the call in flight because it has timed out.
     pub fn time_out(&mut self) -> Option<FinishedExchange> {
         let exchange = self.exchange.take()?;
         let error = match exchange.sent {
             true => ExchangeError::Interrupted {
-                reason: "no whole answer in time".into(),
+                reason: "no complete response before the timeout".into(),
                 reused: false,
             },
-            false => ExchangeError::NotSent("no connection in time".into()),
+            false => ExchangeError::NotSent("no connection before the timeout".into()),
         };
         Some(FinishedExchange::failed(exchange.id, error))
     }
 
-    /// When the call in flight times out, or an idle connection is closed.
+    /// Time at which the call in flight times out, or the idle connection is closed.
     pub fn due(&self) -> Option<Instant> {
         match &self.exchange {
             Some(exchange) if exchange.sent || self.exchanges_begun > 1 => Some(exchange.deadline),
@@ -224,8 +226,8 @@
     }
 }
 
-/// Hashes of what ties a response to its request.
-fn response_marks(call: &Call) -> impl Iterator<Item = u64> {
+/// Hashes of the values that correlate a response with its request.
+fn correlation_hashes(call: &Call) -> impl Iterator<Item = u64> {
     let hash = |kind: u8, value: &dyn AsRef<[u8]>| {
         let mut hasher = DefaultHasher::new();
         (kind, value.as_ref()).hash(&mut hasher);
--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -1,28 +1,30 @@
-//! Reads responses from another address's bytes.
+//! Reading of responses from received bytes.
 
 use super::*;
 use crate::body_reader::BodyProgress;
 use crate::head::{find_end, values};
 use std::ops::ControlFlow;
 
-/// One step of reading: bytes consumed, or the end of the reading, with the
-/// exchange if it has finished.
+/// Result of one parsing step: the number of bytes consumed, or the end of parsing
+/// for now, with the exchange if it has finished.
 type ReadStep = ControlFlow<Option<FinishedExchange>, usize>;
 
+/// Maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// More responses to other calls than this end the connection.
-const MAX_FOREIGN_RESPONSES: u32 = 2;
-/// How long an idle connection is kept open if the other side names no timeout.
+/// Maximum number of responses to other calls that are skipped before the connection
+/// is closed.
+const MAX_MISMATCHED_RESPONSES: u32 = 2;
+/// Idle timeout of a connection if the peer does not announce one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// The longest idle timeout that is taken from the other side, in seconds.
+/// Upper bound of an idle timeout announced by the peer, in seconds.
 const MAX_IDLE_TIMEOUT_S: u32 = 600;
 
 impl ClientConnection {
-    /// Reads received bytes; how the call ended, if it did by them.
+    /// Parses received bytes. Returns the finished exchange if they end the call.
     pub fn feed(&mut self, received: &[u8], limits: &Limits) -> Option<FinishedExchange> {
         let exchange = self.exchange.as_mut()?;
         if !exchange.sent {
-            return self.fail("bytes came before the request was sent");
+            return self.fail("received bytes before the request was sent");
         }
         exchange.received = true;
         let mut buffered = std::mem::take(&mut self.input);
@@ -61,7 +63,7 @@
                 }
             }
             Err(BodyError::Malformed(reason)) => ControlFlow::Break(self.fail(reason)),
-            Err(BodyError::TooLarge) => ControlFlow::Break(self.fail("the answer is too large")),
+            Err(BodyError::TooLarge) => ControlFlow::Break(self.fail("the response is too large")),
         }
     }
 
@@ -72,11 +74,11 @@
             .zip(version)
             .any(|(byte, expected)| byte != expected)
         {
-            return ControlFlow::Break(self.fail("what came is no HTTP/1 answer"));
+            return ControlFlow::Break(self.fail("the input is not an HTTP/1 response"));
         }
         let Some(size) = find_end(input, self.scanned_bytes) else {
             if input.len() > MAX_HEAD_BYTES {
-                return ControlFlow::Break(self.fail("the head of the answer is too large"));
+                return ControlFlow::Break(self.fail("the response head is too large"));
             }
             self.scanned_bytes = input.len();
             self.input = input.to_vec();
@@ -87,29 +89,29 @@
         let is_head_request = exchange.is_some_and(|exchange| exchange.is_head_request);
         match ResponseHead::parse(&input[..size], is_head_request) {
             Ok(head) if head.status < 100 || head.status == 101 => {
-                return ControlFlow::Break(self.fail("a status that cannot be"));
+                return ControlFlow::Break(self.fail("invalid response status"));
             }
             Ok(head) if head.status < 200 => {}
             Ok(head) => match BodyReader::new(head.framing, limits.response_bytes) {
                 Ok(body) => self.response = Some(PartialResponse { head, body }),
-                Err(_) => return ControlFlow::Break(self.fail("the answer is too large")),
+                Err(_) => return ControlFlow::Break(self.fail("the response is too large")),
             },
             Err(error) => return ControlFlow::Break(self.fail(error.0)),
         }
         ControlFlow::Continue(size)
     }
 
-    /// The response is complete: that to the call in flight, or a late one to
-    /// another call. `at_end`: nothing was received behind it.
+    /// Handles a complete response to the call in flight, or skips a late response to
+    /// another call. `at_end` is true if no bytes were received behind it.
     pub(super) fn finish_response(&mut self, at_end: bool) -> Option<FinishedExchange> {
         let PartialResponse { head, body } = self.response.take()?;
         let exchange = self.exchange.as_ref()?;
         if let Some((name, value)) = &exchange.echo
             && !values(&head.headers, name).any(|found| found == value)
         {
-            self.foreign_responses += 1;
-            if self.foreign_responses > MAX_FOREIGN_RESPONSES || head.close {
-                return self.fail("only answers to other calls came");
+            self.mismatched_responses += 1;
+            if self.mismatched_responses > MAX_MISMATCHED_RESPONSES || head.close {
+                return self.fail("received only responses to other calls");
             }
             return None;
         }
@@ -117,7 +119,7 @@
         let is_reusable = at_end
             && !head.close
             && !exchange.requests_close
-            && self.foreign_responses == 0
+            && self.mismatched_responses == 0
             && self.output.is_empty();
         let reusable_for = if is_reusable {
             idle_timeout(&head.headers)
@@ -137,7 +139,7 @@
     }
 }
 
-/// How long an idle connection is kept open: less than the other side does.
+/// Idle timeout of the connection, shorter than the one that the peer announces.
 fn idle_timeout(headers: &[(String, String)]) -> Option<Duration> {
     let announced = list_items(headers, "keep-alive").find_map(|parameter| {
         let (name, value) = parameter.split_once('=')?;
--- a/http-line/src/client_connection/request_head.rs
+++ b/http-line/src/client_connection/request_head.rs
@@ -1,12 +1,14 @@
-//! Writes the head of a request.
+//! Encoding of request heads.
 
 use super::*;
 use crate::head::{is_one_of, push_header};
 
-/// Capacity for a head without a reallocation, as a rule.
+/// Initial capacity of the buffer for a head, in bytes; avoids a reallocation for
+/// typical heads.
 const HEAD_CAPACITY_BYTES: usize = 256;
-/// Headers that are written by the connection itself.
-const OWN_HEADERS: [&str; 3] = ["content-length", "transfer-encoding", "expect"];
+/// Headers of a call that are not sent: the connection frames the body itself and does
+/// not support `Expect`.
+const OMITTED_HEADERS: [&str; 3] = ["content-length", "transfer-encoding", "expect"];
 
 pub(super) fn encode_head(call: &Call) -> Vec<u8> {
     let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
@@ -19,7 +21,7 @@
         head.extend_from_slice(bytes);
     }
     for (name, value) in &call.headers {
-        if !is_one_of(name, &OWN_HEADERS) {
+        if !is_one_of(name, &OMITTED_HEADERS) {
             push_header(&mut head, name, value);
         }
     }
--- a/http-line/src/connection.rs
+++ b/http-line/src/connection.rs
@@ -1,4 +1,4 @@
-//! A socket and what the event loop knows of it.
+//! Sockets and the state that the event loop keeps for them.
 
 use crate::prelude::*;
 use mio::net::TcpStream;
@@ -7,33 +7,35 @@
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) role: Role,
-    /// There may be input that was not read.
+    /// True if the socket may have unread input.
     pub(crate) readable: bool,
-    /// The other side has shut down its writing.
+    /// True once the peer has shut down its sending side.
     pub(crate) read_closed: bool,
-    /// The socket did not take all of the last write.
+    /// True if the socket did not accept all bytes of the last write.
     pub(crate) write_blocked: bool,
-    /// Bytes of responses that are counted as not written yet.
+    /// Number of unsent response bytes of this connection that are included in the
+    /// total of the event loop.
     pub(crate) unsent_bytes: usize,
-    /// It waits for its turn in the pacer.
-    pub(crate) awaiting_turn: bool,
-    /// The poll reports when it becomes writable.
+    /// True while the connection is queued in the pacer.
+    pub(crate) queued_in_pacer: bool,
+    /// True if the socket is registered for writable events.
     pub(crate) watches_writable: bool,
-    /// The earliest tick at which it comes up in the timers.
+    /// The earliest tick for which the timer queue has an entry of this connection.
     pub(crate) armed_tick: Option<u64>,
-    /// It is counted as busy.
+    /// True if the connection is included in the count of busy connections.
     pub(crate) busy: bool,
 }
 
-/// What a connection is for.
+/// Role of a connection.
 pub(crate) enum Role {
-    /// A client's connection, accepted by this listener.
+    /// A client connection, accepted by the listener with this index.
     Server {
         listener: usize,
         connection: ServerConnection,
     },
-    /// Responded to and shut down by us: what is still received is discarded, so
-    /// that no reset overtakes the response.
+    /// A client connection whose sending side was shut down after the last
+    /// response. Input is still read and discarded: closing a socket with unread
+    /// input sends a reset, which could destroy the response in transit.
     Linger { until: Instant, remaining: usize },
     /// A connection for calls to another address.
     Client(ClientConnection),
@@ -48,20 +50,20 @@
             read_closed: false,
             write_blocked: false,
             unsent_bytes: 0,
-            awaiting_turn: false,
+            queued_in_pacer: false,
             watches_writable: false,
             armed_tick: None,
             busy: false,
         }
     }
 
-    /// Makes the close of the socket a reset: the other side learns at once that
-    /// nobody waits any more, where a plain close could be a half-close.
+    /// Makes closing the socket send a reset: the peer can tell at once that the
+    /// call was abandoned, whereas an ordinary close could be a half-close.
     pub(crate) fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// When its timer is due.
+    /// Time at which the connection's timer fires.
     pub(crate) fn due(&self, limits: &Limits) -> Option<Instant> {
         match &self.role {
             Role::Server { connection, .. } => connection.due(limits),
--- a/http-line/src/event_loop.rs
+++ b/http-line/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for sockets, timers and commands, and drives the
-//! connections that are ready.
+//! The event loop: waits for socket events, timers and commands, and performs
+//! reads and writes on the connections that are ready.
 
 #[cfg(test)]
 mod tests;
@@ -18,10 +18,10 @@
 use mio::{Events, Interest, Poll, Token};
 
 /// The event loop. Invariants:
-/// - A token is never used twice, so a late event or timer finds no connection.
-/// - Events are edge-triggered: `readable` and `write_blocked` remember them until
-///   the socket has said that there is no more.
-/// - `awake` is false only while the loop waits in poll with no commands left.
+/// - A token is never reused, so a late event or timer finds no connection.
+/// - Events are edge-triggered: `readable` and `write_blocked` keep their state
+///   until an operation on the socket would block.
+/// - `awake` is false only while the loop waits in poll and no command is queued.
 pub(crate) struct EventLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
@@ -29,39 +29,43 @@
     next_token: usize,
     timers: Timers,
     pool: Pool,
-    /// Tokens of the connections of calls in flight, by the calls' ids.
+    /// Tokens of the connections of calls in flight, by call id.
     calls: HashMap<u64, usize>,
     commands: flume::Receiver<Command>,
     shared: Arc<Shared>,
     handler: Arc<dyn Handler>,
     limits: Limits,
     pacer: Pacer,
-    /// Bytes of responses that are not written yet.
+    /// Number of response bytes not written yet, over all connections.
     unsent_bytes: usize,
     read_buffer: Vec<u8>,
-    /// Connections that may go on at once after the next poll.
+    /// Tokens of the connections that have more to read or write, to be served again
+    /// after the next poll.
     ready: Vec<usize>,
-    /// Connections that commands have changed.
-    touched: Vec<usize>,
-    /// Accepting failed; it is tried again at this time.
+    /// Tokens of the connections that commands have changed.
+    changed_connections: Vec<usize>,
+    /// Time at which accepting is retried after a failure.
     accept_retry_at: Option<Instant>,
-    /// The event loop finishes; its listeners are closed at this time.
+    /// Time at which the listeners of a finishing event loop are closed.
     listeners_close_at: Option<Instant>,
+    /// True once each connection is to be closed after its next request.
     draining: bool,
-    /// Nobody is accepted any more, and connections end as they become idle.
+    /// True once no connections are to be accepted any more and idle connections are
+    /// to be closed.
     finishing: bool,
     now: Instant,
 }
 
 const WAKER: Token = Token(usize::MAX);
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Events that one poll returns at most.
-const EVENTS: usize = 256;
-/// Reads and writes of one connection before others have their turn.
+/// Maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 256;
+/// Maximum number of read and write steps on one connection before the others are
+/// served.
 const MAX_STEPS: usize = 8;
 
 impl EventLoop {
-    /// Starts the loop's thread.
+    /// Starts the thread of the event loop.
     pub(crate) fn start(
         listeners: Vec<std::net::TcpListener>,
         limits: Limits,
@@ -101,7 +105,7 @@
             limits,
             read_buffer: vec![0; READ_BUFFER_BYTES],
             ready: Vec::new(),
-            touched: Vec::new(),
+            changed_connections: Vec::new(),
             accept_retry_at: None,
             listeners_close_at: None,
             draining: false,
@@ -115,7 +119,7 @@
     }
 
     fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         loop {
             if !self.run_commands() {
                 return;
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Whether it finishes and no connection of a client is left.
+    /// Returns true if the event loop is finishing and no client connection is left.
     fn has_finished(&self) -> bool {
         let is_call = |connection: &Connection| matches!(connection.role, Role::Client(_));
         self.finishing && self.listeners.is_empty() && self.connections.values().all(is_call)
@@ -172,17 +176,18 @@
         }
     }
 
-    /// Connections that wait for their turn in the pacer write on.
+    /// Resumes the connections that are queued in the pacer, up to its allowance.
     fn drive_paced(&mut self) {
         while let Some(token) = self.pacer.dequeue(self.now) {
             if let Some(connection) = self.connections.get_mut(&token) {
-                connection.awaiting_turn = false;
+                connection.queued_in_pacer = false;
                 self.drive(token);
             }
         }
     }
 
-    /// Writes and reads what can be, then settles what is to be waited for.
+    /// Reads and writes until the connection would block, then registers the events
+    /// and the timer to wait for.
     fn drive(&mut self, token: usize) {
         let Some(mut connection) = self.connections.remove(&token) else {
             return;
@@ -199,12 +204,12 @@
             self.watch_writable(token);
             self.arm_timer(token);
         } else {
-            self.end(token, connection);
+            self.release(token, connection);
         }
         self.report_outcome(finished);
     }
 
-    /// Updates the counts of unsent bytes and busy connections.
+    /// Updates the numbers of unsent bytes and busy connections.
     fn update_counts(&mut self, connection: &mut Connection) {
         let mut busy = false;
         if let Role::Server {
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Counts what the connection has still to write.
+    /// Updates the number of unsent bytes of the connection and the reported backlog.
     fn count_unsent(&mut self, connection: &mut Connection, remaining: usize) {
         let counted = std::mem::replace(&mut connection.unsent_bytes, remaining);
         self.unsent_bytes = self.unsent_bytes + remaining - counted;
@@ -234,7 +239,7 @@
         self.shared.backlog_us.store(backlog_us, Ordering::Relaxed);
     }
 
-    /// Lets the poll report when a blocked socket becomes writable.
+    /// Registers a blocked socket for writable events.
     fn watch_writable(&mut self, token: usize) {
         let Some(connection) = self
             .connections
@@ -254,12 +259,13 @@
 
     fn close(&mut self, token: usize) {
         if let Some(connection) = self.connections.remove(&token) {
-            self.end(token, connection);
+            self.release(token, connection);
         }
     }
 
-    /// The connection ends here; its socket closes with it.
-    fn end(&mut self, token: usize, mut connection: Connection) {
+    /// Releases a connection that was removed from `connections`. Its socket is
+    /// closed when it is dropped.
+    fn release(&mut self, token: usize, mut connection: Connection) {
         self.count_unsent(&mut connection, 0);
         self.shared.open.fetch_sub(1, Ordering::Relaxed);
         if connection.busy {
--- a/http-line/src/event_loop/accept.rs
+++ b/http-line/src/event_loop/accept.rs
@@ -1,27 +1,32 @@
-//! Accepts connections of clients.
+//! Accepting of client connections.
 
 use super::*;
 
-/// After an accept failed, for example for want of file descriptors, none is
-/// tried for this time.
+/// Delay before the next accept after one has failed, for example because no file
+/// descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Instructions of the packet filter: return the bytes of a packet to keep, load a
-/// byte, mask it, compare it.
+/// BPF opcode: accept the packet, truncated to a number of bytes (0 drops it).
 const BPF_RETURN: u16 = 0x06;
+/// BPF opcode: load a byte of the packet.
 const BPF_LOAD_BYTE: u16 = 0x30;
+/// BPF opcode: mask the loaded value.
 const BPF_AND: u16 = 0x54;
+/// BPF opcode: compare the loaded value and jump.
 const BPF_JUMP_IF_EQUAL: u16 = 0x15;
-/// Of a TCP header.
+/// Offset of the flags in a TCP header, in bytes.
 const TCP_FLAGS_OFFSET: u32 = 13;
+/// SYN bit of the TCP flags.
 const TCP_SYN: u32 = 0x02;
+/// ACK bit of the TCP flags.
 const TCP_ACK: u32 = 0x10;
-/// Connections that were half open when the first packets of others began to be
-/// dropped are accepted for this long.
+/// Time for which half-open connections are still accepted after the listeners have
+/// begun to drop the SYN packets of new connections.
 const HALF_OPEN_TIME: Duration = Duration::from_millis(20);
-/// A client that acknowledges nothing for this time counts as disconnected.
+/// TCP user timeout of client connections: a client that acknowledges no data for
+/// this time is regarded as disconnected.
 pub(super) const SERVER_TCP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Makes the listeners non-blocking; their tokens are their indexes.
+/// Makes the listeners non-blocking and registers them with their indexes as tokens.
 pub(super) fn register(
     listeners: Vec<std::net::TcpListener>,
     registry: &mio::Registry,
@@ -37,30 +42,31 @@
     Ok(registered)
 }
 
-/// Accepted connections inherit these options.
+/// Sets the options that accepted connections inherit.
 pub(super) fn set_options(listener: &std::net::TcpListener) -> io::Result<()> {
     let socket = socket2::SockRef::from(listener);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(SERVER_TCP_TIMEOUT))
 }
 
-/// No connection enters the backlog any more: one that did between the last accept
-/// and the close of the listener would be reset. A client tries again until the
-/// listener is closed, and is refused then.
-fn admit_nobody(listener: &TcpListener) {
-    let drop_first_packets = [
+/// Drops the SYN packets of new connections, so that no connection enters the
+/// backlog any more: one that did between the last accept and the close of the
+/// listener would be reset. A client retransmits its SYN until the listener is
+/// closed, and its connection is refused then.
+fn drop_new_connections(listener: &TcpListener) {
+    let drop_syn_packets = [
         socket2::SockFilter::new(BPF_LOAD_BYTE, 0, 0, TCP_FLAGS_OFFSET),
         socket2::SockFilter::new(BPF_AND, 0, 0, TCP_SYN | TCP_ACK),
         socket2::SockFilter::new(BPF_JUMP_IF_EQUAL, 0, 1, TCP_SYN),
         socket2::SockFilter::new(BPF_RETURN, 0, 0, 0),
         socket2::SockFilter::new(BPF_RETURN, 0, 0, u32::MAX),
     ];
-    // Where there are no filters, the backlog is accepted all the same.
-    let _ = socket2::SockRef::from(listener).attach_filter(&drop_first_packets);
+    // Where socket filters are not available, the backlog is still accepted.
+    let _ = socket2::SockRef::from(listener).attach_filter(&drop_syn_packets);
 }
 
 impl EventLoop {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all connections in the backlog of a listener.
     pub(super) fn accept(&mut self, listener: usize) {
         while let Some(open) = self.listeners.get(listener) {
             match open.accept() {
@@ -105,13 +111,14 @@
         self.arm_timer(token);
     }
 
-    /// Accepts what waits or is half open, and nobody after that.
+    /// Stops new connections and schedules the close of the listeners, after the
+    /// backlog and the half-open connections have been accepted.
     pub(super) fn stop_accepting(&mut self) {
-        self.listeners.iter().for_each(admit_nobody);
+        self.listeners.iter().for_each(drop_new_connections);
         self.listeners_close_at = Some(Instant::now() + HALF_OPEN_TIME);
     }
 
-    /// Closes the listeners once their time is over.
+    /// Closes the listeners when their time has come, after accepting their backlog.
     pub(super) fn close_due_listeners(&mut self) {
         if self.listeners_close_at.is_some_and(|at| at <= self.now) {
             self.listeners_close_at = None;
@@ -122,7 +129,7 @@
         }
     }
 
-    /// Accepts again once the backoff is over.
+    /// Retries accepting once the backoff has passed.
     pub(super) fn retry_accept(&mut self) {
         if self
             .accept_retry_at
--- a/http-line/src/event_loop/calls.rs
+++ b/http-line/src/event_loop/calls.rs
@@ -1,8 +1,9 @@
-//! Begins calls, over idle connections or new ones.
+//! Starting of calls, over idle or new connections.
 
 use super::*;
 
-/// Another address that acknowledges nothing for this time counts as disconnected.
+/// TCP user timeout of connections for calls: a peer that acknowledges no data for
+/// this time is regarded as disconnected.
 const CLIENT_TCP_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl EventLoop {
@@ -13,13 +14,15 @@
         }
     }
 
-    /// Writes the call to a connection; an error: nothing was written.
+    /// Writes the call to a connection. An error means that nothing was written.
     fn try_begin_call(&mut self, call: &Call, started: Instant) -> Result<(), ExchangeError> {
         call.check()
             .map_err(|invalid| ExchangeError::NotSent(invalid.to_string()))?;
         self.now = Instant::now();
         if self.now >= started + call.timeout {
-            return Err(ExchangeError::NotSent("the limit ran out".into()));
+            return Err(ExchangeError::NotSent(
+                "the timeout passed before the call was started".into(),
+            ));
         }
         if self.begin_on_idle(call, started) {
             return Ok(());
@@ -27,17 +30,18 @@
         if self.pool.open_count(call.address) >= call.max_connections
             && let Some(token) = self.pool.take(call.address, |_| true)
         {
-            // Idle but not to be used for this call: close it to open another.
+            // This idle connection must not be used for the call: it is closed so that
+            // another can be opened.
             self.close(token);
         }
         if self.pool.open_count(call.address) >= call.max_connections {
-            return Err(ExchangeError::NotSent("all sessions busy".into()));
+            return Err(ExchangeError::NotSent("all connections are busy".into()));
         }
         self.begin_on_new(call, started)
     }
 
-    /// Writes the call to an idle connection; false if there is none that takes
-    /// it.
+    /// Writes the call to an idle connection. Returns false if no idle connection can
+    /// be used.
     fn begin_on_idle(&mut self, call: &Call, started: Instant) -> bool {
         while let Some(token) = self.take_idle(call) {
             let Some(mut connection) = self.connections.remove(&token) else {
@@ -55,12 +59,13 @@
                     return true;
                 }
             }
-            self.end(token, connection);
+            self.release(token, connection);
         }
         false
     }
 
-    /// The idle connection used last that has not carried this id before.
+    /// Takes the most recently used idle connection that has not carried an earlier
+    /// attempt of this request.
     fn take_idle(&mut self, call: &Call) -> Option<usize> {
         let connections = &self.connections;
         self.pool.take(call.address, |token| {
@@ -109,7 +114,7 @@
         Ok(())
     }
 
-    /// Waits for the rest of a call whose first write was tried.
+    /// Registers a call after its first write, to wait for the rest of the exchange.
     fn add_call(
         &mut self,
         token: usize,
@@ -128,13 +133,13 @@
         self.calls.insert(id, token);
         self.connections.insert(token, connection);
         if is_broken {
-            self.touched.push(token);
+            self.changed_connections.push(token);
         }
         self.watch_writable(token);
         self.arm_timer(token);
     }
 
-    /// Hands the outcome of a call on, if one has ended.
+    /// Passes the outcome of a call to the handler, if one has ended.
     pub(super) fn report_outcome(&mut self, finished: Option<FinishedExchange>) {
         if let Some(FinishedExchange { id, outcome, .. }) = finished {
             self.calls.remove(&id);
@@ -143,7 +148,8 @@
     }
 }
 
-/// Whether a write failed only because the connection is not established yet.
+/// Returns true if a write failed only because the connection is not established
+/// yet.
 fn is_connecting(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/http-line/src/event_loop/client_io.rs
+++ b/http-line/src/event_loop/client_io.rs
@@ -1,10 +1,10 @@
-//! Reads and writes of connections for calls.
+//! Reads and writes on connections for calls.
 
 use super::*;
 
 impl EventLoop {
-    /// Writes the request and reads the response as far as can be; false if the
-    /// connection is to be closed.
+    /// Writes the request and reads the response until the socket would block.
+    /// Returns false if the connection must be closed.
     pub(super) fn drive_client(
         &mut self,
         token: usize,
@@ -41,7 +41,7 @@
             return None;
         };
         match connection.stream.read(&mut self.read_buffer) {
-            Ok(0) => client.end(true, "the other side closed"),
+            Ok(0) => client.end(true, "the peer closed the connection"),
             Ok(size) => {
                 connection.readable = size == self.read_buffer.len() || connection.read_closed;
                 client.feed(&self.read_buffer[..size], &self.limits)
@@ -52,7 +52,7 @@
                     && !client.output.is_empty()
                     && client.is_sent() =>
             {
-                client.end(false, "the other side stopped reading")
+                client.end(false, "the peer stopped reading")
             }
             Err(error)
                 if matches!(
@@ -68,8 +68,7 @@
         }
     }
 
-    /// Puts a connection that may serve another call into the pool; false if it
-    /// is to be closed.
+    /// Returns a reusable connection to the pool. Returns false if it must be closed.
     fn release_client(
         &mut self,
         token: usize,
@@ -89,7 +88,8 @@
     }
 }
 
-/// Writes what the socket takes; an error: no byte of the call was written.
+/// Writes as much of the request as the socket accepts. An error means that no byte
+/// of the call was written.
 fn write_request(connection: &mut Connection) -> io::Result<()> {
     let Role::Client(client) = &mut connection.role else {
         return Ok(());
@@ -103,7 +103,7 @@
     }
     match progress.result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => connection.write_blocked = true,
-        // A response may have been sent before the other side shut us out.
+        // The peer may have sent a response before it stopped reading.
         Err(_) if client.is_sent() => {
             connection.write_blocked = true;
             connection.readable = true;
@@ -116,11 +116,11 @@
 
 fn end_exchange(
     connection: &mut Connection,
-    in_order: bool,
+    is_orderly: bool,
     reason: &str,
 ) -> Option<FinishedExchange> {
     match &mut connection.role {
-        Role::Client(client) => client.end(in_order, reason),
+        Role::Client(client) => client.end(is_orderly, reason),
         _ => None,
     }
 }
--- a/http-line/src/event_loop/commands.rs
+++ b/http-line/src/event_loop/commands.rs
@@ -1,12 +1,12 @@
-//! Commands of the handles.
+//! Execution of the commands from the handles.
 
 use super::*;
 use crate::request_id::{sequence_of, token_of};
 
 impl EventLoop {
-    /// Runs all commands there are; false: the loop is to end.
+    /// Runs all queued commands. Returns false if the event loop is to end.
     pub(super) fn run_commands(&mut self) -> bool {
-        while !self.commands.is_empty() || !self.touched.is_empty() {
+        while !self.commands.is_empty() || !self.changed_connections.is_empty() {
             while let Ok(command) = self.commands.try_recv() {
                 match command {
                     Command::Respond {
@@ -18,20 +18,20 @@
                     Command::ExtendCall { id, deadline } => self.extend_call(id, deadline),
                     Command::SetLimits(limits) => {
                         self.limits = limits;
-                        self.touch_servers(|_| {});
+                        self.change_server_connections(|_| {});
                     }
                     Command::RecordLinkDelay(delay) => {
                         self.pacer.record_delay(Instant::now(), delay);
                     }
                     Command::Drain => {
                         self.draining = true;
-                        self.touch_servers(ServerConnection::drain);
+                        self.change_server_connections(ServerConnection::drain);
                     }
                     Command::Finish => self.begin_finish(),
                     Command::Close => return false,
                 }
             }
-            for token in std::mem::take(&mut self.touched) {
+            for token in std::mem::take(&mut self.changed_connections) {
                 self.drive(token);
             }
         }
@@ -42,28 +42,29 @@
         self.finishing = true;
         self.draining = true;
         self.stop_accepting();
-        self.touch_servers(ServerConnection::finish);
+        self.change_server_connections(ServerConnection::finish);
         self.read_before_close();
     }
 
-    /// What stands unread at the touched connections is read before they may end.
+    /// Marks the changed connections as readable, so that pending input is read before
+    /// they are closed.
     fn read_before_close(&mut self) {
-        for token in &self.touched {
+        for token in &self.changed_connections {
             if let Some(connection) = self.connections.get_mut(token) {
                 connection.readable = true;
             }
         }
     }
 
-    /// Changes all connections of clients, which are then driven.
-    fn touch_servers(&mut self, change: impl Fn(&mut ServerConnection)) {
+    /// Applies `change` to all client connections and queues them for processing.
+    fn change_server_connections(&mut self, change: impl Fn(&mut ServerConnection)) {
         for (token, connection) in &mut self.connections {
             if let Role::Server {
                 connection: server, ..
             } = &mut connection.role
             {
                 change(server);
-                self.touched.push(*token);
+                self.changed_connections.push(*token);
             }
         }
     }
@@ -80,8 +81,8 @@
             return;
         };
         let dropped = server.respond(sequence_of(id), response, self.now);
-        if self.touched.last() != Some(&token) {
-            self.touched.push(token);
+        if self.changed_connections.last() != Some(&token) {
+            self.changed_connections.push(token);
         }
         for sequence in dropped {
             self.handler.on_disconnect(request_id(token, sequence));
--- a/http-line/src/event_loop/server_io.rs
+++ b/http-line/src/event_loop/server_io.rs
@@ -1,21 +1,22 @@
-//! Reads and writes of connections of clients.
+//! Reads and writes on client connections.
 
 use super::*;
 
-/// After our shutdown, input is discarded for this time at most.
+/// Maximum time for which input is discarded after the sending side was shut down.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-const LINGER_BYTES: usize = 2 * 1024 * 1024;
+/// Maximum number of input bytes discarded after the sending side was shut down.
+const MAX_LINGER_BYTES: usize = 2 * 1024 * 1024;
 
-/// What one write of a paced connection did.
-struct TurnProgress {
+/// Result of one write that the pacer limits.
+struct PacedWriteProgress {
     progress: WriteProgress,
-    /// The pacer's allowance was used up, not the socket's.
+    /// True if the allowance of the pacer was used up, rather than the socket buffer.
     allowance_spent: bool,
 }
 
 impl EventLoop {
-    /// Writes responses and reads requests as far as can be; false if the
-    /// connection is to be closed.
+    /// Writes responses and reads requests until the socket would block. Returns false
+    /// if the connection must be closed.
     pub(super) fn drive_server(&mut self, token: usize, connection: &mut Connection) -> bool {
         let mut requests = Vec::new();
         for _ in 0..MAX_STEPS {
@@ -24,7 +25,7 @@
             {
                 return false;
             }
-            self.hand_on(token, connection, requests.drain(..));
+            self.dispatch_requests(token, connection, requests.drain(..));
             self.report_disconnect(token, connection);
             let Role::Server {
                 connection: server, ..
@@ -32,13 +33,14 @@
             else {
                 return true;
             };
-            let reads_on = connection.readable && server.wants_read(&self.limits);
-            if server.is_finished() || (server.is_idle_at_finish(self.now) && !reads_on) {
+            let reads_more = connection.readable && server.wants_read(&self.limits);
+            if server.is_finished() || (server.is_idle_at_finish(self.now) && !reads_more) {
                 return self.begin_linger(connection);
             }
-            let writes_on =
-                !server.output.is_empty() && !connection.write_blocked && !connection.awaiting_turn;
-            if !reads_on && !writes_on {
+            let writes_more = !server.output.is_empty()
+                && !connection.write_blocked
+                && !connection.queued_in_pacer;
+            if !reads_more && !writes_more {
                 return true;
             }
         }
@@ -46,8 +48,8 @@
         true
     }
 
-    /// Writes what the pacer allows and the socket takes; an error: the
-    /// connection is broken.
+    /// Writes as much as the pacer allows and the socket accepts. An error means that
+    /// the connection is broken.
     fn write_responses(&mut self, token: usize, connection: &mut Connection) -> io::Result<()> {
         let Role::Server {
             connection: server, ..
@@ -55,18 +57,18 @@
         else {
             return Ok(());
         };
-        if server.output.is_empty() || connection.write_blocked || connection.awaiting_turn {
+        if server.output.is_empty() || connection.write_blocked || connection.queued_in_pacer {
             return Ok(());
         }
         let allowance = self.pacer.allowance(self.now);
-        let turn = write_turn(&mut server.output, &mut connection.stream, allowance);
-        if turn.progress.written > 0 {
+        let paced = write_paced(&mut server.output, &mut connection.stream, allowance);
+        if paced.progress.written > 0 {
             server.record_write(self.now);
-            self.pacer.spend(turn.progress.written);
+            self.pacer.spend(paced.progress.written);
         }
-        match turn.progress.result {
-            Err(error) if error.kind() == ErrorKind::WouldBlock && turn.allowance_spent => {
-                connection.awaiting_turn = true;
+        match paced.progress.result {
+            Err(error) if error.kind() == ErrorKind::WouldBlock && paced.allowance_spent => {
+                connection.queued_in_pacer = true;
                 self.pacer.enqueue(token, server.output.remaining());
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => connection.write_blocked = true,
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Reads once if there may be input; an error: the connection is broken.
+    /// Reads once if there may be input. An error means that the connection is broken.
     fn read_requests(
         &mut self,
         connection: &mut Connection,
@@ -98,7 +100,8 @@
                 server.close_read();
             }
             Ok(size) => {
-                // A short read has emptied the socket, unless its end is behind.
+                // A short read has emptied the socket, unless the end of the stream
+                // follows.
                 connection.readable = size == self.read_buffer.len() || connection.read_closed;
                 server.feed(&self.read_buffer[..size], &self.limits, self.now, requests);
             }
@@ -109,8 +112,8 @@
         Ok(())
     }
 
-    /// Hands complete requests to the handler, once they are counted.
-    fn hand_on(
+    /// Passes complete requests to the handler, after counting the connection as busy.
+    fn dispatch_requests(
         &self,
         token: usize,
         connection: &mut Connection,
@@ -129,7 +132,8 @@
         }
     }
 
-    /// Reports a closed connection, also one that is not read from.
+    /// Reports the requests of a closed connection as disconnected, even if the
+    /// connection is not being read.
     fn report_disconnect(&self, token: usize, connection: &mut Connection) {
         if !connection.read_closed {
             return;
@@ -144,7 +148,8 @@
         }
     }
 
-    /// Shuts a finished connection down; false if it is to be closed at once.
+    /// Shuts down the sending side of a finished connection and starts to linger.
+    /// Returns false if the connection must be closed at once.
     fn begin_linger(&mut self, connection: &mut Connection) -> bool {
         let is_input_exhausted = match &connection.role {
             Role::Server {
@@ -161,13 +166,13 @@
         }
         connection.role = Role::Linger {
             until: self.now + LINGER_TIME,
-            remaining: LINGER_BYTES,
+            remaining: MAX_LINGER_BYTES,
         };
         self.discard_input(connection)
     }
 
-    /// Discards what a client still sends; false if the connection is to be
-    /// closed.
+    /// Discards input that a client still sends. Returns false if the connection must
+    /// be closed.
     pub(super) fn discard_input(&mut self, connection: &mut Connection) -> bool {
         let Role::Linger { remaining, .. } = &mut connection.role else {
             return true;
@@ -190,9 +195,13 @@
 }
 
 /// Writes at most `allowance` bytes.
-fn write_turn(output: &mut SendQueue, stream: &mut TcpStream, allowance: usize) -> TurnProgress {
+fn write_paced(
+    output: &mut SendQueue,
+    stream: &mut TcpStream,
+    allowance: usize,
+) -> PacedWriteProgress {
     if allowance >= output.remaining() {
-        return TurnProgress {
+        return PacedWriteProgress {
             progress: output.write(stream),
             allowance_spent: false,
         };
@@ -202,7 +211,7 @@
         remaining: allowance,
     };
     let progress = output.write(&mut limited);
-    TurnProgress {
+    PacedWriteProgress {
         progress,
         allowance_spent: limited.remaining == 0,
     }
--- a/http-line/src/event_loop/tests.rs
+++ b/http-line/src/event_loop/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the listeners' options.
+//! Tests of the listener socket options.
 use super::accept::{SERVER_TCP_TIMEOUT, set_options};
 use super::*;
 
--- a/http-line/src/event_loop/timers.rs
+++ b/http-line/src/event_loop/timers.rs
@@ -1,10 +1,10 @@
-//! Timers of connections.
+//! Timers of the connections and listeners.
 
 use super::*;
 use crate::timers::Timer;
 
 impl EventLoop {
-    /// Until the next due time; entries out of date are put right first.
+    /// Time until the next deadline, after correcting outdated timer entries.
     pub(super) fn poll_timeout(&mut self) -> Option<Duration> {
         if !self.ready.is_empty() {
             return Some(Duration::ZERO);
@@ -21,7 +21,8 @@
         Some(due.saturating_duration_since(Instant::now()))
     }
 
-    /// Removes or postpones entries until the first one is really due then.
+    /// Removes or postpones outdated entries until the first one matches the deadline
+    /// of its connection.
     fn refresh_first_timer(&mut self) {
         while let Some(Timer { tick, token }) = self.timers.first() {
             let Some(connection) = self
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Handles all timers that are due.
+    /// Handles all expired timers.
     pub(super) fn fire_timers(&mut self) {
         while let Some(Timer { tick, token }) = self
             .timers
@@ -104,7 +105,8 @@
         self.report_outcome(finished);
     }
 
-    /// Enters the connection's due time, if no earlier one is entered.
+    /// Adds a timer entry for the deadline of the connection, unless it has an earlier
+    /// entry.
     pub(super) fn arm_timer(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
--- a/http-line/src/event_loop_handle.rs
+++ b/http-line/src/event_loop_handle.rs
@@ -1,41 +1,42 @@
-//! The handle through which other threads command the event loop.
+//! Handle through which other threads send commands to the event loop.
 
 use crate::event_loop::EventLoop;
 use crate::prelude::*;
 use std::net::TcpListener;
 
-/// Commands a running event loop, from any thread. The loop ends with `close`.
+/// Sends commands to a running event loop from any thread. The loop runs until
+/// `close` is called.
 #[derive(Clone)]
 pub struct EventLoopHandle {
     shared: Arc<Shared>,
 }
 
-/// What the event loop shares with its handles.
+/// State shared by the event loop and its handles.
 pub(crate) struct Shared {
     pub(crate) commands: flume::Sender<Command>,
     pub(crate) waker: mio::Waker,
-    /// The loop is awake, or was woken and has not looked yet.
+    /// True while the loop is running, or after it was woken and before it resumes.
     pub(crate) awake: AtomicBool,
     pub(crate) accepted: AtomicU64,
     pub(crate) connects: AtomicU64,
     pub(crate) reused: AtomicU64,
     pub(crate) calls: AtomicU64,
     pub(crate) open: AtomicU64,
-    /// Connections with a request in flight.
+    /// Number of connections with a request in flight.
     pub(crate) busy: AtomicUsize,
-    /// After `Finish`: no connection of a client is left.
+    /// True after `Finish`, once no client connection is left.
     pub(crate) finished: AtomicBool,
-    /// How long the link takes for the unsent responses, in microseconds.
+    /// Time that the link needs for the unsent responses, in microseconds.
     pub(crate) backlog_us: AtomicU64,
 }
 
-/// What a handle asks the event loop to do.
+/// A command from a handle to the event loop.
 pub(crate) enum Command {
     Respond {
         request_id: u64,
         response: Response,
     },
-    /// Begins a call whose timeout runs from `started`.
+    /// Starts a call whose timeout is counted from `started`.
     Call {
         call: Box<Call>,
         started: Instant,
@@ -43,7 +44,7 @@
     CancelCall {
         id: u64,
     },
-    /// Keeps a call from timing out before `deadline`.
+    /// Prevents a call from timing out before `deadline`.
     ExtendCall {
         id: u64,
         deadline: Instant,
@@ -55,28 +56,28 @@
     Close,
 }
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted by a listener.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Why an event loop or a listener was not opened.
+/// The reason why an event loop or a listener was not opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The operating system refused.
+    /// An operation of the operating system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The address cannot be listened on.
+    /// The address could not be bound.
     #[error("bind {address}")]
     Bind {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// Error reported by the operating system.
         source: io::Error,
     },
 }
 
 impl EventLoopHandle {
-    /// Starts the event loop's thread. A request is handed on with the index of
-    /// the listener it was received at.
+    /// Starts the thread of the event loop. Each request is passed to the handler
+    /// with the index of the listener that accepted its connection.
     pub fn open(
         listeners: Vec<TcpListener>,
         limits: Limits,
@@ -86,7 +87,8 @@
         Ok(EventLoopHandle { shared })
     }
 
-    /// A listener with a long backlog, whose address may be reused at once.
+    /// Creates a listener with a long backlog, whose address may be reused
+    /// immediately.
     pub fn listen(address: SocketAddr) -> Result<TcpListener, OpenError> {
         let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -98,8 +100,8 @@
         Ok(socket.into())
     }
 
-    /// Responds to a request; nothing happens if its connection has ended or it
-    /// has a response already.
+    /// Responds to a request. Has no effect if its connection has ended or it
+    /// already has a response.
     pub fn respond(&self, request_id: u64, response: Response) {
         self.send(Command::Respond {
             request_id,
@@ -107,7 +109,7 @@
         });
     }
 
-    /// Begins a call; its outcome goes to the handler.
+    /// Starts a call; its outcome is passed to the handler.
     pub fn call(&self, call: Call) {
         self.send(Command::Call {
             call: Box::new(call),
@@ -115,64 +117,65 @@
         });
     }
 
-    /// Ends the call's connection. An outcome may be on its way at this moment;
-    /// none follows once the event loop has processed this.
+    /// Cancels a call by closing its connection. The handler may still receive an
+    /// outcome until the event loop has processed this command, but not after.
     pub fn cancel_call(&self, id: u64) {
         self.send(Command::CancelCall { id });
     }
 
-    /// The call, if it is in flight, does not time out before this time from now.
+    /// Extends the timeout of a call in flight to at least `timeout` from now.
     pub fn extend_call(&self, id: u64, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         self.send(Command::ExtendCall { id, deadline });
     }
 
-    /// Replaces the limits, except the link's bandwidth.
+    /// Replaces the limits, except the bandwidth of the link.
     pub fn set_limits(&self, limits: Limits) {
         self.send(Command::SetLimits(limits));
     }
 
-    /// Reports the delay of small messages on the machine's link.
+    /// Reports the measured delay of small messages on the machine's network link.
     pub fn link_delay(&self, delay: Duration) {
         self.send(Command::RecordLinkDelay(delay));
     }
 
-    /// How long the link takes for the responses that are not written yet, where
-    /// its bandwidth is known.
+    /// Time that the link needs for the unsent responses; zero if its bandwidth is
+    /// not known.
     pub fn backlog(&self) -> Duration {
         Duration::from_micros(self.shared.backlog_us.load(Ordering::Relaxed))
     }
 
-    /// Connections are closed after the requests read so far, idle and new ones
-    /// after one more request.
+    /// Closes connections after the requests read so far, and idle and new
+    /// connections after one more request.
     pub fn drain(&self) {
         self.send(Command::Drain);
     }
 
-    /// The listeners are closed once their backlog is accepted. Each connection
-    /// ends with its next response, or once it has been idle for
-    /// [`FINISH_IDLE_TIME`](crate::FINISH_IDLE_TIME): requests are handed on until
-    /// then, and the handler must respond to all of them.
+    /// Shuts down gracefully. The listeners are closed once their backlog is
+    /// accepted. Each connection is closed after its next response, or once it has
+    /// been idle for [`FINISH_IDLE_TIME`](crate::FINISH_IDLE_TIME). Requests are
+    /// passed to the handler until then, and it must respond to all of them.
     pub fn finish(&self) {
         self.send(Command::Finish);
     }
 
-    /// Whether `finish` was called and all connections of clients have ended.
+    /// Returns true if `finish` was called and all client connections have ended.
     pub fn is_finished(&self) -> bool {
         self.shared.finished.load(Ordering::SeqCst)
     }
 
-    /// Ends the event loop and all its connections; the handler is not called.
+    /// Stops the event loop and closes all its connections without calling the
+    /// handler.
     pub fn close(&self) {
         self.send(Command::Close);
     }
 
-    /// Whether no request is being read, no response awaited or unsent.
+    /// Returns true if no request is being read and no response is awaited or unsent.
     pub fn is_idle(&self) -> bool {
         self.shared.busy.load(Ordering::SeqCst) == 0
     }
 
-    /// The counters now.
+    /// Current values of the counters.
     pub fn usage(&self) -> Usage {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Usage {
--- a/http-line/src/exchange_outcome.rs
+++ b/http-line/src/exchange_outcome.rs
@@ -1,6 +1,6 @@
-//! How a call to another address ended.
+//! Outcomes of calls to other addresses.
 
-/// The response to a call, or what its failure proves.
+/// The response to a call, or the error that ended it.
 pub type ExchangeOutcome = Result<ReceivedResponse, ExchangeError>;
 
 /// A complete response from another address.
@@ -8,29 +8,30 @@
 pub struct ReceivedResponse {
     /// The status code.
     pub status: u16,
-    /// Names and values, in the order received.
+    /// Header names and values, in the order received.
     pub headers: Vec<(String, String)>,
     /// The decoded body.
     pub body: Vec<u8>,
-    /// A length or the last chunk marked the body's end. If not, only the end
-    /// of the connection did, and the body may have been truncated.
+    /// True if a length or the last chunk marked the end of the body. If false,
+    /// only the end of the connection did, and the body may have been truncated.
     pub delimited: bool,
 }
 
-/// Why a call has no response. The text is the reason.
+/// The reason why a call has no response. `Display` writes its text.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ExchangeError {
-    /// Nothing was sent: an invalid call, no connection, the timeout before
-    /// anything was written, or too many connections.
+    /// No bytes were sent: the call is invalid, the connection could not be
+    /// established, the timeout passed before anything was written, or there are
+    /// too many connections.
     #[error("{0}")]
     NotSent(String),
-    /// Something may have been sent and no complete response was received.
+    /// Some bytes may have been sent, but no complete response was received.
     #[error("{reason}")]
     Interrupted {
-        /// What ended the exchange.
+        /// Description of what ended the exchange.
         reason: String,
-        /// The connection had served a call before and ended before any byte of
-        /// a response, as when the other side closes an idle connection.
+        /// True if the connection had served a call before and ended before any
+        /// byte of a response, as when the peer closes an idle connection.
         reused: bool,
     },
 }
--- a/http-line/src/head.rs
+++ b/http-line/src/head.rs
@@ -1,5 +1,6 @@
-//! The head of a message: where it ends, and what its headers mean. Nothing is
-//! accepted whose end two readers could see at different places.
+//! Parsing of message heads: where a head ends, and how its headers frame the
+//! body. Any message whose end two parsers could place differently is rejected,
+//! which prevents request smuggling.
 
 #[cfg(test)]
 mod tests;
@@ -11,22 +12,22 @@
 pub(crate) use request::RequestHead;
 pub(crate) use response::ResponseHead;
 
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 100;
-/// Most digits of a `Content-Length`.
+/// Maximum number of digits of a `Content-Length`.
 const MAX_LENGTH_DIGITS: usize = 15;
 
-/// Names and values, in the order received.
+/// Header names and values, in the order received.
 type Headers = Vec<(String, String)>;
 
-/// What the headers say about the body's end.
+/// The headers that determine where the body ends.
 struct BodyHeaders {
     length: Option<usize>,
     chunked: bool,
 }
 
-/// The offset just behind the empty line, if it is in `bytes`; the first
-/// `scanned` bytes are known to hold none.
+/// Returns the offset just behind the empty line that ends a head, if `bytes`
+/// contains it. The first `scanned` bytes are known not to contain it.
 pub(crate) fn find_end(bytes: &[u8], scanned: usize) -> Option<usize> {
     let mut offset = scanned.saturating_sub(3);
     while let Some(line_feed) = bytes[offset..].iter().position(|byte| *byte == b'\n') {
@@ -40,7 +41,7 @@
     None
 }
 
-/// The values of all headers with this name.
+/// Iterates over the values of all headers with this name.
 pub(crate) fn values<'a>(
     headers: &'a [(String, String)],
     name: &'a str,
@@ -51,7 +52,7 @@
         .map(|header| header.1.as_str())
 }
 
-/// The items of all headers with this name, whose values are lists.
+/// Iterates over the list items of all headers with this name.
 pub(crate) fn list_items<'a>(
     headers: &'a [(String, String)],
     name: &'a str,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Whether the name is one of these, in any case.
+/// Returns true if `names` contains the name, ignoring case.
 pub(crate) fn is_one_of(name: &str, names: &[&str]) -> bool {
     names.iter().any(|known| name.eq_ignore_ascii_case(known))
 }
@@ -75,15 +76,16 @@
     value.trim_matches([' ', '\t']).to_string()
 }
 
-/// Whether the connection ends after this message.
-fn closes(headers: &[(String, String)], is_http_1_0: bool) -> bool {
+/// Returns true if the connection is closed after this message.
+fn closes_connection(headers: &[(String, String)], is_http_1_0: bool) -> bool {
     let has = |option: &str| {
         list_items(headers, "connection").any(|item| item.trim().eq_ignore_ascii_case(option))
     };
     has("close") || (is_http_1_0 && !has("keep-alive"))
 }
 
-/// Reads the headers about the body's end; equal lengths are merged.
+/// Reads the headers that determine the end of the body; repeated equal lengths
+/// are merged into one header.
 fn read_body_headers(headers: &mut Headers) -> Result<BodyHeaders, &'static str> {
     let length = content_length(headers)?;
     let codings: Vec<&str> = values(headers, "transfer-encoding").collect();
--- a/http-line/src/head/request.rs
+++ b/http-line/src/head/request.rs
@@ -1,26 +1,26 @@
-//! The head of a request.
+//! Parsing of request heads.
 
 use super::*;
 
-/// The head of a request, and what it says about the connection.
+/// The head of a request.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) method: String,
     pub(crate) target: String,
     pub(crate) headers: Headers,
     pub(crate) framing: Framing,
-    /// The connection ends after the response.
+    /// True if the connection is closed after the response.
     pub(crate) close: bool,
     pub(crate) is_http_1_0: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// True if the client waits for `100 Continue` before it sends the body.
     pub(crate) expects_continue: bool,
 }
 
-/// Why input is not a request that can be served.
+/// The reason why input is not a request that can be served.
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub(crate) struct RequestRejection {
-    /// The status of the response.
+    /// Status code of the response.
     pub(crate) status: u16,
     pub(crate) reason: &'static str,
 }
@@ -35,7 +35,7 @@
 }
 
 impl RequestHead {
-    /// Parses a head with its empty line.
+    /// Parses a head, including the empty line at its end.
     pub(crate) fn parse(bytes: &[u8]) -> Result<RequestHead, RequestRejection> {
         if has_bare_line_feed(bytes) {
             return Err(RequestRejection::malformed("a line ends without CR"));
@@ -67,7 +67,7 @@
             method: parsed.method.unwrap_or_default().to_string(),
             target: target.to_string(),
             framing,
-            close: closes(&headers, is_http_1_0),
+            close: closes_connection(&headers, is_http_1_0),
             is_http_1_0,
             expects_continue: !is_http_1_0 && expects_continue(&headers),
             headers,
--- a/http-line/src/head/response.rs
+++ b/http-line/src/head/response.rs
@@ -1,25 +1,25 @@
-//! The head of a response.
+//! Parsing of response heads.
 
 use super::*;
 
-/// The head of a response, and what it says about the connection.
+/// The head of a response.
 #[derive(Debug)]
 pub(crate) struct ResponseHead {
     pub(crate) status: u16,
     pub(crate) headers: Headers,
     pub(crate) framing: Framing,
-    /// The connection ends after this response.
+    /// True if the connection is closed after this response.
     pub(crate) close: bool,
 }
 
-/// Why input is not a response.
+/// The reason why input is not a valid response.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{0}")]
 pub(crate) struct MalformedResponse(pub(crate) &'static str);
 
 impl ResponseHead {
-    /// Parses a head with its empty line. A response to a HEAD request has no
-    /// body, whatever its headers say.
+    /// Parses a head, including the empty line at its end. A response to a HEAD
+    /// request has no body, regardless of its headers.
     pub(crate) fn parse(
         bytes: &[u8],
         is_head_request: bool,
@@ -36,7 +36,7 @@
         let is_http_1_0 = parsed.version == Some(0);
         let status = parsed.code.unwrap_or(0);
         let mut headers = read_headers(parsed.headers);
-        let close = closes(&headers, is_http_1_0);
+        let close = closes_connection(&headers, is_http_1_0);
         let has_no_body = is_head_request || status < 200 || matches!(status, 204 | 304);
         let framing = if has_no_body {
             Framing::Length(0)
@@ -52,7 +52,7 @@
     }
 }
 
-/// A value that is not UTF-8 is read as Latin-1.
+/// Converts the parsed headers. Values that are not UTF-8 are decoded as Latin-1.
 fn read_headers(parsed: &[httparse::Header]) -> Headers {
     let mut headers = Vec::with_capacity(parsed.len());
     for header in parsed {
@@ -76,6 +76,8 @@
         _ if body.chunked => Ok(Framing::Chunked),
         Some(length) => Ok(Framing::Length(length)),
         None if close => Ok(Framing::UntilClose),
-        None => Err(MalformedResponse("the end of the body cannot be known")),
+        None => Err(MalformedResponse(
+            "the end of the body cannot be determined",
+        )),
     }
 }
--- a/http-line/src/head/tests.rs
+++ b/http-line/src/head/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of heads.
+//! Tests of the parsing of heads.
 use super::request::RequestRejection;
 use super::*;
 
@@ -37,7 +37,7 @@
     assert_eq!(find_end(b"a\n\nb", 0), Some(3));
 }
 
-/// Headers that two readers could understand differently.
+/// Headers that two parsers could interpret differently.
 const AMBIGUOUS_HEADERS: [&str; 22] = [
     "Content-Length: 1\r\nContent-Length: 2\r\n",
     "Content-Length: 1, 1\r\n",
@@ -63,7 +63,7 @@
     "Transfer-Encoding: \u{b}chunked\r\n",
 ];
 
-/// Heads whose request line or framing is not valid.
+/// Request heads with an invalid request line or framing.
 const MALFORMED_HEADS: [&str; 7] = [
     "GET /\r\n\r\n",
     "GET / HTTP/2.0\r\n\r\n",
--- a/http-line/src/lib.rs
+++ b/http-line/src/lib.rs
@@ -1,8 +1,9 @@
 //! An HTTP/1.1 event loop: one thread that serves requests from clients and
 //! sends requests to origins, over non-blocking sockets.
 //!
-//! [`EventLoopHandle::open`] starts the thread. It hands complete requests and
-//! the outcomes of calls to a [`Handler`]; commands go back through the handle.
+//! [`EventLoopHandle::open`] starts the thread. Complete requests and the
+//! outcomes of calls are passed to a [`Handler`]; other threads send commands
+//! through the handle.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 mod body;
--- a/http-line/src/limits.rs
+++ b/http-line/src/limits.rs
@@ -1,27 +1,27 @@
-//! Bounds of sizes, times and counts.
+//! Size, time and count limits of an event loop.
 
 use crate::prelude::*;
 
-/// Bounds for all connections of an event loop.
+/// Limits for all connections of an event loop.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a request's decoded body.
+    /// Maximum size of a decoded request body in bytes.
     pub body_bytes: usize,
-    /// From the first byte of a request to the end of its head.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub head_timeout: Duration,
-    /// How long a connection may be without a request. Also how late a body may
-    /// be beyond 1 KB a second, and how long an unread response may make no
-    /// progress.
+    /// Maximum time a connection may be without a request. Also the time allowed
+    /// for a request body in addition to one second per KB received, and the
+    /// maximum time without progress while a response is being written.
     pub idle_timeout: Duration,
-    /// Most requests of one connection in flight.
+    /// Maximum number of requests in flight on one connection.
     pub pipeline: usize,
-    /// Most bytes of a response to a call.
+    /// Maximum size of the decoded body of a response to a call, in bytes.
     pub response_bytes: usize,
-    /// The bandwidth of the machine's link in bytes a second, fixed when the
-    /// event loop is opened: responses are paced to a fraction of it. None: they
-    /// are not paced.
+    /// Bandwidth of the machine's network link in bytes per second, fixed when
+    /// the event loop is opened. Responses are paced to a fraction of it; they
+    /// are not paced if it is `None`.
     pub link_bytes_per_second: Option<f64>,
 }
 
--- a/http-line/src/pacer.rs
+++ b/http-line/src/pacer.rs
@@ -5,60 +5,69 @@
 
 use crate::prelude::*;
 
-/// Paces what is written to all clients together, so that a narrow link's own
-/// queue stays short and other traffic of the machine (leases, above all) is not
-/// delayed behind responses. A token bucket whose rate follows the delay that
-/// others measure on the link: it falls while that is long and rises slowly while
-/// it is not, since what else the link carries, and in which direction, is not
-/// known here. Invariant: within any span, no more is written than the link's
-/// bandwidth times the span plus `BURST_QUANTA` quanta.
+/// Paces the total output to all clients, so that the queue of a narrow link stays
+/// short and other traffic of the machine (above all, lease renewals) is not
+/// delayed behind responses. The pacer is a token bucket whose rate follows the
+/// delay that other components measure on the link: the rate is decreased while
+/// the delay is long and slowly increased while it is short, because the other
+/// traffic on the link, and its direction, are not known here. Invariant: in any
+/// time span, the bytes written do not exceed the link bandwidth times the span
+/// plus `BURST_QUANTA` quanta.
 pub(crate) struct Pacer {
-    /// The link's bandwidth in bytes a second; none: nothing is paced.
+    /// Bandwidth of the link in bytes per second; `None` disables pacing.
     bandwidth: Option<f64>,
-    /// Bytes written to one connection before the next has its turn.
+    /// Maximum number of bytes written to one connection before the next is served.
     quantum: usize,
-    /// The fraction of the bandwidth that responses may take now.
+    /// Fraction of the bandwidth that responses may currently use.
     fraction: f64,
     next_decrease: Instant,
-    /// Bytes that may be written now; below zero after a write beyond them.
+    /// Number of bytes that may be written now; negative after a write that exceeded
+    /// them.
     tokens: f64,
     refilled: Instant,
-    /// Connections that wait for their turn, in order: those that are done with
-    /// few more quanta go first, so that a small response waits for no large one.
+    /// Queued connections with at most `NEARLY_DONE_QUANTA` quanta left to write, in
+    /// order. They are served first, so that small responses do not wait behind
+    /// large ones.
     nearly_done: VecDeque<usize>,
+    /// All other queued connections, in order.
     waiting: VecDeque<usize>,
 }
 
-/// A quantum is what the link takes in this time, within these bounds in bytes: a
-/// fast link is not written to in small chunks.
+/// Transmission time of one quantum on the link.
 const QUANTUM_TIME: Duration = Duration::from_millis(5);
-const MIN_QUANTUM: usize = 8 * 1024;
-const MAX_QUANTUM: usize = 256 * 1024;
-/// Quanta that may be written at once after an idle time.
+/// Minimum quantum in bytes, so that fast links are not written to in small pieces.
+const MIN_QUANTUM_BYTES: usize = 8 * 1024;
+/// Maximum quantum in bytes.
+const MAX_QUANTUM_BYTES: usize = 256 * 1024;
+/// Number of quanta that may be written in one burst after an idle period.
 const BURST_QUANTA: usize = 4;
-/// A response with so many quanta left is served before larger ones.
+/// A response with at most this number of quanta left is served before larger ones.
 const NEARLY_DONE_QUANTA: usize = 2;
-/// Bounds of the fraction, and the initial one.
+/// Lower bound of the fraction of the bandwidth that responses may use.
 const MIN_FRACTION: f64 = 0.2;
+/// Initial fraction of the bandwidth that responses may use.
 const INITIAL_FRACTION: f64 = 0.8;
+/// Upper bound of the fraction of the bandwidth that responses may use.
 const MAX_FRACTION: f64 = 0.95;
-/// A longer delay than this is a queue that responses have contributed to.
+/// A delay above this indicates a queue on the link to which responses have
+/// contributed.
 const LONG_DELAY: Duration = Duration::from_millis(40);
-/// The fraction is decreased at most once in this time: the effect of a decrease
-/// shows only then.
+/// Minimum time between two decreases of the fraction, since a decrease takes this
+/// long to have an effect.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
+/// Factor applied to the fraction on a decrease.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Added with each measurement of a short delay.
+/// Added to the fraction for each measurement of a short delay.
 const INCREASE_STEP: f64 = 0.01;
 
 impl Pacer {
-    /// `bandwidth` in bytes a second.
+    /// Creates a pacer for a link with this bandwidth in bytes per second.
     pub(crate) fn new(bandwidth: Option<f64>, now: Instant) -> Pacer {
         let bandwidth = bandwidth.filter(|bandwidth| *bandwidth > 0.0);
-        let quantum = bandwidth.map_or(MAX_QUANTUM, |bandwidth| {
+        let quantum = bandwidth.map_or(MAX_QUANTUM_BYTES, |bandwidth| {
             (bandwidth * QUANTUM_TIME.as_secs_f64()) as usize
         });
-        let quantum = quantum.clamp(MIN_QUANTUM, MAX_QUANTUM);
+        let quantum = quantum.clamp(MIN_QUANTUM_BYTES, MAX_QUANTUM_BYTES);
         Pacer {
             bandwidth,
             quantum,
@@ -71,12 +80,12 @@
         }
     }
 
-    /// Bytes a second that responses may take now.
+    /// Rate in bytes per second at which responses may currently be written.
     pub(crate) fn rate(&self) -> Option<f64> {
         self.bandwidth.map(|bandwidth| bandwidth * self.fraction)
     }
 
-    /// Adapts the rate to the delay of small messages on the link.
+    /// Adapts the rate to the measured delay of small messages on the link.
     pub(crate) fn record_delay(&mut self, now: Instant, delay: Duration) {
         self.refill(now);
         if delay <= LONG_DELAY {
@@ -99,7 +108,7 @@
         self.refilled = now;
     }
 
-    /// Bytes that one connection may write now.
+    /// Number of bytes that one connection may write now.
     pub(crate) fn allowance(&mut self, now: Instant) -> usize {
         if self.bandwidth.is_none() {
             return usize::MAX;
@@ -111,7 +120,7 @@
         self.quantum
     }
 
-    /// Takes written bytes from the bucket.
+    /// Removes the tokens for `size` written bytes from the bucket.
     pub(crate) fn spend(&mut self, size: usize) {
         if self.bandwidth.is_some() {
             self.tokens -= size as f64;
@@ -131,7 +140,7 @@
         !self.nearly_done.is_empty() || !self.waiting.is_empty()
     }
 
-    /// The next connection whose turn it is, if anything may be written now.
+    /// Removes and returns the next queued connection, if anything may be written now.
     pub(crate) fn dequeue(&mut self, now: Instant) -> Option<usize> {
         self.refill(now);
         if self.bandwidth.is_some() && self.tokens < 1.0 {
@@ -142,7 +151,7 @@
             .or_else(|| self.waiting.pop_front())
     }
 
-    /// When the first queued connection may write.
+    /// Time at which the first queued connection may write.
     pub(crate) fn due(&self) -> Option<Instant> {
         let rate = self.rate()?;
         if !self.has_queued() {
@@ -153,7 +162,7 @@
     }
 }
 
-/// A sink that takes so many bytes and then would block.
+/// A sink that accepts `remaining` bytes and then reports `WouldBlock`.
 pub(crate) struct LimitedSink<'a, W: Write> {
     pub(crate) sink: &'a mut W,
     pub(crate) remaining: usize,
--- a/http-line/src/pool.rs
+++ b/http-line/src/pool.rs
@@ -1,12 +1,12 @@
-//! Which connections to other addresses are open, and which of them idle.
+//! Pool of connections to other addresses.
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Connections to other addresses, by their tokens. Invariant: `open` counts the
-/// idle ones too.
+/// Tokens of the connections to other addresses. Invariant: `open` also counts the
+/// idle connections.
 #[derive(Default)]
 pub(crate) struct Pool {
     addresses: HashMap<SocketAddr, AddressConnections>,
@@ -14,20 +14,21 @@
 
 #[derive(Default)]
 struct AddressConnections {
-    /// The one used last is last.
+    /// Tokens of the idle connections, most recently used last.
     idle: Vec<usize>,
+    /// Number of open connections, idle or in use.
     open: usize,
 }
 
 impl Pool {
-    /// Takes the idle connection used last among those that fit.
+    /// Takes the most recently used idle connection that satisfies `is_suitable`.
     pub(crate) fn take(
         &mut self,
         address: SocketAddr,
-        fits: impl Fn(usize) -> bool,
+        is_suitable: impl Fn(usize) -> bool,
     ) -> Option<usize> {
         let idle = &mut self.addresses.get_mut(&address)?.idle;
-        let index = idle.iter().rposition(|token| fits(*token))?;
+        let index = idle.iter().rposition(|token| is_suitable(*token))?;
         Some(idle.remove(index))
     }
 
@@ -36,22 +37,24 @@
         self.addresses.entry(address).or_default().idle.push(token);
     }
 
-    /// How many connections there are to the address.
+    /// Number of open connections to the address.
     pub(crate) fn open_count(&self, address: SocketAddr) -> usize {
-        self.addresses.get(&address).map_or(0, |known| known.open)
+        self.addresses
+            .get(&address)
+            .map_or(0, |connections| connections.open)
     }
 
-    /// Counts a new connection.
+    /// Records that a connection was opened.
     pub(crate) fn record_opened(&mut self, address: SocketAddr) {
         self.addresses.entry(address).or_default().open += 1;
     }
 
-    /// Forgets a connection that has ended.
+    /// Records that a connection was closed.
     pub(crate) fn record_closed(&mut self, address: SocketAddr, token: usize) {
-        if let Some(known) = self.addresses.get_mut(&address) {
-            known.idle.retain(|idle| *idle != token);
-            known.open -= 1;
-            if known.open == 0 {
+        if let Some(connections) = self.addresses.get_mut(&address) {
+            connections.idle.retain(|idle| *idle != token);
+            connections.open -= 1;
+            if connections.open == 0 {
                 self.addresses.remove(&address);
             }
         }
--- a/http-line/src/prelude.rs
+++ b/http-line/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Names that the modules of this crate and its tests share.
+//! Imports shared by the modules and tests of this crate.
 
 pub(crate) use crate::body_reader::{BodyError, BodyReader, Framing};
 pub(crate) use crate::chunked_decoder::ChunkedDecoder;
--- a/http-line/src/request_id.rs
+++ b/http-line/src/request_id.rs
@@ -1,7 +1,7 @@
-//! Request ids: the token of the connection, and the request's sequence number
-//! on it.
+//! Request ids, composed of the connection's token and the request's sequence
+//! number on that connection.
 
-/// Low bits of an id that are the sequence number.
+/// Number of low bits of an id that hold the sequence number.
 const SEQUENCE_BITS: u32 = 24;
 
 pub(crate) fn request_id(token: usize, sequence: u64) -> u64 {
@@ -16,7 +16,8 @@
     request_id & ((1 << SEQUENCE_BITS) - 1)
 }
 
-/// Whether a connection has no more ids for a request with this number.
+/// Returns true if a connection has no id left for a request with this sequence
+/// number.
 pub(crate) fn is_exhausted(sequence: u64) -> bool {
     sequence >> SEQUENCE_BITS != 0
 }
--- a/http-line/src/response.rs
+++ b/http-line/src/response.rs
@@ -1,18 +1,18 @@
-//! A response to a client.
+//! Responses to clients.
 
 use crate::prelude::*;
 
-/// A response. `Connection`, `Keep-Alive`, `Transfer-Encoding` and, when there
-/// is a body, `Content-Length` are written by the event loop; those given are
-/// left out.
+/// A response. The event loop writes `Connection`, `Keep-Alive`,
+/// `Transfer-Encoding` and, if there is a body, `Content-Length` itself; such
+/// headers given here are omitted.
 #[derive(Debug, Clone, Default)]
 pub struct Response {
-    /// The status code, 200 to 999; any other is sent as 500.
+    /// Status code from 200 to 999; a response with any other is sent as 500.
     pub status: u16,
-    /// Names and values, in the order they are written.
+    /// Header names and values, in the order they are written.
     pub headers: Vec<(String, String)>,
-    /// The body, shared with whoever else holds it.
+    /// The body, possibly shared with other holders.
     pub body: Body,
-    /// The connection is closed after this response.
+    /// True if the connection is closed after this response.
     pub close: bool,
 }
--- a/http-line/src/send_queue.rs
+++ b/http-line/src/send_queue.rs
@@ -1,31 +1,31 @@
-//! Bytes of a connection that are still to be written.
+//! Output queue of a connection.
 
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Chunks to be written, in order. Invariant: no chunk is empty.
+/// Byte chunks to be written, in order. Invariant: no chunk is empty.
 #[derive(Default)]
 pub struct SendQueue {
     chunks: VecDeque<Body>,
-    /// Bytes of the first chunk that were written.
+    /// Number of bytes of the first chunk that are already written.
     first_offset: usize,
     remaining: usize,
 }
 
-/// What one write did.
+/// Result of one write.
 #[derive(Debug)]
 pub struct WriteProgress {
-    /// Bytes that the sink took.
+    /// Number of bytes that the sink accepted.
     pub written: usize,
-    /// An error if not all was written, `WouldBlock` if the sink takes no more
-    /// now.
+    /// An error unless everything was written; `WouldBlock` if the sink accepts no
+    /// more bytes for now.
     pub result: io::Result<()>,
 }
 
 impl WriteProgress {
-    /// Whether the sink takes no more now.
+    /// Returns true if the sink accepts no more bytes for now.
     pub fn would_block(&self) -> bool {
         self.result
             .as_ref()
@@ -33,11 +33,11 @@
     }
 }
 
-/// Most chunks of one vectored write.
+/// Maximum number of chunks in one vectored write.
 const MAX_SLICES: usize = 16;
 
 impl SendQueue {
-    /// Adds a chunk behind all others.
+    /// Appends a chunk to the queue.
     pub fn push(&mut self, body: Body) {
         if !body.is_empty() {
             self.remaining += body.len();
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Bytes still to be written.
+    /// Number of bytes still to be written.
     pub fn remaining(&self) -> usize {
         self.remaining
     }
 
-    /// Whether all is written.
+    /// Returns true if everything is written.
     pub fn is_empty(&self) -> bool {
         self.remaining == 0
     }
 
-    /// Writes until all is written or the sink would block.
+    /// Writes until the queue is empty, the sink would block or an error occurs.
     pub fn write(&mut self, sink: &mut dyn Write) -> WriteProgress {
         let mut written = 0;
         while self.remaining > 0 {
--- a/http-line/src/send_queue/tests.rs
+++ b/http-line/src/send_queue/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the send queue.
 use super::*;
 
-/// Takes three bytes at a time, up to `capacity`.
+/// A sink that accepts three bytes at a time, up to a total of `capacity`.
 struct NarrowSink {
     written: Vec<u8>,
     capacity: usize,
--- a/http-line/src/server_connection.rs
+++ b/http-line/src/server_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, without its socket.
+//! Protocol state of a client connection, without its socket.
 
 #[cfg(test)]
 mod tests;
@@ -8,44 +8,50 @@
 
 use crate::prelude::*;
 
-/// One connection of a client, without its socket. Invariants:
-/// - `slots` are the requests handed out, oldest first, their sequence numbers
-///   without gaps; a response is written once it and all before it are there.
-/// - Once `closing`, no input is looked at any more.
-/// - `input` holds the start of a head, or what was received while paused.
+/// Protocol state of one client connection, without its socket. Invariants:
+/// - `pending_requests` holds the requests without a written response, oldest first, with
+///   consecutive sequence numbers; a response is written once it and all earlier
+///   responses are available.
+/// - No input is parsed after `closing` was set.
+/// - `input` holds the start of a head, or bytes received while paused.
 pub struct ServerConnection {
     peer: SocketAddr,
-    /// Writes the responses to input that is rejected here.
+    /// Creates the responses to invalid input that is rejected here.
     handler: Arc<dyn Handler>,
     input: Vec<u8>,
-    /// Bytes at the start of `input` known to hold no end of a head.
+    /// Number of bytes at the start of `input` known not to contain the end of a head.
     scanned_bytes: usize,
     /// The request whose body is being read.
     partial: Option<PartialRequest>,
-    slots: VecDeque<Slot>,
+    pending_requests: VecDeque<PendingRequest>,
+    /// Sequence number of the next request.
     next_sequence: u64,
-    /// Bytes of responses that are still to be written.
+    /// Response bytes that are still to be written.
     pub output: SendQueue,
+    /// True once no further requests are read; the connection is closed after the
+    /// pending responses.
     closing: bool,
-    /// The client announced its last request, and that was read.
+    /// True once a request was read that the client announced as its last.
     last_request_read: bool,
+    /// True if the connection is closed after the next request.
     draining: bool,
-    /// It ends once it has been idle for `FINISH_IDLE_TIME`.
+    /// True if the connection is closed once it has been idle for `FINISH_IDLE_TIME`.
     finishing: bool,
+    /// True once the client has closed its sending side.
     read_closed: bool,
-    /// Input was discarded unread.
+    /// True if input was discarded without parsing it.
     discarded_input: bool,
-    /// The client waits for `100 Continue`.
-    continue_due: bool,
-    /// When the first byte of the current request was received.
+    /// True if the client waits for `100 Continue`.
+    continue_pending: bool,
+    /// Time at which the first byte of the current request was received.
     request_started: Instant,
-    /// When the last request was read, or the last byte written.
+    /// Time at which the last request was read or the last byte was written.
     last_progress: Instant,
 }
 
 /// A complete request, and its sequence number on the connection.
 pub struct PipelinedRequest {
-    /// Counted from zero.
+    /// Sequence number, counted from zero.
     pub sequence: u64,
     /// The request.
     pub request: Request,
@@ -57,36 +63,38 @@
 }
 
 /// A request whose response is not written yet.
-struct Slot {
+struct PendingRequest {
     sequence: u64,
     is_head_request: bool,
-    /// The connection ends after the response.
+    /// True if the connection is closed after the response.
     close: bool,
-    /// An HTTP/1.0 client must be told that the connection stays open.
+    /// True for an HTTP/1.0 request; its response must state that the connection stays
+    /// open.
     is_http_1_0: bool,
-    /// Rejected here: the handler does not know of it.
+    /// True if the request was rejected here, without notifying the handler.
     rejected: bool,
-    /// The handler was told that the client has disconnected.
+    /// True if the handler was notified that the client has disconnected.
     disconnect_reported: bool,
     response: Option<Response>,
 }
 
-impl Slot {
-    /// The handler has the request, no response was written, and its client was
-    /// not reported as disconnected.
+impl PendingRequest {
+    /// Returns true if the handler was given the request and was not notified that
+    /// the client has disconnected.
     fn is_awaited(&self) -> bool {
         !self.rejected && !self.disconnect_reported
     }
 }
 
-/// While more bytes of responses are unsent, nothing is read from the client.
+/// Maximum number of unsent response bytes; above it, nothing is read from the
+/// client (backpressure).
 const MAX_UNSENT_BYTES: usize = 64 * 1024;
-/// How long a connection of a finishing event loop may be without a request: a
-/// client that is using it has sent its next one by then.
+/// Maximum idle time of a connection while the event loop is finishing. A client that
+/// is using the connection has sent its next request by then.
 pub const FINISH_IDLE_TIME: Duration = Duration::from_secs(1);
 
 impl ServerConnection {
-    /// A connection just accepted from `peer`.
+    /// Creates the state of a connection just accepted from `peer`.
     pub fn new(peer: SocketAddr, handler: Arc<dyn Handler>, now: Instant) -> ServerConnection {
         ServerConnection {
             peer,
@@ -94,7 +102,7 @@
             input: Vec::new(),
             scanned_bytes: 0,
             partial: None,
-            slots: VecDeque::new(),
+            pending_requests: VecDeque::new(),
             next_sequence: 0,
             output: SendQueue::default(),
             closing: false,
@@ -103,63 +111,68 @@
             finishing: false,
             read_closed: false,
             discarded_input: false,
-            continue_due: false,
+            continue_pending: false,
             request_started: now,
             last_progress: now,
         }
     }
 
-    /// Whether so much is in flight that no more is read for now.
+    /// Returns true if reading is paused because too much is in flight.
     fn is_paused(&self, limits: &Limits) -> bool {
-        self.slots.len() >= limits.pipeline.max(1) || self.output.remaining() > MAX_UNSENT_BYTES
+        self.pending_requests.len() >= limits.pipeline.max(1)
+            || self.output.remaining() > MAX_UNSENT_BYTES
     }
 
-    /// Whether the socket is to be read.
+    /// Returns true if the socket is to be read.
     pub fn wants_read(&self, limits: &Limits) -> bool {
         !self.read_closed && !self.closing && !self.is_paused(limits)
     }
 
-    /// Whether a request is being read, or a response is awaited or unsent.
+    /// Returns true if a request is being read, or a response is awaited or unsent.
     pub fn is_busy(&self) -> bool {
-        !self.slots.is_empty()
+        !self.pending_requests.is_empty()
             || !self.output.is_empty()
             || self.partial.is_some()
             || !self.input.is_empty()
     }
 
-    /// Whether all is written and the connection is to be closed.
+    /// Returns true if all responses are written and the connection is to be closed.
     pub fn is_finished(&self) -> bool {
-        self.closing && self.slots.is_empty() && self.output.is_empty()
+        self.closing && self.pending_requests.is_empty() && self.output.is_empty()
     }
 
-    /// Whether nothing the client sent is unread, and nothing more is to come.
+    /// Returns true if all input of the client was read and no more is expected.
     pub fn is_input_exhausted(&self) -> bool {
         self.read_closed || (self.last_request_read && !self.discarded_input)
     }
 
-    /// Takes a response, in any order, and returns the requests that will get
-    /// none because it closes the connection.
+    /// Accepts the response to a request; responses may be given in any order. Returns
+    /// the requests that get no response because this one closes the connection.
     pub fn respond(&mut self, sequence: u64, response: Response, now: Instant) -> Vec<u64> {
-        let Some(first) = self.slots.front().map(|slot| slot.sequence) else {
+        let Some(first) = self
+            .pending_requests
+            .front()
+            .map(|pending| pending.sequence)
+        else {
             return Vec::new();
         };
         let Some(index) = sequence.checked_sub(first).map(|index| index as usize) else {
             return Vec::new();
         };
         if self
-            .slots
+            .pending_requests
             .get(index)
-            .is_none_or(|slot| slot.response.is_some())
+            .is_none_or(|pending| pending.response.is_some())
         {
             return Vec::new();
         }
         if response.close {
-            self.stop_taking_requests();
+            self.stop_reading_requests();
         }
-        let slot = &mut self.slots[index];
-        slot.close |= response.close;
-        slot.response = Some(response);
-        let dropped = self.drop_slots_behind_close();
+        let pending = &mut self.pending_requests[index];
+        pending.close |= response.close;
+        pending.response = Some(response);
+        let dropped = self.drop_requests_after_close();
         if self.output.is_empty() {
             self.last_progress = now;
         }
@@ -167,18 +180,22 @@
         dropped
     }
 
-    fn drop_slots_behind_close(&mut self) -> Vec<u64> {
-        let Some(index) = self.slots.iter().position(|slot| slot.close) else {
+    fn drop_requests_after_close(&mut self) -> Vec<u64> {
+        let Some(index) = self
+            .pending_requests
+            .iter()
+            .position(|pending| pending.close)
+        else {
             return Vec::new();
         };
-        self.slots
+        self.pending_requests
             .drain(index + 1..)
-            .filter(Slot::is_awaited)
-            .map(|slot| slot.sequence)
+            .filter(PendingRequest::is_awaited)
+            .map(|pending| pending.sequence)
             .collect()
     }
 
-    fn stop_taking_requests(&mut self) {
+    fn stop_reading_requests(&mut self) {
         self.discarded_input |= !self.input.is_empty() || self.partial.is_some();
         self.closing = true;
         self.discard_partial_request();
@@ -187,71 +204,76 @@
     fn discard_partial_request(&mut self) {
         self.input = Vec::new();
         self.partial = None;
-        self.continue_due = false;
+        self.continue_pending = false;
     }
 
-    /// The client sends no more: what it requested is still responded to.
+    /// Handles the end of the client's input. Requests read before it still get
+    /// responses.
     pub fn close_read(&mut self) {
         self.read_closed = true;
         if !self.closing {
-            self.stop_taking_requests();
+            self.stop_reading_requests();
         }
     }
 
-    /// The next request is the last. An idle connection stays open for it: it may
-    /// be on its way, and once it is read it must be responded to.
+    /// Makes the next request the last one. An idle connection stays open for it: the
+    /// request may be in transit, and once it is read it must get a response.
     pub fn drain(&mut self) {
         self.draining = true;
-        let in_flight = !self.slots.is_empty();
+        let in_flight = !self.pending_requests.is_empty();
         if in_flight && self.partial.is_none() && self.input.is_empty() {
             self.closing = true;
         }
     }
 
-    /// The next request is the last, and none is waited for beyond
-    /// `FINISH_IDLE_TIME` without one.
+    /// Makes the next request the last one, and limits the wait for it to
+    /// `FINISH_IDLE_TIME`.
     pub fn finish(&mut self) {
         self.drain();
         self.finishing = true;
     }
 
-    /// Whether it is finishing and no request came in time.
+    /// Returns true if the connection is finishing and no request arrived in time.
     pub fn is_idle_at_finish(&self, now: Instant) -> bool {
         self.finishing && !self.is_busy() && now >= self.last_progress + FINISH_IDLE_TIME
     }
 
-    /// Serves one request only: the connection was accepted while draining.
+    /// Limits a connection accepted while draining to one request.
     pub fn serve_one(&mut self) {
         self.draining = true;
     }
 
-    /// The socket took bytes of a response.
+    /// Records that the socket has accepted bytes of a response.
     pub fn record_write(&mut self, now: Instant) {
         self.last_progress = now;
     }
 
-    /// The connection ends: the requests that will get no response.
+    /// Removes and returns the requests that get no response because the connection
+    /// ends.
     pub fn take_unanswered(&mut self) -> Vec<u64> {
-        self.slots
+        self.pending_requests
             .drain(..)
-            .filter(Slot::is_awaited)
-            .map(|slot| slot.sequence)
+            .filter(PendingRequest::is_awaited)
+            .map(|pending| pending.sequence)
             .collect()
     }
 
-    /// The client has closed its side of the connection: the requests whose
-    /// responses nobody waits for any more, each once.
+    /// Handles the close of the connection by the client. Returns the requests whose
+    /// responses are no longer awaited, each of them once.
     pub fn client_disconnected(&mut self) -> Vec<u64> {
-        let awaited = self.slots.iter_mut().filter(|slot| slot.is_awaited());
+        let awaited = self
+            .pending_requests
+            .iter_mut()
+            .filter(|pending| pending.is_awaited());
         awaited
-            .map(|slot| {
-                slot.disconnect_reported = true;
-                slot.sequence
+            .map(|pending| {
+                pending.disconnect_reported = true;
+                pending.sequence
             })
             .collect()
     }
 
-    /// When `time_out` is to be called.
+    /// Time at which `time_out` is to be called.
     pub fn due(&self, limits: &Limits) -> Option<Instant> {
         if !self.output.is_empty() {
             return Some(self.last_progress + limits.idle_timeout);
@@ -260,7 +282,7 @@
             return None;
         }
         if let Some(partial) = &self.partial {
-            // One more millisecond for each byte: at least 1 KB a second.
+            // One more millisecond for each byte enforces a minimum rate of 1 KB/s.
             let body_time = Duration::from_millis(partial.body.body.len() as u64);
             return Some(self.request_started + limits.idle_timeout + body_time);
         }
@@ -271,12 +293,13 @@
             true => limits.idle_timeout.min(FINISH_IDLE_TIME),
             false => limits.idle_timeout,
         };
-        self.slots
+        self.pending_requests
             .is_empty()
             .then_some(self.last_progress + idle_timeout)
     }
 
-    /// At `due`: whether the connection is to be closed without a response.
+    /// Handles a timeout at `due`. Returns true if the connection is to be closed
+    /// without a response.
     pub fn time_out(&mut self) -> bool {
         let is_reading = self.partial.is_some() || !self.input.is_empty();
         if self.output.is_empty() && is_reading {
--- a/http-line/src/server_connection/reader.rs
+++ b/http-line/src/server_connection/reader.rs
@@ -1,15 +1,16 @@
-//! Reads requests from a client's bytes.
+//! Reading of requests from received bytes.
 
 use super::*;
 use crate::body_reader::BodyProgress;
 use crate::head::find_end;
 use crate::request_id;
 
-/// Larger buffers are shrunk once most of their bytes are consumed.
+/// Minimum capacity in bytes of an input buffer that is shrunk once most of its bytes
+/// are consumed.
 const MIN_SHRINK_CAPACITY: usize = 16 * 1024;
 
 impl ServerConnection {
-    /// Reads received bytes and adds the complete requests to `requests`.
+    /// Parses received bytes and adds the complete requests to `requests`.
     pub fn feed(
         &mut self,
         received: &[u8],
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Reads on in buffered input once the connection is no longer paused.
+    /// Continues to parse buffered input once the connection is no longer paused.
     pub fn resume(&mut self, limits: &Limits, now: Instant, requests: &mut Vec<PipelinedRequest>) {
         if self.input.is_empty() || (self.is_paused(limits) && !self.closing) {
             return;
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Reads requests until the input is consumed, incomplete or the connection
-    /// paused; returns the bytes consumed.
+    /// Parses requests until the input is consumed or incomplete, or the connection is
+    /// paused. Returns the number of bytes consumed.
     fn read(
         &mut self,
         input: &[u8],
@@ -75,7 +76,7 @@
         }
     }
 
-    /// False if the body needs more input.
+    /// Parses the body of the current request. Returns false if it needs more input.
     fn read_body(
         &mut self,
         input: &[u8],
@@ -86,12 +87,12 @@
         let Some(partial) = &mut self.partial else {
             return true;
         };
-        self.continue_due &= *offset == input.len();
+        self.continue_pending &= *offset == input.len();
         match partial.body.feed(&input[*offset..]) {
             Ok(BodyProgress { consumed, complete }) => {
                 *offset += consumed;
                 if complete {
-                    self.hand_out(now, requests);
+                    self.complete_request(now, requests);
                 }
                 return complete;
             }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// False if the head needs more input.
+    /// Parses a request head. Returns false if it needs more input.
     fn read_head(
         &mut self,
         input: &[u8],
@@ -149,7 +150,8 @@
         true
     }
 
-    /// `at_end`: nothing was received behind the head.
+    /// Starts the request of a complete head. `at_end` is true if no bytes were received
+    /// behind the head.
     fn begin_request(
         &mut self,
         head: RequestHead,
@@ -162,23 +164,24 @@
             return self.reject(413, "the body is too large");
         };
         let has_no_body = head.framing == Framing::Length(0);
-        self.continue_due = head.expects_continue && at_end && !has_no_body;
+        self.continue_pending = head.expects_continue && at_end && !has_no_body;
         self.partial = Some(PartialRequest { head, body });
         self.request_started = now;
         if has_no_body {
-            self.hand_out(now, requests);
+            self.complete_request(now, requests);
         } else {
             self.write_ready_responses();
         }
     }
 
-    fn hand_out(&mut self, now: Instant, requests: &mut Vec<PipelinedRequest>) {
+    /// Adds the current request, now complete, to `requests`.
+    fn complete_request(&mut self, now: Instant, requests: &mut Vec<PipelinedRequest>) {
         let Some(PartialRequest { head, body }) = self.partial.take() else {
             return;
         };
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.slots.push_back(Slot {
+        self.pending_requests.push_back(PendingRequest {
             sequence,
             is_head_request: head.method == "HEAD",
             close: head.close,
@@ -190,7 +193,7 @@
         self.last_request_read |= head.close;
         let is_last = self.draining || request_id::is_exhausted(self.next_sequence);
         self.closing |= head.close || is_last;
-        self.continue_due = false;
+        self.continue_pending = false;
         self.last_progress = now;
         let request = Request {
             method: head.method,
@@ -202,11 +205,11 @@
         requests.push(PipelinedRequest { sequence, request });
     }
 
-    /// Queues a response of our own to what cannot be read; no input behind it is
-    /// looked at.
+    /// Queues the response to input that cannot be parsed. Input behind it is
+    /// discarded.
     pub(super) fn reject(&mut self, status: u16, reason: &'static str) {
         let response = self.handler.rejection_response(status, reason);
-        self.slots.push_back(Slot {
+        self.pending_requests.push_back(PendingRequest {
             sequence: self.next_sequence,
             is_head_request: false,
             close: true,
--- a/http-line/src/server_connection/tests.rs
+++ b/http-line/src/server_connection/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of connections of clients, without sockets.
+//! Tests of client connections, without sockets.
 use super::*;
 
 struct IgnoringHandler;
@@ -9,12 +9,12 @@
     fn on_disconnect(&self, _: u64) {}
 }
 
-/// A connection whose client and handler the test plays.
+/// A connection with the test acting as its client and handler.
 struct TestServer {
     connection: ServerConnection,
     limits: Limits,
     now: Instant,
-    /// Requests that will get no response.
+    /// Sequence numbers of the requests that get no response.
     dropped: Vec<u64>,
 }
 
@@ -83,13 +83,14 @@
     }
 }
 
+/// Start of the head of a response with a body of one byte.
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n";
 
 #[test]
 fn responses_follow_request_order() {
     let mut server = TestServer::new();
-    let got = server.feed("\r\nGET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiHEAD /c HTTP/1.1\r\n\r\nGET /d HT");
-    assert_eq!(got, ["0 GET /a ", "1 POST /b hi", "2 HEAD /c "]);
+    let requests = server.feed("\r\nGET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiHEAD /c HTTP/1.1\r\n\r\nGET /d HT");
+    assert_eq!(requests, ["0 GET /a ", "1 POST /b hi", "2 HEAD /c "]);
     assert!(!server.connection.wants_read(&server.limits));
     server.respond(1, 200, "b", false);
     server.respond(1, 500, "twice", false);
@@ -151,7 +152,7 @@
     idle.connection.drain();
     assert!(
         !idle.connection.is_finished(),
-        "a request may be on its way"
+        "a request may be in transit"
     );
     assert_eq!(idle.feed("GET / HTTP/1.1\r\n\r\n").len(), 1);
     idle.respond(0, 200, "a", false);
@@ -243,11 +244,11 @@
     assert!(TestServer::new().connection.time_out());
 }
 
-/// Four requests, pipelined.
+/// Four pipelined requests.
 const PIPELINED: &str = "\r\nGET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\n\r\n\
             PUT /c HTTP/1.1\r\nContent-Length: 4\r\n\r\nGET GET /d HTTP/1.1\r\n\r\n";
 
-/// Reproducible random numbers.
+/// Generator of reproducible random numbers.
 struct Generator {
     seed: u64,
 }
@@ -261,7 +262,7 @@
         (self.seed >> 33) as usize % bound
     }
 
-    /// The pipelined requests with so many bytes replaced, removed or inserted.
+    /// Returns the pipelined requests with `changes` bytes replaced, removed or inserted.
     fn damaged_input(&mut self, changes: usize) -> Vec<u8> {
         let mut input = PIPELINED.as_bytes().to_vec();
         for _ in 0..changes {
@@ -275,8 +276,8 @@
         input
     }
 
-    /// The requests read from the input, in steps of at most so many bytes, and
-    /// all that was written.
+    /// Feeds the input in steps of at most `max_step` bytes. Returns the parsed requests
+    /// and everything that was written.
     fn serve_in_steps(&mut self, input: &[u8], max_step: usize) -> (Vec<String>, String) {
         let mut server = TestServer::new();
         server.limits.pipeline = 2;
@@ -302,8 +303,8 @@
     }
 }
 
-/// However the bytes are segmented, and whatever is wrong with them, the same
-/// requests are handed out and the same rejected.
+/// The parsed and rejected requests do not depend on the segmentation of the input,
+/// even if the input is malformed.
 #[test]
 fn segmentation_does_not_change_parsing() {
     let mut generator = Generator { seed: 1 };
--- a/http-line/src/server_connection/writer.rs
+++ b/http-line/src/server_connection/writer.rs
@@ -1,45 +1,52 @@
-//! Writes responses to a client.
+//! Writing of responses.
 
 use super::*;
 use crate::call::is_valid_header;
 use crate::head::{is_one_of, push_header};
 
-/// Headers that are written by the connection itself.
-const OWN_HEADERS: [&str; 3] = ["connection", "transfer-encoding", "keep-alive"];
-/// Capacity for the lines of a head that are not the response's headers.
+/// Headers of a response that are not sent: the connection manages its own framing and
+/// keep-alive.
+const OMITTED_HEADERS: [&str; 3] = ["connection", "transfer-encoding", "keep-alive"];
+/// Initial capacity in bytes for the lines of a head other than the response's
+/// headers.
 const HEAD_CAPACITY_BYTES: usize = 64;
-/// Bytes of a header line beside its name and value.
+/// Number of bytes of a header line in addition to its name and value.
 const HEADER_LINE_BYTES: usize = 4;
 
-/// What decides how a response is written.
-struct Delivery {
+/// Properties of the request and the connection that determine how a response is
+/// written.
+struct ResponseContext {
     is_head_request: bool,
     close: bool,
     is_http_1_0: bool,
 }
 
 impl ServerConnection {
-    /// Queues all responses whose turn has come, and `100 Continue` in its turn.
+    /// Queues the responses that are available in request order, and `100 Continue`
+    /// after the responses to earlier requests.
     pub(super) fn write_ready_responses(&mut self) {
-        while let Some(slot) = self.slots.pop_front_if(|slot| slot.response.is_some()) {
-            let delivery = Delivery {
-                is_head_request: slot.is_head_request,
-                close: slot.close || (self.closing && self.slots.is_empty()),
-                is_http_1_0: slot.is_http_1_0,
+        while let Some(pending) = self
+            .pending_requests
+            .pop_front_if(|pending| pending.response.is_some())
+        {
+            let context = ResponseContext {
+                is_head_request: pending.is_head_request,
+                close: pending.close || (self.closing && self.pending_requests.is_empty()),
+                is_http_1_0: pending.is_http_1_0,
             };
-            if let Some(response) = slot.response {
-                write_response(&mut self.output, response, &delivery);
+            if let Some(response) = pending.response {
+                write_response(&mut self.output, response, &context);
             }
         }
-        if self.continue_due && self.slots.is_empty() {
-            self.continue_due = false;
+        if self.continue_pending && self.pending_requests.is_empty() {
+            self.continue_pending = false;
             self.output
                 .push(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec().into());
         }
     }
 }
 
-fn write_response(output: &mut SendQueue, response: Response, delivery: &Delivery) {
+fn write_response(output: &mut SendQueue, response: Response, context: &ResponseContext) {
     let is_valid =
         (200..1000).contains(&response.status) && response.headers.iter().all(is_valid_header);
     let response = if is_valid {
@@ -47,12 +54,12 @@
     } else {
         Response {
             status: 500,
-            close: delivery.close,
+            close: context.close,
             ..Response::default()
         }
     };
-    output.push(encode_head(&response, delivery).into());
-    if !delivery.is_head_request && !has_no_body(response.status) {
+    output.push(encode_head(&response, context).into());
+    if !context.is_head_request && !has_no_body(response.status) {
         output.push(response.body);
     }
 }
@@ -61,7 +68,7 @@
     matches!(status, 204 | 304)
 }
 
-fn encode_head(response: &Response, delivery: &Delivery) -> Vec<u8> {
+fn encode_head(response: &Response, context: &ResponseContext) -> Vec<u8> {
     let header_bytes: usize = response
         .headers
         .iter()
@@ -70,8 +77,8 @@
     let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES + header_bytes);
     let (status, reason) = (response.status, reason_phrase(response.status));
     head.extend_from_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
-    let has_length = push_headers(&mut head, response, delivery);
-    let is_length_unknown = delivery.is_head_request && response.body.is_empty();
+    let has_length = push_headers(&mut head, response, context);
+    let is_length_unknown = context.is_head_request && response.body.is_empty();
     if !(has_length || has_no_body(status) || is_length_unknown) {
         push_header(
             &mut head,
@@ -79,7 +86,7 @@
             &response.body.len().to_string(),
         );
     }
-    let end: &[u8] = match (delivery.close, delivery.is_http_1_0) {
+    let end: &[u8] = match (context.close, context.is_http_1_0) {
         (true, _) => b"Connection: close\r\n\r\n",
         (_, true) => b"Connection: keep-alive\r\n\r\n",
         _ => b"\r\n",
@@ -88,16 +95,17 @@
     head
 }
 
-/// Writes the response's headers, without our own; whether a length was among
-/// them. A length is only passed on where no body tells it.
-fn push_headers(head: &mut Vec<u8>, response: &Response, delivery: &Delivery) -> bool {
-    let passes_length =
-        response.body.is_empty() && (delivery.is_head_request || response.status == 304);
+/// Writes the headers of the response, except the omitted ones. A `Content-Length`
+/// is forwarded only if there is no body to take it from. Returns true if one was
+/// written.
+fn push_headers(head: &mut Vec<u8>, response: &Response, context: &ResponseContext) -> bool {
+    let forwards_length =
+        response.body.is_empty() && (context.is_head_request || response.status == 304);
     let mut has_length = false;
     for (name, value) in &response.headers {
         let is_length = name.eq_ignore_ascii_case("content-length");
-        let is_usable = passes_length && !has_length && value.parse::<u64>().is_ok();
-        if is_one_of(name, &OWN_HEADERS) || (is_length && !is_usable) {
+        let is_usable = forwards_length && !has_length && value.parse::<u64>().is_ok();
+        if is_one_of(name, &OMITTED_HEADERS) || (is_length && !is_usable) {
             continue;
         }
         has_length |= is_length;
--- a/http-line/src/timers.rs
+++ b/http-line/src/timers.rs
@@ -5,24 +5,25 @@
 
 use crate::prelude::*;
 
-/// Due times in ticks, rounded up: never early, or the loop would find an entry
-/// due and its owner not, over and over. An entry may be out of date: the owner
-/// of a token says when it is really due, and a later time needs no entry of its
-/// own until the earlier one comes up.
+/// Queue of deadlines in ticks. Deadlines are rounded up, so that a timer never
+/// fires early: otherwise the loop would repeatedly find an entry due whose
+/// connection is not. Entries may be outdated: the connection determines its actual
+/// deadline, and a later deadline is entered only when the earlier entry fires.
 pub(crate) struct Timers {
     start: Instant,
     heap: BinaryHeap<Reverse<Timer>>,
 }
 
-/// One entry of the queue, ordered by its tick.
+/// Entry of the timer queue, ordered by its tick.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Timer {
     pub(crate) tick: u64,
     pub(crate) token: usize,
 }
 
+/// Resolution of the timers.
 const TICK: Duration = Duration::from_millis(20);
-/// A heap of fewer entries is not shrunk.
+/// Minimum capacity in entries above which the heap may be shrunk.
 const MIN_SHRINK_CAPACITY: usize = 1024;
 
 impl Timers {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The first tick that is not before this time.
+    /// Returns the first tick that is not before this time.
     pub(crate) fn tick_of(&self, time: Instant) -> u64 {
         time.saturating_duration_since(self.start)
             .as_nanos()
@@ -48,7 +49,7 @@
         self.heap.push(Reverse(Timer { tick, token }));
     }
 
-    /// The earliest entry.
+    /// Returns the earliest entry.
     pub(crate) fn first(&self) -> Option<Timer> {
         self.heap.peek().map(|entry| entry.0)
     }
--- a/http-line/src/usage.rs
+++ b/http-line/src/usage.rs
@@ -1,16 +1,16 @@
 //! Counters of an event loop.
 
-/// Counts since the start, except `open`, which is a gauge.
+/// Counters since the start of the event loop, and the gauge `open`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
-    /// Connections accepted from clients.
+    /// Number of connections accepted from clients.
     pub accepted: u64,
-    /// Connections opened for calls.
+    /// Number of connections opened for calls.
     pub connects: u64,
-    /// Calls sent over an idle connection.
+    /// Number of calls sent over a reused idle connection.
     pub reused: u64,
-    /// Calls begun.
+    /// Number of calls started.
     pub calls: u64,
-    /// Connections open now, accepted and opened ones.
+    /// Number of connections currently open, both accepted and opened.
     pub open: u64,
 }
--- a/http-line/tests/client_connection.rs
+++ b/http-line/tests/client_connection.rs
@@ -1,4 +1,4 @@
-//! Connections for calls, without their sockets.
+//! Tests of connections for calls, without sockets.
 use http_line::prelude::*;
 
 fn call(method: &str, echo: bool) -> Call {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A connection that has written this call.
+/// Returns a connection that has written this call.
 fn connection_with(call: &Call) -> ClientConnection {
     let mut connection = ClientConnection::new(call.address);
     send(&mut connection, call);
@@ -39,8 +39,8 @@
     connection.mark_sent();
 }
 
-/// The outcome of a call with this input, and for how many seconds its connection
-/// may be reused. Byte by byte the outcome is the same.
+/// Returns the outcome of a call with this input, and the number of seconds for which
+/// its connection may be reused. Checks that input byte by byte gives the same outcome.
 fn exchange(method: &str, echo: bool, input: &str) -> Option<(ExchangeOutcome, Option<u64>)> {
     let mut connection = connection_with(&call(method, echo));
     let mut ended = None;
@@ -147,15 +147,16 @@
         response(exchange("GET", false, chunks)),
         (200, "ok".into(), Some(8))
     );
-    assert!(interruption(exchange("GET", false, "SSH-2.0")).contains("no HTTP/1"));
+    assert!(interruption(exchange("GET", false, "SSH-2.0")).contains("not an HTTP/1"));
     assert!(
-        interruption(exchange("GET", false, "HTTP/1.1 200 OK\r\n\r\n")).contains("cannot be known")
+        interruption(exchange("GET", false, "HTTP/1.1 200 OK\r\n\r\n"))
+            .contains("cannot be determined")
     );
 }
 
 #[test]
-fn foreign_responses_are_skipped() {
-    let (own, foreign) = (
+fn responses_to_other_calls_are_skipped() {
+    let (own, mismatched) = (
         "HTTP/1.1 200 OK\r\nE: 1\r\nContent-Length: 1\r\n\r\na",
         "HTTP/1.1 201 OK\r\nE: 2\r\nContent-Length: 1\r\n\r\nb",
     );
@@ -164,10 +165,14 @@
         (200, "a".into(), Some(8))
     );
     assert_eq!(
-        response(exchange("GET", true, &format!("{foreign}{foreign}{own}"))),
+        response(exchange(
+            "GET",
+            true,
+            &format!("{mismatched}{mismatched}{own}")
+        )),
         (200, "a".into(), None)
     );
-    assert!(interruption(exchange("GET", true, &foreign.repeat(3))).contains("other calls"));
+    assert!(interruption(exchange("GET", true, &mismatched.repeat(3))).contains("other calls"));
 }
 
 #[test]
@@ -250,7 +255,7 @@
     assert!(!connection.recently_carried(&echoed_call(1000, "r2")));
     assert!(
         !connection.recently_carried(&call("GET", false)),
-        "no id, nothing to mix up"
+        "a call without an id cannot be confused with another"
     );
     for id in 2..=32 {
         assert!(receive_response(&mut connection, &format!("r{}", id - 1)).is_some());
@@ -258,7 +263,7 @@
     }
     assert!(
         connection.recently_carried(&echoed_call(1000, "r1")),
-        "the 32 last are remembered"
+        "the last 32 calls are remembered"
     );
     assert!(receive_response(&mut connection, "r32").is_some());
     send(&mut connection, &echoed_call(33, "r33"));
--- a/http-line/tests/client_connection_faults.rs
+++ b/http-line/tests/client_connection_faults.rs
@@ -1,20 +1,20 @@
-//! Generated sequences of calls, responses and faults over one origin's connections,
-//! checked against what was really written and responded to.
+//! Property test: generated sequences of calls, responses and faults on the connections
+//! to one origin, checked against what was actually written and sent as a response.
 use http_line::prelude::*;
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A call begins, under one of a few ids, so that ids repeat.
+    /// A call is started with one of a few ids, so that ids repeat.
     Begin { id: u8 },
-    /// The socket takes this many bytes of the call.
+    /// The socket accepts up to this number of bytes of the call.
     Write(usize),
-    /// The origin sends this on the connection.
+    /// The origin sends these bytes on the connection.
     Send(Reply),
-    /// The client reads this many of them.
+    /// The client reads up to this number of the bytes sent.
     Deliver(usize),
-    /// The connection ends: closed in order, or reset.
-    End { in_order: bool },
+    /// The connection ends: it is closed by the origin, or reset.
+    End { is_orderly: bool },
     /// The call times out.
     TimeOut,
 }
@@ -23,13 +23,13 @@
 enum Reply {
     Own,
     OwnChunked,
-    /// The start of the response; nothing follows it.
+    /// The start of the response, with nothing following it.
     Truncated,
     /// A duplicate of the response to the call before.
     DuplicateOfLast,
     /// A duplicate of the response to the first call of the connection.
     DuplicateOfFirst,
-    Foreign,
+    OtherCall,
     Continue,
     Junk,
 }
@@ -41,7 +41,7 @@
         1 => Just(Reply::Truncated),
         2 => Just(Reply::DuplicateOfLast),
         1 => Just(Reply::DuplicateOfFirst),
-        1 => Just(Reply::Foreign),
+        1 => Just(Reply::OtherCall),
         1 => Just(Reply::Continue),
         1 => Just(Reply::Junk),
     ];
@@ -50,12 +50,12 @@
         4 => prop_oneof![Just(0usize), Just(5), Just(1 << 20)].prop_map(Step::Write),
         4 => reply.prop_map(Step::Send),
         6 => prop_oneof![Just(1usize), 2usize..40, Just(1 << 20)].prop_map(Step::Deliver),
-        1 => any::<bool>().prop_map(|in_order| Step::End { in_order }),
+        1 => any::<bool>().prop_map(|is_orderly| Step::End { is_orderly }),
         1 => Just(Step::TimeOut),
     ]
 }
 
-/// A socket that takes so many bytes.
+/// A socket that accepts a limited number of bytes.
 struct NarrowSink(usize);
 
 impl Write for NarrowSink {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The call in flight, as the test knows it.
+/// The model's state of the call in flight.
 struct CallInFlight {
     number: u64,
     id: u8,
@@ -84,7 +84,7 @@
     connection: ClientConnection,
     in_flight: Option<CallInFlight>,
     calls: u64,
-    /// Ids and numbers of the calls that went over this connection.
+    /// Ids and numbers of the calls on the current connection.
     carried: Vec<(u8, u64)>,
     wire: VecDeque<u8>,
     broken: bool,
@@ -96,7 +96,7 @@
     ClientConnection::new(([127, 0, 0, 1], 9).into())
 }
 
-/// The body names the very call that it responds to.
+/// Creates a response whose body contains the number of its call.
 fn response(id: u8, number: u64, chunked: bool) -> String {
     let body = format!("call {number}");
     let framed = if chunked {
@@ -149,10 +149,10 @@
             echo: Some(("Request-Id".into(), format!("r{id}"))),
             max_connections: 1,
         };
-        // Bytes that lie there end an idle connection, if the event loop sees
-        // them before the next call: here it does so half of the time.
-        let noticed = !self.wire.is_empty() && self.calls.is_multiple_of(2);
-        if !self.reusable || noticed || self.connection.recently_carried(&call) {
+        // Unread bytes end an idle connection if the event loop detects them before
+        // the next call; in this model it does so for every second call.
+        let unread_detected = !self.wire.is_empty() && self.calls.is_multiple_of(2);
+        if !self.reusable || unread_detected || self.connection.recently_carried(&call) {
             self.reconnect();
         }
         self.reusable = false;
@@ -181,7 +181,7 @@
         if self.broken {
             return;
         }
-        // An origin responds to what it has read completely.
+        // An origin responds only to a request that it has read completely.
         let own = self
             .in_flight
             .as_ref()
@@ -204,7 +204,7 @@
                 Some((id, number)) => response(*id, *number, false),
                 None => return,
             },
-            (Reply::Foreign, _) => response(99, 0, false),
+            (Reply::OtherCall, _) => response(99, 0, false),
             (Reply::Continue, Some(_)) => "HTTP/1.1 100 Continue\r\n\r\n".into(),
             (Reply::Junk, _) => "junk".into(),
             _ => return,
@@ -269,8 +269,8 @@
             Step::Write(size) => self.write(size),
             Step::Send(reply) => self.send(reply),
             Step::Deliver(size) => self.deliver(size)?,
-            Step::End { in_order } => {
-                let finished = self.connection.end(in_order, "the connection ended");
+            Step::End { is_orderly } => {
+                let finished = self.connection.end(is_orderly, "the connection ended");
                 self.check(finished)?;
                 self.reconnect();
             }
@@ -290,8 +290,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// However the bytes are segmented: a response is that to this very call, and
-    /// "not sent" means that no byte of it was written.
+    /// For any segmentation of the bytes, a response belongs to the call in flight, and
+    /// "not sent" means that no byte of the call was written.
     #[test]
     fn call_ends_once_with_its_own_response_or_none(steps in proptest::collection::vec(step(), 1..80)) {
         let mut model = Model::new();
--- a/http-line/tests/harness/mod.rs
+++ b/http-line/tests/harness/mod.rs
@@ -1,17 +1,18 @@
-//! An event loop over 127.0.0.1 whose clients and origins the test plays.
+//! An event loop over 127.0.0.1, with the test acting as its clients and origins.
 #![allow(dead_code)]
 use http_line::prelude::*;
 use std::net::TcpStream;
 use std::sync::OnceLock;
 
-/// What the handler was told.
+/// A callback that the handler received.
 pub enum Event {
     Request(u64, usize, Request),
     Outcome(u64, ExchangeOutcome),
     Disconnect(u64),
 }
 
-/// Passes all on; a target that starts with `/now` is responded to at once.
+/// A handler that forwards all events to the test. Requests with a target that starts
+/// with `/now` get a response immediately.
 pub struct ForwardingHandler {
     events: flume::Sender<Event>,
     http: OnceLock<EventLoopHandle>,
@@ -47,7 +48,7 @@
     pub address: SocketAddr,
 }
 
-/// Nothing that must happen takes longer.
+/// Maximum time to wait for an event that must occur.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Harness {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The id of the next request, and the request.
+    /// Waits for the next request and returns it with its id.
     pub fn request(&self) -> (u64, Request) {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Request(request_id, 0, request)) => (request_id, request),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The id of the next call that ends, and its outcome.
+    /// Waits for the next outcome of a call and returns it with the id of the call.
     pub fn outcome(&self) -> (u64, ExchangeOutcome) {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Outcome(call_id, outcome)) => (call_id, outcome),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The id of the next request whose client has disconnected.
+    /// Waits for the next disconnect of a client and returns the id of its request.
     pub fn disconnect(&self) -> u64 {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Disconnect(request_id)) => request_id,
@@ -135,7 +136,7 @@
     }
 }
 
-/// The id and the body of a call that succeeded.
+/// Returns the id and the response body of a call that succeeded.
 pub fn body(outcome: (u64, ExchangeOutcome)) -> (u64, String) {
     match outcome {
         (
@@ -148,7 +149,7 @@
     }
 }
 
-/// All bytes to the end of the connection.
+/// Reads all bytes up to the end of the connection.
 pub fn read_to_end(peer: &mut TcpStream) -> String {
     let mut all = Vec::new();
     peer.read_to_end(&mut all).unwrap();
@@ -161,7 +162,7 @@
     assert_eq!(String::from_utf8_lossy(&bytes), expected);
 }
 
-/// Reads to the end of a head.
+/// Reads up to the end of a head.
 pub fn read_head(peer: &mut TcpStream) -> String {
     peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let mut head = Vec::new();
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Requests and calls over 127.0.0.1.
+//! Tests of requests and calls over 127.0.0.1.
 mod harness;
 use harness::*;
 use http_line::prelude::*;
@@ -6,43 +6,43 @@
 
 #[test]
 fn calls_reuse_idle_connections_up_to_limit() {
-    let (here, there) = (
+    let (caller, origin) = (
         Harness::new(Limits::default()),
         Harness::new(Limits::default()),
     );
     for id in 0..5 {
-        here.call(id, there.address, "/now");
-        assert_eq!(body(here.outcome()), (id, "/now".into()));
+        caller.call(id, origin.address, "/now");
+        assert_eq!(body(caller.outcome()), (id, "/now".into()));
     }
-    let usage = here.http.usage();
+    let usage = caller.http.usage();
     assert_eq!(
         (usage.connects, usage.reused, usage.calls, usage.open),
         (1, 4, 5, 1)
     );
     for id in 10..13 {
-        here.call(id, there.address, "/wait");
+        caller.call(id, origin.address, "/wait");
     }
     assert!(
-        matches!(here.outcome(), (12, Err(ExchangeError::NotSent(reason))) if reason.contains("busy"))
+        matches!(caller.outcome(), (12, Err(ExchangeError::NotSent(reason))) if reason.contains("busy"))
     );
-    let ((first, _), (second, request)) = (there.request(), there.request());
+    let ((first, _), (second, request)) = (origin.request(), origin.request());
     assert_eq!(request.target, "/wait");
-    assert!(!there.http.is_idle());
-    there.http.respond(second, response("two"));
-    assert_eq!(body(here.outcome()).1, "two");
-    here.http.cancel_call(10);
-    here.http.cancel_call(11);
-    assert_eq!(there.disconnect(), first);
+    assert!(!origin.http.is_idle());
+    origin.http.respond(second, response("two"));
+    assert_eq!(body(caller.outcome()).1, "two");
+    caller.http.cancel_call(10);
+    caller.http.cancel_call(11);
+    assert_eq!(origin.disconnect(), first);
     let large = Arc::new(vec![b'x'; 900_000]);
-    here.http.call(Call {
+    caller.http.call(Call {
         method: "POST".into(),
         body: large.clone(),
-        ..call(20, there.address, "/")
+        ..call(20, origin.address, "/")
     });
-    let (id, request) = there.request();
+    let (id, request) = origin.request();
     assert!(request.body == *large);
     let body_slice = Body::slice(Arc::new(vec![b'z'; 5_000_000]), 1..4_000_001);
-    there.http.respond(
+    origin.http.respond(
         id,
         Response {
             status: 200,
@@ -50,7 +50,7 @@
             ..Response::default()
         },
     );
-    assert!(body(here.outcome()).1 == "z".repeat(4_000_000));
+    assert!(body(caller.outcome()).1 == "z".repeat(4_000_000));
 }
 
 #[test]
@@ -63,8 +63,8 @@
     peer.write_all("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\nGET /c HTTP/1.1\r\nConnection: close\r\n\r\n".as_bytes()).unwrap();
     peer.shutdown(Shutdown::Write).unwrap();
     let ((a, _), (b, _)) = (harness.request(), harness.request());
-    // A client that ends its writing may have disconnected. The responses are still
-    // written.
+    // A half-close is reported as a disconnect, since the two look the same. The
+    // responses are still written.
     assert_eq!((harness.disconnect(), harness.disconnect()), (a, b));
     harness.http.respond(b, response("b"));
     assert!(harness.events.is_empty());
@@ -128,7 +128,7 @@
     let mut peer = harness.peer();
     peer.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
     let (id, _) = harness.request();
-    // Unread input at the closing makes it a reset.
+    // Closing a socket with unread input sends a reset.
     harness.http.set_limits(Limits::default());
     let mut other = harness.peer();
     other
@@ -148,8 +148,8 @@
     assert!(read_to_end(&mut new).contains("Connection: close"));
 }
 
-/// Regression: an idle connection was closed at once, and a request that was on its
-/// way then was read and discarded.
+/// Regression: draining closed idle connections at once, and a request in transit at
+/// that moment was read and discarded.
 #[test]
 fn request_on_draining_idle_connection_is_answered() {
     let harness = Harness::new(Limits::default());
@@ -168,8 +168,8 @@
     assert!(read_to_end(&mut peer).contains("Connection: close"));
 }
 
-/// Regression: requests were read while the process waited for its last messages to
-/// be sent, and never responded to; later, those that were not read were reset.
+/// Regression: requests read while the process waited for its last messages to be sent
+/// never got a response; in a later version, requests not read by then were reset.
 #[test]
 fn finishing_loop_hands_on_every_request_and_ends_after_its_responses() {
     let harness = Harness::new(Limits::default());
@@ -191,7 +191,7 @@
     }
     let late: Vec<u64> = (0..3).map(|_| harness.request().0).collect();
     for id in late.into_iter().chain([first]) {
-        assert!(!harness.http.is_finished(), "one has no response");
+        assert!(!harness.http.is_finished(), "a request has no response yet");
         harness.http.respond(id, response("x"));
     }
     for mut answered in [peer, half, idle, waiting] {
@@ -205,10 +205,10 @@
     assert!(std::net::TcpStream::connect(harness.address).is_err());
 }
 
-/// Regression: at the end of a process, what clients had sent on kept connections
-/// was reset with the process: 200 of 200 clients with short pauses.
+/// Regression: at the end of a process, requests sent on keep-alive connections were
+/// reset: with 200 clients and short pauses between requests, all 200 were affected.
 #[test]
-fn clients_on_kept_connections_of_a_finishing_loop_all_get_responses() {
+fn clients_on_keep_alive_connections_of_a_finishing_loop_all_get_responses() {
     const CLIENTS: usize = 60;
     let harness = Harness::new(Limits::default());
     let address = harness.address;
@@ -226,8 +226,8 @@
     }
 }
 
-/// Sends requests on kept connections until none is accepted any more; the
-/// number of those that were written and got no response.
+/// Sends requests on keep-alive connections until connections are refused. Returns the
+/// number of requests that were written but got no response.
 fn use_until_refused(address: SocketAddr, number: usize) -> usize {
     let mut lost = 0;
     while let Ok(mut peer) = std::net::TcpStream::connect(address) {
@@ -255,7 +255,7 @@
     lost
 }
 
-/// An idle connection ends without a request, and without a reset.
+/// An idle connection is closed without waiting for a request, and without a reset.
 #[test]
 fn idle_connection_of_a_finishing_loop_is_closed_after_its_idle_time() {
     let harness = Harness::new(Limits::default());
@@ -274,7 +274,10 @@
 fn wait_until_finished(harness: &Harness) {
     let deadline = std::time::Instant::now() + EVENT_TIMEOUT;
     while !harness.http.is_finished() {
-        assert!(std::time::Instant::now() < deadline, "all have responses");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "the event loop does not finish"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -297,7 +300,7 @@
 }
 
 const OWN_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 1\r\nContent-Length: 1\r\n\r\na";
-const FOREIGN_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 0\r\nContent-Length: 1\r\n\r\nb";
+const OTHER_CALL_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 0\r\nContent-Length: 1\r\n\r\nb";
 
 /// A call whose response must be `OWN_RESPONSE`.
 fn echoed_call(id: u64, address: SocketAddr) -> Call {
@@ -307,11 +310,11 @@
     }
 }
 
-fn assert_foreign_response_is_skipped(harness: &Harness, origin: &TcpListener) {
+fn assert_response_to_other_call_is_skipped(harness: &Harness, origin: &TcpListener) {
     let address = origin.local_addr().unwrap();
     harness.http.call(echoed_call(1, address));
     let mut peer = origin.accept().unwrap().0;
-    serve(&mut peer, &format!("{FOREIGN_RESPONSE}{OWN_RESPONSE}"));
+    serve(&mut peer, &format!("{OTHER_CALL_RESPONSE}{OWN_RESPONSE}"));
     assert_eq!(body(harness.outcome()), (1, "a".into()));
     assert_eq!(read_to_end(&mut peer), "");
 }
@@ -366,7 +369,7 @@
     let harness = Harness::new(Limits::default());
     let origin = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = origin.local_addr().unwrap();
-    assert_foreign_response_is_skipped(&harness, &origin);
+    assert_response_to_other_call_is_skipped(&harness, &origin);
     assert_loss_of_reused_connection_is_reported(&harness, &origin);
     assert_truncated_body_is_interrupted(&harness, &origin);
     assert_timed_out_call_is_reset(&harness, &origin);
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -1,11 +1,11 @@
-//! Faults of origins and clients over 127.0.0.1.
+//! Tests of origin and client faults over 127.0.0.1.
 mod harness;
 use harness::*;
 use http_line::prelude::*;
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-/// How long something that must not happen is waited for.
+/// Time to wait for an event that must not occur.
 const QUIET_TIME: Duration = Duration::from_millis(200);
 
 fn listen() -> (TcpListener, SocketAddr) {
@@ -14,7 +14,7 @@
     (listener, address)
 }
 
-/// The next connection; a test that waits in vain fails.
+/// Accepts the next connection; the test fails if none arrives in time.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let since = Instant::now();
@@ -26,7 +26,7 @@
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("nobody connects");
+    panic!("no connection arrived");
 }
 
 fn reset_on_close(peer: &TcpStream) {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether an interrupted call was sent over a reused connection.
+/// Returns true if an interrupted call was sent over a reused connection.
 fn interrupted_on_reuse(outcome: (u64, ExchangeOutcome)) -> bool {
     match outcome.1 {
         Err(ExchangeError::Interrupted { reused, .. }) => reused,
@@ -59,14 +59,15 @@
     }
 }
 
-/// Nobody connects to the listener any more.
+/// Checks that no further connection to the listener is opened.
 fn assert_no_connection(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
     thread::sleep(QUIET_TIME);
     assert!(listener.accept().is_err(), "the call was sent again");
 }
 
-/// An origin that reads and writes so much, and then loses the connection.
+/// Sends a call to an origin that reads `reads` bytes, writes `writes` and then closes or
+/// resets the connection. Returns the origin's listener.
 fn lose_connection(
     harness: &Harness,
     body: &Arc<Vec<u8>>,
@@ -101,7 +102,8 @@
         (1, Err(ExchangeError::NotSent(_)))
     ));
 
-    // What the origin reads before it resets the connection, and writes.
+    // Number of bytes that the origin reads before it ends the connection, the request
+    // body, and the bytes that the origin writes.
     let large = Arc::new(vec![b'x'; 8_000_000]);
     for (reads, body, writes) in [
         (0, Arc::default(), ""),
@@ -150,7 +152,7 @@
         drop(peer);
         assert!(
             interrupted_on_reuse(harness.outcome()),
-            "over a reused connection, and reported so"
+            "the interruption is reported as one of a reused connection"
         );
         assert_no_connection(&origin);
     }
@@ -167,8 +169,8 @@
         .write_all(origin_response("r1", "first").as_bytes())
         .unwrap();
     assert_eq!(body(harness.outcome()), (1, "first".into()));
-    // Another attempt of the same request: had it used the first connection,
-    // this response would be taken for its own.
+    // Another attempt of the same request: if it used the first connection, the
+    // duplicate response would be taken for its own.
     harness.http.call(echoed_call(2, address, "r1"));
     let duplicate = thread::spawn(move || {
         first.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
@@ -200,7 +202,7 @@
     };
     write(origin_response("r0", "another's") + &origin_response("r1", "one"));
     assert_eq!(body(harness.outcome()), (1, "one".into()));
-    // A foreign response was received on it: it is not reused.
+    // The connection received a response to another call, so it is not reused.
     harness.http.call(echoed_call(2, address, "r2"));
     let mut second = accept(&origin);
     read_head(&mut second);
@@ -249,7 +251,7 @@
     reset_on_close(&peer);
     drop((peer, origin));
     let other = EventLoopHandle::listen(address).unwrap();
-    // The end of the idle connection is noticed before the next call is begun.
+    // Lets the event loop detect the end of the idle connection before the next call.
     thread::sleep(Duration::from_millis(50));
     harness.http.call(echoed_call(2, address, "r2"));
     let mut peer = accept(&other);
@@ -292,7 +294,7 @@
     assert_eq!(all.matches("HTTP/1.1").count(), 1);
 }
 
-/// A close is reported at once, whatever the connection is doing.
+/// Checks that a close is reported at once, in any state of the connection.
 fn assert_disconnect_reported(limits: Limits, requests: &str, half_close: bool) {
     let harness = Harness::new(limits);
     let mut peer = harness.peer();
@@ -313,7 +315,7 @@
     }
 }
 
-/// Nothing is read behind a request that ends its connection.
+/// A close is reported even though nothing is read behind the last request.
 #[test]
 fn close_behind_last_request_is_reported() {
     for half_close in [false, true] {
@@ -322,7 +324,7 @@
     }
 }
 
-/// Nothing is read from a client with so many requests in flight.
+/// A close is reported even though nothing is read while the pipeline is full.
 #[test]
 fn close_behind_unread_requests_is_reported() {
     let limits = Limits {
@@ -363,11 +365,11 @@
     thread::sleep(QUIET_TIME);
     assert!(
         harness.events.is_empty(),
-        "reported twice, or though responded to"
+        "a disconnect was reported twice, or for a request that had a response"
     );
 }
 
-/// No connections are open any more.
+/// Waits until no connections are open. Returns false if some remain open.
 fn all_closed(http: &EventLoopHandle) -> bool {
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(2) {
@@ -379,7 +381,8 @@
     false
 }
 
-/// A large response on a narrow link would be written for ten seconds more.
+/// Without the disconnect, the large response would take ten seconds on the narrow
+/// link.
 #[test]
 fn paced_response_ends_when_client_disconnects() {
     for reads in [false, true] {
@@ -399,8 +402,7 @@
     }
 }
 
-/// The origin sees the end of a cancelled call, sent or still connecting, and it has
-/// no outcome.
+/// A cancelled call, sent or still connecting, resets its connection and has no outcome.
 #[test]
 fn cancelled_call_resets_its_connection() {
     let harness = Harness::new(Limits::default());
@@ -409,7 +411,7 @@
     let mut origin = accept(&listener);
     read_head(&mut origin);
     harness.http.cancel_call(1);
-    // Far before the call's own timeout.
+    // Much shorter than the timeout of the call.
     origin.set_read_timeout(Some(QUIET_TIME * 2)).unwrap();
     let end = origin.read(&mut [0; 8]).unwrap_err();
     assert_eq!(end.kind(), ErrorKind::ConnectionReset, "not a half-close");
