--- a/programs/src/bin/control-node.rs
+++ b/programs/src/bin/control-node.rs
@@ -1,4 +1,4 @@
-//! A control node.
+//! Runs a control node.
 use programs::prelude::*;
 
 const ABOUT: &str = "a control node of otterslip; keeps the control state on its disk";
--- a/programs/src/bin/edge-node.rs
+++ b/programs/src/bin/edge-node.rs
@@ -1,4 +1,4 @@
-//! An edge.
+//! Runs an edge node.
 use programs::prelude::*;
 
 const ABOUT: &str = "an edge node of otterslip; serves callers from copies and origins";
--- a/programs/src/bin/operate/api.rs
+++ b/programs/src/bin/operate/api.rs
@@ -1,30 +1,37 @@
-//! Calls of a control node's HTTP interface.
+//! Calls to the HTTP interface of a control node.
 use programs::prelude::*;
 
-/// Longer than a control node takes to answer.
+/// Timeout of a call, longer than a control node takes to respond.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One call, ready to be made.
+/// A call to the HTTP interface.
 pub struct ApiCall {
-    /// Control nodes, in the order in which they are tried.
+    /// Addresses of the control nodes, in the order in which they are contacted.
     pub to: Vec<SocketAddr>,
+    /// HTTP method.
     pub method: &'static str,
-    /// Below `/.otterslip/v1/`.
+    /// Path relative to `/.otterslip/v1/`.
     pub path: String,
+    /// Request body.
     pub body: Vec<u8>,
+    /// Version to send in the `If-Match` header.
     pub if_match: Option<u64>,
-    /// This version is read from the history first, then put.
+    /// Version to read from the history and put as the body.
     pub put_back: Option<u64>,
 }
 
+/// Response of a control node.
 pub struct ApiResponse {
+    /// Status code.
     pub status: u16,
+    /// Value of the `ETag` header.
     pub tag: Option<String>,
+    /// Response body.
     pub text: String,
 }
 
 impl ApiCall {
-    /// A GET without a path yet.
+    /// Creates a GET call whose path is still to be set.
     pub fn get_from(to: Vec<SocketAddr>) -> ApiCall {
         ApiCall {
             to,
@@ -36,8 +43,10 @@
         }
     }
 
+    /// Sends the call to one control node.
     pub fn send(&self, to: SocketAddr) -> attohttpc::Result<ApiResponse> {
-        let method = attohttpc::Method::from_bytes(self.method.as_bytes()).expect("ours");
+        let method = attohttpc::Method::from_bytes(self.method.as_bytes())
+            .expect("the methods of this program are valid");
         let url = format!("http://{to}/.otterslip/v1/{}", self.path);
         let mut request = attohttpc::RequestBuilder::new(method, url)
             .proxy_settings(attohttpc::ProxySettings::builder().build())
--- a/programs/src/bin/operate/command.rs
+++ b/programs/src/bin/operate/command.rs
@@ -1,8 +1,8 @@
-//! From the command line to the call it stands for; all findings together.
+//! Parsing of the command line into a call to the control plane.
 use crate::api::ApiCall;
 use programs::prelude::*;
 
-/// Flags of `purge`, and the fields of the body that they set.
+/// Flags of `purge`, and the fields of the request body that they set.
 const PURGE_FLAGS: [(&str, &str); 3] = [
     ("--entry", "entry"),
     ("--url", "url"),
@@ -11,40 +11,40 @@
 
 type PurgeFields = serde_json::Map<String, serde_json::Value>;
 
-/// The call that the command line stands for, or all that is wrong with it.
+/// Parses the command line into a call. Returns all findings if it is not valid.
 pub fn parse(flags: pico_args::Arguments) -> Result<ApiCall, Vec<Finding>> {
     let mut parser = Parser {
         flags,
-        found: Vec::new(),
+        findings: Vec::new(),
     };
     let mut call = ApiCall::get_from(parser.addresses());
     call.if_match = parser.if_match();
     let purge = parser.purge();
-    let words = parser.words();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    parser.command(&words, &purge, &mut call);
+    let operands = parser.operands();
+    let operands: Vec<&str> = operands.iter().map(String::as_str).collect();
+    parser.command(&operands, &purge, &mut call);
     if call.if_match.is_some() && (call.method, call.path.as_str()) != ("PUT", "configuration") {
         parser.report("--if-match", "goes with put");
     }
     if !purge.is_empty() && call.path != "purges" {
         parser.report("--entry, --url, --prefix", "go with purge");
     }
-    if parser.found.is_empty() {
+    if parser.findings.is_empty() {
         Ok(call)
     } else {
-        Err(parser.found)
+        Err(parser.findings)
     }
 }
 
-/// Reads flags and collects what is wrong with them.
+/// Parser of the flags that collects findings.
 struct Parser {
     flags: pico_args::Arguments,
-    found: Vec<Finding>,
+    findings: Vec<Finding>,
 }
 
 impl Parser {
     fn report(&mut self, place: impl Into<String>, text: impl Into<String>) {
-        self.found.push(Finding::new(place, text));
+        self.findings.push(Finding::new(place, text));
     }
 
     fn value(&mut self, flag: &'static str) -> Result<Option<String>, pico_args::Error> {
@@ -55,10 +55,10 @@
         let mut addresses = Vec::new();
         match self.value("--to") {
             Ok(Some(list)) => {
-                for one in list.split(',') {
-                    match one.parse() {
+                for item in list.split(',') {
+                    match item.parse() {
                         Ok(address) => addresses.push(address),
-                        Err(_) => self.report("--to", format!("{one} is no IP:PORT")),
+                        Err(_) => self.report("--to", format!("{item} is no IP:PORT")),
                     }
                 }
             }
@@ -89,17 +89,17 @@
         fields
     }
 
-    /// What is left: the command and its arguments.
-    fn words(&mut self) -> Vec<String> {
+    /// Returns the remaining arguments: the command and its operands.
+    fn operands(&mut self) -> Vec<String> {
         let flags = std::mem::replace(&mut self.flags, pico_args::Arguments::from_vec(vec![]));
         let rest = flags.finish().into_iter();
-        let (unknown, words): (Vec<String>, Vec<String>) = rest
-            .map(|word| word.to_string_lossy().into_owned())
-            .partition(|word| word.starts_with('-'));
+        let (unknown, operands): (Vec<String>, Vec<String>) = rest
+            .map(|argument| argument.to_string_lossy().into_owned())
+            .partition(|argument| argument.starts_with('-'));
         for flag in unknown {
             self.report(flag, "unknown flag, or its value is missing");
         }
-        words
+        operands
     }
 
     fn file(&mut self, path: &str) -> Vec<u8> {
@@ -109,8 +109,8 @@
         })
     }
 
-    fn command(&mut self, words: &[&str], purge: &PurgeFields, call: &mut ApiCall) {
-        let (method, path, body) = match words {
+    fn command(&mut self, operands: &[&str], purge: &PurgeFields, call: &mut ApiCall) {
+        let (method, path, body) = match operands {
             ["check", path] => ("POST", "configuration/check".into(), self.file(path)),
             ["put", path] => ("PUT", "configuration".into(), self.file(path)),
             ["get"] => ("GET", "configuration".into(), Vec::new()),
--- a/programs/src/bin/operate/main.rs
+++ b/programs/src/bin/operate/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command line for operators.
 mod api;
 mod command;
 
@@ -29,9 +29,11 @@
 --to names HTTP addresses of control nodes; reads go to the first that answers.
 Exit codes: 0 done; 1 refused, see the text; 2 bad options; 3 outcome unknown.";
 
-/// Exit codes that scripts can rely on.
+/// Exit code if the command was executed. Scripts may rely on the exit codes.
 const DONE: i32 = 0;
+/// Exit code if the command was rejected or could not be sent.
 const REFUSED: i32 = 1;
+/// Exit code if the outcome of a change is unknown.
 const OUTCOME_UNKNOWN: i32 = 3;
 
 fn main() {
@@ -39,7 +41,7 @@
     help_or_version("operate", &mut flags, HELP);
     std::process::exit(match command::parse(flags) {
         Ok(call) => run(call),
-        Err(found) => exit_with_findings("operate", &found),
+        Err(findings) => exit_with_findings("operate", &findings),
     });
 }
 
@@ -54,22 +56,22 @@
         };
         call.body = text.into_bytes();
     }
-    try_nodes(&call)
+    send_to_nodes(&call)
 }
 
-/// Calls one node after the other until one has responded.
-fn try_nodes(call: &ApiCall) -> i32 {
+/// Sends the call to the nodes in order until one responds.
+fn send_to_nodes(call: &ApiCall) -> i32 {
     let mut last_error = String::new();
     for to in &call.to {
         let is_last = Some(to) == call.to.last();
         match call.send(*to) {
-            // Another node may have what this one has not.
+            // Another node may have the version that this one does not have.
             Ok(response)
                 if response.status == 404 && call.path.starts_with("history/") && !is_last => {}
             Ok(response) => return show(call, &response),
             Err(error) => {
                 last_error = format!("{to}: {error}");
-                if call.method != "GET" && !nothing_was_sent(&error) {
+                if call.method != "GET" && !is_connection_refused(&error) {
                     eprintln!(
                         "operate: {last_error}\noperate: outcome unknown; read back before trying again"
                     );
@@ -82,12 +84,12 @@
     REFUSED
 }
 
-/// A refused connection carried no request.
-fn nothing_was_sent(error: &attohttpc::Error) -> bool {
+/// Returns true if the connection was refused, so that no request was sent.
+fn is_connection_refused(error: &attohttpc::Error) -> bool {
     matches!(error.kind(), attohttpc::ErrorKind::Io(cause) if cause.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// The configuration of this version, from the first node that has it.
+/// Reads this version of the configuration from the first node that has it.
 fn earlier_configuration(call: &ApiCall, version: u64) -> Option<String> {
     let earlier = ApiCall {
         path: format!("history/{version}"),
@@ -100,7 +102,7 @@
     found.map(|response| response.text)
 }
 
-/// All versions that any of the nodes has.
+/// Prints all versions in the histories of the nodes.
 fn list_history(call: &ApiCall) -> i32 {
     let mut versions = BTreeSet::new();
     let mut responded = false;
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -1,12 +1,12 @@
-//! Starts a control node: opens its log, and recovers or begins its replica.
+//! Startup of a control node: opens its log, and recovers or creates its replica.
 use crate::prelude::*;
 
-/// Runs a control node until it has handed over.
+/// Runs a control node until it has handed over its partitions and shut down.
 pub fn run_control_node(startup: Startup) -> Result<()> {
     let folder = startup.data.clone().context("data folder")?.join("log");
-    let mut loaded = open(&folder)?;
-    let (replica, blank) = match read_back(&folder, &loaded.records) {
-        Some(replica) if replica.removed => (start_over(&mut loaded.log, &replica)?, true),
+    let mut loaded = open_log(&folder)?;
+    let (replica, blank) = match replay_log(&folder, &loaded.records) {
+        Some(replica) if replica.removed => (rejoin_as_blank(&mut loaded.log, &replica)?, true),
         Some(replica) => (replica, false),
         None => (Replica::blank(new_incarnation()?), true),
     };
@@ -16,7 +16,9 @@
         startup.seeds.clone(),
         replica,
         blank,
-        startup.gather_span().map(|span| bootstrap(&startup, span)),
+        startup
+            .gather_span()
+            .map(|gather_span| bootstrap(&startup, gather_span)),
         new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.snapshot_bytes)
@@ -37,35 +39,36 @@
     Ok(host.run(Box::new(control))?)
 }
 
-fn bootstrap(startup: &Startup, span: Duration) -> Bootstrap {
+fn bootstrap(startup: &Startup, gather_span: Duration) -> Bootstrap {
     if startup.refounding {
-        Bootstrap::refounding(span)
+        Bootstrap::refounding(gather_span)
     } else {
-        Bootstrap::new(startup.founding, span)
+        Bootstrap::new(startup.founding, gather_span)
     }
 }
 
-/// The slot of this disk went to another node while it was away, so what it holds
-/// counts for nothing: it continues as an empty one, which may get a slot.
-fn start_over(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
-    let renewed = removed.for_rejoin(new_incarnation()?);
-    let image = Record::Snapshot(Box::new(renewed.clone()));
-    log.write_snapshot(&image.bytes())?;
+/// Replaces the replica on a disk whose slot was assigned to another node while this one was
+/// away. Its content is no longer valid, so the node rejoins with an empty replica that may
+/// be assigned a slot.
+fn rejoin_as_blank(log: &mut SegmentLog, removed: &Replica) -> Result<Replica> {
+    let replica = removed.for_rejoin(new_incarnation()?);
+    let snapshot = Record::Snapshot(Box::new(replica.clone()));
+    log.write_snapshot(&snapshot.bytes())?;
     log.sync()?;
-    Ok(renewed)
+    Ok(replica)
 }
 
-/// A log of ours that is damaged before its tail is set aside: this disk then
-/// counts as blank and is refilled by the others. Whatever else does not read
-/// is left as it is, and the process ends.
-fn open(folder: &Path) -> Result<Loaded> {
+/// Opens the log. A log that is corrupt before its tail is quarantined: the disk then counts
+/// as blank and is refilled from the other replicas. On any other read error the log is left
+/// unchanged and the process exits.
+fn open_log(folder: &Path) -> Result<Loaded> {
     let loaded = match SegmentLog::open(folder) {
         Ok(loaded) => loaded,
         Err(error) if error.is_recoverable_from_peers() => {
-            let aside = SegmentLog::quarantine(folder)?;
+            let quarantined = SegmentLog::quarantine(folder)?;
             log_event(
                 Event::LogCorrupt,
-                &format!("{error}; set aside as {}", aside.display()),
+                &format!("{error}; quarantined as {}", quarantined.display()),
             );
             SegmentLog::open(folder)?
         }
@@ -80,9 +83,9 @@
     Ok(loaded)
 }
 
-/// The replica of this log, if there is one. Records that are whole and do not
-/// read were written by another version.
-fn read_back(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
+/// Replays the log and returns its replica, if there is one. Complete records that cannot be
+/// decoded were written by another version of the software; the process exits.
+fn replay_log(folder: &Path, records: &[Vec<u8>]) -> Option<Replica> {
     Replica::replay(records).unwrap_or_else(|error| {
         exit_with_unreadable_log(&format!("{}: {:#}", folder.display(), anyhow!(error)))
     })
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -1,17 +1,17 @@
-//! Starts an edge.
+//! Startup of an edge node.
 use crate::prelude::*;
 
-/// Memory for cached responses where the settings say nothing of it.
+/// Default memory for cached responses in bytes.
 const DEFAULT_CACHE_BYTES: u64 = 256 * 1024 * 1024;
-/// Shorter than a renewal's interval: deadlines are looked at this often.
+/// Interval at which the edge checks its deadlines; shorter than the renewal interval.
 const EDGE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an edge until it has shut down; clients and origins are spoken to
-/// through `protocol`.
+/// Runs an edge node until it has shut down. `protocol` defines the HTTP headers for clients
+/// and origins.
 pub fn run_edge_node(startup: Startup, protocol: Arc<dyn ProtocolAdapter>) -> Result<()> {
     let me = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
-    // A quarter of what the process may use goes to cached responses.
-    let bytes = startup
+    // A quarter of the memory of the process is used for cached responses.
+    let cache_bytes = startup
         .cache_bytes
         .or(startup.memory_bytes.map(|bytes| bytes / 4))
         .unwrap_or(DEFAULT_CACHE_BYTES);
@@ -20,7 +20,7 @@
         startup.locality(),
         startup.seeds.clone(),
         startup.gather_ms.is_some(),
-        bytes,
+        cache_bytes,
     )
     .with_retry_allowance(startup.extra_tries)
     .with_shutdown_grace(startup.grace())
--- a/programs/src/lib.rs
+++ b/programs/src/lib.rs
@@ -1,5 +1,5 @@
-//! Starting nodes: shared by the programs of this package, and by adapters to
-//! platforms.
+//! Startup of control and edge nodes, shared by the programs of this package and by
+//! platform adapters.
 #![warn(missing_docs, unreachable_pub)]
 
 mod control_node;
--- a/programs/src/prelude.rs
+++ b/programs/src/prelude.rs
@@ -1,4 +1,4 @@
-//! What the files of this crate need.
+//! Imports shared by the modules of this crate.
 pub use crate::{run_control_node, run_edge_node};
 pub use anyhow::{Context, Result, anyhow, bail};
 pub use control_plane::{Bootstrap, ControlNode, History, Record, Replica};
--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -1,11 +1,12 @@
-//! The short form of the soak: real processes, callers that leave, overlapping
-//! troubles. The long form is the program `soak`.
+//! Short soak test with real processes, clients that disconnect and overlapping faults. The
+//! program `soak` runs the long form.
 use stand_ins::prelude::*;
 use stand_ins::soak::{Soak, SoakPlan};
 
-const SPAN: Duration = Duration::from_secs(12);
-/// Below this, too little happened to be a soak.
-const MIN_REMAINING: usize = 50;
+/// Duration of the soak for each seed.
+const SOAK_DURATION: Duration = Duration::from_secs(12);
+/// Minimum number of client disconnects, so that the run is long enough to be a soak.
+const MIN_DISCONNECTS: usize = 50;
 
 #[test]
 fn disconnected_clients_leave_no_work_in_a_process_fleet() {
@@ -14,7 +15,7 @@
         let folder = std::env::temp_dir().join(name);
         let plan = SoakPlan {
             seed,
-            span: SPAN,
+            span: SOAK_DURATION,
             folder: folder.clone(),
         };
         let verdict = Soak::run(plan).unwrap();
@@ -23,7 +24,7 @@
             "seed {seed}: {:#?}",
             verdict.broken
         );
-        assert!(verdict.left > MIN_REMAINING, "seed {seed}: {verdict}");
+        assert!(verdict.left > MIN_DISCONNECTS, "seed {seed}: {verdict}");
         assert!(verdict.sent_before > 0, "seed {seed}: {verdict}");
         let _ = fs::remove_dir_all(folder);
     }
--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -1,9 +1,10 @@
-//! The whole path in separate processes, on ports the system chose, judged by
-//! counts and answers. Waits are polls with a generous end.
+//! End-to-end test of separate processes on ephemeral ports, checked by call counts and
+//! responses. Conditions are polled up to a generous maximum.
 use stand_ins::fleet::http_if_match;
 use stand_ins::prelude::*;
 
-struct Path {
+/// A running fleet with its stand-in origins.
+struct TestSystem {
     fleet: Fleet,
     origins: Vec<Arc<StandInOrigin>>,
     schema: SchemaCheck,
@@ -11,20 +12,21 @@
     version: u64,
 }
 
-const LONG: Duration = Duration::from_secs(60);
+/// Maximum time to wait for a condition or a response.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-impl Path {
-    fn bring_up() -> Path {
-        // A port may be taken between its choice and its use: then anew.
+impl TestSystem {
+    fn start() -> TestSystem {
+        // A port may be taken between its selection and its use; the start is then retried.
         for _ in 0..5 {
-            if let Some(path) = Path::try_start() {
-                return path;
+            if let Some(system) = TestSystem::try_start() {
+                return system;
             }
         }
-        panic!("no fleet came up in five tries");
+        panic!("no fleet started in five attempts");
     }
 
-    fn try_start() -> Option<Path> {
+    fn try_start() -> Option<TestSystem> {
         let folder = std::env::temp_dir().join(format!(
             "otterslip-path-{}-{}",
             std::process::id(),
@@ -48,36 +50,38 @@
             origins.push(origin);
         }
         fleet.start_nodes().ok()?;
-        let mut path = Path {
+        let mut system = TestSystem {
             fleet,
             origins,
             schema: SchemaCheck::new().ok()?,
             stop,
             version: 0,
         };
-        let up = Fleet::wait(LONG, &mut || {
-            path.fleet.control.iter().all(Node::ready)
-                || !path.fleet.control.iter_mut().all(Node::runs)
+        let up = Fleet::wait(MAX_WAIT, &mut || {
+            system.fleet.control.iter().all(Node::ready)
+                || !system.fleet.control.iter_mut().all(Node::runs)
         });
-        if !up || !path.fleet.control.iter().all(Node::ready) {
+        if !up || !system.fleet.control.iter().all(Node::ready) {
             return None;
         }
         assert_eq!(
-            path.operate("PUT", "origins", &path.fleet.origins_text(&[]), None)
+            system
+                .operate("PUT", "origins", &system.fleet.origins_text(&[]), None)
                 .0,
             200
         );
-        let (status, body) = path.operate("PUT", "configuration", &deployment.document(&[1]), None);
+        let (status, body) =
+            system.operate("PUT", "configuration", &deployment.document(&[1]), None);
         assert_eq!(status, 200, "{body}");
-        path.version = body["version"].as_u64()?;
-        let edges = &mut path.fleet.edges;
-        let up = Fleet::wait(LONG, &mut || {
+        system.version = body["version"].as_u64()?;
+        let edges = &mut system.fleet.edges;
+        let up = Fleet::wait(MAX_WAIT, &mut || {
             edges.iter().all(Node::ready) || !edges.iter_mut().all(Node::runs)
         });
-        (up && path.fleet.edges.iter().all(Node::ready)).then_some(path)
+        (up && system.fleet.edges.iter().all(Node::ready)).then_some(system)
     }
 
-    /// An operator's call, with request and answer held against the schema.
+    /// Makes an operator call and checks request and response against the schema.
     fn operate(
         &self,
         method: &str,
@@ -85,39 +89,46 @@
         body: &str,
         expect: Option<u64>,
     ) -> (u16, serde_json::Value) {
-        let (status, told) = self.fleet.operate(method, what, body, expect).unwrap();
-        self.hold(
+        let (status, response_body) = self.fleet.operate(method, what, body, expect).unwrap();
+        self.check_schema(
             method,
             &format!("/.otterslip/v1/{what}"),
             body,
             status,
-            &told,
+            &response_body,
         );
-        (status, told)
+        (status, response_body)
     }
 
-    fn hold(&self, method: &str, path: &str, body: &str, status: u16, told: &serde_json::Value) {
+    fn check_schema(
+        &self,
+        method: &str,
+        path: &str,
+        body: &str,
+        status: u16,
+        response_body: &serde_json::Value,
+    ) {
         if status == 200 && !body.is_empty() {
             let sent = serde_json::from_str(body).unwrap();
             self.schema.request(method, path, &sent).unwrap();
         }
         self.schema
-            .answer(method, path, status, told)
-            .unwrap_or_else(|error| panic!("{method} {path} {status}: {error}; {told}"));
+            .answer(method, path, status, response_body)
+            .unwrap_or_else(|error| panic!("{method} {path} {status}: {error}; {response_body}"));
     }
 
-    /// A caller's request: status, headers, body.
+    /// Sends a client request. Returns status, headers and body of the response.
     fn call(
         &self,
         edge: usize,
         method: &str,
         path: &str,
-        heads: &[(&str, &str)],
+        headers: &[(&str, &str)],
         body: &str,
     ) -> (u16, BTreeMap<String, String>, serde_json::Value) {
         let url = format!("http://{}{path}", self.fleet.edges[edge].http);
-        let mut request = direct(method, &url).timeout(LONG);
-        for (name, value) in heads {
+        let mut request = direct(method, &url).timeout(MAX_WAIT);
+        for (name, value) in headers {
             request = request
                 .try_header(
                     attohttpc::header::HeaderName::from_bytes(name.as_bytes()).unwrap(),
@@ -125,56 +136,56 @@
                 )
                 .unwrap();
         }
-        let answer = request.text(body).send().unwrap();
-        let heads = answer
+        let response = request.text(body).send().unwrap();
+        let headers = response
             .headers()
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_str().unwrap().to_string()))
             .collect();
-        let status = answer.status().as_u16();
-        let told: serde_json::Value =
-            serde_json::from_str(&answer.text_utf8().unwrap()).unwrap_or_default();
+        let status = response.status().as_u16();
+        let response_body: serde_json::Value =
+            serde_json::from_str(&response.text_utf8().unwrap()).unwrap_or_default();
         if status != 200 {
-            self.hold(method, path, "", status, &told);
+            self.check_schema(method, path, "", status, &response_body);
         }
-        (status, heads, told)
+        (status, headers, response_body)
     }
 
-    /// The same, again and again until it is served: right after a start or
-    /// a fault some refusals are in order.
-    fn until_served(
+    /// Repeats a client request until it is served: shortly after a start or a fault it may be
+    /// rejected.
+    fn call_until_served(
         &self,
         edge: usize,
         method: &str,
         path: &str,
-        heads: &[(&str, &str)],
+        headers: &[(&str, &str)],
         body: &str,
     ) -> serde_json::Value {
         let mut last = serde_json::Value::Null;
-        let good = Fleet::wait(LONG, &mut || {
-            let (status, _, told) = self.call(edge, method, path, heads, body);
-            last = told;
+        let is_served = Fleet::wait(MAX_WAIT, &mut || {
+            let (status, _, response_body) = self.call(edge, method, path, headers, body);
+            last = response_body;
             status == 200
         });
-        assert!(good, "{path} is not served: {last}");
+        assert!(is_served, "{path} is not served: {last}");
         last
     }
 
-    fn calls(&self) -> u64 {
+    fn origin_calls(&self) -> u64 {
         self.origins
             .iter()
             .map(|origin| origin.calls.load(Ordering::Relaxed))
             .sum()
     }
 
-    fn runs(&self, key: &str) -> u32 {
+    fn executions_of(&self, key: &str) -> u32 {
         self.origins
             .iter()
             .map(|origin| origin.runs.lock().unwrap().get(key).copied().unwrap_or(0))
             .sum()
     }
 
-    fn fault(&self, service: &str, name: &str) {
+    fn set_fault(&self, service: &str, name: &str) {
         for origin in self
             .origins
             .iter()
@@ -185,7 +196,7 @@
     }
 }
 
-impl Drop for Path {
+impl Drop for TestSystem {
     fn drop(&mut self) {
         self.fleet.stop_all();
         self.stop.store(true, Ordering::Release);
@@ -194,138 +205,160 @@
 }
 
 #[test]
-fn whole_path_works_across_processes() {
-    let mut path = Path::bring_up();
-    check_new_ledger_waits_until_opened(&path);
-    check_cached_responses_are_shared(&path);
-    check_keyed_requests_run_once(&path);
-    check_bad_requests_are_rejected(&path);
-    check_bad_responses_are_never_forwarded(&path);
-    check_changes_are_atomic(&path);
-    check_command_line_and_history(&path);
-    lose_a_control_node_and_an_edge(&mut path);
+fn requests_and_changes_work_across_processes() {
+    let mut system = TestSystem::start();
+    check_new_ledger_waits_until_opened(&system);
+    check_cached_responses_are_shared(&system);
+    check_keyed_requests_run_once(&system);
+    check_bad_requests_are_rejected(&system);
+    check_bad_responses_are_never_forwarded(&system);
+    check_changes_are_atomic(&system);
+    check_command_line_and_history(&system);
+    check_loss_of_a_control_node_and_an_edge(&mut system);
 }
 
-fn check_new_ledger_waits_until_opened(path: &Path) {
-    let heads = [("Operation-Key", "too-soon"), ("Authorization", "Bearer a")];
-    let mut told = serde_json::Value::Null;
-    Fleet::wait(LONG, &mut || {
-        told = path.call(0, "POST", "/reservation/1", &heads, "").2;
-        told["code"] == "ledger_recovering"
+fn check_new_ledger_waits_until_opened(system: &TestSystem) {
+    let headers = [("Operation-Key", "too-soon"), ("Authorization", "Bearer a")];
+    let mut response_body = serde_json::Value::Null;
+    Fleet::wait(MAX_WAIT, &mut || {
+        response_body = system.call(0, "POST", "/reservation/1", &headers, "").2;
+        response_body["code"] == "ledger_recovering"
     });
     assert_eq!(
-        (&told["code"], &told["outcome"]),
+        (&response_body["code"], &response_body["outcome"]),
         (&json!("ledger_recovering"), &json!("unknown"))
     );
     assert!(
-        (1..=75).contains(&told["retry_after_s"].as_u64().unwrap()),
-        "{told}"
+        (1..=75).contains(&response_body["retry_after_s"].as_u64().unwrap()),
+        "{response_body}"
     );
-    let (status, refused) = path.operate(
+    let (status, rejection_body) = system.operate(
         "POST",
         "ledger/open",
         r#"{"realm":"0000000000000009"}"#,
         None,
     );
     assert_eq!(
-        (status, &refused["findings"][0]["place"]),
+        (status, &rejection_body["findings"][0]["place"]),
         (422, &json!("/realm")),
-        "another realm is not this one"
+        "the realm of another generation is rejected"
     );
-    path.fleet.open_ledger().unwrap();
-    assert!(Fleet::wait(LONG, &mut || path
+    system.fleet.open_ledger().unwrap();
+    assert!(Fleet::wait(MAX_WAIT, &mut || system
         .operate("GET", "state", "", None)
         .1["ledger"]["closed_s"]
         == 0.0));
 }
 
-fn check_cached_responses_are_shared(path: &Path) {
-    path.until_served(0, "GET", "/listing/1", &[], "");
-    path.until_served(1, "GET", "/listing/1", &[], "");
-    let before = path.calls();
+fn check_cached_responses_are_shared(system: &TestSystem) {
+    system.call_until_served(0, "GET", "/listing/1", &[], "");
+    system.call_until_served(1, "GET", "/listing/1", &[], "");
+    let before = system.origin_calls();
     let mut ages = 0;
     for round in 0..60 {
-        let (status, heads, told) = path.call(round % 3, "GET", "/listing/1", &[], "");
-        assert_eq!((status, told["target"].as_str()), (200, Some("/listing/1")));
-        ages += usize::from(heads.contains_key("age"));
+        let (status, headers, response_body) = system.call(round % 3, "GET", "/listing/1", &[], "");
+        assert_eq!(
+            (status, response_body["target"].as_str()),
+            (200, Some("/listing/1"))
+        );
+        ages += usize::from(headers.contains_key("age"));
     }
-    // Probes go on meanwhile; sixty fetches would show all the same.
+    // Probes add a few calls; sixty uncached fetches would still exceed the bound.
     assert!(
-        path.calls() - before < 30,
+        system.origin_calls() - before < 30,
         "{} origin calls for 60 fetches of one key",
-        path.calls() - before
+        system.origin_calls() - before
     );
     assert_eq!(ages, 60);
-    // With credentials nothing is shared.
-    let own = |name: &str| {
-        path.until_served(0, "GET", "/listing/1", &[("Authorization", name)], "")["caller"].clone()
+    // Responses to requests with credentials are not shared.
+    let caller_of = |name: &str| {
+        system.call_until_served(0, "GET", "/listing/1", &[("Authorization", name)], "")["caller"]
+            .clone()
     };
-    assert_eq!((own("one"), own("two")), ("one".into(), "two".into()));
-    let (_, _, shared) = path.call(1, "GET", "/listing/1", &[], "");
+    assert_eq!(
+        (caller_of("one"), caller_of("two")),
+        ("one".into(), "two".into())
+    );
+    let (_, _, shared) = system.call(1, "GET", "/listing/1", &[], "");
     assert_eq!(shared["caller"], serde_json::Value::Null);
 }
 
-fn check_keyed_requests_run_once(path: &Path) {
-    let heads = [("Operation-Key", "k-1"), ("Authorization", "me")];
-    let first = path.until_served(0, "POST", "/reservation/1", &heads, "two nights");
+fn check_keyed_requests_run_once(system: &TestSystem) {
+    let headers = [("Operation-Key", "k-1"), ("Authorization", "me")];
+    let first = system.call_until_served(0, "POST", "/reservation/1", &headers, "two nights");
     assert_eq!(
         (first["operation"].as_str(), first["sent"].as_str()),
         (Some("k-1"), Some("two nights"))
     );
     for edge in 0..3 {
-        let (status, _, told) = path.call(edge, "POST", "/reservation/1", &heads, "two nights");
-        assert_eq!((status, &told), (200, &first));
+        let (status, _, response_body) =
+            system.call(edge, "POST", "/reservation/1", &headers, "two nights");
+        assert_eq!((status, &response_body), (200, &first));
     }
-    assert_eq!(path.runs("k-1"), 1);
-    for (heads, body) in [
-        (heads, "three nights"),
-        ([heads[0], ("Authorization", "you")], "two nights"),
+    assert_eq!(system.executions_of("k-1"), 1);
+    for (headers, body) in [
+        (headers, "three nights"),
+        ([headers[0], ("Authorization", "you")], "two nights"),
     ] {
-        let (status, _, told) = path.call(1, "POST", "/reservation/1", &heads, body);
+        let (status, _, response_body) = system.call(1, "POST", "/reservation/1", &headers, body);
         assert_eq!(
-            (status, told["code"].as_str(), told["outcome"].as_str()),
+            (
+                status,
+                response_body["code"].as_str(),
+                response_body["outcome"].as_str()
+            ),
             (422, Some("operation_key_reused"), Some("not_run"))
         );
     }
-    // The origin runs it and its answer is lost: never again.
-    path.fault("booking", "lose-answer");
-    let heads = [("Operation-Key", "k-2")];
-    let lost = Fleet::wait(LONG, &mut || {
-        path.call(2, "POST", "/reservation/2", &heads, "x").2["outcome"] == "unknown"
+    // If the origin executes the request and its response is lost, it is not executed again.
+    system.set_fault("booking", "lose-answer");
+    let headers = [("Operation-Key", "k-2")];
+    let is_unknown = Fleet::wait(MAX_WAIT, &mut || {
+        system.call(2, "POST", "/reservation/2", &headers, "x").2["outcome"] == "unknown"
     });
-    assert!(lost && path.runs("k-2") == 1);
-    path.fault("booking", "");
-    path.until_served(
+    assert!(is_unknown && system.executions_of("k-2") == 1);
+    system.set_fault("booking", "");
+    system.call_until_served(
         0,
         "POST",
         "/reservation/3",
         &[("Operation-Key", "k-3")],
         "y",
     );
-    let (status, _, told) = path.call(0, "POST", "/reservation/2", &heads, "x");
+    let (status, _, response_body) = system.call(0, "POST", "/reservation/2", &headers, "x");
     assert_eq!(
-        (status, told["code"].as_str(), path.runs("k-2")),
+        (
+            status,
+            response_body["code"].as_str(),
+            system.executions_of("k-2")
+        ),
         (409, Some("outcome_unknown"), 1)
     );
 }
 
-fn check_bad_requests_are_rejected(path: &Path) {
-    let told = |method: &str, url: &str, heads: &[(&str, &str)], body: &str| {
-        let (status, _, told) = path.call(0, method, url, heads, body);
-        assert_eq!(told["outcome"], "not_run");
+fn check_bad_requests_are_rejected(system: &TestSystem) {
+    let rejection = |method: &str, url: &str, headers: &[(&str, &str)], body: &str| {
+        let (status, _, response_body) = system.call(0, method, url, headers, body);
+        assert_eq!(response_body["outcome"], "not_run");
         (
             status,
-            told["code"].as_str().unwrap_or_default().to_string(),
+            response_body["code"]
+                .as_str()
+                .unwrap_or_default()
+                .to_string(),
         )
     };
     let expect = |status, code: &str| (status, code.to_string());
-    assert_eq!(told("GET", "/nowhere", &[], ""), expect(404, "no_entry"));
     assert_eq!(
-        told("POST", "/reservation/1", &[], "x"),
+        rejection("GET", "/nowhere", &[], ""),
+        expect(404, "no_entry")
+    );
+    assert_eq!(
+        rejection("POST", "/reservation/1", &[], "x"),
         expect(400, "operation_key_missing")
     );
     assert_eq!(
-        told(
+        rejection(
             "POST",
             "/reservation/1",
             &[("Operation-Key", &"k".repeat(129))],
@@ -334,10 +367,10 @@
         expect(400, "operation_key_malformed")
     );
     assert_eq!(
-        told("POST", "/availability/1", &[], &"x".repeat(1024 * 1024 + 1)),
+        rejection("POST", "/availability/1", &[], &"x".repeat(1024 * 1024 + 1)),
         expect(413, "body_unreadable")
     );
-    let spare = path
+    let spare = system
         .origins
         .iter()
         .find(|origin| origin.service == "spare")
@@ -345,10 +378,10 @@
     assert_eq!(
         spare.calls.load(Ordering::Relaxed),
         0,
-        "no entry ever allowed it"
+        "no entry refers to this service"
     );
-    // Strangers at both doors end their own session and nothing else.
-    for node in path.fleet.control.iter().chain(&path.fleet.edges) {
+    // Invalid input at the mesh and HTTP ports ends only its own connection.
+    for node in system.fleet.control.iter().chain(&system.fleet.edges) {
         let mesh: SocketAddr = node.words
             [node.words.iter().position(|word| word == "--mesh").unwrap() + 1]
             .parse()
@@ -360,155 +393,168 @@
             let _ = stream.write_all(b"\x00\x00\x00\x04\x00\x00\x00\x00abcdGET");
         }
     }
-    path.until_served(0, "GET", "/listing/1", &[], "");
+    system.call_until_served(0, "GET", "/listing/1", &[], "");
 }
 
-fn check_bad_responses_are_never_forwarded(path: &Path) {
-    for (at, fault) in ["short", "unsigned", "foreign-key", "other-request"]
+fn check_bad_responses_are_never_forwarded(system: &TestSystem) {
+    for (index, fault) in ["short", "unsigned", "foreign-key", "other-request"]
         .iter()
         .enumerate()
     {
-        path.fault("listings", fault);
-        let url = format!("/listing/1{at}");
+        system.set_fault("listings", fault);
+        let url = format!("/listing/1{index}");
         for edge in 0..3 {
-            let (status, _, told) = path.call(edge, "GET", &url, &[], "");
+            let (status, _, response_body) = system.call(edge, "GET", &url, &[], "");
             assert!(
                 [429, 502, 503].contains(&status),
-                "{fault}: {status} {told}"
+                "{fault}: {status} {response_body}"
             );
         }
-        path.fault("listings", "");
-        let served = path.until_served(0, "GET", &url, &[], "");
+        system.set_fault("listings", "");
+        let served = system.call_until_served(0, "GET", &url, &[], "");
         assert_eq!(served["target"].as_str(), Some(url.as_str()));
     }
 }
 
-fn check_changes_are_atomic(path: &Path) {
-    // A purge: what is fetched after its acknowledgement is new.
-    path.until_served(0, "GET", "/listing/1", &[], "");
-    fs::write(path.fleet.folder.join("content-version"), "2").unwrap();
-    assert_eq!(path.operate("POST", "purges", r#"{"prefix":"/listing/","entry":null,"url":null}"#.replace(r#","entry":null,"url":null"#, "").as_str(), None).0, 200);
+fn check_changes_are_atomic(system: &TestSystem) {
+    // Responses fetched after the acknowledgement of a purge are new.
+    system.call_until_served(0, "GET", "/listing/1", &[], "");
+    fs::write(system.fleet.folder.join("content-version"), "2").unwrap();
+    assert_eq!(system.operate("POST", "purges", r#"{"prefix":"/listing/","entry":null,"url":null}"#.replace(r#","entry":null,"url":null"#, "").as_str(), None).0, 200);
     for edge in 0..3 {
         assert_eq!(
-            path.until_served(edge, "GET", "/listing/1", &[], "")["version"],
+            system.call_until_served(edge, "GET", "/listing/1", &[], "")["version"],
             2
         );
     }
-    assert_eq!(path.operate("POST", "purges", "{}", None).0, 422);
-    // Two racing changes: one wins, the other hears the version in force.
+    assert_eq!(system.operate("POST", "purges", "{}", None).0, 422);
+    // Of two concurrent changes one succeeds, and the other gets the version in effect.
     let deployment = Deployment::find("small").unwrap();
     let documents = [deployment.document(&[1, 2]), deployment.document(&[1, 3])];
-    let told: Vec<_> = thread::scope(|scope| {
-        let racers: Vec<_> = documents
+    let responses: Vec<_> = thread::scope(|scope| {
+        let threads: Vec<_> = documents
             .iter()
-            .zip(&path.fleet.control)
+            .zip(&system.fleet.control)
             .map(|(text, node)| {
                 scope.spawn(|| {
-                    http_if_match(node.http, "PUT", "configuration", text, Some(path.version))
-                        .unwrap()
+                    http_if_match(
+                        node.http,
+                        "PUT",
+                        "configuration",
+                        text,
+                        Some(system.version),
+                    )
+                    .unwrap()
                 })
             })
             .collect();
-        racers
+        threads
             .into_iter()
-            .map(|racer| racer.join().unwrap())
+            .map(|thread| thread.join().unwrap())
             .collect()
     });
-    let won = told
+    let winner = responses
         .iter()
         .position(|(status, _)| *status == 200)
-        .expect("one wins");
-    let (status, lost) = &told[1 - won];
-    assert_eq!((*status, &lost["version"]), (409, &told[won].1["version"]));
-    // In force everywhere at once; the loser's nowhere. 400: the entry is known.
+        .expect("one change succeeds");
+    let (status, conflict) = &responses[1 - winner];
+    assert_eq!(
+        (*status, &conflict["version"]),
+        (409, &responses[winner].1["version"])
+    );
+    // The successful change is in effect at all edges, the other at none. Status 400 shows
+    // that the entry is known.
     for edge in 0..3 {
         let marker = |number: usize| {
-            path.call(edge, "POST", &format!("/marker/{number}"), &[], "")
+            system
+                .call(edge, "POST", &format!("/marker/{number}"), &[], "")
                 .0
         };
-        assert_eq!((marker(2 + won), marker(3 - won)), (400, 404));
+        assert_eq!((marker(2 + winner), marker(3 - winner)), (400, 404));
     }
-    // An invalid one: all findings, nothing takes effect, and what is read
-    // back is byte for byte what was acknowledged.
+    // An invalid configuration is rejected with all findings and has no effect. The
+    // configuration that is read back equals the acknowledged one byte for byte.
     let bad = deployment
         .document(&[1, 999])
         .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
-    let (status, refused) = path.operate("PUT", "configuration", &bad, None);
+    let (status, rejection_body) = system.operate("PUT", "configuration", &bad, None);
     assert_eq!(
-        (status, refused["findings"].as_array().map(Vec::len)),
+        (status, rejection_body["findings"].as_array().map(Vec::len)),
         (422, Some(2))
     );
-    assert_eq!(path.call(0, "POST", "/marker/999", &[], "").0, 404);
-    for node in &path.fleet.control {
+    assert_eq!(system.call(0, "POST", "/marker/999", &[], "").0, 404);
+    for node in &system.fleet.control {
         let url = format!("http://{}/.otterslip/v1/configuration", node.http);
-        let answer = direct("GET", &url).send().unwrap();
-        assert_eq!(answer.text_utf8().unwrap(), documents[won]);
+        let response = direct("GET", &url).send().unwrap();
+        assert_eq!(response.text_utf8().unwrap(), documents[winner]);
     }
-    // Thousands of entries at once, in force like a small change.
+    // A change with thousands of entries takes effect like a small one.
     let many: Vec<u64> = (2000..6000).collect();
     assert_eq!(
-        path.operate("PUT", "configuration", &deployment.document(&many), None)
+        system
+            .operate("PUT", "configuration", &deployment.document(&many), None)
             .0,
         200
     );
     for edge in 0..3 {
-        assert_eq!(path.call(edge, "POST", "/marker/5999", &[], "").0, 400);
+        assert_eq!(system.call(edge, "POST", "/marker/5999", &[], "").0, 400);
     }
     assert_eq!(
-        path.operate("PUT", "configuration", &documents[won], None)
+        system
+            .operate("PUT", "configuration", &documents[winner], None)
             .0,
         200
     );
-    assert_eq!(path.call(1, "POST", "/marker/5999", &[], "").0, 404);
-    check_items_are_set_and_removed(path);
+    assert_eq!(system.call(1, "POST", "/marker/5999", &[], "").0, 404);
+    check_items_are_set_and_removed(system);
     for what in ["duties", "state", "origins", "live", "ready", "schema"] {
-        assert_eq!(path.operate("GET", what, "", None).0, 200);
+        assert_eq!(system.operate("GET", what, "", None).0, 200);
     }
 }
 
-/// Named parts beside the document: in force like it, whole calls only, and
-/// what is older than what is known has no effect.
-fn check_items_are_set_and_removed(path: &Path) {
+/// Named items in addition to the document take effect like it. Each call is atomic, and an
+/// item with a revision older than the known one has no effect.
+fn check_items_are_set_and_removed(system: &TestSystem) {
     let entry = |name: &str, revision: u64, group: &str| {
         json!({ "kind": "entry", "name": name, "revision": revision, "value":
             { "name": name, "path": format!("/{name}/"), "methods": ["POST"], "group": group, "rank": 3, "kind": "keyed", "aim_ms": 200 } })
     };
-    let put = |items: serde_json::Value| path.operate("PATCH", "items", &items.to_string(), None);
+    let put = |items: serde_json::Value| system.operate("PATCH", "items", &items.to_string(), None);
     let serves = |name: &str| {
         (0..3)
-            .map(|edge| path.call(edge, "POST", &format!("/{name}/1"), &[], "").0)
+            .map(|edge| system.call(edge, "POST", &format!("/{name}/1"), &[], "").0)
             .collect::<Vec<_>>()
     };
-    // 400: the entry is known and wants a key.
+    // Status 400 shows that the entry is known and requires an operation key.
     assert_eq!(put(json!([entry("part", 5, "booking")])).0, 200);
     assert_eq!(serves("part"), [400; 3]);
-    let (status, refused) = put(
+    let (status, rejection_body) = put(
         json!([entry("other", 9, "booking"), entry("part", 9, "nobody"), { "kind": "entry" }, {}]),
     );
     assert_eq!(
-        (status, refused["findings"].as_array().map(Vec::len)),
+        (status, rejection_body["findings"].as_array().map(Vec::len)),
         (422, Some(2)),
-        "{refused}"
+        "{rejection_body}"
     );
-    let (status, refused) = put(json!([
+    let (status, rejection_body) = put(json!([
         entry("other", 9, "booking"),
         entry("part", 9, "nobody")
     ]));
     assert_eq!(
-        (status, &refused["findings"][0]["place"]),
+        (status, &rejection_body["findings"][0]["place"]),
         (422, &json!("/1/group"))
     );
     assert_eq!(serves("other"), [404; 3]);
-    let (_, told) = path.operate("GET", "items", "", None);
-    assert_eq!(told["items"], json!([entry("part", 5, "booking")]));
-    let gone = path.fleet.folder.join("gone.json");
+    let (_, response_body) = system.operate("GET", "items", "", None);
+    assert_eq!(response_body["items"], json!([entry("part", 5, "booking")]));
+    let removal = system.fleet.folder.join("gone.json");
     fs::write(
-        &gone,
+        &removal,
         json!([{ "kind": "entry", "name": "part", "revision": 8, "value": null }]).to_string(),
     )
     .unwrap();
     assert_eq!(
-        operate(path, &["items", "put", &gone.display().to_string()]).2,
+        operate(system, &["items", "put", &removal.display().to_string()]).2,
         0
     );
     assert_eq!(
@@ -518,132 +564,152 @@
     );
     assert_eq!(serves("part"), [404; 3]);
     let shown: serde_json::Value =
-        serde_json::from_str(&operate(path, &["items", "get"]).0).unwrap();
+        serde_json::from_str(&operate(system, &["items", "get"]).0).unwrap();
     assert_eq!(shown["items"], json!([]));
 }
 
-/// What `operate` prints, says on the side, and ends with.
-fn operate(path: &Path, words: &[&str]) -> (String, String, i32) {
-    let to: Vec<String> = path
+/// Runs `operate`. Returns its standard output, standard error and exit code.
+fn operate(system: &TestSystem, arguments: &[&str]) -> (String, String, i32) {
+    let to: Vec<String> = system
         .fleet
         .control
         .iter()
         .map(|node| node.http.to_string())
         .collect();
-    let done = Command::new(env!("CARGO_BIN_EXE_operate"))
+    let output = Command::new(env!("CARGO_BIN_EXE_operate"))
         .arg("--to")
         .arg(to.join(","))
-        .args(words)
+        .args(arguments)
         .output()
         .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (
-        text(done.stdout),
-        text(done.stderr),
-        done.status.code().unwrap(),
+        text(output.stdout),
+        text(output.stderr),
+        output.status.code().unwrap(),
     )
 }
 
-fn check_command_line_and_history(path: &Path) {
-    let before = operate(path, &["get"]).0;
-    let versions = |path: &Path| -> Vec<u64> {
-        operate(path, &["history"])
+fn check_command_line_and_history(system: &TestSystem) {
+    let before = operate(system, &["get"]).0;
+    let versions = |system: &TestSystem| -> Vec<u64> {
+        operate(system, &["history"])
             .0
             .lines()
             .map(|line| line.parse().unwrap())
             .collect()
     };
-    // Kept a moment after the acknowledgement, which does not wait for it.
-    let kept = |version: u64| {
-        operate(path, &["show", &version.to_string()]).0.trim_end() == before.trim_end()
+    // The history is written shortly after the acknowledgement, which does not wait for it.
+    let is_in_history = |version: u64| {
+        operate(system, &["show", &version.to_string()])
+            .0
+            .trim_end()
+            == before.trim_end()
     };
-    assert!(Fleet::wait(LONG, &mut || versions(path).len() >= 2
-        && kept(*versions(path).last().unwrap())));
-    let (first, now) = (versions(path)[0], *versions(path).last().unwrap());
-    let (told, _, _) = operate(path, &["compare", &first.to_string(), &now.to_string()]);
-    assert!(told.contains("+") && told.contains("marker"), "{told}");
-    let (_, said, code) = operate(path, &["put-back", &first.to_string(), "--if-match", "1"]);
-    assert_eq!(code, 1, "raced: {said}");
+    assert!(Fleet::wait(MAX_WAIT, &mut || versions(system).len() >= 2
+        && is_in_history(*versions(system).last().unwrap())));
+    let (first, latest) = (versions(system)[0], *versions(system).last().unwrap());
+    let (stdout, _, _) = operate(
+        system,
+        &["compare", &first.to_string(), &latest.to_string()],
+    );
+    assert!(
+        stdout.contains("+") && stdout.contains("marker"),
+        "{stdout}"
+    );
+    let (_, stderr, code) = operate(system, &["put-back", &first.to_string(), "--if-match", "1"]);
+    assert_eq!(code, 1, "version conflict: {stderr}");
     assert_eq!(
         operate(
-            path,
+            system,
             &[
                 "put-back",
                 &first.to_string(),
                 "--if-match",
-                &now.to_string()
+                &latest.to_string()
             ]
         )
         .2,
         0
     );
     assert_eq!(
-        operate(path, &["get"]).0.trim_end(),
-        operate(path, &["show", &first.to_string()]).0.trim_end()
+        operate(system, &["get"]).0.trim_end(),
+        operate(system, &["show", &first.to_string()]).0.trim_end()
     );
-    // A broken store blocks nothing.
+    // A corrupt history store does not block changes.
     for slot in 0..3 {
-        let store = path.fleet.folder.join(format!("data-{slot}/history"));
-        // The thread that keeps the history may still be writing there.
-        let broken = Fleet::wait(LONG, &mut || {
+        let store = system.fleet.folder.join(format!("data-{slot}/history"));
+        // The history writer thread may still be writing there.
+        let is_corrupted = Fleet::wait(MAX_WAIT, &mut || {
             let _ = fs::remove_dir_all(&store);
             fs::write(&store, "broken").is_ok()
         });
-        assert!(broken, "{}", store.display());
+        assert!(is_corrupted, "{}", store.display());
     }
-    let text = path.fleet.folder.join("again.json");
-    fs::write(&text, &before).unwrap();
-    assert_eq!(operate(path, &["put", &text.display().to_string()]).2, 0);
-    assert_eq!(operate(path, &["history"]).2, 1);
-    assert_eq!(operate(path, &["show", "1"]).2, 1);
-    // All that is wrong with the options comes at once.
-    let (_, said, code) = operate(
-        path,
+    let document = system.fleet.folder.join("again.json");
+    fs::write(&document, &before).unwrap();
+    assert_eq!(
+        operate(system, &["put", &document.display().to_string()]).2,
+        0
+    );
+    assert_eq!(operate(system, &["history"]).2, 1);
+    assert_eq!(operate(system, &["show", "1"]).2, 1);
+    // All findings about the options are reported together.
+    let (_, stderr, code) = operate(
+        system,
         &["--if-match", "x", "put", "/nowhere/at/all", "--odd"],
     );
-    assert_eq!((code, said.lines().count()), (2, 4), "{said}");
-    assert_eq!(operate(path, &["check", "/nowhere/at/all"]).2, 2);
+    assert_eq!((code, stderr.lines().count()), (2, 4), "{stderr}");
+    assert_eq!(operate(system, &["check", "/nowhere/at/all"]).2, 2);
 }
 
-fn lose_a_control_node_and_an_edge(path: &mut Path) {
-    path.fleet.control[0].kill();
+fn check_loss_of_a_control_node_and_an_edge(system: &mut TestSystem) {
+    system.fleet.control[0].kill();
     let deployment = Deployment::find("small").unwrap();
-    let (status, told) = path.operate("PUT", "configuration", &deployment.document(&[1, 7]), None);
-    assert_eq!(status, 200, "{told}");
-    path.until_served(
+    let (status, response_body) =
+        system.operate("PUT", "configuration", &deployment.document(&[1, 7]), None);
+    assert_eq!(status, 200, "{response_body}");
+    system.call_until_served(
         1,
         "POST",
         "/reservation/9",
         &[("Operation-Key", "k-9")],
         "z",
     );
-    let (status, _, _) = path.call(
+    let (status, _, _) = system.call(
         2,
         "POST",
         "/reservation/1",
         &[("Operation-Key", "k-1"), ("Authorization", "me")],
         "two nights",
     );
-    assert_eq!((status, path.runs("k-1"), path.runs("k-9")), (200, 1, 1));
-    // Back with its disk, it has what it missed.
-    let folder = path.fleet.folder.clone();
-    Fleet::start(&folder, &mut path.fleet.control[0]).unwrap();
-    let node = &path.fleet.control[0];
-    assert!(Fleet::wait(LONG, &mut || node.ready()));
-    // A warned edge drains and ends; the others take its assignments.
-    path.fleet.edges[0].signal("-TERM");
-    assert!(path.fleet.edges[0].ended(LONG));
-    let gone = path.fleet.edges[0].words[2].clone();
-    let moved = Fleet::wait(LONG, &mut || {
-        let (_, told) = path.operate("GET", "duties", "", None);
-        told["duties"].as_array().is_some_and(|list| {
+    assert_eq!(
+        (
+            status,
+            system.executions_of("k-1"),
+            system.executions_of("k-9")
+        ),
+        (200, 1, 1)
+    );
+    // After its restart on the same disk, the control node catches up.
+    let folder = system.fleet.folder.clone();
+    Fleet::start(&folder, &mut system.fleet.control[0]).unwrap();
+    let node = &system.fleet.control[0];
+    assert!(Fleet::wait(MAX_WAIT, &mut || node.ready()));
+    // An edge that receives SIGTERM drains and ends; the others take over its assignments.
+    system.fleet.edges[0].signal("-TERM");
+    assert!(system.fleet.edges[0].ended(MAX_WAIT));
+    let stopped_edge = system.fleet.edges[0].words[2].clone();
+    let is_reassigned = Fleet::wait(MAX_WAIT, &mut || {
+        let (_, response_body) = system.operate("GET", "duties", "", None);
+        response_body["duties"].as_array().is_some_and(|list| {
             list.iter().all(|assignment| {
                 assignment["holder"]
                     .as_str()
-                    .is_some_and(|holder| holder != gone)
+                    .is_some_and(|holder| holder != stopped_edge)
             })
         })
     });
-    assert!(moved);
-    path.until_served(1, "GET", "/listing/1", &[], "");
+    assert!(is_reassigned);
+    system.call_until_served(1, "GET", "/listing/1", &[], "");
 }
