--- a/http-line/src/client_connection.rs
+++ b/http-line/src/client_connection.rs
@@ -21,7 +21,7 @@
     response: Option<PartialResponse>,
     /// Request bytes that are still to be written.
     pub output: SendQueue,
-    exchanges_begun: u64,
+    exchange_count: u64,
     /// Number of responses to other calls received during the current call.
     mismatched_responses: u32,
     /// Correlation hashes of the last calls on this connection, oldest first.
@@ -77,7 +77,7 @@
             scanned_bytes: 0,
             response: None,
             output: SendQueue::default(),
-            exchanges_begun: 0,
+            exchange_count: 0,
             mismatched_responses: 0,
             recent_correlation_hashes: VecDeque::new(),
             reusable_until: None,
@@ -88,7 +88,7 @@
     pub fn begin(&mut self, call: &Call, started: Instant, now: Instant) {
         self.output.push(encode_head(call).into());
         self.output.push(call.body.clone().into());
-        self.exchanges_begun += 1;
+        self.exchange_count += 1;
         self.mismatched_responses = 0;
         self.remember_correlation_hashes(call);
         self.reusable_until = None;
@@ -160,7 +160,7 @@
         let exchange = self.exchange.take()?;
         let error = if !exchange.sent {
             ExchangeError::NotSent(reason.into())
-        } else if self.exchanges_begun > 1 && !exchange.received {
+        } else if self.exchange_count > 1 && !exchange.received {
             ExchangeError::Interrupted {
                 reason: format!("reused: {reason}"),
                 reused: true,
@@ -209,7 +209,7 @@
     /// Time at which the call in flight times out, or the idle connection is closed.
     pub fn due(&self) -> Option<Instant> {
         match &self.exchange {
-            Some(exchange) if exchange.sent || self.exchanges_begun > 1 => Some(exchange.deadline),
+            Some(exchange) if exchange.sent || self.exchange_count > 1 => Some(exchange.deadline),
             Some(exchange) => Some(exchange.deadline.min(exchange.connect_deadline)),
             None => self.reusable_until,
         }
--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::body_reader::BodyProgress;
-use crate::head::{find_end, values};
+use crate::head::{find_head_end, header_values};
 use std::ops::ControlFlow;
 
 /// Result of one parsing step: the number of bytes consumed, or the end of parsing
@@ -76,7 +76,7 @@
         {
             return ControlFlow::Break(self.fail("the input is not an HTTP/1 response"));
         }
-        let Some(size) = find_end(input, self.scanned_bytes) else {
+        let Some(size) = find_head_end(input, self.scanned_bytes) else {
             if input.len() > MAX_HEAD_BYTES {
                 return ControlFlow::Break(self.fail("the response head is too large"));
             }
@@ -107,7 +107,7 @@
         let PartialResponse { head, body } = self.response.take()?;
         let exchange = self.exchange.as_ref()?;
         if let Some((name, value)) = &exchange.echo
-            && !values(&head.headers, name).any(|found| found == value)
+            && !header_values(&head.headers, name).any(|found| found == value)
         {
             self.mismatched_responses += 1;
             if self.mismatched_responses > MAX_MISMATCHED_RESPONSES || head.close {
--- a/http-line/src/event_loop.rs
+++ b/http-line/src/event_loop.rs
@@ -56,7 +56,9 @@
     now: Instant,
 }
 
+/// Token of the waker that interrupts a poll.
 const WAKER: Token = Token(usize::MAX);
+/// Size of the buffer shared by all reads, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Maximum number of events that one poll returns.
 const MAX_EVENTS_PER_POLL: usize = 256;
--- a/http-line/src/head.rs
+++ b/http-line/src/head.rs
@@ -28,7 +28,7 @@
 
 /// Returns the offset just behind the empty line that ends a head, if `bytes`
 /// contains it. The first `scanned` bytes are known not to contain it.
-pub(crate) fn find_end(bytes: &[u8], scanned: usize) -> Option<usize> {
+pub(crate) fn find_head_end(bytes: &[u8], scanned: usize) -> Option<usize> {
     let mut offset = scanned.saturating_sub(3);
     while let Some(line_feed) = bytes[offset..].iter().position(|byte| *byte == b'\n') {
         offset += line_feed + 1;
@@ -42,7 +42,7 @@
 }
 
 /// Iterates over the values of all headers with this name.
-pub(crate) fn values<'a>(
+pub(crate) fn header_values<'a>(
     headers: &'a [(String, String)],
     name: &'a str,
 ) -> impl Iterator<Item = &'a str> {
@@ -57,7 +57,7 @@
     headers: &'a [(String, String)],
     name: &'a str,
 ) -> impl Iterator<Item = &'a str> {
-    values(headers, name).flat_map(|value| value.split(','))
+    header_values(headers, name).flat_map(|value| value.split(','))
 }
 
 /// Appends a header line to a head that is being written.
@@ -88,7 +88,7 @@
 /// are merged into one header.
 fn read_body_headers(headers: &mut Headers) -> Result<BodyHeaders, &'static str> {
     let length = content_length(headers)?;
-    let codings: Vec<&str> = values(headers, "transfer-encoding").collect();
+    let codings: Vec<&str> = header_values(headers, "transfer-encoding").collect();
     let chunked = match codings[..] {
         [] => false,
         [coding] if coding.eq_ignore_ascii_case("chunked") => true,
@@ -105,7 +105,7 @@
 
 fn content_length(headers: &Headers) -> Result<Option<usize>, &'static str> {
     let mut length = None;
-    for value in values(headers, "content-length") {
+    for value in header_values(headers, "content-length") {
         let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
         if value.is_empty() || value.len() > MAX_LENGTH_DIGITS || !is_number {
             return Err("malformed length");
--- a/http-line/src/head/request.rs
+++ b/http-line/src/head/request.rs
@@ -60,7 +60,7 @@
         let is_http_1_0 = parsed.version == Some(0);
         let mut headers = read_headers(parsed.headers)?;
         let framing = read_framing(&mut headers, is_http_1_0)?;
-        if values(&headers, "host").count() > 1 {
+        if header_values(&headers, "host").count() > 1 {
             return Err(RequestRejection::malformed("more than one host"));
         }
         Ok(RequestHead {
@@ -105,5 +105,5 @@
 }
 
 fn expects_continue(headers: &Headers) -> bool {
-    values(headers, "expect").any(|value| value.eq_ignore_ascii_case("100-continue"))
+    header_values(headers, "expect").any(|value| value.eq_ignore_ascii_case("100-continue"))
 }
--- a/http-line/src/head/tests.rs
+++ b/http-line/src/head/tests.rs
@@ -31,10 +31,10 @@
             .unwrap()
             .close
     );
-    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 0), Some(8));
-    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 7), Some(8));
-    assert_eq!(find_end(b"a\r\nb\r\n\r", 0), None);
-    assert_eq!(find_end(b"a\n\nb", 0), Some(3));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r\nc", 0), Some(8));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r\nc", 7), Some(8));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r", 0), None);
+    assert_eq!(find_head_end(b"a\n\nb", 0), Some(3));
 }
 
 /// Headers that two parsers could interpret differently.
--- a/http-line/src/server_connection/reader.rs
+++ b/http-line/src/server_connection/reader.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::body_reader::BodyProgress;
-use crate::head::find_end;
+use crate::head::find_head_end;
 use crate::request_id;
 
 /// Minimum capacity in bytes of an input buffer that is shrunk once most of its bytes
@@ -130,7 +130,7 @@
             self.reject(400, "malformed head");
             return true;
         }
-        let end = find_end(rest, self.scanned_bytes);
+        let end = find_head_end(rest, self.scanned_bytes);
         if end.unwrap_or(rest.len()) > limits.head_bytes {
             self.reject(431, "the head is too large");
             return true;
--- a/http-line/tests/client_connection_faults.rs
+++ b/http-line/tests/client_connection_faults.rs
@@ -290,8 +290,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any segmentation of the bytes, a response belongs to the call in flight, and
-    /// "not sent" means that no byte of the call was written.
+    /// A response belongs to the call in flight, and "not sent" means that no byte of the
+    /// call was written, for any segmentation of the bytes.
     #[test]
     fn call_ends_once_with_its_own_response_or_none(steps in proptest::collection::vec(step(), 1..80)) {
         let mut model = Model::new();
--- a/http-line/tests/harness/mod.rs
+++ b/http-line/tests/harness/mod.rs
@@ -42,6 +42,7 @@
     }
 }
 
+/// An event loop with one listener, and the events of its handler.
 pub struct Harness {
     pub http: EventLoopHandle,
     pub events: flume::Receiver<Event>,
@@ -95,10 +96,12 @@
         }
     }
 
+    /// Starts a GET call.
     pub fn call(&self, id: u64, address: SocketAddr, target: &str) {
         self.http.call(call(id, address, target));
     }
 
+    /// Connects a client to the listener.
     pub fn peer(&self) -> TcpStream {
         let peer = TcpStream::connect(self.address).unwrap();
         peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
@@ -112,6 +115,7 @@
     }
 }
 
+/// Creates a response with this body.
 pub fn response(text: &str) -> Response {
     Response {
         status: 200,
@@ -121,6 +125,7 @@
     }
 }
 
+/// Creates a GET call.
 pub fn call(id: u64, address: SocketAddr, target: &str) -> Call {
     Call {
         id,
@@ -156,6 +161,7 @@
     String::from_utf8(all).unwrap()
 }
 
+/// Checks that the next bytes received are `expected`.
 pub fn assert_reads(peer: &mut TcpStream, expected: &str) {
     let mut bytes = vec![0; expected.len()];
     peer.read_exact(&mut bytes).unwrap();
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -299,7 +299,9 @@
     assert_eq!(body(harness.outcome()), (1, "a".into()));
 }
 
+/// Response with the echoed id of `echoed_call`.
 const OWN_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 1\r\nContent-Length: 1\r\n\r\na";
+/// Response with the echoed id of another call.
 const OTHER_CALL_RESPONSE: &str = "HTTP/1.1 200 OK\r\nE: 0\r\nContent-Length: 1\r\n\r\nb";
 
 /// A call whose response must be `OWN_RESPONSE`.
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -381,8 +381,8 @@
     false
 }
 
-/// Without the disconnect, the large response would take ten seconds on the narrow
-/// link.
+/// The large response would take ten seconds on the narrow link if the client did not
+/// disconnect.
 #[test]
 fn paced_response_ends_when_client_disconnects() {
     for reads in [false, true] {
