--- a/programs/src/bin/control-node.rs
+++ b/programs/src/bin/control-node.rs
@@ -1,6 +1,7 @@
 //! Runs a control node.
 use programs::prelude::*;
 
+/// Description in the help text.
 const ABOUT: &str = "a control node of otterslip; keeps the control state on its disk";
 
 fn main() -> Result<()> {
--- a/programs/src/bin/edge-node.rs
+++ b/programs/src/bin/edge-node.rs
@@ -1,6 +1,7 @@
 //! Runs an edge node.
 use programs::prelude::*;
 
+/// Description in the help text.
 const ABOUT: &str = "an edge node of otterslip; serves callers from copies and origins";
 
 fn main() -> Result<()> {
