--- a/http-line/src/head/tests.rs
+++ b/http-line/src/head/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of heads.
+//! Tests of the parsing of heads.
 use super::request::RequestRejection;
 use super::*;
 
@@ -31,13 +31,13 @@
             .unwrap()
             .close
     );
-    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 0), Some(8));
-    assert_eq!(find_end(b"a\r\nb\r\n\r\nc", 7), Some(8));
-    assert_eq!(find_end(b"a\r\nb\r\n\r", 0), None);
-    assert_eq!(find_end(b"a\n\nb", 0), Some(3));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r\nc", 0), Some(8));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r\nc", 7), Some(8));
+    assert_eq!(find_head_end(b"a\r\nb\r\n\r", 0), None);
+    assert_eq!(find_head_end(b"a\n\nb", 0), Some(3));
 }
 
-/// Headers that two readers could understand differently.
+/// Headers that two parsers could interpret differently.
 const AMBIGUOUS_HEADERS: [&str; 22] = [
     "Content-Length: 1\r\nContent-Length: 2\r\n",
     "Content-Length: 1, 1\r\n",
@@ -63,7 +63,7 @@
     "Transfer-Encoding: \u{b}chunked\r\n",
 ];
 
-/// Heads whose request line or framing is not valid.
+/// Request heads with an invalid request line or framing.
 const MALFORMED_HEADS: [&str; 7] = [
     "GET /\r\n\r\n",
     "GET / HTTP/2.0\r\n\r\n",
--- a/http-line/tests/harness/mod.rs
+++ b/http-line/tests/harness/mod.rs
@@ -1,17 +1,18 @@
-//! An event loop over 127.0.0.1 whose clients and origins the test plays.
+//! An event loop over 127.0.0.1, with the test acting as its clients and origins.
 #![allow(dead_code)]
 use http_line::prelude::*;
 use std::net::TcpStream;
 use std::sync::OnceLock;
 
-/// What the handler was told.
+/// A callback that the handler received.
 pub enum Event {
     Request(u64, usize, Request),
     Outcome(u64, ExchangeOutcome),
     Disconnect(u64),
 }
 
-/// Passes all on; a target that starts with `/now` is responded to at once.
+/// A handler that forwards all events to the test. Requests with a target that starts
+/// with `/now` get a response immediately.
 pub struct ForwardingHandler {
     events: flume::Sender<Event>,
     http: OnceLock<EventLoopHandle>,
@@ -41,13 +42,14 @@
     }
 }
 
+/// An event loop with one listener, and the events of its handler.
 pub struct Harness {
     pub http: EventLoopHandle,
     pub events: flume::Receiver<Event>,
     pub address: SocketAddr,
 }
 
-/// Nothing that must happen takes longer.
+/// Maximum time to wait for an event that must occur.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Harness {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The id of the next request, and the request.
+    /// Waits for the next request and returns it with its id.
     pub fn request(&self) -> (u64, Request) {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Request(request_id, 0, request)) => (request_id, request),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The id of the next call that ends, and its outcome.
+    /// Waits for the next outcome of a call and returns it with the id of the call.
     pub fn outcome(&self) -> (u64, ExchangeOutcome) {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Outcome(call_id, outcome)) => (call_id, outcome),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The id of the next request whose client has disconnected.
+    /// Waits for the next disconnect of a client and returns the id of its request.
     pub fn disconnect(&self) -> u64 {
         match self.events.recv_timeout(EVENT_TIMEOUT) {
             Ok(Event::Disconnect(request_id)) => request_id,
@@ -94,10 +96,12 @@
         }
     }
 
+    /// Starts a GET call.
     pub fn call(&self, id: u64, address: SocketAddr, target: &str) {
         self.http.call(call(id, address, target));
     }
 
+    /// Connects a client to the listener.
     pub fn peer(&self) -> TcpStream {
         let peer = TcpStream::connect(self.address).unwrap();
         peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
@@ -111,6 +115,7 @@
     }
 }
 
+/// Creates a response with this body.
 pub fn response(text: &str) -> Response {
     Response {
         status: 200,
@@ -120,6 +125,7 @@
     }
 }
 
+/// Creates a GET call.
 pub fn call(id: u64, address: SocketAddr, target: &str) -> Call {
     Call {
         id,
@@ -135,7 +141,7 @@
     }
 }
 
-/// The id and the body of a call that succeeded.
+/// Returns the id and the response body of a call that succeeded.
 pub fn body(outcome: (u64, ExchangeOutcome)) -> (u64, String) {
     match outcome {
         (
@@ -148,20 +154,21 @@
     }
 }
 
-/// All bytes to the end of the connection.
+/// Reads all bytes up to the end of the connection.
 pub fn read_to_end(peer: &mut TcpStream) -> String {
     let mut all = Vec::new();
     peer.read_to_end(&mut all).unwrap();
     String::from_utf8(all).unwrap()
 }
 
+/// Checks that the next bytes received are `expected`.
 pub fn assert_reads(peer: &mut TcpStream, expected: &str) {
     let mut bytes = vec![0; expected.len()];
     peer.read_exact(&mut bytes).unwrap();
     assert_eq!(String::from_utf8_lossy(&bytes), expected);
 }
 
-/// Reads to the end of a head.
+/// Reads up to the end of a head.
 pub fn read_head(peer: &mut TcpStream) -> String {
     peer.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     let mut head = Vec::new();
