--- a/simulate-fleet/src/bin/simulate-fleet/capacity_tables.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/capacity_tables.rs
@@ -8,21 +8,21 @@
 pub(crate) fn print(sizes: &[usize], control_nodes: usize) -> Result<()> {
     let mut measured = Vec::new();
     for edges in sizes {
-        let began = Instant::now();
-        let sized = Capacity::measure(*edges, control_nodes, &allocated_bytes)?;
+        let started_at = Instant::now();
+        let measurement = Capacity::measure(*edges, control_nodes, &allocated_bytes)?;
         println!(
             "{edges} edges, {control_nodes} control nodes: {} live, {} regions, run in {:.1} s",
-            sized.live,
-            sized.regions,
-            began.elapsed().as_secs_f64()
+            measurement.live_edges,
+            measurement.regions,
+            started_at.elapsed().as_secs_f64()
         );
-        print_messages(&sized);
-        measured.push(sized);
+        print_messages(&measurement);
+        measured.push(measurement);
     }
     println!(
         "\n{}\n{}",
-        Sized::table(&measured, &Sized::counts),
-        Sized::table(&measured, &Sized::times)
+        Measurement::table(&measured, &Measurement::counts),
+        Measurement::table(&measured, &Measurement::times)
     );
     Ok(())
 }
@@ -33,12 +33,12 @@
 }
 
 /// What each role sent and handled in the quiet span.
-fn print_messages(sized: &Sized) {
-    for (role, name) in sized.quiet.sent.keys() {
-        let (frames, bytes) = sized.quiet.rate(*role, name);
+fn print_messages(measurement: &Measurement) {
+    for (role, name) in measurement.quiet.sent.keys() {
+        let (frames, bytes) = measurement.quiet.rate(*role, name);
         println!("  {role:?} sends {name}: {frames:.0} frames, {bytes:.0} bytes a second");
     }
-    for ((role, name), (count, took, most)) in &sized.quiet.steps {
+    for ((role, name), (count, took, most)) in &measurement.quiet.steps {
         println!(
             "  {role:?} takes {name}: {count} steps, {:.1} us each, at most {:.1} us",
             took.as_secs_f64() * 1e6 / *count as f64,
--- a/simulate-fleet/src/bin/simulate-fleet/main.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/main.rs
@@ -17,8 +17,8 @@
             Figures::print();
             Ok(())
         }
-        Options::Judge(options) => {
-            let broken = runs::judge_seeds(&options);
+        Options::Run(options) => {
+            let broken = runs::run_seeds(&options);
             std::process::exit(i32::from(broken > 0));
         }
     }
--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -31,7 +31,7 @@
 /// The shortest run worth judging, in seconds.
 const MIN_SECONDS: u64 = 20;
 /// The largest share of lost, doubled or late messages, of a hundred.
-const MAX_WEATHER_SHARE: u64 = 90;
+const MAX_MESSAGE_FAULT_PERCENT: u64 = 90;
 const ZONE_NAMES: [&str; 8] = [
     "zone-1", "zone-2", "zone-3", "zone-4", "zone-5", "zone-6", "zone-7", "zone-8",
 ];
@@ -39,7 +39,7 @@
 /// What the command line asks for.
 pub(crate) enum Options {
     /// Runs fleets and judges them.
-    Judge(RunOptions),
+    Run(RunOptions),
     /// Prints the figures of `docs/figures.md`.
     Figures,
     /// Prints the tables of `docs/CAPACITY.md`.
@@ -58,7 +58,7 @@
     pub(crate) first_seed: u64,
     pub(crate) seeds: u64,
     pub(crate) schedule: ScheduleSource,
-    pub(crate) weather: Weather,
+    pub(crate) message_faults: MessageFaults,
     /// Clocks are off by up to so many millionths.
     pub(crate) drift: u64,
     /// Finds a short schedule for a seed that broke a rule.
@@ -78,7 +78,7 @@
 
 /// What happens to messages all the time, of a hundred.
 #[derive(Clone, Copy)]
-pub(crate) struct Weather {
+pub(crate) struct MessageFaults {
     pub(crate) lost: u64,
     pub(crate) doubled: u64,
     pub(crate) late: u64,
@@ -106,7 +106,7 @@
 struct FleetFlags {
     zones: usize,
     service_rate: String,
-    weather: Weather,
+    message_faults: MessageFaults,
     script: Option<String>,
 }
 
@@ -126,7 +126,7 @@
         let sizes = read_sizes(&mut flags, &basic.capacity_sizes);
         flags.finish();
         if !sizes.is_empty() {
-            let control_nodes = basic.control_nodes.unwrap_or(CONTROL);
+            let control_nodes = basic.control_nodes.unwrap_or(CAPACITY_CONTROL_NODES);
             return Options::Capacity {
                 sizes,
                 control_nodes,
@@ -140,14 +140,14 @@
             None if basic.faults == "random" => ScheduleSource::Random,
             None => ScheduleSource::Empty,
         };
-        Options::Judge(RunOptions {
+        Options::Run(RunOptions {
             deployment,
             control_nodes,
             span: Duration::from_secs(basic.seconds),
             first_seed: basic.first_seed,
             seeds: basic.seeds,
             schedule,
-            weather: fleet.weather,
+            message_faults: fleet.message_faults,
             drift: basic.drift,
             shrink: basic.shrink,
             trace: basic.trace,
@@ -203,7 +203,7 @@
             service_rate: flags
                 .take("--service-rate", Some(String::new()))
                 .unwrap_or_default(),
-            weather: Weather {
+            message_faults: MessageFaults {
                 lost: flags.take("--lost", Some(0)).unwrap_or(0),
                 doubled: flags.take("--doubled", Some(0)).unwrap_or(0),
                 late: flags.take("--late", Some(0)).unwrap_or(0),
@@ -230,12 +230,12 @@
         if self.zones > 0 {
             deployment.zones = ZONE_NAMES[..self.zones.min(ZONE_NAMES.len())].to_vec();
         }
-        let Weather {
+        let MessageFaults {
             lost,
             doubled,
             late,
-        } = self.weather;
-        if lost.max(doubled).max(late) > MAX_WEATHER_SHARE {
+        } = self.message_faults;
+        if lost.max(doubled).max(late) > MAX_MESSAGE_FAULT_PERCENT {
             flags.found("--lost, --doubled, --late", "at most 90 of a hundred");
         }
         if !self.service_rate.is_empty() && set_rate(&mut deployment, &self.service_rate).is_none()
@@ -296,7 +296,7 @@
 /// Numbers of hollow edges to measure; empty if no capacity is asked for.
 fn read_sizes(flags: &mut Flags, text: &str) -> Vec<usize> {
     let sizes: Vec<usize> = if text == "all" {
-        SIZES.to_vec()
+        EDGE_COUNTS.to_vec()
     } else {
         text.split(',')
             .filter_map(|size| size.trim().parse().ok())
--- a/simulate-fleet/src/bin/simulate-fleet/runs.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/runs.rs
@@ -4,10 +4,10 @@
 use simulate_fleet::prelude::*;
 
 /// When the weather of the command line sets in.
-const WEATHER_BEGINS: Duration = Duration::from_secs(3);
+const MESSAGE_FAULTS_START: Duration = Duration::from_secs(3);
 
 /// Runs all seeds; how many broke a rule.
-pub(crate) fn judge_seeds(options: &RunOptions) -> usize {
+pub(crate) fn run_seeds(options: &RunOptions) -> usize {
     let mut broken = 0;
     let mut summary = Summary::default();
     for seed in options.first_seed..options.first_seed + options.seeds {
@@ -23,12 +23,12 @@
 /// Whether the run of this seed broke a rule.
 fn run_seed(seed: u64, options: &RunOptions, summary: &mut Summary) -> bool {
     let plan = plan(seed, options);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut world = World::new(plan.clone());
     world.trace = options.trace > 0;
     world.trace_messages = options.trace > 1;
     let report = world.run();
-    print_run(seed, &report, began.elapsed());
+    print_run(seed, &report, started_at.elapsed());
     let verbose = options.seeds == 1;
     if verbose {
         print_events(&report);
@@ -50,19 +50,25 @@
         ScheduleSource::Random => Schedule::random(deployment, options.control_nodes, seed, span),
         ScheduleSource::Script(schedule) => schedule.clone(),
     };
-    let weather = options.weather;
-    if weather.lost.max(weather.doubled).max(weather.late) > 0 {
+    let message_faults = options.message_faults;
+    if message_faults
+        .lost
+        .max(message_faults.doubled)
+        .max(message_faults.late)
+        > 0
+    {
         let network = Fault::LossyNetwork {
-            lost: weather.lost,
-            doubled: weather.doubled,
-            late: weather.late,
+            lost: message_faults.lost,
+            doubled: message_faults.doubled,
+            late: message_faults.late,
         };
-        schedule.insert(0, (WEATHER_BEGINS, network));
+        schedule.insert(0, (MESSAGE_FAULTS_START, network));
     }
     WorldPlan {
         drift: options.drift,
         clients_disconnect: matches!(options.schedule, ScheduleSource::Random),
-        ..WorldPlan::new(deployment.clone(), seed, span, schedule).of(options.control_nodes)
+        ..WorldPlan::new(deployment.clone(), seed, span, schedule)
+            .with_control_nodes(options.control_nodes)
     }
 }
 
@@ -81,7 +87,10 @@
         report.steps,
         took.as_millis()
     );
-    let moves = report.notes.get(&Event::AssignmentRevoked).unwrap_or(&0);
+    let moves = report
+        .event_counts
+        .get(&Event::AssignmentRevoked)
+        .unwrap_or(&0);
     println!(
         "  duties moved {moves}; longest gap without a success {:.2} s; {}",
         checker.longest_gap(),
@@ -93,7 +102,7 @@
     println!(
         "other answers: {:?}\nevents: {:?}\nlog at most {} bytes",
         report.checker.other_answers(),
-        report.notes,
+        report.event_counts,
         report.log_bytes
     );
 }
--- a/simulate-fleet/src/bin/simulate-fleet/summary.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/summary.rs
@@ -15,7 +15,7 @@
 /// kind fell into the cases of each rule.
 #[derive(Default)]
 pub(crate) struct Summary {
-    cases_held: [usize; JUDGED],
+    passed_cases: [usize; JUDGED],
     /// By the index of the rule.
     worst: BTreeMap<usize, WorstCase>,
     /// By the kind of the fault.
@@ -36,7 +36,7 @@
         let mut broken = false;
         for (index, (rule, cases)) in rules.into_iter().enumerate() {
             self.add_worst(index, seed, cases.worst.as_ref());
-            self.cases_held[index] += cases.seen - cases.broken.len();
+            self.passed_cases[index] += cases.seen - cases.broken.len();
             let verdict = cases.verdict();
             broken |= matches!(verdict, Verdict::Broken(_));
             print_verdict(index + 1, rule, &verdict, verbose);
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn print(&self) {
-        println!("cases held, by never: {:?}", self.cases_held);
+        println!("cases held, by never: {:?}", self.passed_cases);
         for (index, worst) in &self.worst {
             println!(
                 "never {}: at most {:.0} % of the bound: {}",
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -13,22 +13,22 @@
 pub struct Capacity {
     now: Duration,
     serial: u64,
-    queue: BTreeMap<(Duration, u64), Coming>,
-    nodes: Vec<Hollow>,
-    by_address: HashMap<SocketAddr, usize>,
-    answers: BTreeMap<u64, (Duration, OperatorResponse)>,
+    queue: BTreeMap<(Duration, u64), CapacityEvent>,
+    nodes: Vec<CapacityNode>,
+    node_by_address: HashMap<SocketAddr, usize>,
+    responses: BTreeMap<u64, (Duration, OperatorResponse)>,
     tally: Tally,
 }
 
 /// A node whose origins and callers are not there.
-struct Hollow {
+struct CapacityNode {
     role: Role,
     peer: Peer,
-    part: Option<Box<dyn StateMachine>>,
-    until: Duration,
+    state_machine: Option<Box<dyn StateMachine>>,
+    lease_end: Duration,
 }
 
-enum Coming {
+enum CapacityEvent {
     Tick(usize),
     Deliver {
         to: usize,
@@ -39,12 +39,12 @@
         node: usize,
         serial: u64,
     },
-    Called {
+    CallCompleted {
         node: usize,
         id: u64,
         result: CallOutcome,
     },
-    Watched {
+    ConnectionOpened {
         node: usize,
         address: SocketAddr,
     },
@@ -71,12 +71,12 @@
     /// Records and bytes to disk.
     pub records: (u64, u64),
     /// Calls to origins, all of them health checks.
-    pub probes: u64,
+    pub health_checks: u64,
 }
 
 /// One size, run through.
 #[derive(Debug, Clone)]
-pub struct Sized {
+pub struct Measurement {
     /// How many edges.
     pub edges: usize,
     /// How many control nodes.
@@ -97,74 +97,74 @@
     /// counting allocator.
     pub memory: Option<(u64, u64)>,
     /// The edges that were live throughout.
-    pub live: usize,
+    pub live_edges: usize,
 }
 
 /// Regions and zones of the target, and its origins.
-const REGIONS: usize = 25;
-const ZONES: usize = 80;
-const ORIGINS_LISTED: usize = 150;
-const WAY: Duration = Duration::from_millis(1);
-const SYNC: Duration = Duration::from_millis(2);
-const GATHER: Duration = Duration::from_millis(1000);
+const REGION_COUNT: usize = 25;
+const ZONE_COUNT: usize = 80;
+const ORIGIN_COUNT: usize = 150;
+const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
+const SYNC_LATENCY: Duration = Duration::from_millis(2);
+const GATHER_TIME: Duration = Duration::from_millis(1000);
 /// Begins once the fleet is founded and has its assignments.
-const SETTLED: Duration = Duration::from_secs(8);
+const SETTLED_AT: Duration = Duration::from_secs(8);
 /// Numbers of edges of the page's tables.
-pub const SIZES: [usize; 4] = [16, 64, 256, 1100];
+pub const EDGE_COUNTS: [usize; 4] = [16, 64, 256, 1100];
 /// Control nodes of the page's tables.
-pub const CONTROL: usize = 12;
+pub const CAPACITY_CONTROL_NODES: usize = 12;
 
 /// Operators' calls that list a partition are numbered from here.
 const FIRST_LIST_ID: u64 = 10;
 /// Kinds of nodes, as a part of their addresses.
-const CONTROL_NET: u8 = 1;
-const EDGE_NET: u8 = 2;
+const CONTROL_SUBNET: u8 = 1;
+const EDGE_SUBNET: u8 = 2;
 /// Cache of an edge, in bytes.
 const CACHE_BYTES: u64 = 64 << 20;
 /// Incarnations of edges begin here, above those of control nodes.
 const FIRST_EDGE_INCARNATION: u64 = 1000;
 
-fn address(net: u8, index: usize) -> SocketAddr {
-    SocketAddr::from(([10, net, (index >> 8) as u8, index as u8], 7000))
+fn address(subnet: u8, index: usize) -> SocketAddr {
+    SocketAddr::from(([10, subnet, (index >> 8) as u8, index as u8], 7000))
 }
 
-impl Hollow {
-    fn control(slot: usize, seeds: &[SocketAddr]) -> Hollow {
+impl CapacityNode {
+    fn control(slot: usize, seeds: &[SocketAddr]) -> CapacityNode {
         let incarnation = 1 + slot as u64;
-        let part = ControlNode::new(
-            address(CONTROL_NET, slot),
+        let state_machine = ControlNode::new(
+            address(CONTROL_SUBNET, slot),
             seeds.to_vec(),
             Replica::blank(incarnation),
             true,
-            Some(Bootstrap::new(true, GATHER)),
+            Some(Bootstrap::new(true, GATHER_TIME)),
             incarnation,
         );
-        Hollow {
+        CapacityNode {
             role: Role::Control,
-            peer: part.me(),
-            part: Some(Box::new(part)),
-            until: Duration::ZERO,
+            peer: state_machine.me(),
+            state_machine: Some(Box::new(state_machine)),
+            lease_end: Duration::ZERO,
         }
     }
 
     /// Regions first: a small fleet has one node in each.
-    fn edge(index: usize, seeds: &[SocketAddr]) -> Hollow {
-        let zone = index % ZONES;
-        let region = format!("region-{:02}", zone % REGIONS);
+    fn edge(index: usize, seeds: &[SocketAddr]) -> CapacityNode {
+        let zone = index % ZONE_COUNT;
+        let region = format!("region-{:02}", zone % REGION_COUNT);
         let locality = Locality {
-            zone: format!("{region}-{}", zone / REGIONS),
+            zone: format!("{region}-{}", zone / REGION_COUNT),
             ring: region.clone(),
             region,
             weight: 1,
         };
         let incarnation = FIRST_EDGE_INCARNATION + index as u64;
-        let peer = Peer::new(address(EDGE_NET, index), incarnation);
-        let part = EdgeNode::new(peer, locality, seeds.to_vec(), true, CACHE_BYTES);
-        Hollow {
+        let peer = Peer::new(address(EDGE_SUBNET, index), incarnation);
+        let state_machine = EdgeNode::new(peer, locality, seeds.to_vec(), true, CACHE_BYTES);
+        CapacityNode {
             role: Role::Edge,
             peer,
-            part: Some(Box::new(part)),
-            until: Duration::ZERO,
+            state_machine: Some(Box::new(state_machine)),
+            lease_end: Duration::ZERO,
         }
     }
 }
@@ -172,12 +172,12 @@
 impl Capacity {
     fn new(edges: usize, control: usize) -> Capacity {
         let seeds: Vec<SocketAddr> = (0..control.min(3))
-            .map(|slot| address(CONTROL_NET, slot))
+            .map(|slot| address(CONTROL_SUBNET, slot))
             .collect();
-        let control_nodes = (0..control).map(|slot| Hollow::control(slot, &seeds));
-        let edge_nodes = (0..edges).map(|edge| Hollow::edge(edge, &seeds));
-        let nodes: Vec<Hollow> = control_nodes.chain(edge_nodes).collect();
-        let by_address = nodes
+        let control_nodes = (0..control).map(|slot| CapacityNode::control(slot, &seeds));
+        let edge_nodes = (0..edges).map(|edge| CapacityNode::edge(edge, &seeds));
+        let nodes: Vec<CapacityNode> = control_nodes.chain(edge_nodes).collect();
+        let node_by_address = nodes
             .iter()
             .enumerate()
             .map(|(index, node)| (node.peer.address, index))
@@ -187,33 +187,33 @@
             serial: 0,
             queue: BTreeMap::new(),
             nodes,
-            by_address,
-            answers: BTreeMap::new(),
+            node_by_address,
+            responses: BTreeMap::new(),
             tally: Tally::default(),
         };
         for node in 0..fleet.nodes.len() {
             // Spread over the tick, as real starts are.
             let at = Duration::from_micros(node as u64 * 7919 % 50_000);
-            fleet.after(at, Coming::Tick(node));
+            fleet.after(at, CapacityEvent::Tick(node));
         }
         fleet
     }
 
-    fn after(&mut self, span: Duration, what: Coming) {
+    fn after(&mut self, span: Duration, event: CapacityEvent) {
         self.serial += 1;
-        self.queue.insert((self.now + span, self.serial), what);
+        self.queue.insert((self.now + span, self.serial), event);
     }
 
     fn step(&mut self, node: usize, name: &'static str, input: Input) {
         let (role, now) = (self.nodes[node].role, self.now);
-        let Some(part) = self.nodes[node].part.as_mut() else {
+        let Some(state_machine) = self.nodes[node].state_machine.as_mut() else {
             return;
         };
-        let began = Instant::now();
-        let out = part.handle(now, input);
-        let took = began.elapsed();
-        let known = self.tally.steps.entry((role, name)).or_default();
-        *known = (known.0 + 1, known.1 + took, known.2.max(took));
+        let started_at = Instant::now();
+        let out = state_machine.handle(now, input);
+        let took = started_at.elapsed();
+        let totals = self.tally.steps.entry((role, name)).or_default();
+        *totals = (totals.0 + 1, totals.1 + took, totals.2.max(took));
         for output in out {
             self.output(node, output);
         }
@@ -227,29 +227,29 @@
                     self.tally.records.0 + 1,
                     self.tally.records.1 + record.len() as u64,
                 );
-                self.after(SYNC, Coming::Synced { node, serial });
+                self.after(SYNC_LATENCY, CapacityEvent::Synced { node, serial });
             }
             Output::Call { id, .. } => {
-                self.tally.probes += 1;
+                self.tally.health_checks += 1;
                 self.after(
-                    WAY,
-                    Coming::Called {
+                    MESSAGE_LATENCY,
+                    CapacityEvent::CallCompleted {
                         node,
                         id,
                         result: CallOutcome::Success(Reply::default()),
                     },
                 );
             }
-            Output::WatchConnection { address } => {
-                self.after(WAY, Coming::Watched { node, address })
+            Output::WatchConnection { address } => self.after(
+                MESSAGE_LATENCY,
+                CapacityEvent::ConnectionOpened { node, address },
+            ),
+            Output::OperatorResponse { id, response } => {
+                self.responses.insert(id, (self.now, response));
             }
-            Output::OperatorResponse {
-                id,
-                response: answer,
-            } => {
-                self.answers.insert(id, (self.now, answer));
+            Output::Publish(PublishedState::Fence { until, .. }) => {
+                self.nodes[node].lease_end = until
             }
-            Output::Publish(PublishedState::Fence { until, .. }) => self.nodes[node].until = until,
             Output::ClientResponse { .. }
             | Output::Log { .. }
             | Output::Publish(_)
@@ -261,18 +261,18 @@
 
     fn send(&mut self, node: usize, to: SocketAddr, message: Message) {
         let (role, from) = (self.nodes[node].role, self.nodes[node].peer);
-        let Some(to) = self.by_address.get(&to).copied() else {
+        let Some(to) = self.node_by_address.get(&to).copied() else {
             return;
         };
         if to == node {
             let message = Box::new(message);
-            return self.after(Duration::ZERO, Coming::Deliver { to, from, message });
+            return self.after(Duration::ZERO, CapacityEvent::Deliver { to, from, message });
         }
         let bytes = frame::write(from, &message)
             .expect("messages serialize")
             .len() as u64;
-        let known = self.tally.sent.entry((role, message.name())).or_default();
-        *known = (known.0 + 1, known.1 + bytes);
+        let totals = self.tally.sent.entry((role, message.name())).or_default();
+        *totals = (totals.0 + 1, totals.1 + bytes);
         // A sender's nudges leave one after the other.
         let queue = if matches!(message, Message::UpdateNotice(_)) {
             Duration::from_micros(to as u64 * 40)
@@ -280,7 +280,10 @@
             Duration::ZERO
         };
         let message = Box::new(message);
-        self.after(WAY + queue, Coming::Deliver { to, from, message });
+        self.after(
+            MESSAGE_LATENCY + queue,
+            CapacityEvent::Deliver { to, from, message },
+        );
     }
 
     fn run_to(&mut self, end: Duration) {
@@ -289,29 +292,29 @@
             .first_key_value()
             .is_some_and(|((at, _), _)| *at < end)
         {
-            let ((at, _), what) = self.queue.pop_first().expect("just seen");
+            let ((at, _), event) = self.queue.pop_first().expect("just seen");
             self.now = at;
-            match what {
-                Coming::Tick(node) => {
+            match event {
+                CapacityEvent::Tick(node) => {
                     let every = if self.nodes[node].role == Role::Control {
                         lease::CONTROL_TICK
                     } else {
                         Duration::from_millis(50)
                     };
-                    self.after(every, Coming::Tick(node));
+                    self.after(every, CapacityEvent::Tick(node));
                     self.step(node, "tick", Input::Tick);
                 }
-                Coming::Deliver { to, from, message } => {
+                CapacityEvent::Deliver { to, from, message } => {
                     let message = *message;
                     self.step(to, message.name(), Input::MessageReceived { from, message })
                 }
-                Coming::Synced { node, serial } => {
+                CapacityEvent::Synced { node, serial } => {
                     self.step(node, "synced", Input::Stored { serial })
                 }
-                Coming::Called { node, id, result } => {
+                CapacityEvent::CallCompleted { node, id, result } => {
                     self.step(node, "probe", Input::CallCompleted { id, result })
                 }
-                Coming::Watched { node, address } => self.step(
+                CapacityEvent::ConnectionOpened { node, address } => self.step(
                     node,
                     "probe",
                     Input::ConnectionChanged {
@@ -324,7 +327,7 @@
         self.now = end;
     }
 
-    fn count(&mut self, span: Duration) -> Tally {
+    fn tally_for(&mut self, span: Duration) -> Tally {
         self.tally = Tally::default();
         self.run_to(self.now + span);
         Tally {
@@ -333,7 +336,7 @@
         }
     }
 
-    fn ask(&mut self, id: u64, partition: u8, change: Change) {
+    fn send_change(&mut self, id: u64, partition: u8, change: Change) {
         self.step(
             0,
             "operator",
@@ -346,38 +349,43 @@
 
     /// Asks for a change and counts for a second; with how long it took to be
     /// in force everywhere.
-    fn change(&mut self, id: u64, partition: u8, change: Change) -> Result<(Tally, Duration)> {
-        let began = self.now;
+    fn apply_change(
+        &mut self,
+        id: u64,
+        partition: u8,
+        change: Change,
+    ) -> Result<(Tally, Duration)> {
+        let started_at = self.now;
         self.tally = Tally::default();
-        self.ask(id, partition, change);
-        self.run_to(began + Duration::from_secs(1));
+        self.send_change(id, partition, change);
+        self.run_to(started_at + Duration::from_secs(1));
         let tally = Tally {
             span: Duration::from_secs(1),
             ..std::mem::take(&mut self.tally)
         };
         for _ in 0..12 {
-            if let Some((at, answer)) = self.answers.get(&id) {
+            if let Some((at, response)) = self.responses.get(&id) {
                 if !matches!(
-                    answer,
+                    response,
                     OperatorResponse::ChangeOutcome(ChangeOutcome::Acknowledged { .. })
                 ) {
-                    bail!("change {id}: {answer:?}");
+                    bail!("change {id}: {response:?}");
                 }
-                return Ok((tally, *at - began));
+                return Ok((tally, *at - started_at));
             }
             self.run_to(self.now + Duration::from_secs(1));
         }
         bail!("change {id} was not answered")
     }
 
-    fn document(mark: u64) -> Arc<str> {
+    fn document(marker: u64) -> Arc<str> {
         let deployment = Deployment::find("trasa").expect("known");
-        deployment.document(&[mark]).into()
+        deployment.document(&[marker]).into()
     }
 
     fn origins() -> Vec<Origin> {
         let services = Deployment::find("trasa").expect("known").services;
-        let one = |at: usize| {
+        let origin = |at: usize| {
             let service = services[at % services.len()].name;
             let address = SocketAddr::from(([10, 3, 0, at as u8], 8000));
             Origin {
@@ -391,13 +399,15 @@
                 cold_ms: 0,
             }
         };
-        (0..ORIGINS_LISTED).map(one).collect()
+        (0..ORIGIN_COUNT).map(origin).collect()
     }
 
-    fn live(&self) -> usize {
+    fn live_edge_count(&self) -> usize {
         self.nodes
             .iter()
-            .filter(|node| node.role == Role::Edge && node.part.is_some() && self.now < node.until)
+            .filter(|node| {
+                node.role == Role::Edge && node.state_machine.is_some() && self.now < node.lease_end
+            })
             .count()
     }
 
@@ -406,34 +416,39 @@
     /// # Errors
     ///
     /// A change was not acknowledged, or a partition was not listed.
-    pub fn measure(edges: usize, control: usize, used: &dyn Fn() -> Option<u64>) -> Result<Sized> {
+    pub fn measure(
+        edges: usize,
+        control: usize,
+        allocated_bytes: &dyn Fn() -> Option<u64>,
+    ) -> Result<Measurement> {
         let mut fleet = Capacity::new(edges, control);
         fleet.set_up()?;
-        let quiet = fleet.count(Duration::from_secs(2));
-        let live = fleet.live();
+        let quiet = fleet.tally_for(Duration::from_secs(2));
+        let live_edges = fleet.live_edge_count();
         let purge = Purge {
             prefix: Some("/listing/".into()),
             ..Purge::default()
         };
-        let purge = fleet.change(3, PURGES_PARTITION, Change::AddPurge { purge, change: 2 })?;
+        let purge =
+            fleet.apply_change(3, PURGES_PARTITION, Change::AddPurge { purge, change: 2 })?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
         let configuration = fleet.put_configuration(4, 2, 3)?;
         fleet.run_to(fleet.now + Duration::from_secs(1));
         let state = fleet.list_partitions()?;
-        let edge_bytes = fleet.drop_nodes(control + edges - 1..control + edges, used);
-        let loss = fleet.count(Duration::from_secs(5));
-        let control_bytes = fleet.drop_nodes(0..control, used);
-        Ok(Sized {
+        let edge_bytes = fleet.drop_nodes(control + edges - 1..control + edges, allocated_bytes);
+        let loss = fleet.tally_for(Duration::from_secs(5));
+        let control_bytes = fleet.drop_nodes(0..control, allocated_bytes);
+        Ok(Measurement {
             edges,
             control,
-            regions: edges.min(REGIONS),
+            regions: edges.min(REGION_COUNT),
             quiet,
             purge,
             configuration,
             loss,
             state,
             memory: control_bytes.zip(edge_bytes),
-            live,
+            live_edges,
         })
     }
 
@@ -447,8 +462,8 @@
             change: 1,
             acknowledge: Acknowledge::Settled,
         };
-        self.change(2, ORIGINS_PARTITION, origins)?;
-        self.run_to(self.now.max(SETTLED) + Duration::from_secs(3));
+        self.apply_change(2, ORIGINS_PARTITION, origins)?;
+        self.run_to(self.now.max(SETTLED_AT) + Duration::from_secs(3));
         Ok(())
     }
 
@@ -463,7 +478,7 @@
             expect: None,
             change,
         };
-        self.change(id, CONFIGURATION_PARTITION, put)
+        self.apply_change(id, CONFIGURATION_PARTITION, put)
     }
 
     /// Rows and bytes of each published partition.
@@ -471,10 +486,10 @@
         let mut sizes = Vec::new();
         for partition in 0..PUBLISHED_PARTITIONS {
             let id = FIRST_LIST_ID + u64::from(partition);
-            self.ask(id, partition, Change::List);
+            self.send_change(id, partition, Change::List);
             self.run_to(self.now + Duration::from_secs(1));
             let Some((_, OperatorResponse::ChangeOutcome(ChangeOutcome::Rows { rows, .. }))) =
-                self.answers.remove(&id)
+                self.responses.remove(&id)
             else {
                 bail!("slice {partition} was not listed")
             };
@@ -487,15 +502,15 @@
     fn drop_nodes(
         &mut self,
         nodes: std::ops::Range<usize>,
-        used: &dyn Fn() -> Option<u64>,
+        allocated_bytes: &dyn Fn() -> Option<u64>,
     ) -> Option<u64> {
         let count = nodes.len() as u64;
-        let before = used();
+        let before = allocated_bytes();
         self.nodes[nodes]
             .iter_mut()
-            .for_each(|node| node.part = None);
+            .for_each(|node| node.state_machine = None);
         before
-            .zip(used())
+            .zip(allocated_bytes())
             .map(|(before, after)| (before - after) / count)
     }
 }
@@ -506,7 +521,7 @@
         let (frames, bytes) = self
             .sent
             .iter()
-            .filter(|((by, one), _)| (*by, *one) == (role, name))
+            .filter(|((sender, message), _)| (*sender, *message) == (role, name))
             .map(|(_, sum)| *sum)
             .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
         (
@@ -516,18 +531,18 @@
     }
 
     /// Frames and bytes of all names and roles.
-    fn sent_in_all(&self) -> (u64, u64) {
+    fn total_sent(&self) -> (u64, u64) {
         self.sent
             .values()
             .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
     /// Share of a core that one node of a role takes.
-    fn core(&self, role: Role, nodes: usize) -> f64 {
+    fn core_share(&self, role: Role, nodes: usize) -> f64 {
         let spent: f64 = self
             .steps
             .iter()
-            .filter(|((by, _), _)| *by == role)
+            .filter(|((step_role, _), _)| *step_role == role)
             .map(|(_, (_, took, _))| took.as_secs_f64())
             .sum();
         spent / self.span.as_secs_f64() / nodes as f64
--- a/simulate-fleet/src/capacity/tables.rs
+++ b/simulate-fleet/src/capacity/tables.rs
@@ -1,5 +1,5 @@
 //! Lines of a capacity table, and their slopes over the sizes.
-use super::{Sized, Tally};
+use super::{Measurement, Tally};
 use crate::prelude::*;
 
 /// Least squares over points: constant and slope, and the share of the spread
@@ -10,22 +10,34 @@
         points.iter().map(|point| point.0).sum::<f64>() / count,
         points.iter().map(|point| point.1).sum::<f64>() / count,
     );
-    let over: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let under: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = if under > 0.0 { over / under } else { 0.0 };
-    let flat = mean_y - slope * mean_x;
+    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = if variance > 0.0 {
+        covariance / variance
+    } else {
+        0.0
+    };
+    let intercept = mean_y - slope * mean_x;
     let spread: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-    let left: f64 = points
+    let residual_share: f64 = points
         .iter()
-        .map(|(x, y)| (y - flat - slope * x).powi(2))
+        .map(|(x, y)| (y - intercept - slope * x).powi(2))
         .sum();
-    (flat, slope, if spread > 0.0 { left / spread } else { 0.0 })
+    (
+        intercept,
+        slope,
+        if spread > 0.0 {
+            residual_share / spread
+        } else {
+            0.0
+        },
+    )
 }
 
-impl Sized {
+impl Measurement {
     /// What is counted, by line; all of it hangs on the size alone. Frames and
     /// bytes are sent ones: a second for what goes on, a piece for events.
     pub fn counts(&self) -> Vec<(&'static str, f64)> {
@@ -40,11 +52,11 @@
         let (edges, control) = (self.edges as f64, self.control as f64);
         let seconds = self.quiet.span.as_secs_f64();
         let quiet = |role, name| self.quiet.rate(role, name);
-        let (renew, renewed) = (
+        let (renew_requests, renew_replies) = (
             quiet(Role::Edge, "RenewRequest"),
             quiet(Role::Control, "RenewReply"),
         );
-        let beat = quiet(Role::Control, "Heartbeat");
+        let heartbeats = quiet(Role::Control, "Heartbeat");
         let rounds = ["AppendRequest", "AppendReply", "Rounds", "Rounded"]
             .map(|name| quiet(Role::Control, name))
             .iter()
@@ -52,14 +64,20 @@
         vec![
             (
                 "renewals and answers, frames a second, an edge",
-                (renew.0 + renewed.0) / edges,
+                (renew_requests.0 + renew_replies.0) / edges,
             ),
             (
                 "renewals and answers, bytes a second, an edge",
-                (renew.1 + renewed.1) / edges,
+                (renew_requests.1 + renew_replies.1) / edges,
+            ),
+            (
+                "beats, frames a second, a control node",
+                heartbeats.0 / control,
+            ),
+            (
+                "beats, bytes a second, a control node",
+                heartbeats.1 / control,
             ),
-            ("beats, frames a second, a control node", beat.0 / control),
-            ("beats, bytes a second, a control node", beat.1 / control),
             (
                 "rounds, frames a second, a control node",
                 rounds.0 / control,
@@ -71,16 +89,16 @@
             ),
             (
                 "probes a second, all gates",
-                self.quiet.probes as f64 / seconds,
+                self.quiet.health_checks as f64 / seconds,
             ),
         ]
     }
 
     /// What an event sends more than goes on anyway.
     fn event_counts(&self) -> Vec<(&'static str, f64)> {
-        let purge = self.more_than_quiet(&self.purge.0);
-        let configuration = self.more_than_quiet(&self.configuration.0);
-        let loss = self.more_than_quiet(&self.loss);
+        let purge = self.beyond_quiet(&self.purge.0);
+        let configuration = self.beyond_quiet(&self.configuration.0);
+        let loss = self.beyond_quiet(&self.loss);
         vec![
             ("a purge: frames more, all nodes", purge.0),
             ("a purge: bytes more, all nodes", purge.1),
@@ -92,8 +110,8 @@
     }
 
     /// Frames and bytes beyond those of a quiet span as long.
-    fn more_than_quiet(&self, tally: &Tally) -> (f64, f64) {
-        let (event, idle) = (tally.sent_in_all(), self.quiet.sent_in_all());
+    fn beyond_quiet(&self, tally: &Tally) -> (f64, f64) {
+        let (event, idle) = (tally.total_sent(), self.quiet.total_sent());
         let share = tally.span.as_secs_f64() / self.quiet.span.as_secs_f64();
         (
             event.0 as f64 - idle.0 as f64 * share,
@@ -121,7 +139,7 @@
             tally
                 .steps
                 .iter()
-                .filter(|((by, _), _)| *by == role)
+                .filter(|((step_role, _), _)| *step_role == role)
                 .map(|(_, (_, _, most))| most.as_secs_f64() * 1e3)
                 .fold(0.0, f64::max)
         };
@@ -129,11 +147,11 @@
         vec![
             (
                 "quiet: share of a core, a control node, %",
-                100.0 * self.quiet.core(Role::Control, self.control),
+                100.0 * self.quiet.core_share(Role::Control, self.control),
             ),
             (
                 "quiet: share of a core, an edge, %",
-                100.0 * self.quiet.core(Role::Edge, self.edges),
+                100.0 * self.quiet.core_share(Role::Edge, self.edges),
             ),
             (
                 "quiet: longest step of a control node, ms",
@@ -141,11 +159,11 @@
             ),
             (
                 "an edge lost: share of a core over 5 s, a control node, %",
-                100.0 * self.loss.core(Role::Control, self.control),
+                100.0 * self.loss.core_share(Role::Control, self.control),
             ),
             (
                 "an edge lost: share of a core over 5 s, an edge, %",
-                100.0 * self.loss.core(Role::Edge, self.edges),
+                100.0 * self.loss.core_share(Role::Edge, self.edges),
             ),
             (
                 "an edge lost: longest step of a control node, ms",
@@ -165,10 +183,13 @@
     }
 
     /// A table of lines by size, with the line through all sizes.
-    pub fn table(list: &[Sized], lines: &dyn Fn(&Sized) -> Vec<(&'static str, f64)>) -> String {
+    pub fn table(
+        list: &[Measurement],
+        lines: &dyn Fn(&Measurement) -> Vec<(&'static str, f64)>,
+    ) -> String {
         let mut text = String::from("| line |");
         list.iter()
-            .for_each(|one| text += &format!(" {} |", one.edges));
+            .for_each(|measurement| text += &format!(" {} |", measurement.edges));
         text += " constant | slope an edge | left over |\n|---|";
         text += &"---|".repeat(list.len() + 3);
         text += "\n";
@@ -180,14 +201,14 @@
             let points: Vec<(f64, f64)> = list
                 .iter()
                 .zip(&all)
-                .map(|(one, lines)| (one.edges as f64, lines[at].1))
+                .map(|(measurement, lines)| (measurement.edges as f64, lines[at].1))
                 .collect();
-            let (flat, slope, left) = fit(&points);
+            let (intercept, slope, residual_share) = fit(&points);
             text += &format!(
                 " {} | {} | {:.0} % |\n",
-                number(flat),
+                number(intercept),
                 number(slope),
-                100.0 * left
+                100.0 * residual_share
             );
         }
         text
--- a/simulate-fleet/src/capacity/tests.rs
+++ b/simulate-fleet/src/capacity/tests.rs
@@ -5,18 +5,18 @@
 #[test]
 fn capacity_page_matches_command_output() {
     let page = include_str!("../../../docs/CAPACITY.md");
-    let held = page
+    let expected = page
         .split_once("<!-- counts -->\n")
         .and_then(|(_, rest)| rest.split_once("<!-- end -->"))
         .expect("markers")
         .0;
-    let list: Vec<Sized> = [16, 64]
-        .map(|edges| Capacity::measure(edges, CONTROL, &|| None).unwrap())
+    let list: Vec<Measurement> = [16, 64]
+        .map(|edges| Capacity::measure(edges, CAPACITY_CONTROL_NODES, &|| None).unwrap())
         .into();
-    for one in &list {
-        assert_eq!(one.live, one.edges, "all are live");
+    for measurement in &list {
+        assert_eq!(measurement.live_edges, measurement.edges, "all are live");
     }
-    assert_eq!(held, Sized::table(&list, &Sized::counts));
+    assert_eq!(expected, Measurement::table(&list, &Measurement::counts));
 }
 
 #[test]
--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -218,18 +218,18 @@
     /// How it is told apart in the table of what fell where.
     pub fn kind(&self) -> String {
         match self {
-            Fault::Kill(place)
-            | Fault::Pause(place, _)
-            | Fault::Slow(place, _)
-            | Fault::Restart(place)
-            | Fault::Retire(place)
-            | Fault::Isolate(place) => {
-                let what = if matches!(place, NodeId::Control(_)) {
+            Fault::Kill(node_id)
+            | Fault::Pause(node_id, _)
+            | Fault::Slow(node_id, _)
+            | Fault::Restart(node_id)
+            | Fault::Retire(node_id)
+            | Fault::Isolate(node_id) => {
+                let role = if matches!(node_id, NodeId::Control(_)) {
                     "control"
                 } else {
                     "edge"
                 };
-                format!("{} {what}", self.name())
+                format!("{} {role}", self.name())
             }
             Fault::Partition(_, scope, _) => format!("cut-off {}", scope.name()),
             _ => self.name().into(),
@@ -249,7 +249,7 @@
     }
 
     /// Ends something that was broken before; a shortened schedule keeps it.
-    pub fn repairs(&self) -> bool {
+    pub fn is_repair(&self) -> bool {
         let good = OriginBehavior::Good;
         matches!(
             self,
@@ -266,7 +266,7 @@
     }
 
     /// What operators and the platform do by intent; the rest breaks or mends.
-    pub fn planned(&self) -> bool {
+    pub fn is_planned(&self) -> bool {
         use Fault::*;
         matches!(
             self,
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -26,7 +26,7 @@
     /// Single expiry is a stand-in with the same δ: once it has passed,
     /// everyone fetches until somebody's answer is there.
     pub fn load_burst(rate: u64, fetch: Duration) -> LoadBurst {
-        let keep = Duration::from_secs(10);
+        let ttl = Duration::from_secs(10);
         let address = SocketAddr::from(([10, 0, 0, 1], 1));
         let mut owner = CacheOwner::new(1 << 20);
         let mut puts: VecDeque<(Duration, FillToken)> = VecDeque::new();
@@ -67,7 +67,7 @@
                     entry: "e".into(),
                     host: "h".into(),
                     url: "/".into(),
-                    ttl: keep,
+                    ttl,
                     max_wait: wait,
                     accepts_any_age: false,
                 },
@@ -81,7 +81,7 @@
                 }
             }
             while single_puts.front().is_some_and(|at| *at <= now) {
-                single_until = single_puts.pop_front().expect("just seen") + keep / 2;
+                single_until = single_puts.pop_front().expect("just seen") + ttl / 2;
             }
             if now >= single_until {
                 load_burst.single_expiry += 1;
@@ -93,7 +93,10 @@
 
     /// Time from asking to acknowledgement of changes and of purges, in
     /// control ticks: least, middle, most.
-    pub fn settle(deployment: &Deployment, lapse: bool) -> BTreeMap<&'static str, [f64; 3]> {
+    pub fn acknowledgement_ticks(
+        deployment: &Deployment,
+        isolate_edge: bool,
+    ) -> BTreeMap<&'static str, [f64; 3]> {
         let mut faults = Vec::new();
         let at = |round: u64| Duration::from_millis(8_000 + round * 2_037);
         for round in 0..20 {
@@ -102,7 +105,7 @@
                 at(round) + Duration::from_millis(700),
                 Fault::Purge("/".into()),
             ));
-            if lapse {
+            if isolate_edge {
                 faults.push((
                     at(round) - Duration::from_millis(5),
                     Fault::Isolate(NodeId::Edge(round as usize % deployment.edges)),
@@ -110,7 +113,7 @@
                 faults.push((at(round) + Duration::from_millis(1_700), Fault::Heal));
             }
         }
-        let recorded: Vec<(f64, &str)> = faults
+        let sent: Vec<(f64, &str)> = faults
             .iter()
             .filter_map(|(at, fault)| match fault {
                 Fault::Configure => Some((at.as_secs_f64(), "configured")),
@@ -126,26 +129,25 @@
         ))
         .run();
         let mut table = BTreeMap::new();
-        for what in ["configured", "purged"] {
-            let told = report
+        for change_kind in ["configured", "purged"] {
+            let acknowledged_at = report
                 .checker
                 .fleet
                 .iter()
-                .filter(|one| one.what == what)
-                .map(|one| one.at);
-            let mut spans: Vec<f64> = told
+                .filter(|record| record.what == change_kind)
+                .map(|record| record.at);
+            let mut spans: Vec<f64> = acknowledged_at
                 .filter_map(|at| {
-                    recorded
-                        .iter()
-                        .filter(|(begun, kind)| *kind == what && *begun <= at)
-                        .map(|(begun, _)| at - begun)
+                    sent.iter()
+                        .filter(|(sent_at, kind)| *kind == change_kind && *sent_at <= at)
+                        .map(|(sent_at, _)| at - sent_at)
                         .reduce(f64::min)
                 })
                 .map(|span| span / lease::CONTROL_TICK.as_secs_f64())
                 .collect();
             spans.sort_by(f64::total_cmp);
-            if let (Some(least), Some(most)) = (spans.first(), spans.last()) {
-                table.insert(what, [*least, spans[spans.len() / 2], *most]);
+            if let (Some(min), Some(max)) = (spans.first(), spans.last()) {
+                table.insert(change_kind, [*min, spans[spans.len() / 2], *max]);
             }
         }
         table
@@ -153,10 +155,10 @@
 
     /// Served share by rank with the second service capped at `part` of what
     /// is asked of it.
-    pub fn capped(part: f64) -> BTreeMap<u32, f64> {
+    pub fn served_share_at_limit(limit_share: f64) -> BTreeMap<u32, f64> {
         let mut deployment = Deployment::find("mombasa").expect("known");
         let demand = deployment.rate as f64 * 0.35;
-        deployment.services[1].rate = demand * part / deployment.services[1].origins as f64;
+        deployment.services[1].rate = demand * limit_share / deployment.services[1].origins as f64;
         let cached: BTreeSet<String> = deployment
             .mix
             .iter()
@@ -191,7 +193,7 @@
     /// places: served share, mean wait of the served, and how long those turned
     /// away waited to hear it, in seconds, by rank. `flat`: first come, first
     /// served, as if all ranks were the same.
-    pub fn slow(flat: bool) -> BTreeMap<u32, (f64, f64, f64)> {
+    pub fn served_during_slowdown(ignore_rank: bool) -> BTreeMap<u32, (f64, f64, f64)> {
         let mut deployment = Deployment::find("mombasa").expect("known");
         deployment.services[1].concurrency = 2;
         let cached: BTreeSet<String> = deployment
@@ -200,7 +202,7 @@
             .filter(|mix| mix.ttl > 0)
             .map(|mix| mix.entry.clone())
             .collect();
-        if flat {
+        if ignore_rank {
             deployment
                 .entries
                 .iter_mut()
@@ -218,46 +220,48 @@
                 !cached.contains(&call.entry) && call.start > 10.0 && call.start < 40.0
             })
         {
-            let known = ranks.entry(call.rank).or_default();
+            let samples = ranks.entry(call.rank).or_default();
             if call.status == 200 {
-                &mut known.0
+                &mut samples.0
             } else {
-                &mut known.1
+                &mut samples.1
             }
             .push(call.end - call.start);
         }
         let mean = |list: &[f64]| list.iter().sum::<f64>() / list.len().max(1) as f64;
-        let one = |(rank, (good, away)): (u32, (Vec<f64>, Vec<f64>))| {
+        let rank_result = |(rank, (good, rejected)): (u32, (Vec<f64>, Vec<f64>))| {
             (
                 rank,
                 (
-                    good.len() as f64 / (good.len() + away.len()) as f64,
+                    good.len() as f64 / (good.len() + rejected.len()) as f64,
                     mean(&good),
-                    mean(&away),
+                    mean(&rejected),
                 ),
             )
         };
-        ranks.into_iter().map(one).collect()
+        ranks.into_iter().map(rank_result).collect()
     }
 
     /// Cache partitions by edge: least and most held, and how many move when one
     /// edge more comes.
-    pub fn ring(edges: usize) -> (usize, usize, usize) {
+    pub fn cache_partition_spread(edges: usize) -> (usize, usize, usize) {
         let peer = |at: usize| Peer::new(SocketAddr::from(([10, 2, 0, 1], 1000 + at as u16)), 1);
-        let best = |count: usize, partition: u16| {
+        let highest_weight = |count: usize, partition: u16| {
             let name = cache_assignment("", partition);
             (0..count)
                 .max_by_key(|at| peer(*at).weight(&name))
                 .expect("some edge")
         };
-        let held = |at: usize| {
+        let held_count = |at: usize| {
             (0..CACHE_PARTITIONS)
-                .filter(|partition| best(edges, *partition) == at)
+                .filter(|partition| highest_weight(edges, *partition) == at)
                 .count()
         };
-        let counts: Vec<usize> = (0..edges).map(held).collect();
+        let counts: Vec<usize> = (0..edges).map(held_count).collect();
         let moved = (0..CACHE_PARTITIONS)
-            .filter(|partition| best(edges, *partition) != best(edges + 1, *partition))
+            .filter(|partition| {
+                highest_weight(edges, *partition) != highest_weight(edges + 1, *partition)
+            })
             .count();
         (
             counts.iter().copied().min().unwrap_or(0),
@@ -268,7 +272,11 @@
 
     /// Origin calls for content while every edge is drained and restarted in
     /// turn, with copies handed over and without.
-    pub fn rolling(deployment: &Deployment, mute: &'static str, seed: u64) -> usize {
+    pub fn origin_calls_during_rolling_restart(
+        deployment: &Deployment,
+        dropped_message: &'static str,
+        seed: u64,
+    ) -> usize {
         let faults = (0..deployment.edges.min(15))
             .map(|at| {
                 (
@@ -278,7 +286,7 @@
             })
             .collect();
         let plan = WorldPlan {
-            mute,
+            dropped_message,
             ..WorldPlan::new(deployment.clone(), seed, Duration::from_secs(55), faults)
         };
         let report = World::new(plan).run();
@@ -291,9 +299,13 @@
 
     /// Copies handed out by edge over a quiet minute: least and most, in parts
     /// of the mean; `hot` sends nine of ten fetches to one key.
-    pub fn spread(deployment: &Deployment, hot: bool) -> (f64, f64) {
+    pub fn copies_spread(deployment: &Deployment, one_key_per_entry: bool) -> (f64, f64) {
         let mut deployment = deployment.clone();
-        for mix in deployment.mix.iter_mut().filter(|mix| hot && mix.ttl > 0) {
+        for mix in deployment
+            .mix
+            .iter_mut()
+            .filter(|mix| one_key_per_entry && mix.ttl > 0)
+        {
             mix.paths = 1;
         }
         let report = World::new(WorldPlan::new(
@@ -303,11 +315,11 @@
             vec![],
         ))
         .run();
-        let mean = report.copies.iter().sum::<u64>() as f64 / report.copies.len() as f64;
-        let part = |count: Option<&u64>| count.map_or(0.0, |count| *count as f64 / mean);
+        let mean = report.copies_sent.iter().sum::<u64>() as f64 / report.copies_sent.len() as f64;
+        let share_of_mean = |count: Option<&u64>| count.map_or(0.0, |count| *count as f64 / mean);
         (
-            part(report.copies.iter().min()),
-            part(report.copies.iter().max()),
+            share_of_mean(report.copies_sent.iter().min()),
+            share_of_mean(report.copies_sent.iter().max()),
         )
     }
 
@@ -321,49 +333,49 @@
             let deployment = Deployment::find(name).expect("known");
             println!(
                 "{name}: acknowledgement in control ticks [least, middle, most]: {:?}",
-                Figures::settle(&deployment, false)
+                Figures::acknowledgement_ticks(&deployment, false)
             );
             println!(
                 "{name}: the same, an edge cut off just before: {:?}",
-                Figures::settle(&deployment, true)
+                Figures::acknowledgement_ticks(&deployment, true)
             );
         }
         for name in ["small", "mombasa", "trasa"] {
             let deployment = Deployment::find(name).expect("known");
             let (with, without) = (
-                Figures::rolling(&deployment, "", 1),
-                Figures::rolling(&deployment, "HandoverRequest", 1),
+                Figures::origin_calls_during_rolling_restart(&deployment, "", 1),
+                Figures::origin_calls_during_rolling_restart(&deployment, "HandoverRequest", 1),
             );
             println!(
                 "{name}: content calls while all edges restart in turn: {with} with copies handed over, {without} without"
             );
         }
-        for part in [1.2, 0.8, 0.5, 0.3] {
+        for limit_share in [1.2, 0.8, 0.5, 0.3] {
             println!(
-                "applications may take {part} of what is asked: served by rank {:?}",
-                Figures::capped(part)
+                "applications may take {limit_share} of what is asked: served by rank {:?}",
+                Figures::served_share_at_limit(limit_share)
             );
         }
-        for flat in [false, true] {
+        for ignore_rank in [false, true] {
             println!(
-                "applications 60 times slower, first come {flat}: by rank (share, wait of the served, of those turned away) {:.3?}",
-                Figures::slow(flat)
+                "applications 60 times slower, first come {ignore_rank}: by rank (share, wait of the served, of those turned away) {:.3?}",
+                Figures::served_during_slowdown(ignore_rank)
             );
         }
         for name in ["mombasa", "trasa"] {
             let deployment = Deployment::find(name).expect("known");
-            let (spread, hot) = (
-                Figures::spread(&deployment, false),
-                Figures::spread(&deployment, true),
+            let (copies_spread, one_key_per_entry) = (
+                Figures::copies_spread(&deployment, false),
+                Figures::copies_spread(&deployment, true),
             );
             println!(
-                "{name}: copies handed out by an edge, in parts of the mean: {spread:?}; one key an entry: {hot:?}"
+                "{name}: copies handed out by an edge, in parts of the mean: {copies_spread:?}; one key an entry: {one_key_per_entry:?}"
             );
         }
         for edges in [4, 8, 15, 30] {
-            let (least, most, moved) = Figures::ring(edges);
+            let (min, max, moved) = Figures::cache_partition_spread(edges);
             println!(
-                "{edges} edges: {least} to {most} cache slices an edge (mean {:.1}); one more edge moves {moved}",
+                "{edges} edges: {min} to {max} cache slices an edge (mean {:.1}); one more edge moves {moved}",
                 f64::from(CACHE_PARTITIONS) / edges as f64
             );
         }
--- a/simulate-fleet/src/figures/tests.rs
+++ b/simulate-fleet/src/figures/tests.rs
@@ -15,9 +15,11 @@
 fn cache_handover_spares_origins() {
     let deployment = Deployment::find("small").unwrap();
     // One seed's difference is smaller than its chance.
-    let sum = |mute| {
+    let sum = |dropped_message| {
         (1..=12)
-            .map(|seed| Figures::rolling(&deployment, mute, seed))
+            .map(|seed| {
+                Figures::origin_calls_during_rolling_restart(&deployment, dropped_message, seed)
+            })
             .collect::<Vec<_>>()
     };
     let (with, without) = (sum(""), sum("HandoverRequest"));
@@ -29,16 +31,19 @@
 
 #[test]
 fn higher_ranks_win_when_origins_are_slow() {
-    let (ranked, flat) = (Figures::slow(false), Figures::slow(true));
+    let (ranked, unranked) = (
+        Figures::served_during_slowdown(false),
+        Figures::served_during_slowdown(true),
+    );
     let shares: Vec<f64> = ranked.values().map(|rank| rank.0).collect();
     assert!(shares.is_sorted(), "{ranked:?}");
     assert!(
-        ranked[&9].0 > 0.99 && ranked[&9].0 > flat[&9].0,
-        "{ranked:?} against first come {flat:?}"
+        ranked[&9].0 > 0.99 && ranked[&9].0 > unranked[&9].0,
+        "{ranked:?} against first come {unranked:?}"
     );
     assert!(
-        ranked[&9].1 < flat[&9].1,
-        "{ranked:?} against first come {flat:?}"
+        ranked[&9].1 < unranked[&9].1,
+        "{ranked:?} against first come {unranked:?}"
     );
     assert!(ranked[&5].2 < 1.0, "the lowest is told soon: {ranked:?}");
 }
@@ -46,13 +51,13 @@
 #[test]
 fn settled_acknowledgement_stays_within_lease_bound() {
     let deployment = Deployment::find("small").unwrap();
-    let most = |lapse| {
-        Figures::settle(&deployment, lapse)
+    let max = |isolate_edge| {
+        Figures::acknowledgement_ticks(&deployment, isolate_edge)
             .into_values()
             .map(|spans| spans[2])
             .fold(0.0, f64::max)
     };
-    assert!(most(false) < 5.0, "{}", most(false));
-    assert!(most(true) < 20.0, "{}", most(true));
-    assert!(most(true) > 5.0, "the cut-off edge was waited for");
+    assert!(max(false) < 5.0, "{}", max(false));
+    assert!(max(true) < 20.0, "{}", max(true));
+    assert!(max(true) > 5.0, "the cut-off edge was waited for");
 }
--- a/simulate-fleet/src/lib.rs
+++ b/simulate-fleet/src/lib.rs
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod scenarios;
 #[cfg(test)]
-mod scenarios_membership;
+mod scenarios_item_commands;
 #[cfg(test)]
-mod scenarios_orders;
+mod scenarios_membership;
 pub mod schedule;
 mod schedule_core;
 pub mod script;
@@ -19,14 +19,14 @@
 pub mod sim_node;
 pub mod sim_origin;
 pub mod world;
-mod world_answers;
-mod world_callers;
+mod world_clients;
 mod world_disks;
 mod world_events;
 mod world_faults;
+mod world_item_commands;
+mod world_lost_responses;
 mod world_network;
 mod world_operators;
-mod world_orders;
 mod world_outputs;
 mod world_plan;
 mod world_setup;
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -1,5 +1,7 @@
 //! What the files of this crate need.
-pub use crate::capacity::{CONTROL, Capacity, Role, SIZES, Sized, Tally};
+pub use crate::capacity::{
+    CAPACITY_CONTROL_NODES, Capacity, EDGE_COUNTS, Measurement, Role, Tally,
+};
 pub use crate::fault::{Fault, Loss, NodeId, PartitionScope, Trigger};
 pub use crate::figures::Figures;
 pub use crate::schedule::Schedule;
@@ -10,10 +12,10 @@
 pub(crate) use crate::world::CLIENT_TIMEOUT;
 pub use crate::world::{Report, World};
 pub(crate) use crate::world_events::{
-    OperatorCall, Order, PendingRequest, Question, SimEvent, Task,
+    OperatorCall, OperatorCommand, PendingOperatorCall, PendingRequest, SimEvent, Task,
 };
-pub use crate::world_orders::{ItemOrder, OrderRecord};
-pub use crate::world_plan::{FounderEnd, WorldPlan};
+pub use crate::world_item_commands::{ItemCommand, ItemCommandRecord};
+pub use crate::world_plan::{FounderCrash, WorldPlan};
 pub use anyhow::{Context, Result, anyhow, bail};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
 pub use data_plane::prelude::{IncomingRequest, run_filters};
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -7,7 +7,12 @@
 use crate::prelude::*;
 
 /// A fleet of another number of control nodes, whose table is gathered.
-pub(crate) fn of(control: usize, seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> WorldPlan {
+pub(crate) fn gathering_plan(
+    control: usize,
+    seed: u64,
+    span: u64,
+    faults: Vec<(u64, Fault)>,
+) -> WorldPlan {
     let faults = faults
         .into_iter()
         .map(|(at, fault)| (Duration::from_millis(at), fault))
@@ -26,12 +31,12 @@
     world.run()
 }
 
-pub(crate) fn count(report: &Report, what: &str) -> usize {
+pub(crate) fn count(report: &Report, kind: &str) -> usize {
     report
         .checker
         .fleet
         .iter()
-        .filter(|one| one.what == what && one.good)
+        .filter(|record| record.what == kind && record.good)
         .count()
 }
 
@@ -44,21 +49,21 @@
             let faults = Schedule::random(&deployment, control, seed, span);
             let plan = WorldPlan {
                 clients_disconnect: true,
-                ..WorldPlan::new(deployment, seed, span, faults).of(control)
+                ..WorldPlan::new(deployment, seed, span, faults).with_control_nodes(control)
             };
             let report = World::new(plan).run();
-            for (never, verdict) in report.checker.verdicts() {
+            for (rule, verdict) in report.checker.verdicts() {
                 assert!(
                     !matches!(verdict, Verdict::Broken(_)),
-                    "{control} seed {seed}: {never}: {}",
-                    cut(&verdict)
+                    "{control} seed {seed}: {rule}: {}",
+                    truncated(&verdict)
                 );
             }
         }
     }
 }
 
-fn small(seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> Report {
+fn run_small(seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> Report {
     let faults = faults
         .into_iter()
         .map(|(at, fault)| (Duration::from_millis(at), fault))
@@ -75,27 +80,27 @@
 }
 
 /// Fails on a broken never; those named must have been exercised.
-pub(crate) fn judge(report: &Report, exercised: &[usize]) {
-    for (at, (never, verdict)) in report.checker.verdicts().into_iter().enumerate() {
+pub(crate) fn check_rules(report: &Report, exercised: &[usize]) {
+    for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
         assert!(
             !matches!(verdict, Verdict::Broken(_)),
-            "{} {never}: {}",
+            "{} {rule}: {}",
             at + 1,
-            cut(&verdict)
+            truncated(&verdict)
         );
         assert!(
             !exercised.contains(&(at + 1)) || verdict != Verdict::NotExercised,
-            "{} {never} was not exercised",
+            "{} {rule} was not exercised",
             at + 1
         );
     }
 }
 
-fn cut(verdict: &Verdict) -> String {
+fn truncated(verdict: &Verdict) -> String {
     format!("{verdict:?}").chars().take(400).collect()
 }
 
-fn served(report: &Report) -> f64 {
+fn served_share(report: &Report) -> f64 {
     let good = report
         .checker
         .callers
@@ -114,15 +119,15 @@
         (15_000, Fault::Race(2)),
         (18_000, Fault::ReadBack),
     ];
-    let report = small(1, 40, faults);
-    judge(&report, &[1, 3, 4, 5, 6, 7, 11]);
-    assert!(served(&report) > 0.999, "{}", served(&report));
+    let report = run_small(1, 40, faults);
+    check_rules(&report, &[1, 3, 4, 5, 6, 7, 11]);
+    assert!(served_share(&report) > 0.999, "{}", served_share(&report));
 }
 
-const CONTROL: [NodeId; 3] = [NodeId::Control(0), NodeId::Control(1), NodeId::Control(2)];
+const CONTROL_NODES: [NodeId; 3] = [NodeId::Control(0), NodeId::Control(1), NodeId::Control(2)];
 
 /// Share of errands that began within a span (in seconds) and were served.
-pub(crate) fn served_within(report: &Report, from: f64, to: f64) -> f64 {
+pub(crate) fn served_share_within(report: &Report, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
         .callers
@@ -144,11 +149,11 @@
             ..WorldPlan::new(deployment.clone(), seed, span, faults)
         };
         let report = World::new(plan).run();
-        for (at, (never, verdict)) in report.checker.verdicts().into_iter().enumerate() {
+        for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
             assert!(
                 !matches!(verdict, Verdict::Broken(_)),
-                "seed {seed}: {never}: {}",
-                cut(&verdict)
+                "seed {seed}: {rule}: {}",
+                truncated(&verdict)
             );
             if verdict != Verdict::NotExercised {
                 exercised.insert(at + 1);
@@ -167,13 +172,13 @@
         let report = World::new(WorldPlan::new(deployment.clone(), 5, span, faults)).run();
         (
             report.steps,
-            format!("{:?} {:?}", report.notes, report.checker.callers),
+            format!("{:?} {:?}", report.event_counts, report.checker.callers),
         )
     };
     assert!(run() == run());
 }
 
-fn kind_served(report: &Report, entry: &str, from: f64, to: f64) -> f64 {
+fn entry_served_share(report: &Report, entry: &str, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
         .callers
@@ -185,7 +190,7 @@
 
 /// The scripts kept for so many control nodes: those of three lie in `kept`
 /// itself, those of `n` in `kept/control-n`.
-fn kept_scripts() -> Vec<(usize, PathBuf)> {
+fn recorded_scripts() -> Vec<(usize, PathBuf)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("kept");
     let mut scripts = Vec::new();
     for control in 1..=MAX_SLOTS {
@@ -211,21 +216,22 @@
 #[test]
 fn recorded_failing_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
-    let scripts = kept_scripts();
+    let scripts = recorded_scripts();
     assert!(scripts.len() >= 9);
     for (control, file) in scripts {
         let script =
             Script::read(&fs::read_to_string(&file).unwrap(), &deployment, control).unwrap();
         for seed in 1..=6 {
             let span = Duration::from_secs(120);
-            let plan = WorldPlan::new(deployment.clone(), seed, span, script.clone()).of(control);
+            let plan = WorldPlan::new(deployment.clone(), seed, span, script.clone())
+                .with_control_nodes(control);
             let report = World::new(plan).run();
-            for (never, verdict) in report.checker.verdicts() {
+            for (rule, verdict) in report.checker.verdicts() {
                 assert!(
                     !matches!(verdict, Verdict::Broken(_)),
-                    "{} seed {seed}: {never}: {}",
+                    "{} seed {seed}: {rule}: {}",
                     file.display(),
-                    cut(&verdict)
+                    truncated(&verdict)
                 );
             }
         }
@@ -235,7 +241,7 @@
 /// Callers' and operators' clocks play no part, and the nodes' own may start
 /// anywhere and run unlike fast: leases are judged at a tenth off.
 #[test]
-fn lease_bears_clock_drift_of_a_tenth_but_not_a_third() {
+fn lease_tolerates_clock_drift_of_10_percent_but_not_45_percent() {
     let run = |drift: u64, seed: u64| {
         let mut faults = Vec::new();
         for round in 0..8u64 {
@@ -263,7 +269,7 @@
         // Of what hangs on leases: purges, configurations, assignments.
         [3, 5]
             .iter()
-            .any(|never| matches!(verdicts[*never].1, Verdict::Broken(_)))
+            .any(|rule| matches!(verdicts[*rule].1, Verdict::Broken(_)))
     };
     assert!(
         (1..=12).all(|seed| !run(100_000, seed)),
--- a/simulate-fleet/src/scenarios/losses.rs
+++ b/simulate-fleet/src/scenarios/losses.rs
@@ -12,7 +12,10 @@
             let faults = vec![
                 (
                     10_000,
-                    Fault::LossOnTrigger(trigger, Loss::Disks(slot, Schedule::borne(control))),
+                    Fault::LossOnTrigger(
+                        trigger,
+                        Loss::Disks(slot, Schedule::max_disk_losses(control)),
+                    ),
                 ),
                 (10_010 + seed * 7, Fault::Configure),
                 (10_015 + seed * 7, Fault::Content),
@@ -22,17 +25,17 @@
             ];
             let report = run(WorldPlan {
                 gather: control != 3,
-                ..of(control, seed, 40, faults)
+                ..gathering_plan(control, seed, 40, faults)
             });
-            judge(&report, &[1, 12]);
+            check_rules(&report, &[1, 12]);
             assert_eq!(count(&report, "read-back"), 2, "{control} {seed}");
             assert_eq!(
-                report.notes.get(&Event::DiskBlank),
-                Some(&(control + Schedule::borne(control))),
+                report.event_counts.get(&Event::DiskBlank),
+                Some(&(control + Schedule::max_disk_losses(control))),
                 "{control} {seed}"
             );
             assert_eq!(
-                report.notes.get(&Event::GenerationFounded),
+                report.event_counts.get(&Event::GenerationFounded),
                 Some(&1),
                 "{control} {seed}: nothing was lost"
             );
@@ -47,16 +50,19 @@
         (9_000, Fault::Content),
         (9_001, Fault::Purge("/".into())),
     ];
-    for place in CONTROL.into_iter().chain((0..4).map(NodeId::Edge)) {
-        faults.extend([(15_000, Fault::Kill(place)), (18_000, Fault::Start(place))]);
+    for node_id in CONTROL_NODES.into_iter().chain((0..4).map(NodeId::Edge)) {
+        faults.extend([
+            (15_000, Fault::Kill(node_id)),
+            (18_000, Fault::Start(node_id)),
+        ]);
     }
     faults.extend([(18_000, Fault::Returned), (20_000, Fault::ReadBack)]);
-    let report = small(3, 50, faults);
-    judge(&report, &[1, 6, 7, 12]);
+    let report = run_small(3, 50, faults);
+    check_rules(&report, &[1, 6, 7, 12]);
     assert!(
-        served_within(&report, 23.0, 40.0) > 0.999,
+        served_share_within(&report, 23.0, 40.0) > 0.999,
         "{}",
-        served_within(&report, 23.0, 40.0)
+        served_share_within(&report, 23.0, 40.0)
     );
 }
 
@@ -72,38 +78,38 @@
             (14_000, Fault::ReadBack),
             (16_000, Fault::ReadBack),
         ];
-        let report = small(seed, 40, faults);
-        judge(&report, &[1, 12]);
+        let report = run_small(seed, 40, faults);
+        check_rules(&report, &[1, 12]);
     }
 }
 
 #[test]
 fn node_with_full_disk_returns_after_restart() {
-    let place = NodeId::Control(1);
+    let node_id = NodeId::Control(1);
     let faults = vec![
-        (8_000, Fault::DiskFull(place)),
+        (8_000, Fault::DiskFull(node_id)),
         (10_000, Fault::Configure),
-        (15_000, Fault::Kill(place)),
-        (16_000, Fault::Start(place)),
+        (15_000, Fault::Kill(node_id)),
+        (16_000, Fault::Start(node_id)),
         (22_000, Fault::Kill(NodeId::Control(0))),
         (24_000, Fault::Configure),
         (26_000, Fault::ReadBack),
     ];
-    let report = small(8, 45, faults);
-    judge(&report, &[1, 6, 7]);
+    let report = run_small(8, 45, faults);
+    check_rules(&report, &[1, 6, 7]);
     assert_eq!(
         report
             .checker
             .fleet
             .iter()
-            .filter(|one| one.what == "configured")
+            .filter(|record| record.what == "configured")
             .count(),
         3
     );
-    assert!(served(&report) > 0.97, "{}", served(&report));
+    assert!(served_share(&report) > 0.97, "{}", served_share(&report));
 }
 
-fn wiped(slots: &[usize], lost_edge: bool, seed: u64) -> Report {
+fn run_with_lost_disks(slots: &[usize], lost_edge: bool, seed: u64) -> Report {
     let mut faults = vec![
         (6_000, Fault::Configure),
         (8_000, Fault::Content),
@@ -133,43 +139,44 @@
         (27_000, Fault::Configure),
         (30_000, Fault::ReadBack),
     ]);
-    small(seed, 125, faults)
+    run_small(seed, 125, faults)
 }
 
 #[test]
 fn wiped_majority_recovers_from_edges() {
     for slots in [&[0, 1, 2][..], &[0, 1], &[1, 2], &[0, 2]] {
         for lost_edge in [false, true] {
-            let report = wiped(slots, lost_edge, 3 + slots[0] as u64);
-            let what = format!("{slots:?}, an edge lost: {lost_edge}");
-            judge(&report, &[1, 6, 7, 8, 12]);
+            let report = run_with_lost_disks(slots, lost_edge, 3 + slots[0] as u64);
+            let context = format!("{slots:?}, an edge lost: {lost_edge}");
+            check_rules(&report, &[1, 6, 7, 8, 12]);
             assert_eq!(
                 report
                     .checker
                     .fleet
                     .iter()
-                    .filter(|one| one.what == "configured")
+                    .filter(|record| record.what == "configured")
                     .count(),
                 3,
-                "{what}"
+                "{context}"
             );
             assert_eq!(
                 report
                     .checker
                     .fleet
                     .iter()
-                    .filter(|one| one.what == "read-back" && one.good)
+                    .filter(|record| record.what == "read-back" && record.good)
                     .count(),
                 2,
-                "{what}"
+                "{context}"
             );
-            let share = |entry: &str, from: f64, to: f64| kind_served(&report, entry, from, to);
+            let share =
+                |entry: &str, from: f64, to: f64| entry_served_share(&report, entry, from, to);
             // Within 15 s of the machines' return all is served, if every edge
             // of the roll could tell what it knew; else new operations wait
             // for 75 s, and are told "unknown" meanwhile.
             assert!(
                 share("listing", 26.0, 85.0) > 0.99,
-                "{what}: {}",
+                "{context}: {}",
                 share("listing", 26.0, 85.0)
             );
             let closed = report
@@ -179,18 +186,18 @@
                 .filter(|call| call.code == "ledger_recovering" && call.start > 32.0)
                 .count();
             if lost_edge {
-                assert!(closed > 20, "{what}: {closed}");
+                assert!(closed > 20, "{context}: {closed}");
             } else {
-                assert_eq!(closed, 0, "{what}");
+                assert_eq!(closed, 0, "{context}");
                 assert!(
                     share("reservation", 32.0, 85.0) > 0.97,
-                    "{what}: {}",
+                    "{context}: {}",
                     share("reservation", 32.0, 85.0)
                 );
             }
             assert!(
                 share("reservation", 108.0, 118.0) > 0.9,
-                "{what}: {}",
+                "{context}: {}",
                 share("reservation", 97.0, 103.0)
             );
         }
@@ -201,8 +208,8 @@
 fn retry_after_total_loss_does_not_run_again() {
     for seed in 1..=6 {
         let faults = vec![(20_000, Fault::LoseAll)];
-        let report = small(seed, 120, faults);
-        judge(&report, &[1, 12]);
+        let report = run_small(seed, 120, faults);
+        check_rules(&report, &[1, 12]);
         let closed = report
             .checker
             .callers
@@ -211,11 +218,11 @@
             .count();
         assert!(closed > 100, "{closed} operations waited");
         assert!(
-            kind_served(&report, "listing", 35.0, 60.0) > 0.99,
+            entry_served_share(&report, "listing", 35.0, 60.0) > 0.99,
             "all else is served"
         );
         assert!(
-            kind_served(&report, "reservation", 104.0, 112.0) > 0.9,
+            entry_served_share(&report, "reservation", 104.0, 112.0) > 0.9,
             "and then operations are, too"
         );
     }
@@ -230,16 +237,16 @@
             (19_900, Fault::Kill(NodeId::Edge(0))),
             (21_000, Fault::Start(NodeId::Edge(0))),
         ];
-        for place in CONTROL {
+        for node_id in CONTROL_NODES {
             faults.extend([
-                (20_000, Fault::Wipe(place)),
-                (21_000, Fault::Start(place)),
-                (30_000, Fault::Kill(place)),
-                (31_000, Fault::Start(place)),
+                (20_000, Fault::Wipe(node_id)),
+                (21_000, Fault::Start(node_id)),
+                (30_000, Fault::Kill(node_id)),
+                (31_000, Fault::Start(node_id)),
             ]);
         }
-        let report = small(seed, 120, faults);
-        judge(&report, &[1]);
+        let report = run_small(seed, 120, faults);
+        check_rules(&report, &[1]);
         let closed = report
             .checker
             .callers
@@ -264,7 +271,7 @@
         vec![],
     ))
     .run();
-    judge(&report, &[1]);
+    check_rules(&report, &[1]);
     // Some 13 000 operations with their answers were recorded on each disk.
     assert!(report.log_bytes < 24 << 20, "{} bytes", report.log_bytes);
 }
--- a/simulate-fleet/src/scenarios/outages.rs
+++ b/simulate-fleet/src/scenarios/outages.rs
@@ -3,28 +3,32 @@
 
 #[test]
 fn service_survives_loss_of_each_control_node() {
-    for place in CONTROL {
+    for node_id in CONTROL_NODES {
         let faults = vec![
-            (8_000, Fault::Kill(place)),
-            (13_000, Fault::Start(place)),
-            (18_000, Fault::Pause(place, Duration::from_secs(4))),
-            (26_000, Fault::Isolate(place)),
+            (8_000, Fault::Kill(node_id)),
+            (13_000, Fault::Start(node_id)),
+            (18_000, Fault::Pause(node_id, Duration::from_secs(4))),
+            (26_000, Fault::Isolate(node_id)),
             (31_000, Fault::Heal),
             (9_000, Fault::Configure),
             (19_500, Fault::Configure),
             (27_500, Fault::Configure),
             (33_000, Fault::ReadBack),
         ];
-        let report = small(4, 45, faults);
-        judge(&report, &[1, 6, 7]);
-        assert!(served(&report) > 0.97, "{place:?}: {}", served(&report));
+        let report = run_small(4, 45, faults);
+        check_rules(&report, &[1, 6, 7]);
+        assert!(
+            served_share(&report) > 0.97,
+            "{node_id:?}: {}",
+            served_share(&report)
+        );
         let configured = report
             .checker
             .fleet
             .iter()
-            .filter(|one| one.what == "configured")
+            .filter(|record| record.what == "configured")
             .count();
-        assert_eq!(configured, 4, "{place:?}");
+        assert_eq!(configured, 4, "{node_id:?}");
     }
 }
 
@@ -38,15 +42,15 @@
         (8_201, Fault::Purge("/".into())),
         (20_000, Fault::Heal),
     ];
-    let report = small(5, 40, faults);
-    judge(&report, &[4, 6]);
-    let at = |what: &str| {
+    let report = run_small(5, 40, faults);
+    check_rules(&report, &[4, 6]);
+    let at = |kind: &str| {
         report
             .checker
             .fleet
             .iter()
             .rev()
-            .find(|one| one.what == what)
+            .find(|record| record.what == kind)
             .unwrap()
             .at
     };
@@ -78,7 +82,7 @@
             faults.push((at + 20, Fault::Content));
             faults.push((at + 21, Fault::Purge("/".into())));
         }
-        judge(&small(seed, 45, faults), &[4]);
+        check_rules(&run_small(seed, 45, faults), &[4]);
     }
 }
 
@@ -95,9 +99,9 @@
 
 #[test]
 fn isolated_control_plane_fences_and_recovers() {
-    let mut faults: Vec<(u64, Fault)> = CONTROL
+    let mut faults: Vec<(u64, Fault)> = CONTROL_NODES
         .into_iter()
-        .map(|place| (10_000, Fault::Isolate(place)))
+        .map(|node_id| (10_000, Fault::Isolate(node_id)))
         .collect();
     faults.extend([
         (20_000, Fault::Heal),
@@ -105,9 +109,9 @@
         (20_500, Fault::Configure),
         (23_000, Fault::ReadBack),
     ]);
-    let report = small(2, 40, faults);
-    judge(&report, &[1, 7, 12]);
-    assert_eq!(served_within(&report, 11.1, 19.9), 0.0, "fenced");
+    let report = run_small(2, 40, faults);
+    check_rules(&report, &[1, 7, 12]);
+    assert_eq!(served_share_within(&report, 11.1, 19.9), 0.0, "fenced");
     let back =
         ["listing", "availability", "reservation"].map(|entry| first_served(&report, entry, 20.0));
     println!("core cut off for 10 s; served again after {back:?} s");
@@ -126,18 +130,18 @@
         (10_201, Fault::Purge("/".into())),
         (14_000, Fault::ReadBack),
     ]);
-    let report = small(2, 30, faults);
-    judge(&report, &[1, 4, 6, 7]);
+    let report = run_small(2, 30, faults);
+    check_rules(&report, &[1, 4, 6, 7]);
     let settled = report
         .checker
         .fleet
         .iter()
         .rev()
-        .find(|one| one.what == "configured")
+        .find(|record| record.what == "configured")
         .unwrap()
         .at
         - 10.1;
-    let share = served_within(&report, 13.0, 20.0);
+    let share = served_share_within(&report, 13.0, 20.0);
     println!(
         "half of the edges died; a change settled after {settled:.2} s, {share:.3} served from 3 s after"
     );
@@ -150,7 +154,7 @@
     let zone = [NodeId::Control(0), NodeId::Edge(0), NodeId::Edge(3)];
     let mut faults: Vec<(u64, Fault)> = zone
         .into_iter()
-        .map(|place| (10_000, Fault::Isolate(place)))
+        .map(|node_id| (10_000, Fault::Isolate(node_id)))
         .collect();
     faults.extend([
         (11_000, Fault::Configure),
@@ -158,14 +162,14 @@
         (12_001, Fault::Purge("/".into())),
         (25_000, Fault::Heal),
     ]);
-    let report = small(3, 45, faults);
-    judge(&report, &[1, 4, 6]);
+    let report = run_small(3, 45, faults);
+    check_rules(&report, &[1, 4, 6]);
     assert!(
-        served_within(&report, 14.0, 25.0) > 0.99,
+        served_share_within(&report, 14.0, 25.0) > 0.99,
         "{}",
-        served_within(&report, 14.0, 25.0)
+        served_share_within(&report, 14.0, 25.0)
     );
-    assert!(served_within(&report, 27.0, 38.0) > 0.99);
+    assert!(served_share_within(&report, 27.0, 38.0) > 0.99);
 }
 
 #[test]
@@ -179,16 +183,16 @@
     ];
     faults.extend((0..6).map(|round| (10_000 + round * 3_000, Fault::Configure)));
     faults.push((30_000, Fault::ReadBack));
-    let report = small(3, 45, faults);
-    judge(&report, &[1, 6, 7]);
+    let report = run_small(3, 45, faults);
+    check_rules(&report, &[1, 6, 7]);
     let done = report
         .checker
         .fleet
         .iter()
-        .filter(|one| one.what == "configured")
+        .filter(|record| record.what == "configured")
         .count();
     assert!(done >= 6, "{done} of 7 changes were acknowledged");
-    assert!(served(&report) > 0.97, "{}", served(&report));
+    assert!(served_share(&report) > 0.97, "{}", served_share(&report));
 }
 
 /// An edge that was just enrolled runs operations and is lost together with
@@ -203,11 +207,14 @@
             (20_000, Fault::Start(NodeId::Edge(0))),
             (at, Fault::Kill(NodeId::Edge(0))),
         ];
-        for place in CONTROL {
-            faults.extend([(at, Fault::Wipe(place)), (at + 1_000, Fault::Start(place))]);
+        for node_id in CONTROL_NODES {
+            faults.extend([
+                (at, Fault::Wipe(node_id)),
+                (at + 1_000, Fault::Start(node_id)),
+            ]);
         }
-        let report = small(step + 1, 60, faults);
-        judge(&report, &[1]);
+        let report = run_small(step + 1, 60, faults);
+        check_rules(&report, &[1]);
         let edge = |call: &&CallerRecord| {
             call.operation.is_some()
                 && call.edge.ends_with(":1000")
--- a/simulate-fleet/src/scenarios/replacement.rs
+++ b/simulate-fleet/src/scenarios/replacement.rs
@@ -6,13 +6,13 @@
 #[test]
 fn membership_is_founded_once_and_grows_with_late_nodes() {
     for control in [4, 5, 8] {
-        for founder in [
-            FounderEnd::Incarnations,
-            FounderEnd::Unwritten,
-            FounderEnd::Untold,
-            FounderEnd::Told,
+        for founder_crash in [
+            FounderCrash::Never,
+            FounderCrash::BeforeSync,
+            FounderCrash::BeforeReplies,
+            FounderCrash::AfterReplies,
         ] {
-            for late in [false, true] {
+            for late_control_node in [false, true] {
                 let faults = vec![
                     (11_000, Fault::Configure),
                     (12_000, Fault::Content),
@@ -20,29 +20,29 @@
                     (14_000, Fault::ReadBack),
                 ];
                 let report = run(WorldPlan {
-                    founder,
-                    late,
-                    ..of(control, 2, 30, faults)
+                    founder_crash,
+                    late_control_node,
+                    ..gathering_plan(control, 2, 30, faults)
                 });
-                let what = format!("{control} {founder:?} late: {late}");
-                judge(&report, &[1, 4, 6, 7]);
+                let context = format!("{control} {founder_crash:?} late: {late_control_node}");
+                check_rules(&report, &[1, 4, 6, 7]);
                 assert_eq!(
-                    report.notes.get(&Event::DiskRecovered),
+                    report.event_counts.get(&Event::DiskRecovered),
                     Some(&control),
-                    "{what}"
+                    "{context}"
                 );
                 assert_eq!(
                     report
-                        .notes
+                        .event_counts
                         .get(&Event::MemberReplaced)
                         .copied()
                         .unwrap_or(0),
-                    if late { control - 1 } else { 0 },
-                    "{what}: grown at all others"
+                    if late_control_node { control - 1 } else { 0 },
+                    "{context}: grown at all others"
                 );
-                assert_eq!(count(&report, "configured"), 2, "{what}");
-                let share = served_within(&report, 15.0, 30.0);
-                assert!(share > 0.99, "{what}: {share}");
+                assert_eq!(count(&report, "configured"), 2, "{context}");
+                let share = served_share_within(&report, 15.0, 30.0);
+                assert!(share > 0.99, "{context}: {share}");
             }
         }
     }
@@ -66,18 +66,18 @@
                 (29_000, Fault::Start(NodeId::Edge(1))),
                 (30_000, Fault::ReadBack),
             ];
-            let report = run(of(control, slot as u64 + 1, 45, faults));
-            judge(&report, &[1, 6, 7]);
+            let report = run(gathering_plan(control, slot as u64 + 1, 45, faults));
+            check_rules(&report, &[1, 6, 7]);
             assert_eq!(count(&report, "configured"), 3, "{control} {slot}");
             assert_eq!(
-                report.notes.get(&Event::MemberRemoved),
+                report.event_counts.get(&Event::MemberRemoved),
                 Some(&1),
                 "{control} {slot}"
             );
             assert!(
-                served_within(&report, 30.0, 45.0) > 0.98,
+                served_share_within(&report, 30.0, 45.0) > 0.98,
                 "{control} {slot}: {}",
-                served_within(&report, 30.0, 45.0)
+                served_share_within(&report, 30.0, 45.0)
             );
         }
     }
@@ -95,9 +95,13 @@
             (22_000, Fault::Configure),
             (24_000, Fault::ReadBack),
         ];
-        let report = small(slot as u64 + 1, 40, faults);
-        judge(&report, &[1, 6, 7]);
-        assert!(served(&report) > 0.99, "slot {slot}: {}", served(&report));
+        let report = run_small(slot as u64 + 1, 40, faults);
+        check_rules(&report, &[1, 6, 7]);
+        assert!(
+            served_share(&report) > 0.99,
+            "slot {slot}: {}",
+            served_share(&report)
+        );
     }
 }
 
@@ -122,24 +126,28 @@
             (29_000, Fault::Start(NodeId::Edge(1))),
             (30_000, Fault::ReadBack),
         ];
-        let report = small(slot as u64 + 1, 45, faults);
-        judge(&report, &[1, 4, 6, 7]);
+        let report = run_small(slot as u64 + 1, 45, faults);
+        check_rules(&report, &[1, 4, 6, 7]);
         assert_eq!(
             report
                 .checker
                 .fleet
                 .iter()
-                .filter(|one| one.what == "configured")
+                .filter(|record| record.what == "configured")
                 .count(),
             3,
             "slot {slot}"
         );
         assert_eq!(
-            report.notes.get(&Event::MemberRemoved),
+            report.event_counts.get(&Event::MemberRemoved),
             Some(&1),
             "slot {slot}: the old one knows that it is out"
         );
-        assert!(served(&report) > 0.97, "slot {slot}: {}", served(&report));
+        assert!(
+            served_share(&report) > 0.97,
+            "slot {slot}: {}",
+            served_share(&report)
+        );
     }
 }
 
@@ -183,10 +191,10 @@
             ),
             (28_000, Fault::ReadBack),
         ];
-        let report = small(seed, 45, faults);
-        judge(&report, &[1, 6, 7]);
+        let report = run_small(seed, 45, faults);
+        check_rules(&report, &[1, 6, 7]);
         assert!(
-            report.notes.contains_key(&Event::MemberReplaced),
+            report.event_counts.contains_key(&Event::MemberReplaced),
             "seed {seed}"
         );
     }
@@ -206,10 +214,10 @@
         (25_000, Fault::Configure),
         (28_000, Fault::ReadBack),
     ];
-    let report = small(9, 45, faults);
-    judge(&report, &[1, 6, 7]);
+    let report = run_small(9, 45, faults);
+    check_rules(&report, &[1, 6, 7]);
     assert_eq!(
-        report.notes.get(&Event::MemberRemoved),
+        report.event_counts.get(&Event::MemberRemoved),
         Some(&1),
         "the one that lost its slot, and no other"
     );
@@ -218,7 +226,7 @@
             .checker
             .fleet
             .iter()
-            .filter(|one| one.what == "configured")
+            .filter(|record| record.what == "configured")
             .count(),
         2
     );
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -4,17 +4,17 @@
 #[test]
 fn rolling_restart_drops_no_request() {
     let mut faults = Vec::new();
-    for (at, place) in CONTROL
+    for (at, node_id) in CONTROL_NODES
         .into_iter()
         .chain((0..4).map(NodeId::Edge))
         .enumerate()
     {
-        faults.push((8_000 + at as u64 * 5_000, Fault::Restart(place)));
+        faults.push((8_000 + at as u64 * 5_000, Fault::Restart(node_id)));
     }
-    let report = small(6, 60, faults);
-    judge(&report, &[11]);
+    let report = run_small(6, 60, faults);
+    check_rules(&report, &[11]);
     assert!(report.checker.callers.iter().all(|call| !call.dropped));
-    assert!(served(&report) > 0.995, "{}", served(&report));
+    assert!(served_share(&report) > 0.995, "{}", served_share(&report));
 }
 
 #[test]
@@ -34,9 +34,9 @@
         (34_000, Fault::DrainOrigin(3)),
         (38_000, Fault::Origin(3, OriginBehavior::Down)),
     ];
-    let report = small(7, 55, faults);
-    judge(&report, &[1, 3, 8]);
-    assert!(served(&report) > 0.95, "{}", served(&report));
+    let report = run_small(7, 55, faults);
+    check_rules(&report, &[1, 3, 8]);
+    assert!(served_share(&report) > 0.95, "{}", served_share(&report));
     let unknown = report
         .checker
         .callers
@@ -54,7 +54,7 @@
             (9_400, Fault::ReuseAddress(3)),
             (9_401, Fault::Origin(3, OriginBehavior::Good)),
         ];
-        judge(&small(seed, 30, faults), &[3]);
+        check_rules(&run_small(seed, 30, faults), &[3]);
     }
 }
 
@@ -71,7 +71,7 @@
         vec![],
     ))
     .run();
-    judge(&report, &[10]);
+    check_rules(&report, &[10]);
     let share = |rank: u32| {
         let calls: Vec<_> = report
             .checker
@@ -93,15 +93,15 @@
     }
     let waited = |call: &&CallerRecord| call.status == 429 && call.end - call.start > 3.5;
     let late = report.checker.callers.iter().filter(waited).count();
-    let away = report
+    let rejected = report
         .checker
         .callers
         .iter()
         .filter(|call| call.status == 429)
         .count();
     assert!(
-        late * 10 < away,
-        "{late} of {away} heard only near their deadline"
+        late * 10 < rejected,
+        "{late} of {rejected} heard only near their deadline"
     );
 }
 
@@ -116,15 +116,15 @@
         faults.push((at + 1, Fault::Purge(format!("/listing/{}", round % 20))));
     }
     faults.push((13_000, Fault::Heal));
-    let report = small(4, 35, faults);
-    judge(&report, &[4]);
+    let report = run_small(4, 35, faults);
+    check_rules(&report, &[4]);
     let purged: Vec<&FleetRecord> = report
         .checker
         .fleet
         .iter()
-        .filter(|one| one.what == "purged")
+        .filter(|record| record.what == "purged")
         .collect();
-    assert_eq!(purged.iter().filter(|one| one.good).count(), 1500);
+    assert_eq!(purged.iter().filter(|record| record.good).count(), 1500);
     assert!(
         report.log_bytes < 12 << 20,
         "{} bytes of log",
--- a/simulate-fleet/src/scenarios_orders.rs
+++ b/simulate-fleet/src/scenarios_item_commands.rs
@@ -5,14 +5,14 @@
 
 const SPAN: Duration = Duration::from_secs(60);
 /// Nothing is broken any more from here on.
-const MENDED: Duration = Duration::from_secs(40);
+const REPAIR_AT: Duration = Duration::from_secs(40);
 /// All orders are sent once more from here on.
-const RETRY_INTERVAL: Duration = Duration::from_secs(50);
-const ITEMS: u64 = 3;
+const RESEND_AT: Duration = Duration::from_secs(50);
+const ITEM_COUNT: u64 = 3;
 /// A blank disk is refilled by then, and another may go.
-const REFILLED: u64 = 14_000;
+const DISK_REFILL_MS: u64 = 14_000;
 /// In some runs a node goes for good here, and a standby takes its slot.
-const REPLACED: u64 = 20_000;
+const REPLACEMENT_AT_MS: u64 = 20_000;
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -23,12 +23,12 @@
 struct Plan {
     random: SeededRandom,
     control: usize,
-    orders: Vec<ItemOrder>,
+    commands: Vec<ItemCommand>,
     faults: Vec<(Duration, Fault)>,
     /// When a disk may go again.
-    disks: u64,
+    next_disk_loss: u64,
     /// Goes for good.
-    replaced: Option<usize>,
+    replaced_slot: Option<usize>,
 }
 
 impl Plan {
@@ -36,35 +36,35 @@
         let mut plan = Plan {
             random: SeededRandom::new(seed ^ 0x0D3E),
             control,
-            orders: Vec::new(),
+            commands: Vec::new(),
             faults: Vec::new(),
-            disks: 0,
-            replaced: None,
+            next_disk_loss: 0,
+            replaced_slot: None,
         };
         if seed.is_multiple_of(3) {
-            plan.replace();
+            plan.add_replacement();
         }
         let mut time = 12_000;
         let mut revision = 1;
-        while at(time) < MENDED {
-            plan.burst(time, &mut revision);
-            plan.lose(time);
+        while at(time) < REPAIR_AT {
+            plan.add_burst(time, &mut revision);
+            plan.add_loss(time);
             time += 3_000 + plan.random.below(3_000);
         }
-        plan.mend();
-        plan.repeat();
+        plan.repair_all();
+        plan.resend_all();
         let deployment = Deployment::find("small").unwrap();
         WorldPlan {
             control,
             gather: control != 3,
-            orders: plan.orders,
+            commands: plan.commands,
             ..WorldPlan::new(deployment, seed, SPAN, plan.faults)
         }
     }
 
-    fn burst(&mut self, time: u64, revision: &mut u64) {
+    fn add_burst(&mut self, time: u64, revision: &mut u64) {
         for _ in 0..=self.random.below(3) {
-            let name = format!("item-{}", self.random.below(ITEMS));
+            let name = format!("item-{}", self.random.below(ITEM_COUNT));
             // At times an older one comes after a newer.
             let number = if self.random.chance(20) {
                 revision.saturating_sub(2).max(1)
@@ -73,7 +73,7 @@
             };
             *revision += 1 + self.random.below(2);
             for operator in 0..2 {
-                let order = ItemOrder {
+                let command = ItemCommand {
                     at: at(time + self.random.below(5)),
                     node: self.random.below(self.control as u64) as usize,
                     name: name.clone(),
@@ -81,33 +81,33 @@
                     content: (number * 10) as u32 + operator * self.random.below(2) as u32,
                     operator_responses_lost: self.random.below(3) as u32,
                 };
-                self.orders.push(order);
+                self.commands.push(command);
             }
         }
     }
 
-    fn lose(&mut self, time: u64) {
+    fn add_loss(&mut self, time: u64) {
         let lost = at(time + 1 + self.random.below(400));
         let back = lost + at(500 + self.random.below(1_500));
-        let nodes = self.nodes_that_stay();
-        let place = nodes[self.random.below(nodes.len() as u64) as usize];
-        let disk = time >= self.disks && self.replaced.is_none();
+        let nodes = self.remaining_nodes();
+        let node_id = nodes[self.random.below(nodes.len() as u64) as usize];
+        let disk = time >= self.next_disk_loss && self.replaced_slot.is_none();
         match self.random.below(6) {
             0 => {
-                self.faults.push((lost, Fault::Kill(place)));
-                self.faults.push((back, Fault::Start(place)));
+                self.faults.push((lost, Fault::Kill(node_id)));
+                self.faults.push((back, Fault::Start(node_id)));
             }
             1 if disk => {
-                self.disks = time + REFILLED;
-                self.faults.push((lost, Fault::Wipe(place)));
-                self.faults.push((back, Fault::Start(place)));
+                self.next_disk_loss = time + DISK_REFILL_MS;
+                self.faults.push((lost, Fault::Wipe(node_id)));
+                self.faults.push((back, Fault::Start(node_id)));
             }
-            1 | 2 => self.faults.push((lost, Fault::Restart(place))),
+            1 | 2 => self.faults.push((lost, Fault::Restart(node_id))),
             3 => {
-                self.faults.push((lost, Fault::Isolate(place)));
+                self.faults.push((lost, Fault::Isolate(node_id)));
                 self.faults.push((back, Fault::Heal));
             }
-            4 => self.faults.push((lost, Fault::Pause(place, back - lost))),
+            4 => self.faults.push((lost, Fault::Pause(node_id, back - lost))),
             _ => {
                 for node in nodes {
                     self.faults.push((lost, Fault::Kill(node)));
@@ -119,35 +119,35 @@
 
     /// One node is lost for good while orders are under way; an empty one that
     /// stands by takes its slot.
-    fn replace(&mut self) {
+    fn add_replacement(&mut self) {
         let lost = self.random.below(self.control as u64) as usize;
         let standby = NodeId::Control(self.control);
         self.faults.push((at(8_000), Fault::Start(standby)));
         self.faults
-            .push((at(REPLACED), Fault::Kill(NodeId::Control(lost))));
-        self.replaced = Some(lost);
+            .push((at(REPLACEMENT_AT_MS), Fault::Kill(NodeId::Control(lost))));
+        self.replaced_slot = Some(lost);
     }
 
-    fn nodes_that_stay(&self) -> Vec<NodeId> {
-        let slots = (0..self.control).filter(|slot| Some(*slot) != self.replaced);
+    fn remaining_nodes(&self) -> Vec<NodeId> {
+        let slots = (0..self.control).filter(|slot| Some(*slot) != self.replaced_slot);
         slots.map(NodeId::Control).collect()
     }
 
-    fn mend(&mut self) {
-        self.faults.push((MENDED, Fault::Heal));
-        for node in self.nodes_that_stay() {
-            self.faults.push((MENDED, Fault::Start(node)));
+    fn repair_all(&mut self) {
+        self.faults.push((REPAIR_AT, Fault::Heal));
+        for node in self.remaining_nodes() {
+            self.faults.push((REPAIR_AT, Fault::Start(node)));
         }
     }
 
     /// Every order once more, from another node and without losses.
-    fn repeat(&mut self) {
-        for order in self.orders.clone() {
-            self.orders.push(ItemOrder {
-                at: RETRY_INTERVAL,
-                node: order.node + 1,
+    fn resend_all(&mut self) {
+        for command in self.commands.clone() {
+            self.commands.push(ItemCommand {
+                at: RESEND_AT,
+                node: command.node + 1,
                 operator_responses_lost: 0,
-                ..order
+                ..command
             });
         }
     }
@@ -161,24 +161,24 @@
 #[derive(Default)]
 struct Revision {
     confirmed: BTreeSet<u32>,
-    refused: BTreeSet<u32>,
+    rejected: BTreeSet<u32>,
 }
 
 /// No revision is confirmed with two contents, none is refused that was
 /// confirmed, and in the end each order has an answer.
-fn judge_orders(report: &Report, what: &str) -> (usize, usize) {
+fn check_item_commands(report: &Report, context: &str) -> (usize, usize) {
     let mut revisions: BTreeMap<(String, u64), Revision> = BTreeMap::new();
-    for record in &report.orders {
-        let order = &record.order;
+    for record in &report.commands {
+        let command = &record.command;
         let revision = revisions
-            .entry((order.name.clone(), order.revision))
+            .entry((command.name.clone(), command.revision))
             .or_default();
         match &record.outcome {
-            Some(ChangeOutcome::Acknowledged { .. }) => revision.confirmed.insert(order.content),
-            Some(ChangeOutcome::RevisionConflict(_)) => revision.refused.insert(order.content),
+            Some(ChangeOutcome::Acknowledged { .. }) => revision.confirmed.insert(command.content),
+            Some(ChangeOutcome::RevisionConflict(_)) => revision.rejected.insert(command.content),
             other => panic!(
-                "{what}: {order:?} ends with {other:?} after {} tries",
-                record.tries
+                "{context}: {command:?} ends with {other:?} after {} attempts",
+                record.attempts
             ),
         };
     }
@@ -186,16 +186,21 @@
         assert_eq!(
             revision.confirmed.len(),
             1,
-            "{what}: {name:?} {:?}",
+            "{context}: {name:?} {:?}",
             revision.confirmed
         );
-        let both: Vec<&u32> = revision.confirmed.intersection(&revision.refused).collect();
+        let both: Vec<&u32> = revision
+            .confirmed
+            .intersection(&revision.rejected)
+            .collect();
         assert!(
             both.is_empty(),
-            "{what}: {name:?} refused and confirmed: {both:?}"
+            "{context}: {name:?} refused and confirmed: {both:?}"
         );
     }
-    let conflicts = revisions.values().filter(|one| !one.refused.is_empty());
+    let conflicts = revisions
+        .values()
+        .filter(|revision| !revision.rejected.is_empty());
     (revisions.len(), conflicts.count())
 }
 
@@ -204,11 +209,11 @@
     let (mut revisions, mut conflicts) = (0, 0);
     for control in [3, 4, 5] {
         for seed in 1..=8 {
-            let what = format!("{control} control nodes, seed {seed}");
+            let context = format!("{control} control nodes, seed {seed}");
             let report = run(Plan::random(control, seed));
-            let (all, refused) = judge_orders(&report, &what);
+            let (all, rejected) = check_item_commands(&report, &context);
             revisions += all;
-            conflicts += refused;
+            conflicts += rejected;
         }
     }
     assert!(revisions > 100 && conflicts > 30, "{revisions} {conflicts}");
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -3,14 +3,14 @@
 //! then on the next one may go.
 
 use crate::prelude::*;
-use crate::scenarios::{count, judge, of, run, served_within};
+use crate::scenarios::{check_rules, count, gathering_plan, run, served_share_within};
 
 /// The users' `catch_up_s`, in milliseconds.
-const CATCH_UP: u64 = 4_000;
-const SIZES: [usize; 4] = [3, 4, 5, 8];
+const CATCH_UP_MS: u64 = 4_000;
+const FLEET_SIZES: [usize; 4] = [3, 4, 5, 8];
 
 /// Machines that may be lost at once.
-fn tolerated(control: usize) -> usize {
+fn max_losses(control: usize) -> usize {
     if control < 5 { 1 } else { 2 }
 }
 
@@ -21,49 +21,52 @@
 fn fleet(control: usize, seed: u64, span: u64, faults: Vec<(u64, Fault)>) -> WorldPlan {
     WorldPlan {
         spares: 3,
-        ..of(control, seed, span, faults)
+        ..gathering_plan(control, seed, span, faults)
     }
 }
 
 /// When a node's disk first counted after this moment, in milliseconds.
-fn refilled(report: &Report, place: NodeId, after: u64) -> Option<u64> {
-    let first = report.membership.iter().find(|(at, who, event)| {
-        *event == Event::DiskRecovered && *who == place && at.as_millis() as u64 >= after
+fn disk_recovered_at(report: &Report, node_id: NodeId, after: u64) -> Option<u64> {
+    let first = report.membership_events.iter().find(|(at, who, event)| {
+        *event == Event::DiskRecovered && *who == node_id && at.as_millis() as u64 >= after
     });
     first.map(|(at, _, _)| at.as_millis() as u64)
 }
 
 /// No never is broken, every change and read after the last loss is answered,
 /// and callers are served.
-fn judge_after(report: &Report, what: &str, from: f64, to: f64, configured: usize) {
-    judge(report, &[6]);
-    assert_eq!(count(report, "configured"), configured, "{what}");
-    let served = served_within(report, from, to);
-    assert!(served > 0.98, "{what}: {served} served");
+fn check_after_loss(report: &Report, context: &str, from: f64, to: f64, configured: usize) {
+    check_rules(report, &[6]);
+    assert_eq!(count(report, "configured"), configured, "{context}");
+    let served_share = served_share_within(report, from, to);
+    assert!(served_share > 0.98, "{context}: {served_share} served");
 }
 
 /// A machine is gone for good and an empty one starts a second later; once
 /// that has had its time, as many more as may be lost go for good.
 #[test]
 fn unplanned_replacement_leaves_majority_for_next_loss() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for lost in 0..3 {
             let start = 9_000;
-            let next = start + CATCH_UP;
+            let next = start + CATCH_UP_MS;
             let mut faults = vec![
                 (8_000, Fault::Kill(NodeId::Control(lost))),
                 (start, Fault::Start(spare(control, 0))),
                 (14_000, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
-            for more in 1..=tolerated(control) {
+            for more in 1..=max_losses(control) {
                 faults.push((next, Fault::Kill(NodeId::Control((lost + more) % control))));
             }
             let report = run(fleet(control, lost as u64 + 1, 30, faults));
-            let what = format!("{control} slots, {lost} lost");
-            let full = refilled(&report, spare(control, 0), start);
-            assert!(full.is_some_and(|at| at < next), "{what}: full at {full:?}");
-            judge_after(&report, &what, 17.0, 29.0, 2);
+            let context = format!("{control} slots, {lost} lost");
+            let full = disk_recovered_at(&report, spare(control, 0), start);
+            assert!(
+                full.is_some_and(|at| at < next),
+                "{context}: full at {full:?}"
+            );
+            check_after_loss(&report, &context, 17.0, 29.0, 2);
         }
     }
 }
@@ -75,7 +78,7 @@
     for control in [5, 8] {
         for lost in [0, 2] {
             let (start, second) = (9_000, lost + 1);
-            let next = start + CATCH_UP;
+            let next = start + CATCH_UP_MS;
             let report = run(fleet(
                 control,
                 lost as u64 + 1,
@@ -91,12 +94,15 @@
                     (22_000, Fault::ReadBack),
                 ],
             ));
-            let what = format!("{control} slots, {lost} and {second} lost");
+            let context = format!("{control} slots, {lost} and {second} lost");
             for number in 0..2 {
-                let full = refilled(&report, spare(control, number), start);
-                assert!(full.is_some_and(|at| at < next), "{what}: full at {full:?}");
+                let full = disk_recovered_at(&report, spare(control, number), start);
+                assert!(
+                    full.is_some_and(|at| at < next),
+                    "{context}: full at {full:?}"
+                );
             }
-            judge_after(&report, &what, 17.0, 29.0, 2);
+            check_after_loss(&report, &context, 17.0, 29.0, 2);
         }
     }
 }
@@ -105,30 +111,30 @@
 /// lost no longer than until its successor has had its time.
 #[test]
 fn draining_member_hands_slot_to_newcomer() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for leaving in 0..3 {
-            let (start, warned) = (8_000, 10_000);
-            let next = start + CATCH_UP;
+            let (start, shutdown_at) = (8_000, 10_000);
+            let next = start + CATCH_UP_MS;
             let mut faults = vec![
                 (start, Fault::Start(spare(control, 0))),
-                (warned, Fault::Retire(NodeId::Control(leaving))),
+                (shutdown_at, Fault::Retire(NodeId::Control(leaving))),
                 (13_500, Fault::Configure),
                 (22_000, Fault::ReadBack),
             ];
-            for more in 1..=tolerated(control) {
+            for more in 1..=max_losses(control) {
                 faults.push((
                     next,
                     Fault::Kill(NodeId::Control((leaving + more) % control)),
                 ));
             }
             let report = run(fleet(control, leaving as u64 + 1, 30, faults));
-            let what = format!("{control} slots, {leaving} leaving");
-            let full = refilled(&report, spare(control, 0), start);
+            let context = format!("{control} slots, {leaving} leaving");
+            let full = disk_recovered_at(&report, spare(control, 0), start);
             assert!(
-                full.is_some_and(|at| at < warned + 1_500),
-                "{what}: full at {full:?}"
+                full.is_some_and(|at| at < shutdown_at + 1_500),
+                "{context}: full at {full:?}"
             );
-            judge_after(&report, &what, 17.0, 29.0, 2);
+            check_after_loss(&report, &context, 17.0, 29.0, 2);
         }
     }
 }
@@ -138,29 +144,29 @@
 /// very moment: what the leaving one holds must not go with it.
 #[test]
 fn draining_member_hands_over_at_maximum_loss() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for (seed, shift) in [0, 100, 300, 700, 1_500].into_iter().enumerate() {
             for early in [false, true] {
-                for cut in [false, true] {
-                    let (start, warned) = (8_000, 8_000 + CATCH_UP);
+                for partitioned in [false, true] {
+                    let (start, shutdown_at) = (8_000, 8_000 + CATCH_UP_MS);
                     let at = if early {
-                        warned - shift
+                        shutdown_at - shift
                     } else {
-                        warned + shift
+                        shutdown_at + shift
                     };
                     let leaving = seed % 3;
                     let mut faults = vec![
                         (start, Fault::Start(spare(control, 0))),
-                        (warned - 20, Fault::Configure),
-                        (warned, Fault::Retire(NodeId::Control(leaving))),
+                        (shutdown_at - 20, Fault::Configure),
+                        (shutdown_at, Fault::Retire(NodeId::Control(leaving))),
                         // Callers were served before it; operators ask any node.
                         (18_200, Fault::Heal),
                         (18_500, Fault::Configure),
                         (24_000, Fault::ReadBack),
                     ];
-                    for more in 1..=tolerated(control) {
+                    for more in 1..=max_losses(control) {
                         let other = NodeId::Control((leaving + more) % control);
-                        let loss = if cut {
+                        let loss = if partitioned {
                             Fault::Isolate(other)
                         } else {
                             Fault::Kill(other)
@@ -168,17 +174,18 @@
                         faults.push((at, loss));
                     }
                     let report = run(fleet(control, seed as u64 + 1, 30, faults));
-                    let what = format!("{control} slots, {leaving} leaving, others lost at {at}");
+                    let context =
+                        format!("{control} slots, {leaving} leaving, others lost at {at}");
                     // An order under way at a machine that is killed is not answered.
                     let unknown = count(&report, "configure-unknown");
-                    assert!(unknown <= 1, "{what}");
-                    judge_after(&report, &what, 15.0, 18.0, 3 - unknown);
+                    assert!(unknown <= 1, "{context}");
+                    check_after_loss(&report, &context, 15.0, 18.0, 3 - unknown);
                     let last = report
                         .checker
                         .fleet
                         .iter()
-                        .rfind(|one| one.what == "configured");
-                    assert!(last.is_some_and(|one| one.at > 18.4), "{what}");
+                        .rfind(|record| record.what == "configured");
+                    assert!(last.is_some_and(|record| record.at > 18.4), "{context}");
                 }
             }
         }
@@ -188,7 +195,7 @@
 /// One that is only restarted keeps its slot, and is back as soon as ever.
 #[test]
 fn restarted_member_keeps_its_slot() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         let faults = (0..control)
             .map(|slot| {
                 let at = 8_000 + slot as u64 * 3_000;
@@ -197,10 +204,10 @@
             .chain([(34_000, Fault::Configure), (37_000, Fault::ReadBack)])
             .collect();
         let report = run(fleet(control, 1, 40, faults));
-        judge_after(&report, &control.to_string(), 8.0, 39.0, 2);
-        assert!(!report.notes.contains_key(&Event::MemberRemoved));
+        check_after_loss(&report, &control.to_string(), 8.0, 39.0, 2);
+        assert!(!report.event_counts.contains_key(&Event::MemberRemoved));
         let replaced = report
-            .membership
+            .membership_events
             .iter()
             .filter(|(at, _, event)| {
                 *event == Event::MemberReplaced && *at > Duration::from_secs(8)
@@ -213,7 +220,7 @@
 /// Two machines of the core are replaced one right after the other.
 #[test]
 fn consecutive_planned_replacements_tolerate_next_loss() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         let mut faults = vec![
             (8_000, Fault::Start(spare(control, 0))),
             (9_000, Fault::Retire(NodeId::Control(0))),
@@ -224,18 +231,18 @@
             (18_500, Fault::Configure),
             (22_000, Fault::ReadBack),
         ];
-        for more in 0..tolerated(control) {
+        for more in 0..max_losses(control) {
             faults.push((16_000, Fault::Kill(NodeId::Control(control - 1 - more))));
         }
         let report = run(fleet(control, 3, 30, faults));
-        judge_after(&report, &control.to_string(), 20.0, 29.0, 4);
+        check_after_loss(&report, &control.to_string(), 20.0, 29.0, 4);
     }
 }
 
 /// The newcomer is lost at each step of its taking over, and another one comes.
 #[test]
 fn newcomer_lost_at_any_step_is_replaced() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for step in (0..1_500).step_by(150) {
             let leaving = NodeId::Control((step / 150) as usize % 3);
             let report = run(fleet(
@@ -252,13 +259,13 @@
                     (22_000, Fault::ReadBack),
                 ],
             ));
-            let what = format!("{control} slots, the newcomer lost after {step} ms");
-            let full = refilled(&report, spare(control, 1), 13_000);
+            let context = format!("{control} slots, the newcomer lost after {step} ms");
+            let full = disk_recovered_at(&report, spare(control, 1), 13_000);
             assert!(
-                full.is_some_and(|at| at < 13_000 + CATCH_UP),
-                "{what}: full at {full:?}"
+                full.is_some_and(|at| at < 13_000 + CATCH_UP_MS),
+                "{context}: full at {full:?}"
             );
-            judge_after(&report, &what, 20.0, 29.0, 3);
+            check_after_loss(&report, &context, 20.0, 29.0, 3);
         }
     }
 }
@@ -268,16 +275,16 @@
 /// waits, and takes the slot of the next that leaves.
 #[test]
 fn replaced_partitioned_member_returns_as_newcomer() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for slot in 0..3 {
-            let cut = NodeId::Control(slot);
+            let partitioned = NodeId::Control(slot);
             let leaving = NodeId::Control((slot + 1) % 3);
             let report = run(fleet(
                 control,
                 slot as u64 + 1,
                 35,
                 vec![
-                    (8_000, Fault::Isolate(cut)),
+                    (8_000, Fault::Isolate(partitioned)),
                     (9_000, Fault::Start(spare(control, 0))),
                     (15_000, Fault::Heal),
                     (16_000, Fault::Configure),
@@ -287,14 +294,14 @@
                     (27_000, Fault::ReadBack),
                 ],
             ));
-            let what = format!("{control} slots, {slot} cut off");
-            let full = refilled(&report, cut, 15_000);
-            assert!(full.is_some_and(|at| at < 20_000), "{what}: {full:?}");
-            judge_after(&report, &what, 25.0, 34.0, 3);
+            let context = format!("{control} slots, {slot} cut off");
+            let full = disk_recovered_at(&report, partitioned, 15_000);
+            assert!(full.is_some_and(|at| at < 20_000), "{context}: {full:?}");
+            check_after_loss(&report, &context, 25.0, 34.0, 3);
             assert_eq!(
-                report.notes.get(&Event::MemberRemoved),
+                report.event_counts.get(&Event::MemberRemoved),
                 Some(&2),
-                "{what}: the one cut off and the one that left"
+                "{context}: the one cut off and the one that left"
             );
         }
     }
@@ -304,7 +311,7 @@
 /// replacement from when the newcomer has had its time: nothing is missing.
 #[test]
 fn disk_wiped_after_replacement_loses_nothing() {
-    for control in SIZES {
+    for control in FLEET_SIZES {
         for planned in [false, true] {
             for (seed, more) in [0, 200, 600, 1_200].into_iter().enumerate() {
                 let leaving = seed % 3;
@@ -322,25 +329,25 @@
                         (8_000, Fault::Start(spare(control, 0))),
                         (9_000, end),
                         (
-                            8_000 + CATCH_UP + more,
+                            8_000 + CATCH_UP_MS + more,
                             Fault::LossOnTrigger(
                                 Trigger::Configured,
-                                Loss::Disks(first, tolerated(control)),
+                                Loss::Disks(first, max_losses(control)),
                             ),
                         ),
-                        (8_010 + CATCH_UP + more, Fault::Configure),
+                        (8_010 + CATCH_UP_MS + more, Fault::Configure),
                         (24_000, Fault::ReadBack),
                         (26_000, Fault::Configure),
                     ],
                 ));
-                let what = format!("{control} slots, planned: {planned}, {more} ms later");
-                judge(&report, &[1, 12]);
-                assert_eq!(count(&report, "read-back"), 1, "{what}");
-                assert_eq!(count(&report, "configured"), 3, "{what}");
+                let context = format!("{control} slots, planned: {planned}, {more} ms later");
+                check_rules(&report, &[1, 12]);
+                assert_eq!(count(&report, "read-back"), 1, "{context}");
+                assert_eq!(count(&report, "configured"), 3, "{context}");
                 assert_eq!(
-                    report.notes.get(&Event::GenerationFounded),
+                    report.event_counts.get(&Event::GenerationFounded),
                     Some(&1),
-                    "{what}"
+                    "{context}"
                 );
             }
         }
@@ -351,14 +358,14 @@
 /// `--nocapture` the lines of the table in docs/figures.md.
 /// Its name, whose disk is to be full again, when it is lost and when what
 /// replaces it starts (both in ms), and what happens.
-type KindOfLoss = (&'static str, NodeId, u64, u64, [(u64, Fault); 2]);
+type LossCase = (&'static str, NodeId, u64, u64, [(u64, Fault); 2]);
 
 #[test]
 fn reduced_redundancy_is_bounded_by_catch_up() {
     let lost = NodeId::Control(1);
-    for control in SIZES {
+    for control in FLEET_SIZES {
         let new = spare(control, 0);
-        let kinds: [KindOfLoss; 5] = [
+        let cases: [LossCase; 5] = [
             (
                 "a disk wiped, back after 1 s",
                 lost,
@@ -395,20 +402,20 @@
                 [(9_000, Fault::Start(new)), (10_000, Fault::Isolate(lost))],
             ),
         ];
-        for (what, who, loss, start, faults) in kinds {
+        for (name, node_id, loss, start, faults) in cases {
             let mut spans = Vec::new();
             for seed in 1..=8 {
                 let report = run(fleet(control, seed, 20, faults.to_vec()));
-                judge(&report, &[]);
-                let full = refilled(&report, who, loss).expect(what);
+                check_rules(&report, &[]);
+                let full = disk_recovered_at(&report, node_id, loss).expect(name);
                 assert!(
-                    full < loss.max(start) + CATCH_UP,
-                    "{control} {what}: {full}"
+                    full < loss.max(start) + CATCH_UP_MS,
+                    "{control} {name}: {full}"
                 );
                 spans.push(full - loss);
             }
             spans.sort_unstable();
-            println!("| {control} | {what} | {} | {} |", spans[4], spans[7]);
+            println!("| {control} | {name} | {} | {} |", spans[4], spans[7]);
         }
     }
 }
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -18,22 +18,22 @@
     pub(super) edges: u64,
     pub(super) origins: u64,
     pub(super) services: u64,
-    left: BTreeSet<usize>,
+    drained_origins: BTreeSet<usize>,
     /// When a disk may go again.
-    pub(super) disks: u64,
+    pub(super) next_disk_loss: u64,
     pub(super) end: u64,
     /// A majority of disks goes in this run: edges must live on.
-    pub(super) majority_wiped: bool,
+    pub(super) loses_disk_majority: bool,
     /// The empty node that stands by is started in this run.
-    pub(super) standby: bool,
+    pub(super) has_standby: bool,
 }
 
 /// A blank disk is refilled in much less, once both others are there.
-pub(super) const REFILL: u64 = 14_000;
+pub(super) const DISK_REFILL_MS: u64 = 14_000;
 /// Of a hundred troubles so many are those of `schedule_core`.
-const CORE_FAULTS: u64 = 40;
+const CORE_FAULT_PERCENT: u64 = 40;
 /// From the mending to the end.
-const QUIET: u64 = 26_000;
+const QUIET_TAIL_MS: u64 = 26_000;
 
 impl Schedule {
     /// For a fleet of so many control nodes.
@@ -54,178 +54,184 @@
                 .map(|service| service.origins as u64)
                 .sum(),
             services: deployment.services.len() as u64,
-            left: BTreeSet::new(),
-            disks: 0,
-            majority_wiped: false,
-            standby: false,
-            end: (span.as_millis() as u64).saturating_sub(QUIET).max(8_000),
+            drained_origins: BTreeSet::new(),
+            next_disk_loss: 0,
+            loses_disk_majority: false,
+            has_standby: false,
+            end: (span.as_millis() as u64)
+                .saturating_sub(QUIET_TAIL_MS)
+                .max(8_000),
         };
         let planned = seed.is_multiple_of(5);
         // In some runs an empty node stands by for a lost slot.
-        schedule.standby = !planned && schedule.random.chance(40);
-        let core_troubles = !schedule.standby || schedule.random.chance(50);
-        if schedule.standby && core_troubles {
-            schedule.disks = u64::MAX;
+        schedule.has_standby = !planned && schedule.random.chance(40);
+        let has_core_faults = !schedule.has_standby || schedule.random.chance(50);
+        if schedule.has_standby && has_core_faults {
+            schedule.next_disk_loss = u64::MAX;
         }
-        if schedule.standby {
-            schedule.put(5_000, Fault::Start(NodeId::Control(control)));
+        if schedule.has_standby {
+            schedule.add(5_000, Fault::Start(NodeId::Control(control)));
         }
         if !planned && schedule.random.chance(12) {
-            schedule.lose_disks();
+            schedule.lose_most_disks();
         }
         // A founding that is gathered takes longer.
         let mut at = if control == 3 { 6_000 } else { 9_000 };
         while at < schedule.end - 1_000 {
             if planned {
-                schedule.plan(at)
-            } else if core_troubles && schedule.random.chance(CORE_FAULTS) {
-                schedule.core_faults(at)
+                schedule.draw_planned_change(at)
+            } else if has_core_faults && schedule.random.chance(CORE_FAULT_PERCENT) {
+                schedule.draw_core_fault(at)
             } else {
                 schedule.draw_fault(at)
             }
             at += 300 + schedule.random.below(2_500);
         }
-        schedule.mend();
+        schedule.repair_all();
         let mut list = schedule.list;
         list.sort_by_key(|(at, _)| *at);
         list
     }
 
     /// Disks that may be wiped at once.
-    pub fn borne(control: usize) -> usize {
+    pub fn max_disk_losses(control: usize) -> usize {
         if control < 5 { 1 } else { 2 }
     }
 
-    pub(super) fn put(&mut self, at: u64, fault: Fault) {
+    pub(super) fn add(&mut self, at: u64, fault: Fault) {
         self.list
             .push((Duration::from_millis(at.min(self.end)), fault));
     }
 
-    pub(super) fn both(&mut self, at: u64, first: Fault, second: Fault) {
-        let later = self.later(at);
-        self.put(at, first);
-        self.put(later, second);
+    pub(super) fn add_pair(&mut self, at: u64, first: Fault, second: Fault) {
+        let later = self.later_time(at);
+        self.add(at, first);
+        self.add(later, second);
     }
 
-    pub(super) fn later(&mut self, at: u64) -> u64 {
+    pub(super) fn later_time(&mut self, at: u64) -> u64 {
         (at + 500 + self.random.below(5_000)).min(self.end)
     }
 
-    pub(super) fn edge(&mut self) -> NodeId {
+    pub(super) fn random_edge(&mut self) -> NodeId {
         NodeId::Edge(self.random.below(self.edges) as usize)
     }
 
-    pub(super) fn control(&mut self) -> NodeId {
+    pub(super) fn random_control_node(&mut self) -> NodeId {
         NodeId::Control(self.random.below(self.control) as usize)
     }
 
-    pub(super) fn place(&mut self) -> NodeId {
+    pub(super) fn random_node(&mut self) -> NodeId {
         if self.random.chance(50) {
-            self.edge()
+            self.random_edge()
         } else {
-            self.control()
+            self.random_control_node()
         }
     }
 
     /// What operators and the platform do by intent.
-    fn plan(&mut self, at: u64) {
+    fn draw_planned_change(&mut self, at: u64) {
         match self.random.below(11) {
             0 | 1 => {
                 // One machine at a time.
-                let place = self.place();
+                let node_id = self.random_node();
                 if self.list.iter().all(|(known, fault)| {
                     !matches!(fault, Fault::Restart(_)) || known.as_millis() as u64 + 9_000 < at
                 }) {
-                    self.put(at, Fault::Restart(place));
+                    self.add(at, Fault::Restart(node_id));
                 }
             }
             2 | 3 => {
-                self.put(at, Fault::Content);
-                self.put(at + 1, Fault::Purge("/".into()));
+                self.add(at, Fault::Content);
+                self.add(at + 1, Fault::Purge("/".into()));
             }
             4 => (0..3 + self.random.below(60)).for_each(|more| {
-                self.put(
+                self.add(
                     at + more * 15,
                     Fault::Purge(format!("/listing/{}", more % 20)),
                 )
             }),
-            5 => self.put(at, Fault::Configure),
+            5 => self.add(at, Fault::Configure),
             // In quick succession.
             6 => (0..2 + self.random.below(6))
-                .for_each(|more| self.put(at + more * 40, Fault::Configure)),
-            7 => self.both(at, Fault::ConfigureInvalid, Fault::ReadBack),
+                .for_each(|more| self.add(at + more * 40, Fault::Configure)),
+            7 => self.add_pair(at, Fault::ConfigureInvalid, Fault::ReadBack),
             8 => {
                 let operators = 2 + self.random.below(4) as usize;
-                self.both(at, Fault::Race(operators), Fault::ReadBack);
+                self.add_pair(at, Fault::Race(operators), Fault::ReadBack);
             }
             9 => {
                 let entries = 200 + self.random.below(1_500) as usize;
-                self.both(at, Fault::Grow(entries), Fault::ReadBack);
+                self.add_pair(at, Fault::Grow(entries), Fault::ReadBack);
             }
             _ => {
                 let origin = self.random.below(self.origins) as usize;
                 // At least one of each service stays.
-                if self.left.is_empty() && self.left.insert(origin) {
-                    self.put(at, Fault::DrainOrigin(origin));
-                    self.put(at + 4_000, Fault::Origin(origin, OriginBehavior::Down));
+                if self.drained_origins.is_empty() && self.drained_origins.insert(origin) {
+                    self.add(at, Fault::DrainOrigin(origin));
+                    self.add(at + 4_000, Fault::Origin(origin, OriginBehavior::Down));
                 }
             }
         }
     }
 
     fn draw_fault(&mut self, at: u64) {
-        let (edge, control, place) = (self.edge(), self.control(), self.place());
+        let (edge, control, node_id) = (
+            self.random_edge(),
+            self.random_control_node(),
+            self.random_node(),
+        );
         let origin = self.random.below(self.origins) as usize;
         let service = self.random.below(self.services) as usize;
         match self.random.below(if self.control == 3 { 31 } else { 35 }) {
-            0 | 1 => self.both(at, Fault::Kill(place), Fault::Start(place)),
+            0 | 1 => self.add_pair(at, Fault::Kill(node_id), Fault::Start(node_id)),
             2 | 3 => {
                 let span = Duration::from_millis(200 + self.random.below(4_000));
-                self.put(at, Fault::Pause(place, span));
+                self.add(at, Fault::Pause(node_id, span));
             }
-            4 => self.put(at, Fault::Restart(place)),
-            5 => self.both(at, Fault::DropLink(place, control), Fault::Heal),
-            6 => self.both(at, Fault::DropLink(control, place), Fault::Heal),
-            7 => self.both(at, Fault::Isolate(place), Fault::Heal),
+            4 => self.add(at, Fault::Restart(node_id)),
+            5 => self.add_pair(at, Fault::DropLink(node_id, control), Fault::Heal),
+            6 => self.add_pair(at, Fault::DropLink(control, node_id), Fault::Heal),
+            7 => self.add_pair(at, Fault::Isolate(node_id), Fault::Heal),
             8 => self.draw_lossy_network(at),
             9..=12 => self.draw_origin_fault(at, origin),
             13 => self.draw_service_fault(at, service),
-            14 => self.put(at, Fault::Replace(origin)),
+            14 => self.add(at, Fault::Replace(origin)),
             // One by one.
             15 => (0..self.origins.min(4))
-                .for_each(|more| self.put(at + more * 700, Fault::Replace(more as usize))),
+                .for_each(|more| self.add(at + more * 700, Fault::Replace(more as usize))),
             16 => self.reuse_address(at, origin),
             17 => self.draw_power_failure(at, control),
-            18 if at >= self.disks => {
-                self.disks = at + REFILL;
-                self.both(at, Fault::Wipe(control), Fault::Start(control));
+            18 if at >= self.next_disk_loss => {
+                self.next_disk_loss = at + DISK_REFILL_MS;
+                self.add_pair(at, Fault::Wipe(control), Fault::Start(control));
             }
-            19 => self.split_core(at, control, place),
+            19 => self.split_core(at, control, node_id),
             20 => self.split_core_and_edges(at),
-            21 if at >= self.disks => self.fill_disk(at, control),
+            21 if at >= self.next_disk_loss => self.fill_disk(at, control),
             22 | 23 => self.draw_loss_on_trigger(at),
-            31..=33 if at >= self.disks => self.draw_disk_losses_on_trigger(at),
+            31..=33 if at >= self.next_disk_loss => self.draw_disk_losses_on_trigger(at),
             // A slot is gone for longer than it takes an empty node to get it.
             34 => {
-                self.put(at, Fault::Start(NodeId::Control(self.control as usize)));
-                self.put(at, Fault::Kill(control));
-                self.put(at + 9_000, Fault::Start(control));
+                self.add(at, Fault::Start(NodeId::Control(self.control as usize)));
+                self.add(at, Fault::Kill(control));
+                self.add(at + 9_000, Fault::Start(control));
             }
-            24 => self.both(at, Fault::Kill(edge), Fault::Start(edge)),
-            _ => self.plan(at),
+            24 => self.add_pair(at, Fault::Kill(edge), Fault::Start(edge)),
+            _ => self.draw_planned_change(at),
         }
     }
 
     /// Messages are lost, doubled and late for a while.
     fn draw_lossy_network(&mut self, at: u64) {
-        let weather = Fault::LossyNetwork {
+        let lossy_network = Fault::LossyNetwork {
             lost: self.random.below(20),
             doubled: self.random.below(20),
             late: self.random.below(30),
         };
-        self.both(
+        self.add_pair(
             at,
-            weather,
+            lossy_network,
             Fault::LossyNetwork {
                 lost: 0,
                 doubled: 0,
@@ -242,7 +248,7 @@
             OriginBehavior::VerySlow,
             OriginBehavior::WrongBytes,
         ][self.random.below(4) as usize];
-        self.both(
+        self.add_pair(
             at,
             Fault::Origin(origin, behavior),
             Fault::Origin(origin, OriginBehavior::Good),
@@ -257,7 +263,7 @@
             OriginBehavior::Mute,
             OriginBehavior::WrongBytes,
         ][self.random.below(4) as usize];
-        self.both(
+        self.add_pair(
             at,
             Fault::Service(service, behavior),
             Fault::Service(service, OriginBehavior::Good),
@@ -266,77 +272,80 @@
 
     /// An origin ends, and an origin of another service takes its address.
     fn reuse_address(&mut self, at: u64, origin: usize) {
-        if self.left.is_empty() {
-            self.left.insert(origin);
-            self.put(at, Fault::Origin(origin, OriginBehavior::Down));
-            self.put(at + 300, Fault::ReuseAddress(origin));
-            self.put(at + 301, Fault::Origin(origin, OriginBehavior::Good));
+        if self.drained_origins.is_empty() {
+            self.drained_origins.insert(origin);
+            self.add(at, Fault::Origin(origin, OriginBehavior::Down));
+            self.add(at + 300, Fault::ReuseAddress(origin));
+            self.add(at + 301, Fault::Origin(origin, OriginBehavior::Good));
         }
     }
 
     /// Power fails for a group of nodes at once.
     fn draw_power_failure(&mut self, at: u64, control: NodeId) {
-        let later = self.later(at);
+        let later = self.later_time(at);
         let share = [30, 60, 100][self.random.below(3) as usize];
-        for place in (0..self.control as usize)
+        for node_id in (0..self.control as usize)
             .map(NodeId::Control)
             .chain((0..self.edges as usize).map(NodeId::Edge))
         {
             if self.random.chance(share) {
-                self.put(at, Fault::Kill(place));
-                self.put(later, Fault::Start(place));
+                self.add(at, Fault::Kill(node_id));
+                self.add(later, Fault::Start(node_id));
             }
         }
-        self.put(later, Fault::Heal);
+        self.add(later, Fault::Heal);
         // One goes again while the others recover.
         if self.random.chance(50) {
-            let again = later + 300 + self.random.below(2_000);
-            self.both(again, Fault::Kill(control), Fault::Start(control));
+            let repeat_at = later + 300 + self.random.below(2_000);
+            self.add_pair(repeat_at, Fault::Kill(control), Fault::Start(control));
         }
     }
 
     /// The core falls in two, in some shape.
-    fn split_core(&mut self, at: u64, control: NodeId, place: NodeId) {
-        let other = self.control();
-        let later = self.later(at);
-        self.put(at, Fault::Isolate(control));
-        self.put(at, Fault::DropLink(place, other));
-        self.put(later, Fault::Heal);
+    fn split_core(&mut self, at: u64, control: NodeId, node_id: NodeId) {
+        let other = self.random_control_node();
+        let later = self.later_time(at);
+        self.add(at, Fault::Isolate(control));
+        self.add(at, Fault::DropLink(node_id, other));
+        self.add(later, Fault::Heal);
     }
 
     /// Each half of the edges keeps one side of the core.
     fn split_core_and_edges(&mut self, at: u64) {
-        let (one, later) = (self.random.below(self.control) as usize, self.later(at));
-        for other in (0..self.control as usize).filter(|other| *other != one) {
-            self.put(
+        let (first_slot, later) = (
+            self.random.below(self.control) as usize,
+            self.later_time(at),
+        );
+        for other in (0..self.control as usize).filter(|other| *other != first_slot) {
+            self.add(
                 at,
-                Fault::DropLink(NodeId::Control(one), NodeId::Control(other)),
+                Fault::DropLink(NodeId::Control(first_slot), NodeId::Control(other)),
             );
-            self.put(
+            self.add(
                 at,
-                Fault::DropLink(NodeId::Control(other), NodeId::Control(one)),
+                Fault::DropLink(NodeId::Control(other), NodeId::Control(first_slot)),
             );
         }
         for edge in 0..self.edges as usize {
             for slot in 0..self.control as usize {
-                if (slot == one) == (edge % 2 == 0) {
-                    self.put(
+                if (slot == first_slot) == (edge % 2 == 0) {
+                    self.add(
                         at,
                         Fault::DropLink(NodeId::Edge(edge), NodeId::Control(slot)),
                     );
                 }
             }
         }
-        self.put(later, Fault::Heal);
+        self.add(later, Fault::Heal);
     }
 
     /// A disk has no space until its node is started again.
     fn fill_disk(&mut self, at: u64, control: NodeId) {
-        self.disks = at + REFILL;
-        let later = self.later(at);
-        self.put(at, Fault::DiskFull(control));
-        self.put(later, Fault::Kill(control));
-        self.put(later + 500, Fault::Start(control));
+        self.next_disk_loss = at + DISK_REFILL_MS;
+        let later = self.later_time(at);
+        self.add(at, Fault::DiskFull(control));
+        self.add(later, Fault::Kill(control));
+        self.add(later + 500, Fault::Start(control));
     }
 
     /// Something is lost the moment something is acknowledged.
@@ -345,14 +354,14 @@
         let slot = self.random.below(self.control) as usize;
         let mut loss =
             [Loss::Power, Loss::Disk(slot), Loss::DiskSpace(slot)][self.random.below(3) as usize];
-        if at < self.disks {
+        if at < self.next_disk_loss {
             loss = Loss::Power;
         }
         if loss != Loss::Power {
-            self.disks = at + REFILL;
+            self.next_disk_loss = at + DISK_REFILL_MS;
         }
-        self.put(at, Fault::LossOnTrigger(trigger, loss));
-        self.put(
+        self.add(at, Fault::LossOnTrigger(trigger, loss));
+        self.add(
             at + 5,
             if trigger == Trigger::Purged {
                 Fault::Purge("/".into())
@@ -361,26 +370,26 @@
             },
         );
         if let Loss::DiskSpace(slot) = loss {
-            self.put(at + 4_000, Fault::Kill(NodeId::Control(slot)));
-            self.put(at + 4_500, Fault::Start(NodeId::Control(slot)));
+            self.add(at + 4_000, Fault::Kill(NodeId::Control(slot)));
+            self.add(at + 4_500, Fault::Start(NodeId::Control(slot)));
         }
     }
 
     /// As many disks as may be lost at once, while all lose power.
     fn draw_disk_losses_on_trigger(&mut self, at: u64) {
-        self.disks = at + REFILL;
+        self.next_disk_loss = at + DISK_REFILL_MS;
         let (trigger, slot) = (
             Trigger::ALL[self.random.below(3) as usize],
             self.random.below(self.control) as usize,
         );
-        self.put(
+        self.add(
             at,
             Fault::LossOnTrigger(
                 trigger,
-                Loss::Disks(slot, Schedule::borne(self.control as usize)),
+                Loss::Disks(slot, Schedule::max_disk_losses(self.control as usize)),
             ),
         );
-        self.put(
+        self.add(
             at + 5,
             if trigger == Trigger::Purged {
                 Fault::Purge("/".into())
@@ -392,29 +401,29 @@
 
     /// Two or three disks at once, sometimes with an edge: everything is back
     /// before anything else happens to a disk.
-    fn lose_disks(&mut self) {
+    fn lose_most_disks(&mut self) {
         let at = 8_000 + self.random.below((self.end - 8_000) / 2);
-        let spared = self.random.below(6) as usize;
-        for slot in (0..self.control as usize).filter(|slot| *slot != spared) {
-            self.put(at, Fault::Wipe(NodeId::Control(slot)));
-            self.put(at + 2_000, Fault::Start(NodeId::Control(slot)));
+        let surviving_slot = self.random.below(6) as usize;
+        for slot in (0..self.control as usize).filter(|slot| *slot != surviving_slot) {
+            self.add(at, Fault::Wipe(NodeId::Control(slot)));
+            self.add(at + 2_000, Fault::Start(NodeId::Control(slot)));
         }
         if self.random.chance(40) {
-            let edge = self.edge();
+            let edge = self.random_edge();
             let before = self.random.below(300);
-            self.put(at - before, Fault::Kill(edge));
-            self.put(at + 2_000, Fault::Start(edge));
+            self.add(at - before, Fault::Kill(edge));
+            self.add(at + 2_000, Fault::Start(edge));
         }
-        self.disks = u64::MAX;
-        self.majority_wiped = true;
+        self.next_disk_loss = u64::MAX;
+        self.loses_disk_majority = true;
     }
 
     /// Everything that can be is whole and started again.
-    fn mend(&mut self) {
+    fn repair_all(&mut self) {
         let at = self.end;
         self.end += 200;
-        self.put(at, Fault::Heal);
-        self.put(
+        self.add(at, Fault::Heal);
+        self.add(
             at,
             Fault::LossyNetwork {
                 lost: 0,
@@ -423,30 +432,31 @@
             },
         );
         for origin in 0..self.origins as usize {
-            self.put(at, Fault::Origin(origin, OriginBehavior::Good));
+            self.add(at, Fault::Origin(origin, OriginBehavior::Good));
         }
         // A disk that is full refuses until its node is started with room.
-        let full: Vec<NodeId> = self
+        let full_disks: Vec<NodeId> = self
             .list
             .iter()
             .filter_map(|(_, fault)| match fault {
-                Fault::DiskFull(place) => Some(*place),
+                Fault::DiskFull(node_id) => Some(*node_id),
                 Fault::LossOnTrigger(_, Loss::DiskSpace(slot)) => Some(NodeId::Control(*slot)),
                 _ => None,
             })
             .collect();
-        full.into_iter()
-            .for_each(|place| self.put(at, Fault::Kill(place)));
-        let spare = self
-            .standby
+        full_disks
+            .into_iter()
+            .for_each(|node_id| self.add(at, Fault::Kill(node_id)));
+        let standby = self
+            .has_standby
             .then_some(NodeId::Control(self.control as usize));
-        for place in (0..self.control as usize)
+        for node_id in (0..self.control as usize)
             .map(NodeId::Control)
             .chain((0..self.edges as usize).map(NodeId::Edge))
-            .chain(spare)
+            .chain(standby)
         {
-            self.put(at + 100, Fault::Start(place));
+            self.add(at + 100, Fault::Start(node_id));
         }
-        self.put(at + 101, Fault::Returned);
+        self.add(at + 101, Fault::Returned);
     }
 }
--- a/simulate-fleet/src/schedule_core.rs
+++ b/simulate-fleet/src/schedule_core.rs
@@ -1,236 +1,236 @@
 //! Troubles of control nodes, of operators' orders and of origins that last,
 //! come in pairs, or strike within an instant of an order.
 use crate::prelude::*;
-use crate::schedule::REFILL;
+use crate::schedule::DISK_REFILL_MS;
 
 /// A loss comes so many milliseconds after an order was sent.
-const AFTER_ORDER: (u64, u64) = (5, 400);
+const LOSS_DELAY_MS: (u64, u64) = (5, 400);
 /// The longest cut, and the longest time that a control node stands frozen.
-const LONG: u64 = 20_000;
+const MAX_SPAN_MS: u64 = 20_000;
 /// A node that was started is a full member by then.
-const CATCH_UP: u64 = 4_500;
+const CATCH_UP_MS: u64 = 4_500;
 
 impl Schedule {
-    pub(super) fn core_faults(&mut self, at: u64) {
+    pub(super) fn draw_core_fault(&mut self, at: u64) {
         match self.random.below(15) {
-            0..=2 => self.member_cut_off(at),
-            3 => self.member_frozen(at),
-            4 => self.process_slow(at),
-            5 | 6 => self.disk_hangs(at),
-            7 => self.operator_responses_lost(at),
-            8 => self.seeds_rotation(at),
-            9 => self.order_then_loss(at),
-            10 => self.connections_reset(at),
-            11 => self.member_replaced(at),
-            12 => self.warned_while_busy(at),
-            13 => self.origin_grey(at),
-            _ => self.second_loss(at),
+            0..=2 => self.partition_member(at),
+            3 => self.pause_member(at),
+            4 => self.slow_process(at),
+            5 | 6 => self.stall_or_slow_disk(at),
+            7 => self.lose_operator_responses(at),
+            8 => self.reorder_seeds(at),
+            9 => self.lose_after_command(at),
+            10 => self.reset_connections(at),
+            11 => self.replace_member(at),
+            12 => self.shut_down_while_busy(at),
+            13 => self.degrade_origin(at),
+            _ => self.lose_second_member(at),
         }
     }
 
-    fn between(&mut self, (low, high): (u64, u64)) -> u64 {
+    fn random_in_range(&mut self, (low, high): (u64, u64)) -> u64 {
         low + self.random.below(high - low)
     }
 
     /// A span that ends before the mending.
     fn span(&mut self, at: u64, low: u64, high: u64) -> Duration {
-        let most = self.end.saturating_sub(at + 100).max(1);
-        Duration::from_millis(self.between((low, high)).min(most))
+        let max_span = self.end.saturating_sub(at + 100).max(1);
+        Duration::from_millis(self.random_in_range((low, high)).min(max_span))
     }
 
-    fn slot(&mut self) -> NodeId {
-        self.control()
+    fn random_slot(&mut self) -> NodeId {
+        self.random_control_node()
     }
 
     /// One order of an operator, of any kind.
-    fn order(&mut self, at: u64) {
+    fn add_operator_command(&mut self, at: u64) {
         match self.random.below(4) {
-            0 => self.put(at, Fault::Configure),
-            1 => self.put(at, Fault::Purge("/".into())),
-            2 => self.put(at, Fault::Race(3)),
-            _ => self.put(at, Fault::PutItem),
+            0 => self.add(at, Fault::Configure),
+            1 => self.add(at, Fault::Purge("/".into())),
+            2 => self.add(at, Fault::Race(3)),
+            _ => self.add(at, Fault::PutItem),
         }
     }
 
-    fn orders(&mut self, from: u64, span: u64, count: u64) {
+    fn add_operator_commands(&mut self, from: u64, span: u64, count: u64) {
         for _ in 0..count {
             let at = from + self.random.below(span);
-            self.order(at);
+            self.add_operator_command(at);
         }
-        self.put(from + span, Fault::ReadBack);
+        self.add(from + span, Fault::ReadBack);
     }
 
     /// A member is cut off for up to twenty seconds, maybe twice, maybe with
     /// another, maybe with a restart of either side.
-    fn member_cut_off(&mut self, at: u64) {
-        let place = self.slot();
+    fn partition_member(&mut self, at: u64) {
+        let node_id = self.random_slot();
         let scope = PartitionScope::ALL[self.random.below(4) as usize];
-        let span = self.span(at, 500, LONG);
-        let length = span.as_millis() as u64;
-        self.put(at, Fault::Partition(place, scope, span));
-        self.orders(at + 100, length, 4);
+        let span = self.span(at, 500, MAX_SPAN_MS);
+        let span_ms = span.as_millis() as u64;
+        self.add(at, Fault::Partition(node_id, scope, span));
+        self.add_operator_commands(at + 100, span_ms, 4);
         if self.random.chance(40) {
             let other = if self.random.chance(50) {
-                place
+                node_id
             } else {
-                self.slot()
+                self.random_slot()
             };
-            let restart = at + self.random.below(length);
+            let restart = at + self.random.below(span_ms);
             if self.random.chance(50) {
-                self.put(restart, Fault::Restart(other));
+                self.add(restart, Fault::Restart(other));
             } else {
-                self.both(restart, Fault::Kill(other), Fault::Start(other));
+                self.add_pair(restart, Fault::Kill(other), Fault::Start(other));
             }
         }
         if self.random.chance(25) {
-            let (other, begin) = (self.slot(), at + self.random.below(2_000));
+            let (other, second_start) = (self.random_slot(), at + self.random.below(2_000));
             let scope = PartitionScope::ALL[self.random.below(4) as usize];
-            let span = self.span(begin, 500, LONG);
-            self.put(begin, Fault::Partition(other, scope, span));
+            let span = self.span(second_start, 500, MAX_SPAN_MS);
+            self.add(second_start, Fault::Partition(other, scope, span));
         }
         if self.random.chance(30) {
-            let again = at + length + self.random.below(2_000);
-            let span = self.span(again, 500, LONG);
-            self.put(again, Fault::Partition(place, scope, span));
+            let repeat_at = at + span_ms + self.random.below(2_000);
+            let span = self.span(repeat_at, 500, MAX_SPAN_MS);
+            self.add(repeat_at, Fault::Partition(node_id, scope, span));
         }
     }
 
-    fn member_frozen(&mut self, at: u64) {
-        let place = self.slot();
-        let span = self.span(at, 3_000, LONG);
-        self.put(at, Fault::Pause(place, span));
-        self.orders(at + 50, span.as_millis() as u64, 3);
+    fn pause_member(&mut self, at: u64) {
+        let node_id = self.random_slot();
+        let span = self.span(at, 3_000, MAX_SPAN_MS);
+        self.add(at, Fault::Pause(node_id, span));
+        self.add_operator_commands(at + 50, span.as_millis() as u64, 3);
     }
 
-    fn process_slow(&mut self, at: u64) {
-        let place = self.place();
+    fn slow_process(&mut self, at: u64) {
+        let node_id = self.random_node();
         let span = self.span(at, 1_000, 8_000);
-        self.put(at, Fault::Slow(place, span));
-        self.orders(at + 50, span.as_millis() as u64, 2);
+        self.add(at, Fault::Slow(node_id, span));
+        self.add_operator_commands(at + 50, span.as_millis() as u64, 2);
     }
 
     /// A disk stalls or is slow; its node may be killed meanwhile.
-    fn disk_hangs(&mut self, at: u64) {
-        let place = self.slot();
+    fn stall_or_slow_disk(&mut self, at: u64) {
+        let node_id = self.random_slot();
         let span = self.span(at, 500, 10_000);
         let fault = if self.random.chance(50) {
-            Fault::StallDisk(place, span)
+            Fault::StallDisk(node_id, span)
         } else {
-            Fault::SlowDisk(place, span)
+            Fault::SlowDisk(node_id, span)
         };
-        self.put(at, fault);
-        let length = span.as_millis() as u64;
-        self.orders(at + 5, length, 3);
+        self.add(at, fault);
+        let span_ms = span.as_millis() as u64;
+        self.add_operator_commands(at + 5, span_ms, 3);
         if self.random.chance(40) {
-            let killed = at + self.random.below(length);
-            self.both(killed, Fault::Kill(place), Fault::Start(place));
+            let kill_at = at + self.random.below(span_ms);
+            self.add_pair(kill_at, Fault::Kill(node_id), Fault::Start(node_id));
         }
     }
 
     /// Answers to orders are lost, and members come and go meanwhile.
-    fn operator_responses_lost(&mut self, at: u64) {
+    fn lose_operator_responses(&mut self, at: u64) {
         let span = self.span(at, 2_000, 8_000);
-        let length = span.as_millis() as u64;
-        self.put(at, Fault::LoseOperatorResponses(span));
-        self.orders(at + 5, length, 4);
-        let place = self.slot();
-        let lost = at + self.between(AFTER_ORDER);
+        let span_ms = span.as_millis() as u64;
+        self.add(at, Fault::LoseOperatorResponses(span));
+        self.add_operator_commands(at + 5, span_ms, 4);
+        let node_id = self.random_slot();
+        let lost = at + self.random_in_range(LOSS_DELAY_MS);
         match self.random.below(3) {
-            0 => self.both(lost, Fault::Kill(place), Fault::Start(place)),
-            1 => self.put(lost, Fault::Restart(place)),
+            0 => self.add_pair(lost, Fault::Kill(node_id), Fault::Start(node_id)),
+            1 => self.add(lost, Fault::Restart(node_id)),
             _ => {}
         }
     }
 
-    fn seeds_rotation(&mut self, at: u64) {
-        self.put(at, Fault::ReorderSeeds);
-        let place = self.place();
-        self.both(at + 10, Fault::Kill(place), Fault::Start(place));
+    fn reorder_seeds(&mut self, at: u64) {
+        self.add(at, Fault::ReorderSeeds);
+        let node_id = self.random_node();
+        self.add_pair(at + 10, Fault::Kill(node_id), Fault::Start(node_id));
     }
 
     /// Something is lost within an instant of an order.
-    fn order_then_loss(&mut self, at: u64) {
-        self.order(at);
-        let lost = at + self.between(AFTER_ORDER);
-        let place = self.slot();
+    fn lose_after_command(&mut self, at: u64) {
+        self.add_operator_command(at);
+        let lost = at + self.random_in_range(LOSS_DELAY_MS);
+        let node_id = self.random_slot();
         match self.random.below(4) {
-            0 => self.both(lost, Fault::Kill(place), Fault::Start(place)),
-            1 if at >= self.disks => {
-                self.disks = at + REFILL;
-                self.both(lost, Fault::Wipe(place), Fault::Start(place));
+            0 => self.add_pair(lost, Fault::Kill(node_id), Fault::Start(node_id)),
+            1 if at >= self.next_disk_loss => {
+                self.next_disk_loss = at + DISK_REFILL_MS;
+                self.add_pair(lost, Fault::Wipe(node_id), Fault::Start(node_id));
             }
-            2 => self.processes_killed(lost, self.control, 0),
-            _ if self.majority_wiped => {}
-            _ => self.processes_killed(lost, self.control, self.edges),
+            2 => self.kill_processes(lost, self.control, 0),
+            _ if self.loses_disk_majority => {}
+            _ => self.kill_processes(lost, self.control, self.edges),
         }
-        self.put(lost + 6_000, Fault::ReadBack);
+        self.add(lost + 6_000, Fault::ReadBack);
     }
 
     /// The first control nodes and edges are killed and back within seconds.
-    fn processes_killed(&mut self, at: u64, control: u64, edges: u64) {
-        let back = at + 300 + self.random.below(3_000);
+    fn kill_processes(&mut self, at: u64, control: u64, edges: u64) {
+        let restart_at = at + 300 + self.random.below(3_000);
         let control = (0..control as usize).map(NodeId::Control);
         let edges = (0..edges as usize).map(NodeId::Edge);
-        for place in control.chain(edges) {
-            self.put(at, Fault::Kill(place));
-            self.put(back, Fault::Start(place));
+        for node_id in control.chain(edges) {
+            self.add(at, Fault::Kill(node_id));
+            self.add(restart_at, Fault::Start(node_id));
         }
     }
 
-    fn connections_reset(&mut self, at: u64) {
-        let (one, other) = (self.slot(), self.place());
+    fn reset_connections(&mut self, at: u64) {
+        let (one, other) = (self.random_slot(), self.random_node());
         if one == other {
             return;
         }
-        self.order(at);
+        self.add_operator_command(at);
         for more in 0..1 + self.random.below(6) {
-            self.put(at + more * 7, Fault::Reset(one, other));
+            self.add(at + more * 7, Fault::Reset(one, other));
         }
     }
 
     /// Planned: the new node comes first. Unplanned: the old one goes first.
     /// The old one may come back.
-    fn member_replaced(&mut self, at: u64) {
-        if at < self.disks && !self.standby {
+    fn replace_member(&mut self, at: u64) {
+        if at < self.next_disk_loss && !self.has_standby {
             return;
         }
-        self.disks = u64::MAX;
-        let (old, new) = (self.slot(), NodeId::Control(self.control as usize));
-        self.standby = true;
+        self.next_disk_loss = u64::MAX;
+        let (old, new) = (self.random_slot(), NodeId::Control(self.control as usize));
+        self.has_standby = true;
         let later = at + 500 + self.random.below(6_000);
         if self.random.chance(50) {
-            self.put(at, Fault::Start(new));
-            self.put(later, Fault::Retire(old));
+            self.add(at, Fault::Start(new));
+            self.add(later, Fault::Retire(old));
         } else {
-            self.put(at, Fault::Kill(old));
-            self.put(later, Fault::Start(new));
+            self.add(at, Fault::Kill(old));
+            self.add(later, Fault::Start(new));
         }
-        self.orders(at + 10, later - at + 6_000, 4);
+        self.add_operator_commands(at + 10, later - at + 6_000, 4);
         if self.random.chance(50) {
-            let back = later + 1_000 + self.random.below(15_000);
-            self.put(back, Fault::Start(old));
+            let restart_at = later + 1_000 + self.random.below(15_000);
+            self.add(restart_at, Fault::Start(old));
         }
     }
 
     /// SIGTERM in the middle of orders.
-    fn warned_while_busy(&mut self, at: u64) {
-        let place = self.place();
-        (0..6).for_each(|more| self.order(at + more * 30));
-        let warned = at + self.between(AFTER_ORDER);
-        self.put(warned, Fault::Restart(place));
+    fn shut_down_while_busy(&mut self, at: u64) {
+        let node_id = self.random_node();
+        (0..6).for_each(|more| self.add_operator_command(at + more * 30));
+        let shutdown_at = at + self.random_in_range(LOSS_DELAY_MS);
+        self.add(shutdown_at, Fault::Restart(node_id));
     }
 
     /// Grey for a while, or gone and back again and again.
-    fn origin_grey(&mut self, at: u64) {
+    fn degrade_origin(&mut self, at: u64) {
         let origin = self.random.below(self.origins) as usize;
         let service = self.random.below(self.services) as usize;
         match self.random.below(3) {
-            0 => self.both(
+            0 => self.add_pair(
                 at,
                 Fault::Origin(origin, OriginBehavior::Grey),
                 Fault::Origin(origin, OriginBehavior::Good),
             ),
-            1 => self.both(
+            1 => self.add_pair(
                 at,
                 Fault::Service(service, OriginBehavior::Grey),
                 Fault::Service(service, OriginBehavior::Good),
@@ -239,8 +239,8 @@
                 let step = 150 + self.random.below(700);
                 for round in 0..3 + self.random.below(6) {
                     let down = at + 2 * round * step;
-                    self.put(down, Fault::Origin(origin, OriginBehavior::Down));
-                    self.put(down + step, Fault::Origin(origin, OriginBehavior::Good));
+                    self.add(down, Fault::Origin(origin, OriginBehavior::Down));
+                    self.add(down + step, Fault::Origin(origin, OriginBehavior::Good));
                 }
             }
         }
@@ -248,17 +248,17 @@
 
     /// A member loses its disk, and another goes once the first has had the
     /// time to catch up.
-    fn second_loss(&mut self, at: u64) {
-        if at < self.disks {
+    fn lose_second_member(&mut self, at: u64) {
+        if at < self.next_disk_loss {
             return;
         }
-        self.disks = at + REFILL;
-        let (first, second) = (self.slot(), self.slot());
+        self.next_disk_loss = at + DISK_REFILL_MS;
+        let (first, second) = (self.random_slot(), self.random_slot());
         let started = at + 200 + self.random.below(1_000);
-        self.put(at, Fault::Wipe(first));
-        self.put(started, Fault::Start(first));
-        let lost = started + CATCH_UP;
-        self.orders(at, lost - at, 4);
-        self.both(lost, Fault::Kill(second), Fault::Start(second));
+        self.add(at, Fault::Wipe(first));
+        self.add(started, Fault::Start(first));
+        let lost = started + CATCH_UP_MS;
+        self.add_operator_commands(at, lost - at, 4);
+        self.add_pair(lost, Fault::Kill(second), Fault::Start(second));
     }
 }
--- a/simulate-fleet/src/script.rs
+++ b/simulate-fleet/src/script.rs
@@ -1,8 +1,8 @@
 //! Schedules as text: a JSON array of lines, read and written.
-mod reading;
+mod read;
 #[cfg(test)]
 mod tests;
-mod writing;
+mod write;
 
 use crate::prelude::*;
 
@@ -20,11 +20,11 @@
         deployment: &Deployment,
         control_nodes: usize,
     ) -> Result<Vec<(Duration, Fault)>, Vec<Finding>> {
-        reading::read(text, deployment, control_nodes)
+        read::read(text, deployment, control_nodes)
     }
 
     /// The script that reads back as this schedule, one fault a line.
     pub fn write(schedule: &[(Duration, Fault)], deployment: &Deployment) -> String {
-        writing::write(schedule, deployment)
+        write::write(schedule, deployment)
     }
 }
--- a/simulate-fleet/src/script/reading.rs
+++ b/simulate-fleet/src/script/read.rs
@@ -92,8 +92,8 @@
 
 impl LineReader<'_> {
     fn report(&mut self, field: &str, text: &str) {
-        let place = format!("/{}/{field}", self.index);
-        self.findings.push(Finding::new(place, text));
+        let location = format!("/{}/{field}", self.index);
+        self.findings.push(Finding::new(location, text));
     }
 
     fn time(&mut self) -> Duration {
@@ -283,8 +283,8 @@
 }
 
 /// The number after this start of a name.
-fn number_after(name: &str, start: &str) -> Option<usize> {
-    name.strip_prefix(start)?.parse().ok()
+fn number_after(name: &str, prefix: &str) -> Option<usize> {
+    name.strip_prefix(prefix)?.parse().ok()
 }
 
 /// Faults of one node without a duration.
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -10,15 +10,15 @@
 
 impl Shrink {
     /// A short part of a list that still breaks, found by leaving parts out.
-    pub fn list<T: Clone>(mut list: Vec<T>, breaks: &dyn Fn(&[T]) -> bool) -> Vec<T> {
+    pub fn list<T: Clone>(mut list: Vec<T>, still_fails: &dyn Fn(&[T]) -> bool) -> Vec<T> {
         let mut size = list.len().div_ceil(2);
         while size > 0 {
             let mut at = 0;
             while at < list.len() {
-                let mut less = list.clone();
-                less.drain(at..(at + size).min(list.len()));
-                if breaks(&less) {
-                    list = less
+                let mut reduced = list.clone();
+                reduced.drain(at..(at + size).min(list.len()));
+                if still_fails(&reduced) {
+                    list = reduced
                 } else {
                     at += size
                 }
@@ -30,7 +30,7 @@
 
     /// The schedule of a plan, with the same nevers broken.
     pub fn plan(plan: &WorldPlan) -> Vec<(Duration, Fault)> {
-        let broken = |faults: &[(Duration, Fault)]| -> Vec<usize> {
+        let broken_rules = |faults: &[(Duration, Fault)]| -> Vec<usize> {
             let report = World::new(WorldPlan {
                 faults: faults.to_vec(),
                 ..plan.clone()
@@ -42,33 +42,35 @@
                 .map(|(at, _)| at)
                 .collect()
         };
-        let first = broken(&plan.faults).first().copied();
-        let (repairs, hurts): (Vec<_>, Vec<_>) = plan
+        let first_broken_rule = broken_rules(&plan.faults).first().copied();
+        let (repairs, faults): (Vec<_>, Vec<_>) = plan
             .faults
             .iter()
             .cloned()
-            .partition(|(_, fault)| fault.repairs());
-        let whole = |hurts: &[(Duration, Fault)]| {
-            let mut list = [repairs.as_slice(), hurts].concat();
+            .partition(|(_, fault)| fault.is_repair());
+        let merged = |faults: &[(Duration, Fault)]| {
+            let mut list = [repairs.as_slice(), faults].concat();
             list.sort_by_key(|(at, _)| *at);
             list
         };
-        let breaks =
-            |list: &[(Duration, Fault)]| first.is_some_and(|first| broken(list).contains(&first));
-        let hurts = Shrink::list(hurts.clone(), &|hurts| breaks(&whole(hurts)));
+        let still_fails = |list: &[(Duration, Fault)]| {
+            first_broken_rule
+                .is_some_and(|first_broken_rule| broken_rules(list).contains(&first_broken_rule))
+        };
+        let faults = Shrink::list(faults.clone(), &|faults| still_fails(&merged(faults)));
         // Then those mends that mend nothing any more: all of one kind at once.
-        let all = whole(&hurts);
+        let all_faults = merged(&faults);
         let kinds: BTreeSet<String> = repairs.iter().map(|(_, fault)| fault.kind()).collect();
         kinds
             .into_iter()
             .filter(|kind| kind != "start")
-            .fold(all, |list, kind| {
-                let less: Vec<_> = list
+            .fold(all_faults, |list, kind| {
+                let reduced: Vec<_> = list
                     .iter()
                     .filter(|(_, fault)| fault.kind() != kind)
                     .cloned()
                     .collect();
-                if breaks(&less) { less } else { list }
+                if still_fails(&reduced) { reduced } else { list }
             })
     }
 }
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -22,8 +22,8 @@
     /// Records up to this serial are synced.
     pub fn sync(&mut self, serial: u64) {
         while self.pending.front().is_some_and(|(at, _, _)| *at <= serial) {
-            let (_, image, record) = self.pending.pop_front().expect("just seen");
-            if image {
+            let (_, is_snapshot, record) = self.pending.pop_front().expect("just seen");
+            if is_snapshot {
                 self.synced.clear();
             }
             self.synced.push(record);
@@ -36,8 +36,8 @@
             return replica;
         }
         let renewed = replica.for_rejoin(incarnation);
-        let image = Record::Snapshot(Box::new(renewed.clone()));
-        self.synced = vec![image.bytes()];
+        let snapshot = Record::Snapshot(Box::new(renewed.clone()));
+        self.synced = vec![snapshot.bytes()];
         renewed
     }
 
@@ -56,24 +56,24 @@
 /// A process in the simulation: a part and what its host would hold.
 pub struct SimNode {
     /// Names it in schedules.
-    pub place: NodeId,
+    pub node_id: NodeId,
     /// Its address and incarnation.
     pub peer: Peer,
     /// Where it runs.
     pub zone: String,
     /// Its state machine; none while the process is down.
-    pub part: Option<Box<dyn StateMachine>>,
+    pub state_machine: Option<Box<dyn StateMachine>>,
     /// Counts starts: what an earlier run began does not reach a later one.
     pub run: u64,
     /// When this run began.
-    pub began: Duration,
+    pub run_started_at: Duration,
     /// What its clock shows at a start, and by how many millionths it runs
     /// too fast.
-    pub offset: Duration,
+    pub clock_offset: Duration,
     /// In millionths.
-    pub drift: i64,
+    pub clock_drift_ppm: i64,
     /// Until then the process stands still.
-    pub paused: Duration,
+    pub paused_until: Duration,
     /// Until then each step takes long.
     pub slow_until: Duration,
     /// When the step now running is done.
@@ -81,15 +81,15 @@
     /// Outlasts the process.
     pub disk: Disk,
     /// End of its lease, on its own clock.
-    pub fence: Duration,
+    pub lease_end: Duration,
     /// Whether it says that it is ready.
     pub ready: bool,
     /// The route table it published last.
-    pub image: Option<Arc<RouteTable>>,
+    pub route_table: Option<Arc<RouteTable>>,
     /// Version of the table it was last seen live with, in this run.
-    pub in_force: u64,
+    pub active_table_version: u64,
     /// Whether its shutdown is complete.
-    pub ending: bool,
+    pub shutdown_finished: bool,
     /// It was told to end and is not started again.
     pub retiring: bool,
     /// The assignments it published last.
@@ -121,25 +121,25 @@
 
 impl SimNode {
     /// A node that was never started.
-    pub fn new(place: NodeId, address: SocketAddr, zone: &str) -> SimNode {
+    pub fn new(node_id: NodeId, address: SocketAddr, zone: &str) -> SimNode {
         SimNode {
-            place,
+            node_id,
             peer: Peer::new(address, 0),
             zone: zone.into(),
-            part: None,
+            state_machine: None,
             run: 0,
-            began: Duration::ZERO,
-            offset: Duration::ZERO,
-            drift: 0,
-            paused: Duration::ZERO,
+            run_started_at: Duration::ZERO,
+            clock_offset: Duration::ZERO,
+            clock_drift_ppm: 0,
+            paused_until: Duration::ZERO,
             slow_until: Duration::ZERO,
             busy_until: Duration::ZERO,
             disk: Disk::default(),
-            fence: Duration::ZERO,
+            lease_end: Duration::ZERO,
             ready: false,
-            image: None,
-            in_force: 0,
-            ending: false,
+            route_table: None,
+            active_table_version: 0,
+            shutdown_finished: false,
             retiring: false,
             assignments: Vec::new(),
             founding: Founding::Never,
@@ -149,16 +149,17 @@
     /// Its own clock: monotonic, begun anew with each run, at any value, and
     /// as exact as its drift.
     pub fn clock(&self, now: Duration) -> Duration {
-        let nanos = now.saturating_sub(self.began).as_nanos() as u64;
-        self.offset
+        let nanos = now.saturating_sub(self.run_started_at).as_nanos() as u64;
+        self.clock_offset
             + Duration::from_nanos(
-                (i128::from(nanos) * i128::from(1_000_000 + self.drift) / 1_000_000) as u64,
+                (i128::from(nanos) * i128::from(1_000_000 + self.clock_drift_ppm) / 1_000_000)
+                    as u64,
             )
     }
 
     /// Whether it runs and holds its lease.
     pub fn live(&self, now: Duration) -> bool {
-        self.part.is_some() && self.clock(now) < self.fence
+        self.state_machine.is_some() && self.clock(now) < self.lease_end
     }
 
     /// Starts a run on what its disk holds.
@@ -171,28 +172,34 @@
     ) {
         self.run += 1;
         self.assignments.clear();
-        self.in_force = 0;
-        self.began = now;
+        self.active_table_version = 0;
+        self.run_started_at = now;
         self.retiring = false;
-        (self.fence, self.ready, self.image, self.ending) = (Duration::ZERO, false, None, false);
-        self.part = Some(match self.place {
+        (
+            self.lease_end,
+            self.ready,
+            self.route_table,
+            self.shutdown_finished,
+        ) = (Duration::ZERO, false, None, false);
+        self.state_machine = Some(match self.node_id {
             NodeId::Control(_) => {
-                let known = Replica::replay(&self.disk.synced).expect("synced records read back");
-                let known = known.map(|replica| self.disk.renew_if_removed(replica, incarnation));
-                let blank = known
+                let replica = Replica::replay(&self.disk.synced).expect("synced records read back");
+                let replica =
+                    replica.map(|replica| self.disk.renew_if_removed(replica, incarnation));
+                let blank = replica
                     .as_ref()
                     .is_none_or(|replica| replica.incarnation == incarnation);
                 let gather = gather.map(|span| self.founding.bootstrap(span));
-                let part = ControlNode::new(
+                let state_machine = ControlNode::new(
                     self.peer.address,
                     seeds.to_vec(),
-                    known.unwrap_or_else(|| Replica::blank(incarnation)),
+                    replica.unwrap_or_else(|| Replica::blank(incarnation)),
                     blank,
                     gather,
                     incarnation,
                 );
-                self.peer = part.me();
-                Box::new(part)
+                self.peer = state_machine.me();
+                Box::new(state_machine)
             }
             NodeId::Edge(_) => {
                 self.peer.incarnation = incarnation;
@@ -212,9 +219,9 @@
 
     /// What is sent to it from now on is lost, not held as by a paused process.
     pub fn kill(&mut self) {
-        self.part = None;
+        self.state_machine = None;
         self.run += 1;
-        self.paused = Duration::ZERO;
+        self.paused_until = Duration::ZERO;
         self.slow_until = Duration::ZERO;
         self.busy_until = Duration::ZERO;
         self.disk.lose_power();
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -47,7 +47,7 @@
 }
 
 /// How a grey origin takes its calls, each as likely as the others.
-const GREY: [OriginBehavior; 6] = [
+const GREY_BEHAVIORS: [OriginBehavior; 6] = [
     OriginBehavior::Good,
     OriginBehavior::Good,
     OriginBehavior::Good,
@@ -72,7 +72,7 @@
 impl SimOrigin {
     /// What comes of a call, and after how long; the call is recorded if it
     /// reached anyone.
-    pub fn take(
+    pub fn handle_call(
         &self,
         call: &Call,
         at: f64,
@@ -96,7 +96,9 @@
             probe: call.url.starts_with("/.well-known/"),
         };
         let behavior = match self.behavior {
-            OriginBehavior::Grey => GREY[random.below(GREY.len() as u64) as usize],
+            OriginBehavior::Grey => {
+                GREY_BEHAVIORS[random.below(GREY_BEHAVIORS.len() as u64) as usize]
+            }
             behavior => behavior,
         };
         let took = match behavior {
@@ -137,7 +139,7 @@
     }
 
     /// Whether a reply answers this request, and its version of the content.
-    pub fn read(
+    pub fn parse_reply(
         reply: &Reply,
         method: &str,
         path: &str,
@@ -145,7 +147,10 @@
     ) -> (bool, Option<u64>) {
         let text = String::from_utf8_lossy(&reply.body);
         let parts: Vec<&str> = text.split('\n').collect();
-        let fits = parts.len() == 4 && parts[..3] == [method, path, operation.unwrap_or("")];
-        (fits, parts.get(3).and_then(|version| version.parse().ok()))
+        let is_expected = parts.len() == 4 && parts[..3] == [method, path, operation.unwrap_or("")];
+        (
+            is_expected,
+            parts.get(3).and_then(|version| version.parse().ok()),
+        )
     }
 }
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -8,15 +8,15 @@
     /// Inputs that state machines handled.
     pub steps: u64,
     /// How often each event was logged.
-    pub notes: BTreeMap<Event, usize>,
+    pub event_counts: BTreeMap<Event, usize>,
     /// Bytes of the fullest disk at the end.
     pub log_bytes: usize,
     /// When which control node told of a change of its membership or disk.
-    pub membership: Vec<(Duration, NodeId, Event)>,
+    pub membership_events: Vec<(Duration, NodeId, Event)>,
     /// Copies handed out, by edge.
-    pub copies: Vec<u64>,
+    pub copies_sent: Vec<u64>,
     /// What came of the orders of the plan.
-    pub orders: Vec<OrderRecord>,
+    pub commands: Vec<ItemCommandRecord>,
 }
 
 /// The fleet, its network, its origins, callers and operators, in virtual
@@ -28,52 +28,52 @@
     pub(crate) queue: BTreeMap<(Duration, u64), SimEvent>,
     pub(crate) random: SeededRandom,
     pub(crate) nodes: Vec<SimNode>,
-    pub(crate) by_address: HashMap<SocketAddr, usize>,
+    pub(crate) node_by_address: HashMap<SocketAddr, usize>,
     pub(crate) origins: Vec<SimOrigin>,
     /// From whom nothing gets to whom, and until when.
-    pub(crate) cuts: BTreeMap<(usize, usize), Duration>,
+    pub(crate) dropped_links: BTreeMap<(usize, usize), Duration>,
     /// Until then answers to operators are lost.
     pub(crate) operator_responses_lost_until: Duration,
     /// Revision of the item that operators set.
     pub(crate) item_revision: u64,
     /// By how many places the seeds that nodes are told have turned.
     pub(crate) seeds_rotation: usize,
-    pub(crate) weather: (u64, u64, u64),
+    pub(crate) message_faults: (u64, u64, u64),
     /// Calls that their edges broke off: by node, run and id.
-    pub(crate) cancelled: HashSet<(usize, u64, u64)>,
+    pub(crate) cancelled_calls: HashSet<(usize, u64, u64)>,
     /// When the closes of callers that left were read, by their requests.
-    pub(crate) departures: HashMap<u64, Duration>,
+    pub(crate) disconnects_read: HashMap<u64, Duration>,
     pub(crate) version: u64,
     /// In every document from now on; those taken out again are `removed`.
     pub(crate) markers: Vec<u64>,
-    pub(crate) removed: Vec<u64>,
+    pub(crate) removed_markers: Vec<u64>,
     /// Changes that were not answered yet, by marker.
-    pub(crate) changing: BTreeSet<u64>,
+    pub(crate) pending_markers: BTreeSet<u64>,
     /// Entries more than the deployment has.
-    pub(crate) grown: usize,
+    pub(crate) extra_entries: usize,
     pub(crate) next_marker: u64,
-    pub(crate) acknowledged: Option<(u64, String)>,
+    pub(crate) last_acknowledged: Option<(u64, String)>,
     /// The platform puts one list at a time; a change meanwhile waits.
-    pub(crate) origins_due: Option<bool>,
+    pub(crate) origins_put_pending: Option<bool>,
     /// The version of the list that the platform knows to stand.
-    pub(crate) origins_at: u64,
+    pub(crate) origins_version: u64,
     pub(crate) armed_loss: Option<(Trigger, Loss)>,
     /// The first seed's end at the founding came.
-    pub(crate) founder_ended: bool,
+    pub(crate) founder_crashed: bool,
     /// Connections that stand: node, run, origin.
-    pub(crate) watches: BTreeSet<(usize, u64, usize)>,
+    pub(crate) open_connections: BTreeSet<(usize, u64, usize)>,
     /// Operators' calls under way.
-    pub(crate) operator_calls: BTreeMap<u64, Question>,
+    pub(crate) operator_calls: BTreeMap<u64, PendingOperatorCall>,
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
-    pub(crate) callers: Vec<CallerRecord>,
-    pub(crate) calls: Vec<OriginRecord>,
-    pub(crate) fleet: Vec<FleetRecord>,
-    pub(crate) operators: Vec<OperatorRecord>,
+    pub(crate) client_records: Vec<CallerRecord>,
+    pub(crate) origin_calls: Vec<OriginRecord>,
+    pub(crate) fleet_records: Vec<FleetRecord>,
+    pub(crate) operator_records: Vec<OperatorRecord>,
     pub(crate) steps: u64,
-    pub(crate) copies: Vec<u64>,
-    pub(crate) orders: Vec<OrderRecord>,
-    pub(crate) notes: BTreeMap<Event, usize>,
-    pub(crate) membership: Vec<(Duration, NodeId, Event)>,
+    pub(crate) copies_sent: Vec<u64>,
+    pub(crate) commands: Vec<ItemCommandRecord>,
+    pub(crate) event_counts: BTreeMap<Event, usize>,
+    pub(crate) membership_events: Vec<(Duration, NodeId, Event)>,
     /// Prints what happens.
     pub trace: bool,
     /// Messages between control nodes are printed, too.
@@ -95,56 +95,56 @@
             queue: BTreeMap::new(),
             random: SeededRandom::new(plan.seed),
             nodes: Vec::new(),
-            by_address: HashMap::new(),
+            node_by_address: HashMap::new(),
             origins: Vec::new(),
-            cuts: BTreeMap::new(),
+            dropped_links: BTreeMap::new(),
             operator_responses_lost_until: Duration::ZERO,
             item_revision: 0,
             seeds_rotation: 0,
-            weather: (0, 0, 0),
-            cancelled: HashSet::new(),
-            departures: HashMap::new(),
+            message_faults: (0, 0, 0),
+            cancelled_calls: HashSet::new(),
+            disconnects_read: HashMap::new(),
             version: 1,
             markers: Vec::new(),
-            removed: Vec::new(),
-            changing: BTreeSet::new(),
-            grown: 0,
+            removed_markers: Vec::new(),
+            pending_markers: BTreeSet::new(),
+            extra_entries: 0,
             next_marker: 0,
-            acknowledged: None,
-            origins_due: None,
-            origins_at: 0,
+            last_acknowledged: None,
+            origins_put_pending: None,
+            origins_version: 0,
             armed_loss: None,
-            founder_ended: false,
-            watches: BTreeSet::new(),
+            founder_crashed: false,
+            open_connections: BTreeSet::new(),
             operator_calls: BTreeMap::new(),
             requests: BTreeMap::new(),
-            callers: Vec::new(),
-            calls: Vec::new(),
-            fleet: Vec::new(),
-            operators: Vec::new(),
+            client_records: Vec::new(),
+            origin_calls: Vec::new(),
+            fleet_records: Vec::new(),
+            operator_records: Vec::new(),
             steps: 0,
-            copies: vec![0; plan.deployment.edges],
-            orders: Vec::new(),
-            notes: BTreeMap::new(),
-            membership: Vec::new(),
+            copies_sent: vec![0; plan.deployment.edges],
+            commands: Vec::new(),
+            event_counts: BTreeMap::new(),
+            membership_events: Vec::new(),
             trace: false,
             trace_messages: false,
             plan,
         };
-        world.lay_out();
+        world.create_fleet();
         world
     }
 
-    pub(crate) fn push(&mut self, at: Duration, what: SimEvent) {
+    pub(crate) fn push(&mut self, at: Duration, event: SimEvent) {
         self.serial += 1;
-        self.queue.insert((at.max(self.now), self.serial), what);
+        self.queue.insert((at.max(self.now), self.serial), event);
     }
 
-    pub(crate) fn after(&mut self, span: Duration, what: SimEvent) {
-        self.push(self.now + span, what);
+    pub(crate) fn after(&mut self, span: Duration, event: SimEvent) {
+        self.push(self.now + span, event);
     }
 
-    pub(crate) fn micros(&mut self, low: u64, high: u64) -> Duration {
+    pub(crate) fn random_micros(&mut self, low: u64, high: u64) -> Duration {
         Duration::from_micros(low + self.random.below(high - low))
     }
 
@@ -161,13 +161,13 @@
         self.now.as_secs_f64()
     }
 
-    pub(crate) fn record(&mut self, what: &str, subject: &str, number: u64, good: bool) {
+    pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, good: bool) {
         if self.trace {
-            println!("{:9.4} {what} {subject} {number} {good}", self.seconds());
+            println!("{:9.4} {kind} {subject} {number} {good}", self.seconds());
         }
-        self.fleet.push(FleetRecord {
+        self.fleet_records.push(FleetRecord {
             at: self.seconds(),
-            what: what.into(),
+            what: kind.into(),
             subject: subject.into(),
             number,
             good,
@@ -177,15 +177,15 @@
     /// Runs the plan to its end.
     pub fn run(mut self) -> Report {
         let end = self.plan.span;
-        while let Some(((at, serial), what)) = self.queue.pop_first() {
+        while let Some(((at, serial), event)) = self.queue.pop_first() {
             if at > end + Duration::from_secs(1) {
                 break;
             }
             self.now = at;
-            self.handle_event(serial, what);
+            self.handle_event(serial, event);
         }
-        for question in std::mem::take(&mut self.operator_calls).into_values() {
-            self.record_operator(&question, &ChangeOutcome::Unknown);
+        for pending_call in std::mem::take(&mut self.operator_calls).into_values() {
+            self.record_operator(&pending_call, &ChangeOutcome::Unknown);
         }
         let (rates, keeps) = (self.plan.deployment.rates(), self.plan.deployment.keeps());
         let log_bytes = self
@@ -195,36 +195,40 @@
             .max()
             .unwrap_or(0);
         let checker = Checker {
-            callers: self.callers,
-            origins: self.calls,
-            fleet: self.fleet,
-            operators: self.operators,
-            items: self.orders.iter().map(OrderRecord::history).collect(),
+            callers: self.client_records,
+            origins: self.origin_calls,
+            fleet: self.fleet_records,
+            operators: self.operator_records,
+            items: self
+                .commands
+                .iter()
+                .map(ItemCommandRecord::history)
+                .collect(),
             rates,
             keeps,
         };
         Report {
             checker,
             steps: self.steps,
-            notes: self.notes,
+            event_counts: self.event_counts,
             log_bytes,
-            membership: self.membership,
-            copies: self.copies,
-            orders: self.orders,
+            membership_events: self.membership_events,
+            copies_sent: self.copies_sent,
+            commands: self.commands,
         }
     }
 
     /// The node and run an event is for; none if that run is over.
-    pub(crate) fn owner(&self, what: &SimEvent) -> Option<usize> {
-        match what {
+    pub(crate) fn target_node(&self, event: &SimEvent) -> Option<usize> {
+        match event {
             SimEvent::Tick { node, run }
             | SimEvent::Synced { node, run, .. }
             | SimEvent::CallStarts { node, run, .. }
             | SimEvent::CallEnds { node, run, .. }
             | SimEvent::ResponseSent { node, run, .. }
-            | SimEvent::Arrives { node, run, .. }
-            | SimEvent::CloseRead { node, run, .. }
-            | SimEvent::Watched { node, run, .. } => {
+            | SimEvent::RequestArrives { node, run, .. }
+            | SimEvent::DisconnectRead { node, run, .. }
+            | SimEvent::ConnectionChanged { node, run, .. } => {
                 (self.nodes[*node].run == *run).then_some(*node)
             }
             SimEvent::Deliver { to, .. } => Some(*to),
@@ -233,14 +237,14 @@
     }
 
     pub(crate) fn handle_event(&mut self, serial: u64, event: SimEvent) {
-        let Some(node) = self.owner(&event) else {
+        let Some(node) = self.target_node(&event) else {
             return self.handle_fleet_event(event);
         };
-        let held = self.held_until(node, &event);
-        if self.now < held {
+        let idle_at = self.blocked_until(node, &event);
+        if self.now < idle_at {
             // It will see this when it goes on, in the old order.
-            self.queue.insert((held, serial), event);
-        } else if self.nodes[node].part.is_some() {
+            self.queue.insert((idle_at, serial), event);
+        } else if self.nodes[node].state_machine.is_some() {
             self.handle_node_event(event);
         }
     }
@@ -259,24 +263,26 @@
                 run,
                 id,
                 call,
-            } if !self.cancelled.contains(&(node, run, id)) => self.call(node, run, id, &call),
+            } if !self.cancelled_calls.contains(&(node, run, id)) => {
+                self.call(node, run, id, &call)
+            }
             SimEvent::CallEnds {
                 node,
                 run,
                 id,
                 result,
-            } if !self.cancelled.remove(&(node, run, id)) => {
+            } if !self.cancelled_calls.remove(&(node, run, id)) => {
                 self.step(node, Input::CallCompleted { id, result })
             }
             SimEvent::ResponseSent {
-                node, id, answer, ..
-            } => self.response_sent(node, id, answer),
-            SimEvent::Arrives { node, id, .. } => self.arrives(node, id),
-            SimEvent::CloseRead { node, id, .. } => {
-                self.departures.insert(id, self.now);
+                node, id, response, ..
+            } => self.response_sent(node, id, response),
+            SimEvent::RequestArrives { node, id, .. } => self.request_arrives(node, id),
+            SimEvent::DisconnectRead { node, id, .. } => {
+                self.disconnects_read.insert(id, self.now);
                 self.step(node, Input::ClientDisconnected { id })
             }
-            SimEvent::Watched {
+            SimEvent::ConnectionChanged {
                 node,
                 address,
                 open,
@@ -290,24 +296,28 @@
     fn handle_fleet_event(&mut self, event: SimEvent) {
         match event {
             SimEvent::PutOrigins => self.put_origins(),
-            SimEvent::ClientArrives => self.caller_comes(),
-            SimEvent::ClientRetry(task) => self.caller_calls(task),
+            SimEvent::ClientArrives => self.client_arrives(),
+            SimEvent::ClientRetry(task) => self.send_client_request(task),
             SimEvent::ClientTimesOut { id } => self.client_finished(id, None),
-            SimEvent::ClientDisconnects { id } => self.caller_leaves(id),
-            SimEvent::Fault(fault) => self.fault(fault),
-            SimEvent::FaultGoesOn(kind) => self.record("fault", &kind, 0, false),
-            SimEvent::LookAtMarkers => self.look_at_markers(),
-            SimEvent::LookReady { since } => self.look_ready(since),
-            SimEvent::Restarted { node, run } => self.restarted(node, run),
-            SimEvent::Ask { node, order, tries } => self.ask(node, order, tries),
-            SimEvent::SendOrder { order } => self.send_order(order),
-            SimEvent::OrderUnanswered { id } => self.order_unanswered(id),
+            SimEvent::ClientDisconnects { id } => self.client_disconnects(id),
+            SimEvent::FaultStarts(fault) => self.inject_fault(fault),
+            SimEvent::FaultOngoing(kind) => self.record("fault", &kind, 0, false),
+            SimEvent::CheckMarkers => self.check_markers(),
+            SimEvent::CheckReadiness { since } => self.check_readiness(since),
+            SimEvent::NodeRestarts { node, run } => self.restart_node(node, run),
+            SimEvent::SendOperatorCall {
+                node,
+                command,
+                attempts,
+            } => self.send_operator_call(node, command, attempts),
+            SimEvent::SendItemCommand { command } => self.send_item_command(command),
+            SimEvent::ItemCommandTimesOut { id } => self.item_command_times_out(id),
             _ => {}
         }
     }
 
     fn tick(&mut self, node: usize, run: u64) {
-        let every = if matches!(self.nodes[node].place, NodeId::Control(_)) {
+        let every = if matches!(self.nodes[node].node_id, NodeId::Control(_)) {
             lease::CONTROL_TICK
         } else {
             EDGE_TICK
@@ -319,19 +329,19 @@
     /// A disk holds a record for good.
     fn synced(&mut self, node: usize, serial: u64) {
         self.nodes[node].disk.sync(serial);
-        if self.founder_ends(node, FounderEnd::Untold) {
+        if self.founder_crash_due(node, FounderCrash::BeforeReplies) {
             return self.kill(node);
         }
         self.step(node, Input::Stored { serial });
-        if self.founder_ends(node, FounderEnd::Told) {
+        if self.founder_crash_due(node, FounderCrash::AfterReplies) {
             self.kill(node);
         }
     }
 
     fn trace_message(&self, to: usize, from: Peer, message: &Message) {
-        let to = self.nodes[to].place;
-        let sender = self.by_address.get(&from.address);
-        let from = sender.map(|node| self.nodes[*node].place);
+        let to = self.nodes[to].node_id;
+        let sender = self.node_by_address.get(&from.address);
+        let from = sender.map(|node| self.nodes[*node].node_id);
         if self.trace_messages
             && let (NodeId::Control(_), Some(NodeId::Control(_))) = (to, from)
         {
@@ -341,26 +351,26 @@
 
     pub(crate) fn step(&mut self, node: usize, input: Input) {
         self.steps += 1;
-        self.take_time(node);
+        self.charge_step_time(node);
         let clock = self.nodes[node].clock(self.now);
-        let Some(part) = self.nodes[node].part.as_mut() else {
+        let Some(state_machine) = self.nodes[node].state_machine.as_mut() else {
             return;
         };
-        let outputs = part.handle(clock, input);
+        let outputs = state_machine.handle(clock, input);
         for output in outputs {
             self.output(node, output);
         }
-        self.see_in_force(node);
+        self.record_active_table(node);
     }
 
     /// A table is in force at an edge once the edge is live with it.
-    fn see_in_force(&mut self, node: usize) {
+    fn record_active_table(&mut self, node: usize) {
         let version = self.nodes[node]
-            .image
+            .route_table
             .as_ref()
-            .map_or(0, |image| image.version);
-        if version != self.nodes[node].in_force && self.nodes[node].live(self.now) {
-            self.nodes[node].in_force = version;
+            .map_or(0, |table| table.version);
+        if version != self.nodes[node].active_table_version && self.nodes[node].live(self.now) {
+            self.nodes[node].active_table_version = version;
             let subject = self.nodes[node].peer.address.to_string();
             self.record("in-force", &subject, version, true);
         }
