--- a/simulate-fleet/src/world_callers.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -3,33 +3,33 @@
 
 /// A repeat of what was answered comes within so many milliseconds: the brief
 /// says "about a minute".
-const CLIENT_RETRY_DELAY: u64 = 70_000;
-const REPEATS: u32 = 30;
+const CLIENT_RETRY_WINDOW_MS: u64 = 70_000;
+const MAX_RETRIES: u32 = 30;
 /// One caller in so many leaves early, within this many milliseconds.
-const LEAVES_ONE_IN: u64 = 16;
-const LEAVES_WITHIN_MS: u64 = 400;
+const DISCONNECT_ONE_IN: u64 = 16;
+const MAX_DISCONNECT_DELAY_MS: u64 = 400;
 /// A call takes less than this from its edge's decision to its origin.
-const CALL_LEAVES: Duration = Duration::from_millis(5);
+const CALL_SEND_DELAY: Duration = Duration::from_millis(5);
 
 /// Callers, and the platform that hands them to nodes.
 /// Of a hundred confirmed operations that are sent again all the same.
-const CONFIRMED_RETRY_SHARE: u64 = 15;
+const CONFIRMED_RETRY_PERCENT: u64 = 15;
 /// Retries of an operation whose outcome is unknown.
 const UNKNOWN_OUTCOME_RETRIES: u32 = 3;
 
 impl World {
-    pub(crate) fn caller_comes(&mut self) {
+    pub(crate) fn client_arrives(&mut self) {
         let gap = 1_000_000 / self.plan.deployment.rate;
         if self.now + CLIENT_TIMEOUT / 2 < self.plan.span {
-            let span = self.micros(gap / 2, gap + gap / 2);
+            let span = self.random_micros(gap / 2, gap + gap / 2);
             self.after(span, SimEvent::ClientArrives);
         }
-        let mut roll = self.random.below(100);
+        let mut remaining = self.random.below(100);
         let list = self.plan.deployment.mix.clone();
         let Some(mix) = list.into_iter().find(|mix| {
-            let hit = roll < mix.share;
-            roll = roll.saturating_sub(mix.share);
-            hit
+            let selected = remaining < mix.share;
+            remaining = remaining.saturating_sub(mix.share);
+            selected
         }) else {
             return;
         };
@@ -41,22 +41,22 @@
         self.serial += 1;
         let operation = mix.keyed.then(|| format!("op-{}", self.serial));
         let path = format!("{}{at}", mix.path);
-        self.caller_calls(Task {
+        self.send_client_request(Task {
             mix,
             path,
             operation: operation.clone(),
             zone: None,
-            tries: 0,
-            first: self.now,
+            attempts: 0,
+            first_attempt_at: self.now,
         });
     }
 
     /// A caller, sent by the platform to a node that says it is ready.
-    pub(crate) fn caller_calls(&mut self, task: Task) {
+    pub(crate) fn send_client_request(&mut self, task: Task) {
         let ready = |node: &&usize| {
             let node = &self.nodes[**node];
-            node.part.is_some()
-                && !node.ending
+            node.state_machine.is_some()
+                && !node.shutdown_finished
                 && node.ready
                 && node.live(self.now)
                 && task.zone.as_ref() != Some(&node.zone)
@@ -77,7 +77,7 @@
         };
         self.serial += 1;
         let id = self.serial;
-        let alive = self.nodes[node].part.is_some();
+        let alive = self.nodes[node].state_machine.is_some();
         self.requests.insert(
             id,
             PendingRequest {
@@ -96,34 +96,35 @@
             );
         }
         self.after(CLIENT_TIMEOUT, SimEvent::ClientTimesOut { id });
-        if self.plan.clients_disconnect && id.is_multiple_of(LEAVES_ONE_IN) {
-            let span = Duration::from_millis(1 + id / LEAVES_ONE_IN * 37 % LEAVES_WITHIN_MS);
+        if self.plan.clients_disconnect && id.is_multiple_of(DISCONNECT_ONE_IN) {
+            let span =
+                Duration::from_millis(1 + id / DISCONNECT_ONE_IN * 37 % MAX_DISCONNECT_DELAY_MS);
             self.after(span, SimEvent::ClientDisconnects { id });
         }
         let run = self.nodes[node].run;
-        let span = self.micros(50, 500);
-        self.after(span, SimEvent::Arrives { node, run, id });
+        let span = self.random_micros(50, 500);
+        self.after(span, SimEvent::RequestArrives { node, run, id });
     }
 
     /// The node reads the request.
-    pub(crate) fn arrives(&mut self, node: usize, id: u64) {
+    pub(crate) fn request_arrives(&mut self, node: usize, id: u64) {
         let Some(PendingRequest { task, .. }) = self.requests.get(&id) else {
             return;
         };
         let task = task.clone();
-        match self.arrive(
+        match self.filter_request(
             node,
             &task.mix.method,
             &task.path,
             task.operation.as_deref(),
         ) {
-            Err(refusal) => self.client_finished(id, Some(ClientResponse::Rejection(refusal))),
+            Err(rejection) => self.client_finished(id, Some(ClientResponse::Rejection(rejection))),
             Ok(request) => self.step(node, Input::ClientRequest { id, request }),
         }
     }
 
     /// The same filters as in a process.
-    pub(crate) fn arrive(
+    pub(crate) fn filter_request(
         &self,
         node: usize,
         method: &str,
@@ -140,7 +141,7 @@
                 ]
             })
             .collect();
-        let mut arrival = IncomingRequest {
+        let mut request = IncomingRequest {
             method: method.into(),
             host: "sim".into(),
             url: path.into(),
@@ -150,45 +151,45 @@
             timeout: None,
             request_id: None,
             live: node.live(self.now),
-            routes: node.image.clone(),
+            routes: node.route_table.clone(),
             entry: None,
         };
-        match run_filters(&mut arrival) {
-            Some(refusal) => Err(refusal),
-            None => client_request_of(arrival)
+        match run_filters(&mut request) {
+            Some(rejection) => Err(rejection),
+            None => client_request_of(request)
                 .ok_or_else(|| Rejection::not_run(500, "filters", "an unmatched arrival passed")),
         }
     }
 
     /// The face checks the lease once more before a copy goes out.
-    pub(crate) fn response_sent(&mut self, node: usize, id: u64, answer: ClientResponse) {
+    pub(crate) fn response_sent(&mut self, node: usize, id: u64, response: ClientResponse) {
         let keyed = self
             .requests
             .get(&id)
             .is_some_and(|request| request.task.operation.is_some());
-        let copy = matches!(answer, ClientResponse::Reply { age: Some(_), .. });
-        let answer = if copy && !keyed && !self.nodes[node].live(self.now) {
+        let copy = matches!(response, ClientResponse::Reply { age: Some(_), .. });
+        let response = if copy && !keyed && !self.nodes[node].live(self.now) {
             ClientResponse::Rejection(Rejection::fenced(RunState::NotRun))
         } else {
-            answer
+            response
         };
-        self.client_finished(id, Some(answer));
+        self.client_finished(id, Some(response));
     }
 
     /// Nothing leaves for a caller alone after its close was read.
-    pub(crate) fn see_departed(&mut self, call: &Call) {
-        let Some(left) = self.departures.get(&call.request) else {
+    pub(crate) fn check_call_after_disconnect(&mut self, call: &Call) {
+        let Some(disconnect_read) = self.disconnects_read.get(&call.request) else {
             return;
         };
-        let since = self.now - *left;
+        let elapsed = self.now - *disconnect_read;
         if matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce) {
-            let subject = format!("request {} sent {since:?} after", call.request);
-            self.record("abandoned-work", &subject, 0, since <= CALL_LEAVES);
+            let subject = format!("request {} sent {elapsed:?} after", call.request);
+            self.record("abandoned-work", &subject, 0, elapsed <= CALL_SEND_DELAY);
         }
     }
 
     /// The caller closes its connection; a keyed one asks again elsewhere.
-    pub(crate) fn caller_leaves(&mut self, id: u64) {
+    pub(crate) fn client_disconnects(&mut self, id: u64) {
         let Some(PendingRequest {
             node,
             run,
@@ -199,12 +200,12 @@
             return;
         };
         record.end = self.seconds();
-        self.callers.push(record);
-        let alive = self.nodes[node].run == run && self.nodes[node].part.is_some();
-        if alive && self.now >= self.nodes[node].paused {
+        self.client_records.push(record);
+        let alive = self.nodes[node].run == run && self.nodes[node].state_machine.is_some();
+        if alive && self.now >= self.nodes[node].paused_until {
             self.record("caller-left", "", id, true);
-            let span = self.micros(50, 500);
-            self.after(span, SimEvent::CloseRead { node, run, id });
+            let span = self.random_micros(50, 500);
+            self.after(span, SimEvent::DisconnectRead { node, run, id });
         }
         if task.operation.is_some() && self.now + CLIENT_TIMEOUT < self.plan.span {
             self.retry_at_another_node(node, task, Duration::from_millis(300));
@@ -213,12 +214,12 @@
 
     /// The same operation comes again, not to the zone of this node.
     fn retry_at_another_node(&mut self, node: usize, task: Task, wait: Duration) {
-        let again = Task {
+        let retry = Task {
             zone: Some(self.nodes[node].zone.clone()),
-            tries: task.tries + 1,
+            attempts: task.attempts + 1,
             ..task
         };
-        self.after(wait, SimEvent::ClientRetry(again));
+        self.after(wait, SimEvent::ClientRetry(retry));
     }
 
     pub(crate) fn client_finished(&mut self, id: u64, response: Option<ClientResponse>) {
@@ -237,95 +238,106 @@
             Some(response) => read_response(&mut record, &task, response),
         }
         let good = record.status == 200;
-        let sprung = good && task.operation.is_some() && task.tries == 0 && self.spring_booked();
+        let loss_triggered =
+            good && task.operation.is_some() && task.attempts == 0 && self.trigger_booked_loss();
         if task.operation.is_some() && self.now + CLIENT_TIMEOUT < self.plan.span {
-            self.retry_operation(node, task, &record, sprung);
+            self.retry_operation(node, task, &record, loss_triggered);
         }
-        self.callers.push(record);
+        self.client_records.push(record);
     }
 
     /// Whether a loss was armed for a booking that was confirmed; it comes now.
-    fn spring_booked(&mut self) -> bool {
+    fn trigger_booked_loss(&mut self) -> bool {
         let armed = self
             .armed_loss
             .is_some_and(|(trigger, _)| trigger == Trigger::Booked);
-        self.spring(Trigger::Booked);
+        self.trigger_loss(Trigger::Booked);
         armed
     }
 
     /// Some send an operation again though it was confirmed; all others until
     /// it is.
-    fn retry_operation(&mut self, node: usize, task: Task, record: &CallerRecord, sprung: bool) {
+    fn retry_operation(
+        &mut self,
+        node: usize,
+        task: Task,
+        record: &CallerRecord,
+        loss_triggered: bool,
+    ) {
         let good = record.status == 200;
-        let again = if good {
-            task.tries == 0 && (sprung || self.random.chance(CONFIRMED_RETRY_SHARE))
+        let retry = if good {
+            task.attempts == 0 && (loss_triggered || self.random.chance(CONFIRMED_RETRY_PERCENT))
         } else if record.code == "outcome_unknown" {
-            task.tries < UNKNOWN_OUTCOME_RETRIES
+            task.attempts < UNKNOWN_OUTCOME_RETRIES
         } else {
-            task.tries < REPEATS
+            task.attempts < MAX_RETRIES
         };
         // Who was told when to come back may come then, or sooner.
         let spread = if good {
-            CLIENT_RETRY_DELAY
+            CLIENT_RETRY_WINDOW_MS
         } else {
-            1_500 << (task.tries / 4).min(4)
+            1_500 << (task.attempts / 4).min(4)
         };
         let wait = Duration::from_millis(100 + self.random.below(spread));
-        if again && self.now + wait < task.first + Duration::from_millis(CLIENT_RETRY_DELAY) {
+        if retry
+            && self.now + wait
+                < task.first_attempt_at + Duration::from_millis(CLIENT_RETRY_WINDOW_MS)
+        {
             self.retry_at_another_node(node, task, wait);
         }
     }
 
     /// Whether an entry is there, at an edge that says anything on it: a keyed
     /// entry without a key answers 400, no entry 404.
-    fn entry_at(&self, node: usize, marker: u64) -> Option<bool> {
-        self.shows(node, &format!("/marker/{marker}"))
+    fn marker_visible(&self, node: usize, marker: u64) -> Option<bool> {
+        self.entry_visible(node, &format!("/marker/{marker}"))
     }
 
     /// The same of any keyed entry, by its path.
-    pub(crate) fn shows(&self, node: usize, path: &str) -> Option<bool> {
-        let told = self
-            .arrive(node, "POST", path, None)
+    pub(crate) fn entry_visible(&self, node: usize, path: &str) -> Option<bool> {
+        let rejection_status = self
+            .filter_request(node, "POST", path, None)
             .err()
-            .map_or(0, |refusal| refusal.status);
+            .map_or(0, |rejection| rejection.status);
         [(400, true), (404, false)]
             .into_iter()
-            .find(|(status, _)| *status == told)
-            .map(|(_, there)| there)
+            .find(|(status, _)| *status == rejection_status)
+            .map(|(_, visible)| visible)
     }
 
     /// The number of the last record of a kind since all was lost.
-    pub(crate) fn last(&self, what: &str) -> Option<u64> {
-        self.fleet
+    pub(crate) fn last_recorded(&self, kind: &str) -> Option<u64> {
+        self.fleet_records
             .iter()
             .rev()
-            .take_while(|one| one.what != "all-lost")
-            .find(|one| one.what == what)
-            .map(|one| one.number)
+            .take_while(|record| record.what != "all-lost")
+            .find(|record| record.what == kind)
+            .map(|record| record.number)
     }
 
-    pub(crate) fn look_at_markers(&mut self) {
-        self.after(Duration::from_millis(100), SimEvent::LookAtMarkers);
-        let looks = [
-            self.last("configured")
+    pub(crate) fn check_markers(&mut self) {
+        self.after(Duration::from_millis(100), SimEvent::CheckMarkers);
+        let checks = [
+            self.last_recorded("configured")
                 .map(|marker| ("marker", marker, true)),
-            self.last("removed")
+            self.last_recorded("removed")
                 .map(|marker| ("marker-gone", marker, false)),
             Some(("invalid-marker", 999, false)),
         ];
         for node in self.edges() {
-            if self.nodes[node].part.is_none() || self.now < self.nodes[node].paused {
+            if self.nodes[node].state_machine.is_none() || self.now < self.nodes[node].paused_until
+            {
                 continue;
             }
-            for (what, marker, wanted) in looks.into_iter().flatten() {
-                if let Some(there) = self.entry_at(node, marker) {
+            for (kind, marker, expected) in checks.into_iter().flatten() {
+                if let Some(visible) = self.marker_visible(node, marker) {
                     let subject = self.nodes[node].peer.address.to_string();
-                    self.fleet.push(FleetRecord {
+                    self.fleet_records.push(FleetRecord {
                         at: self.seconds(),
-                        what: what.into(),
+                        what: kind.into(),
                         subject,
                         number: marker,
-                        good: there == wanted,
+                        good: visible == expected,
                     });
                 }
             }
@@ -334,17 +346,15 @@
 
     /// Every edge must be ready by now, unless something was done to the fleet
     /// meanwhile.
-    pub(crate) fn look_ready(&mut self, since: Duration) {
-        let meanwhile = self
-            .fleet
-            .iter()
-            .rev()
-            .any(|one| one.what == "fault" && !one.good && one.at > since.as_secs_f64());
+    pub(crate) fn check_readiness(&mut self, since: Duration) {
+        let disturbed = self.fleet_records.iter().rev().any(|record| {
+            record.what == "fault" && !record.good && record.at > since.as_secs_f64()
+        });
         for node in self.edges() {
-            let ready = self.nodes[node].part.is_some()
+            let ready = self.nodes[node].state_machine.is_some()
                 && self.nodes[node].ready
                 && self.nodes[node].live(self.now);
-            if ready || !meanwhile {
+            if ready || !disturbed {
                 let subject = self.nodes[node].peer.address.to_string();
                 self.record("ready-again", &subject, 0, ready);
             }
@@ -364,7 +374,7 @@
         }
         ClientResponse::Reply { reply, .. } => {
             record.status = reply.status;
-            (record.fits, record.version) = SimOrigin::read(
+            (record.fits, record.version) = SimOrigin::parse_reply(
                 &reply,
                 &task.mix.method,
                 &task.path,
--- a/simulate-fleet/src/world_disks.rs
+++ b/simulate-fleet/src/world_disks.rs
@@ -2,54 +2,54 @@
 use crate::prelude::*;
 
 impl World {
-    pub(crate) fn store(&mut self, node: usize, serial: u64, image: bool, record: Vec<u8>) {
+    pub(crate) fn store(&mut self, node: usize, serial: u64, is_snapshot: bool, record: Vec<u8>) {
         let run = self.nodes[node].run;
         if self.nodes[node].disk.full {
             return self.step(node, Input::StoreFailed);
         }
-        let took = self.sync_takes(node);
+        let took = self.sync_duration(node);
         let disk = &mut self.nodes[node].disk;
-        disk.pending.push_back((serial, image, record));
-        let unwritten = self.plan.founder == FounderEnd::Unwritten
-            && self.founder_ends(node, FounderEnd::Unwritten);
+        disk.pending.push_back((serial, is_snapshot, record));
+        let crash_before_sync = self.plan.founder_crash == FounderCrash::BeforeSync
+            && self.founder_crash_due(node, FounderCrash::BeforeSync);
         let disk = &mut self.nodes[node].disk;
         // One sync serves all that came while the one before was running.
-        let done = (disk.busy_until.max(self.now) + took).max(disk.stalled_until);
+        let synced_at = (disk.busy_until.max(self.now) + took).max(disk.stalled_until);
         disk.busy_until = self.now + took;
-        self.push(done, SimEvent::Synced { node, run, serial });
-        if unwritten {
+        self.push(synced_at, SimEvent::Synced { node, run, serial });
+        if crash_before_sync {
             self.after(
                 Duration::ZERO,
-                SimEvent::Fault(Fault::Kill(NodeId::Control(0))),
+                SimEvent::FaultStarts(Fault::Kill(NodeId::Control(0))),
             );
         }
     }
 
     /// Whether the first seed ends now, having just written the table.
-    pub(crate) fn founder_ends(&mut self, node: usize, end: FounderEnd) -> bool {
-        if node != 0 || self.plan.founder != end || self.founder_ended {
+    pub(crate) fn founder_crash_due(&mut self, node: usize, stage: FounderCrash) -> bool {
+        if node != 0 || self.plan.founder_crash != stage || self.founder_crashed {
             return false;
         }
         let disk = &self.nodes[0].disk;
-        let record = if end == FounderEnd::Unwritten {
+        let record = if stage == FounderCrash::BeforeSync {
             disk.pending.back().map(|(_, _, record)| record)
         } else {
             disk.synced.last()
         };
-        let table = record.is_some_and(|record| {
+        let is_founding_record = record.is_some_and(|record| {
             matches!(bincode::deserialize(record), Ok(Record::Founding { .. }))
         });
-        if table {
-            self.founder_ended = true;
+        if is_founding_record {
+            self.founder_crashed = true;
             self.after(
                 Duration::from_secs(1),
-                SimEvent::Fault(Fault::Start(NodeId::Control(0))),
+                SimEvent::FaultStarts(Fault::Start(NodeId::Control(0))),
             );
         }
-        table
+        is_founding_record
     }
 
-    pub(crate) fn spring(&mut self, trigger: Trigger) {
+    pub(crate) fn trigger_loss(&mut self, trigger: Trigger) {
         let Some((_, loss)) = self.armed_loss.take_if(|(known, _)| *known == trigger) else {
             return;
         };
@@ -59,34 +59,47 @@
                     self.kill(node);
                     self.after(
                         Duration::from_secs(3),
-                        SimEvent::Fault(Fault::Start(self.nodes[node].place)),
+                        SimEvent::FaultStarts(Fault::Start(self.nodes[node].node_id)),
                     );
                 }
-                self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
+                self.after(
+                    Duration::from_secs(3),
+                    SimEvent::FaultStarts(Fault::Returned),
+                );
             }
             Loss::Disk(slot) => {
-                self.fault(Fault::Wipe(NodeId::Control(slot)));
+                self.inject_fault(Fault::Wipe(NodeId::Control(slot)));
                 self.after(
                     Duration::from_secs(3),
-                    SimEvent::Fault(Fault::Start(NodeId::Control(slot))),
+                    SimEvent::FaultStarts(Fault::Start(NodeId::Control(slot))),
                 );
             }
             Loss::Disks(slot, count) => {
                 for node in 0..self.nodes.len() {
-                    let wiped = (0..count).any(|more| node == (slot + more) % self.plan.control);
-                    let (place, ran) = (self.nodes[node].place, self.nodes[node].part.is_some());
+                    let wiped =
+                        (0..count).any(|offset| node == (slot + offset) % self.plan.control);
+                    let (node_id, was_running) = (
+                        self.nodes[node].node_id,
+                        self.nodes[node].state_machine.is_some(),
+                    );
                     if wiped {
-                        self.fault(Fault::Wipe(place));
+                        self.inject_fault(Fault::Wipe(node_id));
                     } else {
                         self.kill(node);
                     }
-                    if wiped || ran || node < self.first_spare() {
-                        self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Start(place)));
+                    if wiped || was_running || node < self.first_spare() {
+                        self.after(
+                            Duration::from_secs(3),
+                            SimEvent::FaultStarts(Fault::Start(node_id)),
+                        );
                     }
                 }
-                self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
+                self.after(
+                    Duration::from_secs(3),
+                    SimEvent::FaultStarts(Fault::Returned),
+                );
             }
-            Loss::DiskSpace(slot) => self.fault(Fault::DiskFull(NodeId::Control(slot))),
+            Loss::DiskSpace(slot) => self.inject_fault(Fault::DiskFull(NodeId::Control(slot))),
         }
     }
 }
--- a/simulate-fleet/src/world_events.rs
+++ b/simulate-fleet/src/world_events.rs
@@ -32,14 +32,14 @@
         node: usize,
         run: u64,
         id: u64,
-        answer: ClientResponse,
+        response: ClientResponse,
     },
-    Arrives {
+    RequestArrives {
         node: usize,
         run: u64,
         id: u64,
     },
-    Watched {
+    ConnectionChanged {
         node: usize,
         run: u64,
         address: SocketAddr,
@@ -52,7 +52,7 @@
         id: u64,
     },
     /// The node reads that the caller has closed its connection.
-    CloseRead {
+    DisconnectRead {
         node: usize,
         run: u64,
         id: u64,
@@ -61,28 +61,28 @@
     ClientDisconnects {
         id: u64,
     },
-    Fault(Fault),
+    FaultStarts(Fault),
     /// A fault of this kind still lasts, or ends now.
-    FaultGoesOn(String),
-    LookAtMarkers,
+    FaultOngoing(String),
+    CheckMarkers,
     /// Who was away at `since` must be ready by now.
-    LookReady {
+    CheckReadiness {
         since: Duration,
     },
     /// A node that ended after a warning is started again.
-    Restarted {
+    NodeRestarts {
         node: usize,
         run: u64,
     },
-    Ask {
+    SendOperatorCall {
         node: usize,
-        order: Order,
-        tries: u32,
+        command: OperatorCommand,
+        attempts: u32,
     },
-    SendOrder {
-        order: usize,
+    SendItemCommand {
+        command: usize,
     },
-    OrderUnanswered {
+    ItemCommandTimesOut {
         id: u64,
     },
 }
@@ -93,9 +93,9 @@
     pub(crate) path: String,
     pub(crate) operation: Option<String>,
     pub(crate) zone: Option<String>,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     /// When the first try began: repeats end with `CLIENT_RETRY_DELAY`.
-    pub(crate) first: Duration,
+    pub(crate) first_attempt_at: Duration,
 }
 
 pub(crate) struct PendingRequest {
@@ -107,7 +107,7 @@
 
 /// An order of an operator, who may send it more than once.
 #[derive(Debug, Clone)]
-pub(crate) struct Order {
+pub(crate) struct OperatorCommand {
     pub(crate) call: OperatorCall,
     /// Names the order; the same each time it is sent.
     pub(crate) change: Option<u64>,
@@ -117,9 +117,9 @@
     pub(crate) start: Option<f64>,
 }
 
-impl From<OperatorCall> for Order {
-    fn from(call: OperatorCall) -> Order {
-        Order {
+impl From<OperatorCall> for OperatorCommand {
+    fn from(call: OperatorCall) -> OperatorCommand {
+        OperatorCommand {
             call,
             change: None,
             settled: false,
@@ -129,10 +129,10 @@
 }
 
 /// An operator's call under way.
-pub(crate) struct Question {
+pub(crate) struct PendingOperatorCall {
     /// The node that was asked.
     pub(crate) node: usize,
-    pub(crate) order: Order,
+    pub(crate) command: OperatorCommand,
     /// When.
     pub(crate) start: f64,
 }
@@ -145,7 +145,7 @@
         text: String,
         expect: Option<u64>,
         race: bool,
-        without: Vec<u64>,
+        removed_markers: Vec<u64>,
     },
     Purge {
         prefix: String,
@@ -166,7 +166,7 @@
         generation: Option<u64>,
     },
     /// The place of the order among those of the plan.
-    Order {
-        order: usize,
+    ItemCommand {
+        command: usize,
     },
 }
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -2,27 +2,27 @@
 use crate::prelude::*;
 
 /// How long the first seed collects founding control nodes.
-const GATHER: Duration = Duration::from_millis(500);
+const GATHER_TIME: Duration = Duration::from_millis(500);
 /// Who starts later does not start with the whole fleet for the first time.
-const FIRST_START: Duration = Duration::from_secs(5);
+const FIRST_START_END: Duration = Duration::from_secs(5);
 /// A fault that lasts is recorded again at this interval, and at its end.
 const FAULT_RECORD_INTERVAL: Duration = Duration::from_secs(4);
 /// From SIGTERM to the end of a process by its platform.
-const GRACE: Duration = Duration::from_secs(6);
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 
 /// What is done to the fleet.
 impl World {
     /// The process that listened there ended: its connections end.
-    pub(crate) fn end_watches(&mut self, at: usize) {
-        let address = self.origins[at].origin.address;
-        let (ended, stand) = std::mem::take(&mut self.watches)
+    pub(crate) fn close_connections(&mut self, origin_index: usize) {
+        let address = self.origins[origin_index].origin.address;
+        let (ended, remaining) = std::mem::take(&mut self.open_connections)
             .into_iter()
-            .partition(|watch| watch.2 == at);
-        self.watches = stand;
+            .partition(|connection| connection.2 == origin_index);
+        self.open_connections = remaining;
         for (node, run, _) in ended as BTreeSet<(usize, u64, usize)> {
             self.after(
                 Duration::from_millis(1),
-                SimEvent::Watched {
+                SimEvent::ConnectionChanged {
                     node,
                     run,
                     address,
@@ -32,8 +32,8 @@
         }
     }
 
-    pub(crate) fn at(&self, place: NodeId) -> usize {
-        match place {
+    pub(crate) fn node_index(&self, node_id: NodeId) -> usize {
+        match node_id {
             NodeId::Control(slot) if slot >= self.plan.control => {
                 self.first_spare() + slot - self.plan.control
             }
@@ -44,35 +44,35 @@
 
     /// What a node's settings name as seeds. Who may found the table goes by
     /// the first ones, and so does a fleet whose seeds are the table.
-    fn seeds(&self, node: usize) -> Vec<SocketAddr> {
-        let fixed = !self.plan.gather || self.nodes[node].founding != Founding::Never;
-        let turned = if fixed { 0 } else { self.seeds_rotation };
+    fn seed_addresses(&self, node: usize) -> Vec<SocketAddr> {
+        let seeds_fixed = !self.plan.gather || self.nodes[node].founding != Founding::Never;
+        let rotation = if seeds_fixed { 0 } else { self.seeds_rotation };
         let control = self.plan.control;
         (0..control.min(3))
-            .map(|seed| self.nodes[(seed + turned) % control].peer.address)
+            .map(|seed| self.nodes[(seed + rotation) % control].peer.address)
             .collect()
     }
 
     pub(crate) fn start(&mut self, node: usize) {
-        if self.now > FIRST_START && self.nodes[node].founding == Founding::FirstStart {
+        if self.now > FIRST_START_END && self.nodes[node].founding == Founding::FirstStart {
             self.nodes[node].founding = Founding::Never;
         }
-        let seeds = self.seeds(node);
+        let seeds = self.seed_addresses(node);
         let incarnation = self.random.below(u64::MAX >> 12) + 1;
-        self.nodes[node].offset = self.micros(0, 1 << 40);
-        let gather = self.plan.gather.then_some(GATHER);
+        self.nodes[node].clock_offset = self.random_micros(0, 1 << 40);
+        let gather = self.plan.gather.then_some(GATHER_TIME);
         self.nodes[node].start(self.now, &seeds, gather, incarnation);
         let run = self.nodes[node].run;
-        let span = self.micros(0, 100_000);
+        let span = self.random_micros(0, 100_000);
         self.after(span, SimEvent::Tick { node, run });
     }
 
     pub(crate) fn kill(&mut self, node: usize) {
-        if self.nodes[node].part.is_none() {
+        if self.nodes[node].state_machine.is_none() {
             return;
         }
         self.nodes[node].kill();
-        self.lose_unread(node);
+        self.drop_undelivered(node);
         let subject = self.nodes[node].peer.address.to_string();
         self.record("killed", &subject, 0, true);
         let lost: Vec<u64> = self
@@ -87,7 +87,7 @@
         let operator_calls: Vec<u64> = self
             .operator_calls
             .iter()
-            .filter(|(_, question)| question.node == node)
+            .filter(|(_, pending_call)| pending_call.node == node)
             .map(|(id, _)| *id)
             .collect();
         operator_calls.into_iter().for_each(|id| {
@@ -96,32 +96,34 @@
     }
 
     /// What has ended for good stays ended.
-    fn set_behavior(&mut self, at: usize, behavior: OriginBehavior) {
-        if self.origins[at].behavior == OriginBehavior::Down && self.origins[at].origin.draining {
+    fn set_behavior(&mut self, origin_index: usize, behavior: OriginBehavior) {
+        if self.origins[origin_index].behavior == OriginBehavior::Down
+            && self.origins[origin_index].origin.draining
+        {
             return;
         }
-        self.origins[at].behavior = behavior;
+        self.origins[origin_index].behavior = behavior;
         if behavior == OriginBehavior::Down {
-            self.end_watches(at);
+            self.close_connections(origin_index);
         }
     }
 
     /// It ended by itself; what it had read it must have answered.
-    pub(crate) fn restarted(&mut self, node: usize, run: u64) {
+    pub(crate) fn restart_node(&mut self, node: usize, run: u64) {
         if self.nodes[node].run != run {
             return;
         }
         let unanswered: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, one)| one.node == node && one.run == run)
+            .filter(|(_, request)| request.node == node && request.run == run)
             .map(|(id, _)| *id)
             .collect();
         unanswered
             .into_iter()
             .for_each(|id| self.client_finished(id, None));
         self.nodes[node].kill();
-        self.lose_unread(node);
+        self.drop_undelivered(node);
         let subject = self.nodes[node].peer.address.to_string();
         self.record("restarted", &subject, 0, true);
         self.start(node);
@@ -134,58 +136,65 @@
             self.nodes[node].founding = Founding::AfterTotalLoss;
             self.after(
                 Duration::from_secs(3),
-                SimEvent::Fault(Fault::Start(self.nodes[node].place)),
+                SimEvent::FaultStarts(Fault::Start(self.nodes[node].node_id)),
             );
         }
-        self.see_all_lost();
-        self.after(Duration::from_secs(3), SimEvent::Fault(Fault::Returned));
+        self.check_total_loss();
+        self.after(
+            Duration::from_secs(3),
+            SimEvent::FaultStarts(Fault::Returned),
+        );
     }
 
     /// If nobody is left who knew anything, operators and the platform tell
     /// the fleet what they want once it is back.
-    pub(crate) fn see_all_lost(&mut self) {
-        let knows = |node: &SimNode| match node.place {
-            NodeId::Edge(_) => node.part.is_some() && node.image.is_some(),
+    pub(crate) fn check_total_loss(&mut self) {
+        let has_state = |node: &SimNode| match node.node_id {
+            NodeId::Edge(_) => node.state_machine.is_some() && node.route_table.is_some(),
             NodeId::Control(_) => {
                 matches!(Replica::replay(&node.disk.synced), Ok(Some(replica)) if replica.full)
             }
         };
-        if self.now < Duration::from_secs(4) || self.nodes.iter().any(knows) {
+        if self.now < Duration::from_secs(4) || self.nodes.iter().any(has_state) {
             return;
         }
         self.record("all-lost", "", 0, true);
-        self.forget_read_backs();
-        self.forget_acknowledged_orders();
+        self.drop_pending_read_backs();
+        self.clear_settled_flags();
         // The fleet is founded anew.
-        let again = if self.plan.gather {
+        let refounding_nodes = if self.plan.gather {
             self.plan.control
         } else {
             0
         };
-        for node in 0..again {
-            let runs = self.nodes[node].part.is_some();
+        for node in 0..refounding_nodes {
+            let was_running = self.nodes[node].state_machine.is_some();
             self.nodes[node].kill();
             self.nodes[node].disk = Disk::default();
             self.nodes[node].founding = Founding::AfterTotalLoss;
-            if runs {
+            if was_running {
                 self.start(node);
             }
         }
-        self.acknowledged = None;
+        self.last_acknowledged = None;
         self.markers.clear();
-        self.removed.clear();
-        self.origins_due = None;
+        self.removed_markers.clear();
+        self.origins_put_pending = None;
         self.after(Duration::from_secs(4), SimEvent::PutOrigins);
-        self.after(Duration::from_secs(4), SimEvent::Fault(Fault::Configure));
+        self.after(
+            Duration::from_secs(4),
+            SimEvent::FaultStarts(Fault::Configure),
+        );
     }
 
     /// Operators who still wait to read back what nobody knows any more.
-    fn forget_read_backs(&mut self) {
-        let read_back = |order: &Order| matches!(order.call, OperatorCall::ReadBack { .. });
+    fn drop_pending_read_backs(&mut self) {
+        let read_back =
+            |command: &OperatorCommand| matches!(command.call, OperatorCall::ReadBack { .. });
         self.operator_calls
-            .retain(|_, question| !read_back(&question.order));
+            .retain(|_, pending_call| !read_back(&pending_call.command));
         self.queue
-            .retain(|_, what| !matches!(what, SimEvent::Ask { order, .. } if read_back(order)));
+            .retain(|_, event| !matches!(event, SimEvent::SendOperatorCall { command, .. } if read_back(command)));
     }
 
     /// What is asked within the span of a fault is judged as disturbed by it.
@@ -195,26 +204,26 @@
         };
         let mut at = FAULT_RECORD_INTERVAL;
         while at < span {
-            self.after(at, SimEvent::FaultGoesOn(fault.kind()));
+            self.after(at, SimEvent::FaultOngoing(fault.kind()));
             at += FAULT_RECORD_INTERVAL;
         }
         if span > FAULT_RECORD_INTERVAL {
-            self.after(span, SimEvent::FaultGoesOn(fault.kind()));
+            self.after(span, SimEvent::FaultOngoing(fault.kind()));
         }
     }
 
-    pub(crate) fn fault(&mut self, fault: Fault) {
+    pub(crate) fn inject_fault(&mut self, fault: Fault) {
         if self.trace {
             println!("{:9.4} FAULT {fault:?}", self.seconds());
         }
         // Operators make one change at a time, except where they race: of two
         // changes without a condition the later one rightly undoes the other.
-        if !self.changing.is_empty()
+        if !self.pending_markers.is_empty()
             && matches!(fault, Fault::Configure | Fault::Race(_) | Fault::Grow(_))
         {
-            return self.after(Duration::from_millis(50), SimEvent::Fault(fault));
+            return self.after(Duration::from_millis(50), SimEvent::FaultStarts(fault));
         }
-        let ends_nothing = self.weather == (0, 0, 0)
+        let is_no_op = self.message_faults == (0, 0, 0)
             && matches!(
                 fault,
                 Fault::Returned
@@ -224,52 +233,56 @@
                         late: 0
                     }
             );
-        if !ends_nothing {
-            self.record("fault", &fault.kind(), 0, fault.planned());
+        if !is_no_op {
+            self.record("fault", &fault.kind(), 0, fault.is_planned());
         }
         self.record_span(&fault);
-        self.carry_out(fault);
+        self.apply_fault(fault);
     }
 
     /// Faults of nodes and links; all others are changes.
-    fn carry_out(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Kill(place) => {
-                self.kill(self.at(place));
-                self.see_all_lost();
+            Fault::Kill(node_id) => {
+                self.kill(self.node_index(node_id));
+                self.check_total_loss();
             }
-            Fault::Start(place) => self.start_if_down(place),
-            Fault::Pause(place, span) => self.pause(place, span),
-            Fault::Restart(place) => self.request_shutdown(place),
-            Fault::Retire(place) => self.retire(place),
-            Fault::Wipe(place) => self.wipe(place),
-            Fault::DiskFull(place) => {
-                let node = self.at(place);
+            Fault::Start(node_id) => self.start_if_down(node_id),
+            Fault::Pause(node_id, span) => self.pause(node_id, span),
+            Fault::Restart(node_id) => self.request_shutdown(node_id),
+            Fault::Retire(node_id) => self.retire(node_id),
+            Fault::Wipe(node_id) => self.wipe(node_id),
+            Fault::DiskFull(node_id) => {
+                let node = self.node_index(node_id);
                 self.nodes[node].disk.full = true;
             }
-            Fault::DropLink(from, to) => self.cut(self.at(from), self.at(to), Duration::MAX),
-            Fault::Isolate(place) => self.isolate(place),
-            Fault::Partition(place, scope, span) => self.cut_off(self.at(place), scope, span),
-            Fault::Reset(one, other) => self.reset(self.at(one), self.at(other)),
-            Fault::Slow(place, span) => self.slow_down(place, span),
-            Fault::StallDisk(place, span) => {
-                let node = self.at(place);
+            Fault::DropLink(from, to) => {
+                self.drop_link(self.node_index(from), self.node_index(to), Duration::MAX)
+            }
+            Fault::Isolate(node_id) => self.isolate(node_id),
+            Fault::Partition(node_id, scope, span) => {
+                self.partition_node(self.node_index(node_id), scope, span)
+            }
+            Fault::Reset(one, other) => self.reset(self.node_index(one), self.node_index(other)),
+            Fault::Slow(node_id, span) => self.slow_down(node_id, span),
+            Fault::StallDisk(node_id, span) => {
+                let node = self.node_index(node_id);
                 self.nodes[node].disk.stalled_until = self.now + span;
             }
-            Fault::SlowDisk(place, span) => {
-                let node = self.at(place);
+            Fault::SlowDisk(node_id, span) => {
+                let node = self.node_index(node_id);
                 self.nodes[node].disk.slow_until = self.now + span;
             }
             Fault::ReorderSeeds => self.seeds_rotation += 1,
             Fault::LoseOperatorResponses(span) => {
                 self.operator_responses_lost_until = self.now + span
             }
-            Fault::Heal => self.cuts.clear(),
+            Fault::Heal => self.dropped_links.clear(),
             Fault::LossyNetwork {
                 lost,
                 doubled,
                 late,
-            } => self.weather = (lost, doubled, late),
+            } => self.message_faults = (lost, doubled, late),
             change @ (Fault::PutItem
             | Fault::Origin(..)
             | Fault::Service(..)
@@ -286,27 +299,27 @@
             | Fault::LoseAll
             | Fault::OpenLedger
             | Fault::Returned
-            | Fault::ReadBack) => self.change(change),
+            | Fault::ReadBack) => self.apply_change(change),
         }
     }
 
     /// Changes of origins, operators' changes, and losses of many nodes.
-    fn change(&mut self, change: Fault) {
+    fn apply_change(&mut self, change: Fault) {
         match change {
             Fault::PutItem => self.put_item(),
-            Fault::Origin(at, behavior) => self.set_behavior(at, behavior),
+            Fault::Origin(origin_index, behavior) => self.set_behavior(origin_index, behavior),
             Fault::Service(service, behavior) => self.set_service_behavior(service, behavior),
-            Fault::DrainOrigin(at) => {
-                self.origins[at].origin.draining = true;
+            Fault::DrainOrigin(origin_index) => {
+                self.origins[origin_index].origin.draining = true;
                 self.put_origins();
             }
-            Fault::ReuseAddress(at) => self.reuse_address(at),
-            Fault::Replace(at) => self.replace_origin(at),
+            Fault::ReuseAddress(origin_index) => self.reuse_address(origin_index),
+            Fault::Replace(origin_index) => self.replace_origin(origin_index),
             Fault::Content => {
                 self.version += 1;
                 self.record("content", "", self.version, true);
             }
-            Fault::Purge(prefix) => self.ask(
+            Fault::Purge(prefix) => self.send_operator_call(
                 1,
                 OperatorCall::Purge {
                     prefix,
@@ -315,12 +328,12 @@
                 0,
             ),
             Fault::Configure => {
-                self.grown = 0;
+                self.extra_entries = 0;
                 let base = self.markers.clone();
                 self.configure(0, &base, None, false);
             }
             Fault::Grow(entries) => {
-                self.grown = entries;
+                self.extra_entries = entries;
                 let base = self.markers.clone();
                 self.configure(1, &base, None, false);
             }
@@ -328,67 +341,69 @@
             Fault::Race(operators) => self.race(operators),
             Fault::LossOnTrigger(trigger, loss) => self.armed_loss = Some((trigger, loss)),
             Fault::LoseAll => self.lose_all(),
-            Fault::OpenLedger => self.ask(0, OperatorCall::OpenLedger { generation: None }, 0),
+            Fault::OpenLedger => {
+                self.send_operator_call(0, OperatorCall::OpenLedger { generation: None }, 0)
+            }
             Fault::Returned => self.expect_recovery(),
             Fault::ReadBack => {
-                if let Some(expect) = self.acknowledged.clone() {
-                    self.ask(2, OperatorCall::ReadBack { expect }, 0);
+                if let Some(expect) = self.last_acknowledged.clone() {
+                    self.send_operator_call(2, OperatorCall::ReadBack { expect }, 0);
                 }
             }
             fault => unreachable!("{fault:?} is a fault of nodes or links"),
         }
     }
 
-    fn start_if_down(&mut self, place: NodeId) {
-        let node = self.at(place);
-        if self.nodes[node].part.is_none() {
+    fn start_if_down(&mut self, node_id: NodeId) {
+        let node = self.node_index(node_id);
+        if self.nodes[node].state_machine.is_none() {
             self.nodes[node].disk.full = false;
             self.start(node);
         }
     }
 
-    fn pause(&mut self, place: NodeId, span: Duration) {
-        let node = self.at(place);
-        self.nodes[node].paused = self.now + span;
+    fn pause(&mut self, node_id: NodeId, span: Duration) {
+        let node = self.node_index(node_id);
+        self.nodes[node].paused_until = self.now + span;
         let subject = self.nodes[node].peer.address.to_string();
         // Callers may give up on it meanwhile; that is no planned change.
         self.record("killed", &subject, 1, true);
     }
 
-    fn request_shutdown(&mut self, place: NodeId) {
-        let node = self.at(place);
-        if self.nodes[node].part.is_some() && self.now >= self.nodes[node].paused {
+    fn request_shutdown(&mut self, node_id: NodeId) {
+        let node = self.node_index(node_id);
+        if self.nodes[node].state_machine.is_some() && self.now >= self.nodes[node].paused_until {
             self.step(node, Input::ShutdownRequested);
         }
     }
 
-    fn retire(&mut self, place: NodeId) {
-        let node = self.at(place);
-        if self.nodes[node].part.is_some() {
+    fn retire(&mut self, node_id: NodeId) {
+        let node = self.node_index(node_id);
+        if self.nodes[node].state_machine.is_some() {
             self.nodes[node].retiring = true;
-            self.after(GRACE, SimEvent::Fault(Fault::Kill(place)));
+            self.after(SHUTDOWN_GRACE, SimEvent::FaultStarts(Fault::Kill(node_id)));
             self.step(node, Input::ShutdownRequested);
         }
     }
 
-    fn wipe(&mut self, place: NodeId) {
-        let node = self.at(place);
+    fn wipe(&mut self, node_id: NodeId) {
+        let node = self.node_index(node_id);
         self.kill(node);
         self.nodes[node].disk = Disk::default();
         self.nodes[node].founding = Founding::Never;
-        self.see_all_lost();
+        self.check_total_loss();
     }
 
-    fn isolate(&mut self, place: NodeId) {
-        let node = self.at(place);
+    fn isolate(&mut self, node_id: NodeId) {
+        let node = self.node_index(node_id);
         for other in 0..self.nodes.len() {
-            self.cut(node, other, Duration::MAX);
-            self.cut(other, node, Duration::MAX);
+            self.drop_link(node, other, Duration::MAX);
+            self.drop_link(other, node, Duration::MAX);
         }
     }
 
-    fn slow_down(&mut self, place: NodeId, span: Duration) {
-        let node = self.at(place);
+    fn slow_down(&mut self, node_id: NodeId, span: Duration) {
+        let node = self.node_index(node_id);
         self.nodes[node].slow_until = self.now + span;
         // As with a pause: callers may give up on it.
         let subject = self.nodes[node].peer.address.to_string();
@@ -398,23 +413,23 @@
     fn set_service_behavior(&mut self, service: usize, behavior: OriginBehavior) {
         let name = self.plan.deployment.services[service].name;
         let list: Vec<usize> = (0..self.origins.len())
-            .filter(|at| self.origins[*at].origin.service == name)
+            .filter(|origin_index| self.origins[*origin_index].origin.service == name)
             .collect();
         list.into_iter()
-            .for_each(|at| self.set_behavior(at, behavior));
+            .for_each(|origin_index| self.set_behavior(origin_index, behavior));
     }
 
-    fn reuse_address(&mut self, at: usize) {
-        self.end_watches(at);
-        self.origins[at].service = "usurper".into();
-        self.origins[at].instance = "usurper-0".into();
+    fn reuse_address(&mut self, origin_index: usize) {
+        self.close_connections(origin_index);
+        self.origins[origin_index].service = "usurper".into();
+        self.origins[origin_index].instance = "usurper-0".into();
     }
 
-    fn replace_origin(&mut self, at: usize) {
-        let instance = format!("{}-next", self.origins[at].instance);
-        self.end_watches(at);
-        self.origins[at].instance = instance.clone();
-        self.origins[at].origin.instance = instance;
+    fn replace_origin(&mut self, origin_index: usize) {
+        let instance = format!("{}-next", self.origins[origin_index].instance);
+        self.close_connections(origin_index);
+        self.origins[origin_index].instance = instance.clone();
+        self.origins[origin_index].origin.instance = instance;
         self.put_origins();
     }
 
@@ -424,21 +439,21 @@
             .deployment
             .document(&[999])
             .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
-        self.ask(
+        self.send_operator_call(
             2,
             OperatorCall::Configure {
                 marker: 999,
                 text,
                 expect: None,
                 race: false,
-                without: vec![],
+                removed_markers: vec![],
             },
             0,
         );
     }
 
     fn race(&mut self, operators: usize) {
-        let expect = self.acknowledged.as_ref().map(|(version, _)| *version);
+        let expect = self.last_acknowledged.as_ref().map(|(version, _)| *version);
         let base = self.markers.clone();
         (0..operators).for_each(|at| self.configure(at % self.plan.control, &base, expect, true));
     }
@@ -447,7 +462,7 @@
         self.record("returned", "all", 0, true);
         self.after(
             Duration::from_secs(15),
-            SimEvent::LookReady { since: self.now },
+            SimEvent::CheckReadiness { since: self.now },
         );
     }
 }
--- a/simulate-fleet/src/world_orders.rs
+++ b/simulate-fleet/src/world_item_commands.rs
@@ -5,7 +5,7 @@
 
 /// One operator's order: an item under a revision, with a content.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ItemOrder {
+pub struct ItemCommand {
     /// When it is first sent.
     pub at: Duration,
     /// The control node that is asked first.
@@ -22,23 +22,23 @@
 
 /// What became of an order.
 #[derive(Debug, Clone)]
-pub struct OrderRecord {
+pub struct ItemCommandRecord {
     /// What was ordered.
-    pub order: ItemOrder,
+    pub command: ItemCommand,
     /// How often it was sent.
-    pub tries: u32,
+    pub attempts: u32,
     /// The answer that ended it; none if it was sent until the end.
     pub outcome: Option<ChangeOutcome>,
     /// When it ended.
-    pub ended: Duration,
+    pub ended_at: Duration,
 }
 
 /// An operator without an answer sends again after this.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// An operator waits this long for one node.
-const PATIENCE: Duration = Duration::from_millis(3500);
+const ITEM_COMMAND_TIMEOUT: Duration = Duration::from_millis(3500);
 
-impl ItemOrder {
+impl ItemCommand {
     fn change(&self) -> Change {
         let text: Arc<str> = json!({
             "service": self.name, "rate": 1 + self.content, "concurrency": 2, "proof": "named",
@@ -56,18 +56,18 @@
     }
 }
 
-impl OrderRecord {
+impl ItemCommandRecord {
     /// The order as its item's history has it: all its tries are one call. One
     /// that was refused for another reason than a conflict may have met a node
     /// that could not tell.
     pub(crate) fn history(&self) -> ItemRecord {
-        let ItemOrder {
+        let ItemCommand {
             at,
             name,
             revision,
             content,
             ..
-        } = &self.order;
+        } = &self.command;
         let (revision, content) = (*revision, Some(content.to_string()));
         let (operation, known) = match &self.outcome {
             Some(ChangeOutcome::RevisionConflict(_)) => {
@@ -81,7 +81,7 @@
         ItemRecord {
             name: name.clone(),
             start: at.as_secs_f64(),
-            end: known.then_some(self.ended.as_secs_f64()),
+            end: known.then_some(self.ended_at.as_secs_f64()),
             operation,
         }
     }
@@ -89,64 +89,64 @@
 
 impl World {
     /// Puts the plan's orders on the timetable.
-    pub(crate) fn schedule_orders(&mut self) {
-        for (order, at) in self
+    pub(crate) fn schedule_item_commands(&mut self) {
+        for (command, at) in self
             .plan
-            .orders
+            .commands
             .iter()
-            .map(|one| one.at)
+            .map(|command| command.at)
             .enumerate()
             .collect::<Vec<_>>()
         {
-            let record = OrderRecord {
-                order: self.plan.orders[order].clone(),
-                tries: 0,
+            let record = ItemCommandRecord {
+                command: self.plan.commands[command].clone(),
+                attempts: 0,
                 outcome: None,
-                ended: Duration::ZERO,
+                ended_at: Duration::ZERO,
             };
-            self.orders.push(record);
-            self.push(at, SimEvent::SendOrder { order });
+            self.commands.push(record);
+            self.push(at, SimEvent::SendItemCommand { command });
         }
     }
 
-    pub(crate) fn send_order(&mut self, order: usize) {
-        let record = &mut self.orders[order];
+    pub(crate) fn send_item_command(&mut self, command: usize) {
+        let record = &mut self.commands[command];
         if record.outcome.is_some() {
             return;
         }
-        let node = (record.order.node + record.tries as usize) % self.plan.control;
-        record.tries += 1;
-        let change = record.order.change();
-        if self.nodes[node].part.is_none() {
-            return self.after(RETRY_INTERVAL, SimEvent::SendOrder { order });
+        let node = (record.command.node + record.attempts as usize) % self.plan.control;
+        record.attempts += 1;
+        let change = record.command.change();
+        if self.nodes[node].state_machine.is_none() {
+            return self.after(RETRY_INTERVAL, SimEvent::SendItemCommand { command });
         }
         self.serial += 1;
         let id = self.serial;
-        self.record_operator_call(node, OperatorCall::Order { order });
-        self.after(PATIENCE, SimEvent::OrderUnanswered { id });
+        self.record_operator_call(node, OperatorCall::ItemCommand { command });
+        self.after(ITEM_COMMAND_TIMEOUT, SimEvent::ItemCommandTimesOut { id });
         let partition = CONFIGURATION_PARTITION;
-        let ask = OperatorRequest::Change { partition, change };
-        self.step(node, Input::Operator { id, request: ask });
+        let request = OperatorRequest::Change { partition, change };
+        self.step(node, Input::Operator { id, request });
     }
 
     /// The operator gives this try up and goes to the next node.
-    pub(crate) fn order_unanswered(&mut self, id: u64) {
+    pub(crate) fn item_command_times_out(&mut self, id: u64) {
         if self.operator_calls.contains_key(&id) {
             self.on_operator_response(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown));
         }
     }
 
-    pub(crate) fn on_order_outcome(&mut self, order: usize, outcome: ChangeOutcome) {
+    pub(crate) fn on_item_command_outcome(&mut self, command: usize, outcome: ChangeOutcome) {
         let now = self.now;
-        let record = &mut self.orders[order];
-        let lost = record.order.operator_responses_lost > 0;
+        let record = &mut self.commands[command];
+        let lost = record.command.operator_responses_lost > 0;
         if lost {
-            record.order.operator_responses_lost -= 1;
+            record.command.operator_responses_lost -= 1;
         }
         if lost || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority) {
-            return self.after(RETRY_INTERVAL, SimEvent::SendOrder { order });
+            return self.after(RETRY_INTERVAL, SimEvent::SendItemCommand { command });
         }
         record.outcome = Some(outcome);
-        record.ended = now;
+        record.ended_at = now;
     }
 }
--- a/simulate-fleet/src/world_answers.rs
+++ b/simulate-fleet/src/world_lost_responses.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// Of a hundred answers so many are lost while answers are lost at all.
-const OPERATOR_RESPONSES_LOST: u64 = 60;
+const LOST_RESPONSE_PERCENT: u64 = 60;
 const ITEM_NAME: &str = "note";
 
 impl World {
@@ -25,7 +25,7 @@
             text: Some(text),
         };
         let node = self.random.below(self.plan.control as u64) as usize;
-        self.ask(node, OperatorCall::PutItem { item }, 0);
+        self.send_operator_call(node, OperatorCall::PutItem { item }, 0);
     }
 
     /// A revision is in force everywhere: every live edge shows it, or a later
@@ -36,51 +36,60 @@
                 continue;
             }
             let shown = (revision..=self.item_revision)
-                .any(|later| self.shows(node, &format!("/note/{later}")) == Some(true));
-            let subject = format!("{ITEM_NAME} at {:?}", self.nodes[node].place);
+                .any(|later| self.entry_visible(node, &format!("/note/{later}")) == Some(true));
+            let subject = format!("{ITEM_NAME} at {:?}", self.nodes[node].node_id);
             self.record("at-ack", &subject, revision, shown);
         }
     }
 
-    pub(crate) fn operator_response_is_lost(&mut self, order: &Order) -> bool {
-        let changes = matches!(
-            order.call,
+    pub(crate) fn operator_response_is_lost(&mut self, command: &OperatorCommand) -> bool {
+        let is_change = matches!(
+            command.call,
             OperatorCall::Configure { .. }
                 | OperatorCall::Purge { .. }
                 | OperatorCall::Origins { .. }
                 | OperatorCall::PutItem { .. }
         );
-        changes
+        is_change
             && self.now < self.operator_responses_lost_until
-            && self.random.chance(OPERATOR_RESPONSES_LOST)
+            && self.random.chance(LOST_RESPONSE_PERCENT)
     }
 
     /// The operator heard nothing: the same order goes to another node.
-    pub(crate) fn send_again(&mut self, question: Question, outcome: &ChangeOutcome) {
-        let Question { node, order, .. } = question;
-        let settled = order.settled || matches!(outcome, ChangeOutcome::Acknowledged { .. });
-        let span = self.micros(100_000, 1_500_000);
-        let again = SimEvent::Ask {
+    pub(crate) fn resend_to_next_node(
+        &mut self,
+        pending_call: PendingOperatorCall,
+        outcome: &ChangeOutcome,
+    ) {
+        let PendingOperatorCall { node, command, .. } = pending_call;
+        let settled = command.settled || matches!(outcome, ChangeOutcome::Acknowledged { .. });
+        let span = self.random_micros(100_000, 1_500_000);
+        let resend = SimEvent::SendOperatorCall {
             node: (node + 1) % self.plan.control,
-            order: Order { settled, ..order },
-            tries: 0,
+            command: OperatorCommand { settled, ..command },
+            attempts: 0,
         };
-        self.after(span, again);
+        self.after(span, resend);
     }
 
     /// An order that was settled is never refused when it comes again; a node
     /// may say that it cannot know now.
-    pub(crate) fn judge_again(&mut self, order: &Order, outcome: &ChangeOutcome) {
-        if !order.settled || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority) {
+    pub(crate) fn check_resent_command(
+        &mut self,
+        command: &OperatorCommand,
+        outcome: &ChangeOutcome,
+    ) {
+        if !command.settled || matches!(outcome, ChangeOutcome::Unknown | ChangeOutcome::NoMajority)
+        {
             return;
         }
         let good = matches!(outcome, ChangeOutcome::Acknowledged { .. });
-        let subject = match &order.call {
+        let subject = match &command.call {
             OperatorCall::Configure { .. } => "configuration",
             OperatorCall::Purge { .. } => "purge",
             OperatorCall::Origins { .. } => "origins",
             OperatorCall::PutItem { .. } => "item",
-            OperatorCall::Order { .. }
+            OperatorCall::ItemCommand { .. }
             | OperatorCall::ReadBack { .. }
             | OperatorCall::OpenLedger { .. } => return,
         };
@@ -88,17 +97,17 @@
     }
 
     /// Everything was lost: what was settled then is known to nobody.
-    pub(crate) fn forget_acknowledged_orders(&mut self) {
+    pub(crate) fn clear_settled_flags(&mut self) {
         let waiting = self
             .operator_calls
             .values_mut()
-            .map(|question| &mut question.order);
-        let queued = self.queue.values_mut().filter_map(|what| match what {
-            SimEvent::Ask { order, .. } => Some(order),
+            .map(|pending_call| &mut pending_call.command);
+        let queued = self.queue.values_mut().filter_map(|event| match event {
+            SimEvent::SendOperatorCall { command, .. } => Some(command),
             _ => None,
         });
-        for order in waiting.chain(queued) {
-            order.settled = false;
+        for command in waiting.chain(queued) {
+            command.settled = false;
         }
     }
 }
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -11,38 +11,41 @@
 /// Operators, and the platform's list of origins.
 impl World {
     pub(crate) fn put_origins(&mut self) {
-        if let Some(due) = &mut self.origins_due {
-            *due = true;
+        if let Some(update_waiting) = &mut self.origins_put_pending {
+            *update_waiting = true;
             return;
         }
-        self.origins_due = Some(false);
+        self.origins_put_pending = Some(false);
         let list = self
             .origins
             .iter()
             .map(|origin| origin.origin.clone())
             .collect();
         let node = self.random.below(self.plan.control as u64) as usize;
-        self.ask(node, OperatorCall::Origins { list, at: 0.0 }, 0);
+        self.send_operator_call(node, OperatorCall::Origins { list, at: 0.0 }, 0);
     }
 
     /// Learned when the call that was acknowledged in the end was read by a
     /// node that could take it. With another fault about, when it was
     /// acknowledged: nobody may have been there to learn it from.
-    pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, read: f64) {
-        let due = self.origins_due.take().unwrap_or(false);
-        let disturbed = self
-            .fleet
-            .iter()
-            .rev()
-            .any(|one| one.what == "fault" && !one.good && one.at > read - 5.0);
-        let at = if disturbed { self.seconds() } else { read };
+    pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, received_at: f64) {
+        let update_waiting = self.origins_put_pending.take().unwrap_or(false);
+        let disturbed =
+            self.fleet_records.iter().rev().any(|record| {
+                record.what == "fault" && !record.good && record.at > received_at - 5.0
+            });
+        let at = if disturbed {
+            self.seconds()
+        } else {
+            received_at
+        };
         for origin in list.iter().filter(|origin| settled && origin.draining) {
             if !self
-                .fleet
+                .fleet_records
                 .iter()
-                .any(|one| one.what == "leaving" && one.subject == origin.instance)
+                .any(|record| record.what == "leaving" && record.subject == origin.instance)
             {
-                self.fleet.push(FleetRecord {
+                self.fleet_records.push(FleetRecord {
                     at,
                     what: "leaving".into(),
                     subject: origin.instance.clone(),
@@ -51,32 +54,37 @@
                 });
             }
         }
-        if due || !settled {
+        if update_waiting || !settled {
             self.after(
-                Duration::from_millis(if due { 0 } else { 500 }),
+                Duration::from_millis(if update_waiting { 0 } else { 500 }),
                 SimEvent::PutOrigins,
             );
         }
     }
 
-    pub(crate) fn ask(&mut self, node: usize, order: impl Into<Order>, tries: u32) {
-        let mut order = order.into();
+    pub(crate) fn send_operator_call(
+        &mut self,
+        node: usize,
+        command: impl Into<OperatorCommand>,
+        attempts: u32,
+    ) {
+        let mut command = command.into();
         let Some(node) = self.ready_control_node(node) else {
-            return self.ask_later(node, order, tries);
+            return self.retry_operator_call(node, command, attempts);
         };
-        if let OperatorCall::Origins { at, .. } = &mut order.call {
+        if let OperatorCall::Origins { at, .. } = &mut command.call {
             *at = self.seconds();
         }
         // Drawn for every order, used by its first attempt.
-        let drawn = self.random.below(u64::MAX >> 12);
-        let change = *order.change.get_or_insert(drawn);
-        if let OperatorCall::Order { order } = order.call {
-            return self.send_order(order);
+        let new_change = self.random.below(u64::MAX >> 12);
+        let change = *command.change.get_or_insert(new_change);
+        if let OperatorCall::ItemCommand { command } = command.call {
+            return self.send_item_command(command);
         }
-        let request = self.operator_request(&order.call, change);
+        let request = self.operator_request(&command.call, change);
         self.serial += 1;
         let id = self.serial;
-        self.record_operator_call(node, order);
+        self.record_operator_call(node, command);
         self.step(node, Input::Operator { id, request });
     }
 
@@ -84,22 +92,22 @@
     fn ready_control_node(&self, first: usize) -> Option<usize> {
         let control = self.plan.control;
         (0..control)
-            .map(|more| (first + more) % control)
+            .map(|offset| (first + offset) % control)
             .chain(self.first_spare()..self.nodes.len())
-            .find(|node| self.nodes[*node].part.is_some() && self.nodes[*node].ready)
+            .find(|node| self.nodes[*node].state_machine.is_some() && self.nodes[*node].ready)
     }
 
     /// No control node is ready: the operator retries, and gives up in the end.
-    fn ask_later(&mut self, node: usize, order: Order, tries: u32) {
-        if tries < MAX_OPERATOR_RETRIES {
-            let retry = SimEvent::Ask {
+    fn retry_operator_call(&mut self, node: usize, command: OperatorCommand, attempts: u32) {
+        if attempts < MAX_OPERATOR_RETRIES {
+            let retry = SimEvent::SendOperatorCall {
                 node,
-                order,
-                tries: tries + 1,
+                command,
+                attempts: attempts + 1,
             };
             self.after(OPERATOR_RETRY_DELAY, retry);
-        } else if let OperatorCall::Configure { marker, .. } = order.call {
-            self.changing.remove(&marker);
+        } else if let OperatorCall::Configure { marker, .. } = command.call {
+            self.pending_markers.remove(&marker);
         }
     }
 
@@ -123,7 +131,7 @@
             OperatorCall::Origins { list, .. } => {
                 let put = Change::PutOrigins {
                     list: Arc::new(list.clone()),
-                    expect: Some(self.origins_at),
+                    expect: Some(self.origins_version),
                     change,
                     acknowledge: Acknowledge::Settled,
                 };
@@ -140,24 +148,36 @@
                 let generation = *generation;
                 (ASSIGNMENTS_PARTITION, Change::OpenLedger { generation })
             }
-            OperatorCall::OpenLedger { generation: None } | OperatorCall::Order { .. } => {
+            OperatorCall::OpenLedger { generation: None } | OperatorCall::ItemCommand { .. } => {
                 return OperatorRequest::State;
             }
         };
         OperatorRequest::Change { partition, change }
     }
 
-    pub(crate) fn record_operator_call(&mut self, node: usize, order: impl Into<Order>) {
-        let mut order = order.into();
+    pub(crate) fn record_operator_call(
+        &mut self,
+        node: usize,
+        command: impl Into<OperatorCommand>,
+    ) {
+        let mut command = command.into();
         let now = self.seconds();
-        let start = *order.start.get_or_insert(now);
-        let question = Question { node, order, start };
-        self.operator_calls.insert(self.serial, question);
+        let start = *command.start.get_or_insert(now);
+        let pending_call = PendingOperatorCall {
+            node,
+            command,
+            start,
+        };
+        self.operator_calls.insert(self.serial, pending_call);
     }
 
     /// Notes a call on the document with what came of it, for its history.
-    pub(crate) fn record_operator(&mut self, question: &Question, outcome: &ChangeOutcome) {
-        let (operation, known) = match (&question.order.call, outcome) {
+    pub(crate) fn record_operator(
+        &mut self,
+        pending_call: &PendingOperatorCall,
+        outcome: &ChangeOutcome,
+    ) {
+        let (operation, known) = match (&pending_call.command.call, outcome) {
             (OperatorCall::Configure { .. }, ChangeOutcome::Findings(_)) => return,
             (OperatorCall::Configure { .. }, ChangeOutcome::VersionConflict { version, .. }) => {
                 (DocumentOperation::Raced { version: *version }, true)
@@ -179,31 +199,31 @@
             _ => return,
         };
         let end = known.then(|| self.seconds());
-        self.operators.push(OperatorRecord {
-            start: question.start,
+        self.operator_records.push(OperatorRecord {
+            start: pending_call.start,
             end,
             operation,
         });
     }
 
     pub(crate) fn on_operator_response(&mut self, id: u64, response: OperatorResponse) {
-        let Some(question) = self.operator_calls.remove(&id) else {
+        let Some(pending_call) = self.operator_calls.remove(&id) else {
             return;
         };
         let outcome = match response {
             OperatorResponse::ChangeOutcome(outcome) => outcome,
-            OperatorResponse::State(state) => return self.open_ledger_of(&state),
+            OperatorResponse::State(state) => return self.open_reported_ledger(&state),
         };
-        if self.operator_response_is_lost(&question.order) {
-            return self.send_again(question, &outcome);
+        if self.operator_response_is_lost(&pending_call.command) {
+            return self.resend_to_next_node(pending_call, &outcome);
         }
-        self.record_operator(&question, &outcome);
-        self.judge_again(&question.order, &outcome);
-        self.on_operator_outcome(question.order.call, outcome);
+        self.record_operator(&pending_call, &outcome);
+        self.check_resent_command(&pending_call.command, &outcome);
+        self.on_operator_outcome(pending_call.command.call, outcome);
     }
 
     /// Opens the ledger under the generation that a node reports.
-    fn open_ledger_of(&mut self, state: &serde_json::Value) {
+    fn open_reported_ledger(&mut self, state: &serde_json::Value) {
         let generation = state["ledger"]["realm"]
             .as_str()
             .and_then(|text| u64::from_str_radix(text, 16).ok())
@@ -212,12 +232,12 @@
     }
 
     fn open_ledger(&mut self, node: usize, generation: Option<u64>) {
-        let ask = SimEvent::Ask {
+        let open = SimEvent::SendOperatorCall {
             node,
-            order: OperatorCall::OpenLedger { generation }.into(),
-            tries: 0,
+            command: OperatorCall::OpenLedger { generation }.into(),
+            attempts: 0,
         };
-        self.after(LEDGER_RETRY_DELAY, ask);
+        self.after(LEDGER_RETRY_DELAY, open);
     }
 
     fn on_operator_outcome(&mut self, call: OperatorCall, outcome: ChangeOutcome) {
@@ -227,23 +247,23 @@
                 marker,
                 text,
                 race,
-                without,
+                removed_markers,
                 ..
             } => {
-                self.changing.remove(&marker);
-                self.configured(outcome, marker, text, race, without);
+                self.pending_markers.remove(&marker);
+                self.on_configuration_outcome(outcome, marker, text, race, removed_markers);
             }
             OperatorCall::Purge { prefix, version } => {
                 self.record("purged", &prefix, version, settled);
                 if settled {
-                    self.spring(Trigger::Purged);
+                    self.trigger_loss(Trigger::Purged);
                 }
             }
             OperatorCall::Origins { list, at } => {
                 if let ChangeOutcome::Acknowledged { version }
                 | ChangeOutcome::VersionConflict { version, .. } = outcome
                 {
-                    self.origins_at = version;
+                    self.origins_version = version;
                 }
                 self.on_origins_outcome(&list, settled, at)
             }
@@ -254,7 +274,7 @@
                     self.item_acknowledged(item.revision);
                 }
             }
-            OperatorCall::Order { order } => self.on_order_outcome(order, outcome),
+            OperatorCall::ItemCommand { command } => self.on_item_command_outcome(command, outcome),
             OperatorCall::ReadBack { expect } => self.on_read_back(expect, outcome),
         }
     }
@@ -277,45 +297,45 @@
     }
 
     /// A version is in force everywhere: every live edge has it by now.
-    fn acknowledged_at(&mut self, version: u64, number: u64) {
+    fn on_configuration_acknowledged(&mut self, version: u64, number: u64) {
         self.record("acknowledged", "", version, true);
         for node in self.edges() {
             if !self.nodes[node].live(self.now) {
                 continue;
             }
-            let image = self.nodes[node].image.as_ref();
-            let known = image.map_or(0, |image| image.version);
-            let subject = format!("{:?}", self.nodes[node].place);
+            let route_table = self.nodes[node].route_table.as_ref();
+            let known = route_table.map_or(0, |table| table.version);
+            let subject = format!("{:?}", self.nodes[node].node_id);
             self.record("at-ack", &subject, number, known >= version);
         }
     }
 
-    fn configured(
+    fn on_configuration_outcome(
         &mut self,
         outcome: ChangeOutcome,
         marker: u64,
         text: String,
         race: bool,
-        without: Vec<u64>,
+        removed_markers: Vec<u64>,
     ) {
         match outcome {
             ChangeOutcome::Acknowledged { version } => {
                 self.record("configured", "", marker, true);
-                without
+                removed_markers
                     .into_iter()
-                    .for_each(|gone| self.record("removed", "", gone, true));
-                self.acknowledged_at(version, marker);
+                    .for_each(|removed| self.record("removed", "", removed, true));
+                self.on_configuration_acknowledged(version, marker);
                 // Sent before everything was lost, and settled after it.
                 if !self.markers.contains(&marker) {
                     self.markers.push(marker);
                 }
-                self.spring(Trigger::Configured);
+                self.trigger_loss(Trigger::Configured);
                 if self
-                    .acknowledged
+                    .last_acknowledged
                     .as_ref()
                     .is_none_or(|(known, _)| *known < version)
                 {
-                    self.acknowledged = Some((version, text));
+                    self.last_acknowledged = Some((version, text));
                 }
             }
             ChangeOutcome::Findings(_) => self.record("invalid-refused", "", marker, marker == 999),
@@ -339,26 +359,30 @@
     pub(crate) fn configure(&mut self, node: usize, base: &[u64], expect: Option<u64>, race: bool) {
         self.next_marker += 1;
         let marker = self.next_marker;
-        self.changing.insert(marker);
+        self.pending_markers.insert(marker);
         let mut list: Vec<u64> = base.iter().copied().chain([marker]).collect();
         // The one that was acknowledged last is looked for meanwhile: it stays.
-        let last = self.last("configured");
+        let last = self.last_recorded("configured");
         if !race && list.len() > 4 {
             let oldest = usize::from(list.first().copied() == last);
-            self.removed.push(list.remove(oldest));
+            self.removed_markers.push(list.remove(oldest));
         }
         self.markers.push(marker);
-        self.markers.retain(|known| !self.removed.contains(known));
-        let text = self.plan.deployment.document_with(&list, self.grown);
-        let without = self.removed.clone();
-        self.ask(
+        self.markers
+            .retain(|known| !self.removed_markers.contains(known));
+        let text = self
+            .plan
+            .deployment
+            .document_with(&list, self.extra_entries);
+        let removed_markers = self.removed_markers.clone();
+        self.send_operator_call(
             node,
             OperatorCall::Configure {
                 marker,
                 text,
                 expect,
                 race,
-                without,
+                removed_markers,
             },
             0,
         );
--- a/simulate-fleet/src/world_outputs.rs
+++ b/simulate-fleet/src/world_outputs.rs
@@ -30,27 +30,27 @@
             Output::ExtendCall { .. } => {}
             Output::CancelCall { id } => {
                 let run = self.nodes[node].run;
-                self.cancelled.insert((node, run, id));
+                self.cancelled_calls.insert((node, run, id));
             }
             Output::ShutdownComplete => self.shutdown_complete(node),
         }
     }
 
-    fn schedule_response(&mut self, node: usize, id: u64, answer: ClientResponse) {
+    fn schedule_response(&mut self, node: usize, id: u64, response: ClientResponse) {
         let run = self.nodes[node].run;
-        let span = self.micros(50, 500);
+        let span = self.random_micros(50, 500);
         let sent = SimEvent::ResponseSent {
             node,
             run,
             id,
-            answer,
+            response,
         };
         self.after(span, sent);
     }
 
     fn schedule_call(&mut self, node: usize, id: u64, call: Call) {
         let run = self.nodes[node].run;
-        let span = self.micros(50, 1000);
+        let span = self.random_micros(50, 1000);
         let starts = SimEvent::CallStarts {
             node,
             run,
@@ -65,44 +65,44 @@
         let origin = self.origins.iter().position(|origin| {
             origin.origin.address == address && origin.behavior != OriginBehavior::Down
         });
-        self.watches
+        self.open_connections
             .extend(origin.map(|origin| (node, run, origin)));
-        let watched = SimEvent::Watched {
+        let connection_changed = SimEvent::ConnectionChanged {
             node,
             run,
             address,
             open: origin.is_some(),
         };
-        self.after(WATCH_DELAY, watched);
+        self.after(WATCH_DELAY, connection_changed);
     }
 
     fn log(&mut self, node: usize, event: Event, text: &str) {
         if event == Event::AbandonedWork {
             self.record("abandoned-work", text, 0, false);
         }
-        let place = self.nodes[node].place;
+        let node_id = self.nodes[node].node_id;
         if self.trace {
             println!(
-                "{:9.4} {place:?} E{:03} {event:?} {text}",
+                "{:9.4} {node_id:?} E{:03} {event:?} {text}",
                 self.seconds(),
                 event as u32
             );
         }
-        *self.notes.entry(event).or_default() += 1;
+        *self.event_counts.entry(event).or_default() += 1;
         if MEMBERSHIP_EVENTS.contains(&event) {
-            self.membership.push((self.now, place, event));
+            self.membership_events.push((self.now, node_id, event));
         }
     }
 
     fn publish(&mut self, node: usize, state: PublishedState) {
         match state {
             PublishedState::Fence { until, ready } => {
-                self.nodes[node].fence = until;
+                self.nodes[node].lease_end = until;
                 self.nodes[node].ready = ready;
             }
             PublishedState::CommittedConfiguration { .. } | PublishedState::LinkDelay(_) => {}
-            PublishedState::Assignments(list) => self.assignments_shown(node, list),
-            PublishedState::Configuration(table) => self.nodes[node].image = Some(table),
+            PublishedState::Assignments(list) => self.publish_assignments(node, list),
+            PublishedState::Configuration(table) => self.nodes[node].route_table = Some(table),
         }
     }
 
@@ -112,14 +112,14 @@
         if self.nodes[node].retiring {
             return self.kill(node);
         }
-        if !std::mem::replace(&mut self.nodes[node].ending, true) {
-            self.after(RESTART_DELAY, SimEvent::Restarted { node, run });
+        if !std::mem::replace(&mut self.nodes[node].shutdown_finished, true) {
+            self.after(RESTART_DELAY, SimEvent::NodeRestarts { node, run });
         }
     }
 
     /// No assignment is ever held by two live nodes.
-    pub(crate) fn assignments_shown(&mut self, node: usize, list: Vec<String>) {
-        let others = |assignment: &String| {
+    pub(crate) fn publish_assignments(&mut self, node: usize, list: Vec<String>) {
+        let other_holder = |assignment: &String| {
             self.edges().find(|other| {
                 *other != node
                     && self.nodes[*other].live(self.now)
@@ -129,13 +129,13 @@
         if self.nodes[node].live(self.now)
             && let Some((assignment, other)) = list
                 .iter()
-                .find_map(|assignment| Some((assignment.clone(), others(assignment)?)))
+                .find_map(|assignment| Some((assignment.clone(), other_holder(assignment)?)))
         {
             self.record(
                 "duty-held-twice",
                 &format!(
                     "{assignment} by {:?} and {:?}",
-                    self.nodes[node].place, self.nodes[other].place
+                    self.nodes[node].node_id, self.nodes[other].node_id
                 ),
                 0,
                 false,
--- a/simulate-fleet/src/world_plan.rs
+++ b/simulate-fleet/src/world_plan.rs
@@ -13,7 +13,7 @@
     /// What happens when, since the start.
     pub faults: Vec<(Duration, Fault)>,
     /// Messages of this name are all lost: what would be without them?
-    pub mute: &'static str,
+    pub dropped_message: &'static str,
     /// Clocks run too fast or too slow by up to so many millionths.
     pub drift: u64,
     /// Control nodes that hold a slot.
@@ -21,11 +21,11 @@
     /// The seeds are three of them; the table is founded and asked for.
     pub gather: bool,
     /// The last of them starts late, when the table is fixed: it grows.
-    pub late: bool,
+    pub late_control_node: bool,
     /// How the first seed ends as it fixes the table; it is back a second later.
-    pub founder: FounderEnd,
+    pub founder_crash: FounderCrash,
     /// What operators order by items.
-    pub orders: Vec<ItemOrder>,
+    pub commands: Vec<ItemCommand>,
     /// Empty control nodes at addresses of their own, not started by themselves.
     pub spares: usize,
     /// Some callers leave before their answer.
@@ -34,15 +34,15 @@
 
 /// How the first seed ends as it fixes the membership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FounderEnd {
+pub enum FounderCrash {
     /// It does not end.
-    Incarnations,
+    Never,
     /// Before the table is on its disk.
-    Unwritten,
+    BeforeSync,
     /// When it is, and nobody was told.
-    Untold,
+    BeforeReplies,
     /// When all were told.
-    Told,
+    AfterReplies,
 }
 
 impl WorldPlan {
@@ -58,13 +58,13 @@
             seed,
             span,
             faults,
-            mute: "",
+            dropped_message: "",
             drift: 1000,
             control: 3,
             gather: false,
-            late: false,
-            founder: FounderEnd::Incarnations,
-            orders: Vec::new(),
+            late_control_node: false,
+            founder_crash: FounderCrash::Never,
+            commands: Vec::new(),
             spares: 1,
             clients_disconnect: false,
         }
@@ -75,22 +75,22 @@
     /// So many control nodes. Other than three are founded by a table that is
     /// gathered, by some seeds with one that comes late or with a first seed
     /// that ends right then.
-    pub fn of(self, control: usize) -> WorldPlan {
+    pub fn with_control_nodes(self, control: usize) -> WorldPlan {
         if control == 3 {
             return self;
         }
-        let late = self.seed.is_multiple_of(3);
-        let founder = [
-            FounderEnd::Incarnations,
-            FounderEnd::Unwritten,
-            FounderEnd::Untold,
-            FounderEnd::Told,
+        let late_control_node = self.seed.is_multiple_of(3);
+        let founder_crash = [
+            FounderCrash::Never,
+            FounderCrash::BeforeSync,
+            FounderCrash::BeforeReplies,
+            FounderCrash::AfterReplies,
         ][(self.seed % 7 % 4) as usize];
         WorldPlan {
             control,
             gather: true,
-            late,
-            founder,
+            late_control_node,
+            founder_crash,
             ..self
         }
     }
--- a/simulate-fleet/src/world_setup.rs
+++ b/simulate-fleet/src/world_setup.rs
@@ -15,36 +15,36 @@
 const LATE_START_AT: Duration = Duration::from_millis(4_500);
 
 /// Kinds of simulated machines, as a part of their addresses.
-const CONTROL_NET: u8 = 1;
-const EDGE_NET: u8 = 2;
-const ORIGIN_NET: u8 = 3;
+const CONTROL_SUBNET: u8 = 1;
+const EDGE_SUBNET: u8 = 2;
+const ORIGIN_SUBNET: u8 = 3;
 
-fn address(net: u8, index: usize) -> SocketAddr {
-    SocketAddr::from(([10, net, 0, 1], 1000 + index as u16))
+fn address(subnet: u8, index: usize) -> SocketAddr {
+    SocketAddr::from(([10, subnet, 0, 1], 1000 + index as u16))
 }
 
 impl World {
     /// Everything that stands when virtual time begins.
-    pub(crate) fn lay_out(&mut self) {
-        self.lay_out_nodes();
-        self.lay_out_origins();
+    pub(crate) fn create_fleet(&mut self) {
+        self.create_nodes();
+        self.create_origins();
         self.draw_drifts();
         self.start_nodes();
         self.schedule_start();
     }
 
     /// Control nodes, edges and then the spare control nodes.
-    fn lay_out_nodes(&mut self) {
+    fn create_nodes(&mut self) {
         let control = self.plan.control;
         let spares = control..control + self.plan.spares;
-        (0..control).for_each(|slot| self.lay_out_control(slot));
+        (0..control).for_each(|slot| self.create_control_node(slot));
         for edge in 0..self.plan.deployment.edges {
             let zone = self.zone(edge);
-            let node = SimNode::new(NodeId::Edge(edge), address(EDGE_NET, edge), zone);
+            let node = SimNode::new(NodeId::Edge(edge), address(EDGE_SUBNET, edge), zone);
             self.nodes.push(node);
         }
-        spares.for_each(|slot| self.lay_out_control(slot));
-        self.by_address = self
+        spares.for_each(|slot| self.create_control_node(slot));
+        self.node_by_address = self
             .nodes
             .iter()
             .enumerate()
@@ -52,9 +52,9 @@
             .collect();
     }
 
-    fn lay_out_control(&mut self, slot: usize) {
+    fn create_control_node(&mut self, slot: usize) {
         let zone = self.zone(slot);
-        let node = SimNode::new(NodeId::Control(slot), address(CONTROL_NET, slot), zone);
+        let node = SimNode::new(NodeId::Control(slot), address(CONTROL_SUBNET, slot), zone);
         self.nodes.push(node);
     }
 
@@ -63,13 +63,13 @@
         zones[index % zones.len()]
     }
 
-    fn lay_out_origins(&mut self) {
+    fn create_origins(&mut self) {
         for service in &self.plan.deployment.services {
             for index in 0..service.origins {
                 let name = service.name.to_string();
                 let instance = format!("{}-{index}", service.name);
                 let origin = Origin {
-                    address: address(ORIGIN_NET, self.origins.len()),
+                    address: address(ORIGIN_SUBNET, self.origins.len()),
                     service: name.clone(),
                     instance: instance.clone(),
                     draining: false,
@@ -91,16 +91,16 @@
     fn draw_drifts(&mut self) {
         let drift = self.plan.drift;
         for node in &mut self.nodes {
-            node.drift = self.random.below(2 * drift + 1) as i64 - drift as i64;
+            node.clock_drift_ppm = self.random.below(2 * drift + 1) as i64 - drift as i64;
         }
     }
 
     fn start_nodes(&mut self) {
         for node in 0..self.first_spare() {
             self.nodes[node].founding = Founding::FirstStart;
-            if self.plan.late && node + 1 == self.plan.control {
-                let start = Fault::Start(self.nodes[node].place);
-                self.push(LATE_START_AT, SimEvent::Fault(start));
+            if self.plan.late_control_node && node + 1 == self.plan.control {
+                let start = Fault::Start(self.nodes[node].node_id);
+                self.push(LATE_START_AT, SimEvent::FaultStarts(start));
             } else {
                 self.start(node);
             }
@@ -109,16 +109,16 @@
 
     fn schedule_start(&mut self) {
         self.push(ORIGINS_AT, SimEvent::PutOrigins);
-        self.push(CONFIGURATION_AT, SimEvent::Fault(Fault::Configure));
-        let open = SimEvent::Ask {
+        self.push(CONFIGURATION_AT, SimEvent::FaultStarts(Fault::Configure));
+        let open = SimEvent::SendOperatorCall {
             node: 0,
-            order: OperatorCall::OpenLedger { generation: None }.into(),
-            tries: 0,
+            command: OperatorCall::OpenLedger { generation: None }.into(),
+            attempts: 0,
         };
         self.push(LEDGER_AT, open);
-        self.schedule_orders();
+        self.schedule_item_commands();
         for (at, fault) in self.plan.faults.clone() {
-            self.push(at, SimEvent::Fault(fault));
+            self.push(at, SimEvent::FaultStarts(fault));
         }
         let traffic = if self.plan.gather {
             TRAFFIC_AFTER_GATHERING_AT
@@ -126,6 +126,6 @@
             TRAFFIC_AT
         };
         self.push(traffic, SimEvent::ClientArrives);
-        self.push(traffic, SimEvent::LookAtMarkers);
+        self.push(traffic, SimEvent::CheckMarkers);
     }
 }
