--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults that a schedule may have.
+//! Faults and planned changes that a schedule can contain.
 use crate::prelude::*;
 
 /// A node of the simulated fleet.
@@ -10,100 +10,105 @@
     Edge(usize),
 }
 
-/// Something that is done to the fleet, or asked of it by its operators.
+/// A fault injected into the fleet, or a change made by its operators or the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// The process ends at once.
+    /// Kills the process immediately.
     Kill(NodeId),
-    /// The process starts if it is down.
+    /// Starts the process if it is down.
     Start(NodeId),
-    /// The process stands still; its time goes on.
+    /// Pauses the process for the given duration; its clock keeps running.
     Pause(NodeId, Duration),
-    /// SIGTERM; the node is started again once it has ended.
+    /// Sends SIGTERM and restarts the node after its shutdown.
     Restart(NodeId),
-    /// SIGTERM; the node is gone for good once it has ended, or its time is over.
+    /// Sends SIGTERM; the node does not return after its shutdown or after the grace
+    /// period.
     Retire(NodeId),
-    /// Killed, and its disk is gone.
+    /// Kills the process and erases its disk.
     Wipe(NodeId),
-    /// The disk refuses writes from now on.
+    /// Makes the disk reject writes until the node is started again.
     DiskFull(NodeId),
-    /// All that the process does takes longer.
+    /// Slows down every step of the process for the given duration.
     Slow(NodeId, Duration),
-    /// No sync of its disk ends before the span is over.
+    /// Blocks disk syncs until the given duration has passed.
     StallDisk(NodeId, Duration),
-    /// Each sync of its disk takes a good part of a second.
+    /// Makes each disk sync take 50 to 300 ms for the given duration.
     SlowDisk(NodeId, Duration),
-    /// Nothing gets from the first to the second; the other way still does.
+    /// Drops messages from the first node to the second; the reverse direction still
+    /// works.
     DropLink(NodeId, NodeId),
-    /// A node is cut off for a span, in silence.
+    /// Partitions a node from the given scope for the given duration, without closing
+    /// connections.
     Partition(NodeId, PartitionScope, Duration),
-    /// The connections between two nodes are reset: what is under way is lost.
+    /// Resets the connections between two nodes: messages in transit are lost.
     Reset(NodeId, NodeId),
-    /// Nodes that start from now on are told the seeds in another order, and
-    /// others among them, as far as they found no table.
+    /// Rotates the seed list of nodes that start from now on, which also changes its
+    /// members. Nodes that may found the membership table keep the original list.
     ReorderSeeds,
-    /// Many answers to operators are lost for a span; the same order is then
-    /// sent again to another node.
+    /// Drops most responses to operators for the given duration; the operator then
+    /// resends the same command to another node.
     LoseOperatorResponses(Duration),
-    /// Nothing gets to or from this node.
+    /// Drops all messages to and from this node until `Heal`.
     Isolate(NodeId),
-    /// All cuts end.
+    /// Restores all dropped links.
     Heal,
-    /// Of a hundred messages so many are lost, doubled, or late.
+    /// Sets the percentages of messages that are lost, duplicated or delayed.
     LossyNetwork {
-        /// Share of lost messages.
+        /// Percentage of lost messages.
         lost: u64,
-        /// Share of messages that arrive twice.
+        /// Percentage of messages that arrive twice.
         doubled: u64,
-        /// Share of late messages.
+        /// Percentage of delayed messages.
         late: u64,
     },
-    /// One origin behaves so from now on.
+    /// Sets the behavior of one origin, by its index.
     Origin(usize, OriginBehavior),
-    /// All origins of one service, by its place in the deployment.
+    /// Sets the behavior of all origins of one service, by its index in the deployment.
     Service(usize, OriginBehavior),
-    /// The platform marks it leaving; its process ends after a while.
+    /// Marks an origin as draining in the platform's list.
     DrainOrigin(usize),
-    /// Another service's origin now listens at this address, unlisted.
+    /// Lets an unlisted origin of another service listen at this origin's address.
     ReuseAddress(usize),
-    /// The origin is listed and runs under a new instance name.
+    /// Replaces an origin by a new instance, in the process and in the platform's list.
     Replace(usize),
-    /// All content gets a new version.
+    /// Increments the version of all content.
     Content,
-    /// An operator purges this prefix.
+    /// Purges this URL prefix as an operator.
     Purge(String),
-    /// An operator puts a valid document.
+    /// Puts a valid configuration document as an operator.
     Configure,
-    /// An operator puts an invalid document.
+    /// Puts an invalid configuration document as an operator.
     ConfigureInvalid,
-    /// One named item of the configuration is set under its next revision.
+    /// Puts one named configuration item under its next revision.
     PutItem,
-    /// A change that brings so many entries more; the next one drops them.
+    /// Puts a configuration with this many additional entries; the next `Configure`
+    /// removes them.
     Grow(usize),
-    /// So many operators at once, at different control nodes.
+    /// Makes this many operators put a configuration concurrently, at different control
+    /// nodes.
     Race(usize),
-    /// An operator reads the document that was acknowledged last.
+    /// Reads the last acknowledged configuration document as an operator.
     ReadBack,
-    /// The moment this next comes true, something is lost.
+    /// Injects the loss at the next occurrence of the trigger.
     LossOnTrigger(Trigger, Loss),
-    /// Every process and every disk is gone, and back three seconds later.
+    /// Kills every process and erases every disk; all nodes start again 3 s later.
     LoseAll,
-    /// The operators say that no fleet was there before this one.
+    /// Opens the ledger as an operator, who confirms that no earlier fleet existed.
     OpenLedger,
-    /// All machines are back: from now, service must be within 15 s.
+    /// Marks that all machines are back: the fleet must serve again within 15 s.
     Returned,
 }
 
-/// What a node that is cut off does not reach, or is not reached by.
+/// Nodes and directions that a network partition affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionScope {
-    /// Every other node, both ways.
+    /// Messages to and from every other node.
     Everybody,
-    /// The control nodes, both ways.
+    /// Messages to and from the control nodes.
     ControlNodes,
-    /// It hears no control node.
+    /// Messages from control nodes to the node.
     FromControlNodes,
-    /// No control node hears it.
+    /// Messages from the node to control nodes.
     ToControlNodes,
 }
 
@@ -116,7 +121,7 @@
         PartitionScope::ToControlNodes,
     ];
 
-    /// Its name in scripts.
+    /// Name of the value in scripts.
     pub fn name(self) -> &'static str {
         match self {
             PartitionScope::Everybody => "everybody",
@@ -127,28 +132,28 @@
     }
 }
 
-/// The moment of a loss.
+/// Event that triggers a loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trigger {
     /// A configuration was acknowledged.
     Configured,
     /// A purge was acknowledged.
     Purged,
-    /// A keyed request was answered with success.
+    /// A keyed request succeeded.
     Booked,
 }
 
-/// What goes in a `Trigger`.
+/// Loss injected by a [`Trigger`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
-    /// The power of all nodes, for three seconds.
+    /// Power loss of all nodes for 3 s.
     Power,
-    /// The disk of a slot, replaced by an empty one after three seconds.
+    /// Loss of a slot's disk, replaced by an empty one after 3 s.
     Disk(usize),
-    /// The disks of so many slots from this one on, replaced by empty ones after
-    /// three seconds; and the power of all other nodes.
+    /// Loss of the disks of consecutive slots (first slot, count), replaced by empty ones
+    /// after 3 s, and power loss of all other nodes.
     Disks(usize, usize),
-    /// The room on the disk of a slot, until it is started again.
+    /// Lack of space on a slot's disk until its node is started again.
     DiskSpace(usize),
 }
 
@@ -156,14 +161,14 @@
     /// All triggers.
     pub const ALL: [Trigger; 3] = [Trigger::Configured, Trigger::Purged, Trigger::Booked];
 
-    /// Its name in scripts.
+    /// Name of the value in scripts.
     pub fn name(self) -> &'static str {
         ["configured", "purged", "booked"][self as usize]
     }
 }
 
 impl Fault {
-    /// Its name in scripts and tables.
+    /// Name of the fault in scripts and tables.
     pub fn name(&self) -> &'static str {
         match self {
             Fault::Kill(_) => "kill",
@@ -215,7 +220,7 @@
         }
     }
 
-    /// How it is told apart in the table of what fell where.
+    /// Label of the fault in the table of fault coverage.
     pub fn kind(&self) -> String {
         match self {
             Fault::Kill(node_id)
@@ -236,7 +241,7 @@
         }
     }
 
-    /// How long it lasts, if it ends by itself.
+    /// Duration of the fault, if it ends without a repair.
     pub fn span(&self) -> Option<Duration> {
         match self {
             Fault::Pause(_, span)
@@ -248,7 +253,7 @@
         }
     }
 
-    /// Ends something that was broken before; a shortened schedule keeps it.
+    /// Returns true if this ends an earlier fault; a shrunk schedule keeps repairs.
     pub fn is_repair(&self) -> bool {
         let good = OriginBehavior::Good;
         matches!(
@@ -265,7 +270,8 @@
         ) || matches!(self, Fault::Origin(_, behavior) | Fault::Service(_, behavior) if *behavior == good)
     }
 
-    /// What operators and the platform do by intent; the rest breaks or mends.
+    /// Returns true for a planned action of operators or the platform, as opposed to a
+    /// fault or a repair.
     pub fn is_planned(&self) -> bool {
         use Fault::*;
         matches!(
--- a/simulate-fleet/src/lib.rs
+++ b/simulate-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real planes in virtual time, under faults, judged by the same checker
-//! as a fleet of processes.
+//! Simulator that runs the real control-plane and data-plane state machines in virtual time
+//! under fault injection. The checker for real fleets verifies its records.
 #![warn(missing_docs, unreachable_pub)]
 
 pub mod capacity;
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -1,4 +1,4 @@
-//! What the files of this crate need.
+//! Imports shared by the modules of this crate.
 pub use crate::capacity::{
     CAPACITY_CONTROL_NODES, Capacity, EDGE_COUNTS, Measurement, Role, Tally,
 };
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -1,16 +1,15 @@
-//! Draws random schedules of faults from a seed.
+//! Generates random fault schedules from a seed.
 use crate::prelude::*;
 
-/// Draws a schedule of faults from a seed. Invariants:
-/// - What was broken is mended 26 seconds before the end, and from then on
-///   nothing happens: recovery is judged in that quiet.
-/// - A disk goes only once the one before was refilled (`REFILL` later), but
-///   for seeds that lose two or three at once, which then break no other.
-/// - Where an empty node stands by, a slot whose node is away goes to it, and
-///   its disk is lost with that: in these runs either disks go or the troubles
-///   of `schedule_core` come, never both.
-/// - Every fifth seed holds nothing but what operators and the platform do by
-///   intent.
+/// Generator of a random fault schedule from a seed. Invariants:
+/// - All faults are repaired 26 s before the end and none follows, because recovery is
+///   checked in this quiet period.
+/// - A disk is lost only after the previously lost one was refilled (`DISK_REFILL_MS`
+///   later). The exception is a seed that loses most disks at once; it loses no other.
+/// - A standby takes over the slot of an absent node, which loses that node's disk too. A run
+///   with a standby therefore has either disk losses or the faults of `schedule_core`,
+///   never both.
+/// - Every fifth seed contains only planned actions of operators and the platform.
 pub struct Schedule {
     pub(super) random: SeededRandom,
     list: Vec<(Duration, Fault)>,
@@ -18,25 +17,28 @@
     pub(super) edges: u64,
     pub(super) origins: u64,
     pub(super) services: u64,
+    /// Origins that were drained or whose address was reused.
     drained_origins: BTreeSet<usize>,
-    /// When a disk may go again.
+    /// Earliest time of the next disk loss, in milliseconds.
     pub(super) next_disk_loss: u64,
+    /// Time of the repair, in milliseconds.
     pub(super) end: u64,
-    /// A majority of disks goes in this run: edges must live on.
+    /// True if this run loses a majority of disks: the edges must survive.
     pub(super) loses_disk_majority: bool,
-    /// The empty node that stands by is started in this run.
+    /// True if this run starts the standby, an empty control node.
     pub(super) has_standby: bool,
 }
 
-/// A blank disk is refilled in much less, once both others are there.
+/// Minimum milliseconds between disk losses. A blank disk is refilled in much less once
+/// both other members are up.
 pub(super) const DISK_REFILL_MS: u64 = 14_000;
-/// Of a hundred troubles so many are those of `schedule_core`.
+/// Percentage of faults that are drawn from `schedule_core`.
 const CORE_FAULT_PERCENT: u64 = 40;
-/// From the mending to the end.
+/// Milliseconds from the repair to the end of the run.
 const QUIET_TAIL_MS: u64 = 26_000;
 
 impl Schedule {
-    /// For a fleet of so many control nodes.
+    /// Generates the schedule for a fleet with this number of control nodes.
     pub fn random(
         deployment: &Deployment,
         control: usize,
@@ -63,7 +65,7 @@
                 .max(8_000),
         };
         let planned = seed.is_multiple_of(5);
-        // In some runs an empty node stands by for a lost slot.
+        // In some runs an empty standby can take over a lost slot.
         schedule.has_standby = !planned && schedule.random.chance(40);
         let has_core_faults = !schedule.has_standby || schedule.random.chance(50);
         if schedule.has_standby && has_core_faults {
@@ -75,7 +77,7 @@
         if !planned && schedule.random.chance(12) {
             schedule.lose_most_disks();
         }
-        // A founding that is gathered takes longer.
+        // Founding by gathering the members takes longer.
         let mut at = if control == 3 { 6_000 } else { 9_000 };
         while at < schedule.end - 1_000 {
             if planned {
@@ -93,7 +95,7 @@
         list
     }
 
-    /// Disks that may be wiped at once.
+    /// Maximum number of disks that may be lost at once.
     pub fn max_disk_losses(control: usize) -> usize {
         if control < 5 { 1 } else { 2 }
     }
@@ -129,11 +131,11 @@
         }
     }
 
-    /// What operators and the platform do by intent.
+    /// Draws a planned action of operators or the platform.
     fn draw_planned_change(&mut self, at: u64) {
         match self.random.below(11) {
             0 | 1 => {
-                // One machine at a time.
+                // Only one machine restarts at a time.
                 let node_id = self.random_node();
                 if self.list.iter().all(|(known, fault)| {
                     !matches!(fault, Fault::Restart(_)) || known.as_millis() as u64 + 9_000 < at
@@ -152,7 +154,7 @@
                 )
             }),
             5 => self.add(at, Fault::Configure),
-            // In quick succession.
+            // Several changes in quick succession.
             6 => (0..2 + self.random.below(6))
                 .for_each(|more| self.add(at + more * 40, Fault::Configure)),
             7 => self.add_pair(at, Fault::ConfigureInvalid, Fault::ReadBack),
@@ -166,7 +168,7 @@
             }
             _ => {
                 let origin = self.random.below(self.origins) as usize;
-                // At least one of each service stays.
+                // At least one origin of each service remains.
                 if self.drained_origins.is_empty() && self.drained_origins.insert(origin) {
                     self.add(at, Fault::DrainOrigin(origin));
                     self.add(at + 4_000, Fault::Origin(origin, OriginBehavior::Down));
@@ -197,7 +199,7 @@
             9..=12 => self.draw_origin_fault(at, origin),
             13 => self.draw_service_fault(at, service),
             14 => self.add(at, Fault::Replace(origin)),
-            // One by one.
+            // Replaces up to four origins, one after another.
             15 => (0..self.origins.min(4))
                 .for_each(|more| self.add(at + more * 700, Fault::Replace(more as usize))),
             16 => self.reuse_address(at, origin),
@@ -211,7 +213,7 @@
             21 if at >= self.next_disk_loss => self.fill_disk(at, control),
             22 | 23 => self.draw_loss_on_trigger(at),
             31..=33 if at >= self.next_disk_loss => self.draw_disk_losses_on_trigger(at),
-            // A slot is gone for longer than it takes an empty node to get it.
+            // The slot is absent for longer than an empty node needs to take it over.
             34 => {
                 self.add(at, Fault::Start(NodeId::Control(self.control as usize)));
                 self.add(at, Fault::Kill(control));
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Messages are lost, doubled and late for a while.
+    /// Loses, duplicates and delays messages for some seconds.
     fn draw_lossy_network(&mut self, at: u64) {
         let lossy_network = Fault::LossyNetwork {
             lost: self.random.below(20),
@@ -240,7 +242,7 @@
         );
     }
 
-    /// One origin is faulty for a while.
+    /// Makes one origin faulty for some seconds.
     fn draw_origin_fault(&mut self, at: u64, origin: usize) {
         let behavior = [
             OriginBehavior::Down,
@@ -255,7 +257,7 @@
         );
     }
 
-    /// All origins of a service are faulty for a while.
+    /// Makes all origins of a service faulty for some seconds.
     fn draw_service_fault(&mut self, at: u64, service: usize) {
         let behavior = [
             OriginBehavior::Slow,
@@ -270,7 +272,7 @@
         );
     }
 
-    /// An origin ends, and an origin of another service takes its address.
+    /// Stops an origin and lets an origin of another service take its address.
     fn reuse_address(&mut self, at: u64, origin: usize) {
         if self.drained_origins.is_empty() {
             self.drained_origins.insert(origin);
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Power fails for a group of nodes at once.
+    /// Cuts the power of a random group of nodes at once.
     fn draw_power_failure(&mut self, at: u64, control: NodeId) {
         let later = self.later_time(at);
         let share = [30, 60, 100][self.random.below(3) as usize];
@@ -294,14 +296,14 @@
             }
         }
         self.add(later, Fault::Heal);
-        // One goes again while the others recover.
+        // One node fails again while the others recover.
         if self.random.chance(50) {
             let repeat_at = later + 300 + self.random.below(2_000);
             self.add_pair(repeat_at, Fault::Kill(control), Fault::Start(control));
         }
     }
 
-    /// The core falls in two, in some shape.
+    /// Partitions the control nodes.
     fn split_core(&mut self, at: u64, control: NodeId, node_id: NodeId) {
         let other = self.random_control_node();
         let later = self.later_time(at);
@@ -310,7 +312,7 @@
         self.add(later, Fault::Heal);
     }
 
-    /// Each half of the edges keeps one side of the core.
+    /// Partitions the control nodes and lets each half of the edges reach one side only.
     fn split_core_and_edges(&mut self, at: u64) {
         let (first_slot, later) = (
             self.random.below(self.control) as usize,
@@ -339,7 +341,7 @@
         self.add(later, Fault::Heal);
     }
 
-    /// A disk has no space until its node is started again.
+    /// Fills a disk until its node is started again.
     fn fill_disk(&mut self, at: u64, control: NodeId) {
         self.next_disk_loss = at + DISK_REFILL_MS;
         let later = self.later_time(at);
@@ -348,7 +350,7 @@
         self.add(later + 500, Fault::Start(control));
     }
 
-    /// Something is lost the moment something is acknowledged.
+    /// Injects a loss at the moment of an acknowledgement.
     fn draw_loss_on_trigger(&mut self, at: u64) {
         let trigger = Trigger::ALL[self.random.below(3) as usize];
         let slot = self.random.below(self.control) as usize;
@@ -375,7 +377,7 @@
         }
     }
 
-    /// As many disks as may be lost at once, while all lose power.
+    /// Loses the maximum number of disks while all other nodes lose power.
     fn draw_disk_losses_on_trigger(&mut self, at: u64) {
         self.next_disk_loss = at + DISK_REFILL_MS;
         let (trigger, slot) = (
@@ -399,8 +401,8 @@
         );
     }
 
-    /// Two or three disks at once, sometimes with an edge: everything is back
-    /// before anything else happens to a disk.
+    /// Loses all control disks or all but one at once, sometimes with an edge. No other
+    /// disk fault follows in this run.
     fn lose_most_disks(&mut self) {
         let at = 8_000 + self.random.below((self.end - 8_000) / 2);
         let surviving_slot = self.random.below(6) as usize;
@@ -418,7 +420,7 @@
         self.loses_disk_majority = true;
     }
 
-    /// Everything that can be is whole and started again.
+    /// Repairs all faults and starts every node.
     fn repair_all(&mut self) {
         let at = self.end;
         self.end += 200;
@@ -434,7 +436,7 @@
         for origin in 0..self.origins as usize {
             self.add(at, Fault::Origin(origin, OriginBehavior::Good));
         }
-        // A disk that is full refuses until its node is started with room.
+        // A full disk rejects writes until its node is started again.
         let full_disks: Vec<NodeId> = self
             .list
             .iter()
--- a/simulate-fleet/src/schedule_core.rs
+++ b/simulate-fleet/src/schedule_core.rs
@@ -1,13 +1,13 @@
-//! Troubles of control nodes, of operators' orders and of origins that last,
-//! come in pairs, or strike within an instant of an order.
+//! Longer, combined and precisely timed faults of control nodes, operator commands and
+//! origins.
 use crate::prelude::*;
 use crate::schedule::DISK_REFILL_MS;
 
-/// A loss comes so many milliseconds after an order was sent.
+/// Range of the delay from an operator command to the loss that follows it, in milliseconds.
 const LOSS_DELAY_MS: (u64, u64) = (5, 400);
-/// The longest cut, and the longest time that a control node stands frozen.
+/// Maximum duration of a partition or of a pause of a control node, in milliseconds.
 const MAX_SPAN_MS: u64 = 20_000;
-/// A node that was started is a full member by then.
+/// Time within which a started node becomes a full member, in milliseconds.
 const CATCH_UP_MS: u64 = 4_500;
 
 impl Schedule {
@@ -32,7 +32,7 @@
         low + self.random.below(high - low)
     }
 
-    /// A span that ends before the mending.
+    /// Random duration within these bounds (in milliseconds) that ends before the repair.
     fn span(&mut self, at: u64, low: u64, high: u64) -> Duration {
         let max_span = self.end.saturating_sub(at + 100).max(1);
         Duration::from_millis(self.random_in_range((low, high)).min(max_span))
@@ -42,7 +42,7 @@
         self.random_control_node()
     }
 
-    /// One order of an operator, of any kind.
+    /// Adds one operator command of a random kind.
     fn add_operator_command(&mut self, at: u64) {
         match self.random.below(4) {
             0 => self.add(at, Fault::Configure),
@@ -60,8 +60,8 @@
         self.add(from + span, Fault::ReadBack);
     }
 
-    /// A member is cut off for up to twenty seconds, maybe twice, maybe with
-    /// another, maybe with a restart of either side.
+    /// Partitions a member for up to 20 s. It may be partitioned twice, together with
+    /// another member, or with a restart or kill of a member meanwhile.
     fn partition_member(&mut self, at: u64) {
         let node_id = self.random_slot();
         let scope = PartitionScope::ALL[self.random.below(4) as usize];
@@ -109,7 +109,7 @@
         self.add_operator_commands(at + 50, span.as_millis() as u64, 2);
     }
 
-    /// A disk stalls or is slow; its node may be killed meanwhile.
+    /// Stalls a disk or slows it down; its node may be killed meanwhile.
     fn stall_or_slow_disk(&mut self, at: u64) {
         let node_id = self.random_slot();
         let span = self.span(at, 500, 10_000);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Answers to orders are lost, and members come and go meanwhile.
+    /// Drops responses to operators; a member may restart or be killed meanwhile.
     fn lose_operator_responses(&mut self, at: u64) {
         let span = self.span(at, 2_000, 8_000);
         let span_ms = span.as_millis() as u64;
@@ -148,7 +148,7 @@
         self.add_pair(at + 10, Fault::Kill(node_id), Fault::Start(node_id));
     }
 
-    /// Something is lost within an instant of an order.
+    /// Injects a loss shortly after an operator command.
     fn lose_after_command(&mut self, at: u64) {
         self.add_operator_command(at);
         let lost = at + self.random_in_range(LOSS_DELAY_MS);
@@ -166,7 +166,7 @@
         self.add(lost + 6_000, Fault::ReadBack);
     }
 
-    /// The first control nodes and edges are killed and back within seconds.
+    /// Kills this number of control nodes and edges and starts them again within seconds.
     fn kill_processes(&mut self, at: u64, control: u64, edges: u64) {
         let restart_at = at + 300 + self.random.below(3_000);
         let control = (0..control as usize).map(NodeId::Control);
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Planned: the new node comes first. Unplanned: the old one goes first.
-    /// The old one may come back.
+    /// Replaces a member. In a planned replacement the new node starts before the old one
+    /// retires, in an unplanned one after the old one was killed. The old one may return.
     fn replace_member(&mut self, at: u64) {
         if at < self.next_disk_loss && !self.has_standby {
             return;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// SIGTERM in the middle of orders.
+    /// Sends SIGTERM while operator commands are in progress.
     fn shut_down_while_busy(&mut self, at: u64) {
         let node_id = self.random_node();
         (0..6).for_each(|more| self.add_operator_command(at + more * 30));
@@ -220,7 +220,8 @@
         self.add(shutdown_at, Fault::Restart(node_id));
     }
 
-    /// Grey for a while, or gone and back again and again.
+    /// Makes an origin or a service fail intermittently, or stops and starts an origin
+    /// repeatedly.
     fn degrade_origin(&mut self, at: u64) {
         let origin = self.random.below(self.origins) as usize;
         let service = self.random.below(self.services) as usize;
@@ -246,8 +247,7 @@
         }
     }
 
-    /// A member loses its disk, and another goes once the first has had the
-    /// time to catch up.
+    /// Wipes a member's disk and kills another member once the first had time to catch up.
     fn lose_second_member(&mut self, at: u64) {
         if at < self.next_disk_loss {
             return;
--- a/simulate-fleet/src/script.rs
+++ b/simulate-fleet/src/script.rs
@@ -1,4 +1,4 @@
-//! Schedules as text: a JSON array of lines, read and written.
+//! Reads and writes schedules as JSON scripts.
 mod read;
 #[cfg(test)]
 mod tests;
@@ -6,15 +6,16 @@
 
 use crate::prelude::*;
 
-/// A scenario file: what happens when. Its words are those of `docs/simulator.md`.
+/// Scenario script: a JSON array of faults with their times. `docs/simulator.md` describes
+/// its fields.
 pub struct Script;
 
 impl Script {
-    /// Reads a script for a fleet of so many control nodes.
+    /// Reads a script for a fleet with this number of control nodes.
     ///
     /// # Errors
     ///
-    /// Everything wrong with the script at once, each finding with its place.
+    /// Returns all errors of the script, each with its location.
     pub fn read(
         text: &str,
         deployment: &Deployment,
@@ -23,7 +24,7 @@
         read::read(text, deployment, control_nodes)
     }
 
-    /// The script that reads back as this schedule, one fault a line.
+    /// Writes a schedule as a script, one fault per line; `read` returns the same schedule.
     pub fn write(schedule: &[(Duration, Fault)], deployment: &Deployment) -> String {
         write::write(schedule, deployment)
     }
--- a/simulate-fleet/src/script/read.rs
+++ b/simulate-fleet/src/script/read.rs
@@ -1,22 +1,23 @@
-//! Reads a script: each line becomes a fault, or findings with their places.
+//! Parses a script: each line yields a fault or findings with their locations.
 use crate::prelude::*;
 
 const UNKNOWN_FAULT: &str = "no such fault or change; see docs/simulator.md";
 const UNKNOWN_NODE: &str = "must be control-0 to control-3 (the last one: the standby) or an edge of the deployment, as edge-0";
 
-/// Entries that `grow` adds if its line names no count.
+/// Number of entries that `grow` adds if its line has no count.
 const DEFAULT_GROWTH: usize = 1000;
-/// Operators in a `race` if its line names no count.
+/// Number of operators in a `race` if its line has no count.
 const DEFAULT_RACE: usize = 2;
 
+/// Line of a script.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Line {
-    /// Seconds of virtual time.
+    /// Virtual time of the fault, in seconds.
     at: f64,
     #[serde(rename = "do")]
     word: String,
-    /// "control-0", "edge-3", "origin-2".
+    /// Target of the fault, for example "control-0", "edge-3" or "origin-2".
     #[serde(default)]
     to: Option<String>,
     #[serde(default)]
@@ -25,15 +26,15 @@
     seconds: Option<f64>,
     #[serde(default)]
     prefix: Option<String>,
-    /// Operators in a race, entries of a growth.
+    /// Number of operators in a race, of entries to add, or of disks to lose.
     #[serde(default)]
     count: Option<usize>,
     #[serde(default, rename = "moment")]
     trigger: Option<String>,
-    /// What a partitioned node does not reach.
+    /// Scope of a network partition.
     #[serde(default)]
     scope: Option<String>,
-    /// Of a hundred messages.
+    /// Percentage of messages, as in the two fields below.
     #[serde(default)]
     lost: Option<u64>,
     #[serde(default)]
@@ -80,10 +81,10 @@
     }
 }
 
-/// Reads one line and collects what is wrong with it.
+/// Parses one line and collects its errors.
 struct LineReader<'a> {
     line: &'a Line,
-    /// Of the line in the script.
+    /// Index of the line in the script.
     index: usize,
     deployment: &'a Deployment,
     control_nodes: usize,
@@ -103,7 +104,7 @@
         })
     }
 
-    /// How long the fault lasts.
+    /// Duration of the fault.
     fn span(&mut self) -> Duration {
         Duration::try_from_secs_f64(self.line.seconds.unwrap_or(-1.0)).unwrap_or_else(|_| {
             self.report("seconds", "is needed");
@@ -123,7 +124,7 @@
         })
     }
 
-    /// The node of this name; the standby is the last control node.
+    /// The node of this name; the highest control node number is the standby.
     fn node_named(&self, name: Option<&str>) -> Option<NodeId> {
         let name = name?;
         let control = number_after(name, "control-")
@@ -203,7 +204,7 @@
         Some(Fault::Partition(node, scope, span))
     }
 
-    /// All origins of a service behave in the same way.
+    /// Sets the behavior of all origins of a service.
     fn service_fault(&mut self) -> Option<Fault> {
         let behavior = self
             .line
@@ -224,7 +225,7 @@
         Some(Fault::Service(service?, behavior?))
     }
 
-    /// A loss in the moment in which something is acknowledged.
+    /// A loss injected at the moment of an acknowledgement.
     fn triggered_loss(&mut self) -> Option<Fault> {
         let trigger = Trigger::ALL
             .into_iter()
@@ -282,7 +283,7 @@
     }
 }
 
-/// The number after this start of a name.
+/// Parses the number that follows this prefix of a name.
 fn number_after(name: &str, prefix: &str) -> Option<usize> {
     name.strip_prefix(prefix)?.parse().ok()
 }
@@ -301,7 +302,7 @@
     })
 }
 
-/// Faults of one node that last for a span.
+/// Faults of one node with a duration.
 fn lasting_node_fault(word: &str) -> Option<fn(NodeId, Duration) -> Fault> {
     Some(match word {
         "pause" => Fault::Pause,
@@ -312,7 +313,7 @@
     })
 }
 
-/// Changes of one origin's place in the platform's list.
+/// Faults that change which origin listens or is listed at an address.
 fn origin_fault(word: &str) -> Option<fn(usize) -> Fault> {
     Some(match word {
         "origin-leave" => Fault::DrainOrigin,
--- a/simulate-fleet/src/script/tests.rs
+++ b/simulate-fleet/src/script/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `script`.
+//! Tests of reading and writing scripts.
 use crate::prelude::*;
 
 #[test]
--- a/simulate-fleet/src/script/write.rs
+++ b/simulate-fleet/src/script/write.rs
@@ -19,7 +19,7 @@
     line
 }
 
-/// The fields of a line besides its time and its word.
+/// Fields of a line other than its time and its fault name.
 fn fields(fault: &Fault, deployment: &Deployment) -> Vec<Field> {
     match fault {
         Fault::Kill(node)
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -1,15 +1,14 @@
-//! Shrinks a failing schedule to the faults that it needs.
+//! Shrinks a failing schedule to the faults that are required for the failure.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 
-/// Makes a schedule that breaks something short: leaves out parts, halves
-/// first, as long as `breaks` still says yes.
+/// Schedule shrinking: removes parts, halves first, while the failure persists.
 pub struct Shrink;
 
 impl Shrink {
-    /// A short part of a list that still breaks, found by leaving parts out.
+    /// Returns a short sublist for which `still_fails` returns true.
     pub fn list<T: Clone>(mut list: Vec<T>, still_fails: &dyn Fn(&[T]) -> bool) -> Vec<T> {
         let mut size = list.len().div_ceil(2);
         while size > 0 {
@@ -28,7 +27,7 @@
         list
     }
 
-    /// The schedule of a plan, with the same nevers broken.
+    /// Returns a short schedule of the plan that violates the same first rule.
     pub fn plan(plan: &WorldPlan) -> Vec<(Duration, Fault)> {
         let broken_rules = |faults: &[(Duration, Fault)]| -> Vec<usize> {
             let report = World::new(WorldPlan {
@@ -58,7 +57,7 @@
                 .is_some_and(|first_broken_rule| broken_rules(list).contains(&first_broken_rule))
         };
         let faults = Shrink::list(faults.clone(), &|faults| still_fails(&merged(faults)));
-        // Then those mends that mend nothing any more: all of one kind at once.
+        // Removes repairs that are no longer needed, all of one kind at a time.
         let all_faults = merged(&faults);
         let kinds: BTreeSet<String> = repairs.iter().map(|(_, fault)| fault.kind()).collect();
         kinds
--- a/simulate-fleet/src/shrink/tests.rs
+++ b/simulate-fleet/src/shrink/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `shrink`.
+//! Tests of schedule shrinking.
 use crate::prelude::*;
 
 #[test]
