--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -1,28 +1,28 @@
 //! A simulated process with its disk and clock.
 use crate::prelude::*;
 
-/// A disk that keeps only what was synced when the power goes.
+/// Simulated disk that keeps only synced records on a power loss.
 #[derive(Debug, Default)]
 pub struct Disk {
-    /// Records that outlast a loss of power.
+    /// Records that survive a power loss.
     pub synced: Vec<Vec<u8>>,
-    /// Records still to be synced: serial, whether it is a snapshot, bytes.
+    /// Records waiting for a sync: serial, snapshot flag, bytes.
     pub pending: VecDeque<(u64, bool, Vec<u8>)>,
-    /// Whether it refuses writes.
+    /// True if the disk rejects writes.
     pub full: bool,
-    /// When the sync now running is done.
+    /// End of the running sync.
     pub busy_until: Duration,
-    /// No sync ends before.
+    /// End of a stall; no sync completes earlier.
     pub stalled_until: Duration,
-    /// Until then each sync takes long.
+    /// End of the period in which syncs are slow.
     pub slow_until: Duration,
 }
 
 impl Disk {
-    /// Records up to this serial are synced.
+    /// Marks records up to this serial as synced; a snapshot replaces all earlier records.
     pub fn sync(&mut self, serial: u64) {
         while self.pending.front().is_some_and(|(at, _, _)| *at <= serial) {
-            let (_, is_snapshot, record) = self.pending.pop_front().expect("just seen");
+            let (_, is_snapshot, record) = self.pending.pop_front().expect("queue is not empty");
             if is_snapshot {
                 self.synced.clear();
             }
@@ -30,7 +30,8 @@
         }
     }
 
-    /// As a control node's program does at its start.
+    /// Renews a removed member's replica for its rejoin, as the control node program does at
+    /// startup.
     fn renew_if_removed(&mut self, replica: Replica, incarnation: u64) -> Replica {
         if !replica.removed {
             return replica;
@@ -41,67 +42,66 @@
         renewed
     }
 
-    /// What was not synced is lost.
+    /// Discards all records that were not synced.
     pub fn lose_power(&mut self) {
         self.pending.clear();
         self.busy_until = Duration::ZERO;
     }
 
-    /// Bytes of the synced records.
+    /// Total bytes of the synced records.
     pub fn bytes(&self) -> usize {
         self.synced.iter().map(Vec::len).sum()
     }
 }
 
-/// A process in the simulation: a part and what its host would hold.
+/// Simulated process: a state machine with its clock, disk and published state.
 pub struct SimNode {
-    /// Names it in schedules.
+    /// Identifier of the node in schedules.
     pub node_id: NodeId,
-    /// Its address and incarnation.
+    /// Address and incarnation.
     pub peer: Peer,
-    /// Where it runs.
+    /// Zone of the node.
     pub zone: String,
-    /// Its state machine; none while the process is down.
+    /// State machine; none while the process is down.
     pub state_machine: Option<Box<dyn StateMachine>>,
-    /// Counts starts: what an earlier run began does not reach a later one.
+    /// Number of the current run. Events of an earlier run are not delivered to a later one.
     pub run: u64,
-    /// When this run began.
+    /// Virtual time at which this run began.
     pub run_started_at: Duration,
-    /// What its clock shows at a start, and by how many millionths it runs
-    /// too fast.
+    /// Reading of the node's clock at the start of the run.
     pub clock_offset: Duration,
-    /// In millionths.
+    /// Clock drift in parts per million; positive if the clock runs fast.
     pub clock_drift_ppm: i64,
-    /// Until then the process stands still.
+    /// End of a pause of the process.
     pub paused_until: Duration,
-    /// Until then each step takes long.
+    /// End of the period in which steps are slow.
     pub slow_until: Duration,
-    /// When the step now running is done.
+    /// End of the running step.
     pub busy_until: Duration,
-    /// Outlasts the process.
+    /// Disk, which survives restarts of the process.
     pub disk: Disk,
-    /// End of its lease, on its own clock.
+    /// End of the lease, on the node's clock.
     pub lease_end: Duration,
-    /// Whether it says that it is ready.
+    /// True if the node reports that it is ready.
     pub ready: bool,
-    /// The route table it published last.
+    /// Last published route table.
     pub route_table: Option<Arc<RouteTable>>,
-    /// Version of the table it was last seen live with, in this run.
+    /// Version of the route table with which the node was last live in this run.
     pub active_table_version: u64,
-    /// Whether its shutdown is complete.
+    /// True once the shutdown is complete.
     pub shutdown_finished: bool,
-    /// It was told to end and is not started again.
+    /// True if the node shuts down and is not started again.
     pub retiring: bool,
-    /// The assignments it published last.
+    /// Last published assignments.
     pub assignments: Vec<String>,
-    /// What its settings say of the fleet's founding.
+    /// Founding mode in the node's settings.
     pub founding: Founding,
 }
 
-/// Whether a node's settings let it found the table of slots.
+/// Founding mode of a node: permission to found the membership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Founding {
-    /// A fleet is there: the node asks for its table.
+    /// The node may not found a table and requests the existing one.
     Never,
     /// The whole fleet starts for the first time.
     FirstStart,
@@ -120,7 +120,7 @@
 }
 
 impl SimNode {
-    /// A node that was never started.
+    /// Creates a node that is not started yet.
     pub fn new(node_id: NodeId, address: SocketAddr, zone: &str) -> SimNode {
         SimNode {
             node_id,
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Its own clock: monotonic, begun anew with each run, at any value, and
-    /// as exact as its drift.
+    /// Reading of the node's monotonic clock, which has a new offset in each run and the node's
+    /// drift.
     pub fn clock(&self, now: Duration) -> Duration {
         let nanos = now.saturating_sub(self.run_started_at).as_nanos() as u64;
         self.clock_offset
@@ -157,12 +157,12 @@
             )
     }
 
-    /// Whether it runs and holds its lease.
+    /// Returns true if the node runs and holds its lease.
     pub fn live(&self, now: Duration) -> bool {
         self.state_machine.is_some() && self.clock(now) < self.lease_end
     }
 
-    /// Starts a run on what its disk holds.
+    /// Starts a new run from the records on disk.
     pub fn start(
         &mut self,
         now: Duration,
@@ -183,7 +183,8 @@
         ) = (Duration::ZERO, false, None, false);
         self.state_machine = Some(match self.node_id {
             NodeId::Control(_) => {
-                let replica = Replica::replay(&self.disk.synced).expect("synced records read back");
+                let replica =
+                    Replica::replay(&self.disk.synced).expect("synced records are readable");
                 let replica =
                     replica.map(|replica| self.disk.renew_if_removed(replica, incarnation));
                 let blank = replica
@@ -217,7 +218,7 @@
         });
     }
 
-    /// What is sent to it from now on is lost, not held as by a paused process.
+    /// Ends the process. Unlike with a pause, messages that arrive afterwards are lost.
     pub fn kill(&mut self) {
         self.state_machine = None;
         self.run += 1;
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -1,22 +1,22 @@
 //! A simulated origin.
 use crate::prelude::*;
 
-/// How an origin behaves now.
+/// Behavior of an origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OriginBehavior {
-    /// Runs each call and answers soon.
+    /// Runs each call and responds quickly.
     Good,
-    /// Nothing listens.
+    /// Refuses connections.
     Down,
-    /// Answers nothing; whether it ran is anybody's guess (it did).
+    /// Runs each call but does not respond, so that the outcome is unknown to the edge.
     Mute,
-    /// Slower than good.
+    /// Responds more slowly than `Good`.
     Slow,
-    /// Some 60 times slower than good.
+    /// Responds about 60 times more slowly than `Good`.
     VerySlow,
-    /// Its answers are not its own.
+    /// Sends responses whose signature does not verify.
     WrongBytes,
-    /// Some of its answers do not come, or are not its own.
+    /// Fails intermittently: some responses are slow, missing or invalid.
     Grey,
 }
 
@@ -32,7 +32,7 @@
         OriginBehavior::Grey,
     ];
 
-    /// Its name in scripts and tables.
+    /// Name of the behavior in scripts and tables.
     pub fn name(self) -> &'static str {
         [
             "origin-good",
@@ -46,7 +46,7 @@
     }
 }
 
-/// How a grey origin takes its calls, each as likely as the others.
+/// Behaviors of a grey origin, each chosen with equal probability per call.
 const GREY_BEHAVIORS: [OriginBehavior; 6] = [
     OriginBehavior::Good,
     OriginBehavior::Good,
@@ -56,22 +56,22 @@
     OriginBehavior::WrongBytes,
 ];
 
-/// An origin as the simulated network shows it.
+/// Simulated origin process and its entry in the platform's list.
 #[derive(Debug, Clone)]
 pub struct SimOrigin {
-    /// As the platform lists it.
+    /// Entry in the platform's list.
     pub origin: Origin,
-    /// Who really listens there.
+    /// Service of the process that actually listens at the address.
     pub service: String,
-    /// The instance that really listens there.
+    /// Instance name of the process that actually listens at the address.
     pub instance: String,
-    /// How it behaves now.
+    /// Current behavior.
     pub behavior: OriginBehavior,
 }
 
 impl SimOrigin {
-    /// What comes of a call, and after how long; the call is recorded if it
-    /// reached anyone.
+    /// Handles a call: returns its duration, its outcome, and a record if it reached a
+    /// process.
     pub fn handle_call(
         &self,
         call: &Call,
@@ -113,7 +113,7 @@
                 Some(record),
             );
         }
-        // The seal would not verify: that is tested where it is checked.
+        // The signature would not verify; the verification has its own tests.
         if behavior == OriginBehavior::WrongBytes
             || (&self.service, &self.instance) != (&call.origin.service, &call.origin.instance)
         {
@@ -138,7 +138,7 @@
         (took, CallOutcome::Success(reply), Some(record))
     }
 
-    /// Whether a reply answers this request, and its version of the content.
+    /// Returns whether a reply belongs to this request, and the content version in it.
     pub fn parse_reply(
         reply: &Reply,
         method: &str,
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -1,26 +1,26 @@
-//! The simulated fleet: events in virtual time, links, nodes and the record of what happened.
+//! Simulated fleet: event queue in virtual time, nodes, links and records of the run.
 use crate::prelude::*;
 
-/// What came of it.
+/// Result of a simulated run.
 pub struct Report {
-    /// Judges what clients, origins and operators saw.
+    /// Checker with the records of clients, origins, operators and the fleet.
     pub checker: Checker,
-    /// Inputs that state machines handled.
+    /// Number of inputs that state machines handled.
     pub steps: u64,
-    /// How often each event was logged.
+    /// Number of times each event was logged.
     pub event_counts: BTreeMap<Event, usize>,
-    /// Bytes of the fullest disk at the end.
+    /// Bytes on the fullest disk at the end.
     pub log_bytes: usize,
-    /// When which control node told of a change of its membership or disk.
+    /// Membership and disk events of control nodes, with their times.
     pub membership_events: Vec<(Duration, NodeId, Event)>,
-    /// Copies handed out, by edge.
+    /// Number of cached copies sent to peers, by edge.
     pub copies_sent: Vec<u64>,
-    /// What came of the orders of the plan.
+    /// Results of the plan's item commands.
     pub commands: Vec<ItemCommandRecord>,
 }
 
-/// The fleet, its network, its origins, callers and operators, in virtual
-/// time. Everything hangs on the plan and its seed.
+/// The simulated fleet with its network, origins, clients and operators, in virtual time.
+/// The plan and its seed determine the whole run.
 pub struct World {
     pub(crate) plan: WorldPlan,
     pub(crate) now: Duration,
@@ -30,39 +30,41 @@
     pub(crate) nodes: Vec<SimNode>,
     pub(crate) node_by_address: HashMap<SocketAddr, usize>,
     pub(crate) origins: Vec<SimOrigin>,
-    /// From whom nothing gets to whom, and until when.
+    /// End of each dropped link, by sender and receiver.
     pub(crate) dropped_links: BTreeMap<(usize, usize), Duration>,
-    /// Until then answers to operators are lost.
+    /// End of the loss of responses to operators.
     pub(crate) operator_responses_lost_until: Duration,
-    /// Revision of the item that operators set.
+    /// Last revision of the item that operators put.
     pub(crate) item_revision: u64,
-    /// By how many places the seeds that nodes are told have turned.
+    /// Number of places by which the seed list of starting nodes is rotated.
     pub(crate) seeds_rotation: usize,
+    /// Percentages of lost, duplicated and delayed messages.
     pub(crate) message_faults: (u64, u64, u64),
-    /// Calls that their edges broke off: by node, run and id.
+    /// Origin calls that their edges cancelled: node, run and call id.
     pub(crate) cancelled_calls: HashSet<(usize, u64, u64)>,
-    /// When the closes of callers that left were read, by their requests.
+    /// Times at which edges read the disconnects of clients, by request id.
     pub(crate) disconnects_read: HashMap<u64, Duration>,
     pub(crate) version: u64,
-    /// In every document from now on; those taken out again are `removed`.
+    /// Marker entries in every document from now on; `removed_markers` were taken out again.
     pub(crate) markers: Vec<u64>,
     pub(crate) removed_markers: Vec<u64>,
-    /// Changes that were not answered yet, by marker.
+    /// Markers of configuration changes without a response yet.
     pub(crate) pending_markers: BTreeSet<u64>,
-    /// Entries more than the deployment has.
+    /// Number of entries in addition to those of the deployment.
     pub(crate) extra_entries: usize,
     pub(crate) next_marker: u64,
     pub(crate) last_acknowledged: Option<(u64, String)>,
-    /// The platform puts one list at a time; a change meanwhile waits.
+    /// Put of the origin list in progress, if any: true if a newer list waits for it, since the
+    /// platform puts one list at a time.
     pub(crate) origins_put_pending: Option<bool>,
-    /// The version of the list that the platform knows to stand.
+    /// Last version of the origin list that the platform knows.
     pub(crate) origins_version: u64,
     pub(crate) armed_loss: Option<(Trigger, Loss)>,
-    /// The first seed's end at the founding came.
+    /// True once the first seed crashed during the founding.
     pub(crate) founder_crashed: bool,
-    /// Connections that stand: node, run, origin.
+    /// Open watched connections: node, run, origin.
     pub(crate) open_connections: BTreeSet<(usize, u64, usize)>,
-    /// Operators' calls under way.
+    /// Operator calls in progress, by id.
     pub(crate) operator_calls: BTreeMap<u64, PendingOperatorCall>,
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
     pub(crate) client_records: Vec<CallerRecord>,
@@ -74,20 +76,20 @@
     pub(crate) commands: Vec<ItemCommandRecord>,
     pub(crate) event_counts: BTreeMap<Event, usize>,
     pub(crate) membership_events: Vec<(Duration, NodeId, Event)>,
-    /// Prints what happens.
+    /// Enables printing of the events of the run.
     pub trace: bool,
-    /// Messages between control nodes are printed, too.
+    /// Enables printing of messages between control nodes.
     pub trace_messages: bool,
 }
 
-/// After it a client gives up on its request.
+/// Timeout after which a client gives up on its request.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Between two ticks of an edge.
+/// Interval between two ticks of an edge.
 const EDGE_TICK: Duration = Duration::from_millis(50);
 
 impl World {
-    /// A fleet in which nothing has happened yet.
+    /// Creates the fleet of a plan at the start of virtual time.
     pub fn new(plan: WorldPlan) -> World {
         let mut world = World {
             now: Duration::ZERO,
@@ -148,7 +150,7 @@
         Duration::from_micros(low + self.random.below(high - low))
     }
 
-    /// The first of the nodes that are not started by themselves.
+    /// Index of the first spare control node; spares are only started by a fault.
     pub(crate) fn first_spare(&self) -> usize {
         self.nodes.len() - self.plan.spares
     }
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The node and run an event is for; none if that run is over.
+    /// The node that an event addresses; none if the run that it belongs to is over.
     pub(crate) fn target_node(&self, event: &SimEvent) -> Option<usize> {
         match event {
             SimEvent::Tick { node, run }
@@ -242,14 +244,14 @@
         };
         let idle_at = self.blocked_until(node, &event);
         if self.now < idle_at {
-            // It will see this when it goes on, in the old order.
+            // The node handles the event once it is unblocked, in the original order.
             self.queue.insert((idle_at, serial), event);
         } else if self.nodes[node].state_machine.is_some() {
             self.handle_node_event(event);
         }
     }
 
-    /// An event of a node that runs.
+    /// Handles an event of a running node.
     fn handle_node_event(&mut self, event: SimEvent) {
         match event {
             SimEvent::Tick { node, run } => self.tick(node, run),
@@ -292,7 +294,7 @@
         }
     }
 
-    /// An event that is of no node's run: clients, operators, the platform, faults.
+    /// Handles an event of clients, operators, the platform or the fault schedule.
     fn handle_fleet_event(&mut self, event: SimEvent) {
         match event {
             SimEvent::PutOrigins => self.put_origins(),
@@ -326,7 +328,7 @@
         self.step(node, Input::Tick);
     }
 
-    /// A disk holds a record for good.
+    /// Completes the disk sync of a record.
     fn synced(&mut self, node: usize, serial: u64) {
         self.nodes[node].disk.sync(serial);
         if self.founder_crash_due(node, FounderCrash::BeforeReplies) {
@@ -363,7 +365,7 @@
         self.record_active_table(node);
     }
 
-    /// A table is in force at an edge once the edge is live with it.
+    /// Records a newly published route table once its edge is live with it.
     fn record_active_table(&mut self, node: usize) {
         let version = self.nodes[node]
             .route_table
--- a/simulate-fleet/src/world_clients.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -1,20 +1,21 @@
 //! Simulated clients.
 use crate::prelude::*;
 
-/// A repeat of what was answered comes within so many milliseconds: the brief
-/// says "about a minute".
+/// Window after the first attempt in which a client may repeat a completed operation, in
+/// milliseconds. The requirement is "about a minute".
 const CLIENT_RETRY_WINDOW_MS: u64 = 70_000;
+/// Maximum number of retries of a failed operation.
 const MAX_RETRIES: u32 = 30;
-/// One caller in so many leaves early, within this many milliseconds.
+/// Every n-th client disconnects before its response.
 const DISCONNECT_ONE_IN: u64 = 16;
+/// Maximum delay of an early disconnect, in milliseconds.
 const MAX_DISCONNECT_DELAY_MS: u64 = 400;
-/// A call takes less than this from its edge's decision to its origin.
+/// Upper bound of the time from an edge's decision to make a call until it is sent.
 const CALL_SEND_DELAY: Duration = Duration::from_millis(5);
 
-/// Callers, and the platform that hands them to nodes.
-/// Of a hundred confirmed operations that are sent again all the same.
+/// Percentage of confirmed operations that are nevertheless repeated.
 const CONFIRMED_RETRY_PERCENT: u64 = 15;
-/// Retries of an operation whose outcome is unknown.
+/// Maximum number of retries of an operation whose outcome is unknown.
 const UNKNOWN_OUTCOME_RETRIES: u32 = 3;
 
 impl World {
@@ -51,7 +52,7 @@
         });
     }
 
-    /// A caller, sent by the platform to a node that says it is ready.
+    /// Sends a client's request to a random ready edge, as the platform does.
     pub(crate) fn send_client_request(&mut self, task: Task) {
         let ready = |node: &&usize| {
             let node = &self.nodes[**node];
@@ -63,7 +64,7 @@
         };
         let all: Vec<usize> = self.edges().collect();
         let list: Vec<usize> = all.iter().filter(ready).copied().collect();
-        // With none ready, callers still try somewhere.
+        // Without a ready edge, clients are sent to a random one.
         let list = if list.is_empty() { all } else { list };
         let node = list[self.random.below(list.len() as u64) as usize];
         let record = CallerRecord {
@@ -106,7 +107,7 @@
         self.after(span, SimEvent::RequestArrives { node, run, id });
     }
 
-    /// The node reads the request.
+    /// Handles the arrival of a request at its node.
     pub(crate) fn request_arrives(&mut self, node: usize, id: u64) {
         let Some(PendingRequest { task, .. }) = self.requests.get(&id) else {
             return;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The same filters as in a process.
+    /// Applies the request filters of the real edge process.
     pub(crate) fn filter_request(
         &self,
         node: usize,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The face checks the lease once more before a copy goes out.
+    /// Checks the lease once more before a cached response is sent, as the HTTP frontend does.
     pub(crate) fn response_sent(&mut self, node: usize, id: u64, response: ClientResponse) {
         let keyed = self
             .requests
@@ -176,7 +177,7 @@
         self.client_finished(id, Some(response));
     }
 
-    /// Nothing leaves for a caller alone after its close was read.
+    /// Records a call that was sent for a single client after the edge had read its disconnect.
     pub(crate) fn check_call_after_disconnect(&mut self, call: &Call) {
         let Some(disconnect_read) = self.disconnects_read.get(&call.request) else {
             return;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// The caller closes its connection; a keyed one asks again elsewhere.
+    /// Closes a client's connection; a keyed operation is retried at another node.
     pub(crate) fn client_disconnects(&mut self, id: u64) {
         let Some(PendingRequest {
             node,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// The same operation comes again, not to the zone of this node.
+    /// Retries an operation at a node of another zone.
     fn retry_at_another_node(&mut self, node: usize, task: Task, wait: Duration) {
         let retry = Task {
             zone: Some(self.nodes[node].zone.clone()),
@@ -246,7 +247,7 @@
         self.client_records.push(record);
     }
 
-    /// Whether a loss was armed for a booking that was confirmed; it comes now.
+    /// Injects the loss armed for a confirmed booking; returns true if there was one.
     fn trigger_booked_loss(&mut self) -> bool {
         let armed = self
             .armed_loss
@@ -255,8 +256,8 @@
         armed
     }
 
-    /// Some send an operation again though it was confirmed; all others until
-    /// it is.
+    /// Schedules the retry of an operation: some confirmed ones are repeated, all others are
+    /// retried until they are confirmed or the attempts are used up.
     fn retry_operation(
         &mut self,
         node: usize,
@@ -272,7 +273,7 @@
         } else {
             task.attempts < MAX_RETRIES
         };
-        // Who was told when to come back may come then, or sooner.
+        // Clients may ignore Retry-After and retry sooner.
         let spread = if good {
             CLIENT_RETRY_WINDOW_MS
         } else {
@@ -287,13 +288,13 @@
         }
     }
 
-    /// Whether an entry is there, at an edge that says anything on it: a keyed
-    /// entry without a key answers 400, no entry 404.
+    /// Returns whether a marker entry exists at an edge, none if the edge does not reveal it. A
+    /// keyed entry without a key responds with 400, a missing entry with 404.
     fn marker_visible(&self, node: usize, marker: u64) -> Option<bool> {
         self.entry_visible(node, &format!("/marker/{marker}"))
     }
 
-    /// The same of any keyed entry, by its path.
+    /// Returns whether the keyed entry of this path exists at an edge, none if unknown.
     pub(crate) fn entry_visible(&self, node: usize, path: &str) -> Option<bool> {
         let rejection_status = self
             .filter_request(node, "POST", path, None)
@@ -305,7 +306,7 @@
             .map(|(_, visible)| visible)
     }
 
-    /// The number of the last record of a kind since all was lost.
+    /// The number of the last record of this kind since the last total loss.
     pub(crate) fn last_recorded(&self, kind: &str) -> Option<u64> {
         self.fleet_records
             .iter()
@@ -344,8 +345,8 @@
         }
     }
 
-    /// Every edge must be ready by now, unless something was done to the fleet
-    /// meanwhile.
+    /// Records whether every edge is ready again. An unready edge is excused if another fault
+    /// was injected meanwhile.
     pub(crate) fn check_readiness(&mut self, since: Duration) {
         let disturbed = self.fleet_records.iter().rev().any(|record| {
             record.what == "fault" && !record.good && record.at > since.as_secs_f64()
@@ -362,7 +363,7 @@
     }
 }
 
-/// Records what a client reads in its response.
+/// Copies the fields of a response to the client's record.
 fn read_response(record: &mut CallerRecord, task: &Task, response: ClientResponse) {
     match response {
         ClientResponse::Rejection(rejection) => {
--- a/simulate-fleet/src/world_disks.rs
+++ b/simulate-fleet/src/world_disks.rs
@@ -1,7 +1,8 @@
-//! Simulated disks: what is written, and losses in the moment it is.
+//! Simulated disks: writes, syncs, and losses triggered by acknowledgements.
 use crate::prelude::*;
 
 impl World {
+    /// Queues a record for the next disk sync of a node.
     pub(crate) fn store(&mut self, node: usize, serial: u64, is_snapshot: bool, record: Vec<u8>) {
         let run = self.nodes[node].run;
         if self.nodes[node].disk.full {
@@ -13,7 +14,7 @@
         let crash_before_sync = self.plan.founder_crash == FounderCrash::BeforeSync
             && self.founder_crash_due(node, FounderCrash::BeforeSync);
         let disk = &mut self.nodes[node].disk;
-        // One sync serves all that came while the one before was running.
+        // One sync covers all records written while the previous one was running.
         let synced_at = (disk.busy_until.max(self.now) + took).max(disk.stalled_until);
         disk.busy_until = self.now + took;
         self.push(synced_at, SimEvent::Synced { node, run, serial });
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Whether the first seed ends now, having just written the table.
+    /// Returns true if the first seed crashes now, at this stage of writing the founding table;
+    /// schedules its restart 1 s later.
     pub(crate) fn founder_crash_due(&mut self, node: usize, stage: FounderCrash) -> bool {
         if node != 0 || self.plan.founder_crash != stage || self.founder_crashed {
             return false;
@@ -49,6 +51,7 @@
         is_founding_record
     }
 
+    /// Injects the armed loss if it waits for this trigger.
     pub(crate) fn trigger_loss(&mut self, trigger: Trigger) {
         let Some((_, loss)) = self.armed_loss.take_if(|(known, _)| *known == trigger) else {
             return;
--- a/simulate-fleet/src/world_events.rs
+++ b/simulate-fleet/src/world_events.rs
@@ -1,6 +1,7 @@
-//! Events of the simulated fleet, and what clients and operators wait for.
+//! Events of the simulated fleet, and pending requests of clients and operators.
 use crate::prelude::*;
 
+/// Event in the queue of the simulated fleet.
 pub(crate) enum SimEvent {
     Tick {
         node: usize,
@@ -51,25 +52,25 @@
     ClientTimesOut {
         id: u64,
     },
-    /// The node reads that the caller has closed its connection.
+    /// The node reads that the client closed its connection.
     DisconnectRead {
         node: usize,
         run: u64,
         id: u64,
     },
-    /// The caller closes its connection, though its deadline is not over.
+    /// The client closes its connection before its deadline.
     ClientDisconnects {
         id: u64,
     },
     FaultStarts(Fault),
-    /// A fault of this kind still lasts, or ends now.
+    /// A fault of this kind is still in effect or ends now.
     FaultOngoing(String),
     CheckMarkers,
-    /// Who was away at `since` must be ready by now.
+    /// Nodes that were down at `since` must be ready by now.
     CheckReadiness {
         since: Duration,
     },
-    /// A node that ended after a warning is started again.
+    /// A node starts again after a graceful shutdown.
     NodeRestarts {
         node: usize,
         run: u64,
@@ -87,6 +88,7 @@
     },
 }
 
+/// Request of a client, with the state of its retries.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub(crate) mix: Mix,
@@ -94,10 +96,11 @@
     pub(crate) operation: Option<String>,
     pub(crate) zone: Option<String>,
     pub(crate) attempts: u32,
-    /// When the first try began: repeats end with `CLIENT_RETRY_DELAY`.
+    /// Time of the first attempt: repeats end after `CLIENT_RETRY_WINDOW_MS`.
     pub(crate) first_attempt_at: Duration,
 }
 
+/// Client request without a response yet.
 pub(crate) struct PendingRequest {
     pub(crate) node: usize,
     pub(crate) run: u64,
@@ -105,15 +108,15 @@
     pub(crate) record: CallerRecord,
 }
 
-/// An order of an operator, who may send it more than once.
+/// Command of an operator, who may send it more than once.
 #[derive(Debug, Clone)]
 pub(crate) struct OperatorCommand {
     pub(crate) call: OperatorCall,
-    /// Names the order; the same each time it is sent.
+    /// Identifies the change; the same in every attempt.
     pub(crate) change: Option<u64>,
-    /// It was settled, but the answer was lost.
+    /// True if the command was settled but its response was lost.
     pub(crate) settled: bool,
-    /// When it was first sent.
+    /// Time of the first attempt, in seconds.
     pub(crate) start: Option<f64>,
 }
 
@@ -128,16 +131,16 @@
     }
 }
 
-/// An operator's call under way.
+/// Operator call in progress.
 pub(crate) struct PendingOperatorCall {
-    /// The node that was asked.
+    /// The node that received the call.
     pub(crate) node: usize,
     pub(crate) command: OperatorCommand,
-    /// When.
+    /// Time of the first attempt, in seconds.
     pub(crate) start: f64,
 }
 
-/// What an operator waits for.
+/// Kind and content of an operator's call.
 #[derive(Debug, Clone)]
 pub(crate) enum OperatorCall {
     Configure {
@@ -161,11 +164,11 @@
     PutItem {
         item: Item,
     },
-    /// The generation is asked for first.
+    /// Opens the ledger; without a generation, a node is asked for it first.
     OpenLedger {
         generation: Option<u64>,
     },
-    /// The place of the order among those of the plan.
+    /// Item command of the plan, by its index.
     ItemCommand {
         command: usize,
     },
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -1,18 +1,18 @@
-//! Carries out the faults of a schedule.
+//! Injects the faults of a schedule.
 use crate::prelude::*;
 
-/// How long the first seed collects founding control nodes.
+/// Time in which the first seed collects founding control nodes.
 const GATHER_TIME: Duration = Duration::from_millis(500);
-/// Who starts later does not start with the whole fleet for the first time.
+/// End of the fleet's first start: a node that starts later may not found the membership
+/// table.
 const FIRST_START_END: Duration = Duration::from_secs(5);
-/// A fault that lasts is recorded again at this interval, and at its end.
+/// Interval at which a lasting fault is recorded again; its end is recorded too.
 const FAULT_RECORD_INTERVAL: Duration = Duration::from_secs(4);
-/// From SIGTERM to the end of a process by its platform.
+/// Time from SIGTERM until the platform kills the process.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 
-/// What is done to the fleet.
 impl World {
-    /// The process that listened there ended: its connections end.
+    /// Closes the connections to an origin whose process ended.
     pub(crate) fn close_connections(&mut self, origin_index: usize) {
         let address = self.origins[origin_index].origin.address;
         let (ended, remaining) = std::mem::take(&mut self.open_connections)
@@ -42,8 +42,8 @@
         }
     }
 
-    /// What a node's settings name as seeds. Who may found the table goes by
-    /// the first ones, and so does a fleet whose seeds are the table.
+    /// The seeds in a node's settings. Nodes that may found the membership table, and fleets
+    /// whose seeds form the table, always use the first control nodes.
     fn seed_addresses(&self, node: usize) -> Vec<SocketAddr> {
         let seeds_fixed = !self.plan.gather || self.nodes[node].founding != Founding::Never;
         let rotation = if seeds_fixed { 0 } else { self.seeds_rotation };
@@ -83,7 +83,7 @@
             .collect();
         lost.into_iter()
             .for_each(|id| self.client_finished(id, None));
-        // Operators see their connection end: the outcome is unknown.
+        // Connections of operators are closed: the outcome is unknown to them.
         let operator_calls: Vec<u64> = self
             .operator_calls
             .iter()
@@ -95,7 +95,7 @@
         });
     }
 
-    /// What has ended for good stays ended.
+    /// Sets the behavior of an origin; a drained origin that stopped does not start again.
     fn set_behavior(&mut self, origin_index: usize, behavior: OriginBehavior) {
         if self.origins[origin_index].behavior == OriginBehavior::Down
             && self.origins[origin_index].origin.draining
@@ -108,7 +108,8 @@
         }
     }
 
-    /// It ended by itself; what it had read it must have answered.
+    /// Restarts a node after its graceful shutdown. Requests that it left without a response
+    /// are recorded as dropped.
     pub(crate) fn restart_node(&mut self, node: usize, run: u64) {
         if self.nodes[node].run != run {
             return;
@@ -146,8 +147,9 @@
         );
     }
 
-    /// If nobody is left who knew anything, operators and the platform tell
-    /// the fleet what they want once it is back.
+    /// Checks for a total loss: no running edge has a route table and no control node has full
+    /// state on disk. The fleet is then founded again, and operators and the platform
+    /// resubmit the configuration and the origins.
     pub(crate) fn check_total_loss(&mut self) {
         let has_state = |node: &SimNode| match node.node_id {
             NodeId::Edge(_) => node.state_machine.is_some() && node.route_table.is_some(),
@@ -161,7 +163,7 @@
         self.record("all-lost", "", 0, true);
         self.drop_pending_read_backs();
         self.clear_settled_flags();
-        // The fleet is founded anew.
+        // The control nodes start with empty disks and may found a new table.
         let refounding_nodes = if self.plan.gather {
             self.plan.control
         } else {
@@ -187,7 +189,7 @@
         );
     }
 
-    /// Operators who still wait to read back what nobody knows any more.
+    /// Cancels pending read-backs of documents that were lost.
     fn drop_pending_read_backs(&mut self) {
         let read_back =
             |command: &OperatorCommand| matches!(command.call, OperatorCall::ReadBack { .. });
@@ -197,7 +199,8 @@
             .retain(|_, event| !matches!(event, SimEvent::SendOperatorCall { command, .. } if read_back(command)));
     }
 
-    /// What is asked within the span of a fault is judged as disturbed by it.
+    /// Records a lasting fault repeatedly, so that the checker treats requests during it as
+    /// disturbed.
     fn record_span(&mut self, fault: &Fault) {
         let Some(span) = fault.span() else {
             return;
@@ -216,8 +219,8 @@
         if self.trace {
             println!("{:9.4} FAULT {fault:?}", self.seconds());
         }
-        // Operators make one change at a time, except where they race: of two
-        // changes without a condition the later one rightly undoes the other.
+        // Operators make one change at a time, except in a race: of two unconditional
+        // changes the later one correctly overwrites the other.
         if !self.pending_markers.is_empty()
             && matches!(fault, Fault::Configure | Fault::Race(_) | Fault::Grow(_))
         {
@@ -240,7 +243,7 @@
         self.apply_fault(fault);
     }
 
-    /// Faults of nodes and links; all others are changes.
+    /// Applies a fault of nodes, disks or links; all others are changes.
     fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(node_id) => {
@@ -303,7 +306,7 @@
         }
     }
 
-    /// Changes of origins, operators' changes, and losses of many nodes.
+    /// Applies a change of origins, a change by operators or a loss of many nodes.
     fn apply_change(&mut self, change: Fault) {
         match change {
             Fault::PutItem => self.put_item(),
@@ -366,7 +369,7 @@
         let node = self.node_index(node_id);
         self.nodes[node].paused_until = self.now + span;
         let subject = self.nodes[node].peer.address.to_string();
-        // Callers may give up on it meanwhile; that is no planned change.
+        // Clients may give up on the paused node; this is not a planned change.
         self.record("killed", &subject, 1, true);
     }
 
@@ -405,7 +408,7 @@
     fn slow_down(&mut self, node_id: NodeId, span: Duration) {
         let node = self.node_index(node_id);
         self.nodes[node].slow_until = self.now + span;
-        // As with a pause: callers may give up on it.
+        // Clients may give up on the slow node, as on a paused one.
         let subject = self.nodes[node].peer.address.to_string();
         self.record("killed", &subject, 1, true);
     }
--- a/simulate-fleet/src/world_item_commands.rs
+++ b/simulate-fleet/src/world_item_commands.rs
@@ -1,41 +1,41 @@
-//! Operators who set items: their answers may be lost, and then the same order
-//! is sent again to the next control node.
+//! Item commands of operators: if a response is lost, the command is resent to the next
+//! control node.
 
 use crate::prelude::*;
 
-/// One operator's order: an item under a revision, with a content.
+/// Operator command that puts an item under a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ItemCommand {
-    /// When it is first sent.
+    /// Time of the first attempt.
     pub at: Duration,
-    /// The control node that is asked first.
+    /// The control node of the first attempt.
     pub node: usize,
-    /// Of the item.
+    /// Name of the item.
     pub name: String,
-    /// The number the operator gives it.
+    /// Revision number that the operator assigns.
     pub revision: u64,
-    /// Tells contents apart.
+    /// Distinguishes contents of the same item.
     pub content: u32,
-    /// So many answers do not reach the operator.
+    /// Number of responses that are lost before they reach the operator.
     pub operator_responses_lost: u32,
 }
 
-/// What became of an order.
+/// Result of an item command.
 #[derive(Debug, Clone)]
 pub struct ItemCommandRecord {
-    /// What was ordered.
+    /// The command.
     pub command: ItemCommand,
-    /// How often it was sent.
+    /// Number of attempts.
     pub attempts: u32,
-    /// The answer that ended it; none if it was sent until the end.
+    /// Final response; none if the command was retried until the end of the run.
     pub outcome: Option<ChangeOutcome>,
-    /// When it ended.
+    /// Time of the final response.
     pub ended_at: Duration,
 }
 
-/// An operator without an answer sends again after this.
+/// Delay between two attempts of a command.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// An operator waits this long for one node.
+/// Time that an operator waits for the response of one node.
 const ITEM_COMMAND_TIMEOUT: Duration = Duration::from_millis(3500);
 
 impl ItemCommand {
@@ -57,9 +57,8 @@
 }
 
 impl ItemCommandRecord {
-    /// The order as its item's history has it: all its tries are one call. One
-    /// that was refused for another reason than a conflict may have met a node
-    /// that could not tell.
+    /// Entry of the command in its item's history, with all attempts as one call. A command
+    /// rejected for another reason than a conflict has an unknown outcome.
     pub(crate) fn history(&self) -> ItemRecord {
         let ItemCommand {
             at,
@@ -88,7 +87,7 @@
 }
 
 impl World {
-    /// Puts the plan's orders on the timetable.
+    /// Schedules the item commands of the plan.
     pub(crate) fn schedule_item_commands(&mut self) {
         for (command, at) in self
             .plan
@@ -129,7 +128,7 @@
         self.step(node, Input::Operator { id, request });
     }
 
-    /// The operator gives this try up and goes to the next node.
+    /// Ends an attempt that timed out; the command is retried at the next node.
     pub(crate) fn item_command_times_out(&mut self, id: u64) {
         if self.operator_calls.contains_key(&id) {
             self.on_operator_response(id, OperatorResponse::ChangeOutcome(ChangeOutcome::Unknown));
--- a/simulate-fleet/src/world_lost_responses.rs
+++ b/simulate-fleet/src/world_lost_responses.rs
@@ -1,12 +1,13 @@
-//! Answers to operators that are lost, and orders that are sent again.
+//! Lost responses to operators, and commands that are resent.
 use crate::prelude::*;
 
-/// Of a hundred answers so many are lost while answers are lost at all.
+/// Percentage of responses to operators that are lost during `LoseOperatorResponses`.
 const LOST_RESPONSE_PERCENT: u64 = 60;
+/// Name of the configuration item that operators put.
 const ITEM_NAME: &str = "note";
 
 impl World {
-    /// Sets the named item under its next revision, with a text of its own.
+    /// Puts the named item under its next revision, with a text unique to the revision.
     pub(crate) fn put_item(&mut self) {
         self.item_revision += 1;
         let revision = self.item_revision;
@@ -28,8 +29,7 @@
         self.send_operator_call(node, OperatorCall::PutItem { item }, 0);
     }
 
-    /// A revision is in force everywhere: every live edge shows it, or a later
-    /// one.
+    /// Checks that every live edge applies an acknowledged revision or a later one.
     pub(crate) fn item_acknowledged(&mut self, revision: u64) {
         for node in self.edges() {
             if !self.nodes[node].live(self.now) {
@@ -55,7 +55,7 @@
             && self.random.chance(LOST_RESPONSE_PERCENT)
     }
 
-    /// The operator heard nothing: the same order goes to another node.
+    /// Resends a command whose response was lost to the next control node.
     pub(crate) fn resend_to_next_node(
         &mut self,
         pending_call: PendingOperatorCall,
@@ -72,8 +72,8 @@
         self.after(span, resend);
     }
 
-    /// An order that was settled is never refused when it comes again; a node
-    /// may say that it cannot know now.
+    /// Checks that a settled command is not rejected when it is resent. A response that reports
+    /// an unknown outcome or no majority is allowed.
     pub(crate) fn check_resent_command(
         &mut self,
         command: &OperatorCommand,
@@ -96,7 +96,7 @@
         self.record("order-again", subject, 0, good);
     }
 
-    /// Everything was lost: what was settled then is known to nobody.
+    /// Clears the settled state of commands after a total loss, since no node knows them.
     pub(crate) fn clear_settled_flags(&mut self) {
         let waiting = self
             .operator_calls
--- a/simulate-fleet/src/world_network.rs
+++ b/simulate-fleet/src/world_network.rs
@@ -1,10 +1,11 @@
-//! Cuts, resets, slow processes and slow disks.
+//! Message delivery, dropped links, connection resets, slow processes and slow disks.
 use crate::prelude::*;
 
-/// What a sync takes, in microseconds.
+/// Range of the duration of a disk sync, in microseconds.
 const SYNC_MICROS: (u64, u64) = (500, 6_000);
+/// Range of the duration of a sync of a slow disk, in microseconds.
 const SLOW_SYNC_MICROS: (u64, u64) = (50_000, 300_000);
-/// What a step of a slow process takes, in microseconds.
+/// Range of the duration of a step of a slow process, in microseconds.
 const SLOW_STEP_MICROS: (u64, u64) = (500, 4_000);
 
 impl World {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// What is under way between the two is lost.
+    /// Drops all messages in transit between two nodes.
     pub(crate) fn reset(&mut self, first: usize, second: usize) {
         let addresses = [first, second].map(|node| self.nodes[node].peer.address);
         self.queue.retain(|_, event| match event {
@@ -47,15 +48,15 @@
         });
     }
 
-    /// A process ends: its connections end with all that it had not read, also
-    /// what waited for it while it was paused.
+    /// Drops all undelivered messages to a node whose process ended, including those that
+    /// waited while it was paused.
     pub(crate) fn drop_undelivered(&mut self, node: usize) {
         self.queue
             .retain(|_, event| !matches!(event, SimEvent::Deliver { to, .. } if *to == node));
     }
 
-    /// When a node can take this: not while it is paused or at another step,
-    /// and no sync ends while its disk stalls.
+    /// Time at which a node can handle an event: not while it is paused or busy, and no sync
+    /// completes while its disk is stalled.
     pub(crate) fn blocked_until(&self, node: usize, event: &SimEvent) -> Duration {
         let SimNode {
             paused_until,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A step of a slow process takes its time.
+    /// Marks a slow process as busy for the duration of a step.
     pub(crate) fn charge_step_time(&mut self, node: usize) {
         if self.now < self.nodes[node].slow_until {
             let took = self.random_micros(SLOW_STEP_MICROS.0, SLOW_STEP_MICROS.1);
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -1,14 +1,13 @@
-//! Simulated operators.
+//! Simulated operators and the platform's updates of the origin list.
 use crate::prelude::*;
 
-/// Between two attempts of an operator who finds no control node ready.
+/// Interval between two attempts of an operator while no control node is ready.
 const OPERATOR_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// After so many of them the operator gives up.
+/// Number of retries after which the operator gives up.
 const MAX_OPERATOR_RETRIES: u32 = 20;
-/// Between two steps of opening the ledger.
+/// Delay between two steps of opening the ledger.
 const LEDGER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Operators, and the platform's list of origins.
 impl World {
     pub(crate) fn put_origins(&mut self) {
         if let Some(update_waiting) = &mut self.origins_put_pending {
@@ -25,9 +24,9 @@
         self.send_operator_call(node, OperatorCall::Origins { list, at: 0.0 }, 0);
     }
 
-    /// Learned when the call that was acknowledged in the end was read by a
-    /// node that could take it. With another fault about, when it was
-    /// acknowledged: nobody may have been there to learn it from.
+    /// Records draining origins of a settled list. They count as known from the time when a
+    /// ready node received the acknowledged call. During another fault they count as
+    /// known only from the acknowledgement, since no node may have been able to learn them.
     pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, received_at: f64) {
         let update_waiting = self.origins_put_pending.take().unwrap_or(false);
         let disturbed =
@@ -75,7 +74,7 @@
         if let OperatorCall::Origins { at, .. } = &mut command.call {
             *at = self.seconds();
         }
-        // Drawn for every order, used by its first attempt.
+        // Drawn in every attempt, used only by the first one.
         let new_change = self.random.below(u64::MAX >> 12);
         let change = *command.change.get_or_insert(new_change);
         if let OperatorCall::ItemCommand { command } = command.call {
@@ -88,7 +87,7 @@
         self.step(node, Input::Operator { id, request });
     }
 
-    /// An operator's tool takes the next control node if one is down.
+    /// The first ready control node at or after this index, as an operator's tool selects it.
     fn ready_control_node(&self, first: usize) -> Option<usize> {
         let control = self.plan.control;
         (0..control)
@@ -97,7 +96,7 @@
             .find(|node| self.nodes[*node].state_machine.is_some() && self.nodes[*node].ready)
     }
 
-    /// No control node is ready: the operator retries, and gives up in the end.
+    /// Retries a call while no control node is ready, up to `MAX_OPERATOR_RETRIES`.
     fn retry_operator_call(&mut self, node: usize, command: OperatorCommand, attempts: u32) {
         if attempts < MAX_OPERATOR_RETRIES {
             let retry = SimEvent::SendOperatorCall {
@@ -171,7 +170,7 @@
         self.operator_calls.insert(self.serial, pending_call);
     }
 
-    /// Notes a call on the document with what came of it, for its history.
+    /// Records a call on the configuration document and its outcome for the history check.
     pub(crate) fn record_operator(
         &mut self,
         pending_call: &PendingOperatorCall,
@@ -222,7 +221,7 @@
         self.on_operator_outcome(pending_call.command.call, outcome);
     }
 
-    /// Opens the ledger under the generation that a node reports.
+    /// Opens the ledger of the generation that a node reports.
     fn open_reported_ledger(&mut self, state: &serde_json::Value) {
         let generation = state["ledger"]["realm"]
             .as_str()
@@ -279,7 +278,7 @@
         }
     }
 
-    /// A later change may be in force by now, never an older one.
+    /// Checks a read-back: it may return a later version, but never an older one.
     fn on_read_back(&mut self, (version, text): (u64, String), outcome: ChangeOutcome) {
         let ChangeOutcome::Configuration {
             version: read_version,
@@ -296,7 +295,7 @@
         self.record("read-back", "", version, same);
     }
 
-    /// A version is in force everywhere: every live edge has it by now.
+    /// Checks that every live edge has an acknowledged version or a later one.
     fn on_configuration_acknowledged(&mut self, version: u64, number: u64) {
         self.record("acknowledged", "", version, true);
         for node in self.edges() {
@@ -325,7 +324,7 @@
                     .into_iter()
                     .for_each(|removed| self.record("removed", "", removed, true));
                 self.on_configuration_acknowledged(version, marker);
-                // Sent before everything was lost, and settled after it.
+                // The change may have been sent before a total loss and settled after it.
                 if !self.markers.contains(&marker) {
                     self.markers.push(marker);
                 }
@@ -339,9 +338,9 @@
                 }
             }
             ChangeOutcome::Findings(_) => self.record("invalid-refused", "", marker, marker == 999),
-            // Unknown: the marker may be in force, so it stays in later documents.
+            // The marker may be in effect, so it stays in later documents.
             ChangeOutcome::Unknown => self.record("configure-unknown", "", marker, true),
-            // Nothing was done, and so nothing comes into force.
+            // The change was not applied and cannot take effect later.
             ChangeOutcome::NoMajority => {
                 self.markers.retain(|known| *known != marker);
                 self.record("no-majority", "", marker, true);
@@ -354,14 +353,14 @@
         }
     }
 
-    /// One operator's change, made on top of `base`, with a marker of its own.
-    /// A marker that stood in four changes is taken out again.
+    /// Puts a configuration with the markers of `base` and a new one. Outside races, the oldest
+    /// marker is removed once there are more than four.
     pub(crate) fn configure(&mut self, node: usize, base: &[u64], expect: Option<u64>, race: bool) {
         self.next_marker += 1;
         let marker = self.next_marker;
         self.pending_markers.insert(marker);
         let mut list: Vec<u64> = base.iter().copied().chain([marker]).collect();
-        // The one that was acknowledged last is looked for meanwhile: it stays.
+        // The last acknowledged marker stays, because edges are checked for it.
         let last = self.last_recorded("configured");
         if !race && list.len() > 4 {
             let oldest = usize::from(list.first().copied() == last);
--- a/simulate-fleet/src/world_outputs.rs
+++ b/simulate-fleet/src/world_outputs.rs
@@ -1,7 +1,7 @@
-//! Carries out what the state machine of a node puts out.
+//! Applies the outputs of a node's state machine.
 use crate::prelude::*;
 
-/// Events whose times are recorded.
+/// Membership and disk events whose times are recorded.
 const MEMBERSHIP_EVENTS: [Event; 4] = [
     Event::DiskBlank,
     Event::DiskRecovered,
@@ -9,10 +9,10 @@
     Event::MemberRemoved,
 ];
 
-/// Within it a node sees whether an origin accepts its connection.
+/// Delay until a node learns whether an origin accepted its connection.
 const WATCH_DELAY: Duration = Duration::from_millis(1);
-/// Between the end of a drained node and its next start: calls already read
-/// are answered meanwhile.
+/// Delay between the end of a shutdown and the restart, in which responses to requests
+/// already read are sent.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 impl World {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A retired node ends for good; any other is started again.
+    /// Ends a retiring node for good; schedules the restart of any other.
     fn shutdown_complete(&mut self, node: usize) {
         let run = self.nodes[node].run;
         if self.nodes[node].retiring {
@@ -117,7 +117,8 @@
         }
     }
 
-    /// No assignment is ever held by two live nodes.
+    /// Stores a node's published assignments and records a violation if another live node holds
+    /// one of them.
     pub(crate) fn publish_assignments(&mut self, node: usize, list: Vec<String>) {
         let other_holder = |assignment: &String| {
             self.edges().find(|other| {
--- a/simulate-fleet/src/world_plan.rs
+++ b/simulate-fleet/src/world_plan.rs
@@ -1,52 +1,54 @@
-//! What is simulated: the deployment, the seed, the span and the schedule of faults.
+//! Plan of a simulated run: deployment, seed, duration and fault schedule.
 use crate::prelude::*;
 
-/// What shall be simulated.
+/// Plan of a simulated run.
 #[derive(Debug, Clone)]
 pub struct WorldPlan {
-    /// Nodes, origins and traffic.
+    /// Nodes, origins and traffic of the fleet.
     pub deployment: Deployment,
-    /// Of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Of virtual time.
+    /// Virtual duration of the run.
     pub span: Duration,
-    /// What happens when, since the start.
+    /// Faults and their times since the start.
     pub faults: Vec<(Duration, Fault)>,
-    /// Messages of this name are all lost: what would be without them?
+    /// Name of a message type that is always dropped, to measure its effect; empty for none.
     pub dropped_message: &'static str,
-    /// Clocks run too fast or too slow by up to so many millionths.
+    /// Maximum clock drift, in parts per million.
     pub drift: u64,
-    /// Control nodes that hold a slot.
+    /// Number of control nodes that hold a slot.
     pub control: usize,
-    /// The seeds are three of them; the table is founded and asked for.
+    /// True if the first seed founds the membership table by gathering the control nodes, with
+    /// up to three of them as seeds; false if the seeds form the table.
     pub gather: bool,
-    /// The last of them starts late, when the table is fixed: it grows.
+    /// True if the last control node starts after the founding, so that the table grows.
     pub late_control_node: bool,
-    /// How the first seed ends as it fixes the table; it is back a second later.
+    /// Crash of the first seed during the founding; it restarts 1 s later.
     pub founder_crash: FounderCrash,
-    /// What operators order by items.
+    /// Item commands of operators.
     pub commands: Vec<ItemCommand>,
-    /// Empty control nodes at addresses of their own, not started by themselves.
+    /// Number of empty spare control nodes, started only by a fault.
     pub spares: usize,
-    /// Some callers leave before their answer.
+    /// True if some clients disconnect before their response.
     pub clients_disconnect: bool,
 }
 
-/// How the first seed ends as it fixes the membership table.
+/// Moment at which the first seed crashes while it founds the membership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FounderCrash {
-    /// It does not end.
+    /// The first seed does not crash.
     Never,
-    /// Before the table is on its disk.
+    /// Crash before the table is synced to disk.
     BeforeSync,
-    /// When it is, and nobody was told.
+    /// Crash after the sync and before any other node is notified.
     BeforeReplies,
-    /// When all were told.
+    /// Crash after the other nodes were notified.
     AfterReplies,
 }
 
 impl WorldPlan {
-    /// Clocks off by up to a thousandth, a hundred times what is common.
+    /// Creates a plan with three control nodes and a clock drift of up to 0.1 %, a hundred times
+    /// the usual value.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -72,9 +74,9 @@
 }
 
 impl WorldPlan {
-    /// So many control nodes. Other than three are founded by a table that is
-    /// gathered, by some seeds with one that comes late or with a first seed
-    /// that ends right then.
+    /// Sets the number of control nodes. With any number but three, the membership table is
+    /// founded by gathering; the run's seed decides whether the last control node starts late
+    /// and when the first seed crashes.
     pub fn with_control_nodes(self, control: usize) -> WorldPlan {
         if control == 3 {
             return self;
--- a/simulate-fleet/src/world_setup.rs
+++ b/simulate-fleet/src/world_setup.rs
@@ -1,22 +1,25 @@
-//! Lays out the nodes and origins of a deployment and schedules its first events.
+//! Creates the nodes and origins of a deployment and schedules the initial events.
 use crate::prelude::*;
 
-/// When the platform puts its first list of origins.
+/// Time at which the platform puts its first origin list.
 const ORIGINS_AT: Duration = Duration::from_millis(1_500);
-/// When the first document is put.
+/// Time at which the first configuration document is put.
 const CONFIGURATION_AT: Duration = Duration::from_millis(1_600);
-/// When the ledger is opened.
+/// Time at which the ledger is opened.
 const LEDGER_AT: Duration = Duration::from_millis(1_700);
-/// When traffic begins.
+/// Time at which client traffic begins.
 const TRAFFIC_AT: Duration = Duration::from_millis(4_000);
-/// The same where the membership table is gathered, which takes a moment more.
+/// Time at which client traffic begins if the membership table is founded by gathering, which
+/// takes longer.
 const TRAFFIC_AFTER_GATHERING_AT: Duration = Duration::from_millis(6_000);
-/// When the last control node starts in a plan in which it is late.
+/// Time at which a late control node starts.
 const LATE_START_AT: Duration = Duration::from_millis(4_500);
 
-/// Kinds of simulated machines, as a part of their addresses.
+/// Second byte of control node addresses.
 const CONTROL_SUBNET: u8 = 1;
+/// Second byte of edge addresses.
 const EDGE_SUBNET: u8 = 2;
+/// Second byte of origin addresses.
 const ORIGIN_SUBNET: u8 = 3;
 
 fn address(subnet: u8, index: usize) -> SocketAddr {
@@ -24,7 +27,7 @@
 }
 
 impl World {
-    /// Everything that stands when virtual time begins.
+    /// Creates the fleet and schedules its initial events.
     pub(crate) fn create_fleet(&mut self) {
         self.create_nodes();
         self.create_origins();
@@ -33,7 +36,7 @@
         self.schedule_start();
     }
 
-    /// Control nodes, edges and then the spare control nodes.
+    /// Creates the control nodes, the edges and the spare control nodes, in this order.
     fn create_nodes(&mut self) {
         let control = self.plan.control;
         let spares = control..control + self.plan.spares;
