--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Counts messages, bytes and steps by fleet size, and fits their slopes.
+//! Measures messages, bytes and steps by fleet size and fits a line to each.
 mod tables;
 #[cfg(test)]
 mod tests;
@@ -7,9 +7,9 @@
 
 use crate::prelude::*;
 
-/// The control traffic of a fleet without callers: real parts and real frames,
-/// every message a millisecond on its way, every disk synced after two. Counts
-/// hang on the size alone; times are this machine's.
+/// Simulation of the control traffic of a fleet without clients, with real state machines and
+/// real frames. Every message takes 1 ms and every disk sync 2 ms. Counts depend only on
+/// the fleet size; times depend on the machine.
 pub struct Capacity {
     now: Duration,
     serial: u64,
@@ -20,7 +20,7 @@
     tally: Tally,
 }
 
-/// A node whose origins and callers are not there.
+/// Node without clients and real origins.
 struct CapacityNode {
     role: Role,
     peer: Peer,
@@ -28,6 +28,7 @@
     lease_end: Duration,
 }
 
+/// Event in the queue of the simulation.
 enum CapacityEvent {
     Tick(usize),
     Deliver {
@@ -50,7 +51,7 @@
     },
 }
 
-/// What a node is.
+/// Role of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// A control node.
@@ -59,69 +60,75 @@
     Edge,
 }
 
-/// What was counted since it was last taken.
+/// Traffic and work counted over a period.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
-    /// The span of virtual time it covers.
+    /// Virtual duration of the period.
     pub span: Duration,
-    /// Frames and their bytes, by who sent them.
+    /// Number of frames and bytes, by role of the sender and message name.
     pub sent: BTreeMap<(Role, &'static str), (u64, u64)>,
-    /// Steps, time and longest, by what they took in.
+    /// Number of steps, total time and longest step, by role and input name.
     pub steps: BTreeMap<(Role, &'static str), (u64, Duration, Duration)>,
-    /// Records and bytes to disk.
+    /// Number of records and bytes written to disk.
     pub records: (u64, u64),
-    /// Calls to origins, all of them health checks.
+    /// Number of calls to origins, all of them health checks.
     pub health_checks: u64,
 }
 
-/// One size, run through.
+/// Measurement of one fleet size.
 #[derive(Debug, Clone)]
 pub struct Measurement {
-    /// How many edges.
+    /// Number of edges.
     pub edges: usize,
-    /// How many control nodes.
+    /// Number of control nodes.
     pub control: usize,
-    /// Regions the edges are spread over.
+    /// Number of regions of the edges.
     pub regions: usize,
-    /// Two seconds in which nothing happens.
+    /// Traffic of 2 s without changes.
     pub quiet: Tally,
-    /// A second in which one purge is asked for, and how long it took.
+    /// Traffic of the second after one purge, and the time to its acknowledgement.
     pub purge: (Tally, Duration),
-    /// The same with a configuration.
+    /// Traffic of the second after one configuration, and the time to its acknowledgement.
     pub configuration: (Tally, Duration),
-    /// Five seconds in which an edge is gone.
+    /// Traffic of 5 s after the loss of an edge.
     pub loss: Tally,
-    /// Rows and bytes of each published partition, as its owner lists it.
+    /// Number of rows and bytes of each published partition, as listed by its owner.
     pub state: Vec<(usize, u64)>,
-    /// Bytes in use for the parts: one control node, one edge. None without the
-    /// counting allocator.
+    /// Allocated bytes of one control node and of one edge; none without the counting
+    /// allocator.
     pub memory: Option<(u64, u64)>,
-    /// The edges that were live throughout.
+    /// Number of live edges at the end of the quiet period.
     pub live_edges: usize,
 }
 
-/// Regions and zones of the target, and its origins.
+/// Maximum number of regions.
 const REGION_COUNT: usize = 25;
+/// Maximum number of zones.
 const ZONE_COUNT: usize = 80;
+/// Number of origins in the platform's list.
 const ORIGIN_COUNT: usize = 150;
+/// Latency of every message, health check and connection.
 const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
+/// Duration of every disk sync.
 const SYNC_LATENCY: Duration = Duration::from_millis(2);
+/// Time in which the first seed collects founding control nodes.
 const GATHER_TIME: Duration = Duration::from_millis(1000);
-/// Begins once the fleet is founded and has its assignments.
+/// Time by which the fleet is founded and has its assignments.
 const SETTLED_AT: Duration = Duration::from_secs(8);
-/// Numbers of edges of the page's tables.
+/// Edge counts of the tables in `docs/CAPACITY.md`.
 pub const EDGE_COUNTS: [usize; 4] = [16, 64, 256, 1100];
-/// Control nodes of the page's tables.
+/// Number of control nodes of the tables in `docs/CAPACITY.md`.
 pub const CAPACITY_CONTROL_NODES: usize = 12;
 
-/// Operators' calls that list a partition are numbered from here.
+/// First id of operator calls that list a partition.
 const FIRST_LIST_ID: u64 = 10;
-/// Kinds of nodes, as a part of their addresses.
+/// Second byte of control node addresses.
 const CONTROL_SUBNET: u8 = 1;
+/// Second byte of edge addresses.
 const EDGE_SUBNET: u8 = 2;
-/// Cache of an edge, in bytes.
+/// Cache size of an edge, in bytes.
 const CACHE_BYTES: u64 = 64 << 20;
-/// Incarnations of edges begin here, above those of control nodes.
+/// First incarnation of edges, above those of control nodes.
 const FIRST_EDGE_INCARNATION: u64 = 1000;
 
 fn address(subnet: u8, index: usize) -> SocketAddr {
@@ -147,7 +154,8 @@
         }
     }
 
-    /// Regions first: a small fleet has one node in each.
+    /// Creates an edge. Edges are spread over regions before zones, so that a small fleet has at
+    /// most one edge per region.
     fn edge(index: usize, seeds: &[SocketAddr]) -> CapacityNode {
         let zone = index % ZONE_COUNT;
         let region = format!("region-{:02}", zone % REGION_COUNT);
@@ -192,7 +200,7 @@
             tally: Tally::default(),
         };
         for node in 0..fleet.nodes.len() {
-            // Spread over the tick, as real starts are.
+            // Spreads the first ticks over 50 ms, as real starts are spread.
             let at = Duration::from_micros(node as u64 * 7919 % 50_000);
             fleet.after(at, CapacityEvent::Tick(node));
         }
@@ -273,7 +281,7 @@
             .len() as u64;
         let totals = self.tally.sent.entry((role, message.name())).or_default();
         *totals = (totals.0 + 1, totals.1 + bytes);
-        // A sender's nudges leave one after the other.
+        // A sender's update notices leave one after the other, 40 µs apart.
         let queue = if matches!(message, Message::UpdateNotice(_)) {
             Duration::from_micros(to as u64 * 40)
         } else {
@@ -292,7 +300,7 @@
             .first_key_value()
             .is_some_and(|((at, _), _)| *at < end)
         {
-            let ((at, _), event) = self.queue.pop_first().expect("just seen");
+            let ((at, _), event) = self.queue.pop_first().expect("queue is not empty");
             self.now = at;
             match event {
                 CapacityEvent::Tick(node) => {
@@ -347,8 +355,8 @@
         );
     }
 
-    /// Asks for a change and counts for a second; with how long it took to be
-    /// in force everywhere.
+    /// Sends a change and counts traffic for 1 s; also returns the time to its acknowledgement,
+    /// when it is in effect at every node.
     fn apply_change(
         &mut self,
         id: u64,
@@ -369,22 +377,24 @@
                     response,
                     OperatorResponse::ChangeOutcome(ChangeOutcome::Acknowledged { .. })
                 ) {
-                    bail!("change {id}: {response:?}");
+                    bail!("change {id} was not acknowledged: {response:?}");
                 }
                 return Ok((tally, *at - started_at));
             }
             self.run_to(self.now + Duration::from_secs(1));
         }
-        bail!("change {id} was not answered")
+        bail!("change {id} received no response")
     }
 
     fn document(marker: u64) -> Arc<str> {
-        let deployment = Deployment::find("trasa").expect("known");
+        let deployment = Deployment::find("trasa").expect("deployment exists");
         deployment.document(&[marker]).into()
     }
 
     fn origins() -> Vec<Origin> {
-        let services = Deployment::find("trasa").expect("known").services;
+        let services = Deployment::find("trasa")
+            .expect("deployment exists")
+            .services;
         let origin = |at: usize| {
             let service = services[at % services.len()].name;
             let address = SocketAddr::from(([10, 3, 0, at as u8], 8000));
@@ -411,11 +421,11 @@
             .count()
     }
 
-    /// Runs one size through. `used`: bytes in use, if they are counted.
+    /// Measures one fleet size. `allocated_bytes` returns the allocated bytes, if counted.
     ///
     /// # Errors
     ///
-    /// A change was not acknowledged, or a partition was not listed.
+    /// Fails if a change is not acknowledged or a partition is not listed.
     pub fn measure(
         edges: usize,
         control: usize,
@@ -452,7 +462,7 @@
         })
     }
 
-    /// Puts a configuration and the origins, and lets the fleet settle.
+    /// Puts a configuration and the origin list, and runs until the fleet has settled.
     fn set_up(&mut self) -> Result<()> {
         self.run_to(Duration::from_secs(5));
         self.put_configuration(1, 1, 1)?;
@@ -481,7 +491,7 @@
         self.apply_change(id, CONFIGURATION_PARTITION, put)
     }
 
-    /// Rows and bytes of each published partition.
+    /// Lists each published partition: number of rows and bytes.
     fn list_partitions(&mut self) -> Result<Vec<(usize, u64)>> {
         let mut sizes = Vec::new();
         for partition in 0..PUBLISHED_PARTITIONS {
@@ -491,14 +501,14 @@
             let Some((_, OperatorResponse::ChangeOutcome(ChangeOutcome::Rows { rows, .. }))) =
                 self.responses.remove(&id)
             else {
-                bail!("slice {partition} was not listed")
+                bail!("partition {partition} was not listed")
             };
             sizes.push((rows.len(), bincode::serialized_size(&rows)?));
         }
         Ok(sizes)
     }
 
-    /// Ends nodes; the bytes that each of them had in use, if they are counted.
+    /// Drops nodes; returns the mean number of bytes that each had allocated, if counted.
     fn drop_nodes(
         &mut self,
         nodes: std::ops::Range<usize>,
@@ -516,7 +526,7 @@
 }
 
 impl Tally {
-    /// Frames and bytes of one name by one role, a second.
+    /// Frames and bytes per second of one message name, sent by one role.
     pub fn rate(&self, role: Role, name: &str) -> (f64, f64) {
         let (frames, bytes) = self
             .sent
@@ -530,14 +540,14 @@
         )
     }
 
-    /// Frames and bytes of all names and roles.
+    /// Total frames and bytes of all roles.
     fn total_sent(&self) -> (u64, u64) {
         self.sent
             .values()
             .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
-    /// Share of a core that one node of a role takes.
+    /// Share of a CPU core that one node of a role uses.
     fn core_share(&self, role: Role, nodes: usize) -> f64 {
         let spent: f64 = self
             .steps
--- a/simulate-fleet/src/capacity/tables.rs
+++ b/simulate-fleet/src/capacity/tables.rs
@@ -1,9 +1,9 @@
-//! Lines of a capacity table, and their slopes over the sizes.
+//! Capacity tables: values by fleet size with their linear fit.
 use super::{Measurement, Tally};
 use crate::prelude::*;
 
-/// Least squares over points: constant and slope, and the share of the spread
-/// that the line leaves over.
+/// Fits a line by least squares: returns the intercept, the slope, and the share of the
+/// variance that the line does not explain.
 pub fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let count = points.len() as f64;
     let (mean_x, mean_y) = (
@@ -38,8 +38,8 @@
 }
 
 impl Measurement {
-    /// What is counted, by line; all of it hangs on the size alone. Frames and
-    /// bytes are sent ones: a second for what goes on, a piece for events.
+    /// Rows of the table of counts, which depend only on the fleet size. Frames and bytes are
+    /// counted at the sender, per second for continuous traffic and per event otherwise.
     pub fn counts(&self) -> Vec<(&'static str, f64)> {
         let mut lines = self.quiet_counts();
         lines.extend(self.event_counts());
@@ -47,7 +47,7 @@
         lines
     }
 
-    /// What goes on while nothing happens.
+    /// Counts of continuous traffic.
     fn quiet_counts(&self) -> Vec<(&'static str, f64)> {
         let (edges, control) = (self.edges as f64, self.control as f64);
         let seconds = self.quiet.span.as_secs_f64();
@@ -94,7 +94,7 @@
         ]
     }
 
-    /// What an event sends more than goes on anyway.
+    /// Counts of the additional traffic that an event causes.
     fn event_counts(&self) -> Vec<(&'static str, f64)> {
         let purge = self.beyond_quiet(&self.purge.0);
         let configuration = self.beyond_quiet(&self.configuration.0);
@@ -109,7 +109,7 @@
         ]
     }
 
-    /// Frames and bytes beyond those of a quiet span as long.
+    /// Frames and bytes in addition to those of a quiet period of the same length.
     fn beyond_quiet(&self, tally: &Tally) -> (f64, f64) {
         let (event, idle) = (tally.total_sent(), self.quiet.total_sent());
         let share = tally.span.as_secs_f64() / self.quiet.span.as_secs_f64();
@@ -119,7 +119,7 @@
         )
     }
 
-    /// Rows and bytes of the published partitions.
+    /// Numbers of rows and bytes of the published partitions.
     fn state_counts(&self) -> Vec<(&'static str, f64)> {
         let rows = |partition: u8| self.state[usize::from(partition)].0 as f64;
         let bytes = |partition: u8| self.state[usize::from(partition)].1 as f64;
@@ -133,7 +133,7 @@
         ]
     }
 
-    /// Times and bytes in use, as this machine shows them.
+    /// Rows of the table of times and memory, which depend on the machine.
     pub fn times(&self) -> Vec<(&'static str, f64)> {
         let longest = |tally: &Tally, role| {
             tally
@@ -182,7 +182,7 @@
         ]
     }
 
-    /// A table of lines by size, with the line through all sizes.
+    /// Formats a table of rows by fleet size, with a linear fit over all sizes.
     pub fn table(
         list: &[Measurement],
         lines: &dyn Fn(&Measurement) -> Vec<(&'static str, f64)>,
@@ -215,7 +215,7 @@
     }
 }
 
-/// Four figures, as far as they say anything.
+/// Formats a number with four significant digits and without trailing zeros.
 fn number(value: f64) -> String {
     let digits = if value == 0.0 {
         0
--- a/simulate-fleet/src/capacity/tests.rs
+++ b/simulate-fleet/src/capacity/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `capacity`.
+//! Tests of the capacity measurements.
 use crate::prelude::*;
 
-/// `simulate-fleet --capacity 16,64` prints the table that the page holds.
+/// The table in `docs/CAPACITY.md` equals the output of `simulate-fleet --capacity 16,64`.
 #[test]
 fn capacity_page_matches_command_output() {
     let page = include_str!("../../../docs/CAPACITY.md");
     let expected = page
         .split_once("<!-- counts -->\n")
         .and_then(|(_, rest)| rest.split_once("<!-- end -->"))
-        .expect("markers")
+        .expect("page has the markers")
         .0;
     let list: Vec<Measurement> = [16, 64]
         .map(|edges| Capacity::measure(edges, CAPACITY_CONTROL_NODES, &|| None).unwrap())
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -1,30 +1,30 @@
-//! Measurements that docs/figures.md shows.
+//! Measurements for `docs/figures.md`.
 #[cfg(test)]
 mod tests;
 
 use crate::prelude::*;
 use data_plane::prelude::{CacheOwner, PurgeLog};
 
-/// The figures of docs/figures.md, in counts and virtual time.
+/// Measurements of `docs/figures.md`, as counts and virtual times.
 pub struct Figures;
 
-/// Origin calls of a crowd on one key.
+/// Number of origin calls during a burst of requests for one cache key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadBurst {
-    /// Requests of clients.
+    /// Number of client requests.
     pub requests: u64,
-    /// Origin calls with expiry in two phases.
+    /// Number of origin calls with two-phase expiry.
     pub two_phase: u64,
-    /// Origin calls with a single expiry.
+    /// Number of origin calls with a single expiry.
     pub single_expiry: u64,
-    /// Origin calls without a cache.
+    /// Number of origin calls without a cache.
     pub no_cache: u64,
 }
 
 impl Figures {
-    /// `rate` errands a second on one key for a minute; a fetch takes `fetch`.
-    /// Single expiry is a stand-in with the same δ: once it has passed,
-    /// everyone fetches until somebody's answer is there.
+    /// Simulates `rate` requests per second for one key over 60 s, with a fetch duration of
+    /// `fetch`. The single-expiry cache is a model with the same expiry interval: after
+    /// expiry, every request fetches until the first response arrives.
     pub fn load_burst(rate: u64, fetch: Duration) -> LoadBurst {
         let ttl = Duration::from_secs(10);
         let address = SocketAddr::from(([10, 0, 0, 1], 1));
@@ -41,7 +41,7 @@
         for id in 0..load_burst.requests {
             let now = Duration::from_micros(id * 1_000_000 / rate);
             while puts.front().is_some_and(|(at, _)| *at <= now) {
-                let (at, token) = puts.pop_front().expect("just seen");
+                let (at, token) = puts.pop_front().expect("queue is not empty");
                 let reply = Reply {
                     status: 200,
                     ..Reply::default()
@@ -81,7 +81,7 @@
                 }
             }
             while single_puts.front().is_some_and(|at| *at <= now) {
-                single_until = single_puts.pop_front().expect("just seen") + ttl / 2;
+                single_until = single_puts.pop_front().expect("queue is not empty") + ttl / 2;
             }
             if now >= single_until {
                 load_burst.single_expiry += 1;
@@ -91,8 +91,8 @@
         load_burst
     }
 
-    /// Time from asking to acknowledgement of changes and of purges, in
-    /// control ticks: least, middle, most.
+    /// Time from the request to the acknowledgement of configurations and purges, in control
+    /// ticks: minimum, median, maximum.
     pub fn acknowledgement_ticks(
         deployment: &Deployment,
         isolate_edge: bool,
@@ -153,10 +153,10 @@
         table
     }
 
-    /// Served share by rank with the second service capped at `part` of what
-    /// is asked of it.
+    /// Share of successful requests by rank if the rate limit of the second service is the
+    /// fraction `limit_share` of the demand.
     pub fn served_share_at_limit(limit_share: f64) -> BTreeMap<u32, f64> {
-        let mut deployment = Deployment::find("mombasa").expect("known");
+        let mut deployment = Deployment::find("mombasa").expect("deployment exists");
         let demand = deployment.rate as f64 * 0.35;
         deployment.services[1].rate = demand * limit_share / deployment.services[1].origins as f64;
         let cached: BTreeSet<String> = deployment
@@ -189,12 +189,12 @@
             .collect()
     }
 
-    /// Applications 60 times slower than usual for half a minute, with few
-    /// places: served share, mean wait of the served, and how long those turned
-    /// away waited to hear it, in seconds, by rank. `flat`: first come, first
-    /// served, as if all ranks were the same.
+    /// Results by rank while application origins respond 60 times more slowly for 30 s with
+    /// little concurrency: share of successful requests, their mean latency, and the mean
+    /// latency of failed requests, in seconds. `ignore_rank` gives all entries the same
+    /// rank, which means first come, first served.
     pub fn served_during_slowdown(ignore_rank: bool) -> BTreeMap<u32, (f64, f64, f64)> {
-        let mut deployment = Deployment::find("mombasa").expect("known");
+        let mut deployment = Deployment::find("mombasa").expect("deployment exists");
         deployment.services[1].concurrency = 2;
         let cached: BTreeSet<String> = deployment
             .mix
@@ -242,15 +242,15 @@
         ranks.into_iter().map(rank_result).collect()
     }
 
-    /// Cache partitions by edge: least and most held, and how many move when one
-    /// edge more comes.
+    /// Cache partitions per edge: minimum, maximum, and number of partitions that move when an
+    /// edge is added.
     pub fn cache_partition_spread(edges: usize) -> (usize, usize, usize) {
         let peer = |at: usize| Peer::new(SocketAddr::from(([10, 2, 0, 1], 1000 + at as u16)), 1);
         let highest_weight = |count: usize, partition: u16| {
             let name = cache_assignment("", partition);
             (0..count)
                 .max_by_key(|at| peer(*at).weight(&name))
-                .expect("some edge")
+                .expect("at least one edge")
         };
         let held_count = |at: usize| {
             (0..CACHE_PARTITIONS)
@@ -270,8 +270,8 @@
         )
     }
 
-    /// Origin calls for content while every edge is drained and restarted in
-    /// turn, with copies handed over and without.
+    /// Number of origin calls for content while edges are drained and restarted one after
+    /// another. Dropping `HandoverRequest` messages disables the cache handover.
     pub fn origin_calls_during_rolling_restart(
         deployment: &Deployment,
         dropped_message: &'static str,
@@ -297,8 +297,9 @@
         calls.count()
     }
 
-    /// Copies handed out by edge over a quiet minute: least and most, in parts
-    /// of the mean; `hot` sends nine of ten fetches to one key.
+    /// Minimum and maximum number of cached copies sent per edge over 60 s without faults, as
+    /// fractions of the mean. `one_key_per_entry` limits each cached entry to one path, so
+    /// that nine of ten fetches use one key.
     pub fn copies_spread(deployment: &Deployment, one_key_per_entry: bool) -> (f64, f64) {
         let mut deployment = deployment.clone();
         for mix in deployment
@@ -323,14 +324,14 @@
         )
     }
 
-    /// Prints the figures of `docs/figures.md`.
+    /// Prints the measurements of `docs/figures.md`.
     pub fn print() {
         for (rate, fetch) in [(100, 200), (20, 200), (100, 1000)] {
             let load_burst = Figures::load_burst(rate, Duration::from_millis(fetch));
             println!("crowd of {rate}/s, fetch {fetch} ms, 60 s: {load_burst:?}");
         }
         for name in ["mombasa", "trasa"] {
-            let deployment = Deployment::find(name).expect("known");
+            let deployment = Deployment::find(name).expect("deployment exists");
             println!(
                 "{name}: acknowledgement in control ticks [least, middle, most]: {:?}",
                 Figures::acknowledgement_ticks(&deployment, false)
@@ -341,7 +342,7 @@
             );
         }
         for name in ["small", "mombasa", "trasa"] {
-            let deployment = Deployment::find(name).expect("known");
+            let deployment = Deployment::find(name).expect("deployment exists");
             let (with, without) = (
                 Figures::origin_calls_during_rolling_restart(&deployment, "", 1),
                 Figures::origin_calls_during_rolling_restart(&deployment, "HandoverRequest", 1),
@@ -363,7 +364,7 @@
             );
         }
         for name in ["mombasa", "trasa"] {
-            let deployment = Deployment::find(name).expect("known");
+            let deployment = Deployment::find(name).expect("deployment exists");
             let (copies_spread, one_key_per_entry) = (
                 Figures::copies_spread(&deployment, false),
                 Figures::copies_spread(&deployment, true),
--- a/simulate-fleet/src/figures/tests.rs
+++ b/simulate-fleet/src/figures/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `figures`.
+//! Tests of the measurements for `docs/figures.md`.
 use crate::prelude::*;
 
 #[test]
@@ -14,7 +14,7 @@
 #[test]
 fn cache_handover_spares_origins() {
     let deployment = Deployment::find("small").unwrap();
-    // One seed's difference is smaller than its chance.
+    // The difference for a single seed is smaller than the random variation.
     let sum = |dropped_message| {
         (1..=12)
             .map(|seed| {
@@ -39,13 +39,16 @@
     assert!(shares.is_sorted(), "{ranked:?}");
     assert!(
         ranked[&9].0 > 0.99 && ranked[&9].0 > unranked[&9].0,
-        "{ranked:?} against first come {unranked:?}"
+        "{ranked:?} without ranks {unranked:?}"
     );
     assert!(
         ranked[&9].1 < unranked[&9].1,
-        "{ranked:?} against first come {unranked:?}"
+        "{ranked:?} without ranks {unranked:?}"
+    );
+    assert!(
+        ranked[&5].2 < 1.0,
+        "the lowest rank is rejected soon: {ranked:?}"
     );
-    assert!(ranked[&5].2 < 1.0, "the lowest is told soon: {ranked:?}");
 }
 
 #[test]
@@ -59,5 +62,5 @@
     };
     assert!(max(false) < 5.0, "{}", max(false));
     assert!(max(true) < 20.0, "{}", max(true));
-    assert!(max(true) > 5.0, "the cut-off edge was waited for");
+    assert!(max(true) > 5.0, "the change waited for the isolated edge");
 }
