--- a/simulate-fleet/src/bin/simulate-fleet/capacity_tables.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/capacity_tables.rs
@@ -1,10 +1,10 @@
-//! The tables of `docs/CAPACITY.md`.
+//! Prints the tables of `docs/CAPACITY.md`.
 use simulate_fleet::prelude::*;
 
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Measures fleets of so many hollow edges and prints what was measured.
+/// Measures a fleet for each number of edges and prints the results.
 pub(crate) fn print(sizes: &[usize], control_nodes: usize) -> Result<()> {
     let mut measured = Vec::new();
     for edges in sizes {
@@ -32,7 +32,7 @@
     Some((stats.bytes_allocated - stats.bytes_deallocated) as u64)
 }
 
-/// What each role sent and handled in the quiet span.
+/// Prints the messages that each role sent and handled in the quiet period.
 fn print_messages(measurement: &Measurement) {
     for (role, name) in measurement.quiet.sent.keys() {
         let (frames, bytes) = measurement.quiet.rate(*role, name);
--- a/simulate-fleet/src/bin/simulate-fleet/main.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/main.rs
@@ -1,4 +1,4 @@
-//! Answers what-if questions: plays schedules of faults and prints what broke.
+//! Runs a simulated fleet under fault schedules and prints the rules that were violated.
 mod capacity_tables;
 mod options;
 mod runs;
--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -1,4 +1,4 @@
-//! Command-line flags: what to simulate, and what to print.
+//! Parses and checks the command-line flags.
 use simulate_fleet::prelude::*;
 
 const HELP: &str = "what-if questions over the real planes, in virtual time
@@ -26,31 +26,31 @@
 longest gap without a success, nevers broken, and the seed that repeats it.
 Exit code 1 if a never is broken.";
 
-/// Control nodes of a judged run if the command line names none.
+/// Number of control nodes if the command line has none.
 const DEFAULT_CONTROL_NODES: usize = 3;
-/// The shortest run worth judging, in seconds.
+/// Minimum duration of a run, in seconds.
 const MIN_SECONDS: u64 = 20;
-/// The largest share of lost, doubled or late messages, of a hundred.
+/// Maximum percentage of lost, duplicated or delayed messages.
 const MAX_MESSAGE_FAULT_PERCENT: u64 = 90;
 const ZONE_NAMES: [&str; 8] = [
     "zone-1", "zone-2", "zone-3", "zone-4", "zone-5", "zone-6", "zone-7", "zone-8",
 ];
 
-/// What the command line asks for.
+/// Action selected on the command line.
 pub(crate) enum Options {
-    /// Runs fleets and judges them.
+    /// Runs simulated fleets and checks the rules.
     Run(RunOptions),
-    /// Prints the figures of `docs/figures.md`.
+    /// Prints the measurements of `docs/figures.md`.
     Figures,
     /// Prints the tables of `docs/CAPACITY.md`.
     Capacity {
-        /// Numbers of hollow edges, one a measurement.
+        /// Number of edges of each measurement.
         sizes: Vec<usize>,
         control_nodes: usize,
     },
 }
 
-/// What the judged runs of a fleet are like.
+/// Options of simulated runs.
 pub(crate) struct RunOptions {
     pub(crate) deployment: Deployment,
     pub(crate) control_nodes: usize,
@@ -59,24 +59,24 @@
     pub(crate) seeds: u64,
     pub(crate) schedule: ScheduleSource,
     pub(crate) message_faults: MessageFaults,
-    /// Clocks are off by up to so many millionths.
+    /// Maximum clock drift, in parts per million.
     pub(crate) drift: u64,
-    /// Finds a short schedule for a seed that broke a rule.
+    /// Shrinks the schedule of a seed that violated a rule.
     pub(crate) shrink: bool,
-    /// 1: what happens; 2: messages between control nodes, too.
+    /// Trace level. 1 prints events, 2 also messages between control nodes.
     pub(crate) trace: u8,
 }
 
-/// Where the faults of a run come from.
+/// Source of the fault schedule of a run.
 pub(crate) enum ScheduleSource {
     Empty,
-    /// Drawn from the run's seed.
+    /// Random schedule from the run's seed.
     Random,
-    /// Read from a file.
+    /// Schedule read from a script file.
     Script(Vec<(Duration, Fault)>),
 }
 
-/// What happens to messages all the time, of a hundred.
+/// Percentages of messages that are lost, duplicated or delayed during the whole run.
 #[derive(Clone, Copy)]
 pub(crate) struct MessageFaults {
     pub(crate) lost: u64,
@@ -84,13 +84,13 @@
     pub(crate) late: u64,
 }
 
-/// The flags that every kind of run has.
+/// Flags common to all actions.
 struct BasicFlags {
     deployment: String,
     seconds: u64,
     first_seed: u64,
     seeds: u64,
-    /// None if the command line names no number.
+    /// Number of control nodes; none if the flag is missing.
     control_nodes: Option<usize>,
     edges: usize,
     rate: u64,
@@ -102,7 +102,7 @@
     figures: bool,
 }
 
-/// The flags that change a deployment or what happens to it.
+/// Flags that change the deployment or its faults.
 struct FleetFlags {
     zones: usize,
     service_rate: String,
@@ -111,7 +111,7 @@
 }
 
 impl Options {
-    /// Reads the command line; ends the program if anything is wrong with it.
+    /// Parses the command line; exits the program if it is invalid.
     pub(crate) fn from_command_line() -> Options {
         let mut flags = Flags::gather("simulate-fleet", HELP);
         let basic = BasicFlags::take(&mut flags);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The named deployment, or any other if there is none of this name.
+    /// Checks the flags; returns the named deployment, or `small` if the name is unknown.
     fn check(&self, flags: &mut Flags) -> Deployment {
         let deployment = Deployment::find(&self.deployment);
         if deployment.is_none() {
@@ -192,7 +192,7 @@
         if self.seconds < MIN_SECONDS {
             flags.found("--seconds", "at least 20");
         }
-        deployment.unwrap_or_else(|| Deployment::find("small").expect("known"))
+        deployment.unwrap_or_else(|| Deployment::find("small").expect("deployment exists"))
     }
 }
 
@@ -214,7 +214,7 @@
         }
     }
 
-    /// The deployment with the sizes and rates of the command line.
+    /// Checks the flags; returns the deployment with the sizes and rates that they set.
     fn check(
         &self,
         flags: &mut Flags,
@@ -249,7 +249,7 @@
     }
 }
 
-/// None if the command line names no number of control nodes.
+/// Takes the number of control nodes; none if the flag is missing.
 fn take_control_nodes(flags: &mut Flags) -> Option<usize> {
     let count = flags
         .take("--control", Some(0usize))
@@ -260,8 +260,8 @@
     Some(count)
 }
 
-/// Sets the rate of a service from `NAME=N`; none if there is no such service
-/// or number.
+/// Sets the rate of a service from `NAME=N`; returns none if the service or the number is
+/// invalid.
 fn set_rate(deployment: &mut Deployment, text: &str) -> Option<()> {
     let (name, rate) = text.split_once('=')?;
     let rate = rate.parse::<f64>().ok()?;
@@ -293,7 +293,7 @@
     }
 }
 
-/// Numbers of hollow edges to measure; empty if no capacity is asked for.
+/// Parses the edge counts of `--capacity`; empty if the flag is missing.
 fn read_sizes(flags: &mut Flags, text: &str) -> Vec<usize> {
     let sizes: Vec<usize> = if text == "all" {
         EDGE_COUNTS.to_vec()
--- a/simulate-fleet/src/bin/simulate-fleet/runs.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/runs.rs
@@ -1,12 +1,12 @@
-//! Runs a fleet for each seed and prints what broke.
+//! Runs a simulated fleet for each seed and prints the violated rules.
 use crate::options::{RunOptions, ScheduleSource};
 use crate::summary::Summary;
 use simulate_fleet::prelude::*;
 
-/// When the weather of the command line sets in.
+/// Start of the message faults set on the command line.
 const MESSAGE_FAULTS_START: Duration = Duration::from_secs(3);
 
-/// Runs all seeds; how many broke a rule.
+/// Runs all seeds; returns the number of seeds that violated a rule.
 pub(crate) fn run_seeds(options: &RunOptions) -> usize {
     let mut broken = 0;
     let mut summary = Summary::default();
@@ -16,11 +16,11 @@
         }
     }
     summary.print();
-    println!("{broken} of {} seeds broke a never", options.seeds);
+    println!("{broken} of {} seeds violated a rule", options.seeds);
     broken
 }
 
-/// Whether the run of this seed broke a rule.
+/// Runs one seed; returns true if it violated a rule.
 fn run_seed(seed: u64, options: &RunOptions, summary: &mut Summary) -> bool {
     let plan = plan(seed, options);
     let started_at = Instant::now();
@@ -36,7 +36,7 @@
     let broken = summary.add(seed, &report.checker, verbose);
     if broken && options.shrink {
         println!(
-            "seed {seed}, made short:\n{}",
+            "seed {seed}, shrunk schedule:\n{}",
             Script::write(&Shrink::plan(&plan), &plan.deployment)
         );
     }
@@ -80,7 +80,7 @@
         .map(|(rank, (good, all))| format!("rank {rank} {:.1} %", 100.0 * good as f64 / all as f64))
         .collect();
     println!(
-        "seed {seed}: {} errands, {}, {} origin calls, {} steps in {} ms",
+        "seed {seed}: {} requests, {}, {} origin calls, {} steps in {} ms",
         checker.callers.len(),
         shares.join(", "),
         checker.origins.len(),
@@ -92,7 +92,7 @@
         .get(&Event::AssignmentRevoked)
         .unwrap_or(&0);
     println!(
-        "  duties moved {moves}; longest gap without a success {:.2} s; {}",
+        "  assignments moved {moves}; longest gap without a success {:.2} s; {}",
         checker.longest_gap(),
         checker.calls_against_rate()
     );
@@ -100,7 +100,7 @@
 
 fn print_events(report: &Report) {
     println!(
-        "other answers: {:?}\nevents: {:?}\nlog at most {} bytes",
+        "other responses: {:?}\nevents: {:?}\nlargest disk {} bytes",
         report.checker.other_answers(),
         report.event_counts,
         report.log_bytes
--- a/simulate-fleet/src/bin/simulate-fleet/summary.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/summary.rs
@@ -1,29 +1,29 @@
-//! What all seeds together showed about each rule.
+//! Summary of the results per rule over all seeds.
 use simulate_fleet::prelude::*;
 
-/// Broken cases printed of one rule and seed.
+/// Maximum number of violations printed per rule and seed.
 const CASES_SHOWN: usize = 4;
 
-/// The case that came nearest to a rule's bound.
+/// Case with the smallest margin to a rule's bound.
 struct WorstCase {
-    /// 1.0 being all of the bound.
+    /// Used fraction of the bound; 1.0 is the whole bound.
     used: f64,
     text: String,
 }
 
-/// Over all seeds: cases held, worst margins, and how many faults of each
-/// kind fell into the cases of each rule.
+/// Results over all seeds: passed cases, worst margins, and number of faults of each kind
+/// during the cases of each rule.
 #[derive(Default)]
 pub(crate) struct Summary {
     passed_cases: [usize; JUDGED],
-    /// By the index of the rule.
+    /// Worst case, by the index of the rule.
     worst: BTreeMap<usize, WorstCase>,
-    /// By the kind of the fault.
+    /// Number of faults during the cases of each rule, by the kind of the fault.
     coverage: BTreeMap<String, [usize; JUDGED]>,
 }
 
 impl Summary {
-    /// Adds a seed's run and prints what it broke; whether it broke anything.
+    /// Adds the run of a seed and prints its violations; returns true if there are any.
     pub(crate) fn add(&mut self, seed: u64, checker: &Checker, verbose: bool) -> bool {
         let rules = checker.cases();
         for (kind, row) in checker.coverage(&rules) {
@@ -54,17 +54,17 @@
     }
 
     pub(crate) fn print(&self) {
-        println!("cases held, by never: {:?}", self.passed_cases);
+        println!("cases passed, by rule: {:?}", self.passed_cases);
         for (index, worst) in &self.worst {
             println!(
-                "never {}: at most {:.0} % of the bound: {}",
+                "rule {}: at most {:.0} % of the bound: {}",
                 index + 1,
                 worst.used * 100.0,
                 worst.text
             );
         }
         println!(
-            "faults that fell into the cases of each never:\n{:>20} {}",
+            "faults during the cases of each rule:\n{:>20} {}",
             "",
             (1..=JUDGED)
                 .map(|rule| format!("{rule:>6}"))
@@ -81,13 +81,13 @@
     }
 }
 
-/// Prints a broken rule always, any other only if `verbose`.
+/// Prints the verdict on a rule: always if violated, otherwise only if `verbose`.
 fn print_verdict(number: usize, rule: &str, verdict: &Verdict, verbose: bool) {
     match verdict {
         Verdict::Broken(cases) => {
             let shown = cases.iter().take(CASES_SHOWN).cloned().collect::<Vec<_>>();
             println!(
-                "  {number:2}. {rule}: BROKEN in {} cases: {}",
+                "  {number:2}. {rule}: VIOLATED in {} cases: {}",
                 cases.len(),
                 shown.join("; ")
             );
