--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios: scripted faults, and what must hold under them.
+//! Scenarios: scripted and random fault schedules, and the rules that must hold under them.
 mod losses;
 mod outages;
 mod replacement;
@@ -6,7 +6,8 @@
 
 use crate::prelude::*;
 
-/// A fleet of another number of control nodes, whose table is gathered.
+/// Plan of a fleet whose membership table is founded by gathering; times in milliseconds,
+/// `span` in seconds.
 pub(crate) fn gathering_plan(
     control: usize,
     seed: u64,
@@ -79,7 +80,7 @@
     world.run()
 }
 
-/// Fails on a broken never; those named must have been exercised.
+/// Fails if a rule is violated, or if one of the rules in `exercised` had no case.
 pub(crate) fn check_rules(report: &Report, exercised: &[usize]) {
     for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
         assert!(
@@ -90,7 +91,7 @@
         );
         assert!(
             !exercised.contains(&(at + 1)) || verdict != Verdict::NotExercised,
-            "{} {rule} was not exercised",
+            "rule {} was not exercised: {rule}",
             at + 1
         );
     }
@@ -126,7 +127,7 @@
 
 const CONTROL_NODES: [NodeId; 3] = [NodeId::Control(0), NodeId::Control(1), NodeId::Control(2)];
 
-/// Share of errands that began within a span (in seconds) and were served.
+/// Share of the requests started within a period (in seconds) that succeeded.
 pub(crate) fn served_share_within(report: &Report, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
@@ -188,8 +189,8 @@
     calls.iter().filter(|call| call.status == 200).count() as f64 / calls.len() as f64
 }
 
-/// The scripts kept for so many control nodes: those of three lie in `kept`
-/// itself, those of `n` in `kept/control-n`.
+/// Recorded scripts with their number of control nodes. Those for three control nodes are in
+/// `kept`, those for `n` in `kept/control-n`.
 fn recorded_scripts() -> Vec<(usize, PathBuf)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("kept");
     let mut scripts = Vec::new();
@@ -211,8 +212,8 @@
     scripts
 }
 
-/// Schedules that once broke a never, made short by `--shrink`; each with the
-/// seeds that follow, too, since the code they broke has moved since.
+/// Replays schedules that violated a rule in the past, shortened by `--shrink`. Each runs with
+/// several seeds, because the timing that failed has changed with the code.
 #[test]
 fn recorded_failing_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
@@ -238,8 +239,8 @@
     }
 }
 
-/// Callers' and operators' clocks play no part, and the nodes' own may start
-/// anywhere and run unlike fast: leases are judged at a tenth off.
+/// Leases must hold with node clocks that start at any value and drift by up to 10 %. The
+/// clocks of clients and operators are not used.
 #[test]
 fn lease_tolerates_clock_drift_of_10_percent_but_not_45_percent() {
     let run = |drift: u64, seed: u64| {
@@ -266,17 +267,17 @@
             )
         };
         let verdicts = World::new(plan).run().checker.verdicts();
-        // Of what hangs on leases: purges, configurations, assignments.
+        // The rules that depend on leases: purges, configurations, assignments.
         [3, 5]
             .iter()
             .any(|rule| matches!(verdicts[*rule].1, Verdict::Broken(_)))
     };
     assert!(
         (1..=12).all(|seed| !run(100_000, seed)),
-        "clocks off by up to a tenth"
+        "clock drift of up to 10 %"
     );
     assert!(
         (1..=12).any(|seed| run(450_000, seed)),
-        "clocks off by up to nine twentieths"
+        "clock drift of up to 45 %"
     );
 }
--- a/simulate-fleet/src/scenarios/losses.rs
+++ b/simulate-fleet/src/scenarios/losses.rs
@@ -1,8 +1,8 @@
-//! Losses of disks, power and everything, and what outlasts them.
+//! Losses of disks and power, total losses, and the data that must survive them.
 use super::*;
 
-/// As many disks as may be go the moment something is acknowledged, and all
-/// others lose power with them.
+/// At the moment of an acknowledgement, the maximum number of disks is lost and all other nodes
+/// lose power.
 #[test]
 fn acknowledged_rows_survive_wipe_and_power_loss() {
     for control in [3, 4, 5, 8] {
@@ -37,7 +37,7 @@
             assert_eq!(
                 report.event_counts.get(&Event::GenerationFounded),
                 Some(&1),
-                "{control} {seed}: nothing was lost"
+                "{control} {seed}: the fleet was not founded again"
             );
         }
     }
@@ -122,7 +122,7 @@
             (17_000, Fault::Start(NodeId::Control(*slot))),
         ]);
     }
-    // One that was away for a while and came back in the same life knows all.
+    // An edge that was paused and resumed in the same run still has the full state.
     faults.push((
         10_000,
         Fault::Pause(NodeId::Edge(1), Duration::from_millis(2_500)),
@@ -171,9 +171,9 @@
             );
             let share =
                 |entry: &str, from: f64, to: f64| entry_served_share(&report, entry, from, to);
-            // Within 15 s of the machines' return all is served, if every edge
-            // of the roll could tell what it knew; else new operations wait
-            // for 75 s, and are told "unknown" meanwhile.
+            // Service recovers within 15 s of the machines' return if every registered edge
+            // reported its state. Otherwise new operations wait for 75 s and
+            // receive the outcome "unknown" meanwhile.
             assert!(
                 share("listing", 26.0, 85.0) > 0.99,
                 "{context}: {}",
@@ -219,17 +219,17 @@
         assert!(closed > 100, "{closed} operations waited");
         assert!(
             entry_served_share(&report, "listing", 35.0, 60.0) > 0.99,
-            "all else is served"
+            "cached entries are served"
         );
         assert!(
             entry_served_share(&report, "reservation", 104.0, 112.0) > 0.9,
-            "and then operations are, too"
+            "operations are served after the recovery period"
         );
     }
 }
 
-/// The closing is read from the disk again: control nodes that lose power in
-/// the minute after a loss do not open the ledger by it.
+/// The closed ledger is restored from disk: control nodes that lose power within the minute
+/// after a total loss must not open it.
 #[test]
 fn ledger_stays_closed_over_power_loss_after_total_loss() {
     for seed in 1..=4 {
@@ -272,6 +272,6 @@
     ))
     .run();
     check_rules(&report, &[1]);
-    // Some 13 000 operations with their answers were recorded on each disk.
+    // About 13 000 operations with their responses are recorded on each disk.
     assert!(report.log_bytes < 24 << 20, "{} bytes", report.log_bytes);
 }
--- a/simulate-fleet/src/scenarios/outages.rs
+++ b/simulate-fleet/src/scenarios/outages.rs
@@ -1,4 +1,4 @@
-//! Nodes and zones that are lost, paused or isolated.
+//! Loss, pause and isolation of nodes and zones.
 use super::*;
 
 #[test]
@@ -62,7 +62,7 @@
     );
     assert!(
         at("configured") > 8.1 + 0.3,
-        "it waited for the edge to lapse"
+        "the change waited for the edge's lease to expire"
     );
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// When errands are served again after a moment: the first success after it.
+/// Time from `after` to the end of the first successful request started later, in seconds.
 fn first_served(report: &Report, entry: &str, after: f64) -> f64 {
     let ends = report
         .checker
@@ -114,7 +114,7 @@
     assert_eq!(served_share_within(&report, 11.1, 19.9), 0.0, "fenced");
     let back =
         ["listing", "availability", "reservation"].map(|entry| first_served(&report, entry, 20.0));
-    println!("core cut off for 10 s; served again after {back:?} s");
+    println!("control plane isolated for 10 s; served again after {back:?} s");
     assert!(back.iter().all(|span| *span < 3.0), "{back:?}");
 }
 
@@ -143,14 +143,14 @@
         - 10.1;
     let share = served_share_within(&report, 13.0, 20.0);
     println!(
-        "half of the edges died; a change settled after {settled:.2} s, {share:.3} served from 3 s after"
+        "half of the edges were killed; a change settled after {settled:.2} s, {share:.3} served from 3 s after"
     );
     assert!(settled < 2.0 && share > 0.99, "{settled} {share}");
 }
 
 #[test]
 fn service_survives_loss_of_a_zone() {
-    // Zone a: control 0, edges 0 and 3.
+    // Nodes of zone a: control node 0, edges 0 and 3.
     let zone = [NodeId::Control(0), NodeId::Edge(0), NodeId::Edge(3)];
     let mut faults: Vec<(u64, Fault)> = zone
         .into_iter()
@@ -174,7 +174,8 @@
 
 #[test]
 fn control_nodes_without_mutual_contact_do_not_starve_a_partition() {
-    // Control 0 and 1 both hear 2, and each thinks itself chosen for much.
+    // Control nodes 0 and 1 both reach node 2 and each considers itself the leader of many
+    // partitions.
     let (one, two) = (NodeId::Control(0), NodeId::Control(1));
     let mut faults = vec![
         (8_000, Fault::DropLink(one, two)),
@@ -195,8 +196,8 @@
     assert!(served_share(&report) > 0.97, "{}", served_share(&report));
 }
 
-/// An edge that was just enrolled runs operations and is lost together with
-/// every disk: the edges that are left must miss it.
+/// A newly enrolled edge runs operations and is lost together with every control disk. The
+/// remaining edges must detect that its state is missing.
 #[test]
 fn edge_lost_right_after_enrollment_is_accounted_for() {
     let mut ran = 0;
@@ -223,5 +224,5 @@
         };
         ran += report.checker.callers.iter().filter(edge).count();
     }
-    assert!(ran > 20, "{ran} operations were begun at the new edge");
+    assert!(ran > 20, "{ran} operations were started at the new edge");
 }
--- a/simulate-fleet/src/scenarios/replacement.rs
+++ b/simulate-fleet/src/scenarios/replacement.rs
@@ -1,8 +1,8 @@
-//! The membership table: founding, lost slots and members that return.
+//! Membership table: founding, replacement of lost slots and returning members.
 use super::*;
 
-/// The founding with the first seed killed at each moment of it; and a node
-/// that comes late gets a slot of its own.
+/// Founds the table with a crash of the first seed at each stage; a late node must get an
+/// additional slot.
 #[test]
 fn membership_is_founded_once_and_grows_with_late_nodes() {
     for control in [4, 5, 8] {
@@ -38,7 +38,7 @@
                         .copied()
                         .unwrap_or(0),
                     if late_control_node { control - 1 } else { 0 },
-                    "{context}: grown at all others"
+                    "{context}: the table grew at all other members"
                 );
                 assert_eq!(count(&report, "configured"), 2, "{context}");
                 let share = served_share_within(&report, 15.0, 30.0);
@@ -141,7 +141,7 @@
         assert_eq!(
             report.event_counts.get(&Event::MemberRemoved),
             Some(&1),
-            "slot {slot}: the old one knows that it is out"
+            "slot {slot}: the old member learned that it was removed"
         );
         assert!(
             served_share(&report) > 0.97,
@@ -165,7 +165,7 @@
                     late: 20,
                 },
             ),
-            // Edges still hear it; the other control nodes do not.
+            // Edges still receive its messages; the other control nodes do not.
             (
                 8_000,
                 Fault::DropLink(lost, NodeId::Control((seed as usize + 1) % 3)),
@@ -200,8 +200,8 @@
     }
 }
 
-/// Seed 199 of the random schedules, once: a blank disk went by the seeds,
-/// did not find the slot that had moved, and struck its new holder.
+/// Found by seed 199 of the random schedules: a node with a blank disk used the seed list, did
+/// not find its slot, which had moved, and removed the slot's new holder.
 #[test]
 fn blank_disk_learns_moved_slot_and_removes_nobody() {
     let faults = vec![
@@ -219,7 +219,7 @@
     assert_eq!(
         report.event_counts.get(&Event::MemberRemoved),
         Some(&1),
-        "the one that lost its slot, and no other"
+        "only the member that lost its slot"
     );
     assert_eq!(
         report
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -1,4 +1,4 @@
-//! Requests under restarts, overload, failing origins and purges.
+//! Requests during restarts, overload, origin failures and purges.
 use super::*;
 
 #[test]
@@ -43,7 +43,7 @@
         .iter()
         .filter(|call| call.outcome == "unknown")
         .count();
-    assert!(unknown > 0, "some answers were lost after sending");
+    assert!(unknown > 0, "no request had an unknown outcome");
 }
 
 #[test]
@@ -62,7 +62,7 @@
 fn overload_serves_high_rank_and_rejects_low_at_once() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 120;
-    // Applications get 36 errands a second, of which 18 are of rank 9.
+    // Applications receive 36 requests per second, 18 of them with rank 9.
     deployment.services[1].rate = 11.0;
     let report = World::new(WorldPlan::new(
         deployment,
@@ -101,7 +101,7 @@
         .count();
     assert!(
         late * 10 < rejected,
-        "{late} of {rejected} heard only near their deadline"
+        "{late} of {rejected} were rejected only near their deadline"
     );
 }
 
--- a/simulate-fleet/src/scenarios_item_commands.rs
+++ b/simulate-fleet/src/scenarios_item_commands.rs
@@ -1,33 +1,35 @@
-//! Operators under one revision, and orders sent again after lost answers,
-//! while control nodes and their disks are lost.
+//! Concurrent operators under one revision, and commands resent after lost responses, while
+//! control nodes and their disks are lost.
 
 use crate::prelude::*;
 
+/// Virtual duration of a run.
 const SPAN: Duration = Duration::from_secs(60);
-/// Nothing is broken any more from here on.
+/// Time at which all faults are repaired.
 const REPAIR_AT: Duration = Duration::from_secs(40);
-/// All orders are sent once more from here on.
+/// Time at which all commands are sent once more.
 const RESEND_AT: Duration = Duration::from_secs(50);
+/// Number of items that operators put.
 const ITEM_COUNT: u64 = 3;
-/// A blank disk is refilled by then, and another may go.
+/// Milliseconds after which a blank disk is refilled and another one may be lost.
 const DISK_REFILL_MS: u64 = 14_000;
-/// In some runs a node goes for good here, and a standby takes its slot.
+/// Time of the permanent loss of a node in some runs, in milliseconds; a standby takes its slot.
 const REPLACEMENT_AT_MS: u64 = 20_000;
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Bursts of up to eight orders at once, mostly two operators to a revision,
-/// and losses 1 to 400 ms after a burst.
+/// Generator of a random plan: bursts of up to eight concurrent commands, two operators per
+/// revision, and losses 1 to 400 ms after a burst.
 struct Plan {
     random: SeededRandom,
     control: usize,
     commands: Vec<ItemCommand>,
     faults: Vec<(Duration, Fault)>,
-    /// When a disk may go again.
+    /// Earliest time of the next disk loss, in milliseconds.
     next_disk_loss: u64,
-    /// Goes for good.
+    /// Slot of the node that is lost permanently.
     replaced_slot: Option<usize>,
 }
 
@@ -65,7 +67,7 @@
     fn add_burst(&mut self, time: u64, revision: &mut u64) {
         for _ in 0..=self.random.below(3) {
             let name = format!("item-{}", self.random.below(ITEM_COUNT));
-            // At times an older one comes after a newer.
+            // Some commands use an older revision after a newer one.
             let number = if self.random.chance(20) {
                 revision.saturating_sub(2).max(1)
             } else {
@@ -117,8 +119,8 @@
         }
     }
 
-    /// One node is lost for good while orders are under way; an empty one that
-    /// stands by takes its slot.
+    /// Loses one node permanently while commands are in progress; an empty standby takes its
+    /// slot.
     fn add_replacement(&mut self) {
         let lost = self.random.below(self.control as u64) as usize;
         let standby = NodeId::Control(self.control);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Every order once more, from another node and without losses.
+    /// Repeats every command at another node, without lost responses.
     fn resend_all(&mut self) {
         for command in self.commands.clone() {
             self.commands.push(ItemCommand {
@@ -157,15 +159,15 @@
     World::new(plan).run()
 }
 
-/// Orders of one revision, by what became of them.
+/// Contents of the commands of one revision, by result.
 #[derive(Default)]
 struct Revision {
     confirmed: BTreeSet<u32>,
     rejected: BTreeSet<u32>,
 }
 
-/// No revision is confirmed with two contents, none is refused that was
-/// confirmed, and in the end each order has an answer.
+/// Checks that each revision was confirmed with one content, that no confirmed content was
+/// rejected, and that each command has a final response.
 fn check_item_commands(report: &Report, context: &str) -> (usize, usize) {
     let mut revisions: BTreeMap<(String, u64), Revision> = BTreeMap::new();
     for record in &report.commands {
@@ -195,7 +197,7 @@
             .collect();
         assert!(
             both.is_empty(),
-            "{context}: {name:?} refused and confirmed: {both:?}"
+            "{context}: {name:?} rejected and confirmed: {both:?}"
         );
     }
     let conflicts = revisions
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -1,15 +1,15 @@
-//! Changes of membership, with a further loss at every step of them. A machine
-//! counts as lost until `CATCH_UP` after its own or its successor's start; from
-//! then on the next one may go.
+//! Membership changes with an additional loss at every step. A machine counts as lost until
+//! `CATCH_UP_MS` after its own or its successor's start; from then on the next one may be lost.
 
 use crate::prelude::*;
 use crate::scenarios::{check_rules, count, gathering_plan, run, served_share_within};
 
-/// The users' `catch_up_s`, in milliseconds.
+/// Value of the setting `catch_up_s`, in milliseconds.
 const CATCH_UP_MS: u64 = 4_000;
+/// Numbers of control nodes of the tested fleets.
 const FLEET_SIZES: [usize; 4] = [3, 4, 5, 8];
 
-/// Machines that may be lost at once.
+/// Maximum number of machines that may be lost at once.
 fn max_losses(control: usize) -> usize {
     if control < 5 { 1 } else { 2 }
 }
@@ -25,7 +25,7 @@
     }
 }
 
-/// When a node's disk first counted after this moment, in milliseconds.
+/// Time of the first `DiskRecovered` event of a node at or after `after`, in milliseconds.
 fn disk_recovered_at(report: &Report, node_id: NodeId, after: u64) -> Option<u64> {
     let first = report.membership_events.iter().find(|(at, who, event)| {
         *event == Event::DiskRecovered && *who == node_id && at.as_millis() as u64 >= after
@@ -33,8 +33,8 @@
     first.map(|(at, _, _)| at.as_millis() as u64)
 }
 
-/// No never is broken, every change and read after the last loss is answered,
-/// and callers are served.
+/// Checks that no rule is violated, that all expected configurations were acknowledged, and that
+/// clients were served within the period.
 fn check_after_loss(report: &Report, context: &str, from: f64, to: f64, configured: usize) {
     check_rules(report, &[6]);
     assert_eq!(count(report, "configured"), configured, "{context}");
@@ -42,8 +42,8 @@
     assert!(served_share > 0.98, "{context}: {served_share} served");
 }
 
-/// A machine is gone for good and an empty one starts a second later; once
-/// that has had its time, as many more as may be lost go for good.
+/// A machine is lost permanently and an empty one starts 1 s later. After the catch-up time the
+/// maximum number of further machines is lost permanently.
 #[test]
 fn unplanned_replacement_leaves_majority_for_next_loss() {
     for control in FLEET_SIZES {
@@ -71,8 +71,8 @@
     }
 }
 
-/// Of five and eight, two machines go at the same moment: one after the other
-/// is replaced, and two more may go.
+/// Two machines of five or eight are lost at the same time. They are replaced one after the
+/// other, and then two more are lost.
 #[test]
 fn two_lost_members_are_replaced_in_sequence() {
     for control in [5, 8] {
@@ -107,8 +107,8 @@
     }
 }
 
-/// Planned: the new machine first, then SIGTERM. The leaving one counts as
-/// lost no longer than until its successor has had its time.
+/// Planned replacement: the new machine starts first, then the old one receives SIGTERM. The
+/// old one counts as lost only until its successor has caught up.
 #[test]
 fn draining_member_hands_slot_to_newcomer() {
     for control in FLEET_SIZES {
@@ -139,9 +139,9 @@
     }
 }
 
-/// The newcomer has had its time before SIGTERM comes, so the leaving machine
-/// never counts as lost, and others are lost (cut off or killed) around that
-/// very moment: what the leaving one holds must not go with it.
+/// The new machine has caught up before SIGTERM, so the leaving one never counts as lost. Others
+/// are isolated or killed around the same time: state held by the leaving machine must not be
+/// lost with it.
 #[test]
 fn draining_member_hands_over_at_maximum_loss() {
     for control in FLEET_SIZES {
@@ -159,7 +159,7 @@
                         (start, Fault::Start(spare(control, 0))),
                         (shutdown_at - 20, Fault::Configure),
                         (shutdown_at, Fault::Retire(NodeId::Control(leaving))),
-                        // Callers were served before it; operators ask any node.
+                        // Client service is checked before the heal; operators may use any node.
                         (18_200, Fault::Heal),
                         (18_500, Fault::Configure),
                         (24_000, Fault::ReadBack),
@@ -176,7 +176,7 @@
                     let report = run(fleet(control, seed as u64 + 1, 30, faults));
                     let context =
                         format!("{control} slots, {leaving} leaving, others lost at {at}");
-                    // An order under way at a machine that is killed is not answered.
+                    // A command in progress at a killed machine gets no response.
                     let unknown = count(&report, "configure-unknown");
                     assert!(unknown <= 1, "{context}");
                     check_after_loss(&report, &context, 15.0, 18.0, 3 - unknown);
@@ -192,7 +192,7 @@
     }
 }
 
-/// One that is only restarted keeps its slot, and is back as soon as ever.
+/// A member that is only restarted keeps its slot and returns without a replacement.
 #[test]
 fn restarted_member_keeps_its_slot() {
     for control in FLEET_SIZES {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Two machines of the core are replaced one right after the other.
+/// Two control nodes are replaced in immediate succession, followed by further losses.
 #[test]
 fn consecutive_planned_replacements_tolerate_next_loss() {
     for control in FLEET_SIZES {
@@ -239,7 +239,7 @@
     }
 }
 
-/// The newcomer is lost at each step of its taking over, and another one comes.
+/// The new machine is lost at each step of the takeover, and another one replaces it.
 #[test]
 fn newcomer_lost_at_any_step_is_replaced() {
     for control in FLEET_SIZES {
@@ -270,9 +270,9 @@
     }
 }
 
-/// The machine that is to be replaced is cut off, not dead: it keeps its disk
-/// and comes back when its slot is another's. It then is an empty node that
-/// waits, and takes the slot of the next that leaves.
+/// The replaced machine was partitioned, not dead: it keeps its disk and returns when its slot
+/// has a new holder. It must then wait as an empty node and take the slot of the next machine
+/// that leaves.
 #[test]
 fn replaced_partitioned_member_returns_as_newcomer() {
     for control in FLEET_SIZES {
@@ -294,21 +294,21 @@
                     (27_000, Fault::ReadBack),
                 ],
             ));
-            let context = format!("{control} slots, {slot} cut off");
+            let context = format!("{control} slots, {slot} partitioned");
             let full = disk_recovered_at(&report, partitioned, 15_000);
             assert!(full.is_some_and(|at| at < 20_000), "{context}: {full:?}");
             check_after_loss(&report, &context, 25.0, 34.0, 3);
             assert_eq!(
                 report.event_counts.get(&Event::MemberRemoved),
                 Some(&2),
-                "{context}: the one cut off and the one that left"
+                "{context}: the partitioned member and the leaving one"
             );
         }
     }
 }
 
-/// Right after an acknowledgement a disk is wiped, at every moment of a
-/// replacement from when the newcomer has had its time: nothing is missing.
+/// A disk is wiped right after an acknowledgement, at several times after the new machine of a
+/// replacement has caught up. No acknowledged data may be lost.
 #[test]
 fn disk_wiped_after_replacement_loses_nothing() {
     for control in FLEET_SIZES {
@@ -354,10 +354,10 @@
     }
 }
 
-/// From a loss until each slot has a full disk again, by kind of loss; with
-/// `--nocapture` the lines of the table in docs/figures.md.
-/// Its name, whose disk is to be full again, when it is lost and when what
-/// replaces it starts (both in ms), and what happens.
+/// Loss scenario: name, node whose disk must recover, time of the loss, start of the replacement
+/// (both in milliseconds), and faults. `reduced_redundancy_is_bounded_by_catch_up` measures the
+/// time until each slot has a full disk again; with `--nocapture` it prints the lines of
+/// the table in `docs/figures.md`.
 type LossCase = (&'static str, NodeId, u64, u64, [(u64, Fault); 2]);
 
 #[test]
