--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -9,7 +9,7 @@
 /// Plan of a fleet whose membership table is founded by gathering; times in milliseconds,
 /// `span` in seconds.
 pub(crate) fn gathering_plan(
-    control: usize,
+    control_nodes: usize,
     seed: u64,
     span: u64,
     faults: Vec<(u64, Fault)>,
@@ -20,7 +20,7 @@
         .collect();
     let deployment = Deployment::find("small").unwrap();
     WorldPlan {
-        control,
+        control_nodes,
         gather: true,
         ..WorldPlan::new(deployment, seed, Duration::from_secs(span), faults)
     }
--- a/simulate-fleet/src/scenarios_item_commands.rs
+++ b/simulate-fleet/src/scenarios_item_commands.rs
@@ -57,7 +57,7 @@
         plan.resend_all();
         let deployment = Deployment::find("small").unwrap();
         WorldPlan {
-            control,
+            control_nodes: control,
             gather: control != 3,
             commands: plan.commands,
             ..WorldPlan::new(deployment, seed, SPAN, plan.faults)
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -100,17 +100,20 @@
         if control < 5 { 1 } else { 2 }
     }
 
+    /// Adds a fault at a time in milliseconds, at the latest at the repair.
     pub(super) fn add(&mut self, at: u64, fault: Fault) {
         self.list
             .push((Duration::from_millis(at.min(self.end)), fault));
     }
 
+    /// Adds a fault and, 0.5 to 5.5 s later, a second one.
     pub(super) fn add_pair(&mut self, at: u64, first: Fault, second: Fault) {
         let later = self.later_time(at);
         self.add(at, first);
         self.add(later, second);
     }
 
+    /// Random time 0.5 to 5.5 s later, at the latest at the repair.
     pub(super) fn later_time(&mut self, at: u64) -> u64 {
         (at + 500 + self.random.below(5_000)).min(self.end)
     }
@@ -147,16 +150,16 @@
                 self.add(at, Fault::Content);
                 self.add(at + 1, Fault::Purge("/".into()));
             }
-            4 => (0..3 + self.random.below(60)).for_each(|more| {
+            4 => (0..3 + self.random.below(60)).for_each(|index| {
                 self.add(
-                    at + more * 15,
-                    Fault::Purge(format!("/listing/{}", more % 20)),
+                    at + index * 15,
+                    Fault::Purge(format!("/listing/{}", index % 20)),
                 )
             }),
             5 => self.add(at, Fault::Configure),
             // Several changes in quick succession.
             6 => (0..2 + self.random.below(6))
-                .for_each(|more| self.add(at + more * 40, Fault::Configure)),
+                .for_each(|index| self.add(at + index * 40, Fault::Configure)),
             7 => self.add_pair(at, Fault::ConfigureInvalid, Fault::ReadBack),
             8 => {
                 let operators = 2 + self.random.below(4) as usize;
@@ -177,6 +180,7 @@
         }
     }
 
+    /// Draws a fault of any kind or a planned action.
     fn draw_fault(&mut self, at: u64) {
         let (edge, control, node_id) = (
             self.random_edge(),
@@ -201,7 +205,7 @@
             14 => self.add(at, Fault::Replace(origin)),
             // Replaces up to four origins, one after another.
             15 => (0..self.origins.min(4))
-                .for_each(|more| self.add(at + more * 700, Fault::Replace(more as usize))),
+                .for_each(|index| self.add(at + index * 700, Fault::Replace(index as usize))),
             16 => self.reuse_address(at, origin),
             17 => self.draw_power_failure(at, control),
             18 if at >= self.next_disk_loss => {
--- a/simulate-fleet/src/schedule_core.rs
+++ b/simulate-fleet/src/schedule_core.rs
@@ -11,6 +11,7 @@
 const CATCH_UP_MS: u64 = 4_500;
 
 impl Schedule {
+    /// Draws one of the faults of this module.
     pub(super) fn draw_core_fault(&mut self, at: u64) {
         match self.random.below(15) {
             0..=2 => self.partition_member(at),
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Adds random operator commands within a period (in milliseconds) and a read-back at its end.
     fn add_operator_commands(&mut self, from: u64, span: u64, count: u64) {
         for _ in 0..count {
             let at = from + self.random.below(span);
@@ -183,8 +185,8 @@
             return;
         }
         self.add_operator_command(at);
-        for more in 0..1 + self.random.below(6) {
-            self.add(at + more * 7, Fault::Reset(one, other));
+        for index in 0..1 + self.random.below(6) {
+            self.add(at + index * 7, Fault::Reset(one, other));
         }
     }
 
@@ -215,7 +217,7 @@
     /// Sends SIGTERM while operator commands are in progress.
     fn shut_down_while_busy(&mut self, at: u64) {
         let node_id = self.random_node();
-        (0..6).for_each(|more| self.add_operator_command(at + more * 30));
+        (0..6).for_each(|index| self.add_operator_command(at + index * 30));
         let shutdown_at = at + self.random_in_range(LOSS_DELAY_MS);
         self.add(shutdown_at, Fault::Restart(node_id));
     }
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -23,11 +23,15 @@
 /// The plan and its seed determine the whole run.
 pub struct World {
     pub(crate) plan: WorldPlan,
+    /// Current virtual time.
     pub(crate) now: Duration,
+    /// Last serial number of an event, request, operation or operator call.
     pub(crate) serial: u64,
+    /// Event queue, by time and then by serial number.
     pub(crate) queue: BTreeMap<(Duration, u64), SimEvent>,
     pub(crate) random: SeededRandom,
     pub(crate) nodes: Vec<SimNode>,
+    /// Index of each node, by address.
     pub(crate) node_by_address: HashMap<SocketAddr, usize>,
     pub(crate) origins: Vec<SimOrigin>,
     /// End of each dropped link, by sender and receiver.
@@ -44,21 +48,26 @@
     pub(crate) cancelled_calls: HashSet<(usize, u64, u64)>,
     /// Times at which edges read the disconnects of clients, by request id.
     pub(crate) disconnects_read: HashMap<u64, Duration>,
-    pub(crate) version: u64,
-    /// Marker entries in every document from now on; `removed_markers` were taken out again.
+    /// Current version of all content.
+    pub(crate) content_version: u64,
+    /// Markers (numbered entries that show a version at edges) in every document from now on.
     pub(crate) markers: Vec<u64>,
+    /// Markers that were removed from the document.
     pub(crate) removed_markers: Vec<u64>,
     /// Markers of configuration changes without a response yet.
     pub(crate) pending_markers: BTreeSet<u64>,
     /// Number of entries in addition to those of the deployment.
     pub(crate) extra_entries: usize,
+    /// Number of the last marker.
     pub(crate) next_marker: u64,
+    /// Version and text of the last acknowledged document.
     pub(crate) last_acknowledged: Option<(u64, String)>,
     /// Put of the origin list in progress, if any: true if a newer list waits for it, since the
     /// platform puts one list at a time.
     pub(crate) origins_put_pending: Option<bool>,
     /// Last version of the origin list that the platform knows.
     pub(crate) origins_version: u64,
+    /// Loss that waits for its trigger.
     pub(crate) armed_loss: Option<(Trigger, Loss)>,
     /// True once the first seed crashed during the founding.
     pub(crate) founder_crashed: bool,
@@ -66,6 +75,7 @@
     pub(crate) open_connections: BTreeSet<(usize, u64, usize)>,
     /// Operator calls in progress, by id.
     pub(crate) operator_calls: BTreeMap<u64, PendingOperatorCall>,
+    /// Client requests in progress, by id.
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
     pub(crate) client_records: Vec<CallerRecord>,
     pub(crate) origin_calls: Vec<OriginRecord>,
@@ -106,7 +116,7 @@
             message_faults: (0, 0, 0),
             cancelled_calls: HashSet::new(),
             disconnects_read: HashMap::new(),
-            version: 1,
+            content_version: 1,
             markers: Vec::new(),
             removed_markers: Vec::new(),
             pending_markers: BTreeSet::new(),
@@ -137,15 +147,18 @@
         world
     }
 
+    /// Queues an event at a time, but not before the current time.
     pub(crate) fn push(&mut self, at: Duration, event: SimEvent) {
         self.serial += 1;
         self.queue.insert((at.max(self.now), self.serial), event);
     }
 
+    /// Queues an event after a delay.
     pub(crate) fn after(&mut self, span: Duration, event: SimEvent) {
         self.push(self.now + span, event);
     }
 
+    /// Random duration from `low` up to but excluding `high`, in microseconds.
     pub(crate) fn random_micros(&mut self, low: u64, high: u64) -> Duration {
         Duration::from_micros(low + self.random.below(high - low))
     }
@@ -155,14 +168,17 @@
         self.nodes.len() - self.plan.spares
     }
 
+    /// Indices of the edges.
     pub(crate) fn edges(&self) -> std::ops::Range<usize> {
-        self.plan.control..self.plan.control + self.plan.deployment.edges
+        self.plan.control_nodes..self.plan.control_nodes + self.plan.deployment.edges
     }
 
+    /// Current virtual time in seconds.
     pub(crate) fn seconds(&self) -> f64 {
         self.now.as_secs_f64()
     }
 
+    /// Adds a fleet record for the checker.
     pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, good: bool) {
         if self.trace {
             println!("{:9.4} {kind} {subject} {number} {good}", self.seconds());
@@ -351,6 +367,7 @@
         }
     }
 
+    /// Passes an input to a node's state machine and applies its outputs.
     pub(crate) fn step(&mut self, node: usize, input: Input) {
         self.steps += 1;
         self.charge_step_time(node);
--- a/simulate-fleet/src/world_disks.rs
+++ b/simulate-fleet/src/world_disks.rs
@@ -80,7 +80,7 @@
             Loss::Disks(slot, count) => {
                 for node in 0..self.nodes.len() {
                     let wiped =
-                        (0..count).any(|offset| node == (slot + offset) % self.plan.control);
+                        (0..count).any(|offset| node == (slot + offset) % self.plan.control_nodes);
                     let (node_id, was_running) = (
                         self.nodes[node].node_id,
                         self.nodes[node].state_machine.is_some(),
--- a/simulate-fleet/src/world_events.rs
+++ b/simulate-fleet/src/world_events.rs
@@ -3,89 +3,78 @@
 
 /// Event in the queue of the simulated fleet.
 pub(crate) enum SimEvent {
-    Tick {
-        node: usize,
-        run: u64,
-    },
+    /// Periodic tick of a node.
+    Tick { node: usize, run: u64 },
+    /// Delivery of a message.
     Deliver {
         to: usize,
         from: Peer,
         message: Message,
     },
-    Synced {
-        node: usize,
-        run: u64,
-        serial: u64,
-    },
+    /// End of the disk sync of a record.
+    Synced { node: usize, run: u64, serial: u64 },
+    /// Start of a call to an origin.
     CallStarts {
         node: usize,
         run: u64,
         id: u64,
         call: Box<Call>,
     },
+    /// End of a call to an origin.
     CallEnds {
         node: usize,
         run: u64,
         id: u64,
         result: CallOutcome,
     },
+    /// Response of an edge to a client.
     ResponseSent {
         node: usize,
         run: u64,
         id: u64,
         response: ClientResponse,
     },
-    RequestArrives {
-        node: usize,
-        run: u64,
-        id: u64,
-    },
+    /// Arrival of a client request at an edge.
+    RequestArrives { node: usize, run: u64, id: u64 },
+    /// Change of a watched connection to an origin.
     ConnectionChanged {
         node: usize,
         run: u64,
         address: SocketAddr,
         open: bool,
     },
+    /// Put of the origin list by the platform.
     PutOrigins,
+    /// Arrival of a new client.
     ClientArrives,
+    /// Retry of a client's operation.
     ClientRetry(Task),
-    ClientTimesOut {
-        id: u64,
-    },
+    /// Timeout of a client request.
+    ClientTimesOut { id: u64 },
     /// The node reads that the client closed its connection.
-    DisconnectRead {
-        node: usize,
-        run: u64,
-        id: u64,
-    },
+    DisconnectRead { node: usize, run: u64, id: u64 },
     /// The client closes its connection before its deadline.
-    ClientDisconnects {
-        id: u64,
-    },
+    ClientDisconnects { id: u64 },
+    /// Start of a fault or change.
     FaultStarts(Fault),
     /// A fault of this kind is still in effect or ends now.
     FaultOngoing(String),
+    /// Periodic check of the markers at all edges.
     CheckMarkers,
     /// Nodes that were down at `since` must be ready by now.
-    CheckReadiness {
-        since: Duration,
-    },
+    CheckReadiness { since: Duration },
     /// A node starts again after a graceful shutdown.
-    NodeRestarts {
-        node: usize,
-        run: u64,
-    },
+    NodeRestarts { node: usize, run: u64 },
+    /// Attempt to send an operator's command.
     SendOperatorCall {
         node: usize,
         command: OperatorCommand,
         attempts: u32,
     },
-    SendItemCommand {
-        command: usize,
-    },
-    ItemCommandTimesOut {
-        id: u64,
-    },
+    /// Attempt to send an item command, by its index.
+    SendItemCommand { command: usize },
+    /// Timeout of an attempt to send an item command.
+    ItemCommandTimesOut { id: u64 },
 }
 
 /// Request of a client, with the state of its retries.
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -32,13 +32,14 @@
         }
     }
 
+    /// Index of a node.
     pub(crate) fn node_index(&self, node_id: NodeId) -> usize {
         match node_id {
-            NodeId::Control(slot) if slot >= self.plan.control => {
-                self.first_spare() + slot - self.plan.control
+            NodeId::Control(slot) if slot >= self.plan.control_nodes => {
+                self.first_spare() + slot - self.plan.control_nodes
             }
             NodeId::Control(slot) => slot,
-            NodeId::Edge(at) => self.plan.control + at,
+            NodeId::Edge(at) => self.plan.control_nodes + at,
         }
     }
 
@@ -47,7 +48,7 @@
     fn seed_addresses(&self, node: usize) -> Vec<SocketAddr> {
         let seeds_fixed = !self.plan.gather || self.nodes[node].founding != Founding::Never;
         let rotation = if seeds_fixed { 0 } else { self.seeds_rotation };
-        let control = self.plan.control;
+        let control = self.plan.control_nodes;
         (0..control.min(3))
             .map(|seed| self.nodes[(seed + rotation) % control].peer.address)
             .collect()
@@ -165,7 +166,7 @@
         self.clear_settled_flags();
         // The control nodes start with empty disks and may found a new table.
         let refounding_nodes = if self.plan.gather {
-            self.plan.control
+            self.plan.control_nodes
         } else {
             0
         };
@@ -215,6 +216,8 @@
         }
     }
 
+    /// Records a fault and applies it. A configuration change waits until earlier ones have
+    /// their response.
     pub(crate) fn inject_fault(&mut self, fault: Fault) {
         if self.trace {
             println!("{:9.4} FAULT {fault:?}", self.seconds());
@@ -319,14 +322,14 @@
             Fault::ReuseAddress(origin_index) => self.reuse_address(origin_index),
             Fault::Replace(origin_index) => self.replace_origin(origin_index),
             Fault::Content => {
-                self.version += 1;
-                self.record("content", "", self.version, true);
+                self.content_version += 1;
+                self.record("content", "", self.content_version, true);
             }
             Fault::Purge(prefix) => self.send_operator_call(
                 1,
                 OperatorCall::Purge {
                     prefix,
-                    version: self.version,
+                    version: self.content_version,
                 },
                 0,
             ),
@@ -458,7 +461,8 @@
     fn race(&mut self, operators: usize) {
         let expect = self.last_acknowledged.as_ref().map(|(version, _)| *version);
         let base = self.markers.clone();
-        (0..operators).for_each(|at| self.configure(at % self.plan.control, &base, expect, true));
+        (0..operators)
+            .for_each(|at| self.configure(at % self.plan.control_nodes, &base, expect, true));
     }
 
     fn expect_recovery(&mut self) {
--- a/simulate-fleet/src/world_item_commands.rs
+++ b/simulate-fleet/src/world_item_commands.rs
@@ -113,7 +113,7 @@
         if record.outcome.is_some() {
             return;
         }
-        let node = (record.command.node + record.attempts as usize) % self.plan.control;
+        let node = (record.command.node + record.attempts as usize) % self.plan.control_nodes;
         record.attempts += 1;
         let change = record.command.change();
         if self.nodes[node].state_machine.is_none() {
--- a/simulate-fleet/src/world_lost_responses.rs
+++ b/simulate-fleet/src/world_lost_responses.rs
@@ -25,7 +25,7 @@
             source: text.clone(),
             text: Some(text),
         };
-        let node = self.random.below(self.plan.control as u64) as usize;
+        let node = self.random.below(self.plan.control_nodes as u64) as usize;
         self.send_operator_call(node, OperatorCall::PutItem { item }, 0);
     }
 
@@ -65,7 +65,7 @@
         let settled = command.settled || matches!(outcome, ChangeOutcome::Acknowledged { .. });
         let span = self.random_micros(100_000, 1_500_000);
         let resend = SimEvent::SendOperatorCall {
-            node: (node + 1) % self.plan.control,
+            node: (node + 1) % self.plan.control_nodes,
             command: OperatorCommand { settled, ..command },
             attempts: 0,
         };
--- a/simulate-fleet/src/world_network.rs
+++ b/simulate-fleet/src/world_network.rs
@@ -85,6 +85,7 @@
         self.random_micros(low, high)
     }
 
+    /// Sends a message, subject to dropped links and message faults.
     pub(crate) fn send(&mut self, node: usize, to: SocketAddr, message: Message) {
         let from = self.nodes[node].peer;
         if let (NodeId::Edge(at), Message::CacheCopy(_)) = (self.nodes[node].node_id, &message) {
@@ -121,6 +122,7 @@
         }
     }
 
+    /// Makes a call to the origin at an address.
     pub(crate) fn call(&mut self, node: usize, run: u64, id: u64, call: &Call) {
         self.check_call_after_disconnect(call);
         let (span, result) = if !self.nodes[node].live(self.now) {
@@ -136,7 +138,7 @@
                 None => (Duration::from_millis(1), CallOutcome::Unreachable),
                 Some(origin) => {
                     let (span, result, record) =
-                        origin.handle_call(call, at, self.version, &mut self.random);
+                        origin.handle_call(call, at, self.content_version, &mut self.random);
                     self.origin_calls.extend(record);
                     (span, result)
                 }
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -9,6 +9,7 @@
 const LEDGER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl World {
+    /// Puts the platform's origin list, or marks that a newer list waits.
     pub(crate) fn put_origins(&mut self) {
         if let Some(update_waiting) = &mut self.origins_put_pending {
             *update_waiting = true;
@@ -20,7 +21,7 @@
             .iter()
             .map(|origin| origin.origin.clone())
             .collect();
-        let node = self.random.below(self.plan.control as u64) as usize;
+        let node = self.random.below(self.plan.control_nodes as u64) as usize;
         self.send_operator_call(node, OperatorCall::Origins { list, at: 0.0 }, 0);
     }
 
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Sends an operator's command to a ready control node, or retries later.
     pub(crate) fn send_operator_call(
         &mut self,
         node: usize,
@@ -89,7 +91,7 @@
 
     /// The first ready control node at or after this index, as an operator's tool selects it.
     fn ready_control_node(&self, first: usize) -> Option<usize> {
-        let control = self.plan.control;
+        let control = self.plan.control_nodes;
         (0..control)
             .map(|offset| (first + offset) % control)
             .chain(self.first_spare()..self.nodes.len())
--- a/simulate-fleet/src/world_plan.rs
+++ b/simulate-fleet/src/world_plan.rs
@@ -17,7 +17,7 @@
     /// Maximum clock drift, in parts per million.
     pub drift: u64,
     /// Number of control nodes that hold a slot.
-    pub control: usize,
+    pub control_nodes: usize,
     /// True if the first seed founds the membership table by gathering the control nodes, with
     /// up to three of them as seeds; false if the seeds form the table.
     pub gather: bool,
@@ -62,7 +62,7 @@
             faults,
             dropped_message: "",
             drift: 1000,
-            control: 3,
+            control_nodes: 3,
             gather: false,
             late_control_node: false,
             founder_crash: FounderCrash::Never,
@@ -77,8 +77,8 @@
     /// Sets the number of control nodes. With any number but three, the membership table is
     /// founded by gathering; the run's seed decides whether the last control node starts late
     /// and when the first seed crashes.
-    pub fn with_control_nodes(self, control: usize) -> WorldPlan {
-        if control == 3 {
+    pub fn with_control_nodes(self, control_nodes: usize) -> WorldPlan {
+        if control_nodes == 3 {
             return self;
         }
         let late_control_node = self.seed.is_multiple_of(3);
@@ -89,7 +89,7 @@
             FounderCrash::AfterReplies,
         ][(self.seed % 7 % 4) as usize];
         WorldPlan {
-            control,
+            control_nodes,
             gather: true,
             late_control_node,
             founder_crash,
--- a/simulate-fleet/src/world_setup.rs
+++ b/simulate-fleet/src/world_setup.rs
@@ -38,7 +38,7 @@
 
     /// Creates the control nodes, the edges and the spare control nodes, in this order.
     fn create_nodes(&mut self) {
-        let control = self.plan.control;
+        let control = self.plan.control_nodes;
         let spares = control..control + self.plan.spares;
         (0..control).for_each(|slot| self.create_control_node(slot));
         for edge in 0..self.plan.deployment.edges {
@@ -101,7 +101,7 @@
     fn start_nodes(&mut self) {
         for node in 0..self.first_spare() {
             self.nodes[node].founding = Founding::FirstStart;
-            if self.plan.late_control_node && node + 1 == self.plan.control {
+            if self.plan.late_control_node && node + 1 == self.plan.control_nodes {
                 let start = Fault::Start(self.nodes[node].node_id);
                 self.push(LATE_START_AT, SimEvent::FaultStarts(start));
             } else {
