--- a/simulate-fleet/src/bin/simulate-fleet/main.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/main.rs
@@ -1,4 +1,4 @@
-//! Answers what-if questions: plays schedules of faults and prints what broke.
+//! Runs a simulated fleet under fault schedules and prints the rules that were violated.
 mod capacity_tables;
 mod options;
 mod runs;
@@ -17,8 +17,8 @@
             Figures::print();
             Ok(())
         }
-        Options::Judge(options) => {
-            let broken = runs::judge_seeds(&options);
+        Options::Run(options) => {
+            let broken = runs::run_seeds(&options);
             std::process::exit(i32::from(broken > 0));
         }
     }
--- a/simulate-fleet/src/capacity/tables.rs
+++ b/simulate-fleet/src/capacity/tables.rs
@@ -1,33 +1,45 @@
-//! Lines of a capacity table, and their slopes over the sizes.
-use super::{Sized, Tally};
+//! Capacity tables: values by fleet size with their linear fit.
+use super::{Measurement, Tally};
 use crate::prelude::*;
 
-/// Least squares over points: constant and slope, and the share of the spread
-/// that the line leaves over.
+/// Fits a line by least squares: returns the intercept, the slope, and the share of the
+/// variance that the line does not explain.
 pub fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let count = points.len() as f64;
     let (mean_x, mean_y) = (
         points.iter().map(|point| point.0).sum::<f64>() / count,
         points.iter().map(|point| point.1).sum::<f64>() / count,
     );
-    let over: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let under: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = if under > 0.0 { over / under } else { 0.0 };
-    let flat = mean_y - slope * mean_x;
+    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = if variance > 0.0 {
+        covariance / variance
+    } else {
+        0.0
+    };
+    let intercept = mean_y - slope * mean_x;
     let spread: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-    let left: f64 = points
+    let residual_share: f64 = points
         .iter()
-        .map(|(x, y)| (y - flat - slope * x).powi(2))
+        .map(|(x, y)| (y - intercept - slope * x).powi(2))
         .sum();
-    (flat, slope, if spread > 0.0 { left / spread } else { 0.0 })
+    (
+        intercept,
+        slope,
+        if spread > 0.0 {
+            residual_share / spread
+        } else {
+            0.0
+        },
+    )
 }
 
-impl Sized {
-    /// What is counted, by line; all of it hangs on the size alone. Frames and
-    /// bytes are sent ones: a second for what goes on, a piece for events.
+impl Measurement {
+    /// Rows of the table of counts, which depend only on the fleet size. Frames and bytes are
+    /// counted at the sender, per second for continuous traffic and per event otherwise.
     pub fn counts(&self) -> Vec<(&'static str, f64)> {
         let mut lines = self.quiet_counts();
         lines.extend(self.event_counts());
@@ -35,16 +47,16 @@
         lines
     }
 
-    /// What goes on while nothing happens.
+    /// Counts of continuous traffic.
     fn quiet_counts(&self) -> Vec<(&'static str, f64)> {
         let (edges, control) = (self.edges as f64, self.control as f64);
         let seconds = self.quiet.span.as_secs_f64();
         let quiet = |role, name| self.quiet.rate(role, name);
-        let (renew, renewed) = (
+        let (renew_requests, renew_replies) = (
             quiet(Role::Edge, "RenewRequest"),
             quiet(Role::Control, "RenewReply"),
         );
-        let beat = quiet(Role::Control, "Heartbeat");
+        let heartbeats = quiet(Role::Control, "Heartbeat");
         let rounds = ["AppendRequest", "AppendReply", "Rounds", "Rounded"]
             .map(|name| quiet(Role::Control, name))
             .iter()
@@ -52,14 +64,20 @@
         vec![
             (
                 "renewals and answers, frames a second, an edge",
-                (renew.0 + renewed.0) / edges,
+                (renew_requests.0 + renew_replies.0) / edges,
             ),
             (
                 "renewals and answers, bytes a second, an edge",
-                (renew.1 + renewed.1) / edges,
+                (renew_requests.1 + renew_replies.1) / edges,
+            ),
+            (
+                "beats, frames a second, a control node",
+                heartbeats.0 / control,
+            ),
+            (
+                "beats, bytes a second, a control node",
+                heartbeats.1 / control,
             ),
-            ("beats, frames a second, a control node", beat.0 / control),
-            ("beats, bytes a second, a control node", beat.1 / control),
             (
                 "rounds, frames a second, a control node",
                 rounds.0 / control,
@@ -71,16 +89,16 @@
             ),
             (
                 "probes a second, all gates",
-                self.quiet.probes as f64 / seconds,
+                self.quiet.health_checks as f64 / seconds,
             ),
         ]
     }
 
-    /// What an event sends more than goes on anyway.
+    /// Counts of the additional traffic that an event causes.
     fn event_counts(&self) -> Vec<(&'static str, f64)> {
-        let purge = self.more_than_quiet(&self.purge.0);
-        let configuration = self.more_than_quiet(&self.configuration.0);
-        let loss = self.more_than_quiet(&self.loss);
+        let purge = self.beyond_quiet(&self.purge.0);
+        let configuration = self.beyond_quiet(&self.configuration.0);
+        let loss = self.beyond_quiet(&self.loss);
         vec![
             ("a purge: frames more, all nodes", purge.0),
             ("a purge: bytes more, all nodes", purge.1),
@@ -91,9 +109,9 @@
         ]
     }
 
-    /// Frames and bytes beyond those of a quiet span as long.
-    fn more_than_quiet(&self, tally: &Tally) -> (f64, f64) {
-        let (event, idle) = (tally.sent_in_all(), self.quiet.sent_in_all());
+    /// Frames and bytes in addition to those of a quiet period of the same length.
+    fn beyond_quiet(&self, tally: &Tally) -> (f64, f64) {
+        let (event, idle) = (tally.total_sent(), self.quiet.total_sent());
         let share = tally.span.as_secs_f64() / self.quiet.span.as_secs_f64();
         (
             event.0 as f64 - idle.0 as f64 * share,
@@ -101,7 +119,7 @@
         )
     }
 
-    /// Rows and bytes of the published partitions.
+    /// Numbers of rows and bytes of the published partitions.
     fn state_counts(&self) -> Vec<(&'static str, f64)> {
         let rows = |partition: u8| self.state[usize::from(partition)].0 as f64;
         let bytes = |partition: u8| self.state[usize::from(partition)].1 as f64;
@@ -115,13 +133,13 @@
         ]
     }
 
-    /// Times and bytes in use, as this machine shows them.
+    /// Rows of the table of times and memory, which depend on the machine.
     pub fn times(&self) -> Vec<(&'static str, f64)> {
         let longest = |tally: &Tally, role| {
             tally
                 .steps
                 .iter()
-                .filter(|((by, _), _)| *by == role)
+                .filter(|((step_role, _), _)| *step_role == role)
                 .map(|(_, (_, _, most))| most.as_secs_f64() * 1e3)
                 .fold(0.0, f64::max)
         };
@@ -129,11 +147,11 @@
         vec![
             (
                 "quiet: share of a core, a control node, %",
-                100.0 * self.quiet.core(Role::Control, self.control),
+                100.0 * self.quiet.core_share(Role::Control, self.control),
             ),
             (
                 "quiet: share of a core, an edge, %",
-                100.0 * self.quiet.core(Role::Edge, self.edges),
+                100.0 * self.quiet.core_share(Role::Edge, self.edges),
             ),
             (
                 "quiet: longest step of a control node, ms",
@@ -141,11 +159,11 @@
             ),
             (
                 "an edge lost: share of a core over 5 s, a control node, %",
-                100.0 * self.loss.core(Role::Control, self.control),
+                100.0 * self.loss.core_share(Role::Control, self.control),
             ),
             (
                 "an edge lost: share of a core over 5 s, an edge, %",
-                100.0 * self.loss.core(Role::Edge, self.edges),
+                100.0 * self.loss.core_share(Role::Edge, self.edges),
             ),
             (
                 "an edge lost: longest step of a control node, ms",
@@ -164,11 +182,14 @@
         ]
     }
 
-    /// A table of lines by size, with the line through all sizes.
-    pub fn table(list: &[Sized], lines: &dyn Fn(&Sized) -> Vec<(&'static str, f64)>) -> String {
+    /// Formats a table of rows by fleet size, with a linear fit over all sizes.
+    pub fn table(
+        list: &[Measurement],
+        lines: &dyn Fn(&Measurement) -> Vec<(&'static str, f64)>,
+    ) -> String {
         let mut text = String::from("| line |");
         list.iter()
-            .for_each(|one| text += &format!(" {} |", one.edges));
+            .for_each(|measurement| text += &format!(" {} |", measurement.edges));
         text += " constant | slope an edge | left over |\n|---|";
         text += &"---|".repeat(list.len() + 3);
         text += "\n";
@@ -180,21 +201,21 @@
             let points: Vec<(f64, f64)> = list
                 .iter()
                 .zip(&all)
-                .map(|(one, lines)| (one.edges as f64, lines[at].1))
+                .map(|(measurement, lines)| (measurement.edges as f64, lines[at].1))
                 .collect();
-            let (flat, slope, left) = fit(&points);
+            let (intercept, slope, residual_share) = fit(&points);
             text += &format!(
                 " {} | {} | {:.0} % |\n",
-                number(flat),
+                number(intercept),
                 number(slope),
-                100.0 * left
+                100.0 * residual_share
             );
         }
         text
     }
 }
 
-/// Four figures, as far as they say anything.
+/// Formats a number with four significant digits and without trailing zeros.
 fn number(value: f64) -> String {
     let digits = if value == 0.0 {
         0
--- a/simulate-fleet/src/lib.rs
+++ b/simulate-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real planes in virtual time, under faults, judged by the same checker
-//! as a fleet of processes.
+//! Simulator that runs the real control-plane and data-plane state machines in virtual time
+//! under fault injection. The checker for real fleets verifies its records.
 #![warn(missing_docs, unreachable_pub)]
 
 pub mod capacity;
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod scenarios;
 #[cfg(test)]
-mod scenarios_membership;
+mod scenarios_item_commands;
 #[cfg(test)]
-mod scenarios_orders;
+mod scenarios_membership;
 pub mod schedule;
 mod schedule_core;
 pub mod script;
@@ -19,14 +19,14 @@
 pub mod sim_node;
 pub mod sim_origin;
 pub mod world;
-mod world_answers;
-mod world_callers;
+mod world_clients;
 mod world_disks;
 mod world_events;
 mod world_faults;
+mod world_item_commands;
+mod world_lost_responses;
 mod world_network;
 mod world_operators;
-mod world_orders;
 mod world_outputs;
 mod world_plan;
 mod world_setup;
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -1,107 +1,107 @@
 //! A simulated process with its disk and clock.
 use crate::prelude::*;
 
-/// A disk that keeps only what was synced when the power goes.
+/// Simulated disk that keeps only synced records on a power loss.
 #[derive(Debug, Default)]
 pub struct Disk {
-    /// Records that outlast a loss of power.
+    /// Records that survive a power loss.
     pub synced: Vec<Vec<u8>>,
-    /// Records still to be synced: serial, whether it is a snapshot, bytes.
+    /// Records waiting for a sync: serial, snapshot flag, bytes.
     pub pending: VecDeque<(u64, bool, Vec<u8>)>,
-    /// Whether it refuses writes.
+    /// True if the disk rejects writes.
     pub full: bool,
-    /// When the sync now running is done.
+    /// End of the running sync.
     pub busy_until: Duration,
-    /// No sync ends before.
+    /// End of a stall; no sync completes earlier.
     pub stalled_until: Duration,
-    /// Until then each sync takes long.
+    /// End of the period in which syncs are slow.
     pub slow_until: Duration,
 }
 
 impl Disk {
-    /// Records up to this serial are synced.
+    /// Marks records up to this serial as synced; a snapshot replaces all earlier records.
     pub fn sync(&mut self, serial: u64) {
         while self.pending.front().is_some_and(|(at, _, _)| *at <= serial) {
-            let (_, image, record) = self.pending.pop_front().expect("just seen");
-            if image {
+            let (_, is_snapshot, record) = self.pending.pop_front().expect("queue is not empty");
+            if is_snapshot {
                 self.synced.clear();
             }
             self.synced.push(record);
         }
     }
 
-    /// As a control node's program does at its start.
+    /// Renews a removed member's replica for its rejoin, as the control node program does at
+    /// startup.
     fn renew_if_removed(&mut self, replica: Replica, incarnation: u64) -> Replica {
         if !replica.removed {
             return replica;
         }
         let renewed = replica.for_rejoin(incarnation);
-        let image = Record::Snapshot(Box::new(renewed.clone()));
-        self.synced = vec![image.bytes()];
+        let snapshot = Record::Snapshot(Box::new(renewed.clone()));
+        self.synced = vec![snapshot.bytes()];
         renewed
     }
 
-    /// What was not synced is lost.
+    /// Discards all records that were not synced.
     pub fn lose_power(&mut self) {
         self.pending.clear();
         self.busy_until = Duration::ZERO;
     }
 
-    /// Bytes of the synced records.
+    /// Total bytes of the synced records.
     pub fn bytes(&self) -> usize {
         self.synced.iter().map(Vec::len).sum()
     }
 }
 
-/// A process in the simulation: a part and what its host would hold.
+/// Simulated process: a state machine with its clock, disk and published state.
 pub struct SimNode {
-    /// Names it in schedules.
-    pub place: NodeId,
-    /// Its address and incarnation.
+    /// Identifier of the node in schedules.
+    pub node_id: NodeId,
+    /// Address and incarnation.
     pub peer: Peer,
-    /// Where it runs.
+    /// Zone of the node.
     pub zone: String,
-    /// Its state machine; none while the process is down.
-    pub part: Option<Box<dyn StateMachine>>,
-    /// Counts starts: what an earlier run began does not reach a later one.
+    /// State machine; none while the process is down.
+    pub state_machine: Option<Box<dyn StateMachine>>,
+    /// Number of the current run. Events of an earlier run are not delivered to a later one.
     pub run: u64,
-    /// When this run began.
-    pub began: Duration,
-    /// What its clock shows at a start, and by how many millionths it runs
-    /// too fast.
-    pub offset: Duration,
-    /// In millionths.
-    pub drift: i64,
-    /// Until then the process stands still.
-    pub paused: Duration,
-    /// Until then each step takes long.
+    /// Virtual time at which this run began.
+    pub run_started_at: Duration,
+    /// Reading of the node's clock at the start of the run.
+    pub clock_offset: Duration,
+    /// Clock drift in parts per million; positive if the clock runs fast.
+    pub clock_drift_ppm: i64,
+    /// End of a pause of the process.
+    pub paused_until: Duration,
+    /// End of the period in which steps are slow.
     pub slow_until: Duration,
-    /// When the step now running is done.
+    /// End of the running step.
     pub busy_until: Duration,
-    /// Outlasts the process.
+    /// Disk, which survives restarts of the process.
     pub disk: Disk,
-    /// End of its lease, on its own clock.
-    pub fence: Duration,
-    /// Whether it says that it is ready.
+    /// End of the lease, on the node's clock.
+    pub lease_end: Duration,
+    /// True if the node reports that it is ready.
     pub ready: bool,
-    /// The route table it published last.
-    pub image: Option<Arc<RouteTable>>,
-    /// Version of the table it was last seen live with, in this run.
-    pub in_force: u64,
-    /// Whether its shutdown is complete.
-    pub ending: bool,
-    /// It was told to end and is not started again.
+    /// Last published route table.
+    pub route_table: Option<Arc<RouteTable>>,
+    /// Version of the route table with which the node was last live in this run.
+    pub active_table_version: u64,
+    /// True once the shutdown is complete.
+    pub shutdown_finished: bool,
+    /// True if the node shuts down and is not started again.
     pub retiring: bool,
-    /// The assignments it published last.
+    /// Last published assignments.
     pub assignments: Vec<String>,
-    /// What its settings say of the fleet's founding.
+    /// Founding mode in the node's settings.
     pub founding: Founding,
 }
 
-/// Whether a node's settings let it found the table of slots.
+/// Founding mode of a node: permission to found the membership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Founding {
-    /// A fleet is there: the node asks for its table.
+    /// The node may not found a table and requests the existing one.
     Never,
     /// The whole fleet starts for the first time.
     FirstStart,
@@ -120,48 +120,49 @@
 }
 
 impl SimNode {
-    /// A node that was never started.
-    pub fn new(place: NodeId, address: SocketAddr, zone: &str) -> SimNode {
+    /// Creates a node that is not started yet.
+    pub fn new(node_id: NodeId, address: SocketAddr, zone: &str) -> SimNode {
         SimNode {
-            place,
+            node_id,
             peer: Peer::new(address, 0),
             zone: zone.into(),
-            part: None,
+            state_machine: None,
             run: 0,
-            began: Duration::ZERO,
-            offset: Duration::ZERO,
-            drift: 0,
-            paused: Duration::ZERO,
+            run_started_at: Duration::ZERO,
+            clock_offset: Duration::ZERO,
+            clock_drift_ppm: 0,
+            paused_until: Duration::ZERO,
             slow_until: Duration::ZERO,
             busy_until: Duration::ZERO,
             disk: Disk::default(),
-            fence: Duration::ZERO,
+            lease_end: Duration::ZERO,
             ready: false,
-            image: None,
-            in_force: 0,
-            ending: false,
+            route_table: None,
+            active_table_version: 0,
+            shutdown_finished: false,
             retiring: false,
             assignments: Vec::new(),
             founding: Founding::Never,
         }
     }
 
-    /// Its own clock: monotonic, begun anew with each run, at any value, and
-    /// as exact as its drift.
+    /// Reading of the node's monotonic clock, which has a new offset in each run and the node's
+    /// drift.
     pub fn clock(&self, now: Duration) -> Duration {
-        let nanos = now.saturating_sub(self.began).as_nanos() as u64;
-        self.offset
+        let nanos = now.saturating_sub(self.run_started_at).as_nanos() as u64;
+        self.clock_offset
             + Duration::from_nanos(
-                (i128::from(nanos) * i128::from(1_000_000 + self.drift) / 1_000_000) as u64,
+                (i128::from(nanos) * i128::from(1_000_000 + self.clock_drift_ppm) / 1_000_000)
+                    as u64,
             )
     }
 
-    /// Whether it runs and holds its lease.
+    /// Returns true if the node runs and holds its lease.
     pub fn live(&self, now: Duration) -> bool {
-        self.part.is_some() && self.clock(now) < self.fence
+        self.state_machine.is_some() && self.clock(now) < self.lease_end
     }
 
-    /// Starts a run on what its disk holds.
+    /// Starts a new run from the records on disk.
     pub fn start(
         &mut self,
         now: Duration,
@@ -171,28 +172,35 @@
     ) {
         self.run += 1;
         self.assignments.clear();
-        self.in_force = 0;
-        self.began = now;
+        self.active_table_version = 0;
+        self.run_started_at = now;
         self.retiring = false;
-        (self.fence, self.ready, self.image, self.ending) = (Duration::ZERO, false, None, false);
-        self.part = Some(match self.place {
+        (
+            self.lease_end,
+            self.ready,
+            self.route_table,
+            self.shutdown_finished,
+        ) = (Duration::ZERO, false, None, false);
+        self.state_machine = Some(match self.node_id {
             NodeId::Control(_) => {
-                let known = Replica::replay(&self.disk.synced).expect("synced records read back");
-                let known = known.map(|replica| self.disk.renew_if_removed(replica, incarnation));
-                let blank = known
+                let replica =
+                    Replica::replay(&self.disk.synced).expect("synced records are readable");
+                let replica =
+                    replica.map(|replica| self.disk.renew_if_removed(replica, incarnation));
+                let blank = replica
                     .as_ref()
                     .is_none_or(|replica| replica.incarnation == incarnation);
                 let gather = gather.map(|span| self.founding.bootstrap(span));
-                let part = ControlNode::new(
+                let state_machine = ControlNode::new(
                     self.peer.address,
                     seeds.to_vec(),
-                    known.unwrap_or_else(|| Replica::blank(incarnation)),
+                    replica.unwrap_or_else(|| Replica::blank(incarnation)),
                     blank,
                     gather,
                     incarnation,
                 );
-                self.peer = part.me();
-                Box::new(part)
+                self.peer = state_machine.me();
+                Box::new(state_machine)
             }
             NodeId::Edge(_) => {
                 self.peer.incarnation = incarnation;
@@ -210,11 +218,11 @@
         });
     }
 
-    /// What is sent to it from now on is lost, not held as by a paused process.
+    /// Ends the process. Unlike with a pause, messages that arrive afterwards are lost.
     pub fn kill(&mut self) {
-        self.part = None;
+        self.state_machine = None;
         self.run += 1;
-        self.paused = Duration::ZERO;
+        self.paused_until = Duration::ZERO;
         self.slow_until = Duration::ZERO;
         self.busy_until = Duration::ZERO;
         self.disk.lose_power();
