--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -97,7 +97,7 @@
             .store
             .take()
             .map(|store| store::spawn_writer(store, input_sender.clone()));
-        watch_signals(&input_sender, self.startup.grace()).map_err(HostError::Signals)?;
+        watch_signals(&input_sender, self.startup.grace_period()).map_err(HostError::Signals)?;
         let text = format!(
             "{} {} mesh {mesh} http {:?}",
             self.program, self.me, self.startup.http
@@ -240,7 +240,7 @@
 
 /// Reports the first termination signal to the state machine, and exits the process
 /// after the grace period in any case.
-fn watch_signals(inputs: &Sender<Input>, grace: Duration) -> std::io::Result<()> {
+fn watch_signals(inputs: &Sender<Input>, grace_period: Duration) -> std::io::Result<()> {
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
         signal_hook::consts::SIGINT,
@@ -252,10 +252,10 @@
         // that depends on them is continuously updated by the peers.
         let terminates = |signal| signal != signal_hook::consts::SIGHUP;
         if signals.forever().any(terminates) {
-            let text = format!("shutting down within {grace:?}");
+            let text = format!("shutting down within {grace_period:?}");
             log_event(Event::ShutdownRequested, &text);
             let _ = inputs.send(Input::ShutdownRequested);
-            thread::sleep(grace);
+            thread::sleep(grace_period);
             log_event(Event::Ended, "grace period expired");
             std::process::exit(1);
         }
--- a/kernel/src/startup.rs
+++ b/kernel/src/startup.rs
@@ -119,7 +119,7 @@
 impl Startup {
     /// Reads the settings of `program` from its flags and file. Prints help, version
     /// or findings and exits the program if there are any to print.
-    pub fn gather(program: &str, about: &str, has_disk: bool) -> Startup {
+    pub fn load(program: &str, about: &str, has_disk: bool) -> Startup {
         let mut flags = pico_args::Arguments::from_env();
         help_or_version(
             program,
@@ -257,7 +257,7 @@
 
     /// Returns the time for which founding control nodes are collected; `None` if the
     /// seeds are the membership table.
-    pub fn gather_span(&self) -> Option<Duration> {
+    pub fn gather_duration(&self) -> Option<Duration> {
         self.gather_ms.map(Duration::from_millis)
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Returns the maximum time from the shutdown request to the exit.
-    pub fn grace(&self) -> Duration {
+    pub fn grace_period(&self) -> Duration {
         Duration::from_millis(self.grace_ms.unwrap_or(DEFAULT_GRACE_MS))
     }
 
--- a/kernel/src/startup/tests.rs
+++ b/kernel/src/startup/tests.rs
@@ -55,7 +55,7 @@
         "true",
     ])
     .unwrap();
-    assert!(startup.founding && startup.gather_span() == Some(Duration::from_millis(1500)));
+    assert!(startup.founding && startup.gather_duration() == Some(Duration::from_millis(1500)));
     let again = [
         "--seeds",
         "127.0.0.1:1",
--- a/programs/src/bin/control-node.rs
+++ b/programs/src/bin/control-node.rs
@@ -5,7 +5,7 @@
 const ABOUT: &str = "a control node of otterslip; keeps the control state on its disk";
 
 fn main() -> Result<()> {
-    let startup = Startup::gather("control-node", ABOUT, true);
+    let startup = Startup::load("control-node", ABOUT, true);
     startup.log()?;
     run_control_node(startup)
 }
--- a/programs/src/bin/edge-node.rs
+++ b/programs/src/bin/edge-node.rs
@@ -5,7 +5,7 @@
 const ABOUT: &str = "an edge node of otterslip; serves callers from copies and origins";
 
 fn main() -> Result<()> {
-    let startup = Startup::gather("edge-node", ABOUT, false);
+    let startup = Startup::load("edge-node", ABOUT, false);
     startup.log()?;
     run_edge_node(startup, Arc::new(DefaultProtocol))
 }
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -17,8 +17,8 @@
         replica,
         blank,
         startup
-            .gather_span()
-            .map(|gather_span| bootstrap(&startup, gather_span)),
+            .gather_duration()
+            .map(|gather_duration| bootstrap(&startup, gather_duration)),
         new_incarnation()?,
     )
     .with_log(loaded.log_bytes, loaded.snapshot_bytes)
@@ -39,11 +39,11 @@
     Ok(host.run(Box::new(control))?)
 }
 
-fn bootstrap(startup: &Startup, gather_span: Duration) -> Bootstrap {
+fn bootstrap(startup: &Startup, gather_duration: Duration) -> Bootstrap {
     if startup.refounding {
-        Bootstrap::refounding(gather_span)
+        Bootstrap::refounding(gather_duration)
     } else {
-        Bootstrap::new(startup.founding, gather_span)
+        Bootstrap::new(startup.founding, gather_duration)
     }
 }
 
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -23,7 +23,7 @@
         cache_bytes,
     )
     .with_retry_allowance(startup.extra_tries)
-    .with_shutdown_grace(startup.grace())
+    .with_shutdown_grace(startup.grace_period())
     .with_operation_retention(startup.operation_retention());
     let frontend = Box::new(HttpFrontend::new("edge-node", protocol));
     let host = NodeHost {
