--- a/control-plane/src/control_node/changes.rs
+++ b/control-plane/src/control_node/changes.rs
@@ -315,7 +315,7 @@
     fn open_ledger_by_operator(&mut self, reply: &mut PendingReply, generation: u64) {
         let current = self.generation.current;
         if generation != current {
-            let text = format!("the realm is {} now", Generation::name(current));
+            let text = format!("the realm is {} now", Generation::format(current));
             reply.outcome = ChangeOutcome::Findings(vec![Finding::new("/realm", text)]);
             return;
         }
@@ -326,7 +326,7 @@
             leader.put("opened".into(), Value::Opened { generation })
         };
         reply.report_commit((version, ChangeOutcome::Acknowledged { version }));
-        let name = Generation::name(generation);
+        let name = Generation::format(generation);
         self.log_event(
             Event::LedgerOpened,
             format!("realm {name}: opened by an operator"),
--- a/control-plane/src/control_node/edge_registry.rs
+++ b/control-plane/src/control_node/edge_registry.rs
@@ -96,7 +96,7 @@
             return;
         };
         leader.put("opened".into(), Value::Opened { generation });
-        let text = format!("realm {}: {reason}", Generation::name(generation));
+        let text = format!("realm {}: {reason}", Generation::format(generation));
         self.log_event(Event::LedgerOpened, text);
     }
 }
--- a/control-plane/src/control_node/fleet_state.rs
+++ b/control-plane/src/control_node/fleet_state.rs
@@ -21,7 +21,7 @@
     fn ledger_state(&self, now: Duration) -> Json {
         let closed_for = self.generation.ledger_closed_until.saturating_sub(now);
         json!({
-            "realm": Generation::name(self.generation.current),
+            "realm": Generation::format(self.generation.current),
             "closed_s": closed_for.as_secs_f64().ceil(),
         })
     }
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -92,7 +92,7 @@
         {
             return;
         }
-        if Generation::older(reply.generation, self.state.generation) && reply.generation != 0 {
+        if Generation::is_older(reply.generation, self.state.generation) && reply.generation != 0 {
             return; // The control node does not know the new generation yet.
         }
         if reply.updates.is_empty() {
--- a/kernel/src/message/generation.rs
+++ b/kernel/src/message/generation.rs
@@ -20,12 +20,12 @@
     }
 
     /// Formats a generation for operators: 16 hexadecimal digits.
-    pub fn name(generation: u64) -> String {
+    pub fn format(generation: u64) -> String {
         format!("{generation:016x}")
     }
 
     /// Returns true if the counter of `generation` is lower than that of `other`.
-    pub fn older(generation: u64, other: u64) -> bool {
+    pub fn is_older(generation: u64, other: u64) -> bool {
         generation >> 32 < other >> 32
     }
 }
