--- a/control-plane/src/operator_api.rs
+++ b/control-plane/src/operator_api.rs
@@ -48,7 +48,8 @@
 
 /// Returns the request's body as text.
 fn body_text(request: &rouille::Request) -> HandlerResult<String> {
-    let bytes = read_body(request, CONFIGURATION_BYTES).map_err(|refusal| refuse(&refusal))?;
+    let bytes =
+        read_body(request, CONFIGURATION_BYTES).map_err(|refusal| rejection_response(&refusal))?;
     String::from_utf8(bytes).map_err(|_| invalid(&[Finding::new("", "not UTF-8")]))
 }
 
@@ -84,14 +85,14 @@
         Some(Output::OperatorResponse {
             response: OperatorResponse::State(state),
             ..
-        }) => json(200, &state),
-        _ => refuse(&outcome_unknown()),
+        }) => json_response(200, &state),
+        _ => rejection_response(&outcome_unknown()),
     }
 }
 
 fn get_configuration(port: &Port) -> rouille::Response {
     match submit(port, CONFIGURATION_PARTITION, &Change::GetConfiguration) {
-        ChangeOutcome::Configuration { version: 0, .. } => refuse(&Rejection::not_run(
+        ChangeOutcome::Configuration { version: 0, .. } => rejection_response(&Rejection::not_run(
             404,
             "no_configuration",
             "none was put yet",
@@ -106,7 +107,7 @@
 
 fn check_configuration(request: &rouille::Request) -> HandlerResult<rouille::Response> {
     Configuration::read(&body_text(request)?).map_err(|findings| invalid(&findings))?;
-    Ok(json(200, &serde_json::json!({ "valid": true })))
+    Ok(json_response(200, &serde_json::json!({ "valid": true })))
 }
 
 fn put_configuration(port: &Port, request: &rouille::Request) -> HandlerResult<rouille::Response> {
@@ -126,7 +127,7 @@
 fn expected_version(request: &rouille::Request) -> HandlerResult<Option<u64>> {
     let read = |tag: &str| tag.trim_matches('"').parse();
     let malformed = |_| {
-        refuse(&Rejection::not_run(
+        rejection_response(&Rejection::not_run(
             400,
             "if_match_malformed",
             "If-Match must be a version as given in ETag",
@@ -192,7 +193,7 @@
 fn new_change_id() -> HandlerResult<u64> {
     new_incarnation().map_err(|error| {
         let text = error.to_string();
-        refuse(&Rejection::not_run(500, "no_randomness", &text))
+        rejection_response(&Rejection::not_run(500, "no_randomness", &text))
     })
 }
 
@@ -203,7 +204,7 @@
     show: &dyn Fn(u64, Vec<(String, Row)>) -> serde_json::Value,
 ) -> rouille::Response {
     match submit(port, partition, &Change::List) {
-        ChangeOutcome::Rows { version, rows } => json(200, &show(version, rows)),
+        ChangeOutcome::Rows { version, rows } => json_response(200, &show(version, rows)),
         other => no_reply(&other),
     }
 }
--- a/control-plane/src/operator_api/history.rs
+++ b/control-plane/src/operator_api/history.rs
@@ -18,7 +18,7 @@
     let data = port.startup.data.as_deref();
     show(data, path).unwrap_or_else(|error| {
         let text = error.to_string();
-        refuse(&Rejection::not_run(404, "not_in_history", &text))
+        rejection_response(&Rejection::not_run(404, "not_in_history", &text))
     })
 }
 
@@ -32,7 +32,7 @@
     match versions.as_deref() {
         Some([]) => {
             let body = serde_json::json!({ "versions": history.versions()? });
-            Ok(json(200, &body))
+            Ok(json_response(200, &body))
         }
         Some([version]) => {
             let text = history.text(*version)?;
--- a/control-plane/src/operator_api/items.rs
+++ b/control-plane/src/operator_api/items.rs
@@ -115,7 +115,7 @@
         .into_iter()
         .filter_map(|(_, row)| ShownItem::of_row(row));
     match shown.collect::<serde_json::Result<Vec<ShownItem>>>() {
-        Ok(items) => json(200, &ShownItems { version, items }),
-        Err(error) => refuse(&Rejection::not_run(500, "not_shown", &error.to_string())),
+        Ok(items) => json_response(200, &ShownItems { version, items }),
+        Err(error) => rejection_response(&Rejection::not_run(500, "not_shown", &error.to_string())),
     }
 }
--- a/control-plane/src/operator_api/responses.rs
+++ b/control-plane/src/operator_api/responses.rs
@@ -28,14 +28,14 @@
         "text": "nothing took effect",
         "findings": findings,
     });
-    json(422, &body)
+    json_response(422, &body)
 }
 
 /// Returns the response to a call without a reply from the leader.
 pub(super) fn no_reply(outcome: &ChangeOutcome) -> rouille::Response {
     match outcome {
-        ChangeOutcome::NoMajority => refuse(&no_majority()),
-        _ => refuse(&outcome_unknown()),
+        ChangeOutcome::NoMajority => rejection_response(&no_majority()),
+        _ => rejection_response(&outcome_unknown()),
     }
 }
 
@@ -43,7 +43,7 @@
 pub(super) fn change_response(outcome: ChangeOutcome) -> rouille::Response {
     match outcome {
         ChangeOutcome::Acknowledged { version } => {
-            json(200, &serde_json::json!({ "version": version }))
+            json_response(200, &serde_json::json!({ "version": version }))
                 .with_additional_header("ETag", format!("\"{version}\""))
         }
         ChangeOutcome::VersionConflict { version, .. } => version_conflict(version),
@@ -61,7 +61,7 @@
         "text": "another change came first",
         "version": version,
     });
-    json(409, &body)
+    json_response(409, &body)
 }
 
 /// Returns the response that lists the items whose revision was accepted with different content.
@@ -72,7 +72,7 @@
         "text": "a revision was accepted with another content; nothing took effect",
         "findings": findings,
     });
-    json(409, &body)
+    json_response(409, &body)
 }
 
 /// Returns the response that lists the items whose revision is older than all remembered ones.
@@ -83,5 +83,5 @@
         "text": "whether these revisions were accepted is not known any more; newer ones stand",
         "findings": findings,
     });
-    json(410, &body)
+    json_response(410, &body)
 }
--- a/kernel/src/plug_in.rs
+++ b/kernel/src/plug_in.rs
@@ -44,11 +44,11 @@
         return None;
     }
     match request.raw_url() {
-        "/.otterslip/v1/live" => Some(json(200, &serde_json::json!({ "live": true }))),
+        "/.otterslip/v1/live" => Some(json_response(200, &serde_json::json!({ "live": true }))),
         "/.otterslip/v1/ready" if port.ready() => {
-            Some(json(200, &serde_json::json!({ "ready": true })))
+            Some(json_response(200, &serde_json::json!({ "ready": true })))
         }
-        "/.otterslip/v1/ready" => Some(refuse(&Rejection::not_run(
+        "/.otterslip/v1/ready" => Some(rejection_response(&Rejection::not_run(
             503,
             "not_ready",
             "do not send callers here now",
@@ -79,7 +79,7 @@
         .iter()
         .find_map(|plug_in| (plug_in.serve)(port, request))
         .unwrap_or_else(|| {
-            refuse(&Rejection::not_run(
+            rejection_response(&Rejection::not_run(
                 404,
                 "no_such_path",
                 "nothing is served here",
@@ -88,7 +88,7 @@
 }
 
 /// Creates a JSON response.
-pub fn json(status: u16, body: &impl Serialize) -> rouille::Response {
+pub fn json_response(status: u16, body: &impl Serialize) -> rouille::Response {
     let text = serde_json::to_string(body).unwrap_or_default();
     let mut response = rouille::Response::from_data("application/json", text);
     response.status_code = status;
@@ -96,8 +96,8 @@
 }
 
 /// Converts a rejection to an HTTP response.
-pub fn refuse(rejection: &Rejection) -> rouille::Response {
-    let response = json(rejection.status, rejection);
+pub fn rejection_response(rejection: &Rejection) -> rouille::Response {
+    let response = json_response(rejection.status, rejection);
     match rejection.retry_after_s {
         // Whole seconds, rounded up, so that no client retries too early.
         Some(seconds) => response
