--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -200,7 +200,7 @@
             .filter_map(|slot| self.peers.get(&slot))
             .map(|peer| peer.leader_candidates)
             .fold(SlotSet::default(), SlotSet::union);
-        let listed_only = listed.without(contacts);
+        let listed_only = listed.difference(contacts);
         self.eligible_contacts(now, lease::CONTROL_PEER_TIMEOUT)
             .union(listed_only)
     }
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -74,7 +74,7 @@
     /// consistent with each other, and updates contain complete versions only.
     fn rebuild_routes(&mut self, version: u64) {
         if let Ok((document, bounds)) = self.state.configuration_items.merged() {
-            let routes = Arc::new(RouteTable::new(version, document).within(bounds));
+            let routes = Arc::new(RouteTable::new(version, document).with_bounds(bounds));
             self.state.routes = Some(routes.clone());
             self.log_event(Event::ConfigurationTaken, format!("version {version}"));
             self.outputs
--- a/kernel/src/route_table.rs
+++ b/kernel/src/route_table.rs
@@ -32,7 +32,7 @@
     }
 
     /// Sets the limits on client requests.
-    pub fn within(self, bounds: Option<Arc<Bounds>>) -> RouteTable {
+    pub fn with_bounds(self, bounds: Option<Arc<Bounds>>) -> RouteTable {
         RouteTable { bounds, ..self }
     }
 
--- a/kernel/src/slot_set.rs
+++ b/kernel/src/slot_set.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the slots of this set that are not in the other.
-    pub fn without(self, other: SlotSet) -> SlotSet {
+    pub fn difference(self, other: SlotSet) -> SlotSet {
         SlotSet(self.0 & !other.0)
     }
 
