--- a/data-plane/src/active_request/cacheability.rs
+++ b/data-plane/src/active_request/cacheability.rs
@@ -14,9 +14,9 @@
         ])
     }
 
-    /// Returns the name by which purges match this request's response.
-    pub fn cache_entry_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
-        CacheEntryName {
+    /// Returns the attributes by which purges match this request's response.
+    pub fn cache_entry_attributes<'a>(&'a self, reply: &'a Reply) -> CacheEntryAttributes<'a> {
+        CacheEntryAttributes {
             entry: &self.request.entry().name,
             host: self.request.entry_host(),
             url: &self.request.url,
--- a/data-plane/src/cache_owner/handover.rs
+++ b/data-plane/src/cache_owner/handover.rs
@@ -120,7 +120,7 @@
             .slots
             .get(&response.key)
             .is_some_and(|slot| slot.stored.is_some());
-        let name = CacheEntryName {
+        let attributes = CacheEntryAttributes {
             entry: &response.entry,
             host: &response.host,
             url: &response.url,
@@ -128,7 +128,7 @@
         };
         !has_stored
             && response.major_expiry > delay
-            && purge_log.is_clear(response.purge_version, name)
+            && purge_log.is_clear(response.purge_version, attributes)
     }
 
     fn take_over_response(
--- a/data-plane/src/cache_owner/mod.rs
+++ b/data-plane/src/cache_owner/mod.rs
@@ -181,7 +181,7 @@
             .is_none_or(|stored| stored.serial < token.serial);
         let is_valid = token.epoch == epoch
             && is_newer
-            && purge_log.is_clear(token.purge_version, slot.entry_name(&reply));
+            && purge_log.is_clear(token.purge_version, slot.entry_attributes(&reply));
         let issued_at = slot
             .issued_at(token.serial)
             .filter(|issued_at| is_valid && now < *issued_at + slot.ttl);
@@ -289,7 +289,7 @@
             let is_matched = slot
                 .stored
                 .as_ref()
-                .is_some_and(|stored| purge.matches(slot.entry_name(&stored.reply)));
+                .is_some_and(|stored| purge.matches(slot.entry_attributes(&stored.reply)));
             if is_matched {
                 self.memory.used -= slot.drop_stored();
             }
--- a/data-plane/src/cache_owner/slot.rs
+++ b/data-plane/src/cache_owner/slot.rs
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Returns the name by which purges match a response for this key.
-    pub(super) fn entry_name<'a>(&'a self, reply: &'a Reply) -> CacheEntryName<'a> {
-        CacheEntryName {
+    /// Returns the attributes by which purges match a response for this key.
+    pub(super) fn entry_attributes<'a>(&'a self, reply: &'a Reply) -> CacheEntryAttributes<'a> {
+        CacheEntryAttributes {
             entry: &self.entry,
             host: &self.host,
             url: &self.url,
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -54,7 +54,7 @@
         headers.extend(call.headers.iter().cloned());
         CallHeaders {
             headers,
-            echo: None,
+            required_response_header: None,
         }
     }
 
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -164,11 +164,11 @@
         let grant = active.cache.fill_grant.take();
         // A response that was fetched before a purge that matches it may be sent to
         // its own client while the purge is recent. After that it is fetched again.
-        let name = active.cache_entry_name(&fetched.reply);
+        let attributes = active.cache_entry_attributes(&fetched.reply);
         let purged_at = self
             .state
             .purge_log
-            .first_match(fetched.fetch.purge_version, name);
+            .first_match(fetched.fetch.purge_version, attributes);
         if let Some(grant) = grant {
             self.report_fill(grant, &fetched);
         }
@@ -211,7 +211,7 @@
         let fetch_started_at = fetched.fetch.started_at;
         let major_expiry = fetch_started_at + fetched.ttl;
         let entry = NearCacheEntry {
-            name: self.active_requests[&id].cache_entry_name(&fetched.reply),
+            attributes: self.active_requests[&id].cache_entry_attributes(&fetched.reply),
             reply: &fetched.reply,
             fetch_started_at,
             minor_expiry: (now + minor_lifetime(fetched.ttl)).min(major_expiry),
@@ -256,7 +256,7 @@
             return;
         };
         let active = &self.active_requests[&id];
-        let name = active.cache_entry_name(&cached.reply);
+        let attributes = active.cache_entry_attributes(&cached.reply);
         let network_delay = (now - wait.entered_at).saturating_sub(cached.owner_delay);
         let age = cached.age + network_delay;
         // The owner may not know yet that the time to live was shortened.
@@ -265,7 +265,12 @@
             .remaining_ttl
             .saturating_sub(network_delay)
             .min(ttl.saturating_sub(age));
-        if remaining_ttl.is_zero() || !self.state.purge_log.is_clear(cached.purge_version, name) {
+        if remaining_ttl.is_zero()
+            || !self
+                .state
+                .purge_log
+                .is_clear(cached.purge_version, attributes)
+        {
             let stage = Stage::AwaitingCachedResponse {
                 entered_at: now,
                 accepts_any_age: wait.accepts_any_age,
@@ -273,7 +278,7 @@
             return self.enter_stage(now, id, stage);
         }
         let entry = NearCacheEntry {
-            name,
+            attributes,
             reply: &cached.reply,
             fetch_started_at: now.saturating_sub(age),
             minor_expiry: now
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -82,7 +82,10 @@
         if !handler.may_send(&call) {
             return handler.complete_call(id, CallOutcome::NotSent);
         }
-        let CallHeaders { headers, echo } = self.protocol.origin_headers(&call);
+        let CallHeaders {
+            headers,
+            required_response_header,
+        } = self.protocol.origin_headers(&call);
         let outgoing = http_line::Call {
             id,
             address: call.origin.address,
@@ -92,7 +95,7 @@
             body: call.body.clone(),
             timeout: call.timeout,
             request: Some(call.request),
-            echo,
+            required_response_header,
             max_connections: call.max_connections,
         };
         handler.register_call(id, call);
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -34,8 +34,8 @@
 
 /// A response to be stored, with its expiries on this edge's clock.
 pub struct NearCacheEntry<'a> {
-    /// The name by which purges match the response.
-    pub name: CacheEntryName<'a>,
+    /// The attributes by which purges match the response.
+    pub attributes: CacheEntryAttributes<'a>,
     /// The response.
     pub reply: &'a Reply,
     /// The latest time at which the fetch can have started.
@@ -77,8 +77,8 @@
         (self.reply.bytes() + names) as u64 + ENTRY_OVERHEAD_BYTES
     }
 
-    fn name(&self) -> CacheEntryName<'_> {
-        CacheEntryName {
+    fn attributes(&self) -> CacheEntryAttributes<'_> {
+        CacheEntryAttributes {
             entry: &self.entry,
             host: &self.host,
             url: &self.url,
@@ -138,9 +138,9 @@
         }
         self.remove(&key);
         let stored = StoredResponse {
-            entry: entry.name.entry.into(),
-            host: entry.name.host.into(),
-            url: entry.name.url.into(),
+            entry: entry.attributes.entry.into(),
+            host: entry.attributes.host.into(),
+            url: entry.attributes.url.into(),
             reply: entry.reply.clone(),
             fetch_started_at: entry.fetch_started_at,
             minor_expiry: entry.minor_expiry,
@@ -156,7 +156,7 @@
     pub fn purge(&mut self, purge: &Purge) {
         let memory = &mut self.memory;
         self.responses.retain(|_, stored| {
-            let is_matched = purge.matches(stored.name());
+            let is_matched = purge.matches(stored.attributes());
             if is_matched {
                 memory.used -= stored.bytes();
             }
--- a/data-plane/src/purge_log.rs
+++ b/data-plane/src/purge_log.rs
@@ -65,13 +65,17 @@
     }
 
     /// Returns true if no purge after `purge_version` matches the response.
-    pub fn is_clear(&self, purge_version: u64, response: CacheEntryName) -> bool {
+    pub fn is_clear(&self, purge_version: u64, response: CacheEntryAttributes) -> bool {
         self.first_match(purge_version, response).is_none()
     }
 
     /// Returns the time at which the first purge after `purge_version` that matches the
     /// response was applied; zero if that is no longer known.
-    pub fn first_match(&self, purge_version: u64, response: CacheEntryName) -> Option<Duration> {
+    pub fn first_match(
+        &self,
+        purge_version: u64,
+        response: CacheEntryAttributes,
+    ) -> Option<Duration> {
         if purge_version < self.floor {
             return Some(Duration::ZERO);
         }
--- a/data-plane/src/purge_log/tests.rs
+++ b/data-plane/src/purge_log/tests.rs
@@ -18,8 +18,8 @@
     )
 }
 
-fn name(url: &str) -> CacheEntryName<'_> {
-    CacheEntryName {
+fn attributes(url: &str) -> CacheEntryAttributes<'_> {
+    CacheEntryAttributes {
         entry: "e",
         host: "h",
         url,
@@ -31,10 +31,10 @@
 fn response_is_clear_of_purges_before_its_fetch_only() {
     let mut purge_log = PurgeLog::default();
     purge_log.apply(Duration::ZERO, 2, &[row(1, "/a"), row(2, "/b")]);
-    assert!(!purge_log.is_clear(0, name("/a/1")));
-    assert!(purge_log.is_clear(1, name("/a/1")));
-    assert!(!purge_log.is_clear(1, name("/b/1")));
-    assert!(purge_log.is_clear(2, name("/b/1")));
+    assert!(!purge_log.is_clear(0, attributes("/a/1")));
+    assert!(purge_log.is_clear(1, attributes("/a/1")));
+    assert!(!purge_log.is_clear(1, attributes("/b/1")));
+    assert!(purge_log.is_clear(2, attributes("/b/1")));
 }
 
 #[test]
@@ -47,6 +47,6 @@
         &[row(MAX_RETAINED_PURGES + 5, "/z")],
     );
     assert!(applied.has_gap);
-    assert!(!purge_log.is_clear(4, name("/other")));
-    assert!(purge_log.is_clear(5, name("/other")));
+    assert!(!purge_log.is_clear(4, attributes("/other")));
+    assert!(purge_log.is_clear(5, attributes("/other")));
 }
--- a/http-line/src/call.rs
+++ b/http-line/src/call.rs
@@ -25,7 +25,7 @@
     /// could be mistaken for the response to another attempt.
     pub request: Option<u64>,
     /// Header name and value that the response must carry.
-    pub echo: Option<(String, String)>,
+    pub required_response_header: Option<(String, String)>,
     /// Maximum number of connections from this process to this address.
     pub max_connections: usize,
 }
--- a/http-line/src/client_connection.rs
+++ b/http-line/src/client_connection.rs
@@ -36,7 +36,7 @@
     is_head_request: bool,
     /// True if the request asks to close the connection after the response.
     requests_close: bool,
-    echo: Option<(String, String)>,
+    required_response_header: Option<(String, String)>,
     /// True once the socket has accepted bytes of the request.
     sent: bool,
     /// True once bytes have been received during the exchange.
@@ -98,7 +98,7 @@
             is_head_request: call.method == "HEAD",
             requests_close: connection_options
                 .any(|option| option.trim().eq_ignore_ascii_case("close")),
-            echo: call.echo.clone(),
+            required_response_header: call.required_response_header.clone(),
             sent: false,
             received: false,
             deadline: started + call.timeout,
@@ -233,7 +233,10 @@
         (kind, value.as_ref()).hash(&mut hasher);
         hasher.finish()
     };
-    let echo = call.echo.as_ref().map(|(_, value)| hash(0, value));
+    let echo = call
+        .required_response_header
+        .as_ref()
+        .map(|(_, value)| hash(0, value));
     let request = call.request.map(|id| hash(1, &id.to_be_bytes()));
     echo.into_iter().chain(request)
 }
--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -106,7 +106,7 @@
     pub(super) fn finish_response(&mut self, at_end: bool) -> Option<FinishedExchange> {
         let PartialResponse { head, body } = self.response.take()?;
         let exchange = self.exchange.as_ref()?;
-        if let Some((name, value)) = &exchange.echo
+        if let Some((name, value)) = &exchange.required_response_header
             && !header_values(&head.headers, name).any(|found| found == value)
         {
             self.mismatched_responses += 1;
--- a/http-line/tests/client_connection.rs
+++ b/http-line/tests/client_connection.rs
@@ -20,7 +20,7 @@
         }),
         timeout: Duration::from_secs(3),
         request: None,
-        echo: echo.then(|| pair("E", "1")),
+        required_response_header: echo.then(|| pair("E", "1")),
         max_connections: 1,
     }
 }
@@ -238,7 +238,7 @@
     Call {
         id,
         request: Some(id),
-        echo: Some(("E".into(), echo.into())),
+        required_response_header: Some(("E".into(), echo.into())),
         ..call("GET", false)
     }
 }
--- a/http-line/tests/client_connection_faults.rs
+++ b/http-line/tests/client_connection_faults.rs
@@ -146,7 +146,7 @@
             body: Arc::new(b"body".to_vec()),
             timeout: Duration::from_secs(1),
             request: None,
-            echo: Some(("Request-Id".into(), format!("r{id}"))),
+            required_response_header: Some(("Request-Id".into(), format!("r{id}"))),
             max_connections: 1,
         };
         // Unread bytes end an idle connection if the event loop detects them before
--- a/http-line/tests/harness/mod.rs
+++ b/http-line/tests/harness/mod.rs
@@ -136,7 +136,7 @@
         body: Arc::default(),
         timeout: Duration::from_secs(5),
         request: None,
-        echo: None,
+        required_response_header: None,
         max_connections: 2,
     }
 }
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -307,7 +307,7 @@
 /// A call whose response must be `OWN_RESPONSE`.
 fn echoed_call(id: u64, address: SocketAddr) -> Call {
     Call {
-        echo: Some(("E".into(), "1".into())),
+        required_response_header: Some(("E".into(), "1".into())),
         ..call(id, address, "/")
     }
 }
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -42,7 +42,7 @@
 fn echoed_call(id: u64, address: SocketAddr, request_id: &str) -> Call {
     Call {
         method: "POST".into(),
-        echo: Some(("Request-Id".into(), request_id.into())),
+        required_response_header: Some(("Request-Id".into(), request_id.into())),
         headers: vec![
             ("Host".into(), "h".into()),
             ("Request-Id".into(), request_id.into()),
--- a/kernel/src/protocol.rs
+++ b/kernel/src/protocol.rs
@@ -42,7 +42,7 @@
     /// Names and values in order.
     pub headers: Vec<(String, String)>,
     /// Header that the response must contain.
-    pub echo: Option<(String, String)>,
+    pub required_response_header: Option<(String, String)>,
 }
 
 /// A response to a client.
--- a/kernel/src/purge.rs
+++ b/kernel/src/purge.rs
@@ -31,7 +31,7 @@
 
 /// The attributes of a cached response that a purge is compared with.
 #[derive(Debug, Clone, Copy)]
-pub struct CacheEntryName<'a> {
+pub struct CacheEntryAttributes<'a> {
     /// Name of the configuration entry.
     pub entry: &'a str,
     /// Host of the entry; empty if the response serves any host.
@@ -45,7 +45,7 @@
 
 impl Purge {
     /// Returns true if the purge removes this response.
-    pub fn matches(&self, response: CacheEntryName) -> bool {
+    pub fn matches(&self, response: CacheEntryAttributes) -> bool {
         self.entry
             .as_deref()
             .is_none_or(|name| name == response.entry)
