--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -226,7 +226,7 @@
                 request: request.expect("made once"),
             }
         };
-        self.port.begin(&input, Box::new(respond));
+        self.port.start_request(&input, Box::new(respond));
     }
 
     /// Writes the state machine's response.
--- a/kernel/src/port.rs
+++ b/kernel/src/port.rs
@@ -60,20 +60,20 @@
     /// Sends the input `make(id)` to the state machine and returns the id. `then` is
     /// called on the state machine's thread with the output that completes the
     /// request, and must not block.
-    pub fn begin(&self, make: &dyn Fn(u64) -> Input, then: Continuation) -> u64 {
+    pub fn start_request(&self, make: &dyn Fn(u64) -> Input, then: Continuation) -> u64 {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         self.pending
             .lock()
             .expect("no thread panics with the lock")
             .insert(id, then);
         if self.inputs.send(make(id)).is_err() {
-            self.forget(id);
+            self.discard_callback(id);
         }
         id
     }
 
     /// Removes the callback of a request that no caller waits for any longer.
-    pub fn forget(&self, id: u64) {
+    pub fn discard_callback(&self, id: u64) {
         self.pending
             .lock()
             .expect("no thread panics with the lock")
@@ -84,14 +84,14 @@
     /// completes it; returns `None` after `limit`.
     pub fn request(&self, limit: Duration, make: &dyn Fn(u64) -> Input) -> Option<Output> {
         let (sender, receiver) = flume::bounded(1);
-        let id = self.begin(
+        let id = self.start_request(
             make,
             Box::new(move |output| {
                 let _ = sender.send(output);
             }),
         );
         let output = receiver.recv_timeout(limit).ok();
-        self.forget(id);
+        self.discard_callback(id);
         output
     }
 
