--- a/control-plane/src/assignment_plan.rs
+++ b/control-plane/src/assignment_plan.rs
@@ -134,8 +134,11 @@
         let is_eligible = |session: &&SessionInfo| {
             !session.draining && ring.is_none_or(|ring| ring == session.ring)
         };
-        let distance =
-            |session: &SessionInfo| session.peer.distance(name, self.weight(ring, session));
+        let distance = |session: &SessionInfo| {
+            session
+                .peer
+                .rendezvous_distance(name, self.weight(ring, session))
+        };
         let eligible = self.live.iter().filter(is_eligible);
         eligible
             .min_by(|left, right| {
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -54,7 +54,7 @@
     /// Returns the weighted rendezvous distance of this peer for an assignment: each
     /// peer is chosen in proportion to its capacity. The peer with the lowest distance
     /// is chosen.
-    pub fn distance(&self, assignment: &str, strength: u32) -> f64 {
+    pub fn rendezvous_distance(&self, assignment: &str, strength: u32) -> f64 {
         let mut hash = std::hash::DefaultHasher::new();
         std::hash::Hash::hash(&(assignment, self.address), &mut hash);
         let part = (std::hash::Hasher::finish(&hash) >> 11) as f64 / (1u64 << 53) as f64;
