--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -155,7 +155,7 @@
         let entry = request.entry();
         let latency_target = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
         let is_large = self.response_sizes.expected(&entry.name) > LARGE_RESPONSE_BYTES;
-        let is_full = is_large && self.event_loop.wait().backlog() > latency_target;
+        let is_full = is_large && self.event_loop.wait().send_backlog() > latency_target;
         is_full.then(|| {
             let text = "the link of this edge is full";
             Rejection::not_run(429, "link_full", text).with_retry_after(LINK_FULL_RETRY_AFTER)
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -116,9 +116,9 @@
         }
     }
 
-    fn link_delay(&self, delay: Duration) {
+    fn record_link_delay(&self, delay: Duration) {
         if let Some(event_loop) = self.event_loop() {
-            event_loop.link_delay(delay);
+            event_loop.record_link_delay(delay);
         }
     }
 
--- a/http-line/src/event_loop_handle.rs
+++ b/http-line/src/event_loop_handle.rs
@@ -135,13 +135,13 @@
     }
 
     /// Reports the measured delay of small messages on the machine's network link.
-    pub fn link_delay(&self, delay: Duration) {
+    pub fn record_link_delay(&self, delay: Duration) {
         self.send(Command::RecordLinkDelay(delay));
     }
 
     /// Time that the link needs for the unsent responses; zero if its bandwidth is
     /// not known.
-    pub fn backlog(&self) -> Duration {
+    pub fn send_backlog(&self) -> Duration {
         Duration::from_micros(self.shared.backlog_us.load(Ordering::Relaxed))
     }
 
--- a/kernel/src/frontend.rs
+++ b/kernel/src/frontend.rs
@@ -37,7 +37,7 @@
     fn extend_call(&self, _id: u64, _limit: Duration) {}
 
     /// Reports the measured delay of small messages on this machine's link.
-    fn link_delay(&self, _delay: Duration) {}
+    fn record_link_delay(&self, _delay: Duration) {}
 
     /// Prepares for shutdown: drains the client connections; no new sessions start.
     fn prepare_shutdown(&self) {}
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -215,7 +215,7 @@
         match state {
             PublishedState::Fence { until, ready } => self.port.set_fence(until, ready),
             PublishedState::Assignments(names) => self.port.assignments.store(Arc::new(names)),
-            PublishedState::LinkDelay(delay) => self.host.frontend.link_delay(delay),
+            PublishedState::LinkDelay(delay) => self.host.frontend.record_link_delay(delay),
             PublishedState::CommittedConfiguration { version, text } => {
                 if let Some(history) = &self.host.history {
                     let _ = history.try_send((version, text));
