--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -137,8 +137,8 @@
         let mut applied = self.bounds.lock().expect("no holder panics");
         if applied.as_ref() != Some(&bounds) {
             self.event_loop.wait().set_limits(Limits {
-                head_bytes: bounds.head_bytes as usize,
-                body_bytes: bounds.body_bytes as usize,
+                max_head_bytes: bounds.head_bytes as usize,
+                max_body_bytes: bounds.body_bytes as usize,
                 head_timeout: Duration::from_millis(bounds.head_ms),
                 idle_timeout: Duration::from_millis(bounds.idle_ms),
                 ..DEFAULT_LIMITS
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -15,12 +15,12 @@
 
 /// The limits that apply until a configuration sets others.
 const DEFAULT_LIMITS: Limits = Limits {
-    head_bytes: 32 * 1024,
-    body_bytes: 1024 * 1024,
+    max_head_bytes: 32 * 1024,
+    max_body_bytes: 1024 * 1024,
     head_timeout: Duration::from_secs(5),
     idle_timeout: Duration::from_secs(60),
-    pipeline: 16,
-    response_bytes: 16 * 1024 * 1024,
+    max_pipelined_requests: 16,
+    max_response_body_bytes: 16 * 1024 * 1024,
     link_bytes_per_second: None,
 };
 /// Number of bytes in a megabit.
--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -92,7 +92,7 @@
                 return ControlFlow::Break(self.fail("invalid response status"));
             }
             Ok(head) if head.status < 200 => {}
-            Ok(head) => match BodyReader::new(head.framing, limits.response_bytes) {
+            Ok(head) => match BodyReader::new(head.framing, limits.max_response_body_bytes) {
                 Ok(body) => self.response = Some(PartialResponse { head, body }),
                 Err(_) => return ControlFlow::Break(self.fail("the response is too large")),
             },
--- a/http-line/src/limits.rs
+++ b/http-line/src/limits.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Maximum size of a request head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Maximum size of a decoded request body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Maximum time from the first byte of a request to the end of its head.
     pub head_timeout: Duration,
     /// Maximum time a connection may be without a request. Also the time allowed
@@ -16,9 +16,9 @@
     /// maximum time without progress while a response is being written.
     pub idle_timeout: Duration,
     /// Maximum number of requests in flight on one connection.
-    pub pipeline: usize,
+    pub max_pipelined_requests: usize,
     /// Maximum size of the decoded body of a response to a call, in bytes.
-    pub response_bytes: usize,
+    pub max_response_body_bytes: usize,
     /// Bandwidth of the machine's network link in bytes per second, fixed when
     /// the event loop is opened. Responses are paced to a fraction of it; they
     /// are not paced if it is `None`.
@@ -28,12 +28,12 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head_bytes: 16 * 1024,
-            body_bytes: 1024 * 1024,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 1024 * 1024,
             head_timeout: Duration::from_secs(10),
             idle_timeout: Duration::from_secs(60),
-            pipeline: 16,
-            response_bytes: 64 * 1024 * 1024,
+            max_pipelined_requests: 16,
+            max_response_body_bytes: 64 * 1024 * 1024,
             link_bytes_per_second: None,
         }
     }
--- a/http-line/src/server_connection.rs
+++ b/http-line/src/server_connection.rs
@@ -119,7 +119,7 @@
 
     /// Returns true if reading is paused because too much is in flight.
     fn is_paused(&self, limits: &Limits) -> bool {
-        self.pending_requests.len() >= limits.pipeline.max(1)
+        self.pending_requests.len() >= limits.max_pipelined_requests.max(1)
             || self.output.remaining() > MAX_UNSENT_BYTES
     }
 
--- a/http-line/src/server_connection/reader.rs
+++ b/http-line/src/server_connection/reader.rs
@@ -131,7 +131,7 @@
             return true;
         }
         let end = find_head_end(rest, self.scanned_bytes);
-        if end.unwrap_or(rest.len()) > limits.head_bytes {
+        if end.unwrap_or(rest.len()) > limits.max_head_bytes {
             self.reject(431, "the head is too large");
             return true;
         }
@@ -160,7 +160,7 @@
         now: Instant,
         requests: &mut Vec<PipelinedRequest>,
     ) {
-        let Ok(body) = BodyReader::new(head.framing, limits.body_bytes) else {
+        let Ok(body) = BodyReader::new(head.framing, limits.max_body_bytes) else {
             return self.reject(413, "the body is too large");
         };
         let has_no_body = head.framing == Framing::Length(0);
--- a/http-line/src/server_connection/tests.rs
+++ b/http-line/src/server_connection/tests.rs
@@ -22,9 +22,9 @@
     fn new() -> TestServer {
         let now = Instant::now();
         let limits = Limits {
-            head_bytes: 200,
-            body_bytes: 10,
-            pipeline: 3,
+            max_head_bytes: 200,
+            max_body_bytes: 10,
+            max_pipelined_requests: 3,
             ..Limits::default()
         };
         TestServer {
@@ -280,7 +280,7 @@
     /// and everything that was written.
     fn serve_in_steps(&mut self, input: &[u8], max_step: usize) -> (Vec<String>, String) {
         let mut server = TestServer::new();
-        server.limits.pipeline = 2;
+        server.limits.max_pipelined_requests = 2;
         let (mut requests, mut written) = (Vec::new(), String::new());
         let (mut offset, mut next) = (0, 0);
         loop {
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -56,7 +56,7 @@
 #[test]
 fn pipelined_responses_keep_request_order() {
     let harness = Harness::new(Limits {
-        pipeline: 2,
+        max_pipelined_requests: 2,
         ..Limits::default()
     });
     let mut peer = harness.peer();
--- a/http-line/tests/loopback_faults.rs
+++ b/http-line/tests/loopback_faults.rs
@@ -328,7 +328,7 @@
 #[test]
 fn close_behind_unread_requests_is_reported() {
     let limits = Limits {
-        pipeline: 1,
+        max_pipelined_requests: 1,
         ..Limits::default()
     };
     for half_close in [false, true] {
