--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -42,7 +42,7 @@
                 node.http,
                 &node.zone,
                 node.name.trim_start_matches("origin-"),
-                Deployment::key_of(&node.zone),
+                Deployment::signing_key(&node.zone),
             );
             origin.content = Some(folder.join("content-version"));
             let origin = Arc::new(origin);
@@ -57,39 +57,42 @@
             stop,
             version: 0,
         };
-        let up = Fleet::wait(MAX_WAIT, &mut || {
-            system.fleet.control.iter().all(Node::ready)
-                || !system.fleet.control.iter_mut().all(Node::runs)
+        let up = Fleet::wait_until(MAX_WAIT, &mut || {
+            system.fleet.control.iter().all(Node::is_ready)
+                || !system.fleet.control.iter_mut().all(Node::is_running)
         });
-        if !up || !system.fleet.control.iter().all(Node::ready) {
+        if !up || !system.fleet.control.iter().all(Node::is_ready) {
             return None;
         }
         assert_eq!(
             system
-                .operate("PUT", "origins", &system.fleet.origins_text(&[]), None)
+                .request_as_operator("PUT", "origins", &system.fleet.origins_document(&[]), None)
                 .0,
             200
         );
         let (status, body) =
-            system.operate("PUT", "configuration", &deployment.document(&[1]), None);
+            system.request_as_operator("PUT", "configuration", &deployment.document(&[1]), None);
         assert_eq!(status, 200, "{body}");
         system.version = body["version"].as_u64()?;
         let edges = &mut system.fleet.edges;
-        let up = Fleet::wait(MAX_WAIT, &mut || {
-            edges.iter().all(Node::ready) || !edges.iter_mut().all(Node::runs)
+        let up = Fleet::wait_until(MAX_WAIT, &mut || {
+            edges.iter().all(Node::is_ready) || !edges.iter_mut().all(Node::is_running)
         });
-        (up && system.fleet.edges.iter().all(Node::ready)).then_some(system)
+        (up && system.fleet.edges.iter().all(Node::is_ready)).then_some(system)
     }
 
     /// Makes an operator call and checks request and response against the schema.
-    fn operate(
+    fn request_as_operator(
         &self,
         method: &str,
         what: &str,
         body: &str,
         expect: Option<u64>,
     ) -> (u16, serde_json::Value) {
-        let (status, response_body) = self.fleet.operate(method, what, body, expect).unwrap();
+        let (status, response_body) = self
+            .fleet
+            .request_as_operator(method, what, body, expect)
+            .unwrap();
         self.check_schema(
             method,
             &format!("/.otterslip/v1/{what}"),
@@ -113,7 +116,7 @@
             self.schema.request(method, path, &sent).unwrap();
         }
         self.schema
-            .answer(method, path, status, response_body)
+            .response(method, path, status, response_body)
             .unwrap_or_else(|error| panic!("{method} {path} {status}: {error}; {response_body}"));
     }
 
@@ -127,7 +130,7 @@
         body: &str,
     ) -> (u16, BTreeMap<String, String>, serde_json::Value) {
         let url = format!("http://{}{path}", self.fleet.edges[edge].http);
-        let mut request = direct(method, &url).timeout(MAX_WAIT);
+        let mut request = request_without_proxy(method, &url).timeout(MAX_WAIT);
         for (name, value) in headers {
             request = request
                 .try_header(
@@ -162,7 +165,7 @@
         body: &str,
     ) -> serde_json::Value {
         let mut last = serde_json::Value::Null;
-        let is_served = Fleet::wait(MAX_WAIT, &mut || {
+        let is_served = Fleet::wait_until(MAX_WAIT, &mut || {
             let (status, _, response_body) = self.call(edge, method, path, headers, body);
             last = response_body;
             status == 200
@@ -220,7 +223,7 @@
 fn check_new_ledger_waits_until_opened(system: &TestSystem) {
     let headers = [("Operation-Key", "too-soon"), ("Authorization", "Bearer a")];
     let mut response_body = serde_json::Value::Null;
-    Fleet::wait(MAX_WAIT, &mut || {
+    Fleet::wait_until(MAX_WAIT, &mut || {
         response_body = system.call(0, "POST", "/reservation/1", &headers, "").2;
         response_body["code"] == "ledger_recovering"
     });
@@ -232,7 +235,7 @@
         (1..=75).contains(&response_body["retry_after_s"].as_u64().unwrap()),
         "{response_body}"
     );
-    let (status, rejection_body) = system.operate(
+    let (status, rejection_body) = system.request_as_operator(
         "POST",
         "ledger/open",
         r#"{"realm":"0000000000000009"}"#,
@@ -244,8 +247,8 @@
         "the realm of another generation is rejected"
     );
     system.fleet.open_ledger().unwrap();
-    assert!(Fleet::wait(MAX_WAIT, &mut || system
-        .operate("GET", "state", "", None)
+    assert!(Fleet::wait_until(MAX_WAIT, &mut || system
+        .request_as_operator("GET", "state", "", None)
         .1["ledger"]["closed_s"]
         == 0.0));
 }
@@ -313,7 +316,7 @@
     // If the origin executes the request and its response is lost, it is not executed again.
     system.set_fault("booking", "lose-answer");
     let headers = [("Operation-Key", "k-2")];
-    let is_unknown = Fleet::wait(MAX_WAIT, &mut || {
+    let is_unknown = Fleet::wait_until(MAX_WAIT, &mut || {
         system.call(2, "POST", "/reservation/2", &headers, "x").2["outcome"] == "unknown"
     });
     assert!(is_unknown && system.executions_of("k-2") == 1);
@@ -382,10 +385,14 @@
     );
     // Invalid input at the mesh and HTTP ports ends only its own connection.
     for node in system.fleet.control.iter().chain(&system.fleet.edges) {
-        let mesh: SocketAddr = node.words
-            [node.words.iter().position(|word| word == "--mesh").unwrap() + 1]
-            .parse()
-            .unwrap();
+        let mesh: SocketAddr = node.command_line[node
+            .command_line
+            .iter()
+            .position(|word| word == "--mesh")
+            .unwrap()
+            + 1]
+        .parse()
+        .unwrap();
         for address in [mesh, node.http] {
             let mut stream = TcpStream::connect(address).unwrap();
             let _ = stream.write_all(&[0xff; 64]);
@@ -420,14 +427,17 @@
     // Responses fetched after the acknowledgement of a purge are new.
     system.call_until_served(0, "GET", "/listing/1", &[], "");
     fs::write(system.fleet.folder.join("content-version"), "2").unwrap();
-    assert_eq!(system.operate("POST", "purges", r#"{"prefix":"/listing/","entry":null,"url":null}"#.replace(r#","entry":null,"url":null"#, "").as_str(), None).0, 200);
+    assert_eq!(system.request_as_operator("POST", "purges", r#"{"prefix":"/listing/","entry":null,"url":null}"#.replace(r#","entry":null,"url":null"#, "").as_str(), None).0, 200);
     for edge in 0..3 {
         assert_eq!(
             system.call_until_served(edge, "GET", "/listing/1", &[], "")["version"],
             2
         );
     }
-    assert_eq!(system.operate("POST", "purges", "{}", None).0, 422);
+    assert_eq!(
+        system.request_as_operator("POST", "purges", "{}", None).0,
+        422
+    );
     // Of two concurrent changes one succeeds, and the other gets the version in effect.
     let deployment = Deployment::find("small").unwrap();
     let documents = [deployment.document(&[1, 2]), deployment.document(&[1, 3])];
@@ -477,7 +487,7 @@
     let bad = deployment
         .document(&[1, 999])
         .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
-    let (status, rejection_body) = system.operate("PUT", "configuration", &bad, None);
+    let (status, rejection_body) = system.request_as_operator("PUT", "configuration", &bad, None);
     assert_eq!(
         (status, rejection_body["findings"].as_array().map(Vec::len)),
         (422, Some(2))
@@ -485,14 +495,14 @@
     assert_eq!(system.call(0, "POST", "/marker/999", &[], "").0, 404);
     for node in &system.fleet.control {
         let url = format!("http://{}/.otterslip/v1/configuration", node.http);
-        let response = direct("GET", &url).send().unwrap();
+        let response = request_without_proxy("GET", &url).send().unwrap();
         assert_eq!(response.text_utf8().unwrap(), documents[winner]);
     }
     // A change with thousands of entries takes effect like a small one.
     let many: Vec<u64> = (2000..6000).collect();
     assert_eq!(
         system
-            .operate("PUT", "configuration", &deployment.document(&many), None)
+            .request_as_operator("PUT", "configuration", &deployment.document(&many), None)
             .0,
         200
     );
@@ -501,14 +511,14 @@
     }
     assert_eq!(
         system
-            .operate("PUT", "configuration", &documents[winner], None)
+            .request_as_operator("PUT", "configuration", &documents[winner], None)
             .0,
         200
     );
     assert_eq!(system.call(1, "POST", "/marker/5999", &[], "").0, 404);
     check_items_are_set_and_removed(system);
     for what in ["duties", "state", "origins", "live", "ready", "schema"] {
-        assert_eq!(system.operate("GET", what, "", None).0, 200);
+        assert_eq!(system.request_as_operator("GET", what, "", None).0, 200);
     }
 }
 
@@ -519,7 +529,9 @@
         json!({ "kind": "entry", "name": name, "revision": revision, "value":
             { "name": name, "path": format!("/{name}/"), "methods": ["POST"], "group": group, "rank": 3, "kind": "keyed", "aim_ms": 200 } })
     };
-    let put = |items: serde_json::Value| system.operate("PATCH", "items", &items.to_string(), None);
+    let put = |items: serde_json::Value| {
+        system.request_as_operator("PATCH", "items", &items.to_string(), None)
+    };
     let serves = |name: &str| {
         (0..3)
             .map(|edge| system.call(edge, "POST", &format!("/{name}/1"), &[], "").0)
@@ -545,7 +557,7 @@
         (422, &json!("/1/group"))
     );
     assert_eq!(serves("other"), [404; 3]);
-    let (_, response_body) = system.operate("GET", "items", "", None);
+    let (_, response_body) = system.request_as_operator("GET", "items", "", None);
     assert_eq!(response_body["items"], json!([entry("part", 5, "booking")]));
     let removal = system.fleet.folder.join("gone.json");
     fs::write(
@@ -606,7 +618,8 @@
             .trim_end()
             == before.trim_end()
     };
-    assert!(Fleet::wait(MAX_WAIT, &mut || versions(system).len() >= 2
+    assert!(Fleet::wait_until(MAX_WAIT, &mut || versions(system).len()
+        >= 2
         && is_in_history(*versions(system).last().unwrap())));
     let (first, latest) = (versions(system)[0], *versions(system).last().unwrap());
     let (stdout, _, _) = operate(
@@ -640,7 +653,7 @@
     for slot in 0..3 {
         let store = system.fleet.folder.join(format!("data-{slot}/history"));
         // The history writer thread may still be writing there.
-        let is_corrupted = Fleet::wait(MAX_WAIT, &mut || {
+        let is_corrupted = Fleet::wait_until(MAX_WAIT, &mut || {
             let _ = fs::remove_dir_all(&store);
             fs::write(&store, "broken").is_ok()
         });
@@ -667,7 +680,7 @@
     system.fleet.control[0].kill();
     let deployment = Deployment::find("small").unwrap();
     let (status, response_body) =
-        system.operate("PUT", "configuration", &deployment.document(&[1, 7]), None);
+        system.request_as_operator("PUT", "configuration", &deployment.document(&[1, 7]), None);
     assert_eq!(status, 200, "{response_body}");
     system.call_until_served(
         1,
@@ -695,13 +708,13 @@
     let folder = system.fleet.folder.clone();
     Fleet::start(&folder, &mut system.fleet.control[0]).unwrap();
     let node = &system.fleet.control[0];
-    assert!(Fleet::wait(MAX_WAIT, &mut || node.ready()));
+    assert!(Fleet::wait_until(MAX_WAIT, &mut || node.is_ready()));
     // An edge that receives SIGTERM drains and ends; the others take over its assignments.
     system.fleet.edges[0].signal("-TERM");
     assert!(system.fleet.edges[0].ended(MAX_WAIT));
-    let stopped_edge = system.fleet.edges[0].words[2].clone();
-    let is_reassigned = Fleet::wait(MAX_WAIT, &mut || {
-        let (_, response_body) = system.operate("GET", "duties", "", None);
+    let stopped_edge = system.fleet.edges[0].command_line[2].clone();
+    let is_reassigned = Fleet::wait_until(MAX_WAIT, &mut || {
+        let (_, response_body) = system.request_as_operator("GET", "duties", "", None);
         response_body["duties"].as_array().is_some_and(|list| {
             list.iter().all(|assignment| {
                 assignment["holder"]
--- a/stand-ins/src/bin/run-fleet/faults.rs
+++ b/stand-ins/src/bin/run-fleet/faults.rs
@@ -34,7 +34,7 @@
         };
         Fleet::start(&folder, node)?;
         let before = Instant::now();
-        let ready = Fleet::wait(Duration::from_secs(15), &mut || node.ready());
+        let ready = Fleet::wait_until(Duration::from_secs(15), &mut || node.is_ready());
         let (name, subject) = (node.name.clone(), node.http.to_string());
         self.fleet.record_event("ready-again", &subject, 0, ready);
         println!(
@@ -57,8 +57,8 @@
         }
         let nodes = &self.fleet.control;
         let before = Instant::now();
-        let ready = Fleet::wait(Duration::from_secs(15), &mut || {
-            nodes.iter().all(Node::ready)
+        let ready = Fleet::wait_until(Duration::from_secs(15), &mut || {
+            nodes.iter().all(Node::is_ready)
         });
         println!(
             "{:6.1} s  disks of {slots:?} removed; control ready again ({ready}) after {} ms",
@@ -175,7 +175,9 @@
             .take(max_origins)
         {
             let url = format!("http://{}/.stand-in/fault/{name}", node.http);
-            let _ = direct("PUT", &url).timeout(Duration::from_secs(2)).send();
+            let _ = request_without_proxy("PUT", &url)
+                .timeout(Duration::from_secs(2))
+                .send();
         }
     }
 }
--- a/stand-ins/src/bin/run-fleet/markers.rs
+++ b/stand-ins/src/bin/run-fleet/markers.rs
@@ -83,7 +83,10 @@
 /// there is no entry.
 fn is_in_effect(edge: SocketAddr, marker: u64) -> Option<bool> {
     let url = format!("http://{edge}/marker/{marker}");
-    let response = direct("POST", &url).timeout(PROBE_TIMEOUT).send().ok()?;
+    let response = request_without_proxy("POST", &url)
+        .timeout(PROBE_TIMEOUT)
+        .send()
+        .ok()?;
     match response.status().as_u16() {
         400 => Some(true),
         404 => Some(false),
--- a/stand-ins/src/bin/run-fleet/operators.rs
+++ b/stand-ins/src/bin/run-fleet/operators.rs
@@ -10,7 +10,9 @@
         let text = self.deployment.document(&self.markers);
         let marker = *self.markers.last().context("marker")?;
         let before = Instant::now();
-        let (status, body) = self.fleet.operate("PUT", "configuration", &text, expect)?;
+        let (status, body) =
+            self.fleet
+                .request_as_operator("PUT", "configuration", &text, expect)?;
         if status == 200 {
             let version = body["version"].as_u64().unwrap_or(0);
             self.acknowledged = Some((version, text));
@@ -37,7 +39,7 @@
     pub(crate) fn purge(&self, prefix: &str, version: u64) -> Result<()> {
         self.fleet.record_event("fault", "purge", 0, true);
         let before = Instant::now();
-        let (status, body) = self.fleet.operate(
+        let (status, body) = self.fleet.request_as_operator(
             "POST",
             "purges",
             &json!({ "prefix": prefix }).to_string(),
@@ -58,7 +60,9 @@
         let Some((version, text)) = &self.acknowledged else {
             return Ok(());
         };
-        let (status, body) = self.fleet.operate("GET", "configuration", "", None)?;
+        let (status, body) = self
+            .fleet
+            .request_as_operator("GET", "configuration", "", None)?;
         let same = status == 200
             && Some(&body)
                 == serde_json::from_str::<serde_json::Value>(text)
@@ -122,7 +126,9 @@
             .deployment
             .document(&[1, 2, 999])
             .replace("\"rank\": 0", "\"rank\": 0, \"colour\": 1");
-        let (status, body) = self.fleet.operate("PUT", "configuration", &text, None)?;
+        let (status, body) = self
+            .fleet
+            .request_as_operator("PUT", "configuration", &text, None)?;
         let finding_count = body["findings"].as_array().map_or(0, Vec::len);
         println!(
             "{:6.1} s  invalid configuration: {status} with {finding_count} findings",
--- a/stand-ins/src/bin/run-fleet/scripts.rs
+++ b/stand-ins/src/bin/run-fleet/scripts.rs
@@ -88,8 +88,8 @@
         self.fleet.record_event("returned", "all", 0, true);
         let edges = &self.fleet.edges;
         let before = Instant::now();
-        let ready = Fleet::wait(Duration::from_secs(15), &mut || {
-            edges.iter().all(Node::ready)
+        let ready = Fleet::wait_until(Duration::from_secs(15), &mut || {
+            edges.iter().all(Node::is_ready)
         });
         println!(
             "{:6.1} s  all ready again ({ready}) after {} ms",
@@ -173,7 +173,7 @@
         Fleet::start(&self.fleet.folder, &mut standby)?;
         self.kill(true, 1);
         let before = Instant::now();
-        let was_taken = Fleet::wait(Duration::from_secs(15), &mut || standby.ready());
+        let was_taken = Fleet::wait_until(Duration::from_secs(15), &mut || standby.is_ready());
         println!(
             "{:6.1} s  an empty node at another address took the slot ({was_taken}) after {} ms",
             self.elapsed_s(),
--- a/stand-ins/src/bin/stand-in-origin.rs
+++ b/stand-ins/src/bin/stand-in-origin.rs
@@ -20,7 +20,7 @@
         address.context("address")?,
         &service,
         &instance,
-        Deployment::key_of(&service),
+        Deployment::signing_key(&service),
     );
     origin.delay = Duration::from_millis(delay.unwrap_or(5));
     origin.content = content.filter(|path| !path.is_empty()).map(Into::into);
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -97,7 +97,7 @@
         while !self.stop.load(Ordering::Acquire) {
             let candidates = self.plan.edges.iter().filter(|(edge, _)| {
                 let url = format!("http://{edge}/.otterslip/v1/ready");
-                direct("GET", &url)
+                request_without_proxy("GET", &url)
                     .timeout(Duration::from_millis(300))
                     .send()
                     .is_ok_and(|response| response.is_success())
@@ -210,7 +210,7 @@
         operation: operation.map(Into::into),
         ..CallerRecord::default()
     };
-    let mut request = direct(&mix.method, &format!("http://{edge}{path}"))
+    let mut request = request_without_proxy(&mix.method, &format!("http://{edge}{path}"))
         .connect_timeout(Duration::from_secs(2))
         .timeout(Duration::from_secs(12));
     if let (Some(operation), Some(caller)) = (operation, &caller) {
--- a/stand-ins/src/deployment.rs
+++ b/stand-ins/src/deployment.rs
@@ -274,7 +274,7 @@
     }
 
     /// Returns the signing key of the origins of a service.
-    pub fn key_of(service: &str) -> SigningKey {
+    pub fn signing_key(service: &str) -> SigningKey {
         SigningKey::from_bytes(&Sha256::digest(service.as_bytes()).into())
     }
 
@@ -291,7 +291,7 @@
             .services
             .iter()
             .map(|service| {
-                let key = BASE64.encode(Deployment::key_of(service.name).verifying_key().to_bytes());
+                let key = BASE64.encode(Deployment::signing_key(service.name).verifying_key().to_bytes());
                 json!({ "service": service.name, "rate": service.rate, "concurrency": service.concurrency, "key": key })
             })
             .collect();
--- a/stand-ins/src/flags.rs
+++ b/stand-ins/src/flags.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// Creates a request that ignores proxy settings in the environment.
-pub fn direct(method: &str, url: &str) -> attohttpc::RequestBuilder {
+pub fn request_without_proxy(method: &str, url: &str) -> attohttpc::RequestBuilder {
     let method = attohttpc::Method::from_bytes(method.as_bytes()).unwrap_or_default();
     attohttpc::RequestBuilder::new(method, url)
         .proxy_settings(attohttpc::ProxySettings::builder().build())
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -20,7 +20,7 @@
     /// Name of the process and its log file.
     pub name: String,
     /// Program and its arguments.
-    pub words: Vec<String>,
+    pub command_line: Vec<String>,
     /// HTTP address.
     pub http: SocketAddr,
     /// Zone of a node, or service of an origin.
@@ -72,18 +72,18 @@
     ) -> Result<Node> {
         let http = free_address()?;
         let seeds: Vec<String> = seeds.iter().map(SocketAddr::to_string).collect();
-        let mut words = vec![program.to_string()];
+        let mut command_line = vec![program.to_string()];
         for (flag, value) in [
             ("--mesh", mesh.to_string()),
             ("--http", http.to_string()),
             ("--zone", zone.into()),
             ("--seeds", seeds.join(",")),
         ] {
-            words.extend([flag.to_string(), value]);
+            command_line.extend([flag.to_string(), value]);
         }
         Ok(Node {
             name,
-            words,
+            command_line,
             http,
             zone: zone.into(),
             child: None,
@@ -91,7 +91,7 @@
     }
 
     fn start(&mut self, folder: &Path) -> Result<()> {
-        let program = std::env::current_exe()?.with_file_name(&self.words[0]);
+        let program = std::env::current_exe()?.with_file_name(&self.command_line[0]);
         // Test programs are in a subfolder of the folder with the programs.
         let program = if program.exists() {
             program
@@ -100,14 +100,14 @@
                 .parent()
                 .and_then(Path::parent)
                 .context("folder")?
-                .join(&self.words[0])
+                .join(&self.command_line[0])
         };
         let log = OpenOptions::new()
             .create(true)
             .append(true)
             .open(folder.join(format!("{}.log", self.name)))?;
         let child = Command::new(&program)
-            .args(&self.words[1..])
+            .args(&self.command_line[1..])
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -150,14 +150,14 @@
     }
 
     /// Returns true while the process is running.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Returns true if the node reports that it is ready.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         http(self.http, "GET", "ready", "").is_ok_and(|(status, _)| status == 200)
     }
 }
@@ -205,7 +205,7 @@
     body: &str,
     expect: Option<u64>,
 ) -> Result<OperatorResponse> {
-    let mut request = direct(method, &format!("http://{to}/.otterslip/v1/{path}"))
+    let mut request = request_without_proxy(method, &format!("http://{to}/.otterslip/v1/{path}"))
         .timeout(Duration::from_secs(16));
     if let Some(version) = expect {
         request = request.header("If-Match", format!("\"{version}\""));
@@ -248,7 +248,7 @@
 }
 
 fn wait_until_ready(name: &str, nodes: &[Node], limit: Duration) -> Result<()> {
-    if !Fleet::wait(limit, &mut || nodes.iter().all(Node::ready)) {
+    if !Fleet::wait_until(limit, &mut || nodes.iter().all(Node::is_ready)) {
         bail!("{name} are not ready after {} s", limit.as_secs());
     }
     Ok(())
@@ -288,7 +288,7 @@
                 seeds,
             )?;
             let data = folder.join(format!("data-{slot}")).display().to_string();
-            node.words.extend(["--data".into(), data]);
+            node.command_line.extend(["--data".into(), data]);
             Ok(node)
         };
         seeds.iter().enumerate().map(plan).collect()
@@ -318,7 +318,7 @@
     /// Plans a stand-in origin of a service at this address.
     pub fn origin(folder: &Path, service: &str, instance: &str, http: SocketAddr) -> Node {
         let path = |name: &str| folder.join(name).display().to_string();
-        let words = [
+        let command_line = [
             "stand-in-origin",
             "--http",
             &http.to_string(),
@@ -333,7 +333,7 @@
         ];
         Node {
             name: format!("origin-{instance}"),
-            words: words.map(Into::into).into(),
+            command_line: command_line.map(Into::into).into(),
             http,
             zone: service.into(),
             child: None,
@@ -342,7 +342,7 @@
 
     /// Plans an empty control node at another address, with the same seeds.
     pub fn standby(&self) -> Result<Node> {
-        let mut words = self.control[0].words.clone();
+        let mut command_line = self.control[0].command_line.clone();
         let http = free_address()?;
         let data = self.folder.join("data-standby").display().to_string();
         for (flag, value) in [
@@ -350,12 +350,15 @@
             ("--http", http.to_string()),
             ("--data", data),
         ] {
-            let index = words.iter().position(|word| word == flag).context("flag")?;
-            words[index + 1] = value;
+            let index = command_line
+                .iter()
+                .position(|word| word == flag)
+                .context("flag")?;
+            command_line[index + 1] = value;
         }
         Ok(Node {
             name: "control-standby".into(),
-            words,
+            command_line,
             http,
             zone: "standby".into(),
             child: None,
@@ -398,7 +401,7 @@
 
     /// Returns the platform's list of origins, with the given instances marked
     /// as draining.
-    pub fn origins_text(&self, draining: &[String]) -> String {
+    pub fn origins_document(&self, draining: &[String]) -> String {
         let list: Vec<_> = self
             .origins
             .iter()
@@ -412,7 +415,7 @@
     }
 
     /// Sends an operator's request to the first control node that responds.
-    pub fn operate(
+    pub fn request_as_operator(
         &self,
         method: &str,
         path: &str,
@@ -462,15 +465,15 @@
     /// Opens the ledger of a new fleet, once the generation has an identifier.
     pub fn open_ledger(&self) -> Result<()> {
         let mut generation = String::new();
-        Fleet::wait(Duration::from_secs(20), &mut || {
+        Fleet::wait_until(Duration::from_secs(20), &mut || {
             let state = self
-                .operate("GET", "state", "", None)
+                .request_as_operator("GET", "state", "", None)
                 .map(|(_, state)| state)
                 .unwrap_or_default();
             generation = state["ledger"]["realm"].as_str().unwrap_or_default().into();
             generation.bytes().any(|byte| byte != b'0')
         });
-        let (status, body) = self.operate(
+        let (status, body) = self.request_as_operator(
             "POST",
             "ledger/open",
             &json!({ "realm": generation }).to_string(),
@@ -507,7 +510,8 @@
     ///
     /// Returns an error if no control node accepted the list.
     pub fn put_origins(&self, draining: &[String]) -> Result<()> {
-        let (status, body) = self.operate("PUT", "origins", &self.origins_text(draining), None)?;
+        let (status, body) =
+            self.request_as_operator("PUT", "origins", &self.origins_document(draining), None)?;
         if status != 200 {
             bail!("origins: {status} {body}");
         }
@@ -515,7 +519,7 @@
     }
 
     /// Waits until `done` returns true; returns false if the limit was reached.
-    pub fn wait(limit: Duration, done: &mut dyn FnMut() -> bool) -> bool {
+    pub fn wait_until(limit: Duration, done: &mut dyn FnMut() -> bool) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
             if done() {
--- a/stand-ins/src/platform_soak/mod.rs
+++ b/stand-ins/src/platform_soak/mod.rs
@@ -117,7 +117,7 @@
         });
         operators.send_initial_configuration(&mut SeededRandom::new(plan.seed))?;
         let all_ready = || balancer.ready_count() == plan.shape.machines;
-        if !Fleet::wait(STARTUP_TIMEOUT, &mut { all_ready }) {
+        if !Fleet::wait_until(STARTUP_TIMEOUT, &mut { all_ready }) {
             bail!("{} edges are ready", balancer.ready_count());
         }
         Ok(PlatformSoak {
--- a/stand-ins/src/platform_soak/operators.rs
+++ b/stand-ins/src/platform_soak/operators.rs
@@ -243,7 +243,7 @@
             let address = self
                 .machines
                 .control_plane(control[attempt % control.len()]);
-            let response = direct("GET", &format!("http://{address}/config"))
+            let response = request_without_proxy("GET", &format!("http://{address}/config"))
                 .timeout(RESPONSE_TIMEOUT * 2)
                 .send();
             if let Ok(response) = response
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use crate::caller::{CallerPlan, Traffic};
 pub use crate::checker::{Checker, JUDGED, Verdict};
 pub use crate::deployment::Deployment;
-pub use crate::flags::{Flags, direct};
+pub use crate::flags::{Flags, request_without_proxy};
 pub use crate::fleet::{Fleet, Node};
 pub use crate::history::{
     DocumentOperation, HistoryResult, ItemRecord, OperatorRecord, RevisedOperation, check_document,
--- a/stand-ins/src/schema_check.rs
+++ b/stand-ins/src/schema_check.rs
@@ -48,7 +48,7 @@
 
     /// Checks that the schema describes the status of a response and that the
     /// body matches.
-    pub fn answer(
+    pub fn response(
         &self,
         method: &str,
         path: &str,
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -83,7 +83,7 @@
         for node in &mut fleet.origins {
             let relay = Relay::new(free_address()?, stop.clone())?;
             let instance = node.name.trim_start_matches("origin-").to_string();
-            let key = Deployment::key_of(&node.zone);
+            let key = Deployment::signing_key(&node.zone);
             let mut origin = StandInOrigin::new(node.http, &node.zone, &instance, key);
             origin.delay = PROCESSING_TIME;
             origin.content = Some(plan.folder.join("content-version"));
@@ -99,7 +99,7 @@
         fleet.wait_for_control(STARTUP_TIMEOUT)?;
         fleet.put_origins(&[])?;
         let (status, body) =
-            fleet.operate("PUT", "configuration", &deployment.document(&[1]), None)?;
+            fleet.request_as_operator("PUT", "configuration", &deployment.document(&[1]), None)?;
         if status != 200 {
             bail!("configuration: {status} {body}");
         }
@@ -216,7 +216,7 @@
             &self.downtimes,
         );
         verdict.count_reports(&self.plan.folder)?;
-        let (status, state) = self.fleet.operate("GET", "state", "", None)?;
+        let (status, state) = self.fleet.request_as_operator("GET", "state", "", None)?;
         if status == 200 {
             verdict.count_usage(&state);
         }
