--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -20,12 +20,18 @@
         };
         let verdict = Soak::run(plan).unwrap();
         assert!(
-            verdict.broken.is_empty(),
+            verdict.violations.is_empty(),
             "seed {seed}: {:#?}",
-            verdict.broken
+            verdict.violations
+        );
+        assert!(
+            verdict.disconnected > MIN_DISCONNECTS,
+            "seed {seed}: {verdict}"
+        );
+        assert!(
+            verdict.in_progress_at_disconnect > 0,
+            "seed {seed}: {verdict}"
         );
-        assert!(verdict.left > MIN_DISCONNECTS, "seed {seed}: {verdict}");
-        assert!(verdict.sent_before > 0, "seed {seed}: {verdict}");
         let _ = fs::remove_dir_all(folder);
     }
 }
--- a/stand-ins/src/bin/platform-soak.rs
+++ b/stand-ins/src/bin/platform-soak.rs
@@ -49,10 +49,10 @@
         let run_folder = plan.folder.clone();
         let verdict = platform_soak::run(plan)?;
         println!("seed {seed} {scenario:?}: {}", verdict.summary());
-        for violation in verdict.broken.iter().take(6) {
+        for violation in verdict.violations.iter().take(6) {
             println!("  {}: {}", violation.rule, violation.text);
         }
-        if !verdict.broken.is_empty() {
+        if !verdict.violations.is_empty() {
             broken += 1;
         } else if !keeps {
             fs::remove_dir_all(run_folder)?;
--- a/stand-ins/src/bin/soak.rs
+++ b/stand-ins/src/bin/soak.rs
@@ -34,14 +34,14 @@
         let run_folder = plan.folder.clone();
         let verdict = Soak::run(plan)?;
         println!("seed {seed}: {verdict}");
-        for line in verdict.broken.iter().take(10) {
+        for line in verdict.violations.iter().take(10) {
             println!("  {line}");
         }
-        if verdict.broken.is_empty() {
+        if verdict.violations.is_empty() {
             fs::remove_dir_all(run_folder)?;
         }
         total.add(verdict);
     }
     println!("{seeds} seeds: {total}");
-    std::process::exit(i32::from(!total.broken.is_empty()));
+    std::process::exit(i32::from(!total.violations.is_empty()));
 }
--- a/stand-ins/src/platform_soak/mod.rs
+++ b/stand-ins/src/platform_soak/mod.rs
@@ -195,7 +195,7 @@
 
     fn write_report(&self, verdict: &PlatformVerdict) -> Result<()> {
         let mut lines = vec![verdict.summary()];
-        for violation in &verdict.broken {
+        for violation in &verdict.violations {
             lines.push(format!("{}: {}", violation.rule, violation.text));
         }
         for event in self.observations.process_events() {
--- a/stand-ins/src/platform_soak/verdict.rs
+++ b/stand-ins/src/platform_soak/verdict.rs
@@ -14,13 +14,13 @@
 /// Results of a run.
 pub struct PlatformVerdict {
     /// Number of request attempts.
-    pub tries: usize,
+    pub attempts: usize,
     /// Number of operations that clients began.
     pub operations: usize,
     /// Number of operations with a successful response in time.
     pub served: usize,
-    /// Number of orders of operators.
-    pub orders: usize,
+    /// Number of requests of operators, each with all its attempts.
+    pub operator_requests: usize,
     /// Number of processes that received SIGTERM.
     pub stops: usize,
     /// Number of processes that were killed at the end of their grace period.
@@ -31,8 +31,8 @@
     /// Number of other attempts that ended without a response but within the
     /// rules.
     pub excused_losses: usize,
-    /// Number of orders that were checked against the acknowledgement bound.
-    pub checked_orders: usize,
+    /// Number of operator requests that were checked against the acknowledgement bound.
+    pub checked_operator_requests: usize,
     /// Time from an order to its acknowledgement, in milliseconds.
     pub acknowledgement_ms: Histogram<u64>,
     /// Time from the listing of an origin as draining to the last request that
@@ -41,7 +41,7 @@
     /// Time from SIGTERM to the end of the process, in milliseconds.
     pub stop_ms: Histogram<u64>,
     /// Violations of the rules.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
 }
 
 /// Violation of a rule.
@@ -119,27 +119,27 @@
 
     fn new(run: &RunObservations, operations: &[ClientOperation]) -> PlatformVerdict {
         PlatformVerdict {
-            tries: run.attempts.len(),
+            attempts: run.attempts.len(),
             operations: operations.len(),
             served: operations
                 .iter()
                 .filter(|operation| operation.served)
                 .count(),
-            orders: run.orders.len(),
+            operator_requests: run.orders.len(),
             stops: 0,
             killed_after_grace: 0,
             lost_within_slack: 0,
             excused_losses: 0,
-            checked_orders: 0,
+            checked_operator_requests: 0,
             acknowledgement_ms: histogram(),
             drain_ms: histogram(),
             stop_ms: histogram(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
     fn add_violation(&mut self, rule: &'static str, text: String) {
-        self.broken.push(Violation { rule, text });
+        self.violations.push(Violation { rule, text });
     }
 
     fn check_processes(&mut self, run: &RunObservations) {
@@ -199,7 +199,7 @@
             if !run.contact.is_settled(order.sent, order.sent + limit) {
                 continue;
             }
-            self.checked_orders += 1;
+            self.checked_operator_requests += 1;
             let delay = order
                 .acknowledged
                 .map_or(f64::INFINITY, |at| at - order.sent);
@@ -238,18 +238,18 @@
             )
         };
         let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
-        for violation in &self.broken {
+        for violation in &self.violations {
             *by_rule.entry(violation.rule).or_default() += 1;
         }
         format!(
             "{} of {} operations served, {} attempts ({} lost within the slack, {} otherwise ended within the rules), {} orders ({} checked), {} stops ({} killed after the grace period); {}; {}; {}; violations {:?}",
             self.served,
             self.operations,
-            self.tries,
+            self.attempts,
             self.lost_within_slack,
             self.excused_losses,
-            self.orders,
-            self.checked_orders,
+            self.operator_requests,
+            self.checked_operator_requests,
             self.stops,
             self.killed_after_grace,
             percentiles("acknowledgement", &self.acknowledgement_ms),
--- a/stand-ins/src/soak/verdict.rs
+++ b/stand-ins/src/soak/verdict.rs
@@ -10,14 +10,14 @@
     /// Number of requests with a successful response.
     pub served: usize,
     /// Number of clients that disconnected before their response.
-    pub left: usize,
+    pub disconnected: usize,
     /// Number of origin calls that were sent before their client disconnected.
-    pub sent_before: usize,
+    pub in_progress_at_disconnect: usize,
     /// Maximum time that calls continued after their client disconnected, in
     /// milliseconds.
     pub longest_ms: u64,
     /// Descriptions of the violations.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Maximum time in seconds until work for a disconnected client ends; the
@@ -53,7 +53,7 @@
                 verdict.check_half_closed(request, downtimes);
                 continue;
             };
-            verdict.left += 1;
+            verdict.disconnected += 1;
             if request.kind == RequestKind::Cached {
                 continue; // The call serves other clients, too; the edges check it.
             }
@@ -72,7 +72,7 @@
             .iter()
             .any(|downtime| downtime.edge == request.edge);
         if request.mode == DisconnectMode::HalfCloses && request.status == 0 && !was_down {
-            self.broken
+            self.violations
                 .push(format!("{} got no response: {request:?}", request.path));
         }
     }
@@ -87,7 +87,7 @@
         let bound = detectable_at + MAX_ABANDONED_WORK_S;
         if forwarded.at > bound {
             let delay_s = forwarded.at - disconnected_at;
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "{} sent to the origin {delay_s:.3} s after the disconnect",
                 forwarded.path
             ));
@@ -95,12 +95,12 @@
         if forwarded.at > disconnected_at {
             return;
         }
-        self.sent_before += 1;
+        self.in_progress_at_disconnect += 1;
         let ended = forwarded.ended.unwrap_or(f64::MAX);
         if request.kind == RequestKind::Repeatable {
             if ended > bound {
                 let path = &forwarded.path;
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{path} still in progress: {forwarded:?}, disconnected at {disconnected_at:.3}"
                 ));
             } else if ended > disconnected_at && detectable_at == disconnected_at {
@@ -123,7 +123,7 @@
                 codes.iter().any(|code| line.contains(code)) || line.contains("panicked")
             };
             for line in text.lines().filter(is_violation) {
-                self.broken.push(format!("{}: {line}", path.display()));
+                self.violations.push(format!("{}: {line}", path.display()));
             }
         }
         Ok(())
@@ -134,7 +134,7 @@
         for session in state["edges"].as_array().into_iter().flatten() {
             let abandoned = session["usage"]["abandoned"].as_u64().unwrap_or(0);
             if abandoned > 0 {
-                self.broken
+                self.violations
                     .push(format!("abandoned work {abandoned}: {session}"));
             }
         }
@@ -144,10 +144,10 @@
     pub fn add(&mut self, other: SoakVerdict) {
         self.requests += other.requests;
         self.served += other.served;
-        self.left += other.left;
-        self.sent_before += other.sent_before;
+        self.disconnected += other.disconnected;
+        self.in_progress_at_disconnect += other.in_progress_at_disconnect;
         self.longest_ms = self.longest_ms.max(other.longest_ms);
-        self.broken.extend(other.broken);
+        self.violations.extend(other.violations);
     }
 }
 
@@ -172,10 +172,10 @@
             "{} requests, {} served, {} clients disconnected ({} of their calls in progress, ended within {} ms), {} violations",
             self.requests,
             self.served,
-            self.left,
-            self.sent_before,
+            self.disconnected,
+            self.in_progress_at_disconnect,
             self.longest_ms,
-            self.broken.len()
+            self.violations.len()
         )
     }
 }
