--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -271,7 +271,7 @@
 
 #[test]
 fn unread_peer_queue_is_bounded_and_urgent_goes_first() {
-    const LARGE: usize = 100_000;
+    const LARGE_BYTES: usize = 100_000;
     let limits = QueueLimits {
         peer_bulk: 1_000_000,
         ..QueueLimits::default()
@@ -284,11 +284,11 @@
     node.send(to, urgent(0));
     let (mut stream, _) = listener.accept().unwrap();
     for id in 0..40 {
-        node.send(to, bulk(id, LARGE));
+        node.send(to, bulk(id, LARGE_BYTES));
     }
     let dropped = node.links.counters().dropped_bulk.get();
     assert!(dropped >= 20, "{dropped} of 40 messages of 100 kB dropped");
-    assert!(node.links.queued_bytes() <= 1_000_000 + LARGE + 200);
+    assert!(node.links.queued_bytes() <= 1_000_000 + LARGE_BYTES + 200);
     wait_until("the socket buffers are full", || {
         let before = node.links.queued_bytes();
         thread::sleep(Duration::from_millis(100));
@@ -435,7 +435,7 @@
 #[test]
 fn unprocessed_backlog_is_bounded_and_complete() {
     const COUNT: u64 = 100;
-    const LARGE: usize = 200_000;
+    const LARGE_BYTES: usize = 200_000;
     let limits = QueueLimits {
         peer_bulk: 64 * 1024 * 1024,
         process_bulk: 64 * 1024 * 1024,
@@ -443,14 +443,14 @@
     };
     let (one, other) = (Node::start_with(limits), Node::start());
     for id in 0..COUNT {
-        one.send(other.me.address, bulk(id, LARGE));
+        one.send(other.me.address, bulk(id, LARGE_BYTES));
     }
     wait_until("reading has paused", || {
         other.links.backlog_bytes() >= 4 * 1024 * 1024
     });
     thread::sleep(Duration::from_millis(100));
     // The limit, the reads of one turn, and a message that was partially read before.
-    let max_backlog = 4 * 1024 * 1024 + 4 * 64 * 1024 + LARGE + 1_000;
+    let max_backlog = 4 * 1024 * 1024 + 4 * 64 * 1024 + LARGE_BYTES + 1_000;
     assert!(other.links.backlog_bytes() <= max_backlog);
     for id in 0..COUNT {
         let (_, message) = other.receive();
--- a/stand-ins/src/platform_soak/verdict/configuration.rs
+++ b/stand-ins/src/platform_soak/verdict/configuration.rs
@@ -16,10 +16,10 @@
 fn versions_of(orders: &[Order]) -> VersionsByRoute<'_> {
     let mut versions = VersionsByRoute::new();
     for order in orders {
-        let OrderContent::Routes(list) = &order.content else {
+        let OrderContent::Routes(order_versions) = &order.content else {
             continue;
         };
-        for version in list {
+        for version in order_versions {
             let list = versions.entry(version.route).or_default();
             list.push(SentVersion { version, order });
         }
