--- a/control-plane/src/control_node/failure_detector.rs
+++ b/control-plane/src/control_node/failure_detector.rs
@@ -36,17 +36,17 @@
 
     /// Returns true if a member with its last contact at this time is lost.
     pub(super) fn is_lost(&self, now: Duration, last_contact: Duration) -> bool {
-        self.is_silent(now, last_contact, MEMBER_LOSS_TIMEOUT)
+        self.is_unresponsive(now, last_contact, MEMBER_LOSS_TIMEOUT)
     }
 
-    /// Returns true if a member with its last contact at this time has been silent for this timeout.
-    pub(super) fn is_silent(
+    /// Returns true if a member with its last contact at this time has been unresponsive for this timeout.
+    pub(super) fn is_unresponsive(
         &self,
         now: Duration,
         last_contact: Duration,
         timeout: Duration,
     ) -> bool {
-        let silent_since = last_contact.max(self.unpaused_since);
-        self.is_unpaused(now) && now >= silent_since + timeout
+        let unresponsive_since = last_contact.max(self.unpaused_since);
+        self.is_unpaused(now) && now >= unresponsive_since + timeout
     }
 }
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 /// Number of recall periods before a leader serves.
-const RECALL_ROUNDS: u32 = 1;
+const RECALL_PERIOD_COUNT: u32 = 1;
 /// Number of recall periods in the configuration's partition: one more than in the others, since it names the
 /// generation, which must happen after recall in all partitions.
-const CONFIGURATION_RECALL_ROUNDS: u32 = 2;
+const CONFIGURATION_RECALL_PERIOD_COUNT: u32 = 2;
 
 /// Returns the append without its rows, for a replica that already holds them and maybe later ones: a delayed full
 /// state must not remove those.
@@ -209,12 +209,12 @@
         };
         // Includes a partition whose founding was begun but not completed by another leader.
         if is_ledger_closed || !leader.rows.contains_key("founded") {
-            let rounds = if partition == CONFIGURATION_PARTITION {
-                CONFIGURATION_RECALL_ROUNDS
+            let period_count = if partition == CONFIGURATION_PARTITION {
+                CONFIGURATION_RECALL_PERIOD_COUNT
             } else {
-                RECALL_ROUNDS
+                RECALL_PERIOD_COUNT
             };
-            leader.recall_until = Some(now + lease::RECALL_PERIOD * rounds);
+            leader.recall_until = Some(now + lease::RECALL_PERIOD * period_count);
         }
         let (epoch, version) = (leader.epoch, leader.version);
         self.assignments.tokens_at_grant = self.sessions.issued_tokens();
--- a/control-plane/src/control_node/succession.rs
+++ b/control-plane/src/control_node/succession.rs
@@ -18,7 +18,7 @@
 use super::slot_handover::JOINER_TIMEOUT;
 use super::*;
 
-/// Time for which members are silent before others succeed them: longer than edges' leases, sessions and the time after
+/// Time for which members are unresponsive before others succeed them: longer than edges' leases, sessions and the time after
 /// which a majority replaces a single lost member.
 const SUCCESSION_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -108,7 +108,7 @@
         Some(members)
     }
 
-    /// Returns the silent slots, if they are as many as may be lost and the other slots make no majority.
+    /// Returns the unresponsive slots, if they are as many as may be lost and the other slots make no majority.
     fn lost_without_majority(&self, now: Duration) -> Option<Vec<u8>> {
         let tolerated = self.succession.tolerated_losses;
         if self.slot == NO_SLOT || tolerated == 0 || self.members.len() != 2 * tolerated {
@@ -116,16 +116,16 @@
         }
         let lost: Vec<u8> = self
             .other_slots()
-            .filter(|slot| self.is_slot_silent(now, *slot))
+            .filter(|slot| self.is_slot_unresponsive(now, *slot))
             .collect();
         (lost.len() == tolerated).then_some(lost)
     }
 
-    fn is_slot_silent(&self, now: Duration, slot: u8) -> bool {
+    fn is_slot_unresponsive(&self, now: Duration, slot: u8) -> bool {
         let last_message = self.last_messages.get(&slot).copied();
         let last_contact = last_message.unwrap_or(self.table_adopted_at);
         self.failure_detector
-            .is_silent(now, last_contact, SUCCESSION_TIMEOUT)
+            .is_unresponsive(now, last_contact, SUCCESSION_TIMEOUT)
     }
 
     fn surviving_slots(&self, lost: &[u8]) -> impl Iterator<Item = u8> {
--- a/control-plane/src/control_node/succession/tests.rs
+++ b/control-plane/src/control_node/succession/tests.rs
@@ -44,13 +44,13 @@
         let now = Duration::from_millis(ms);
         let mut inputs = VecDeque::from([Input::Tick]);
         for slot in (0..scenario.slots).filter(|slot| *slot != scenario.own) {
-            let is_silent = ms > LOST_AFTER_MS && !scenario.received.contains(&slot);
+            let is_unresponsive = ms > LOST_AFTER_MS && !scenario.received.contains(&slot);
             let mut heartbeat = member_heartbeat(slot as u8);
             if ms > LOST_AFTER_MS {
                 heartbeat.heard_slots = scenario.received_by_others.iter().copied().collect();
                 heartbeat.mutual_contacts = heartbeat.heard_slots;
             }
-            if !is_silent {
+            if !is_unresponsive {
                 inputs.push_front(Input::MessageReceived {
                     from: peer(slot),
                     message: heartbeat.into(),
