--- a/kernel/src/frame.rs
+++ b/kernel/src/frame.rs
@@ -122,7 +122,7 @@
     }
 
     /// Appends the complete message as one frame.
-    pub fn write_whole(&self, out: &mut Vec<u8>) {
+    pub fn write_unchunked(&self, out: &mut Vec<u8>) {
         self.write_frame(0, self.len(), 0, out);
     }
 
@@ -157,7 +157,7 @@
 /// Encodes a message as one frame.
 pub fn write(from: Peer, message: &Message) -> Result<Vec<u8>, EncodeError> {
     let mut frame = Vec::new();
-    EncodedMessage::new(from, message)?.write_whole(&mut frame);
+    EncodedMessage::new(from, message)?.write_unchunked(&mut frame);
     Ok(frame)
 }
 
--- a/kernel/src/items.rs
+++ b/kernel/src/items.rs
@@ -1,17 +1,17 @@
 //! Named items of the configuration, merged into one document.
 use crate::prelude::*;
 
-/// The parsed parts of the configuration: the document and the named items.
+/// The parsed contents of the configuration: the document and the named items.
 /// Invariants:
-/// - `parts` holds, for each row key, the version and the parsed content of the row.
+/// - `contents` holds, for each row key, the version and the parsed content of the row.
 /// - The document and all items take effect together: names and paths must be
 ///   unique among them, and they are valid only as a whole.
 #[derive(Debug, Default, Clone)]
 pub struct Items {
-    parts: BTreeMap<String, (u64, ItemContent)>,
+    contents: BTreeMap<String, (u64, ItemContent)>,
 }
 
-/// The parsed content of one part.
+/// The parsed content of the document or of one item.
 #[derive(Debug, Clone)]
 pub(crate) enum ItemContent {
     Document(Arc<Configuration>),
@@ -21,7 +21,7 @@
     Removed,
 }
 
-/// All parts merged into one document, with the bounds if any are set.
+/// All contents merged into one document, with the bounds if any are set.
 pub type Merged = (Configuration, Option<Arc<Bounds>>);
 
 impl Items {
@@ -44,20 +44,21 @@
     /// findings are relative to the item.
     pub fn apply_row(&mut self, key: &str, row: &Row) -> Result<bool, Vec<Finding>> {
         if self
-            .parts
+            .contents
             .get(key)
             .is_some_and(|(version, _)| *version == row.version)
         {
             return Ok(false);
         }
-        let part = match &row.value {
+        let content = match &row.value {
             Value::Configuration { text, .. } => {
                 ItemContent::Document(Arc::new(Configuration::read(text)?))
             }
             Value::Item(item) => Items::read(item)?,
             _ => return Ok(false),
         };
-        self.parts.insert(key.to_string(), (row.version, part));
+        self.contents
+            .insert(key.to_string(), (row.version, content));
         Ok(true)
     }
 
@@ -65,18 +66,18 @@
         let Some(text) = &item.text else {
             return Ok(ItemContent::Removed);
         };
-        let part = match item.kind {
+        let content = match item.kind {
             ItemKind::Group => ItemContent::Group(Arc::new(parse_content(text)?)),
             ItemKind::Entry => ItemContent::Entry(Arc::new(parse_content(text)?)),
             ItemKind::Bounds => ItemContent::Bounds(Arc::new(parse_content(text)?)),
         };
-        let own_name = match &part {
+        let own_name = match &content {
             ItemContent::Group(group) => group.service.as_str(),
             ItemContent::Entry(entry) => entry.name.as_str(),
             _ => "",
         };
         if own_name == item.name {
-            Ok(part)
+            Ok(content)
         } else {
             Err(vec![Finding::new(
                 "",
@@ -91,7 +92,7 @@
         Items::read(item).err().unwrap_or_default()
     }
 
-    /// Returns all current parts as one document, with the bounds if any are set.
+    /// Returns all current contents as one document, with the bounds if any are set.
     /// Each finding's place starts with the row key of its item.
     pub fn merged(&self) -> Result<Merged, Vec<Finding>> {
         self.merge_with_keys().map_err(|findings| {
@@ -111,8 +112,8 @@
         };
         let (mut group_keys, mut entry_keys) = (Vec::new(), Vec::new());
         let mut bounds = None;
-        for (key, (_, part)) in &self.parts {
-            match part {
+        for (key, (_, content)) in &self.contents {
+            match content {
                 ItemContent::Document(base) => {
                     document.groups.extend(base.groups.iter().cloned());
                     document.entries.extend(base.entries.iter().cloned());
@@ -150,20 +151,20 @@
         Err(findings.into_iter().map(with_item_key).collect())
     }
 
-    /// Inserts a part that is not stored in a row yet, to validate it together with
+    /// Inserts content that is not stored in a row yet, to validate it together with
     /// the others.
-    pub(crate) fn insert_unstored(&mut self, key: String, part: ItemContent) {
-        self.parts.insert(key, (0, part));
+    pub(crate) fn insert_unstored(&mut self, key: String, content: ItemContent) {
+        self.contents.insert(key, (0, content));
     }
 }
 
-/// Parses and validates one part by itself; returns all findings.
+/// Parses and validates the content of one item by itself; returns all findings.
 fn parse_content<T: for<'a> Deserialize<'a> + Validate>(text: &str) -> Result<T, Vec<Finding>> {
-    let part: T =
+    let content: T =
         serde_json::from_str(text).map_err(|error| vec![Finding::new("", error.to_string())])?;
-    let findings = findings_of(part.validate());
+    let findings = findings_of(content.validate());
     if findings.is_empty() {
-        Ok(part)
+        Ok(content)
     } else {
         Err(findings)
     }
--- a/kernel/src/link/backlog.rs
+++ b/kernel/src/link/backlog.rs
@@ -4,9 +4,9 @@
 
 /// Backlog size, in bytes, at which reading pauses: the senders' queues then fill up
 /// and drop messages.
-const PAUSE_BYTES: usize = 4 * 1024 * 1024;
+const HIGH_WATERMARK_BYTES: usize = 4 * 1024 * 1024;
 /// Backlog size, in bytes, below which reading resumes.
-const RESUME_BYTES: usize = PAUSE_BYTES / 2;
+const LOW_WATERMARK_BYTES: usize = HIGH_WATERMARK_BYTES / 2;
 
 /// Counts the bytes of received messages on their way, in order, from the event
 /// loop to the thread that processes them.
@@ -34,17 +34,17 @@
             return false;
         };
         let left = self.bytes.fetch_sub(bytes, Ordering::SeqCst) - bytes;
-        left < RESUME_BYTES && self.paused.swap(false, Ordering::SeqCst)
+        left < LOW_WATERMARK_BYTES && self.paused.swap(false, Ordering::SeqCst)
     }
 
     /// Returns true if reading must wait; `remove_earliest` then reports when it may resume.
     pub(super) fn is_full(&self) -> bool {
-        if self.bytes.load(Ordering::SeqCst) < PAUSE_BYTES {
+        if self.bytes.load(Ordering::SeqCst) < HIGH_WATERMARK_BYTES {
             return false;
         }
         self.paused.store(true, Ordering::SeqCst);
         // The backlog may have been drained in between.
-        let low = self.bytes.load(Ordering::SeqCst) < RESUME_BYTES;
+        let low = self.bytes.load(Ordering::SeqCst) < LOW_WATERMARK_BYTES;
         !(low && self.paused.swap(false, Ordering::SeqCst))
     }
 
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -23,8 +23,8 @@
 /// Approximate time after which an idle session to a machine that disappeared ends
 /// (TCP keepalive).
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(15);
-/// Pause before accepting again after the system had no descriptor for a new session.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before accepting again after the system had no descriptor for a new session.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Size of the socket receive buffer. Kept small: a message is better held in the
 /// sender's queue, where urgent messages go first.
 const RECEIVE_BYTES: usize = 256 * 1024;
@@ -151,7 +151,7 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
                     ) => {}
                 Err(_) => {
-                    self.resume_accept_at = Some(self.now + ACCEPT_PAUSE);
+                    self.resume_accept_at = Some(self.now + ACCEPT_RETRY_DELAY);
                     return;
                 }
             }
--- a/kernel/src/link/queue.rs
+++ b/kernel/src/link/queue.rs
@@ -126,7 +126,7 @@
         };
         while out.len() < enough {
             if let Some(message) = queue.pop_urgent() {
-                message.write_whole(out);
+                message.write_unchunked(out);
                 self.urgent_bytes.remove(&message);
             } else if queue.bulk.is_empty() {
                 return;
