--- a/stand-ins/src/bin/run-fleet/faults.rs
+++ b/stand-ins/src/bin/run-fleet/faults.rs
@@ -13,7 +13,7 @@
         node.kill();
         println!(
             "{:6.1} s  killed {}",
-            self.began.elapsed().as_secs_f64(),
+            self.traffic_started_at.elapsed().as_secs_f64(),
             node.name
         );
         self.fleet.record_event("killed", &subject, 0, true);
--- a/stand-ins/src/bin/run-fleet/main.rs
+++ b/stand-ins/src/bin/run-fleet/main.rs
@@ -20,11 +20,11 @@
         return Ok(());
     }
     let mut clients = run.start_clients(options.seconds, options.seed)?;
-    run.began = Instant::now();
+    run.traffic_started_at = Instant::now();
     let watch = MarkerWatch::start(&run.fleet);
     match options.faults.as_str() {
         "script" => run.change_script()?,
-        "power" => run.power_cut()?,
+        "power" => run.simulate_power_loss()?,
         "disks" => run.disk_losses()?,
         "turn" => run.rolling_restart()?,
         "core" => run.control_node_faults()?,
@@ -45,7 +45,7 @@
     /// Version and text of the document that was acknowledged last.
     pub(crate) acknowledged: Option<(u64, String)>,
     /// Time at which traffic began.
-    pub(crate) began: Instant,
+    pub(crate) traffic_started_at: Instant,
 }
 
 impl Run {
@@ -55,7 +55,7 @@
             deployment: options.deployment.clone(),
             markers: vec![1],
             acknowledged: None,
-            began: Instant::now(),
+            traffic_started_at: Instant::now(),
         })
     }
 
@@ -75,11 +75,13 @@
 
     /// Returns the seconds since traffic began.
     pub(crate) fn elapsed_s(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.traffic_started_at.elapsed().as_secs_f64()
     }
 
     /// Sleeps until the given number of seconds after traffic began.
     pub(crate) fn sleep_until(&self, second: u64) {
-        thread::sleep(Duration::from_secs(second).saturating_sub(self.began.elapsed()));
+        thread::sleep(
+            Duration::from_secs(second).saturating_sub(self.traffic_started_at.elapsed()),
+        );
     }
 }
--- a/stand-ins/src/bin/run-fleet/scripts.rs
+++ b/stand-ins/src/bin/run-fleet/scripts.rs
@@ -72,7 +72,7 @@
     }
 
     /// Kills all processes at once and restarts them.
-    pub(crate) fn power_cut(&mut self) -> Result<()> {
+    pub(crate) fn simulate_power_loss(&mut self) -> Result<()> {
         self.sleep_until(10);
         for at in 0..self.fleet.control.len() {
             self.kill(true, at);
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -29,7 +29,7 @@
 const WORKERS: usize = 96;
 /// Percentage of operation keys that are sent again to an edge in another zone
 /// although they succeeded.
-const REPEAT_PERCENT: u64 = 15;
+const RESEND_PERCENT: u64 = 15;
 
 /// Clients that send requests at a fixed rate to the edges that are ready.
 pub struct Traffic {
@@ -65,10 +65,10 @@
             })
             .collect();
         let mut random = SeededRandom::new(seed);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut serial = 0u64;
-        while began.elapsed() < Duration::from_secs(seconds) {
-            let target = (began.elapsed().as_secs_f64() * rate as f64) as u64;
+        while started_at.elapsed() < Duration::from_secs(seconds) {
+            let target = (started_at.elapsed().as_secs_f64() * rate as f64) as u64;
             while serial < target {
                 serial += 1;
                 if let Some(planned) = traffic.draw(&mut random, serial) {
@@ -161,7 +161,7 @@
         let hash = Sha256::digest(format!("{operation}{}", planned.attempts).as_bytes());
         let succeeded = record.status == 200;
         let repeats = if succeeded {
-            u64::from(hash[0]) % 100 < REPEAT_PERCENT && planned.attempts == 0
+            u64::from(hash[0]) % 100 < RESEND_PERCENT && planned.attempts == 0
         } else {
             planned.attempts < 4
         };
--- a/stand-ins/src/platform_soak/keep_alive_client.rs
+++ b/stand-ins/src/platform_soak/keep_alive_client.rs
@@ -22,7 +22,7 @@
 /// Percentage of requests on idempotent routes that are pipelined.
 const PIPELINE_PERCENT: u64 = 20;
 /// Percentage of keyed operations that are sent again on a new connection.
-const REPEAT_PERCENT: u64 = 5;
+const RESEND_PERCENT: u64 = 5;
 /// Percentage of clients that reconnect to their edge as long as it listens.
 const STICKY_PERCENT: u64 = 50;
 /// Percentage of think times that last `LONG_THINK_TIME`.
@@ -147,7 +147,7 @@
         }
         let operations = &self.context.observations;
         operations.add_operation(ClientOperation { sent, served });
-        if request.key.is_some() && self.random.chance(REPEAT_PERCENT) {
+        if request.key.is_some() && self.random.chance(RESEND_PERCENT) {
             self.connection = None;
             self.attempt(&request, DEADLINE);
         }
--- a/stand-ins/src/platform_soak/observations.rs
+++ b/stand-ins/src/platform_soak/observations.rs
@@ -139,7 +139,7 @@
     pub routes: usize,
     /// Control machine and status of each response; status 0 if no response
     /// arrived.
-    pub answers: Vec<(usize, u16)>,
+    pub responses: Vec<(usize, u16)>,
     /// Status with which the order was rejected.
     pub refused: Option<u16>,
 }
--- a/stand-ins/src/platform_soak/operators.rs
+++ b/stand-ins/src/platform_soak/operators.rs
@@ -25,7 +25,7 @@
 /// Percentage of sends whose response is not read.
 const LOST_RESPONSE_PERCENT: u64 = 5;
 /// Percentage of acknowledged orders that are sent again.
-const REPEAT_PERCENT: u64 = 10;
+const RESEND_PERCENT: u64 = 10;
 /// Maximum number of routes in one order.
 const MAX_ROUTES_PER_ORDER: u64 = 3;
 
@@ -76,7 +76,7 @@
                     sent: now,
                     acknowledged: Some(now),
                     routes: versions.len(),
-                    answers: Vec::new(),
+                    responses: Vec::new(),
                     refused: None,
                 });
                 self.routes.acknowledge(&versions);
@@ -189,7 +189,7 @@
             sent: wall(),
             acknowledged: None,
             routes: self.routes.count(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             refused: None,
         };
         let until = Instant::now() + ORDER_TIMEOUT;
@@ -204,7 +204,7 @@
         }
         if let (Some(_), OrderContent::Routes(versions)) = (order.acknowledged, &order.content) {
             self.routes.acknowledge(versions);
-            if random.chance(REPEAT_PERCENT) {
+            if random.chance(RESEND_PERCENT) {
                 let (machine, status) = self.send(prepared, random);
                 order.record_status(machine, status);
             }
@@ -261,7 +261,7 @@
 impl Order {
     /// Records the status of a response.
     fn record_status(&mut self, machine: usize, status: u16) {
-        self.answers.push((machine, status));
+        self.responses.push((machine, status));
         match status {
             200..300 => {
                 self.acknowledged.get_or_insert(wall());
--- a/stand-ins/src/platform_soak/shape.rs
+++ b/stand-ins/src/platform_soak/shape.rs
@@ -50,9 +50,9 @@
     pub address_reuse: f64,
     /// Value of `max_lag_s` of the platform's list.
     pub list_lag: f64,
-    /// Minimum share of requests that are served, from 0 to 1: at most 60 % may
+    /// Minimum fraction of requests that are served, from 0 to 1: at most 60 % may
     /// be rejected or fail.
-    pub served_share: f64,
+    pub min_served_fraction: f64,
 }
 
 const BOUNDS: RuleBounds = RuleBounds {
@@ -65,7 +65,7 @@
     config_apply: 2.5,
     address_reuse: 2.0,
     list_lag: 0.8,
-    served_share: 0.4,
+    min_served_fraction: 0.4,
 };
 
 /// Known shapes; the loopback network of a run has room for the largest.
--- a/stand-ins/src/platform_soak/verdict.rs
+++ b/stand-ins/src/platform_soak/verdict.rs
@@ -105,7 +105,7 @@
         };
         let mut verdict = PlatformVerdict::new(&run, &observations.operations());
         verdict.check_processes(&run);
-        verdict.check_served_share(&run);
+        verdict.check_served_fraction(&run);
         if scenario.is_planned() {
             verdict.check_losses(&run);
         }
@@ -169,9 +169,9 @@
         }
     }
 
-    fn check_served_share(&mut self, run: &RunObservations) {
-        let share = self.served as f64 / self.operations.max(1) as f64;
-        if share < run.shape.bounds.served_share {
+    fn check_served_fraction(&mut self, run: &RunObservations) {
+        let fraction = self.served as f64 / self.operations.max(1) as f64;
+        if fraction < run.shape.bounds.min_served_fraction {
             let text = format!("{} of {} served", self.served, self.operations);
             self.add_violation("FLOOR", text);
         }
--- a/stand-ins/src/platform_soak/verdict/losses.rs
+++ b/stand-ins/src/platform_soak/verdict/losses.rs
@@ -3,9 +3,9 @@
 use super::super::routes::DEADLINE_MS;
 use super::{PlatformVerdict, RunObservations};
 
-/// Share of the deadline from which an attempt counts as having reached its
+/// Fraction of the deadline from which an attempt counts as having reached its
 /// deadline.
-const DEADLINE_SHARE: f64 = 0.99;
+const DEADLINE_FRACTION: f64 = 0.99;
 
 impl PlatformVerdict {
     pub(super) fn check_losses(&mut self, run: &RunObservations) {
@@ -59,7 +59,7 @@
         if arrivals.is_empty() && duration_s <= bounds.loss_slack {
             return Some(LossExcuse::WithinSlack);
         }
-        if duration_s >= deadline * DEADLINE_SHARE {
+        if duration_s >= deadline * DEADLINE_FRACTION {
             return Some(LossExcuse::DeadlineReached);
         }
         let was_processing = arrivals
--- a/stand-ins/src/soak/disconnecting_client.rs
+++ b/stand-ins/src/soak/disconnecting_client.rs
@@ -79,9 +79,9 @@
 
     /// Sends requests for the span or until `stop` is set.
     pub fn run(mut self, span: Duration, stop: &AtomicBool) -> Vec<ClientRequest> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut requests = Vec::new();
-        while began.elapsed() < span && !stop.load(Ordering::Acquire) {
+        while started_at.elapsed() < span && !stop.load(Ordering::Acquire) {
             match self.run_client() {
                 Ok(list) => requests.extend(list),
                 // The edge is down; the next client chooses an edge again.
--- a/stand-ins/src/soak/mod.rs
+++ b/stand-ins/src/soak/mod.rs
@@ -134,13 +134,13 @@
     }
 
     fn inject_faults(&mut self, plan: FaultPlan) -> Result<()> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for step in plan.steps {
-            thread::sleep(step.at.saturating_sub(began.elapsed()));
-            println!("{:6.2} s  {step}", began.elapsed().as_secs_f64());
+            thread::sleep(step.at.saturating_sub(started_at.elapsed()));
+            println!("{:6.2} s  {step}", started_at.elapsed().as_secs_f64());
             self.apply(&step.fault, step.starts)?;
         }
-        thread::sleep(self.plan.span.saturating_sub(began.elapsed()));
+        thread::sleep(self.plan.span.saturating_sub(started_at.elapsed()));
         Ok(())
     }
 
