--- a/control-plane/src/control_node/succession.rs
+++ b/control-plane/src/control_node/succession.rs
@@ -18,8 +18,8 @@
 use super::slot_handover::JOINER_TIMEOUT;
 use super::*;
 
-/// Time for which members are unresponsive before others succeed them: longer than edges' leases, sessions and the time after
-/// which a majority replaces a single lost member.
+/// Time for which members are unresponsive before others succeed them: longer than edges' leases, sessions and the time
+/// after which a majority replaces a single lost member.
 const SUCCESSION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// State needed to replace lost members without a majority.
