--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -102,7 +102,7 @@
 const NEAR_CACHE_DIVISOR: u64 = 2;
 /// The default of `with_shutdown_grace`.
 const DEFAULT_SHUTDOWN_GRACE: Duration = Duration::from_secs(20);
-/// Clients on kept connections are served for at least the shutdown grace divided by
+/// Clients on keep-alive connections are served for at least the shutdown grace divided by
 /// this.
 const CLIENT_DRAIN_DIVISOR: u32 = 4;
 /// The default of `with_retry_allowance`.
@@ -293,7 +293,7 @@
     }
 
     /// Completes a requested shutdown: closes the sessions once other edges have taken
-    /// over the assignments, clients on kept connections were served for a while, and
+    /// over the assignments, clients on keep-alive connections were served for a while, and
     /// all active requests are finished.
     fn finish_shutdown(&mut self, now: Duration) {
         let Some(since) = self.shutdown_requested_at else {
--- a/data-plane/tests/client_disconnects.rs
+++ b/data-plane/tests/client_disconnects.rs
@@ -219,7 +219,7 @@
         let key = ActiveRequest::cache_key(&client_request("/copy", "GET"));
         let message: Message = match owner_reply {
             OwnerReply::Copy => {
-                let copy = CachedResponse {
+                let cached_response = CachedResponse {
                     reply: reply(200),
                     purge_version: 0,
                     age: millis(0),
@@ -232,7 +232,7 @@
                     id,
                     key,
                     max_wait: wait,
-                    response: copy,
+                    response: cached_response,
                 }
                 .into()
             }
--- a/programs/examples/session_storm.rs
+++ b/programs/examples/session_storm.rs
@@ -20,7 +20,7 @@
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time from the first start to the first report.
-const SETTLE_TIME: Duration = Duration::from_secs(8);
+const FIRST_REPORT_DELAY: Duration = Duration::from_secs(8);
 /// Time from the restart to the last report.
 const STORM_TIME: Duration = Duration::from_secs(12);
 /// Number of control nodes.
@@ -301,7 +301,7 @@
         })
         .collect::<Result<Vec<_>>>()?;
     let control = start_control(program, &slots, &folder)?;
-    thread::sleep(SETTLE_TIME);
+    thread::sleep(FIRST_REPORT_DELAY);
     report("after the first start", &control, &edges, &received);
     stop_control(control)?;
     thread::sleep(Duration::from_secs(1));
