--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -137,8 +137,8 @@
         let mut applied = self.bounds.lock().expect("no holder panics");
         if applied.as_ref() != Some(&bounds) {
             self.event_loop.wait().set_limits(Limits {
-                head_bytes: bounds.head_bytes as usize,
-                body_bytes: bounds.body_bytes as usize,
+                max_head_bytes: bounds.head_bytes as usize,
+                max_body_bytes: bounds.body_bytes as usize,
                 head_timeout: Duration::from_millis(bounds.head_ms),
                 idle_timeout: Duration::from_millis(bounds.idle_ms),
                 ..DEFAULT_LIMITS
@@ -155,7 +155,7 @@
         let entry = request.entry();
         let latency_target = entry.aim_ms.map_or(entry.deadline(), Duration::from_millis);
         let is_large = self.response_sizes.expected(&entry.name) > LARGE_RESPONSE_BYTES;
-        let is_full = is_large && self.event_loop.wait().backlog() > latency_target;
+        let is_full = is_large && self.event_loop.wait().send_backlog() > latency_target;
         is_full.then(|| {
             let text = "the link of this edge is full";
             Rejection::not_run(429, "link_full", text).with_retry_after(LINK_FULL_RETRY_AFTER)
@@ -226,7 +226,7 @@
                 request: request.expect("made once"),
             }
         };
-        self.port.begin(&input, Box::new(respond));
+        self.port.start_request(&input, Box::new(respond));
     }
 
     /// Writes the state machine's response.
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -15,12 +15,12 @@
 
 /// The limits that apply until a configuration sets others.
 const DEFAULT_LIMITS: Limits = Limits {
-    head_bytes: 32 * 1024,
-    body_bytes: 1024 * 1024,
+    max_head_bytes: 32 * 1024,
+    max_body_bytes: 1024 * 1024,
     head_timeout: Duration::from_secs(5),
     idle_timeout: Duration::from_secs(60),
-    pipeline: 16,
-    response_bytes: 16 * 1024 * 1024,
+    max_pipelined_requests: 16,
+    max_response_body_bytes: 16 * 1024 * 1024,
     link_bytes_per_second: None,
 };
 /// Number of bytes in a megabit.
@@ -82,7 +82,10 @@
         if !handler.may_send(&call) {
             return handler.complete_call(id, CallOutcome::NotSent);
         }
-        let CallHeaders { headers, echo } = self.protocol.origin_headers(&call);
+        let CallHeaders {
+            headers,
+            required_response_header,
+        } = self.protocol.origin_headers(&call);
         let outgoing = http_line::Call {
             id,
             address: call.origin.address,
@@ -92,7 +95,7 @@
             body: call.body.clone(),
             timeout: call.timeout,
             request: Some(call.request),
-            echo,
+            required_response_header,
             max_connections: call.max_connections,
         };
         handler.register_call(id, call);
@@ -113,9 +116,9 @@
         }
     }
 
-    fn link_delay(&self, delay: Duration) {
+    fn record_link_delay(&self, delay: Duration) {
         if let Some(event_loop) = self.event_loop() {
-            event_loop.link_delay(delay);
+            event_loop.record_link_delay(delay);
         }
     }
 
--- a/http-line/src/client_connection/reader.rs
+++ b/http-line/src/client_connection/reader.rs
@@ -92,7 +92,7 @@
                 return ControlFlow::Break(self.fail("invalid response status"));
             }
             Ok(head) if head.status < 200 => {}
-            Ok(head) => match BodyReader::new(head.framing, limits.response_bytes) {
+            Ok(head) => match BodyReader::new(head.framing, limits.max_response_body_bytes) {
                 Ok(body) => self.response = Some(PartialResponse { head, body }),
                 Err(_) => return ControlFlow::Break(self.fail("the response is too large")),
             },
@@ -106,7 +106,7 @@
     pub(super) fn finish_response(&mut self, at_end: bool) -> Option<FinishedExchange> {
         let PartialResponse { head, body } = self.response.take()?;
         let exchange = self.exchange.as_ref()?;
-        if let Some((name, value)) = &exchange.echo
+        if let Some((name, value)) = &exchange.required_response_header
             && !header_values(&head.headers, name).any(|found| found == value)
         {
             self.mismatched_responses += 1;
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -56,7 +56,7 @@
 #[test]
 fn pipelined_responses_keep_request_order() {
     let harness = Harness::new(Limits {
-        pipeline: 2,
+        max_pipelined_requests: 2,
         ..Limits::default()
     });
     let mut peer = harness.peer();
@@ -307,7 +307,7 @@
 /// A call whose response must be `OWN_RESPONSE`.
 fn echoed_call(id: u64, address: SocketAddr) -> Call {
     Call {
-        echo: Some(("E".into(), "1".into())),
+        required_response_header: Some(("E".into(), "1".into())),
         ..call(id, address, "/")
     }
 }
--- a/stand-ins/src/platform_soak/mod.rs
+++ b/stand-ins/src/platform_soak/mod.rs
@@ -117,7 +117,7 @@
         });
         operators.send_initial_configuration(&mut SeededRandom::new(plan.seed))?;
         let all_ready = || balancer.ready_count() == plan.shape.machines;
-        if !Fleet::wait(STARTUP_TIMEOUT, &mut { all_ready }) {
+        if !Fleet::wait_until(STARTUP_TIMEOUT, &mut { all_ready }) {
             bail!("{} edges are ready", balancer.ready_count());
         }
         Ok(PlatformSoak {
@@ -195,7 +195,7 @@
 
     fn write_report(&self, verdict: &PlatformVerdict) -> Result<()> {
         let mut lines = vec![verdict.summary()];
-        for violation in &verdict.broken {
+        for violation in &verdict.violations {
             lines.push(format!("{}: {}", violation.rule, violation.text));
         }
         for event in self.observations.process_events() {
