--- a/control-plane/src/control_node/changes/cluster.rs
+++ b/control-plane/src/control_node/changes/cluster.rs
@@ -222,7 +222,7 @@
             return;
         };
         let outputs = control_node.handle(now, input);
-        let from = control_node.me();
+        let from = control_node.local_peer();
         let run = self.nodes[slot].run;
         for output in outputs {
             match output {
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -112,8 +112,11 @@
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.record_existing_table();
         }
-        let me = self.me();
-        let slot = table.members.iter().position(|peer| peer.matches(&me));
+        let local_peer = self.local_peer();
+        let slot = table
+            .members
+            .iter()
+            .position(|peer| peer.matches(&local_peer));
         let slot = slot.map(|at| at as u8);
         if table.version <= self.membership_version {
             // There is only one founding table; it is accepted by nodes that take part in the founding.
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -104,7 +104,7 @@
         self.leaders.clear();
         self.pending_replies.clear();
         let own_member = members.get(usize::from(self.slot));
-        let is_still_member = own_member.is_some_and(|member| member.matches(&self.me()));
+        let is_still_member = own_member.is_some_and(|member| member.matches(&self.local_peer()));
         if self.slot != NO_SLOT && !is_still_member {
             self.mark_removed();
         }
--- a/control-plane/src/control_node/mod.rs
+++ b/control-plane/src/control_node/mod.rs
@@ -203,7 +203,7 @@
     }
 
     /// Returns the node's address and incarnation.
-    pub fn me(&self) -> Peer {
+    pub fn local_peer(&self) -> Peer {
         Peer::new(self.address, self.replica.incarnation)
     }
 
--- a/control-plane/src/control_node/slot_handover.rs
+++ b/control-plane/src/control_node/slot_handover.rs
@@ -117,7 +117,9 @@
         let Some(slot) = self.preferred_leader(now, MEMBERSHIP_PARTITION) else {
             return;
         };
-        let change = Change::OfferSlot { member: self.me() };
+        let change = Change::OfferSlot {
+            member: self.local_peer(),
+        };
         let offer = self.own_request(MEMBERSHIP_PARTITION, change);
         self.send(self.address(slot), offer);
     }
--- a/control-plane/src/control_node/tests.rs
+++ b/control-plane/src/control_node/tests.rs
@@ -67,7 +67,7 @@
                 match output {
                     Output::Send { to, message } if to == address(0) => {
                         inputs.push_back(Input::MessageReceived {
-                            from: self.control_node.me(),
+                            from: self.control_node.local_peer(),
                             message,
                         })
                     }
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -243,7 +243,7 @@
     }
 
     fn step(&mut self, node: usize, input: Input) {
-        let from = self.nodes[node].control_node.me();
+        let from = self.nodes[node].control_node.local_peer();
         for output in self.nodes[node].control_node.handle(self.now, input) {
             match output {
                 Output::Send { to, message } => self.deliver(node, from, to, message),
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -353,7 +353,7 @@
             Action::Replace { node } => {
                 self.consume(|budget| &mut budget.replacements, node);
                 let mut members = self.nodes[node].members.clone();
-                members[REPLACED_SLOT] = self.nodes[self.joiner()].me();
+                members[REPLACED_SLOT] = self.nodes[self.joiner()].local_peer();
                 self.run(node, |node| {
                     node.write(
                         MEMBERSHIP_PARTITION,
@@ -374,7 +374,7 @@
                 let mut members = self.nodes[node].members.clone();
                 let joiners = self.nodes.len() - LOST_SLOTS.len();
                 for (at, slot) in LOST_SLOTS.into_iter().enumerate() {
-                    members[slot] = self.nodes[joiners + at].me();
+                    members[slot] = self.nodes[joiners + at].local_peer();
                 }
                 self.run(node, |node| node.succeed(members));
             }
@@ -427,9 +427,10 @@
 
     /// Drops the messages that a process sent to itself, which are lost with it.
     fn drop_messages_to_itself(&mut self, node: usize) {
-        let me = self.nodes[node].address;
-        self.network
-            .retain(|_, envelope| envelope.to != me || envelope.from.address != me);
+        let own_address = self.nodes[node].address;
+        self.network.retain(|_, envelope| {
+            envelope.to != own_address || envelope.from.address != own_address
+        });
     }
 
     fn acknowledged_keys(&self, partition: u8) -> BTreeSet<String> {
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns the node's address and incarnation.
-    pub fn me(&self) -> Peer {
+    pub fn local_peer(&self) -> Peer {
         Peer::new(self.address, self.replica.incarnation)
     }
 
@@ -166,7 +166,7 @@
 
     /// Returns the node's slot by the table, if it has one.
     pub fn slot(&self) -> Option<u8> {
-        self.slot_of(&self.me())
+        self.slot_of(&self.local_peer())
     }
 
     /// Returns true if this disk is included in quorums (`ControlNode::can_vote`).
@@ -192,7 +192,7 @@
 
     fn envelope(&self, to: SocketAddr, message: impl Into<Message>) -> Envelope {
         Envelope {
-            from: self.me(),
+            from: self.local_peer(),
             to,
             message: message.into(),
         }
@@ -542,7 +542,10 @@
             });
             self.adopt_table(table.version, table.members);
         } else if self.members.is_empty()
-            && table.members.iter().any(|peer| peer.matches(&self.me()))
+            && table
+                .members
+                .iter()
+                .any(|peer| peer.matches(&self.local_peer()))
         {
             return self.join_table(table.version, table.members);
         }
--- a/kernel/src/host.rs
+++ b/kernel/src/host.rs
@@ -39,7 +39,7 @@
 /// Drives one state machine: performs its I/O on sockets, disk and clocks.
 pub struct NodeHost {
     /// This process.
-    pub me: Peer,
+    pub local_peer: Peer,
     /// The program's name, under which plug-ins register.
     pub program: &'static str,
     /// The process's settings.
@@ -88,8 +88,8 @@
             address: mesh,
             source,
         })?;
-        let links =
-            Links::open(self.me, listener, input_sender.clone()).map_err(HostError::Links)?;
+        let links = Links::open(self.local_peer, listener, input_sender.clone())
+            .map_err(HostError::Links)?;
         let port = Arc::new(Port::new(input_sender.clone(), self.startup.clone())?);
         self.frontend.open(&port)?;
         self.start_sources(&port);
@@ -100,7 +100,7 @@
         watch_signals(&input_sender, self.startup.grace_period()).map_err(HostError::Signals)?;
         let text = format!(
             "{} {} mesh {mesh} http {:?}",
-            self.program, self.me, self.startup.http
+            self.program, self.local_peer, self.startup.http
         );
         log_event(Event::Started, &text);
         Ok(Running {
@@ -133,8 +133,7 @@
             let Some(input) = self.next_input(&mut next_tick) else {
                 continue;
             };
-            let from_peer =
-                matches!(&input, Input::MessageReceived { from, .. } if *from != self.host.me);
+            let from_peer = matches!(&input, Input::MessageReceived { from, .. } if *from != self.host.local_peer);
             if matches!(input, Input::ShutdownRequested) {
                 self.host.frontend.prepare_shutdown();
             }
@@ -196,7 +195,7 @@
 
     fn send(&self, to: SocketAddr, message: Message) {
         if to == self.mesh {
-            let from = self.host.me;
+            let from = self.host.local_peer;
             let _ = self
                 .input_sender
                 .send(Input::MessageReceived { from, message });
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -256,7 +256,7 @@
     /// closed its earlier sessions, or has ended. Returns false if the session must
     /// be closed.
     fn accept_first_message(&mut self, token: Token, from: Peer) -> bool {
-        if from == self.shared.me {
+        if from == self.shared.local_peer {
             return false;
         }
         let latest = self.latest_inbound.get(&from.address).copied();
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -73,7 +73,7 @@
 
 /// State shared by the event loop and the threads that send and process messages.
 struct Shared {
-    me: Peer,
+    local_peer: Peer,
     waker: mio::Waker,
     /// True if the event loop was woken and has not polled since.
     woken: AtomicBool,
@@ -97,13 +97,17 @@
 
 impl Links {
     /// Accepts sessions from peers and sends their messages to `inputs`.
-    pub fn open(me: Peer, listener: TcpListener, inputs: Sender<Input>) -> std::io::Result<Links> {
-        Links::open_with(me, listener, inputs, QueueLimits::default())
+    pub fn open(
+        local_peer: Peer,
+        listener: TcpListener,
+        inputs: Sender<Input>,
+    ) -> std::io::Result<Links> {
+        Links::open_with(local_peer, listener, inputs, QueueLimits::default())
     }
 
     /// Like [`Links::open`], with other limits of the outgoing queues.
     pub fn open_with(
-        me: Peer,
+        local_peer: Peer,
         listener: TcpListener,
         inputs: Sender<Input>,
         limits: QueueLimits,
@@ -111,7 +115,7 @@
         let poll = mio::Poll::new()?;
         let waker = mio::Waker::new(poll.registry(), WAKER)?;
         let shared = Arc::new(Shared {
-            me,
+            local_peer,
             waker,
             woken: AtomicBool::new(false),
             closing: AtomicBool::new(false),
@@ -132,7 +136,7 @@
     /// Queues a message, which is sent after the next `flush`. Drops it if the queue
     /// is full.
     pub fn send(&self, to: SocketAddr, message: &Message) {
-        let Ok(encoded) = EncodedMessage::new(self.shared.me, message) else {
+        let Ok(encoded) = EncodedMessage::new(self.shared.local_peer, message) else {
             return;
         };
         let priority = Priority::of(message, encoded.len());
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -7,7 +7,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Node {
-    me: Peer,
+    local_peer: Peer,
     links: Links,
     inputs: Receiver<Input>,
 }
@@ -31,10 +31,14 @@
 
     fn start_with(limits: QueueLimits) -> Node {
         let listener = listen();
-        let me = peer_at(&listener);
+        let local_peer = peer_at(&listener);
         let (sender, inputs) = flume::unbounded();
-        let links = Links::open_with(me, listener, sender, limits).unwrap();
-        Node { me, links, inputs }
+        let links = Links::open_with(local_peer, listener, sender, limits).unwrap();
+        Node {
+            local_peer,
+            links,
+            inputs,
+        }
     }
 
     fn send(&self, to: SocketAddr, message: impl Into<Message>) {
@@ -58,7 +62,7 @@
     fn send_until_received(&self, to: &Node, id: u64) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
-            self.send(to.me.address, PermitQueued { id });
+            self.send(to.local_peer.address, PermitQueued { id });
             if to.inputs.recv_timeout(Duration::from_millis(50)).is_ok() {
                 to.links.mark_processed();
                 return;
@@ -116,7 +120,7 @@
 fn frames_read_byte_by_byte_arrive_in_order() {
     let node = Node::start();
     let from = peer_at(&listen());
-    let mut stream = TcpStream::connect(node.me.address).unwrap();
+    let mut stream = TcpStream::connect(node.local_peer.address).unwrap();
     stream.set_nodelay(true).unwrap();
     for id in 0..3 {
         for byte in frame::write(from, &urgent(id)).unwrap() {
@@ -132,8 +136,8 @@
 fn reset_within_a_frame_ends_that_session_only() {
     let node = Node::start();
     let (one, other) = (peer_at(&listen()), peer_at(&listen()));
-    let mut broken = TcpStream::connect(node.me.address).unwrap();
-    let mut whole = TcpStream::connect(node.me.address).unwrap();
+    let mut broken = TcpStream::connect(node.local_peer.address).unwrap();
+    let mut whole = TcpStream::connect(node.local_peer.address).unwrap();
     whole
         .write_all(&frame::write(other, &urgent(1)).unwrap())
         .unwrap();
@@ -154,7 +158,7 @@
         .unwrap();
     assert_eq!(node.receive(), (other, urgent(3)));
     // The peer of the reset session reconnects, and its incomplete frame is discarded.
-    let mut again = TcpStream::connect(node.me.address).unwrap();
+    let mut again = TcpStream::connect(node.local_peer.address).unwrap();
     again.write_all(&frame).unwrap();
     assert_eq!(node.receive(), (one, urgent(2)));
 }
@@ -163,7 +167,7 @@
 fn foreign_bytes_end_that_session_only() {
     let node = Node::start();
     let from = peer_at(&listen());
-    let mut good = TcpStream::connect(node.me.address).unwrap();
+    let mut good = TcpStream::connect(node.local_peer.address).unwrap();
     good.write_all(&frame::write(from, &urgent(1)).unwrap())
         .unwrap();
     assert_eq!(node.receive(), (from, urgent(1)));
@@ -173,7 +177,7 @@
         .into_iter()
         .enumerate()
     {
-        let mut foreign = TcpStream::connect(node.me.address).unwrap();
+        let mut foreign = TcpStream::connect(node.local_peer.address).unwrap();
         foreign.write_all(&bytes).unwrap();
         foreign.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         // Since bytes are unread, the operating system may close with a reset.
@@ -200,7 +204,7 @@
     hasher.update(&body);
     let checksum = hasher.finalize().to_be_bytes();
     let unknown = [&word[..], &checksum, &body].concat();
-    let mut stream = TcpStream::connect(node.me.address).unwrap();
+    let mut stream = TcpStream::connect(node.local_peer.address).unwrap();
     for bytes in [
         unknown.clone(),
         frame::write(from, &urgent(2)).unwrap(),
@@ -219,12 +223,12 @@
 fn later_session_of_an_address_replaces_the_earlier() {
     let node = Node::start();
     let from = peer_at(&listen());
-    let mut early = TcpStream::connect(node.me.address).unwrap();
+    let mut early = TcpStream::connect(node.local_peer.address).unwrap();
     early
         .write_all(&frame::write(from, &urgent(1)).unwrap())
         .unwrap();
     assert_eq!(node.receive(), (from, urgent(1)));
-    let mut late = TcpStream::connect(node.me.address).unwrap();
+    let mut late = TcpStream::connect(node.local_peer.address).unwrap();
     late.write_all(&frame::write(from, &urgent(2)).unwrap())
         .unwrap();
     assert_eq!(node.receive(), (from, urgent(2)));
@@ -242,7 +246,7 @@
 fn session_with_a_second_sender_is_closed() {
     let node = Node::start();
     let (one, other) = (peer_at(&listen()), peer_at(&listen()));
-    let mut stream = TcpStream::connect(node.me.address).unwrap();
+    let mut stream = TcpStream::connect(node.local_peer.address).unwrap();
     for (from, id) in [(one, 1), (other, 2)] {
         let _ = stream.write_all(&frame::write(from, &urgent(id)).unwrap());
     }
@@ -258,12 +262,12 @@
     const COUNT: u64 = 2_000;
     let (one, other) = (Node::start(), Node::start());
     for id in 0..COUNT {
-        one.send(other.me.address, PermitQueued { id });
-        other.send(one.me.address, PermitQueued { id });
+        one.send(other.local_peer.address, PermitQueued { id });
+        other.send(one.local_peer.address, PermitQueued { id });
     }
     for id in 0..COUNT {
-        assert_eq!(one.receive(), (other.me, urgent(id)));
-        assert_eq!(other.receive(), (one.me, urgent(id)));
+        assert_eq!(one.receive(), (other.local_peer, urgent(id)));
+        assert_eq!(other.receive(), (one.local_peer, urgent(id)));
     }
     assert_eq!(one.links.counters().inbound.get(), 1);
     assert_eq!(one.links.counters().outbound.get(), 1);
@@ -358,40 +362,40 @@
     let other = Node::start();
     for id in 0..100 {
         node.links.send(slow.local_addr().unwrap(), &urgent(id));
-        node.send(other.me.address, urgent(id));
+        node.send(other.local_peer.address, urgent(id));
     }
     assert_eq!(node.links.counters().dropped_urgent.get(), 0);
-    assert_eq!(other.receive(), (node.me, urgent(0)));
+    assert_eq!(other.receive(), (node.local_peer, urgent(0)));
 }
 
 #[test]
 fn returned_peer_is_reconnected_with_backoff() {
     let node = Node::start();
     let listener = listen();
-    let me = peer_at(&listener);
+    let local_peer = peer_at(&listener);
     let (sender, inputs) = flume::unbounded();
-    let first = Links::open(me, listener, sender).unwrap();
+    let first = Links::open(local_peer, listener, sender).unwrap();
     let mut other = Node {
-        me,
+        local_peer,
         links: first,
         inputs,
     };
     node.send_until_received(&other, 1);
     drop(other.links);
     wait_until("the session is closed", || {
-        node.send(me.address, PermitQueued { id: 2 });
+        node.send(local_peer.address, PermitQueued { id: 2 });
         node.links.counters().outbound.get() == 0
     });
     for _ in 0..100 {
-        node.send(me.address, PermitQueued { id: 3 });
+        node.send(local_peer.address, PermitQueued { id: 3 });
         thread::sleep(Duration::from_millis(2));
     }
     assert!(node.links.queued_bytes() < 100_000);
-    let listener = TcpListener::bind(me.address).unwrap();
+    let listener = TcpListener::bind(local_peer.address).unwrap();
     let (sender, inputs) = flume::unbounded();
-    let restarted = Peer::new(me.address, new_incarnation().unwrap());
+    let restarted = Peer::new(local_peer.address, new_incarnation().unwrap());
     other = Node {
-        me: restarted,
+        local_peer: restarted,
         links: Links::open(restarted, listener, sender).unwrap(),
         inputs,
     };
@@ -443,7 +447,7 @@
     };
     let (one, other) = (Node::start_with(limits), Node::start());
     for id in 0..COUNT {
-        one.send(other.me.address, bulk(id, LARGE_BYTES));
+        one.send(other.local_peer.address, bulk(id, LARGE_BYTES));
     }
     wait_until("reading has paused", || {
         other.links.backlog_bytes() >= 4 * 1024 * 1024
--- a/programs/examples/session_storm.rs
+++ b/programs/examples/session_storm.rs
@@ -120,7 +120,7 @@
     received: Arc<AtomicUsize>,
 ) -> Result<Arc<EdgeState>> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let me = Peer::new(listener.local_addr()?, new_incarnation()?);
+    let local_peer = Peer::new(listener.local_addr()?, new_incarnation()?);
     let state = Arc::new(EdgeState {
         started: Instant::now(),
         generation: AtomicU64::new(0),
@@ -141,7 +141,7 @@
         }
     });
     let renewing_state = state.clone();
-    spawn(move || renew_forever(me, &slots, &ring, &renewing_state));
+    spawn(move || renew_forever(local_peer, &slots, &ring, &renewing_state));
     Ok(state)
 }
 
@@ -160,7 +160,7 @@
     }
 }
 
-fn renew_forever(me: Peer, slots: &[SocketAddr], ring: &str, state: &EdgeState) {
+fn renew_forever(local_peer: Peer, slots: &[SocketAddr], ring: &str, state: &EdgeState) {
     let mut streams: HashMap<SocketAddr, TcpStream> = HashMap::new();
     loop {
         for slot in slots {
@@ -170,7 +170,7 @@
                 streams.insert(*slot, stream);
             }
             let renewal = state.renewal(*slot, ring.into()).into();
-            let bytes = frame::write(me, &renewal).expect("messages serialize");
+            let bytes = frame::write(local_peer, &renewal).expect("messages serialize");
             let written = streams.get_mut(slot).map(|open| open.write_all(&bytes));
             if let Some(Err(_)) = written {
                 streams.remove(slot);
--- a/programs/src/control_node.rs
+++ b/programs/src/control_node.rs
@@ -28,7 +28,7 @@
         startup.data.clone().context("data folder")?,
     ));
     let host = NodeHost {
-        me: control.me(),
+        local_peer: control.local_peer(),
         program: "control-node",
         startup,
         tick: lease::CONTROL_TICK,
--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -9,14 +9,14 @@
 /// Runs an edge node until it has shut down. `protocol` defines the HTTP headers for clients
 /// and origins.
 pub fn run_edge_node(startup: Startup, protocol: Arc<dyn ProtocolAdapter>) -> Result<()> {
-    let me = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
+    let local_peer = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
     // A quarter of the memory of the process is used for cached responses.
     let cache_bytes = startup
         .cache_bytes
         .or(startup.memory_bytes.map(|bytes| bytes / 4))
         .unwrap_or(DEFAULT_CACHE_BYTES);
     let edge = EdgeNode::new(
-        me,
+        local_peer,
         startup.locality(),
         startup.seeds.clone(),
         startup.gather_ms.is_some(),
@@ -27,7 +27,7 @@
     .with_operation_retention(startup.operation_retention());
     let frontend = Box::new(HttpFrontend::new("edge-node", protocol));
     let host = NodeHost {
-        me,
+        local_peer,
         program: "edge-node",
         startup,
         tick: EDGE_TICK_INTERVAL,
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -148,7 +148,7 @@
         );
         CapacityNode {
             role: Role::Control,
-            peer: state_machine.me(),
+            peer: state_machine.local_peer(),
             state_machine: Some(Box::new(state_machine)),
             lease_end: Duration::ZERO,
         }
--- a/simulate-fleet/src/sim_node.rs
+++ b/simulate-fleet/src/sim_node.rs
@@ -199,7 +199,7 @@
                     gather,
                     incarnation,
                 );
-                self.peer = state_machine.me();
+                self.peer = state_machine.local_peer();
                 Box::new(state_machine)
             }
             NodeId::Edge(_) => {
