--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -218,7 +218,7 @@
         let name = format!("slice/{partition}");
         let is_known = |slot: &u8| usize::from(*slot) < self.members.len();
         let eligible = eligible.iter().filter(is_known);
-        eligible.max_by_key(|slot| Peer::new(self.address(*slot), 0).weight(&name))
+        eligible.max_by_key(|slot| Peer::new(self.address(*slot), 0).rendezvous_weight(&name))
     }
 
     /// Returns the slot to which messages for a slot are sent: itself, or a member in contact with both.
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -42,7 +42,7 @@
     /// Returns the rendezvous weight of this peer for a named assignment. The live
     /// peer with the highest weight is chosen, so a peer that joins or leaves moves
     /// only its own assignments.
-    pub fn weight(&self, assignment: &str) -> u64 {
+    pub fn rendezvous_weight(&self, assignment: &str) -> u64 {
         let mut hash = Sha256::new();
         hash.update(assignment.as_bytes());
         hash.update(self.address.to_string().as_bytes());
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -249,7 +249,7 @@
         let highest_weight = |count: usize, partition: u16| {
             let name = cache_assignment("", partition);
             (0..count)
-                .max_by_key(|at| peer(*at).weight(&name))
+                .max_by_key(|at| peer(*at).rendezvous_weight(&name))
                 .expect("at least one edge")
         };
         let held_count = |at: usize| {
