--- a/data-plane/src/active_request/outgoing_call.rs
+++ b/data-plane/src/active_request/outgoing_call.rs
@@ -59,12 +59,12 @@
             host: request.host.clone(),
             headers: headers.cloned().collect(),
             body: request.body.clone(),
-            operation: self
+            operation_key: self
                 .claim
                 .as_ref()
                 .and(request.operation_key().map(Into::into)),
             request_id: request.request_id.clone(),
-            request: id,
+            request_id_at_edge: id,
             key: request.group().key.clone(),
             proof: request.group().proof,
             timeout: self.call_timeout(now, usual_duration),
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -46,10 +46,13 @@
             ("Host".to_string(), call.origin.address.to_string()),
             (SERVICE_HEADER.into(), call.origin.service.clone()),
             (INSTANCE_HEADER.into(), call.origin.instance.clone()),
-            (REQUEST_ID_HEADER.into(), call.request.to_string()),
+            (
+                REQUEST_ID_HEADER.into(),
+                call.request_id_at_edge.to_string(),
+            ),
             ("x-forwarded-host".into(), call.host.clone()),
         ];
-        let operation_key = call.operation.iter();
+        let operation_key = call.operation_key.iter();
         headers.extend(operation_key.map(|key| (OPERATION_KEY_HEADER.to_string(), key.clone())));
         headers.extend(call.headers.iter().cloned());
         CallHeaders {
@@ -102,7 +105,7 @@
     headers: &[(String, String)],
 ) -> Result<(), OriginVerdict> {
     // This check is first, since a response to another call proves nothing about this one.
-    if header(headers, REQUEST_ID_HEADER) != Some(call.request.to_string().as_str()) {
+    if header(headers, REQUEST_ID_HEADER) != Some(call.request_id_at_edge.to_string().as_str()) {
         let reason = "the response is to another request".into();
         return Err(OriginVerdict::Rejected(reason));
     }
@@ -131,8 +134,8 @@
         target: &call.url,
         service: &call.origin.service,
         instance: &call.origin.instance,
-        operation: call.operation.as_deref().unwrap_or(""),
-        request: &call.request.to_string(),
+        operation_key: call.operation_key.as_deref().unwrap_or(""),
+        request_id: &call.request_id_at_edge.to_string(),
         body,
     };
     signature
--- a/data-plane/src/edge_node/client_disconnects.rs
+++ b/data-plane/src/edge_node/client_disconnects.rs
@@ -123,8 +123,8 @@
         let mut violations = Vec::new();
         for output in &self.outputs {
             match output {
-                Output::Call { id, call } if call.request & LOCAL_ID_BIT == 0 => {
-                    let (request, purpose) = (call.request, call.purpose);
+                Output::Call { id, call } if call.request_id_at_edge & LOCAL_ID_BIT == 0 => {
+                    let (request, purpose) = (call.request_id_at_edge, call.purpose);
                     let violation = self.abandoned_work.call_started(now, *id, request, purpose);
                     violations.extend(violation);
                 }
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -66,7 +66,7 @@
     fn is_abandoned(&self, call: &Call) -> bool {
         let serves_one_client = matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce);
         let disconnected = self.disconnected.lock().expect("no holder panics");
-        serves_one_client && disconnected.contains(&call.request)
+        serves_one_client && disconnected.contains(&call.request_id_at_edge)
     }
 
     pub(super) fn register_call(&self, id: u64, call: Call) {
--- a/data-plane/src/http_frontend/mod.rs
+++ b/data-plane/src/http_frontend/mod.rs
@@ -94,7 +94,7 @@
             headers,
             body: call.body.clone(),
             timeout: call.timeout,
-            request: Some(call.request),
+            request: Some(call.request_id_at_edge),
             required_response_header,
             max_connections: call.max_connections,
         };
--- a/data-plane/src/response_signature.rs
+++ b/data-plane/src/response_signature.rs
@@ -20,9 +20,9 @@
     /// The instance of the origin.
     pub instance: &'a str,
     /// The operation key of the request; empty if it has none.
-    pub operation: &'a str,
+    pub operation_key: &'a str,
     /// The id of the request.
-    pub request: &'a str,
+    pub request_id: &'a str,
     /// The body of the response.
     pub body: &'a [u8],
 }
@@ -84,8 +84,8 @@
             self.instance,
             self.method,
             self.target,
-            self.operation,
-            self.request,
+            self.operation_key,
+            self.request_id,
             self.params()
         )
     }
--- a/data-plane/src/response_signature/tests.rs
+++ b/data-plane/src/response_signature/tests.rs
@@ -11,8 +11,8 @@
         target: "/book?x=1",
         service: "book",
         instance: "b1",
-        operation: "k1",
-        request: "9",
+        operation_key: "k1",
+        request_id: "9",
         body: b"done",
     };
     let headers = signature.sign(&key);
@@ -39,11 +39,11 @@
             ..signature.clone()
         },
         ResponseSignature {
-            operation: "k2",
+            operation_key: "k2",
             ..signature.clone()
         },
         ResponseSignature {
-            request: "8",
+            request_id: "8",
             ..signature.clone()
         },
         ResponseSignature {
--- a/data-plane/tests/call_outcome.rs
+++ b/data-plane/tests/call_outcome.rs
@@ -22,9 +22,9 @@
         host: "h".into(),
         headers: vec![],
         body: Arc::default(),
-        operation: None,
+        operation_key: None,
         request_id: None,
-        request: REQUEST_ID,
+        request_id_at_edge: REQUEST_ID,
         key: String::new(),
         proof,
         timeout: Duration::from_secs(1),
@@ -122,8 +122,8 @@
         target: "/u",
         service: "s",
         instance: "i1",
-        operation: "",
-        request: "9",
+        operation_key: "",
+        request_id: "9",
         body: b"x",
     };
     let ending = |body: &[u8]| {
--- a/data-plane/tests/client_disconnects.rs
+++ b/data-plane/tests/client_disconnects.rs
@@ -260,13 +260,13 @@
                     _ => {}
                 },
                 Output::Call { id, call } => {
-                    let request = &self.requests[&call.request];
+                    let request = &self.requests[&call.request_id_at_edge];
                     prop_assert!(
                         !request.disconnected || request.kind == RequestKind::Cached,
                         "a call was started for a disconnected client: {:?}",
                         request.kind
                     );
-                    self.calls.push((id, call.request));
+                    self.calls.push((id, call.request_id_at_edge));
                 }
                 Output::CancelCall { id } => {
                     let request = self.calls.iter().find(|(call, _)| *call == id);
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -17,11 +17,11 @@
     /// The complete body.
     pub body: Arc<Vec<u8>>,
     /// The operation key under which the request is executed at most once.
-    pub operation: Option<String>,
+    pub operation_key: Option<String>,
     /// The client's own id of the request.
     pub request_id: Option<String>,
-    /// Request id that binds the response to this call.
-    pub request: u64,
+    /// Request id at the edge, which binds the response to this call.
+    pub request_id_at_edge: u64,
     /// The group's key for signatures.
     pub key: String,
     /// Method by which the origin proves its identity.
--- a/simulate-fleet/src/sim_origin.rs
+++ b/simulate-fleet/src/sim_origin.rs
@@ -91,8 +91,8 @@
             service: self.service.clone(),
             instance: self.instance.clone(),
             path: call.url.clone(),
-            request: call.request.to_string(),
-            operation: call.operation.clone(),
+            request: call.request_id_at_edge.to_string(),
+            operation: call.operation_key.clone(),
             probe: call.url.starts_with("/.well-known/"),
         };
         let behavior = match self.behavior {
@@ -127,7 +127,7 @@
             "{}\n{}\n{}\n{version}",
             call.method,
             call.url,
-            call.operation.as_deref().unwrap_or("")
+            call.operation_key.as_deref().unwrap_or("")
         );
         let reply = Reply {
             status: 200,
--- a/simulate-fleet/src/world_clients.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -179,12 +179,12 @@
 
     /// Records a call that was sent for a single client after the edge had read its disconnect.
     pub(crate) fn check_call_after_disconnect(&mut self, call: &Call) {
-        let Some(disconnect_read) = self.disconnects_read.get(&call.request) else {
+        let Some(disconnect_read) = self.disconnects_read.get(&call.request_id_at_edge) else {
             return;
         };
         let elapsed = self.now - *disconnect_read;
         if matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce) {
-            let subject = format!("request {} sent {elapsed:?} after", call.request);
+            let subject = format!("request {} sent {elapsed:?} after", call.request_id_at_edge);
             self.record("abandoned-work", &subject, 0, elapsed <= CALL_SEND_DELAY);
         }
     }
--- a/stand-ins/src/origin.rs
+++ b/stand-ins/src/origin.rs
@@ -170,8 +170,8 @@
             target,
             service: &self.service,
             instance: &self.instance,
-            operation,
-            request: request_id,
+            operation_key: operation,
+            request_id,
             body: text.as_bytes(),
         };
         let mut headers = self.signature_headers(&signature, fault);
