--- a/data-plane/src/filter.rs
+++ b/data-plane/src/filter.rs
@@ -24,16 +24,16 @@
     /// The request id that the client sent, if any.
     pub request_id: Option<String>,
     /// Set if the edge is live.
-    pub live: bool,
+    pub is_live: bool,
     /// The routes in force, if any are known.
     pub routes: Option<Arc<RouteTable>>,
     /// The index of the matching route, set by the route filter.
-    pub entry: Option<usize>,
+    pub route_index: Option<usize>,
 }
 
 impl IncomingRequest {
     fn kind(&self) -> Option<Kind> {
-        Some(self.routes.as_ref()?.document.entries[self.entry?].kind)
+        Some(self.routes.as_ref()?.document.entries[self.route_index?].kind)
     }
 }
 
@@ -147,7 +147,7 @@
         } else {
             RunState::NotRun
         };
-        (!request.live).then(|| Rejection::fenced(outcome))
+        (!request.is_live).then(|| Rejection::fenced(outcome))
     }
 }
 
@@ -161,9 +161,9 @@
 impl Filter for RouteFilter {
     fn reject(&self, request: &mut IncomingRequest) -> Option<Rejection> {
         let routes = request.routes.as_ref()?;
-        request.entry = routes.find(&request.host, &request.url, &request.method);
+        request.route_index = routes.find(&request.host, &request.url, &request.method);
         request
-            .entry
+            .route_index
             .is_none()
             .then(|| Rejection::not_run(404, "no_entry", "no entry matches host, path and method"))
     }
--- a/data-plane/src/filter/tests.rs
+++ b/data-plane/src/filter/tests.rs
@@ -23,9 +23,9 @@
         operation_key,
         timeout: None,
         request_id: None,
-        live,
+        is_live: live,
         routes: Some(routes),
-        entry: None,
+        route_index: None,
     }
 }
 
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -176,7 +176,7 @@
         if let Some(rejection) = run_filters(&mut incoming) {
             return self.reject(exchange, &incoming.headers, rejection);
         }
-        let Some(request) = client_request_of(incoming) else {
+        let Some(request) = into_client_request(incoming) else {
             return;
         };
         if let Some(rejection) = self.reject_if_link_is_full(&request) {
@@ -200,9 +200,9 @@
             url: received.target,
             headers: received.headers,
             body: Arc::new(received.body),
-            live: self.port.live(),
+            is_live: self.port.live(),
             routes,
-            entry: None,
+            route_index: None,
         }
     }
 
--- a/data-plane/src/lib.rs
+++ b/data-plane/src/lib.rs
@@ -25,5 +25,5 @@
 pub use default_protocol::DefaultProtocol;
 pub use edge_node::EdgeNode;
 pub use http_frontend::HttpFrontend;
-pub use request_conversion::client_request_of;
+pub use request_conversion::into_client_request;
 pub use response_signature::ResponseSignature;
--- a/data-plane/src/prelude.rs
+++ b/data-plane/src/prelude.rs
@@ -13,7 +13,7 @@
 pub use crate::link_delay_estimator::LinkDelayEstimator;
 pub use crate::near_cache::{NearCache, NearCacheEntry, NearCacheLookup};
 pub use crate::purge_log::{AppliedPurges, PurgeLog};
-pub use crate::request_conversion::client_request_of;
+pub use crate::request_conversion::into_client_request;
 pub use crate::response_signature::{ResponseSignature, SignatureError};
 pub use crate::response_sizes::ResponseSizes;
 pub use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
--- a/data-plane/src/request_conversion.rs
+++ b/data-plane/src/request_conversion.rs
@@ -3,12 +3,12 @@
 
 /// Converts an incoming request that has passed all filters. Returns `None` if it has no
 /// route.
-pub fn client_request_of(incoming: IncomingRequest) -> Option<ClientRequest> {
+pub fn into_client_request(incoming: IncomingRequest) -> Option<ClientRequest> {
     let caller = header(&incoming.headers, "authorization")
         .unwrap_or_default()
         .to_string();
     let routes = incoming.routes?;
-    let entry = incoming.entry?;
+    let entry = incoming.route_index?;
     // The operation key or the URL selects the group, so that repeated requests and
     // requests for the same object use the same service.
     let key = incoming.operation_key.as_deref().unwrap_or(&incoming.url);
--- a/simulate-fleet/src/prelude.rs
+++ b/simulate-fleet/src/prelude.rs
@@ -19,6 +19,6 @@
 pub use anyhow::{Context, Result, anyhow, bail};
 pub use control_plane::{Bootstrap, ControlNode, Record, Replica};
 pub use data_plane::prelude::{IncomingRequest, run_filters};
-pub use data_plane::{EdgeNode, client_request_of};
+pub use data_plane::{EdgeNode, into_client_request};
 pub use stand_ins::deployment::Mix;
 pub use stand_ins::prelude::*;
--- a/simulate-fleet/src/world_clients.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -151,13 +151,13 @@
             operation_key: operation.map(Into::into),
             timeout: None,
             request_id: None,
-            live: node.live(self.now),
+            is_live: node.live(self.now),
             routes: node.route_table.clone(),
-            entry: None,
+            route_index: None,
         };
         match run_filters(&mut request) {
             Some(rejection) => Err(rejection),
-            None => client_request_of(request)
+            None => into_client_request(request)
                 .ok_or_else(|| Rejection::not_run(500, "filters", "an unmatched arrival passed")),
         }
     }
