--- a/simulate-fleet/src/bin/simulate-fleet/summary.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/summary.rs
@@ -15,11 +15,11 @@
 /// during the cases of each rule.
 #[derive(Default)]
 pub(crate) struct Summary {
-    passed_cases: [usize; JUDGED],
+    passed_cases: [usize; RULE_COUNT],
     /// Worst case, by the index of the rule.
     worst: BTreeMap<usize, WorstCase>,
     /// Number of faults during the cases of each rule, by the kind of the fault.
-    coverage: BTreeMap<String, [usize; JUDGED]>,
+    coverage: BTreeMap<String, [usize; RULE_COUNT]>,
 }
 
 impl Summary {
@@ -38,7 +38,7 @@
             self.add_worst(index, seed, cases.worst.as_ref());
             self.passed_cases[index] += cases.seen - cases.broken.len();
             let verdict = cases.verdict();
-            broken |= matches!(verdict, Verdict::Broken(_));
+            broken |= matches!(verdict, Verdict::Violated(_));
             print_verdict(index + 1, rule, &verdict, verbose);
         }
         broken
@@ -66,7 +66,7 @@
         println!(
             "faults during the cases of each rule:\n{:>20} {}",
             "",
-            (1..=JUDGED)
+            (1..=RULE_COUNT)
                 .map(|rule| format!("{rule:>6}"))
                 .collect::<String>()
         );
@@ -84,7 +84,7 @@
 /// Prints the verdict on a rule: always if violated, otherwise only if `verbose`.
 fn print_verdict(number: usize, rule: &str, verdict: &Verdict, verbose: bool) {
     match verdict {
-        Verdict::Broken(cases) => {
+        Verdict::Violated(cases) => {
             let shown = cases.iter().take(CASES_SHOWN).cloned().collect::<Vec<_>>();
             println!(
                 "  {number:2}. {rule}: VIOLATED in {} cases: {}",
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -55,7 +55,7 @@
             let report = World::new(plan).run();
             for (rule, verdict) in report.checker.verdicts() {
                 assert!(
-                    !matches!(verdict, Verdict::Broken(_)),
+                    !matches!(verdict, Verdict::Violated(_)),
                     "{control} seed {seed}: {rule}: {}",
                     truncated(&verdict)
                 );
@@ -84,7 +84,7 @@
 pub(crate) fn check_rules(report: &Report, exercised: &[usize]) {
     for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
         assert!(
-            !matches!(verdict, Verdict::Broken(_)),
+            !matches!(verdict, Verdict::Violated(_)),
             "{} {rule}: {}",
             at + 1,
             truncated(&verdict)
@@ -152,7 +152,7 @@
         let report = World::new(plan).run();
         for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
             assert!(
-                !matches!(verdict, Verdict::Broken(_)),
+                !matches!(verdict, Verdict::Violated(_)),
                 "seed {seed}: {rule}: {}",
                 truncated(&verdict)
             );
@@ -161,7 +161,7 @@
             }
         }
     }
-    assert_eq!(exercised.len(), JUDGED, "{exercised:?}");
+    assert_eq!(exercised.len(), RULE_COUNT, "{exercised:?}");
 }
 
 #[test]
@@ -229,7 +229,7 @@
             let report = World::new(plan).run();
             for (rule, verdict) in report.checker.verdicts() {
                 assert!(
-                    !matches!(verdict, Verdict::Broken(_)),
+                    !matches!(verdict, Verdict::Violated(_)),
                     "{} seed {seed}: {rule}: {}",
                     file.display(),
                     truncated(&verdict)
@@ -270,7 +270,7 @@
         // The rules that depend on leases: purges, configurations, assignments.
         [3, 5]
             .iter()
-            .any(|rule| matches!(verdicts[*rule].1, Verdict::Broken(_)))
+            .any(|rule| matches!(verdicts[*rule].1, Verdict::Violated(_)))
     };
     assert!(
         (1..=12).all(|seed| !run(100_000, seed)),
--- a/simulate-fleet/src/shrink.rs
+++ b/simulate-fleet/src/shrink.rs
@@ -37,7 +37,7 @@
             .run();
             let verdicts = report.checker.verdicts().into_iter().enumerate();
             verdicts
-                .filter(|(_, (_, verdict))| matches!(verdict, Verdict::Broken(_)))
+                .filter(|(_, (_, verdict))| matches!(verdict, Verdict::Violated(_)))
                 .map(|(at, _)| at)
                 .collect()
         };
--- a/stand-ins/src/bin/run-fleet/report.rs
+++ b/stand-ins/src/bin/run-fleet/report.rs
@@ -14,7 +14,7 @@
         let mut code = 0;
         for (index, (rule, cases)) in checker.cases().into_iter().enumerate() {
             let verdict = cases.verdict();
-            if matches!(verdict, Verdict::Broken(_)) {
+            if matches!(verdict, Verdict::Violated(_)) {
                 code = 1;
             }
             let worst = cases.worst.map(|(used, text)| {
@@ -68,8 +68,8 @@
 fn describe(verdict: &Verdict) -> String {
     match verdict {
         Verdict::NotExercised => "not exercised".to_string(),
-        Verdict::Held(cases) => format!("held in {cases} cases"),
-        Verdict::Broken(cases) => {
+        Verdict::Satisfied(cases) => format!("held in {cases} cases"),
+        Verdict::Violated(cases) => {
             let shown = cases
                 .iter()
                 .take(MAX_VIOLATIONS_SHOWN)
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -19,9 +19,9 @@
     /// No recorded event exercises the rule.
     NotExercised,
     /// Number of cases checked, all without a violation.
-    Held(usize),
+    Satisfied(usize),
     /// Descriptions of the violations.
-    Broken(Vec<String>),
+    Violated(Vec<String>),
 }
 
 /// Checks each rule against the records of clients, origins and operators.
@@ -43,7 +43,7 @@
 }
 
 /// Number of rules.
-pub const JUDGED: usize = 15;
+pub const RULE_COUNT: usize = 15;
 /// Time in seconds that the requirements allow as "about 2 seconds".
 pub const GRACE_S: f64 = 2.0;
 /// Maximum time in seconds from the acknowledgement of a configuration until it
@@ -69,7 +69,7 @@
 type Rule = (&'static str, fn(&Checker) -> Cases);
 
 /// Rules in the order of the requirements, followed by the rules on histories.
-const RULES: [Rule; JUDGED] = [
+const RULES: [Rule; RULE_COUNT] = [
     (
         "an operation is executed twice",
         Checker::repeated_executions,
@@ -173,8 +173,8 @@
     pub fn verdict(&self) -> Verdict {
         match (self.seen, self.broken.is_empty()) {
             (0, _) => Verdict::NotExercised,
-            (seen, true) => Verdict::Held(seen),
-            _ => Verdict::Broken(self.broken.clone()),
+            (seen, true) => Verdict::Satisfied(seen),
+            _ => Verdict::Violated(self.broken.clone()),
         }
     }
 
@@ -261,8 +261,11 @@
 
     /// Returns, for each kind of fault, the number of faults within the spans
     /// of each rule.
-    pub fn coverage(&self, cases: &[(&'static str, Cases)]) -> BTreeMap<String, [usize; JUDGED]> {
-        let mut table: BTreeMap<String, [usize; JUDGED]> = BTreeMap::new();
+    pub fn coverage(
+        &self,
+        cases: &[(&'static str, Cases)],
+    ) -> BTreeMap<String, [usize; RULE_COUNT]> {
+        let mut table: BTreeMap<String, [usize; RULE_COUNT]> = BTreeMap::new();
         for (rule, (_, cases)) in cases.iter().enumerate() {
             let merged = cases.merged_spans();
             for fault in self.fleet.iter().filter(|record| record.what == "fault") {
--- a/stand-ins/src/checker/tests.rs
+++ b/stand-ins/src/checker/tests.rs
@@ -60,27 +60,27 @@
             .iter()
             .all(|(_, verdict)| *verdict == Verdict::NotExercised)
     );
-    assert_eq!(empty().verdicts().len(), JUDGED);
+    assert_eq!(empty().verdicts().len(), RULE_COUNT);
 }
 
-fn is_broken(checker: &Checker, at: usize) -> bool {
-    matches!(verdict(checker, at), Verdict::Broken(_))
+fn is_violated(checker: &Checker, at: usize) -> bool {
+    matches!(verdict(checker, at), Verdict::Violated(_))
 }
 
 #[test]
 fn checker_detects_each_broken_rule() {
     let mut checker = empty();
     checker.origins = vec![call(1.0, Some("k")), call(9.0, Some("k"))];
-    assert!(is_broken(&checker, 0));
+    assert!(is_violated(&checker, 0));
     let mut checker = empty();
     checker.callers = vec![request(1.0, 503, "not_run")];
-    assert_eq!(verdict(&checker, 1), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 1), Verdict::Satisfied(1));
     checker.origins = vec![call(5.0, Some("k"))];
-    assert!(is_broken(&checker, 1));
+    assert!(is_violated(&checker, 1));
     checker.callers.push(request(4.5, 200, ""));
     assert_eq!(
         verdict(&checker, 1),
-        Verdict::Held(1),
+        Verdict::Satisfied(1),
         "the later attempt was executed"
     );
     let mut checker = empty();
@@ -88,7 +88,7 @@
         fits: false,
         ..request(1.0, 200, "")
     }];
-    assert!(is_broken(&checker, 2));
+    assert!(is_violated(&checker, 2));
     let mut checker = empty();
     checker.callers = vec![CallerRecord {
         version: Some(1),
@@ -96,23 +96,23 @@
         ..request(9.0, 200, "")
     }];
     checker.fleet = vec![event(6.0, "purged", 2, true)];
-    assert!(is_broken(&checker, 3));
+    assert!(is_violated(&checker, 3));
     checker.fleet = vec![event(1.5, "content", 2, true)];
-    assert!(is_broken(&checker, 4));
+    assert!(is_violated(&checker, 4));
     checker.fleet = vec![
         event(1.0, "configured", 4, true),
         event(3.6, "marker", 4, false),
     ];
-    assert!(is_broken(&checker, 5));
+    assert!(is_violated(&checker, 5));
     checker.fleet = vec![event(1.0, "read-back", 4, false)];
-    assert!(is_broken(&checker, 6));
+    assert!(is_violated(&checker, 6));
     checker.fleet = vec![event(1.0, "order-again", 4, false)];
-    assert!(is_broken(&checker, 6));
+    assert!(is_violated(&checker, 6));
     checker.fleet = vec![event(1.0, "leaving", 0, true)];
     checker.origins = vec![call(3.1, None)];
-    assert!(is_broken(&checker, 7));
+    assert!(is_violated(&checker, 7));
     checker.fleet = vec![event(1.0, "at-ack", 0, false)];
-    assert!(is_broken(&checker, 5));
+    assert!(is_violated(&checker, 5));
 }
 
 #[test]
@@ -122,18 +122,18 @@
         event(1.0, "in-force", 5, true),
         event(2.0, "in-force", 6, true),
     ];
-    assert_eq!(verdict(&checker, 5), Verdict::Held(2));
+    assert_eq!(verdict(&checker, 5), Verdict::Satisfied(2));
     checker.fleet.push(event(9.0, "in-force", 5, true));
-    assert!(is_broken(&checker, 5));
+    assert!(is_violated(&checker, 5));
     // After a kill, versions that were not acknowledged may be undone.
     checker.fleet = vec![
         event(1.0, "in-force", 6, true),
         event(2.0, "killed", 0, true),
         event(3.0, "in-force", 5, true),
     ];
-    assert_eq!(verdict(&checker, 5), Verdict::Held(2));
+    assert_eq!(verdict(&checker, 5), Verdict::Satisfied(2));
     checker.fleet.insert(1, event(1.5, "acknowledged", 6, true));
-    assert!(is_broken(&checker, 5));
+    assert!(is_violated(&checker, 5));
     // Another node applies an outdated version later.
     checker.fleet = vec![
         event(1.0, "acknowledged", 7, true),
@@ -142,21 +142,24 @@
             ..event(3.6, "in-force", 6, true)
         },
     ];
-    assert!(is_broken(&checker, 5));
+    assert!(is_violated(&checker, 5));
     // Versions restart after a total loss.
     checker.fleet = vec![
         event(1.0, "in-force", 6, true),
         event(2.0, "all-lost", 0, true),
         event(3.0, "in-force", 1, true),
     ];
-    assert_eq!(verdict(&checker, 5), Verdict::Held(2));
+    assert_eq!(verdict(&checker, 5), Verdict::Satisfied(2));
     checker.fleet = vec![
         event(1.0, "removed", 3, true),
         event(3.0, "marker-gone", 3, false),
     ];
     assert_eq!(verdict(&checker, 5), Verdict::NotExercised, "not due yet");
     checker.fleet.push(event(3.6, "marker-gone", 3, false));
-    assert!(is_broken(&checker, 5), "a removed entry is still in effect");
+    assert!(
+        is_violated(&checker, 5),
+        "a removed entry is still in effect"
+    );
 }
 
 #[test]
@@ -169,11 +172,11 @@
         ..call(5.0, None)
     };
     checker.origins = vec![call(1.0, None), other_service_call("a", true)];
-    assert_eq!(verdict(&checker, 7), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 7), Verdict::Satisfied(1));
     checker.origins[1] = other_service_call("b", true);
-    assert!(is_broken(&checker, 7));
+    assert!(is_violated(&checker, 7));
     checker.origins[1] = other_service_call("a", false);
-    assert!(is_broken(&checker, 7));
+    assert!(is_violated(&checker, 7));
 }
 
 #[test]
@@ -191,8 +194,8 @@
         }));
         verdict(&checker, 8)
     };
-    assert_eq!(retry_verdict(10, 5), Verdict::Held(5));
-    assert!(matches!(retry_verdict(10, 6), Verdict::Broken(_)));
+    assert_eq!(retry_verdict(10, 5), Verdict::Satisfied(5));
+    assert!(matches!(retry_verdict(10, 6), Verdict::Violated(_)));
     let calls = |count: u32| {
         let mut checker = empty();
         checker.origins = (0..count)
@@ -200,8 +203,8 @@
             .collect();
         checker
     };
-    assert_eq!(verdict(&calls(55), 9), Verdict::Held(1));
-    assert!(is_broken(&calls(56), 9));
+    assert_eq!(verdict(&calls(55), 9), Verdict::Satisfied(1));
+    assert!(is_violated(&calls(56), 9));
 }
 
 #[test]
@@ -213,13 +216,13 @@
     };
     checker.fleet = vec![event(4.0, "fault", 0, true)];
     checker.callers = vec![rejected("over_capacity"), request(5.0, 200, "")];
-    assert_eq!(verdict(&checker, 10), Verdict::Held(2));
+    assert_eq!(verdict(&checker, 10), Verdict::Satisfied(2));
     checker.callers = vec![rejected("fenced")];
-    assert!(is_broken(&checker, 10));
+    assert!(is_violated(&checker, 10));
     checker.fleet.push(event(1.0, "fault", 0, false));
     assert_eq!(
         verdict(&checker, 10),
-        Verdict::Held(1),
+        Verdict::Satisfied(1),
         "an unplanned fault explains the rejection"
     );
     checker.callers = vec![CallerRecord {
@@ -227,7 +230,7 @@
         ..request(5.0, 0, "")
     }];
     assert!(
-        is_broken(&checker, 10),
+        is_violated(&checker, 10),
         "a missing response is a drop in any case"
     );
     checker.fleet.push(FleetRecord {
@@ -236,7 +239,7 @@
     });
     assert_eq!(
         verdict(&checker, 10),
-        Verdict::Held(1),
+        Verdict::Satisfied(1),
         "the edge was killed"
     );
 }
@@ -255,10 +258,10 @@
         request(20.0, 200, ""),
         other_entry(4.0, 200, ""),
     ];
-    assert_eq!(verdict(&checker, 11), Verdict::Held(2));
+    assert_eq!(verdict(&checker, 11), Verdict::Satisfied(2));
     checker.callers[2] = other_entry(16.0, 200, "");
     assert!(
-        is_broken(&checker, 11),
+        is_violated(&checker, 11),
         "one entry recovers in time, the other too late"
     );
     checker
@@ -266,14 +269,14 @@
         .push(other_entry(5.0, 503, "ledger_recovering"));
     assert_eq!(
         verdict(&checker, 11),
-        Verdict::Held(2),
+        Verdict::Satisfied(2),
         "a closed ledger extends the limit"
     );
     checker.callers[2] = other_entry(86.0, 200, "");
-    assert!(is_broken(&checker, 11));
+    assert!(is_violated(&checker, 11));
     checker.callers = vec![request(3.0, 200, "")];
     checker.fleet.push(event(16.0, "ready-again", 0, false));
-    assert!(is_broken(&checker, 11));
+    assert!(is_violated(&checker, 11));
 }
 
 #[test]
--- a/stand-ins/src/prelude.rs
+++ b/stand-ins/src/prelude.rs
@@ -1,6 +1,6 @@
 //! Common imports of this crate.
 pub use crate::caller::{CallerPlan, Traffic};
-pub use crate::checker::{Checker, JUDGED, Verdict};
+pub use crate::checker::{Checker, RULE_COUNT, Verdict};
 pub use crate::deployment::Deployment;
 pub use crate::flags::{Flags, request_without_proxy};
 pub use crate::fleet::{Fleet, Node};
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -246,12 +246,12 @@
         keeps: BTreeMap::new(),
     };
     let verdict = |checker: &Checker, at: usize| checker.verdicts().remove(at).1;
-    assert_eq!(verdict(&checker, 12), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 12), Verdict::Satisfied(1));
     assert_eq!(verdict(&checker, 13), Verdict::NotExercised);
     checker
         .operators
         .push(record(4.0, Some(5.0), document_read(2, "b")));
-    assert!(matches!(verdict(&checker, 12), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     checker.operators.clear();
     let item = |start: f64, operation| ItemRecord {
         name: "g".into(),
@@ -260,9 +260,9 @@
         operation,
     };
     checker.items = vec![item(0.0, put(1, "a")), item(2.0, conflict(1, "b"))];
-    assert_eq!(verdict(&checker, 12), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 12), Verdict::Satisfied(1));
     checker.items.push(item(4.0, put(1, "b")));
-    assert!(matches!(verdict(&checker, 12), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     let key = Some("k".to_string());
     checker.callers.push(CallerRecord {
         operation: key.clone(),
@@ -273,10 +273,10 @@
         operation: key.clone(),
         ..OriginRecord::default()
     });
-    assert_eq!(verdict(&checker, 13), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 13), Verdict::Satisfied(1));
     checker.callers.push(CallerRecord {
         operation: key,
         ..response(3.0, 4.0, 6)
     });
-    assert!(matches!(verdict(&checker, 13), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 13), Verdict::Violated(_)));
 }
