--- a/simulate-fleet/src/bin/simulate-fleet/runs.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/runs.rs
@@ -81,7 +81,7 @@
         .collect();
     println!(
         "seed {seed}: {} requests, {}, {} origin calls, {} steps in {} ms",
-        checker.callers.len(),
+        checker.clients.len(),
         shares.join(", "),
         checker.origins.len(),
         report.steps,
@@ -94,14 +94,14 @@
     println!(
         "  assignments moved {moves}; longest gap without a success {:.2} s; {}",
         checker.longest_gap(),
-        checker.calls_against_rate()
+        checker.max_calls_by_service()
     );
 }
 
 fn print_events(report: &Report) {
     println!(
         "other responses: {:?}\nevents: {:?}\nlargest disk {} bytes",
-        report.checker.other_answers(),
+        report.checker.unsuccessful_responses(),
         report.event_counts,
         report.log_bytes
     );
--- a/simulate-fleet/src/bin/simulate-fleet/summary.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/summary.rs
@@ -36,7 +36,7 @@
         let mut broken = false;
         for (index, (rule, cases)) in rules.into_iter().enumerate() {
             self.add_worst(index, seed, cases.worst.as_ref());
-            self.passed_cases[index] += cases.seen - cases.broken.len();
+            self.passed_cases[index] += cases.checked - cases.violations.len();
             let verdict = cases.verdict();
             broken |= matches!(verdict, Verdict::Violated(_));
             print_verdict(index + 1, rule, &verdict, verbose);
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -175,7 +175,7 @@
         let mut shares: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
         for call in report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| !cached.contains(&call.entry))
         {
@@ -216,7 +216,7 @@
         let report = World::new(WorldPlan::new(deployment, 1, at(60), faults)).run();
         let mut ranks: BTreeMap<u32, (Vec<f64>, Vec<f64>)> = BTreeMap::new();
         for call in
-            report.checker.callers.iter().filter(|call| {
+            report.checker.clients.iter().filter(|call| {
                 !cached.contains(&call.entry) && call.start > 10.0 && call.start < 40.0
             })
         {
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -104,11 +104,11 @@
 fn served_share(report: &Report) -> f64 {
     let good = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 200)
         .count();
-    good as f64 / report.checker.callers.len() as f64
+    good as f64 / report.checker.clients.len() as f64
 }
 
 #[test]
@@ -131,7 +131,7 @@
 pub(crate) fn served_share_within(report: &Report, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.start >= from && call.start < to)
         .collect();
@@ -173,7 +173,7 @@
         let report = World::new(WorldPlan::new(deployment.clone(), 5, span, faults)).run();
         (
             report.steps,
-            format!("{:?} {:?}", report.event_counts, report.checker.callers),
+            format!("{:?} {:?}", report.event_counts, report.checker.clients),
         )
     };
     assert!(run() == run());
@@ -182,7 +182,7 @@
 fn entry_served_share(report: &Report, entry: &str, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.entry == entry && call.start >= from && call.start < to)
         .collect();
--- a/simulate-fleet/src/scenarios/losses.rs
+++ b/simulate-fleet/src/scenarios/losses.rs
@@ -181,7 +181,7 @@
             );
             let closed = report
                 .checker
-                .callers
+                .clients
                 .iter()
                 .filter(|call| call.code == "ledger_recovering" && call.start > 32.0)
                 .count();
@@ -212,7 +212,7 @@
         check_rules(&report, &[1, 12]);
         let closed = report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| call.code == "ledger_recovering")
             .count();
@@ -249,7 +249,7 @@
         check_rules(&report, &[1]);
         let closed = report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| call.code == "ledger_recovering" && call.start > 36.0)
             .count();
--- a/simulate-fleet/src/scenarios/outages.rs
+++ b/simulate-fleet/src/scenarios/outages.rs
@@ -90,7 +90,7 @@
 fn first_served(report: &Report, entry: &str, after: f64) -> f64 {
     let ends = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.entry == entry && call.status == 200 && call.start > after)
         .map(|call| call.end);
@@ -222,7 +222,7 @@
                 && call.start > 20.0
                 && call.start < at as f64 / 1000.0
         };
-        ran += report.checker.callers.iter().filter(edge).count();
+        ran += report.checker.clients.iter().filter(edge).count();
     }
     assert!(ran > 20, "{ran} operations were started at the new edge");
 }
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -13,7 +13,7 @@
     }
     let report = run_small(6, 60, faults);
     check_rules(&report, &[11]);
-    assert!(report.checker.callers.iter().all(|call| !call.dropped));
+    assert!(report.checker.clients.iter().all(|call| !call.dropped));
     assert!(served_share(&report) > 0.995, "{}", served_share(&report));
 }
 
@@ -39,7 +39,7 @@
     assert!(served_share(&report) > 0.95, "{}", served_share(&report));
     let unknown = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.outcome == "unknown")
         .count();
@@ -75,7 +75,7 @@
     let share = |rank: u32| {
         let calls: Vec<_> = report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| call.rank == rank && call.entry != "listing")
             .collect();
@@ -85,17 +85,17 @@
     assert!(share(5) < 0.6, "rank 5: {}", share(5));
     for call in report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 429)
     {
         assert_eq!(call.outcome, "not_run");
     }
     let waited = |call: &&CallerRecord| call.status == 429 && call.end - call.start > 3.5;
-    let late = report.checker.callers.iter().filter(waited).count();
+    let late = report.checker.clients.iter().filter(waited).count();
     let rejected = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 429)
         .count();
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -205,7 +205,10 @@
         for pending_call in std::mem::take(&mut self.operator_calls).into_values() {
             self.record_operator(&pending_call, &ChangeOutcome::Unknown);
         }
-        let (rates, keeps) = (self.plan.deployment.rates(), self.plan.deployment.keeps());
+        let (max_rates, ttls) = (
+            self.plan.deployment.max_rates(),
+            self.plan.deployment.ttls(),
+        );
         let log_bytes = self
             .nodes
             .iter()
@@ -213,7 +216,7 @@
             .max()
             .unwrap_or(0);
         let checker = Checker {
-            callers: self.client_records,
+            clients: self.client_records,
             origins: self.origin_calls,
             fleet: self.fleet_records,
             operators: self.operator_records,
@@ -222,8 +225,8 @@
                 .iter()
                 .map(ItemCommandRecord::history)
                 .collect(),
-            rates,
-            keeps,
+            max_rates,
+            ttls,
         };
         Report {
             checker,
--- a/stand-ins/src/bin/run-fleet/report.rs
+++ b/stand-ins/src/bin/run-fleet/report.rs
@@ -32,9 +32,9 @@
 
     fn print_traffic(&self, checker: &Checker) {
         let cached = checker
-            .callers
+            .clients
             .iter()
-            .filter(|call| checker.keeps.contains_key(&call.entry))
+            .filter(|call| checker.ttls.contains_key(&call.entry))
             .count();
         let fetched = checker
             .origins
@@ -47,7 +47,7 @@
             .count();
         println!(
             "\nrequests {}, origin calls {} (health checks {})",
-            checker.callers.len(),
+            checker.clients.len(),
             checker.origins.len(),
             checker.origins.iter().filter(|call| call.probe).count()
         );
@@ -61,7 +61,7 @@
                 100.0 * successes as f64 / total as f64
             );
         }
-        println!("other responses: {:?}\n", checker.other_answers());
+        println!("other responses: {:?}\n", checker.unsuccessful_responses());
     }
 }
 
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -27,7 +27,7 @@
 /// Checks each rule against the records of clients, origins and operators.
 pub struct Checker {
     /// Requests as recorded by the clients.
-    pub callers: Vec<CallerRecord>,
+    pub clients: Vec<CallerRecord>,
     /// Calls as recorded by the origins, sorted by time.
     pub origins: Vec<OriginRecord>,
     /// Actions and observations of the fleet runner, sorted by time.
@@ -37,9 +37,9 @@
     /// Calls of operators on named items.
     pub items: Vec<ItemRecord>,
     /// Maximum calls per second to one origin, by service.
-    pub rates: BTreeMap<String, f64>,
+    pub max_rates: BTreeMap<String, f64>,
     /// TTL of each cached entry, in seconds.
-    pub keeps: BTreeMap<String, u64>,
+    pub ttls: BTreeMap<String, u64>,
 }
 
 /// Number of rules.
@@ -136,11 +136,11 @@
 #[derive(Default)]
 pub struct Cases {
     /// Number of cases checked.
-    pub seen: usize,
+    pub checked: usize,
     /// Time spans, in seconds, in which a fault might have caused a violation.
     pub spans: Vec<(f64, f64)>,
     /// Descriptions of the violations.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Largest used share of the bound (1.0 is the whole bound), with a
     /// description.
     pub worst: Option<(f64, String)>,
@@ -150,10 +150,10 @@
     /// Adds a case. `span` is the time in which a fault might have caused a
     /// violation of it.
     fn add_case(&mut self, span: (f64, f64), is_compliant: bool, text: impl FnOnce() -> String) {
-        self.seen += 1;
+        self.checked += 1;
         self.spans.push(span);
         if !is_compliant {
-            self.broken.push(text());
+            self.violations.push(text());
         }
     }
 
@@ -171,10 +171,10 @@
 
     /// Returns the result for the rule.
     pub fn verdict(&self) -> Verdict {
-        match (self.seen, self.broken.is_empty()) {
+        match (self.checked, self.violations.is_empty()) {
             (0, _) => Verdict::NotExercised,
-            (seen, true) => Verdict::Satisfied(seen),
-            _ => Verdict::Violated(self.broken.clone()),
+            (checked, true) => Verdict::Satisfied(checked),
+            _ => Verdict::Violated(self.violations.clone()),
         }
     }
 
@@ -230,13 +230,13 @@
     /// Reads the record of a run from a folder.
     pub fn read(folder: &Path, deployment: &Deployment) -> Result<Checker> {
         let mut checker = Checker {
-            callers: read_records(&folder.join("callers.jsonl"))?,
+            clients: read_records(&folder.join("callers.jsonl"))?,
             origins: read_records(&folder.join("origins.jsonl"))?,
             fleet: read_records(&folder.join("fleet.jsonl"))?,
             operators: read_records(&folder.join("operators.jsonl"))?,
             items: vec![],
-            rates: deployment.rates(),
-            keeps: deployment.keeps(),
+            max_rates: deployment.max_rates(),
+            ttls: deployment.ttls(),
         };
         checker.origins.sort_by(|a, b| a.at.total_cmp(&b.at));
         checker.fleet.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/stand-ins/src/checker/figures.rs
+++ b/stand-ins/src/checker/figures.rs
@@ -6,7 +6,7 @@
     /// Returns the longest time between two successful requests, in seconds.
     pub fn longest_gap(&self) -> f64 {
         let mut ends: Vec<f64> = self
-            .callers
+            .clients
             .iter()
             .filter(|call| call.status == 200)
             .map(|call| call.end)
@@ -19,7 +19,7 @@
 
     /// Returns, for each service, the largest number of calls to one origin in
     /// 5 s and the limit.
-    pub fn calls_against_rate(&self) -> String {
+    pub fn max_calls_by_service(&self) -> String {
         let mut max_calls: BTreeMap<&str, usize> = BTreeMap::new();
         for ((service, _), list) in self.calls_by_origin() {
             let max_of_service = max_calls.entry(service).or_default();
@@ -32,13 +32,17 @@
                 rate * 5.0
             )
         };
-        self.rates.iter().map(line).collect::<Vec<_>>().join(", ")
+        self.max_rates
+            .iter()
+            .map(line)
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 
     /// Counts unsuccessful requests by status and error code.
-    pub fn other_answers(&self) -> BTreeMap<(u16, &str), usize> {
+    pub fn unsuccessful_responses(&self) -> BTreeMap<(u16, &str), usize> {
         let mut codes = BTreeMap::new();
-        for call in self.callers.iter().filter(|call| call.status != 200) {
+        for call in self.clients.iter().filter(|call| call.status != 200) {
             *codes.entry((call.status, call.code.as_str())).or_default() += 1;
         }
         codes
@@ -47,7 +51,7 @@
     /// Counts successful and all requests by rank.
     pub fn shares(&self) -> BTreeMap<u32, (usize, usize)> {
         let mut shares: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
-        for call in &self.callers {
+        for call in &self.clients {
             let share = shares.entry(call.rank).or_default();
             share.0 += usize::from(call.status == 200);
             share.1 += 1;
--- a/stand-ins/src/checker/origins.rs
+++ b/stand-ins/src/checker/origins.rs
@@ -35,7 +35,7 @@
         // A health check carries no client request, and it detects that another
         // service uses an address. It is allowed only at addresses that were
         // listed for an allowed service.
-        let allowed: BTreeSet<&String> = self.rates.keys().collect();
+        let allowed: BTreeSet<&String> = self.max_rates.keys().collect();
         let listed: BTreeSet<&String> = self
             .origins
             .iter()
@@ -64,7 +64,7 @@
     /// counts against the rate.
     pub(super) fn retries_over_budget(&self) -> Cases {
         let mut cases = Cases::default();
-        for service in self.rates.keys() {
+        for service in self.max_rates.keys() {
             let mut known_requests = HashSet::new();
             let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
             for call in self
@@ -100,7 +100,7 @@
     pub(super) fn calls_over_rate(&self) -> Cases {
         let mut cases = Cases::default();
         for ((service, address), list) in self.calls_by_origin() {
-            let Some(rate) = self.rates.get(service) else {
+            let Some(rate) = self.max_rates.get(service) else {
                 continue;
             };
             let (max_calls, from) = max_events_within(&list, 5.0);
--- a/stand-ins/src/checker/recovery.rs
+++ b/stand-ins/src/checker/recovery.rs
@@ -11,7 +11,7 @@
     pub(super) fn recovery_in_time(&self) -> Cases {
         let mut cases = Cases::default();
         let entries: BTreeSet<&str> = self
-            .callers
+            .clients
             .iter()
             .map(|call| call.entry.as_str())
             .collect();
@@ -35,7 +35,7 @@
     /// Checks the first success of an entry after machines returned.
     fn check_return(&self, returned: &FleetRecord, entry: &str, cases: &mut Cases) {
         let calls = || {
-            self.callers
+            self.clients
                 .iter()
                 .filter(|call| call.entry == entry && call.end > returned.at)
         };
@@ -73,7 +73,7 @@
     /// Returns true if the record ends too early, or if another fault occurred
     /// before the limit.
     fn is_inconclusive(&self, returned: f64, limit: f64, first_success: Option<f64>) -> bool {
-        let last = self.callers.iter().map(|call| call.end).fold(0.0, f64::max);
+        let last = self.clients.iter().map(|call| call.end).fold(0.0, f64::max);
         let has_other_fault = self.fleet.iter().any(|record| {
             record.what == "fault"
                 && !record.good
--- a/stand-ins/src/checker/requests.rs
+++ b/stand-ins/src/checker/requests.rs
@@ -73,7 +73,7 @@
     pub(super) fn dropped_requests(&self) -> Cases {
         let mut cases = Cases::default();
         let times = FaultTimes::from_records(&self.fleet);
-        for call in &self.callers {
+        for call in &self.clients {
             if !any_within(&times.planned, call.start - PLANNED_SPAN, call.end) {
                 continue;
             }
--- a/stand-ins/src/checker/successes.rs
+++ b/stand-ins/src/checker/successes.rs
@@ -6,7 +6,7 @@
     /// Checks that each success is the origin's response to the request.
     pub(super) fn mismatched_successes(&self) -> Cases {
         let mut cases = Cases::default();
-        for call in self.callers.iter().filter(|call| call.status == 200) {
+        for call in self.clients.iter().filter(|call| call.status == 200) {
             cases.add_case((call.start, call.end), call.fits, || {
                 format!("{} at {} {:?}", call.path, call.edge, call.operation)
             });
@@ -35,12 +35,12 @@
             .filter(|record| record.what == "purged" && record.good)
         {
             let is_affected = |call: &&CallerRecord| {
-                self.keeps.contains_key(&call.entry)
+                self.ttls.contains_key(&call.entry)
                     && call.path.starts_with(&purge.subject)
                     && call.status == 200
             };
             for call in self
-                .callers
+                .clients
                 .iter()
                 .filter(is_affected)
                 .filter(|call| call.start > purge.at)
@@ -74,11 +74,11 @@
         let mut cases = Cases::default();
         for (at, version) in self.content_changes() {
             for call in self
-                .callers
+                .clients
                 .iter()
                 .filter(|call| call.status == 200 && call.start > at)
             {
-                let Some(ttl) = self.keeps.get(&call.entry) else {
+                let Some(ttl) = self.ttls.get(&call.entry) else {
                     continue;
                 };
                 let is_stale = call.version < Some(version);
--- a/stand-ins/src/checker/tests.rs
+++ b/stand-ins/src/checker/tests.rs
@@ -3,13 +3,13 @@
 
 fn empty() -> Checker {
     Checker {
-        callers: vec![],
+        clients: vec![],
         origins: vec![],
         fleet: vec![],
         operators: vec![],
         items: vec![],
-        rates: [("s".to_string(), 10.0)].into(),
-        keeps: [("e".to_string(), 5)].into(),
+        max_rates: [("s".to_string(), 10.0)].into(),
+        ttls: [("e".to_string(), 5)].into(),
     }
 }
 
@@ -73,24 +73,24 @@
     checker.origins = vec![call(1.0, Some("k")), call(9.0, Some("k"))];
     assert!(is_violated(&checker, 0));
     let mut checker = empty();
-    checker.callers = vec![request(1.0, 503, "not_run")];
+    checker.clients = vec![request(1.0, 503, "not_run")];
     assert_eq!(verdict(&checker, 1), Verdict::Satisfied(1));
     checker.origins = vec![call(5.0, Some("k"))];
     assert!(is_violated(&checker, 1));
-    checker.callers.push(request(4.5, 200, ""));
+    checker.clients.push(request(4.5, 200, ""));
     assert_eq!(
         verdict(&checker, 1),
         Verdict::Satisfied(1),
         "the later attempt was executed"
     );
     let mut checker = empty();
-    checker.callers = vec![CallerRecord {
+    checker.clients = vec![CallerRecord {
         fits: false,
         ..request(1.0, 200, "")
     }];
     assert!(is_violated(&checker, 2));
     let mut checker = empty();
-    checker.callers = vec![CallerRecord {
+    checker.clients = vec![CallerRecord {
         version: Some(1),
         path: "i/1".into(),
         ..request(9.0, 200, "")
@@ -215,9 +215,9 @@
         ..request(5.0, 503, "not_run")
     };
     checker.fleet = vec![event(4.0, "fault", 0, true)];
-    checker.callers = vec![rejected("over_capacity"), request(5.0, 200, "")];
+    checker.clients = vec![rejected("over_capacity"), request(5.0, 200, "")];
     assert_eq!(verdict(&checker, 10), Verdict::Satisfied(2));
-    checker.callers = vec![rejected("fenced")];
+    checker.clients = vec![rejected("fenced")];
     assert!(is_violated(&checker, 10));
     checker.fleet.push(event(1.0, "fault", 0, false));
     assert_eq!(
@@ -225,7 +225,7 @@
         Verdict::Satisfied(1),
         "an unplanned fault explains the rejection"
     );
-    checker.callers = vec![CallerRecord {
+    checker.clients = vec![CallerRecord {
         dropped: true,
         ..request(5.0, 0, "")
     }];
@@ -253,28 +253,28 @@
         ..request(start, status, "")
     };
     checker.fleet = vec![event(1.0, "returned", 0, true)];
-    checker.callers = vec![
+    checker.clients = vec![
         request(3.0, 200, ""),
         request(20.0, 200, ""),
         other_entry(4.0, 200, ""),
     ];
     assert_eq!(verdict(&checker, 11), Verdict::Satisfied(2));
-    checker.callers[2] = other_entry(16.0, 200, "");
+    checker.clients[2] = other_entry(16.0, 200, "");
     assert!(
         is_violated(&checker, 11),
         "one entry recovers in time, the other too late"
     );
     checker
-        .callers
+        .clients
         .push(other_entry(5.0, 503, "ledger_recovering"));
     assert_eq!(
         verdict(&checker, 11),
         Verdict::Satisfied(2),
         "a closed ledger extends the limit"
     );
-    checker.callers[2] = other_entry(86.0, 200, "");
+    checker.clients[2] = other_entry(86.0, 200, "");
     assert!(is_violated(&checker, 11));
-    checker.callers = vec![request(3.0, 200, "")];
+    checker.clients = vec![request(3.0, 200, "")];
     checker.fleet.push(event(16.0, "ready-again", 0, false));
     assert!(is_violated(&checker, 11));
 }
@@ -282,7 +282,7 @@
 #[test]
 fn coverage_counts_faults_within_rule_spans() {
     let mut checker = empty();
-    checker.callers = vec![request(1.0, 200, ""), request(8.0, 200, "")];
+    checker.clients = vec![request(1.0, 200, ""), request(8.0, 200, "")];
     checker.fleet = vec![
         event(8.5, "fault", 0, false),
         event(12.0, "fault", 0, false),
--- a/stand-ins/src/deployment.rs
+++ b/stand-ins/src/deployment.rs
@@ -257,7 +257,7 @@
     }
 
     /// Returns the maximum calls per second to one origin, by service.
-    pub fn rates(&self) -> BTreeMap<String, f64> {
+    pub fn max_rates(&self) -> BTreeMap<String, f64> {
         self.services
             .iter()
             .map(|service| (service.name.to_string(), service.rate))
@@ -265,7 +265,7 @@
     }
 
     /// Returns the TTL of each cached entry, in seconds.
-    pub fn keeps(&self) -> BTreeMap<String, u64> {
+    pub fn ttls(&self) -> BTreeMap<String, u64> {
         self.mix
             .iter()
             .filter(|mix| mix.ttl > 0)
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -234,7 +234,7 @@
 #[test]
 fn checker_reports_histories_that_are_not_linearizable() {
     let mut checker = Checker {
-        callers: vec![],
+        clients: vec![],
         origins: vec![],
         fleet: vec![],
         operators: vec![
@@ -242,8 +242,8 @@
             record(2.0, Some(3.0), document_read(3, "a")),
         ],
         items: vec![],
-        rates: BTreeMap::new(),
-        keeps: BTreeMap::new(),
+        max_rates: BTreeMap::new(),
+        ttls: BTreeMap::new(),
     };
     let verdict = |checker: &Checker, at: usize| checker.verdicts().remove(at).1;
     assert_eq!(verdict(&checker, 12), Verdict::Satisfied(1));
@@ -264,7 +264,7 @@
     checker.items.push(item(4.0, put(1, "b")));
     assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     let key = Some("k".to_string());
-    checker.callers.push(CallerRecord {
+    checker.clients.push(CallerRecord {
         operation: key.clone(),
         ..response(0.0, 2.0, 5)
     });
@@ -274,7 +274,7 @@
         ..OriginRecord::default()
     });
     assert_eq!(verdict(&checker, 13), Verdict::Satisfied(1));
-    checker.callers.push(CallerRecord {
+    checker.clients.push(CallerRecord {
         operation: key,
         ..response(3.0, 4.0, 6)
     });
