--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -134,7 +134,7 @@
                 .checker
                 .fleet
                 .iter()
-                .filter(|record| record.what == change_kind)
+                .filter(|record| record.kind == change_kind)
                 .map(|record| record.at);
             let mut spans: Vec<f64> = acknowledged_at
                 .filter_map(|at| {
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -37,7 +37,7 @@
         .checker
         .fleet
         .iter()
-        .filter(|record| record.what == kind && record.good)
+        .filter(|record| record.kind == kind && record.as_expected)
         .count()
 }
 
--- a/simulate-fleet/src/scenarios/losses.rs
+++ b/simulate-fleet/src/scenarios/losses.rs
@@ -102,7 +102,7 @@
             .checker
             .fleet
             .iter()
-            .filter(|record| record.what == "configured")
+            .filter(|record| record.kind == "configured")
             .count(),
         3
     );
@@ -154,7 +154,7 @@
                     .checker
                     .fleet
                     .iter()
-                    .filter(|record| record.what == "configured")
+                    .filter(|record| record.kind == "configured")
                     .count(),
                 3,
                 "{context}"
@@ -164,7 +164,7 @@
                     .checker
                     .fleet
                     .iter()
-                    .filter(|record| record.what == "read-back" && record.good)
+                    .filter(|record| record.kind == "read-back" && record.as_expected)
                     .count(),
                 2,
                 "{context}"
@@ -261,8 +261,8 @@
 fn log_on_disk_is_bounded_by_snapshots() {
     let mut deployment = Deployment::find("small").unwrap();
     deployment.rate = 200;
-    deployment.mix[2].share = 60;
-    deployment.mix[0].share = 25;
+    deployment.mix[2].percentage = 60;
+    deployment.mix[0].percentage = 25;
     deployment.services[1].rate = 150.0;
     let report = World::new(WorldPlan::new(
         deployment,
--- a/simulate-fleet/src/scenarios/outages.rs
+++ b/simulate-fleet/src/scenarios/outages.rs
@@ -26,7 +26,7 @@
             .checker
             .fleet
             .iter()
-            .filter(|record| record.what == "configured")
+            .filter(|record| record.kind == "configured")
             .count();
         assert_eq!(configured, 4, "{node_id:?}");
     }
@@ -50,7 +50,7 @@
             .fleet
             .iter()
             .rev()
-            .find(|record| record.what == kind)
+            .find(|record| record.kind == kind)
             .unwrap()
             .at
     };
@@ -137,7 +137,7 @@
         .fleet
         .iter()
         .rev()
-        .find(|record| record.what == "configured")
+        .find(|record| record.kind == "configured")
         .unwrap()
         .at
         - 10.1;
@@ -190,7 +190,7 @@
         .checker
         .fleet
         .iter()
-        .filter(|record| record.what == "configured")
+        .filter(|record| record.kind == "configured")
         .count();
     assert!(done >= 6, "{done} of 7 changes were acknowledged");
     assert!(served_share(&report) > 0.97, "{}", served_share(&report));
@@ -216,7 +216,7 @@
         }
         let report = run_small(step + 1, 60, faults);
         check_rules(&report, &[1]);
-        let edge = |call: &&CallerRecord| {
+        let edge = |call: &&ClientRecord| {
             call.operation.is_some()
                 && call.edge.ends_with(":1000")
                 && call.start > 20.0
--- a/simulate-fleet/src/scenarios/replacement.rs
+++ b/simulate-fleet/src/scenarios/replacement.rs
@@ -133,7 +133,7 @@
                 .checker
                 .fleet
                 .iter()
-                .filter(|record| record.what == "configured")
+                .filter(|record| record.kind == "configured")
                 .count(),
             3,
             "slot {slot}"
@@ -226,7 +226,7 @@
             .checker
             .fleet
             .iter()
-            .filter(|record| record.what == "configured")
+            .filter(|record| record.kind == "configured")
             .count(),
         2
     );
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -91,7 +91,7 @@
     {
         assert_eq!(call.outcome, "not_run");
     }
-    let waited = |call: &&CallerRecord| call.status == 429 && call.end - call.start > 3.5;
+    let waited = |call: &&ClientRecord| call.status == 429 && call.end - call.start > 3.5;
     let late = report.checker.clients.iter().filter(waited).count();
     let rejected = report
         .checker
@@ -122,9 +122,12 @@
         .checker
         .fleet
         .iter()
-        .filter(|record| record.what == "purged")
+        .filter(|record| record.kind == "purged")
         .collect();
-    assert_eq!(purged.iter().filter(|record| record.good).count(), 1500);
+    assert_eq!(
+        purged.iter().filter(|record| record.as_expected).count(),
+        1500
+    );
     assert!(
         report.log_bytes < 12 << 20,
         "{} bytes of log",
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -184,7 +184,7 @@
                         .checker
                         .fleet
                         .iter()
-                        .rfind(|record| record.what == "configured");
+                        .rfind(|record| record.kind == "configured");
                     assert!(last.is_some_and(|record| record.at > 18.4), "{context}");
                 }
             }
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -77,7 +77,7 @@
     pub(crate) operator_calls: BTreeMap<u64, PendingOperatorCall>,
     /// Client requests in progress, by id.
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
-    pub(crate) client_records: Vec<CallerRecord>,
+    pub(crate) client_records: Vec<ClientRecord>,
     pub(crate) origin_calls: Vec<OriginRecord>,
     pub(crate) fleet_records: Vec<FleetRecord>,
     pub(crate) operator_records: Vec<OperatorRecord>,
@@ -179,16 +179,19 @@
     }
 
     /// Adds a fleet record for the checker.
-    pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, good: bool) {
+    pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, as_expected: bool) {
         if self.trace {
-            println!("{:9.4} {kind} {subject} {number} {good}", self.seconds());
+            println!(
+                "{:9.4} {kind} {subject} {number} {as_expected}",
+                self.seconds()
+            );
         }
         self.fleet_records.push(FleetRecord {
             at: self.seconds(),
-            what: kind.into(),
+            kind: kind.into(),
             subject: subject.into(),
             number,
-            good,
+            as_expected,
         });
     }
 
--- a/simulate-fleet/src/world_clients.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -28,8 +28,8 @@
         let mut remaining = self.random.below(100);
         let list = self.plan.deployment.mix.clone();
         let Some(mix) = list.into_iter().find(|mix| {
-            let selected = remaining < mix.share;
-            remaining = remaining.saturating_sub(mix.share);
+            let selected = remaining < mix.percentage;
+            remaining = remaining.saturating_sub(mix.percentage);
             selected
         }) else {
             return;
@@ -67,14 +67,14 @@
         // Without a ready edge, clients are sent to a random one.
         let list = if list.is_empty() { all } else { list };
         let node = list[self.random.below(list.len() as u64) as usize];
-        let record = CallerRecord {
+        let record = ClientRecord {
             start: self.seconds(),
             edge: self.nodes[node].peer.address.to_string(),
             entry: task.mix.entry.clone(),
             rank: task.mix.rank,
             path: task.path.clone(),
             operation: task.operation.clone(),
-            ..CallerRecord::default()
+            ..ClientRecord::default()
         };
         self.serial += 1;
         let id = self.serial;
@@ -262,7 +262,7 @@
         &mut self,
         node: usize,
         task: Task,
-        record: &CallerRecord,
+        record: &ClientRecord,
         loss_triggered: bool,
     ) {
         let good = record.status == 200;
@@ -311,8 +311,8 @@
         self.fleet_records
             .iter()
             .rev()
-            .take_while(|record| record.what != "all-lost")
-            .find(|record| record.what == kind)
+            .take_while(|record| record.kind != "all-lost")
+            .find(|record| record.kind == kind)
             .map(|record| record.number)
     }
 
@@ -335,10 +335,10 @@
                     let subject = self.nodes[node].peer.address.to_string();
                     self.fleet_records.push(FleetRecord {
                         at: self.seconds(),
-                        what: kind.into(),
+                        kind: kind.into(),
                         subject,
                         number: marker,
-                        good: visible == expected,
+                        as_expected: visible == expected,
                     });
                 }
             }
@@ -349,7 +349,7 @@
     /// was injected meanwhile.
     pub(crate) fn check_readiness(&mut self, since: Duration) {
         let disturbed = self.fleet_records.iter().rev().any(|record| {
-            record.what == "fault" && !record.good && record.at > since.as_secs_f64()
+            record.kind == "fault" && !record.as_expected && record.at > since.as_secs_f64()
         });
         for node in self.edges() {
             let ready = self.nodes[node].state_machine.is_some()
@@ -364,7 +364,7 @@
 }
 
 /// Copies the fields of a response to the client's record.
-fn read_response(record: &mut CallerRecord, task: &Task, response: ClientResponse) {
+fn read_response(record: &mut ClientRecord, task: &Task, response: ClientResponse) {
     match response {
         ClientResponse::Rejection(rejection) => {
             (record.status, record.code) = (rejection.status, rejection.code);
@@ -375,7 +375,7 @@
         }
         ClientResponse::Reply { reply, .. } => {
             record.status = reply.status;
-            (record.fits, record.version) = SimOrigin::parse_reply(
+            (record.matches_request, record.version) = SimOrigin::parse_reply(
                 &reply,
                 &task.mix.method,
                 &task.path,
--- a/simulate-fleet/src/world_events.rs
+++ b/simulate-fleet/src/world_events.rs
@@ -94,7 +94,7 @@
     pub(crate) node: usize,
     pub(crate) run: u64,
     pub(crate) task: Task,
-    pub(crate) record: CallerRecord,
+    pub(crate) record: ClientRecord,
 }
 
 /// Command of an operator, who may send it more than once.
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -30,10 +30,9 @@
     /// known only from the acknowledgement, since no node may have been able to learn them.
     pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, received_at: f64) {
         let update_waiting = self.origins_put_pending.take().unwrap_or(false);
-        let disturbed =
-            self.fleet_records.iter().rev().any(|record| {
-                record.what == "fault" && !record.good && record.at > received_at - 5.0
-            });
+        let disturbed = self.fleet_records.iter().rev().any(|record| {
+            record.kind == "fault" && !record.as_expected && record.at > received_at - 5.0
+        });
         let at = if disturbed {
             self.seconds()
         } else {
@@ -43,14 +42,14 @@
             if !self
                 .fleet_records
                 .iter()
-                .any(|record| record.what == "leaving" && record.subject == origin.instance)
+                .any(|record| record.kind == "leaving" && record.subject == origin.instance)
             {
                 self.fleet_records.push(FleetRecord {
                     at,
-                    what: "leaving".into(),
+                    kind: "leaving".into(),
                     subject: origin.instance.clone(),
                     number: 0,
-                    good: true,
+                    as_expected: true,
                 });
             }
         }
--- a/stand-ins/src/bin/run-fleet/markers.rs
+++ b/stand-ins/src/bin/run-fleet/markers.rs
@@ -50,18 +50,18 @@
 /// Returns the marker of the document that was acknowledged last.
 fn newest_marker(path: &Path) -> u64 {
     let records = read_records::<FleetRecord>(path).unwrap_or_default();
-    let configured = records.iter().rfind(|record| record.what == "configured");
+    let configured = records.iter().rfind(|record| record.kind == "configured");
     configured.map_or(1, |record| record.number)
 }
 
 fn observe(edge: SocketAddr, marker: u64, at: f64) -> Option<FleetRecord> {
-    let good = is_in_effect(edge, marker)?;
+    let as_expected = is_in_effect(edge, marker)?;
     Some(FleetRecord {
         at,
-        what: "marker".into(),
+        kind: "marker".into(),
         subject: edge.to_string(),
         number: marker,
-        good,
+        as_expected,
     })
 }
 
@@ -71,10 +71,10 @@
     is_in_effect(edge, INVALID_MARKER).filter(|in_effect| *in_effect)?;
     Some(FleetRecord {
         at,
-        what: "invalid-marker".into(),
+        kind: "invalid-marker".into(),
         subject: edge.to_string(),
         number: INVALID_MARKER,
-        good: false,
+        as_expected: false,
     })
 }
 
--- a/stand-ins/src/bin/stand-in-caller.rs
+++ b/stand-ins/src/bin/stand-in-caller.rs
@@ -37,7 +37,7 @@
         entry: String::new(),
         path: path.clone(),
         paths: 1,
-        share: 100,
+        percentage: 100,
         method: method.unwrap_or_default(),
         keyed: operation.is_some(),
         rank: 0,
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -127,8 +127,8 @@
     fn draw(&self, random: &mut SeededRandom, serial: u64) -> Option<PlannedRequest> {
         let mut drawn = random.below(100);
         let mix = self.plan.mix.iter().find(|mix| {
-            let is_hit = drawn < mix.share;
-            drawn = drawn.saturating_sub(mix.share);
+            let is_hit = drawn < mix.percentage;
+            drawn = drawn.saturating_sub(mix.percentage);
             is_hit
         })?;
         // A tenth of the objects gets most of the requests.
@@ -199,16 +199,16 @@
     path: &str,
     operation: Option<&str>,
     edge: SocketAddr,
-) -> CallerRecord {
+) -> ClientRecord {
     let caller = operation.map(|operation| format!("Bearer caller-of-{operation}"));
-    let mut record = CallerRecord {
+    let mut record = ClientRecord {
         start: wall(),
         edge: edge.to_string(),
         entry: mix.entry.clone(),
         rank: mix.rank,
         path: path.into(),
         operation: operation.map(Into::into),
-        ..CallerRecord::default()
+        ..ClientRecord::default()
     };
     let mut request = request_without_proxy(&mix.method, &format!("http://{edge}{path}"))
         .connect_timeout(Duration::from_secs(2))
@@ -247,7 +247,7 @@
                     && body["sent"] == operation
                     && body["caller"].as_str() == caller.as_deref()
             });
-            record.fits = text_field("target") == path
+            record.matches_request = text_field("target") == path
                 && text_field("method") == mix.method
                 && body["fill"]
                     .as_str()
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -27,7 +27,7 @@
 /// Checks each rule against the records of clients, origins and operators.
 pub struct Checker {
     /// Requests as recorded by the clients.
-    pub clients: Vec<CallerRecord>,
+    pub clients: Vec<ClientRecord>,
     /// Calls as recorded by the origins, sorted by time.
     pub origins: Vec<OriginRecord>,
     /// Actions and observations of the fleet runner, sorted by time.
@@ -268,7 +268,7 @@
         let mut table: BTreeMap<String, [usize; RULE_COUNT]> = BTreeMap::new();
         for (rule, (_, cases)) in cases.iter().enumerate() {
             let merged = cases.merged_spans();
-            for fault in self.fleet.iter().filter(|record| record.what == "fault") {
+            for fault in self.fleet.iter().filter(|record| record.kind == "fault") {
                 let row = table.entry(fault.subject.clone()).or_default();
                 row[rule] += usize::from(Cases::is_covered(&merged, fault.at));
             }
--- a/stand-ins/src/checker/configuration.rs
+++ b/stand-ins/src/checker/configuration.rs
@@ -91,15 +91,15 @@
         let observed = self
             .fleet
             .iter()
-            .filter(|record| record.what == observation);
+            .filter(|record| record.kind == observation);
         for marker in observed {
             let Some(acknowledged) = *acknowledgement_times
                 .entry(marker.number)
-                .or_insert_with(|| self.good_record_at(acknowledgement, marker.number))
+                .or_insert_with(|| self.first_expected_record_at(acknowledgement, marker.number))
             else {
                 continue;
             };
-            if !marker.good && marker.at > acknowledged {
+            if !marker.as_expected && marker.at > acknowledged {
                 let after = marker.at - acknowledged;
                 cases.record_margin(after / MAX_CONFIGURATION_DELAY_S, || {
                     format!(
@@ -113,7 +113,7 @@
                     acknowledged - GRACE_S,
                     acknowledged + MAX_CONFIGURATION_DELAY_S,
                 );
-                cases.add_case(span, marker.good, || {
+                cases.add_case(span, marker.as_expected, || {
                     format!(
                         "{observation} {} not observed at {} at {:.3}",
                         marker.number, marker.subject, marker.at
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Returns the time of the first good record of this kind and number, in
+    /// Returns the time of the first record of this kind and number that is as expected, in
     /// seconds.
-    fn good_record_at(&self, what: &str, number: u64) -> Option<f64> {
+    fn first_expected_record_at(&self, kind: &str, number: u64) -> Option<f64> {
         self.fleet
             .iter()
-            .find(|record| record.what == what && record.number == number && record.good)
+            .find(|record| record.kind == kind && record.number == number && record.as_expected)
             .map(|record| record.at)
     }
 
@@ -138,7 +138,7 @@
     fn check_versions(&self, cases: &mut Cases) {
         let mut history = VersionHistory::default();
         for record in &self.fleet {
-            match record.what.as_str() {
+            match record.kind.as_str() {
                 "acknowledged" => history.acknowledged.push((record.at, record.number)),
                 "in-force" => history.apply(record, cases),
                 "killed" | "restarted" if record.number == 0 => {
@@ -150,10 +150,10 @@
                 // moment of the acknowledgement, and assignments held by two
                 // live nodes.
                 "at-ack" | "duty-held-twice" => {
-                    cases.add_case((record.at - GRACE_S, record.at), record.good, || {
+                    cases.add_case((record.at - GRACE_S, record.at), record.as_expected, || {
                         format!(
                             "{} {} {} at {:.3}",
-                            record.what, record.subject, record.number, record.at
+                            record.kind, record.subject, record.number, record.at
                         )
                     });
                 }
@@ -169,11 +169,13 @@
         let observed = self
             .fleet
             .iter()
-            .filter(|record| INTEGRITY_RECORDS.contains(&record.what.as_str()));
+            .filter(|record| INTEGRITY_RECORDS.contains(&record.kind.as_str()));
         for record in observed {
-            cases.add_case((record.at - INTEGRITY_SPAN, record.at), record.good, || {
-                format!("{} {} {}", record.what, record.subject, record.number)
-            });
+            cases.add_case(
+                (record.at - INTEGRITY_SPAN, record.at),
+                record.as_expected,
+                || format!("{} {} {}", record.kind, record.subject, record.number),
+            );
         }
         cases
     }
--- a/stand-ins/src/checker/histories.rs
+++ b/stand-ins/src/checker/histories.rs
@@ -7,7 +7,7 @@
     pub(super) fn operator_histories(&self) -> Cases {
         let mut cases = Cases::default();
         if self.operators.len() > 1 {
-            let all_lost = self.fleet.iter().rfind(|record| record.what == "all-lost");
+            let all_lost = self.fleet.iter().rfind(|record| record.kind == "all-lost");
             let result = check_document(&self.operators, all_lost.map(|loss| loss.at));
             let span = span_of(self.operators.iter().map(|call| call.start));
             cases.add_case(span, result == HistoryResult::Linearizable, || {
--- a/stand-ins/src/checker/operations.rs
+++ b/stand-ins/src/checker/operations.rs
@@ -14,8 +14,8 @@
     }
 
     /// Returns the attempts of each operation key.
-    pub(super) fn attempts_by_key(&self) -> BTreeMap<&str, Vec<&CallerRecord>> {
-        let mut attempts: BTreeMap<&str, Vec<&CallerRecord>> = BTreeMap::new();
+    pub(super) fn attempts_by_key(&self) -> BTreeMap<&str, Vec<&ClientRecord>> {
+        let mut attempts: BTreeMap<&str, Vec<&ClientRecord>> = BTreeMap::new();
         for call in &self.clients {
             if let Some(operation) = &call.operation {
                 attempts.entry(operation).or_default().push(call);
--- a/stand-ins/src/checker/origins.rs
+++ b/stand-ins/src/checker/origins.rs
@@ -9,7 +9,7 @@
     /// read it, not from its response.
     pub(super) fn calls_to_draining_origins(&self) -> Cases {
         let mut cases = Cases::default();
-        for drained in self.fleet.iter().filter(|record| record.what == "leaving") {
+        for drained in self.fleet.iter().filter(|record| record.kind == "leaving") {
             let calls = || {
                 self.origins
                     .iter()
--- a/stand-ins/src/checker/recovery.rs
+++ b/stand-ins/src/checker/recovery.rs
@@ -15,7 +15,7 @@
             .iter()
             .map(|call| call.entry.as_str())
             .collect();
-        for returned in self.fleet.iter().filter(|record| record.what == "returned") {
+        for returned in self.fleet.iter().filter(|record| record.kind == "returned") {
             for entry in &entries {
                 self.check_return(returned, entry, &mut cases);
             }
@@ -23,11 +23,13 @@
         for ready in self
             .fleet
             .iter()
-            .filter(|record| record.what == "ready-again")
+            .filter(|record| record.kind == "ready-again")
         {
-            cases.add_case((ready.at - MAX_RECOVERY_S, ready.at), ready.good, || {
-                format!("{} was not ready in 15 s at {:.3}", ready.subject, ready.at)
-            });
+            cases.add_case(
+                (ready.at - MAX_RECOVERY_S, ready.at),
+                ready.as_expected,
+                || format!("{} was not ready in 15 s at {:.3}", ready.subject, ready.at),
+            );
         }
         cases
     }
@@ -75,8 +77,8 @@
     fn is_inconclusive(&self, returned: f64, limit: f64, first_success: Option<f64>) -> bool {
         let last = self.clients.iter().map(|call| call.end).fold(0.0, f64::max);
         let has_other_fault = self.fleet.iter().any(|record| {
-            record.what == "fault"
-                && !record.good
+            record.kind == "fault"
+                && !record.as_expected
                 && record.at > returned + SAME_MOMENT
                 && record.at < returned + limit
         });
--- a/stand-ins/src/checker/requests.rs
+++ b/stand-ins/src/checker/requests.rs
@@ -17,19 +17,19 @@
 }
 
 impl<'a> FaultTimes<'a> {
-    /// Collects the times from a fleet's records. For a fault, `good` means
+    /// Collects the times from a fleet's records. For a fault, `as_expected` means
     /// that it was planned.
     fn from_records(fleet: &'a [FleetRecord]) -> FaultTimes<'a> {
         let times = |planned: bool| {
             fleet
                 .iter()
-                .filter(|record| record.what == "fault" && record.good == planned)
+                .filter(|record| record.kind == "fault" && record.as_expected == planned)
                 .map(|record| record.at)
                 .collect()
         };
         let kills = fleet
             .iter()
-            .filter(|record| record.what == "killed")
+            .filter(|record| record.kind == "killed")
             .map(|record| (record.subject.as_str(), record.at))
             .collect();
         FaultTimes {
@@ -41,14 +41,14 @@
 
     /// Returns true if the edge of the request was killed while the request was
     /// in flight.
-    fn was_edge_killed(&self, call: &CallerRecord) -> bool {
+    fn was_edge_killed(&self, call: &ClientRecord) -> bool {
         self.kills.iter().any(|(edge, at)| {
             *edge == call.edge && call.start < at + KILL_SPAN && call.end > at - KILL_SPAN
         })
     }
 
     /// Returns true if no unplanned fault explains a rejection of the request.
-    fn is_unaffected_by_faults(&self, call: &CallerRecord) -> bool {
+    fn is_unaffected_by_faults(&self, call: &ClientRecord) -> bool {
         // After a loss the ledger is closed for longer than the other effects
         // last.
         let span = if call.code == "ledger_recovering" {
@@ -102,9 +102,9 @@
         let observed = self
             .fleet
             .iter()
-            .filter(|record| ["abandoned-work", "caller-left"].contains(&record.what.as_str()));
+            .filter(|record| ["abandoned-work", "caller-left"].contains(&record.kind.as_str()));
         for record in observed {
-            cases.add_case((record.at, record.at), record.good, || {
+            cases.add_case((record.at, record.at), record.as_expected, || {
                 record.subject.clone()
             });
         }
--- a/stand-ins/src/checker/successes.rs
+++ b/stand-ins/src/checker/successes.rs
@@ -7,7 +7,7 @@
     pub(super) fn mismatched_successes(&self) -> Cases {
         let mut cases = Cases::default();
         for call in self.clients.iter().filter(|call| call.status == 200) {
-            cases.add_case((call.start, call.end), call.fits, || {
+            cases.add_case((call.start, call.end), call.matches_request, || {
                 format!("{} at {} {:?}", call.path, call.edge, call.operation)
             });
         }
@@ -18,7 +18,7 @@
     pub(super) fn content_changes(&self) -> Vec<(f64, u64)> {
         self.fleet
             .iter()
-            .filter(|record| record.what == "content")
+            .filter(|record| record.kind == "content")
             .map(|record| (record.at, record.number))
             .collect()
     }
@@ -32,9 +32,9 @@
         for purge in self
             .fleet
             .iter()
-            .filter(|record| record.what == "purged" && record.good)
+            .filter(|record| record.kind == "purged" && record.as_expected)
         {
-            let is_affected = |call: &&CallerRecord| {
+            let is_affected = |call: &&ClientRecord| {
                 self.ttls.contains_key(&call.entry)
                     && call.path.starts_with(&purge.subject)
                     && call.status == 200
--- a/stand-ins/src/checker/tests.rs
+++ b/stand-ins/src/checker/tests.rs
@@ -29,26 +29,26 @@
     }
 }
 
-fn request(start: f64, status: u16, outcome: &str) -> CallerRecord {
-    CallerRecord {
+fn request(start: f64, status: u16, outcome: &str) -> ClientRecord {
+    ClientRecord {
         start,
         end: start + 1.0,
         status,
         outcome: outcome.into(),
         operation: Some("k".into()),
         entry: "e".into(),
-        fits: true,
+        matches_request: true,
         ..Default::default()
     }
 }
 
-fn event(at: f64, what: &str, number: u64, good: bool) -> FleetRecord {
+fn event(at: f64, kind: &str, number: u64, as_expected: bool) -> FleetRecord {
     FleetRecord {
         at,
-        what: what.into(),
+        kind: kind.into(),
         subject: "i".into(),
         number,
-        good,
+        as_expected,
     }
 }
 
@@ -84,13 +84,13 @@
         "the later attempt was executed"
     );
     let mut checker = empty();
-    checker.clients = vec![CallerRecord {
-        fits: false,
+    checker.clients = vec![ClientRecord {
+        matches_request: false,
         ..request(1.0, 200, "")
     }];
     assert!(is_violated(&checker, 2));
     let mut checker = empty();
-    checker.clients = vec![CallerRecord {
+    checker.clients = vec![ClientRecord {
         version: Some(1),
         path: "i/1".into(),
         ..request(9.0, 200, "")
@@ -210,7 +210,7 @@
 #[test]
 fn rejection_explained_only_by_planned_change_counts_as_dropped() {
     let mut checker = empty();
-    let rejected = |code: &str| CallerRecord {
+    let rejected = |code: &str| ClientRecord {
         code: code.into(),
         ..request(5.0, 503, "not_run")
     };
@@ -225,7 +225,7 @@
         Verdict::Satisfied(1),
         "an unplanned fault explains the rejection"
     );
-    checker.clients = vec![CallerRecord {
+    checker.clients = vec![ClientRecord {
         dropped: true,
         ..request(5.0, 0, "")
     }];
@@ -247,7 +247,7 @@
 #[test]
 fn recovery_requires_every_entry_kind() {
     let mut checker = empty();
-    let other_entry = |start: f64, status: u16, code: &str| CallerRecord {
+    let other_entry = |start: f64, status: u16, code: &str| ClientRecord {
         entry: "f".into(),
         code: code.into(),
         ..request(start, status, "")
--- a/stand-ins/src/deployment.rs
+++ b/stand-ins/src/deployment.rs
@@ -43,7 +43,8 @@
     /// Number of different paths.
     pub paths: u64,
     /// Percentage of the requests.
-    pub share: u64,
+    #[serde(rename = "share")]
+    pub percentage: u64,
     /// HTTP method.
     pub method: String,
     /// True if the request has an operation key.
@@ -61,7 +62,7 @@
     path: &'static str,
     paths: u64,
     /// Percentage of the requests.
-    share: u64,
+    percentage: u64,
     method: &'static str,
     rank: u32,
     /// TTL in seconds; 0 if responses are not cached.
@@ -72,7 +73,7 @@
     entry: &'static str,
     path: &'static str,
     paths: u64,
-    share: u64,
+    percentage: u64,
     method: &'static str,
     rank: u32,
     ttl: u64,
@@ -81,7 +82,7 @@
         entry,
         path,
         paths,
-        share,
+        percentage,
         method,
         rank,
         ttl,
@@ -94,7 +95,7 @@
             entry: self.entry.into(),
             path: self.path.into(),
             paths: self.paths,
-            share: self.share,
+            percentage: self.percentage,
             method: self.method.into(),
             keyed: self.keyed(),
             rank: self.rank,
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -366,13 +366,13 @@
     }
 
     /// Records an action or observation of the runner.
-    pub fn record_event(&self, what: &str, subject: &str, number: u64, good: bool) {
+    pub fn record_event(&self, kind: &str, subject: &str, number: u64, as_expected: bool) {
         self.record.put(&FleetRecord {
             at: wall(),
-            what: what.into(),
+            kind: kind.into(),
             subject: subject.into(),
             number,
-            good,
+            as_expected,
         });
     }
 
--- a/stand-ins/src/history.rs
+++ b/stand-ins/src/history.rs
@@ -377,7 +377,7 @@
 /// Checks the history of one operation key: executions by origins and responses
 /// to clients. Attempts without a response impose no constraint, because they
 /// may or may not have executed the operation.
-pub fn check_key(runs: &[f64], attempts: &[&CallerRecord]) -> HistoryResult {
+pub fn check_key(runs: &[f64], attempts: &[&ClientRecord]) -> HistoryResult {
     let executions = runs.iter().map(|at| Timed {
         start: *at,
         end: Some(*at),
--- a/stand-ins/src/record.rs
+++ b/stand-ins/src/record.rs
@@ -24,7 +24,7 @@
 
 /// Request as recorded by a client. Status 0 means that no response arrived.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct CallerRecord {
+pub struct ClientRecord {
     /// Time at which the request was sent, in seconds.
     pub start: f64,
     /// Time at which the request ended, in seconds.
@@ -50,7 +50,8 @@
     /// Version of the content in the body.
     pub version: Option<u64>,
     /// True if the body is the origin's response to this request.
-    pub fits: bool,
+    #[serde(rename = "fits")]
+    pub matches_request: bool,
     /// True if there is no response although the request may have been read
     /// completely.
     pub dropped: bool,
@@ -62,14 +63,16 @@
     /// Time, in seconds.
     pub at: f64,
     /// Kind of the record, such as `fault` or `purged`.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub kind: String,
     /// Subject of the record: a node, a prefix or a kind of fault.
     pub subject: String,
     /// Version or marker; 0 if there is none.
     pub number: u64,
     /// True if the observation is as required; for a fault, true if it was
     /// planned.
-    pub good: bool,
+    #[serde(rename = "good")]
+    pub as_expected: bool,
 }
 
 /// Returns the wall-clock time in seconds. All test tools run on one machine,
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -191,27 +191,27 @@
     );
 }
 
-fn response(start: f64, end: f64, version: u64) -> CallerRecord {
-    CallerRecord {
+fn response(start: f64, end: f64, version: u64) -> ClientRecord {
+    ClientRecord {
         start,
         end,
         status: 200,
         version: Some(version),
-        ..CallerRecord::default()
+        ..ClientRecord::default()
     }
 }
 
 #[test]
 fn operation_key_runs_once_with_one_response() {
     let (first, again) = (response(0.0, 2.0, 5), response(3.0, 4.0, 5));
-    let rejected = CallerRecord {
+    let rejected = ClientRecord {
         status: 503,
         ..response(0.0, 0.5, 0)
     };
     let all = [&rejected, &first, &again];
     assert_eq!(check_key(&[1.0], &all), HistoryResult::Linearizable);
     assert_eq!(check_key(&[1.0], &[]), HistoryResult::Linearizable);
-    let violated = |runs: &[f64], attempts: &[&CallerRecord]| {
+    let violated = |runs: &[f64], attempts: &[&ClientRecord]| {
         matches!(check_key(runs, attempts), HistoryResult::Violated(_))
     };
     assert!(violated(&[1.0, 3.5], &[]), "executed twice");
@@ -264,7 +264,7 @@
     checker.items.push(item(4.0, put(1, "b")));
     assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     let key = Some("k".to_string());
-    checker.clients.push(CallerRecord {
+    checker.clients.push(ClientRecord {
         operation: key.clone(),
         ..response(0.0, 2.0, 5)
     });
@@ -274,7 +274,7 @@
         ..OriginRecord::default()
     });
     assert_eq!(verdict(&checker, 13), Verdict::Satisfied(1));
-    checker.clients.push(CallerRecord {
+    checker.clients.push(ClientRecord {
         operation: key,
         ..response(3.0, 4.0, 6)
     });
