--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -113,10 +113,10 @@
 impl Options {
     /// Parses the command line; exits the program if it is invalid.
     pub(crate) fn from_command_line() -> Options {
-        let mut flags = Flags::gather("simulate-fleet", HELP);
-        let basic = BasicFlags::take(&mut flags);
+        let mut flags = Flags::from_command_line("simulate-fleet", HELP);
+        let basic = BasicFlags::read(&mut flags);
         let deployment = basic.check(&mut flags);
-        let fleet = FleetFlags::take(&mut flags);
+        let fleet = FleetFlags::read(&mut flags);
         let deployment = fleet.check(&mut flags, &basic, deployment);
         let control_nodes = basic.control_nodes.unwrap_or(DEFAULT_CONTROL_NODES);
         let script = fleet
@@ -156,27 +156,27 @@
 }
 
 impl BasicFlags {
-    fn take(flags: &mut Flags) -> BasicFlags {
+    fn read(flags: &mut Flags) -> BasicFlags {
         BasicFlags {
             deployment: flags
-                .take("--deployment", Some("small".to_string()))
+                .value("--deployment", Some("small".to_string()))
                 .unwrap_or_default(),
-            seconds: flags.take("--seconds", Some(120)).unwrap_or(60),
-            first_seed: flags.take("--seed", Some(1)).unwrap_or(1),
-            seeds: flags.take("--seeds", Some(1)).unwrap_or(1),
-            control_nodes: take_control_nodes(flags),
-            edges: flags.take("--edges", Some(0)).unwrap_or(0),
-            rate: flags.take("--rate", Some(0)).unwrap_or(0),
+            seconds: flags.value("--seconds", Some(120)).unwrap_or(60),
+            first_seed: flags.value("--seed", Some(1)).unwrap_or(1),
+            seeds: flags.value("--seeds", Some(1)).unwrap_or(1),
+            control_nodes: read_control_nodes(flags),
+            edges: flags.value("--edges", Some(0)).unwrap_or(0),
+            rate: flags.value("--rate", Some(0)).unwrap_or(0),
             faults: flags
-                .take("--faults", Some("random".to_string()))
+                .value("--faults", Some("random".to_string()))
                 .unwrap_or_default(),
-            trace: flags.take("--trace", Some(0)).unwrap_or(0),
-            shrink: flags.take("--shrink", Some(0u8)).unwrap_or(0) > 0,
-            drift: flags.take("--drift", Some(1000)).unwrap_or(0),
+            trace: flags.value("--trace", Some(0)).unwrap_or(0),
+            shrink: flags.value("--shrink", Some(0u8)).unwrap_or(0) > 0,
+            drift: flags.value("--drift", Some(1000)).unwrap_or(0),
             capacity_sizes: flags
-                .take("--capacity", Some(String::new()))
+                .value("--capacity", Some(String::new()))
                 .unwrap_or_default(),
-            figures: flags.take("--figures", Some(0u8)).unwrap_or(0) > 0,
+            figures: flags.value("--figures", Some(0u8)).unwrap_or(0) > 0,
         }
     }
 
@@ -184,32 +184,32 @@
     fn check(&self, flags: &mut Flags) -> Deployment {
         let deployment = Deployment::find(&self.deployment);
         if deployment.is_none() {
-            flags.found("--deployment", "no such deployment");
+            flags.add_finding("--deployment", "no such deployment");
         }
         if !["none", "random"].contains(&self.faults.as_str()) {
-            flags.found("--faults", "no such faults");
+            flags.add_finding("--faults", "no such faults");
         }
         if self.seconds < MIN_SECONDS {
-            flags.found("--seconds", "at least 20");
+            flags.add_finding("--seconds", "at least 20");
         }
         deployment.unwrap_or_else(|| Deployment::find("small").expect("deployment exists"))
     }
 }
 
 impl FleetFlags {
-    fn take(flags: &mut Flags) -> FleetFlags {
+    fn read(flags: &mut Flags) -> FleetFlags {
         FleetFlags {
-            zones: flags.take("--zones", Some(0)).unwrap_or(0),
+            zones: flags.value("--zones", Some(0)).unwrap_or(0),
             service_rate: flags
-                .take("--service-rate", Some(String::new()))
+                .value("--service-rate", Some(String::new()))
                 .unwrap_or_default(),
             message_faults: MessageFaults {
-                lost: flags.take("--lost", Some(0)).unwrap_or(0),
-                doubled: flags.take("--doubled", Some(0)).unwrap_or(0),
-                late: flags.take("--late", Some(0)).unwrap_or(0),
+                lost: flags.value("--lost", Some(0)).unwrap_or(0),
+                doubled: flags.value("--doubled", Some(0)).unwrap_or(0),
+                late: flags.value("--late", Some(0)).unwrap_or(0),
             },
             script: flags
-                .take("--script", Some(String::new()))
+                .value("--script", Some(String::new()))
                 .filter(|path| !path.is_empty()),
         }
     }
@@ -236,11 +236,11 @@
             late,
         } = self.message_faults;
         if lost.max(doubled).max(late) > MAX_MESSAGE_FAULT_PERCENT {
-            flags.found("--lost, --doubled, --late", "at most 90 of a hundred");
+            flags.add_finding("--lost, --doubled, --late", "at most 90 of a hundred");
         }
         if !self.service_rate.is_empty() && set_rate(&mut deployment, &self.service_rate).is_none()
         {
-            flags.found(
+            flags.add_finding(
                 "--service-rate",
                 "must be a service of the deployment, = and a number",
             );
@@ -250,12 +250,12 @@
 }
 
 /// Takes the number of control nodes; none if the flag is missing.
-fn take_control_nodes(flags: &mut Flags) -> Option<usize> {
+fn read_control_nodes(flags: &mut Flags) -> Option<usize> {
     let count = flags
-        .take("--control", Some(0usize))
+        .value("--control", Some(0usize))
         .filter(|count| *count > 0)?;
     if !(1..=MAX_SLOTS).contains(&count) {
-        flags.found("--control", "1 to 16");
+        flags.add_finding("--control", "1 to 16");
     }
     Some(count)
 }
@@ -286,7 +286,7 @@
         Ok(schedule) => Some(schedule),
         Err(findings) => {
             for finding in findings {
-                flags.found(&format!("{path}{}", finding.place), &finding.text);
+                flags.add_finding(&format!("{path}{}", finding.place), &finding.text);
             }
             None
         }
@@ -303,7 +303,7 @@
             .collect()
     };
     if !text.is_empty() && (sizes.is_empty() || sizes.contains(&0)) {
-        flags.found("--capacity", "all, or numbers of edges, as 16,64");
+        flags.add_finding("--capacity", "all, or numbers of edges, as 16,64");
     }
     sizes
 }
--- a/stand-ins/src/bin/platform-soak.rs
+++ b/stand-ins/src/bin/platform-soak.rs
@@ -17,16 +17,16 @@
 4, 8 ... roll edges alone. Exit code 1 if a rule is broken; logs and report.txt of a broken run stay.";
 
 fn main() -> Result<()> {
-    let mut flags = Flags::gather("platform-soak", HELP);
-    let seeds = flags.take("--seeds", Some(1u64)).unwrap_or(1);
-    let first = flags.take("--first", Some(1u64)).unwrap_or(1);
-    let seconds = flags.take("--seconds", Some(20u64)).unwrap_or(20);
-    let shape = flags.take::<String>("--shape", Some("small".into()));
-    let quiet = flags.take("--quiet", Some(0u8)).unwrap_or(0) == 1;
-    let keeps = flags.take("--keep", Some(0u8)).unwrap_or(0) == 1;
-    let folder = flags.take::<String>("--folder", None).map(PathBuf::from);
+    let mut flags = Flags::from_command_line("platform-soak", HELP);
+    let seeds = flags.value("--seeds", Some(1u64)).unwrap_or(1);
+    let first = flags.value("--first", Some(1u64)).unwrap_or(1);
+    let seconds = flags.value("--seconds", Some(20u64)).unwrap_or(20);
+    let shape = flags.value::<String>("--shape", Some("small".into()));
+    let quiet = flags.value("--quiet", Some(0u8)).unwrap_or(0) == 1;
+    let keeps = flags.value("--keep", Some(0u8)).unwrap_or(0) == 1;
+    let folder = flags.value::<String>("--folder", None).map(PathBuf::from);
     if folder.as_ref().is_some_and(|folder| folder.exists()) {
-        flags.found("--folder", "exists already");
+        flags.add_finding("--folder", "exists already");
     }
     flags.finish();
     let folder = folder.context("folder")?;
--- a/stand-ins/src/bin/run-fleet/options.rs
+++ b/stand-ins/src/bin/run-fleet/options.rs
@@ -37,26 +37,26 @@
 impl Options {
     /// Reads the command line; exits if it contains errors.
     pub(crate) fn from_command_line() -> Result<Options> {
-        let mut flags = Flags::gather("run-fleet", HELP);
+        let mut flags = Flags::from_command_line("run-fleet", HELP);
         let name = flags
-            .take("--deployment", Some("small".to_string()))
+            .value("--deployment", Some("small".to_string()))
             .unwrap_or_default();
-        let seconds = flags.take("--seconds", Some(60)).unwrap_or(60);
-        let folder = flags.take::<String>("--folder", None).map(PathBuf::from);
+        let seconds = flags.value("--seconds", Some(60)).unwrap_or(60);
+        let folder = flags.value::<String>("--folder", None).map(PathBuf::from);
         let faults = flags
-            .take("--faults", Some("script".to_string()))
+            .value("--faults", Some("script".to_string()))
             .unwrap_or_default();
-        let seed = flags.take("--seed", Some(1)).unwrap_or(1);
-        let keep_up = flags.take("--keep-up", Some(0u8)).unwrap_or(0) > 0;
+        let seed = flags.value("--seed", Some(1)).unwrap_or(1);
+        let keep_up = flags.value("--keep-up", Some(0u8)).unwrap_or(0) > 0;
         let deployment = Deployment::find(&name);
         if deployment.is_none() {
-            flags.found("--deployment", "no such deployment");
+            flags.add_finding("--deployment", "no such deployment");
         }
         if !FAULTS.contains(&faults.as_str()) {
-            flags.found("--faults", "no such faults");
+            flags.add_finding("--faults", "no such faults");
         }
         if folder.as_ref().is_some_and(|folder| folder.exists()) {
-            flags.found("--folder", "exists already");
+            flags.add_finding("--folder", "exists already");
         }
         flags.finish();
         Ok(Options {
--- a/stand-ins/src/bin/soak.rs
+++ b/stand-ins/src/bin/soak.rs
@@ -14,13 +14,13 @@
 have left; the logs of a broken run stay.";
 
 fn main() -> Result<()> {
-    let mut flags = Flags::gather("soak", HELP);
-    let seeds = flags.take("--seeds", Some(1u64)).unwrap_or(1);
-    let first = flags.take("--first", Some(1u64)).unwrap_or(1);
-    let seconds = flags.take("--seconds", Some(20u64)).unwrap_or(20);
-    let folder = flags.take::<String>("--folder", None).map(PathBuf::from);
+    let mut flags = Flags::from_command_line("soak", HELP);
+    let seeds = flags.value("--seeds", Some(1u64)).unwrap_or(1);
+    let first = flags.value("--first", Some(1u64)).unwrap_or(1);
+    let seconds = flags.value("--seconds", Some(20u64)).unwrap_or(20);
+    let folder = flags.value::<String>("--folder", None).map(PathBuf::from);
     if folder.as_ref().is_some_and(|folder| folder.exists()) {
-        flags.found("--folder", "exists already");
+        flags.add_finding("--folder", "exists already");
     }
     flags.finish();
     let folder = folder.context("folder")?;
--- a/stand-ins/src/bin/stand-in-caller.rs
+++ b/stand-ins/src/bin/stand-in-caller.rs
@@ -7,29 +7,29 @@
 --edge IP:PORT --path PATH [--method GET] [--operation KEY]     one request, shown";
 
 fn main() -> Result<()> {
-    let mut flags = Flags::gather("stand-in-caller", HELP);
+    let mut flags = Flags::from_command_line("stand-in-caller", HELP);
     let plan = flags
-        .take::<String>("--plan", Some(String::new()))
+        .value::<String>("--plan", Some(String::new()))
         .filter(|path| !path.is_empty());
     if let Some(path) = plan {
-        let record = flags.take::<String>("--record", None);
+        let record = flags.value::<String>("--record", None);
         let plan = fs::read_to_string(&path).map_err(|error| error.to_string());
         let plan = plan.and_then(|text| {
             serde_json::from_str::<CallerPlan>(&text).map_err(|error| error.to_string())
         });
         if let Err(error) = &plan {
-            flags.found(&path, error);
+            flags.add_finding(&path, error);
         }
         flags.finish();
         let plan = plan.map_err(|error| anyhow!(error))?;
         Traffic::run(plan, Recorder::open(Path::new(&record.context("record")?))?);
         return Ok(());
     }
-    let edge = flags.take::<SocketAddr>("--edge", None);
-    let path = flags.take::<String>("--path", None);
-    let method = flags.take("--method", Some("GET".to_string()));
+    let edge = flags.value::<SocketAddr>("--edge", None);
+    let path = flags.value::<String>("--path", None);
+    let method = flags.value("--method", Some("GET".to_string()));
     let operation = flags
-        .take("--operation", Some(String::new()))
+        .value("--operation", Some(String::new()))
         .filter(|key| !key.is_empty());
     flags.finish();
     let (edge, path) = (edge.context("edge")?, path.context("path")?);
--- a/stand-ins/src/bin/stand-in-origin.rs
+++ b/stand-ins/src/bin/stand-in-origin.rs
@@ -7,13 +7,13 @@
 The key is derived from the service's name. Faults: PUT /.stand-in/fault/NAME";
 
 fn main() -> Result<()> {
-    let mut flags = Flags::gather("stand-in-origin", HELP);
-    let address = flags.take::<SocketAddr>("--http", None);
-    let service = flags.take::<String>("--service", None);
-    let instance = flags.take::<String>("--instance", None);
-    let delay = flags.take("--delay-ms", Some(5));
-    let content = flags.take::<String>("--content", Some(String::new()));
-    let record = flags.take::<String>("--record", Some(String::new()));
+    let mut flags = Flags::from_command_line("stand-in-origin", HELP);
+    let address = flags.value::<SocketAddr>("--http", None);
+    let service = flags.value::<String>("--service", None);
+    let instance = flags.value::<String>("--instance", None);
+    let delay = flags.value("--delay-ms", Some(5));
+    let content = flags.value::<String>("--content", Some(String::new()));
+    let record = flags.value::<String>("--record", Some(String::new()));
     flags.finish();
     let (service, instance) = (service.context("service")?, instance.context("instance")?);
     let mut origin = StandInOrigin::new(
--- a/stand-ins/src/flags.rs
+++ b/stand-ins/src/flags.rs
@@ -12,24 +12,24 @@
 pub struct Flags {
     program: &'static str,
     flags: pico_args::Arguments,
-    found: Vec<Finding>,
+    findings: Vec<Finding>,
 }
 
 impl Flags {
     /// Reads the command line; prints the help text or the version on request.
-    pub fn gather(program: &'static str, help: &str) -> Flags {
+    pub fn from_command_line(program: &'static str, help: &str) -> Flags {
         let mut flags = pico_args::Arguments::from_env();
         help_or_version(program, &mut flags, &format!("{program}: {help}"));
         Flags {
             program,
             flags,
-            found: Vec::new(),
+            findings: Vec::new(),
         }
     }
 
     /// Returns the value of a flag or its default; a missing or invalid value
     /// is a finding.
-    pub fn take<T: std::str::FromStr>(
+    pub fn value<T: std::str::FromStr>(
         &mut self,
         name: &'static str,
         default: Option<T>,
@@ -50,30 +50,30 @@
             Ok(Some(value)) => Some(value),
             Ok(None) => {
                 if default.is_none() {
-                    self.found.push(Finding::new(name, "is needed"));
+                    self.findings.push(Finding::new(name, "is needed"));
                 }
                 default
             }
             Err(error) => {
-                self.found.push(Finding::new(name, error));
+                self.findings.push(Finding::new(name, error));
                 None
             }
         }
     }
 
     /// Adds a finding.
-    pub fn found(&mut self, place: &str, text: &str) {
-        self.found.push(Finding::new(place, text));
+    pub fn add_finding(&mut self, place: &str, text: &str) {
+        self.findings.push(Finding::new(place, text));
     }
 
     /// Exits with code 2 if there are findings.
     pub fn finish(mut self) {
         for unknown in self.flags.finish() {
-            self.found
+            self.findings
                 .push(Finding::new(unknown.to_string_lossy(), "unknown flag"));
         }
-        if !self.found.is_empty() {
-            exit_with_findings(self.program, &self.found);
+        if !self.findings.is_empty() {
+            exit_with_findings(self.program, &self.findings);
         }
     }
 }
