--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -249,7 +249,7 @@
     }
 }
 
-/// Takes the number of control nodes; none if the flag is missing.
+/// Reads the number of control nodes; none if the flag is missing.
 fn read_control_nodes(flags: &mut Flags) -> Option<usize> {
     let count = flags
         .value("--control", Some(0usize))
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -114,7 +114,7 @@
 /// Time in which the first seed collects founding control nodes.
 const GATHER_TIME: Duration = Duration::from_millis(1000);
 /// Time by which the fleet is founded and has its assignments.
-const SETTLED_AT: Duration = Duration::from_secs(8);
+const FLEET_SETTLED_AT: Duration = Duration::from_secs(8);
 /// Edge counts of the tables in `docs/CAPACITY.md`.
 pub const EDGE_COUNTS: [usize; 4] = [16, 64, 256, 1100];
 /// Number of control nodes of the tables in `docs/CAPACITY.md`.
@@ -473,7 +473,7 @@
             acknowledge: Acknowledge::Settled,
         };
         self.apply_change(2, ORIGINS_PARTITION, origins)?;
-        self.run_to(self.now.max(SETTLED_AT) + Duration::from_secs(3));
+        self.run_to(self.now.max(FLEET_SETTLED_AT) + Duration::from_secs(3));
         Ok(())
     }
 
--- a/simulate-fleet/src/script/read.rs
+++ b/simulate-fleet/src/script/read.rs
@@ -15,8 +15,9 @@
 struct Line {
     /// Virtual time of the fault, in seconds.
     at: f64,
+    /// Name of the fault or change.
     #[serde(rename = "do")]
-    word: String,
+    action: String,
     /// Target of the fault, for example "control-0", "edge-3" or "origin-2".
     #[serde(default)]
     to: Option<String>,
@@ -165,21 +166,21 @@
     }
 
     fn fault(&mut self) -> Option<Fault> {
-        let word = self.line.word.as_str();
-        if let Some(make) = node_fault(word) {
+        let action = self.line.action.as_str();
+        if let Some(make) = node_fault(action) {
             return self.node().map(make);
         }
-        if let Some(make) = lasting_node_fault(word) {
+        if let Some(make) = lasting_node_fault(action) {
             let span = self.span();
             return self.node().map(|node| make(node, span));
         }
-        if let Some(make) = origin_fault(word) {
+        if let Some(make) = origin_fault(action) {
             return self.origin().map(make);
         }
-        if let Some(behavior) = behavior_named(word) {
+        if let Some(behavior) = behavior_named(action) {
             return self.origin().map(|origin| Fault::Origin(origin, behavior));
         }
-        match word {
+        match action {
             "cut-off" => self.partition(),
             "reset" => {
                 let other = self.other_node("must be a node: the other end");
@@ -192,7 +193,7 @@
                 Some(Fault::DropLink(node, other?))
             }
             "power-on" | "disk-lost-on" | "disks-lost-on" | "disk-full-on" => self.triggered_loss(),
-            _ if word.starts_with("service-") => self.service_fault(),
+            _ if action.starts_with("service-") => self.service_fault(),
             _ => self.fleet_fault(),
         }
     }
@@ -208,7 +209,7 @@
     fn service_fault(&mut self) -> Option<Fault> {
         let behavior = self
             .line
-            .word
+            .action
             .strip_prefix("service-")
             .and_then(|rest| behavior_named(&format!("origin-{rest}")));
         let service = self
@@ -233,7 +234,7 @@
         if trigger.is_none() {
             self.report("moment", "must be configured, purged or booked");
         }
-        let loss = match self.line.word.as_str() {
+        let loss = match self.line.action.as_str() {
             "power-on" => Loss::Power,
             "disk-lost-on" => Loss::Disk(self.control_slot()?),
             "disks-lost-on" => Loss::Disks(self.control_slot()?, self.line.count.unwrap_or(1)),
@@ -255,7 +256,7 @@
     /// Faults and changes that name no node, origin or service.
     fn fleet_fault(&mut self) -> Option<Fault> {
         let line = self.line;
-        Some(match line.word.as_str() {
+        Some(match line.action.as_str() {
             "lose-answers" => Fault::LoseOperatorResponses(self.span()),
             "turn-seeds" => Fault::ReorderSeeds,
             "put-item" => Fault::PutItem,
@@ -289,8 +290,8 @@
 }
 
 /// Faults of one node without a duration.
-fn node_fault(word: &str) -> Option<fn(NodeId) -> Fault> {
-    Some(match word {
+fn node_fault(action: &str) -> Option<fn(NodeId) -> Fault> {
+    Some(match action {
         "kill" => Fault::Kill,
         "start" => Fault::Start,
         "restart" => Fault::Restart,
@@ -303,8 +304,8 @@
 }
 
 /// Faults of one node with a duration.
-fn lasting_node_fault(word: &str) -> Option<fn(NodeId, Duration) -> Fault> {
-    Some(match word {
+fn lasting_node_fault(action: &str) -> Option<fn(NodeId, Duration) -> Fault> {
+    Some(match action {
         "pause" => Fault::Pause,
         "slow" => Fault::Slow,
         "disk-stall" => Fault::StallDisk,
@@ -314,8 +315,8 @@
 }
 
 /// Faults that change which origin listens or is listed at an address.
-fn origin_fault(word: &str) -> Option<fn(usize) -> Fault> {
-    Some(match word {
+fn origin_fault(action: &str) -> Option<fn(usize) -> Fault> {
+    Some(match action {
         "origin-leave" => Fault::DrainOrigin,
         "origin-replace" => Fault::Replace,
         "origin-usurp" => Fault::ReuseAddress,
@@ -323,8 +324,8 @@
     })
 }
 
-fn behavior_named(word: &str) -> Option<OriginBehavior> {
+fn behavior_named(action: &str) -> Option<OriginBehavior> {
     OriginBehavior::ALL
         .into_iter()
-        .find(|behavior| behavior.name() == word)
+        .find(|behavior| behavior.name() == action)
 }
