--- a/programs/src/bin/operate/main.rs
+++ b/programs/src/bin/operate/main.rs
@@ -5,29 +5,29 @@
 use api::{ApiCall, ApiResponse};
 use programs::prelude::*;
 
-const HELP: &str = "operate: the command line of otterslip
+const HELP: &str = "operate: command-line client for operators of otterslip
 
 Usage: operate --to IP:PORT[,IP:PORT...] COMMAND
 
-  check FILE                      all findings of a configuration; changes nothing
-  put FILE [--if-match VERSION]   put a configuration; returns once it is in force
-  get                             the configuration in force, as it was put
-  items get                       the named parts that stand beside it
-  items put FILE                  sets and removes named parts, whole or not at all
+  check FILE                      print all findings of a configuration; changes nothing
+  put FILE [--if-match VERSION]   put a configuration; returns once it is in effect
+  get                             print the configuration in effect, as it was put
+  items get                       print the named items, which are kept beside it
+  items put FILE                  put and remove named items, atomically
   purge [--entry NAME] [--url URL | --prefix START]
-  origins [FILE]                  the list of origins, or put it from a file
-  history                         versions kept by the nodes named
-  show VERSION                    an earlier configuration
-  compare OLD NEW                 what changed between two
-  put-back VERSION --if-match V   put an earlier one again, as a new version
-  open-ledger REALM               says that no fleet ran operations before this realm
-                                  (see state): new ones are taken at once
-  duties                          who holds which duty
-  state                           nodes, sessions, usage, slices
-  schema                          the schema of all remote calls
+  origins [FILE]                  print the list of origins, or put it from a file
+  history                         print the versions in the histories of the given nodes
+  show VERSION                    print an earlier configuration
+  compare OLD NEW                 print the differences between two versions
+  put-back VERSION --if-match V   put an earlier configuration as a new version
+  open-ledger REALM               confirm that no operation that may be retried ran before this
+                                  realm (see state); new operations are accepted at once
+  duties                          print the assignments and their holders
+  state                           print nodes, sessions, usage and owned slices
+  schema                          print the schema of all remote calls
 
---to names HTTP addresses of control nodes; reads go to the first that answers.
-Exit codes: 0 done; 1 refused, see the text; 2 bad options; 3 outcome unknown.";
+--to lists the HTTP addresses of control nodes; reads go to the first that responds.
+Exit codes: 0 executed; 1 rejected or not sent, see the output; 2 invalid options; 3 outcome unknown.";
 
 /// Exit code if the command was executed. Scripts may rely on the exit codes.
 const DONE: i32 = 0;
--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -1,30 +1,31 @@
 //! Parses and checks the command-line flags.
 use simulate_fleet::prelude::*;
 
-const HELP: &str = "what-if questions over the real planes, in virtual time
+const HELP: &str = "simulates a fleet of the real state machines in virtual time
 
 --deployment mombasa|trasa|small   (default small)
 --edges N       number of edges (default: the deployment's)
---rate N        errands a second (default: the deployment's)
---seconds N     of virtual time (default 120: repeats come up to 70 s later)
+--rate N        requests per second (default: the deployment's)
+--seconds N     duration in virtual time (default 120: clients repeat operations up to 70 s later)
 --seed N        the first seed (default 1)
---seeds N       how many seeds, one after the other (default 1)
---control N     control nodes (default 3; others found their table themselves)
---zones N       spreads the nodes over so many zones
---service-rate NAME=N   calls a second one origin of a service may get; one
---lost N --late N --doubled N   of a hundred messages, all the time
+--seeds N       number of seeds, which run one after the other (default 1)
+--control N     number of control nodes (default 3; with any other number, the nodes
+                found the membership table themselves)
+--zones N       number of zones to which the nodes are assigned
+--service-rate NAME=N   maximum calls per second to one origin of a service; for one service
+--lost N --late N --doubled N   percentages of messages lost, delayed and duplicated, in the whole run
 --faults none|random   (default random)
---script FILE   what happens when, see docs/simulator.md; instead of --faults
---drift N       clocks are off by up to so many millionths (default 1000)
---shrink 1      makes the schedule of a broken seed short and prints it as a script
---trace 1       prints what happens; 2: messages between control nodes, too
---figures 1     prints the figures of docs/figures.md, nothing else
---capacity A,B  prints the tables of docs/CAPACITY.md for so many hollow edges
-                (all: 16,64,256,1100) and --control nodes (default 12), nothing else
+--script FILE   faults and changes with their times, see docs/simulator.md; instead of --faults
+--drift N       maximum clock drift in parts per million (default 1000)
+--shrink 1      shortens the schedule of a seed that violates a rule and prints it as a script
+--trace 1       prints all events; 2: also messages between control nodes
+--figures 1     prints only the measurements of docs/figures.md
+--capacity A,B  prints only the tables of docs/CAPACITY.md, for these numbers of edges
+                without clients (all: 16,64,256,1100) and --control nodes (default 12)
 
-Prints served shares by rank, origin calls against their rate, moves of duties,
-longest gap without a success, nevers broken, and the seed that repeats it.
-Exit code 1 if a never is broken.";
+Prints the share of successful requests by rank, origin calls and their limits,
+moved assignments, the longest gap without a success, violated rules, and the seed,
+which reproduces the run. Exit code 1 if a rule is violated.";
 
 /// Number of control nodes if the command line has none.
 const DEFAULT_CONTROL_NODES: usize = 3;
--- a/stand-ins/src/bin/platform-soak.rs
+++ b/stand-ins/src/bin/platform-soak.rs
@@ -3,18 +3,19 @@
 use stand_ins::platform_soak::{self, FleetShape, PlatformSoakPlan, Scenario};
 use stand_ins::prelude::*;
 
-const HELP: &str = "soaks a fleet of platform-node processes on loopback under planned work and troubles
+const HELP: &str = "runs a soak test of a fleet of platform-node processes on loopback under planned maintenance and faults
 
---seeds N       runs, one after the other (default 1)
+--seeds N       number of runs, one after the other (default 1)
 --first N       the first seed (default 1)
---seconds N     of each run (default 20)
+--seconds N     duration of each run (default 20)
 --shape NAME    small, hotels or vans (default small)
---quiet 1       nothing is rolled, released or troubled: what other runs are compared with
---keep 1        the folder of a run without a violation stays, too
---folder DIR    for settings, data and logs, a folder in it for each seed; must not exist
+--quiet 1       baseline run without restarts, releases and faults, for comparison
+--keep 1        also keeps the folder of a run without a violation
+--folder DIR    folder for settings, data and logs, with a subfolder for each seed; must not exist
 
-Seeds: 1, 5, 9 ... roll edges and control nodes; 2, 6 ... replace control nodes; 3, 7 ... kill and suspend;
-4, 8 ... roll edges alone. Exit code 1 if a rule is broken; logs and report.txt of a broken run stay.";
+Seeds: 1, 5, 9 ... restart edges and control nodes in turn; 2, 6 ... replace control nodes; 3, 7 ... kill and
+suspend nodes; 4, 8 ... restart only edges in turn. Exit code 1 if a rule is violated; logs and report.txt of
+a run with a violation are kept.";
 
 fn main() -> Result<()> {
     let mut flags = Flags::from_command_line("platform-soak", HELP);
--- a/stand-ins/src/bin/run-fleet/options.rs
+++ b/stand-ins/src/bin/run-fleet/options.rs
@@ -1,22 +1,22 @@
 //! Command-line flags of the fleet runner.
 use stand_ins::prelude::*;
 
-const HELP: &str = "starts a fleet on loopback, plays its traffic and its faults, and judges
+const HELP: &str = "starts a fleet on loopback, runs its traffic and faults, and checks the rules
 
 --deployment mombasa|trasa|small   (default small)
---seconds N     of traffic (default 60; the whole script needs 60)
---folder DIR    for data, logs and records; must not exist
+--seconds N     duration of the traffic (default 60; the complete script needs 60)
+--folder DIR    folder for data, logs and records; must not exist
 --faults none|script|power|disks|turn|core   (default script)
                 script: changes, races, purges, single kills and restarts
-                power: all nodes killed at once and started again
-                disks: nodes frozen, one disk removed, then all three
-                turn: every machine drained and started again, one by one
-                core: the core frozen in part and whole, an address handed to
-                another service, a lost slot taken by an empty node elsewhere
---seed N        of the traffic (default 1)
---keep-up 1     leaves the fleet running until a line is read
+                power: all nodes killed at once and restarted
+                disks: nodes suspended, one control disk removed, then all three
+                turn: every node drained and restarted, one at a time
+                core: some and then all control nodes suspended, an address reused by
+                another service, a lost slot taken by an empty node at another address
+--seed N        seed of the traffic (default 1)
+--keep-up 1     keeps the fleet running until a line is read
 
-Prints a verdict for each of the brief's twelve nevers. Exit code 1 if one is broken.";
+Prints the verdict on each rule. Exit code 1 if a rule is violated.";
 
 const FAULTS: [&str; 6] = ["none", "script", "power", "disks", "turn", "core"];
 
--- a/stand-ins/src/bin/soak.rs
+++ b/stand-ins/src/bin/soak.rs
@@ -2,16 +2,17 @@
 use stand_ins::prelude::*;
 use stand_ins::soak::{Soak, SoakPlan, SoakVerdict};
 
-const HELP: &str = "soaks a fleet of real processes on loopback under random, overlapping troubles
+const HELP: &str =
+    "runs a soak test of a fleet of real processes on loopback under random, overlapping faults
 
---seeds N       runs, one after the other (default 1)
+--seeds N       number of runs, one after the other (default 1)
 --first N       the first seed (default 1)
---seconds N     of each run (default 20)
---folder DIR    for data and logs, a folder in it for each seed; must not exist
+--seconds N     duration of each run (default 20)
+--folder DIR    folder for data and logs, with a subfolder for each seed; must not exist
 
-Callers leave in every manner while nodes are killed and stopped and origins are
-cut off, reset and lose answers. Exit code 1 if work goes on for callers that
-have left; the logs of a broken run stay.";
+Clients disconnect in all ways while nodes are killed and suspended and the links to
+origins are interrupted or reset or lose responses. Exit code 1 if work continues for
+disconnected clients; the logs of a run with a violation are kept.";
 
 fn main() -> Result<()> {
     let mut flags = Flags::from_command_line("soak", HELP);
--- a/stand-ins/src/bin/stand-in-caller.rs
+++ b/stand-ins/src/bin/stand-in-caller.rs
@@ -1,10 +1,10 @@
 //! Command-line client: runs a traffic plan or sends one request.
 use stand_ins::prelude::*;
 
-const HELP: &str = "stand-ins for callers
+const HELP: &str = "stand-in for clients
 
---plan FILE --record FILE     traffic as the plan says
---edge IP:PORT --path PATH [--method GET] [--operation KEY]     one request, shown";
+--plan FILE --record FILE     runs the traffic of the plan
+--edge IP:PORT --path PATH [--method GET] [--operation KEY]     sends one request and prints its record";
 
 fn main() -> Result<()> {
     let mut flags = Flags::from_command_line("stand-in-caller", HELP);
--- a/stand-ins/src/bin/stand-in-origin.rs
+++ b/stand-ins/src/bin/stand-in-origin.rs
@@ -1,7 +1,7 @@
 //! Command-line stand-in origin.
 use stand_ins::prelude::*;
 
-const HELP: &str = "a stand-in for one origin
+const HELP: &str = "stand-in for one origin
 
 --http IP:PORT --service NAME --instance NAME [--delay-ms N] [--content FILE] [--record FILE]
 The key is derived from the service's name. Faults: PUT /.stand-in/fault/NAME";
