--- a/control-plane/src/control_node/succession/tests.rs
+++ b/control-plane/src/control_node/succession/tests.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn no_member_is_succeeded_while_a_majority_may_exist() {
+fn possible_majority_prevents_succession() {
     let refused = [
         (
             "more lost than tolerated",
--- a/control-plane/src/history/tests.rs
+++ b/control-plane/src/history/tests.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 #[test]
-fn stored_versions_are_listed_and_diffed_and_broken_store_is_an_error() {
+fn versions_are_listed_and_diffed_and_broken_store_fails() {
     let data = std::env::temp_dir().join(format!("otterslip-history-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&data);
     std::fs::create_dir_all(&data).unwrap();
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -329,7 +329,7 @@
 /// Regression: after two of four control nodes were lost for good there was no majority, and nothing could be read or
 /// changed any more. The nodes that replace them hold all acknowledged rows.
 #[test]
-fn successors_of_two_lost_members_hold_what_was_acknowledged() {
+fn successors_of_two_lost_members_hold_acknowledged_rows() {
     assert_safe("succession of two of four", succession_of_two_of_four);
 }
 
--- a/data-plane/src/admission/tests.rs
+++ b/data-plane/src/admission/tests.rs
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn failed_origins_are_refused_at_once_and_draining_ones_skipped() {
+fn failed_origins_are_refused_and_draining_skipped() {
     let mut admission = AdmissionController::new(millis(0), "s", 1, 3);
     admission.apply_configuration(millis(0), &group(100.0, 9), &[origin(1)]);
     admission.connection_changed(millis(0), origin(1).address, true);
--- a/data-plane/src/cache_owner/tests.rs
+++ b/data-plane/src/cache_owner/tests.rs
@@ -331,7 +331,7 @@
 /// Regression: after operators shortened a route's time to live, a stored response was
 /// still served for the longer one; 112 of 400 responses were stale.
 #[test]
-fn shortened_ttl_ends_service_of_a_response_stored_under_the_longer_one() {
+fn shortened_ttl_limits_stored_response() {
     const SHORT_TTL_MS: u64 = 2_000;
     let shortened = |id| CacheGet {
         ttl: millis(SHORT_TTL_MS),
@@ -360,7 +360,7 @@
 /// Regression: a response that was handed over was served for the longer time to live,
 /// although the new owner had received a request with the shorter one.
 #[test]
-fn handed_over_response_is_limited_by_a_shortened_ttl() {
+fn shortened_ttl_limits_handed_over_response() {
     let mut previous = owner_with_response(0);
     previous.retain_partitions(millis(100), 0, &|_| false);
     let responses = previous.hand_over(millis(3_000), cache_partition(&KEY));
--- a/data-plane/tests/shutdown.rs
+++ b/data-plane/tests/shutdown.rs
@@ -143,7 +143,7 @@
 /// Regression: an idle edge shut down at once, so that requests on keep-alive connections were
 /// reset. They are served for a quarter of the grace, and rejected after that.
 #[test]
-fn idle_edge_serves_keep_alive_connections_for_a_quarter_of_the_grace_and_then_rejects() {
+fn idle_edge_rejects_after_a_quarter_of_the_grace() {
     let mut edge = live_edge(1000).with_shutdown_grace(millis(GRACE_MS));
     deliver_updates(&mut edge, 1000, &[origin(50)], false);
     edge.handle(millis(1000), Input::ShutdownRequested);
--- a/http-line/src/pool/tests.rs
+++ b/http-line/src/pool/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn newest_idle_connection_is_taken_first_and_open_ones_counted() {
+fn newest_idle_connection_is_reused_first_and_open_counted() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let mut pool = Pool::default();
     for token in 1..=3 {
--- a/http-line/tests/client_connection.rs
+++ b/http-line/tests/client_connection.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn early_end_is_reported_by_what_was_sent() {
+fn early_end_is_reported_by_bytes_sent() {
     let mut connection = connection_with(&call("GET", false));
     assert!(
         connection
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -171,7 +171,7 @@
 /// Regression: requests read while the process waited for its last messages to be sent
 /// never got a response; in a later version, requests not read by then were reset.
 #[test]
-fn finishing_loop_hands_on_every_request_and_ends_after_its_responses() {
+fn finishing_loop_ends_after_responses_to_all_requests() {
     let harness = Harness::new(Limits::default());
     let mut peer = harness.peer();
     peer.write_all(b"GET /a HTTP/1.1\r\n\r\n").unwrap();
@@ -208,7 +208,7 @@
 /// Regression: at the end of a process, requests sent on keep-alive connections were
 /// reset: with 200 clients and short pauses between requests, all 200 were affected.
 #[test]
-fn clients_on_keep_alive_connections_of_a_finishing_loop_all_get_responses() {
+fn finishing_loop_responds_on_keep_alive_connections() {
     const CLIENTS: usize = 60;
     let harness = Harness::new(Limits::default());
     let address = harness.address;
@@ -257,7 +257,7 @@
 
 /// An idle connection is closed without waiting for a request, and without a reset.
 #[test]
-fn idle_connection_of_a_finishing_loop_is_closed_after_its_idle_time() {
+fn finishing_loop_closes_idle_connection_after_idle_time() {
     let harness = Harness::new(Limits::default());
     let mut peer = harness.peer();
     peer.write_all(b"GET /now HTTP/1.1\r\n\r\n").unwrap();
--- a/kernel/src/items_change/tests.rs
+++ b/kernel/src/items_change/tests.rs
@@ -138,7 +138,7 @@
 /// Regression: two operators put different content under one revision. The second call
 /// was acknowledged although the first one's content was in effect.
 #[test]
-fn revision_with_other_content_conflicts_and_call_has_no_effect() {
+fn conflicting_revision_rejects_whole_call() {
     let mut partition = Partition::with_group();
     assert_eq!(partition.put(vec![entry("a", 7, "/a/", "s")]), Ok(1));
     let before = partition.rows.clone();
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -350,7 +350,7 @@
 /// node's partitions) used the queue space of urgent messages to every peer: no
 /// heartbeat and no renewal was sent before it.
 #[test]
-fn bulk_message_larger_than_all_bounds_leaves_room_for_urgent_ones() {
+fn oversized_bulk_message_leaves_room_for_urgent_messages() {
     let node = Node::start();
     let slow = listen();
     let socket = socket2::SockRef::from(&slow);
--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -9,7 +9,7 @@
 const MIN_DISCONNECTS: usize = 50;
 
 #[test]
-fn disconnected_clients_leave_no_work_in_a_process_fleet() {
+fn process_fleet_ends_work_of_disconnected_clients() {
     for seed in [1, 2] {
         let name = format!("otterslip-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn random_schedules_hold_with_four_five_and_eight_slots() {
+fn random_schedules_satisfy_rules_with_4_5_and_8_slots() {
     let span = Duration::from_secs(60);
     for control in [4, 5, 8] {
         for seed in 1..=12 {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn quiet_minute_serves_everything() {
+fn quiet_minute_serves_all_requests() {
     let faults = vec![
         (8_000, Fault::Content),
         (8_100, Fault::Purge("/".into())),
@@ -242,7 +242,7 @@
 /// Leases must hold with node clocks that start at any value and drift by up to 10 %. The
 /// clocks of clients and operators are not used.
 #[test]
-fn lease_tolerates_clock_drift_of_10_percent_but_not_45_percent() {
+fn lease_tolerates_10_but_not_45_percent_clock_drift() {
     let run = |drift: u64, seed: u64| {
         let mut faults = Vec::new();
         for round in 0..8u64 {
--- a/simulate-fleet/src/scenarios/outages.rs
+++ b/simulate-fleet/src/scenarios/outages.rs
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn control_nodes_without_mutual_contact_do_not_starve_a_partition() {
+fn missing_mutual_contact_does_not_starve_partition() {
     // Control nodes 0 and 1 both reach node 2 and each considers itself the leader of many
     // partitions.
     let (one, two) = (NodeId::Control(0), NodeId::Control(1));
--- a/simulate-fleet/src/scenarios/replacement.rs
+++ b/simulate-fleet/src/scenarios/replacement.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn lost_slot_is_replaced_in_tables_of_four_five_and_eight() {
+fn lost_slot_is_replaced_in_tables_of_4_5_and_8() {
     for control in [4, 5, 8] {
         for slot in [0, control - 1] {
             let (lost, spare) = (NodeId::Control(slot), NodeId::Control(control));
@@ -203,7 +203,7 @@
 /// Found by seed 199 of the random schedules: a node with a blank disk used the seed list, did
 /// not find its slot, which had moved, and removed the slot's new holder.
 #[test]
-fn blank_disk_learns_moved_slot_and_removes_nobody() {
+fn blank_disk_learns_moved_slot_and_removes_no_member() {
     let faults = vec![
         (5_000, Fault::Start(NodeId::Control(3))),
         (6_000, Fault::Kill(NodeId::Control(2))),
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn failing_origins_never_run_a_key_twice() {
+fn failing_origins_run_key_at_most_once() {
     let faults = vec![
         (8_000, Fault::Origin(2, OriginBehavior::Mute)),
         (8_000, Fault::Origin(3, OriginBehavior::Mute)),
--- a/simulate-fleet/src/scenarios_item_commands.rs
+++ b/simulate-fleet/src/scenarios_item_commands.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn each_revision_has_one_content_and_retried_changes_are_acknowledged() {
+fn revision_has_one_content_and_retry_is_acknowledged() {
     let (mut revisions, mut conflicts) = (0, 0);
     for control in [3, 4, 5] {
         for seed in 1..=8 {
--- a/stand-ins/src/checker/tests.rs
+++ b/stand-ins/src/checker/tests.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn health_check_is_excused_only_after_an_allowed_call() {
+fn health_check_requires_earlier_allowed_call() {
     let mut checker = empty();
     let other_service_call = |address: &str, probe: bool| OriginRecord {
         service: "other".into(),
