--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -66,7 +66,7 @@
     fn is_abandoned(&self, call: &Call) -> bool {
         let serves_one_client = matches!(call.purpose, CallPurpose::Client | CallPurpose::RunOnce);
         let disconnected = self.disconnected.lock().expect("no holder panics");
-        serves_one_client && disconnected.contains(&call.request)
+        serves_one_client && disconnected.contains(&call.request_id_at_edge)
     }
 
     pub(super) fn register_call(&self, id: u64, call: Call) {
@@ -176,7 +176,7 @@
         if let Some(rejection) = run_filters(&mut incoming) {
             return self.reject(exchange, &incoming.headers, rejection);
         }
-        let Some(request) = client_request_of(incoming) else {
+        let Some(request) = into_client_request(incoming) else {
             return;
         };
         if let Some(rejection) = self.reject_if_link_is_full(&request) {
@@ -200,9 +200,9 @@
             url: received.target,
             headers: received.headers,
             body: Arc::new(received.body),
-            live: self.port.live(),
+            is_live: self.port.live(),
             routes,
-            entry: None,
+            route_index: None,
         }
     }
 
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -134,7 +134,7 @@
                 .checker
                 .fleet
                 .iter()
-                .filter(|record| record.what == change_kind)
+                .filter(|record| record.kind == change_kind)
                 .map(|record| record.at);
             let mut spans: Vec<f64> = acknowledged_at
                 .filter_map(|at| {
@@ -175,7 +175,7 @@
         let mut shares: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
         for call in report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| !cached.contains(&call.entry))
         {
@@ -216,7 +216,7 @@
         let report = World::new(WorldPlan::new(deployment, 1, at(60), faults)).run();
         let mut ranks: BTreeMap<u32, (Vec<f64>, Vec<f64>)> = BTreeMap::new();
         for call in
-            report.checker.callers.iter().filter(|call| {
+            report.checker.clients.iter().filter(|call| {
                 !cached.contains(&call.entry) && call.start > 10.0 && call.start < 40.0
             })
         {
@@ -249,7 +249,7 @@
         let highest_weight = |count: usize, partition: u16| {
             let name = cache_assignment("", partition);
             (0..count)
-                .max_by_key(|at| peer(*at).weight(&name))
+                .max_by_key(|at| peer(*at).rendezvous_weight(&name))
                 .expect("at least one edge")
         };
         let held_count = |at: usize| {
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -37,12 +37,12 @@
         .checker
         .fleet
         .iter()
-        .filter(|record| record.what == kind && record.good)
+        .filter(|record| record.kind == kind && record.as_expected)
         .count()
 }
 
 #[test]
-fn random_schedules_hold_with_four_five_and_eight_slots() {
+fn random_schedules_satisfy_rules_with_4_5_and_8_slots() {
     let span = Duration::from_secs(60);
     for control in [4, 5, 8] {
         for seed in 1..=12 {
@@ -55,7 +55,7 @@
             let report = World::new(plan).run();
             for (rule, verdict) in report.checker.verdicts() {
                 assert!(
-                    !matches!(verdict, Verdict::Broken(_)),
+                    !matches!(verdict, Verdict::Violated(_)),
                     "{control} seed {seed}: {rule}: {}",
                     truncated(&verdict)
                 );
@@ -84,7 +84,7 @@
 pub(crate) fn check_rules(report: &Report, exercised: &[usize]) {
     for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
         assert!(
-            !matches!(verdict, Verdict::Broken(_)),
+            !matches!(verdict, Verdict::Violated(_)),
             "{} {rule}: {}",
             at + 1,
             truncated(&verdict)
@@ -104,15 +104,15 @@
 fn served_share(report: &Report) -> f64 {
     let good = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 200)
         .count();
-    good as f64 / report.checker.callers.len() as f64
+    good as f64 / report.checker.clients.len() as f64
 }
 
 #[test]
-fn quiet_minute_serves_everything() {
+fn quiet_minute_serves_all_requests() {
     let faults = vec![
         (8_000, Fault::Content),
         (8_100, Fault::Purge("/".into())),
@@ -131,7 +131,7 @@
 pub(crate) fn served_share_within(report: &Report, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.start >= from && call.start < to)
         .collect();
@@ -152,7 +152,7 @@
         let report = World::new(plan).run();
         for (at, (rule, verdict)) in report.checker.verdicts().into_iter().enumerate() {
             assert!(
-                !matches!(verdict, Verdict::Broken(_)),
+                !matches!(verdict, Verdict::Violated(_)),
                 "seed {seed}: {rule}: {}",
                 truncated(&verdict)
             );
@@ -161,7 +161,7 @@
             }
         }
     }
-    assert_eq!(exercised.len(), JUDGED, "{exercised:?}");
+    assert_eq!(exercised.len(), RULE_COUNT, "{exercised:?}");
 }
 
 #[test]
@@ -173,7 +173,7 @@
         let report = World::new(WorldPlan::new(deployment.clone(), 5, span, faults)).run();
         (
             report.steps,
-            format!("{:?} {:?}", report.event_counts, report.checker.callers),
+            format!("{:?} {:?}", report.event_counts, report.checker.clients),
         )
     };
     assert!(run() == run());
@@ -182,7 +182,7 @@
 fn entry_served_share(report: &Report, entry: &str, from: f64, to: f64) -> f64 {
     let calls: Vec<_> = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.entry == entry && call.start >= from && call.start < to)
         .collect();
@@ -229,7 +229,7 @@
             let report = World::new(plan).run();
             for (rule, verdict) in report.checker.verdicts() {
                 assert!(
-                    !matches!(verdict, Verdict::Broken(_)),
+                    !matches!(verdict, Verdict::Violated(_)),
                     "{} seed {seed}: {rule}: {}",
                     file.display(),
                     truncated(&verdict)
@@ -242,7 +242,7 @@
 /// Leases must hold with node clocks that start at any value and drift by up to 10 %. The
 /// clocks of clients and operators are not used.
 #[test]
-fn lease_tolerates_clock_drift_of_10_percent_but_not_45_percent() {
+fn lease_tolerates_10_but_not_45_percent_clock_drift() {
     let run = |drift: u64, seed: u64| {
         let mut faults = Vec::new();
         for round in 0..8u64 {
@@ -270,7 +270,7 @@
         // The rules that depend on leases: purges, configurations, assignments.
         [3, 5]
             .iter()
-            .any(|rule| matches!(verdicts[*rule].1, Verdict::Broken(_)))
+            .any(|rule| matches!(verdicts[*rule].1, Verdict::Violated(_)))
     };
     assert!(
         (1..=12).all(|seed| !run(100_000, seed)),
--- a/simulate-fleet/src/scenarios/requests.rs
+++ b/simulate-fleet/src/scenarios/requests.rs
@@ -13,12 +13,12 @@
     }
     let report = run_small(6, 60, faults);
     check_rules(&report, &[11]);
-    assert!(report.checker.callers.iter().all(|call| !call.dropped));
+    assert!(report.checker.clients.iter().all(|call| !call.dropped));
     assert!(served_share(&report) > 0.995, "{}", served_share(&report));
 }
 
 #[test]
-fn failing_origins_never_run_a_key_twice() {
+fn failing_origins_run_key_at_most_once() {
     let faults = vec![
         (8_000, Fault::Origin(2, OriginBehavior::Mute)),
         (8_000, Fault::Origin(3, OriginBehavior::Mute)),
@@ -39,7 +39,7 @@
     assert!(served_share(&report) > 0.95, "{}", served_share(&report));
     let unknown = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.outcome == "unknown")
         .count();
@@ -75,7 +75,7 @@
     let share = |rank: u32| {
         let calls: Vec<_> = report
             .checker
-            .callers
+            .clients
             .iter()
             .filter(|call| call.rank == rank && call.entry != "listing")
             .collect();
@@ -85,17 +85,17 @@
     assert!(share(5) < 0.6, "rank 5: {}", share(5));
     for call in report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 429)
     {
         assert_eq!(call.outcome, "not_run");
     }
-    let waited = |call: &&CallerRecord| call.status == 429 && call.end - call.start > 3.5;
-    let late = report.checker.callers.iter().filter(waited).count();
+    let waited = |call: &&ClientRecord| call.status == 429 && call.end - call.start > 3.5;
+    let late = report.checker.clients.iter().filter(waited).count();
     let rejected = report
         .checker
-        .callers
+        .clients
         .iter()
         .filter(|call| call.status == 429)
         .count();
@@ -122,9 +122,12 @@
         .checker
         .fleet
         .iter()
-        .filter(|record| record.what == "purged")
+        .filter(|record| record.kind == "purged")
         .collect();
-    assert_eq!(purged.iter().filter(|record| record.good).count(), 1500);
+    assert_eq!(
+        purged.iter().filter(|record| record.as_expected).count(),
+        1500
+    );
     assert!(
         report.log_bytes < 12 << 20,
         "{} bytes of log",
--- a/simulate-fleet/src/world.rs
+++ b/simulate-fleet/src/world.rs
@@ -77,7 +77,7 @@
     pub(crate) operator_calls: BTreeMap<u64, PendingOperatorCall>,
     /// Client requests in progress, by id.
     pub(crate) requests: BTreeMap<u64, PendingRequest>,
-    pub(crate) client_records: Vec<CallerRecord>,
+    pub(crate) client_records: Vec<ClientRecord>,
     pub(crate) origin_calls: Vec<OriginRecord>,
     pub(crate) fleet_records: Vec<FleetRecord>,
     pub(crate) operator_records: Vec<OperatorRecord>,
@@ -179,16 +179,19 @@
     }
 
     /// Adds a fleet record for the checker.
-    pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, good: bool) {
+    pub(crate) fn record(&mut self, kind: &str, subject: &str, number: u64, as_expected: bool) {
         if self.trace {
-            println!("{:9.4} {kind} {subject} {number} {good}", self.seconds());
+            println!(
+                "{:9.4} {kind} {subject} {number} {as_expected}",
+                self.seconds()
+            );
         }
         self.fleet_records.push(FleetRecord {
             at: self.seconds(),
-            what: kind.into(),
+            kind: kind.into(),
             subject: subject.into(),
             number,
-            good,
+            as_expected,
         });
     }
 
@@ -205,7 +208,10 @@
         for pending_call in std::mem::take(&mut self.operator_calls).into_values() {
             self.record_operator(&pending_call, &ChangeOutcome::Unknown);
         }
-        let (rates, keeps) = (self.plan.deployment.rates(), self.plan.deployment.keeps());
+        let (max_rates, ttls) = (
+            self.plan.deployment.max_rates(),
+            self.plan.deployment.ttls(),
+        );
         let log_bytes = self
             .nodes
             .iter()
@@ -213,7 +219,7 @@
             .max()
             .unwrap_or(0);
         let checker = Checker {
-            callers: self.client_records,
+            clients: self.client_records,
             origins: self.origin_calls,
             fleet: self.fleet_records,
             operators: self.operator_records,
@@ -222,8 +228,8 @@
                 .iter()
                 .map(ItemCommandRecord::history)
                 .collect(),
-            rates,
-            keeps,
+            max_rates,
+            ttls,
         };
         Report {
             checker,
--- a/stand-ins/src/bin/run-fleet/options.rs
+++ b/stand-ins/src/bin/run-fleet/options.rs
@@ -1,22 +1,22 @@
 //! Command-line flags of the fleet runner.
 use stand_ins::prelude::*;
 
-const HELP: &str = "starts a fleet on loopback, plays its traffic and its faults, and judges
+const HELP: &str = "starts a fleet on loopback, runs its traffic and faults, and checks the rules
 
 --deployment mombasa|trasa|small   (default small)
---seconds N     of traffic (default 60; the whole script needs 60)
---folder DIR    for data, logs and records; must not exist
+--seconds N     duration of the traffic (default 60; the complete script needs 60)
+--folder DIR    folder for data, logs and records; must not exist
 --faults none|script|power|disks|turn|core   (default script)
                 script: changes, races, purges, single kills and restarts
-                power: all nodes killed at once and started again
-                disks: nodes frozen, one disk removed, then all three
-                turn: every machine drained and started again, one by one
-                core: the core frozen in part and whole, an address handed to
-                another service, a lost slot taken by an empty node elsewhere
---seed N        of the traffic (default 1)
---keep-up 1     leaves the fleet running until a line is read
+                power: all nodes killed at once and restarted
+                disks: nodes suspended, one control disk removed, then all three
+                turn: every node drained and restarted, one at a time
+                core: some and then all control nodes suspended, an address reused by
+                another service, a lost slot taken by an empty node at another address
+--seed N        seed of the traffic (default 1)
+--keep-up 1     keeps the fleet running until a line is read
 
-Prints a verdict for each of the brief's twelve nevers. Exit code 1 if one is broken.";
+Prints the verdict on each rule. Exit code 1 if a rule is violated.";
 
 const FAULTS: [&str; 6] = ["none", "script", "power", "disks", "turn", "core"];
 
@@ -37,26 +37,26 @@
 impl Options {
     /// Reads the command line; exits if it contains errors.
     pub(crate) fn from_command_line() -> Result<Options> {
-        let mut flags = Flags::gather("run-fleet", HELP);
+        let mut flags = Flags::from_command_line("run-fleet", HELP);
         let name = flags
-            .take("--deployment", Some("small".to_string()))
+            .value("--deployment", Some("small".to_string()))
             .unwrap_or_default();
-        let seconds = flags.take("--seconds", Some(60)).unwrap_or(60);
-        let folder = flags.take::<String>("--folder", None).map(PathBuf::from);
+        let seconds = flags.value("--seconds", Some(60)).unwrap_or(60);
+        let folder = flags.value::<String>("--folder", None).map(PathBuf::from);
         let faults = flags
-            .take("--faults", Some("script".to_string()))
+            .value("--faults", Some("script".to_string()))
             .unwrap_or_default();
-        let seed = flags.take("--seed", Some(1)).unwrap_or(1);
-        let keep_up = flags.take("--keep-up", Some(0u8)).unwrap_or(0) > 0;
+        let seed = flags.value("--seed", Some(1)).unwrap_or(1);
+        let keep_up = flags.value("--keep-up", Some(0u8)).unwrap_or(0) > 0;
         let deployment = Deployment::find(&name);
         if deployment.is_none() {
-            flags.found("--deployment", "no such deployment");
+            flags.add_finding("--deployment", "no such deployment");
         }
         if !FAULTS.contains(&faults.as_str()) {
-            flags.found("--faults", "no such faults");
+            flags.add_finding("--faults", "no such faults");
         }
         if folder.as_ref().is_some_and(|folder| folder.exists()) {
-            flags.found("--folder", "exists already");
+            flags.add_finding("--folder", "exists already");
         }
         flags.finish();
         Ok(Options {
--- a/stand-ins/src/bin/run-fleet/report.rs
+++ b/stand-ins/src/bin/run-fleet/report.rs
@@ -14,7 +14,7 @@
         let mut code = 0;
         for (index, (rule, cases)) in checker.cases().into_iter().enumerate() {
             let verdict = cases.verdict();
-            if matches!(verdict, Verdict::Broken(_)) {
+            if matches!(verdict, Verdict::Violated(_)) {
                 code = 1;
             }
             let worst = cases.worst.map(|(used, text)| {
@@ -32,9 +32,9 @@
 
     fn print_traffic(&self, checker: &Checker) {
         let cached = checker
-            .callers
+            .clients
             .iter()
-            .filter(|call| checker.keeps.contains_key(&call.entry))
+            .filter(|call| checker.ttls.contains_key(&call.entry))
             .count();
         let fetched = checker
             .origins
@@ -47,7 +47,7 @@
             .count();
         println!(
             "\nrequests {}, origin calls {} (health checks {})",
-            checker.callers.len(),
+            checker.clients.len(),
             checker.origins.len(),
             checker.origins.iter().filter(|call| call.probe).count()
         );
@@ -61,15 +61,15 @@
                 100.0 * successes as f64 / total as f64
             );
         }
-        println!("other responses: {:?}\n", checker.other_answers());
+        println!("other responses: {:?}\n", checker.unsuccessful_responses());
     }
 }
 
 fn describe(verdict: &Verdict) -> String {
     match verdict {
         Verdict::NotExercised => "not exercised".to_string(),
-        Verdict::Held(cases) => format!("held in {cases} cases"),
-        Verdict::Broken(cases) => {
+        Verdict::Satisfied(cases) => format!("held in {cases} cases"),
+        Verdict::Violated(cases) => {
             let shown = cases
                 .iter()
                 .take(MAX_VIOLATIONS_SHOWN)
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -19,15 +19,15 @@
     /// No recorded event exercises the rule.
     NotExercised,
     /// Number of cases checked, all without a violation.
-    Held(usize),
+    Satisfied(usize),
     /// Descriptions of the violations.
-    Broken(Vec<String>),
+    Violated(Vec<String>),
 }
 
 /// Checks each rule against the records of clients, origins and operators.
 pub struct Checker {
     /// Requests as recorded by the clients.
-    pub callers: Vec<CallerRecord>,
+    pub clients: Vec<ClientRecord>,
     /// Calls as recorded by the origins, sorted by time.
     pub origins: Vec<OriginRecord>,
     /// Actions and observations of the fleet runner, sorted by time.
@@ -37,13 +37,13 @@
     /// Calls of operators on named items.
     pub items: Vec<ItemRecord>,
     /// Maximum calls per second to one origin, by service.
-    pub rates: BTreeMap<String, f64>,
+    pub max_rates: BTreeMap<String, f64>,
     /// TTL of each cached entry, in seconds.
-    pub keeps: BTreeMap<String, u64>,
+    pub ttls: BTreeMap<String, u64>,
 }
 
 /// Number of rules.
-pub const JUDGED: usize = 15;
+pub const RULE_COUNT: usize = 15;
 /// Time in seconds that the requirements allow as "about 2 seconds".
 pub const GRACE_S: f64 = 2.0;
 /// Maximum time in seconds from the acknowledgement of a configuration until it
@@ -69,7 +69,7 @@
 type Rule = (&'static str, fn(&Checker) -> Cases);
 
 /// Rules in the order of the requirements, followed by the rules on histories.
-const RULES: [Rule; JUDGED] = [
+const RULES: [Rule; RULE_COUNT] = [
     (
         "an operation is executed twice",
         Checker::repeated_executions,
@@ -136,11 +136,11 @@
 #[derive(Default)]
 pub struct Cases {
     /// Number of cases checked.
-    pub seen: usize,
+    pub checked: usize,
     /// Time spans, in seconds, in which a fault might have caused a violation.
     pub spans: Vec<(f64, f64)>,
     /// Descriptions of the violations.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Largest used share of the bound (1.0 is the whole bound), with a
     /// description.
     pub worst: Option<(f64, String)>,
@@ -150,10 +150,10 @@
     /// Adds a case. `span` is the time in which a fault might have caused a
     /// violation of it.
     fn add_case(&mut self, span: (f64, f64), is_compliant: bool, text: impl FnOnce() -> String) {
-        self.seen += 1;
+        self.checked += 1;
         self.spans.push(span);
         if !is_compliant {
-            self.broken.push(text());
+            self.violations.push(text());
         }
     }
 
@@ -171,10 +171,10 @@
 
     /// Returns the result for the rule.
     pub fn verdict(&self) -> Verdict {
-        match (self.seen, self.broken.is_empty()) {
+        match (self.checked, self.violations.is_empty()) {
             (0, _) => Verdict::NotExercised,
-            (seen, true) => Verdict::Held(seen),
-            _ => Verdict::Broken(self.broken.clone()),
+            (checked, true) => Verdict::Satisfied(checked),
+            _ => Verdict::Violated(self.violations.clone()),
         }
     }
 
@@ -230,13 +230,13 @@
     /// Reads the record of a run from a folder.
     pub fn read(folder: &Path, deployment: &Deployment) -> Result<Checker> {
         let mut checker = Checker {
-            callers: read_records(&folder.join("callers.jsonl"))?,
+            clients: read_records(&folder.join("callers.jsonl"))?,
             origins: read_records(&folder.join("origins.jsonl"))?,
             fleet: read_records(&folder.join("fleet.jsonl"))?,
             operators: read_records(&folder.join("operators.jsonl"))?,
             items: vec![],
-            rates: deployment.rates(),
-            keeps: deployment.keeps(),
+            max_rates: deployment.max_rates(),
+            ttls: deployment.ttls(),
         };
         checker.origins.sort_by(|a, b| a.at.total_cmp(&b.at));
         checker.fleet.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -261,11 +261,14 @@
 
     /// Returns, for each kind of fault, the number of faults within the spans
     /// of each rule.
-    pub fn coverage(&self, cases: &[(&'static str, Cases)]) -> BTreeMap<String, [usize; JUDGED]> {
-        let mut table: BTreeMap<String, [usize; JUDGED]> = BTreeMap::new();
+    pub fn coverage(
+        &self,
+        cases: &[(&'static str, Cases)],
+    ) -> BTreeMap<String, [usize; RULE_COUNT]> {
+        let mut table: BTreeMap<String, [usize; RULE_COUNT]> = BTreeMap::new();
         for (rule, (_, cases)) in cases.iter().enumerate() {
             let merged = cases.merged_spans();
-            for fault in self.fleet.iter().filter(|record| record.what == "fault") {
+            for fault in self.fleet.iter().filter(|record| record.kind == "fault") {
                 let row = table.entry(fault.subject.clone()).or_default();
                 row[rule] += usize::from(Cases::is_covered(&merged, fault.at));
             }
--- a/stand-ins/src/checker/recovery.rs
+++ b/stand-ins/src/checker/recovery.rs
@@ -11,11 +11,11 @@
     pub(super) fn recovery_in_time(&self) -> Cases {
         let mut cases = Cases::default();
         let entries: BTreeSet<&str> = self
-            .callers
+            .clients
             .iter()
             .map(|call| call.entry.as_str())
             .collect();
-        for returned in self.fleet.iter().filter(|record| record.what == "returned") {
+        for returned in self.fleet.iter().filter(|record| record.kind == "returned") {
             for entry in &entries {
                 self.check_return(returned, entry, &mut cases);
             }
@@ -23,11 +23,13 @@
         for ready in self
             .fleet
             .iter()
-            .filter(|record| record.what == "ready-again")
+            .filter(|record| record.kind == "ready-again")
         {
-            cases.add_case((ready.at - MAX_RECOVERY_S, ready.at), ready.good, || {
-                format!("{} was not ready in 15 s at {:.3}", ready.subject, ready.at)
-            });
+            cases.add_case(
+                (ready.at - MAX_RECOVERY_S, ready.at),
+                ready.as_expected,
+                || format!("{} was not ready in 15 s at {:.3}", ready.subject, ready.at),
+            );
         }
         cases
     }
@@ -35,7 +37,7 @@
     /// Checks the first success of an entry after machines returned.
     fn check_return(&self, returned: &FleetRecord, entry: &str, cases: &mut Cases) {
         let calls = || {
-            self.callers
+            self.clients
                 .iter()
                 .filter(|call| call.entry == entry && call.end > returned.at)
         };
@@ -73,10 +75,10 @@
     /// Returns true if the record ends too early, or if another fault occurred
     /// before the limit.
     fn is_inconclusive(&self, returned: f64, limit: f64, first_success: Option<f64>) -> bool {
-        let last = self.callers.iter().map(|call| call.end).fold(0.0, f64::max);
+        let last = self.clients.iter().map(|call| call.end).fold(0.0, f64::max);
         let has_other_fault = self.fleet.iter().any(|record| {
-            record.what == "fault"
-                && !record.good
+            record.kind == "fault"
+                && !record.as_expected
                 && record.at > returned + SAME_MOMENT
                 && record.at < returned + limit
         });
--- a/stand-ins/tests/history.rs
+++ b/stand-ins/tests/history.rs
@@ -191,27 +191,27 @@
     );
 }
 
-fn response(start: f64, end: f64, version: u64) -> CallerRecord {
-    CallerRecord {
+fn response(start: f64, end: f64, version: u64) -> ClientRecord {
+    ClientRecord {
         start,
         end,
         status: 200,
         version: Some(version),
-        ..CallerRecord::default()
+        ..ClientRecord::default()
     }
 }
 
 #[test]
 fn operation_key_runs_once_with_one_response() {
     let (first, again) = (response(0.0, 2.0, 5), response(3.0, 4.0, 5));
-    let rejected = CallerRecord {
+    let rejected = ClientRecord {
         status: 503,
         ..response(0.0, 0.5, 0)
     };
     let all = [&rejected, &first, &again];
     assert_eq!(check_key(&[1.0], &all), HistoryResult::Linearizable);
     assert_eq!(check_key(&[1.0], &[]), HistoryResult::Linearizable);
-    let violated = |runs: &[f64], attempts: &[&CallerRecord]| {
+    let violated = |runs: &[f64], attempts: &[&ClientRecord]| {
         matches!(check_key(runs, attempts), HistoryResult::Violated(_))
     };
     assert!(violated(&[1.0, 3.5], &[]), "executed twice");
@@ -234,7 +234,7 @@
 #[test]
 fn checker_reports_histories_that_are_not_linearizable() {
     let mut checker = Checker {
-        callers: vec![],
+        clients: vec![],
         origins: vec![],
         fleet: vec![],
         operators: vec![
@@ -242,16 +242,16 @@
             record(2.0, Some(3.0), document_read(3, "a")),
         ],
         items: vec![],
-        rates: BTreeMap::new(),
-        keeps: BTreeMap::new(),
+        max_rates: BTreeMap::new(),
+        ttls: BTreeMap::new(),
     };
     let verdict = |checker: &Checker, at: usize| checker.verdicts().remove(at).1;
-    assert_eq!(verdict(&checker, 12), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 12), Verdict::Satisfied(1));
     assert_eq!(verdict(&checker, 13), Verdict::NotExercised);
     checker
         .operators
         .push(record(4.0, Some(5.0), document_read(2, "b")));
-    assert!(matches!(verdict(&checker, 12), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     checker.operators.clear();
     let item = |start: f64, operation| ItemRecord {
         name: "g".into(),
@@ -260,11 +260,11 @@
         operation,
     };
     checker.items = vec![item(0.0, put(1, "a")), item(2.0, conflict(1, "b"))];
-    assert_eq!(verdict(&checker, 12), Verdict::Held(1));
+    assert_eq!(verdict(&checker, 12), Verdict::Satisfied(1));
     checker.items.push(item(4.0, put(1, "b")));
-    assert!(matches!(verdict(&checker, 12), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 12), Verdict::Violated(_)));
     let key = Some("k".to_string());
-    checker.callers.push(CallerRecord {
+    checker.clients.push(ClientRecord {
         operation: key.clone(),
         ..response(0.0, 2.0, 5)
     });
@@ -273,10 +273,10 @@
         operation: key.clone(),
         ..OriginRecord::default()
     });
-    assert_eq!(verdict(&checker, 13), Verdict::Held(1));
-    checker.callers.push(CallerRecord {
+    assert_eq!(verdict(&checker, 13), Verdict::Satisfied(1));
+    checker.clients.push(ClientRecord {
         operation: key,
         ..response(3.0, 4.0, 6)
     });
-    assert!(matches!(verdict(&checker, 13), Verdict::Broken(_)));
+    assert!(matches!(verdict(&checker, 13), Verdict::Violated(_)));
 }
