--- a/control-plane/src/control_node/contact.rs
+++ b/control-plane/src/control_node/contact.rs
@@ -13,7 +13,7 @@
 const CANDIDATE_TIMEOUT: Duration =
     lease::CONTROL_PEER_TIMEOUT.saturating_sub(lease::CONTROL_TICK.saturating_mul(2));
 
-/// Status of a member by its last heartbeat.
+/// Status of a member as reported by its last heartbeat.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerStatus {
     pub(super) incarnation: u64,
@@ -141,8 +141,8 @@
         mutual.collect()
     }
 
-    /// Returns true if a majority of the table is in contact with this node. Without it, the node can neither confirm nor
-    /// refuse anything.
+    /// Returns true if a majority of the table is in contact with this node. Without contact with a majority, the node
+    /// can neither confirm nor refuse anything.
     pub(super) fn reaches_majority(&self, now: Duration) -> bool {
         self.mutual_contacts(now).len() >= self.quorum().majority()
     }
--- a/control-plane/src/control_node/edge_registry.rs
+++ b/control-plane/src/control_node/edge_registry.rs
@@ -80,8 +80,8 @@
             && registry.members.iter().all(has_reported)
     }
 
-    /// Returns true if the ledger was closed for long enough that every operation that ran before the loss can no
-    /// longer be retried.
+    /// Returns true if the ledger was closed for so long that no operation that ran before the loss can still be
+    /// retried.
     fn is_closed_period_over(&self, now: Duration) -> bool {
         let generation = &self.generation;
         let own_closed_until = generation.entered_at + lease::LEDGER_CLOSED_AFTER_LOSS;
--- a/control-plane/src/control_node/failure_detector.rs
+++ b/control-plane/src/control_node/failure_detector.rs
@@ -6,8 +6,8 @@
 /// restarted returns sooner, and a member that was wrongly replaced rejoins as an empty node.
 const MEMBER_LOSS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tracks pauses of this node: after a pause no message has been received for long from any member, and that is no
-/// evidence of their failure.
+/// Tracks pauses of this node. After a pause, the last message from every member is old, which is no evidence that the
+/// members failed.
 #[derive(Debug, Default)]
 pub(super) struct FailureDetector {
     last_tick_at: Option<Duration>,
--- a/control-plane/src/control_node/generation.rs
+++ b/control-plane/src/control_node/generation.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 
-/// Minimum extension of the ledger's closing that is adopted from a heartbeat. Without it the transit time of
-/// heartbeats would prolong the closing each time two nodes report it to each other.
+/// Minimum extension of the period for which the ledger is closed that is adopted from a heartbeat. Without this
+/// minimum, the transit time of heartbeats would extend the period each time two nodes report it to each other.
 const MIN_CLOSURE_EXTENSION: Duration = Duration::from_secs(1);
 
-/// Generation of this node, and the closing of its operation ledger.
+/// Generation of this node, and the period for which its operation ledger is closed.
 #[derive(Debug, Default)]
 pub(super) struct GenerationState {
     /// Generation last read from the replica; 0 after a start, so that a node whose ledger is not open yet closes it
@@ -15,7 +15,8 @@
     pub(super) current: u64,
     /// Time when `current` was first seen.
     pub(super) entered_at: Duration,
-    /// End of the closing. Until then operations without a record are not run: acknowledged ones may be lost.
+    /// Time until which the ledger is closed. Until then operations without a record are not run: their records may
+    /// have been lost after they ran.
     pub(super) ledger_closed_until: Duration,
     /// Generation in which a majority of disks was lost, while the next one is requested.
     pub(super) refound_after: Option<u64>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Extends the closing to the remaining time that another node reported.
+    /// Extends the period for which the ledger is closed to the remaining time that another node reported.
     pub(super) fn extend_ledger_closure(&mut self, now: Duration, closed_for: Duration) {
         let until = now + closed_for;
         let is_longer = until > self.generation.ledger_closed_until + MIN_CLOSURE_EXTENSION;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Remembers the edge registry if this node leads the assignments: a leader that lost nothing itself has the
+    /// Remembers the edge registry if this node leads the assignments: a leader that lost no rows itself has the
     /// registry from before the loss.
     fn remember_registry_before_loss(&mut self) {
         let leader = self
--- a/control-plane/src/control_node/joining.rs
+++ b/control-plane/src/control_node/joining.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl ControlNode {
-    /// Handles a message on a node without a slot: it only looks for nodes that know the table.
+    /// Handles a message on a node without a slot, which only looks for nodes that know the table.
     pub(super) fn handle_message_without_slot(
         &mut self,
         now: Duration,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Adopts a table with a disk that is not included in quorums yet.
+    /// Adopts a table on a node whose disk is not included in quorums yet.
     fn join_table(&mut self, now: Duration, table: MembershipTable, slot: Option<u8>) {
         self.membership_version = table.version;
         self.members = table.members;
@@ -150,8 +150,7 @@
             return self.mark_removed();
         }
         self.table_adopted_at = now;
-        // A member known by the older table may hold another slot by this one, which is no reason to retire its
-        // incarnation.
+        // A member of the older table may hold another slot in this one, which is no reason to retire its incarnation.
         self.peers.clear();
         self.last_messages.clear();
         self.retired_incarnations = self.replica.retired.clone();
--- a/control-plane/src/control_node/membership.rs
+++ b/control-plane/src/control_node/membership.rs
@@ -1,9 +1,9 @@
-//! The membership table that this node uses, and the incarnations that are members by it.
+//! The membership table that this node uses, and the incarnations that hold its slots.
 
 use super::*;
 
 impl ControlNode {
-    /// Returns the slot that this incarnation of a peer holds by the table.
+    /// Returns the slot that this incarnation of a peer holds in the table.
     pub(super) fn slot_of(&self, peer: &Peer) -> Option<u8> {
         let at = self.members.iter().position(|known| known.matches(peer))?;
         Some(at as u8)
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Adopts a newer table, with a full disk: from now on no node that uses an older table gets a promise or has
-    /// anything stored on this node.
+    /// Adopts a newer table on a node with a full disk: from now on this node promises and stores nothing for a node
+    /// that uses an older table.
     pub(super) fn adopt_table(&mut self, table: MembershipTable) {
         self.membership_version = table.version;
         if table.members == self.members {
@@ -99,8 +99,8 @@
                 self.replace_member(slot as u8, old, new);
             }
         }
-        // Promises and acknowledgements so far were counted by another table: partitions are led under new epochs by
-        // this one.
+        // Promises and acknowledgements so far were counted under another table. With this table, partitions are led
+        // under new epochs.
         self.leaders.clear();
         self.pending_replies.clear();
         let own_member = members.get(usize::from(self.slot));
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Retires an incarnation: messages of this disk are ignored from now on. The retirement is stored, so that a node
-    /// that receives an acknowledgement of this one learns of it first, even over restarts.
+    /// Retires an incarnation: messages of this disk are ignored from now on. The retirement is stored, so that every
+    /// later acknowledgement of this node reports it, even after a restart.
     pub(super) fn retire_incarnation(&mut self, incarnation: u64) {
         let is_own = incarnation == self.replica.incarnation;
         if is_own || self.retired_incarnations.contains(&incarnation) {
--- a/control-plane/src/control_node/operator_calls.rs
+++ b/control-plane/src/control_node/operator_calls.rs
@@ -15,9 +15,9 @@
     change: Change,
     deadline: Duration,
     retry_at: Duration,
-    /// Slot of the leader to which it was last sent.
+    /// Slot of the leader to which the call was last sent.
     sent_to: Option<u8>,
-    /// Number of times it was sent.
+    /// Number of times the call was sent.
     attempts: u32,
 }
 
@@ -152,7 +152,8 @@
             return;
         };
         let outcome = match reply.outcome {
-            // The node that was to forward it is isolated: the call is retried at once, since another route may exist.
+            // The node that should have forwarded the call is isolated: the call is retried at once, since another
+            // route may exist.
             ChangeOutcome::NoMajority => {
                 call.retry_at = Duration::ZERO;
                 return;
--- a/control-plane/src/control_node/pending_reply.rs
+++ b/control-plane/src/control_node/pending_reply.rs
@@ -70,8 +70,8 @@
         self.outcome = outcome;
     }
 
-    /// Refuses a change because of the current rows. The refusal is sent only once those are on a majority of disks and
-    /// the leader is confirmed, since a superseded leader may not know the changes accepted after it.
+    /// Refuses a change because of the current rows. The refusal is sent only once these rows are on a majority of
+    /// disks and the leader is confirmed, since a superseded leader may not know the changes accepted after it.
     pub(super) fn refuse(&mut self, leader: &mut PartitionLeader, outcome: ChangeOutcome) {
         self.required_commit = leader.version;
         self.required_round = leader.begin_read_round();
--- a/control-plane/src/control_node/recall.rs
+++ b/control-plane/src/control_node/recall.rs
@@ -1,5 +1,5 @@
-//! Recall: partitions that were founded, or that lost a majority of their disks, first recover from the edges the rows
-//! that edges were shown.
+//! Recall: before a partition is founded, and after the loss of a majority of disks, the partition's leader collects
+//! the rows that edges were shown.
 
 use super::*;
 
--- a/control-plane/src/control_node/recovery.rs
+++ b/control-plane/src/control_node/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a blank disk, on this node or, as a source of snapshots, on others.
+//! Recovery of this node's blank disk, and snapshots for the recovery of other nodes' disks.
 
 use super::*;
 
@@ -34,8 +34,8 @@
         self.send_after_sync(from.address, reply);
     }
 
-    /// Returns the version of the newest table by which edges may renew at this node. After a loss of everything no
-    /// node has published a table, and no edge is renewed that could use another one.
+    /// Returns the version of the newest table under which edges may renew at this node. After a loss of everything no
+    /// node has published a table, and no edge that could use another table is renewed.
     fn edges_membership_version(&self) -> u64 {
         let partition = self.replica.partition(MEMBERSHIP_PARTITION);
         if partition.state.version == 0 {
@@ -43,8 +43,8 @@
         }
         let table = self.replica.published_table();
         let published = table.map_or(0, |table| table.version);
-        // Members with which an edge could renew by a table before a succession have been lost for longer than a lease
-        // lasts.
+        // When a succession writes a table, the members at which an edge could still renew under an earlier table have
+        // been silent for longer than a lease lasts.
         published.max(last_succession(self.membership_version))
     }
 
--- a/control-plane/src/control_node/replication.rs
+++ b/control-plane/src/control_node/replication.rs
@@ -5,12 +5,12 @@
 
 /// Number of recall periods before a leader serves.
 const RECALL_PERIOD_COUNT: u32 = 1;
-/// Number of recall periods in the configuration's partition: one more than in the others, since it names the
-/// generation, which must happen after recall in all partitions.
+/// Number of recall periods in the configuration's partition: one more than in the others, since its recall ends with
+/// the founding of the generation, which must follow the recall of all other partitions.
 const CONFIGURATION_RECALL_PERIOD_COUNT: u32 = 2;
 
-/// Returns the append without its rows, for a replica that already holds them and maybe later ones: a delayed full
-/// state must not remove those.
+/// Returns the append without its rows, for a replica that already holds them and possibly later ones: a delayed full
+/// state must not remove the later rows.
 fn without_rows(request: AppendRequest) -> AppendRequest {
     AppendRequest {
         full_state: false,
--- a/control-plane/src/control_node/slot_assignment.rs
+++ b/control-plane/src/control_node/slot_assignment.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl ControlNode {
-    /// Writes the table as a row if this node leads it, so that edges receive it. A founded table is in no row yet, and
-    /// a row may have been lost with a majority of disks.
+    /// Writes the table as a row of its partition, if this node leads that partition, so that edges receive the table.
+    /// A founding table is in no row yet, and the row of a later one may have been lost with a majority of disks.
     pub(super) fn publish_table(&mut self) {
         let Some(leader) = self
             .leaders
@@ -36,7 +36,7 @@
     }
 
     /// Returns true if the last change of the table is complete: it has settled, and every other member has a recovered
-    /// disk or is lost. Then everything acknowledged by the earlier table is on a majority of disks by this one.
+    /// disk or is lost. Then everything acknowledged under the earlier table is on a majority of the disks of this one.
     pub(super) fn is_membership_stable(&self, now: Duration) -> bool {
         let is_recovered = |slot: u8| self.peers.get(&slot).is_some_and(|peer| !peer.blank);
         let is_recovered_or_lost = |slot: u8| is_recovered(slot) || self.is_slot_lost(now, slot);
--- a/control-plane/src/control_node/succession.rs
+++ b/control-plane/src/control_node/succession.rs
@@ -5,8 +5,8 @@
 //! since every majority includes one of them, and without them the lost members can commit nothing either. So once the
 //! lost members have been silent for longer than every lease lasts, and as many empty nodes request slots, the lowest
 //! surviving slot writes a table that assigns the lost slots to those nodes. Each survivor stores this table before
-//! using it, and from then on acknowledges nothing by the earlier one. The successors are recovered from all survivors
-//! that use the new table, and only then is there a majority again.
+//! using it, and from then on acknowledges nothing under the earlier one. The successors are recovered from all
+//! survivors that use the new table, and only then is there a majority again.
 //!
 //! Assumption: empty nodes request slots only to replace members that were removed for good. If the lost members were
 //! cut off instead, with as many empty nodes on their side of the network partition, they could write such a table too:
--- a/control-plane/src/control_node/tests_membership.rs
+++ b/control-plane/src/control_node/tests_membership.rs
@@ -305,8 +305,8 @@
     );
 }
 
-/// A disk was wiped and returned within two seconds; another node then reported that its earlier incarnation is
-/// retired. The slot was assigned to a joiner, although it was never silent for long enough.
+/// Regression: a disk was wiped and returned within two seconds; another node then reported that the disk's earlier
+/// incarnation is retired. The slot was assigned to a joiner, although its node was never silent for long enough.
 #[test]
 fn reported_retirement_does_not_age_last_contact() {
     let mut node = Node::start(0, true);
--- a/control-plane/src/operator_api/responses.rs
+++ b/control-plane/src/operator_api/responses.rs
@@ -5,7 +5,7 @@
 /// Time after which a caller may retry at an isolated node.
 const NO_MAJORITY_RETRY: Duration = Duration::from_secs(1);
 
-/// Returns the rejection of a call without an outcome from the leader in time.
+/// Returns the rejection of a call for which the leader reported no outcome in time.
 pub(super) fn outcome_unknown() -> Rejection {
     Rejection::unknown(
         503,
@@ -31,7 +31,7 @@
     json_response(422, &body)
 }
 
-/// Returns the response to a call without a reply from the leader.
+/// Returns the response to a call without an outcome from the leader.
 pub(super) fn no_reply(outcome: &ChangeOutcome) -> rouille::Response {
     match outcome {
         ChangeOutcome::NoMajority => rejection_response(&no_majority()),
--- a/control-plane/src/partition_leader.rs
+++ b/control-plane/src/partition_leader.rs
@@ -18,8 +18,8 @@
 const MAX_REMOVED_KEYS: usize = 4096;
 
 /// Leader of one partition, for one epoch. Invariants:
-/// - All acknowledgements are counted by one membership table. Another table requires another leader, under an epoch
-///   that was promised by that table.
+/// - All acknowledgements are counted under one membership table. Another table requires another leader, with an epoch
+///   that was promised under that table.
 /// - Until a quorum promised the epoch and holds the adopted state under it, no request is served from `rows`.
 /// - `version` rises by one with each row put or removed.
 /// - A replica's `synced_version` includes only what it synced under this epoch.
@@ -28,7 +28,7 @@
 pub struct PartitionLeader {
     /// Partition that is led.
     pub partition: u8,
-    /// Epoch under which it is led; unique to this leader.
+    /// Epoch under which the partition is led; unique to this leader.
     pub epoch: u64,
     /// Rows of the partition by key, including uncommitted ones.
     pub rows: BTreeMap<String, Row>,
@@ -66,7 +66,7 @@
 }
 
 impl PartitionLeader {
-    /// Creates a candidate for the partition, by a membership table with this number of slots and this version.
+    /// Creates a candidate for the partition, under a membership table with this number of slots and this version.
     pub fn new(
         partition: u8,
         epoch: u64,
@@ -154,7 +154,8 @@
     pub fn merge_recalled_rows(&mut self, version: u64, rows: Vec<(String, Row)>) -> usize {
         let mut newer = 0;
         for (key, row) in rows {
-            // The generation of the lost state differs from the current one.
+            // The row that names the generation is not merged: the generation of the lost state differs from the
+            // current one.
             let is_generation = matches!(row.value, Value::Founded { .. });
             let known = self.rows.get(&key);
             if !is_generation && known.is_none_or(|known| known.version < row.version) {
@@ -163,7 +164,8 @@
             }
         }
         self.version = self.version.max(version);
-        // Their versions may be below those that replicas hold, so all replicas are sent the full state.
+        // The merged rows may have lower versions than those that replicas hold, so all replicas are sent the full
+        // state.
         self.full_state_floor = self.version;
         for replica in &mut self.replicas {
             replica.synced_version = None;
@@ -206,8 +208,8 @@
         }
     }
 
-    /// Returns the version that every live edge has confirmed: at a quorum of nodes every session had confirmed it when
-    /// that node replied, and later sessions receive it first.
+    /// Returns the version that every live edge has confirmed: at each node of a quorum, every session had confirmed it
+    /// when the node replied, and sessions opened later receive it with their first renewal.
     pub fn settled(&self) -> u64 {
         self.reached_by_quorum(|replica| replica.sessions_confirmed)
     }
--- a/control-plane/src/partition_leader/messages.rs
+++ b/control-plane/src/partition_leader/messages.rs
@@ -4,8 +4,8 @@
 
 /// Time after which an append without a reply is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
-/// Addition to the resend interval per row of the append, so that an append still in transit is not queued behind
-/// itself.
+/// Addition to the resend interval per row of the append, so that an append that is still in transit is not sent a
+/// second time.
 const RESEND_INTERVAL_PER_ROW: Duration = Duration::from_millis(2);
 /// Maximum time that an append waits for its reply, regardless of the number of its rows.
 const MAX_RESEND_INTERVAL: Duration = Duration::from_secs(3);
@@ -128,8 +128,8 @@
         replica.sent_published = self.published;
     }
 
-    /// Returns the ledger state that this disk held when it promised, if rows can be added to it. The disk's first
-    /// acknowledgement under this epoch replaces it.
+    /// Returns the id of the ledger state that the disk in this slot held when it promised, if an append can add rows
+    /// to that state instead of replacing it. None once the disk has acknowledged an append under this epoch.
     fn delta_base(&self, slot: u8) -> Option<StateId> {
         let is_unknown = self.replicas[usize::from(slot)].synced_version.is_none();
         self.prepared_states.get(&slot).copied().filter(|base| {
@@ -141,7 +141,8 @@
         })
     }
 
-    /// Returns true if this disk may still report its state, so that it need not be sent the full ledger.
+    /// Returns true if an append should wait because the disk in this slot may still report its state, and then need
+    /// not be sent the full ledger.
     fn awaits_prepare_reply(&self, now: Duration, slot: u8) -> bool {
         let in_grace = |since: Duration| now < since + PREPARE_REPLY_GRACE;
         let is_unknown = self.replicas[usize::from(slot)].synced_version.is_none();
--- a/control-plane/src/replica.rs
+++ b/control-plane/src/replica.rs
@@ -22,8 +22,8 @@
     pub full: bool,
     /// True if its slot was assigned to another node: it is excluded from quorums for good.
     pub removed: bool,
-    /// Generation that may have lost rows when this disk was recovered; 0 if none. Of any two disks at least one
-    /// records the loss, until the next generation is founded.
+    /// Generation that may have lost rows when this disk was recovered; 0 if none. Every majority of disks includes one
+    /// that records the loss, until the next generation is founded.
     pub lost_generation: u64,
     /// Membership table received from others; the published one is preferred if it is at least as new.
     pub known_table: Option<MembershipTable>,
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Returns true if an edge may claim operations: only the loss of enrolled edges is detected.
+    /// Returns true if an edge is enrolled. Only enrolled edges may claim operations, since the loss of an edge is
+    /// detected only once it is enrolled.
     pub fn is_enrolled(&self, peer: &Peer) -> bool {
         match self.published_row(ASSIGNMENTS_PARTITION, "enrolled") {
             Some(Value::Enrolled { members }) => members.contains(peer),
--- a/control-plane/src/replica/partition.rs
+++ b/control-plane/src/replica/partition.rs
@@ -6,8 +6,9 @@
 /// - `promised_epoch` never decreases, and nothing under a lower epoch is accepted.
 /// - `state` is complete up to `state.version` under `state.epoch`.
 /// - `published_rows` contains, for partitions that are published to edges, all rows for edges as of `state.published`.
-///   Later rows wait in `unpublished`, by the version up to which each append made the state complete. Versions in
-///   between are not published, since a later row may hide an earlier one of its key that was never received.
+///   Later rows wait in `unpublished`, grouped by append. All rows of an append are published together, at the version
+///   up to which the append made the state complete: at a version in between, a row of the append may have replaced an
+///   earlier row of its key that this disk never received.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaPartition {
     /// Highest epoch that was promised.
--- a/control-plane/src/replica_recovery.rs
+++ b/control-plane/src/replica_recovery.rs
@@ -12,13 +12,14 @@
 /// Number of the round whose snapshots are merged.
 const SNAPSHOT_ROUND: u8 = 1;
 
-/// Recovers a blank disk, in two rounds with `Quorum::intersecting` of the other nodes whose disks are full and that
-/// use a membership table that contains this disk. After the first round those nodes have retired the slot's earlier
-/// disk, and so does every node that receives an acknowledgement of theirs. So everything that was acknowledged with
-/// the earlier disk's help is on one of them when it replies in the second round, and is transferred then.
+/// Recovers a blank disk in two rounds of requests. Each round needs replies from `Quorum::intersecting` other nodes
+/// whose disks are full and that use a membership table that contains this disk. The nodes that reply in the first
+/// round have retired the slot's earlier disk, and every node that receives one of their later acknowledgements retires
+/// it too. So everything that was acknowledged with the earlier disk's help is on one of these nodes when it replies in
+/// the second round, and is transferred then.
 ///
-/// If all others replied and fewer are full, a majority was lost, and the remaining rows are adopted. Until all have
-/// replied, recovery waits, since a full disk may be slow to reply.
+/// If all other nodes replied and fewer than that many have full disks, a majority was lost, and the remaining rows are
+/// adopted. Until all have replied, recovery waits, since a full disk may be slow to reply.
 #[derive(Debug, Clone)]
 pub struct ReplicaRecovery {
     slot: u8,
@@ -39,7 +40,7 @@
 
 #[derive(Debug, Clone)]
 struct ReceivedSnapshot {
-    /// True if the sender's disk is full, by any membership table.
+    /// True if the sender's disk is full, regardless of the sender's membership table.
     full: bool,
     /// True if the disk is full and its edges are shown the table that contains the recovering disk.
     usable: bool,
@@ -56,7 +57,7 @@
 }
 
 impl ReplicaRecovery {
-    /// Starts the recovery of a slot, by a membership table with this number of slots and this version.
+    /// Starts the recovery of a slot, in a membership table with this number of slots and this version.
     pub fn new(slot: u8, slots: usize, membership_version: u64) -> ReplicaRecovery {
         ReplicaRecovery {
             slot,
@@ -109,7 +110,7 @@
         let full = reply.full && reply.lost_generation == 0;
         let received = ReceivedSnapshot {
             full,
-            // Otherwise its edges may still use the earlier table.
+            // While the sender publishes an older table, its edges may still use that one.
             usable: full && reply.membership_version >= self.membership_version,
             partitions: reply.partitions,
         };
--- a/control-plane/src/sessions.rs
+++ b/control-plane/src/sessions.rs
@@ -10,11 +10,11 @@
 use peer_sessions::PeerSessions;
 
 /// Sessions at this control node, and those that the other control nodes report. Invariants:
-/// - A session is valid for `lease::SESSION_LEASE` after its last renewal was received; the edge relies on it for less,
-///   counted from when it sent the renewal.
-/// - A peer's table equals, in everything that decisions depend on, the table that the peer had when it sent it: a
-///   delta is applied only if the resulting checksum is the peer's. A delta that does not fit changes nothing, does not
-///   count as a contact, and causes a request for the full table.
+/// - A session is valid for `lease::SESSION_LEASE` after its last renewal was received; the edge relies on it for a
+///   shorter time, counted from when the edge sent the renewal.
+/// - A peer's table equals, in everything that decisions depend on, the table that the peer had when it sent the delta:
+///   a delta is applied only if the resulting checksum is the peer's. A delta that does not fit changes nothing, does
+///   not count as a contact, and causes a request for the full table.
 #[derive(Debug, Default)]
 pub struct Sessions {
     local: LocalSessions,
@@ -126,7 +126,8 @@
         self.local.remove_lapsed(now)
     }
 
-    /// Returns the changes that a peer lacks that received this node's table up to this revision.
+    /// Returns the changes after this revision, for a peer that received this node's table up to it; the full table if
+    /// those changes are not all known.
     pub fn delta_since(&self, revision: u64) -> SessionsDelta {
         self.local.delta_since(revision)
     }
@@ -148,14 +149,15 @@
         self.peer_tables.remove(&slot);
     }
 
-    /// Returns true if all sessions at this node are known. After a start, earlier ones may exist until they would have
-    /// expired or been renewed.
+    /// Returns true if all sessions at this node are known. After a start, sessions from before it may exist; within
+    /// `lease::SESSION_LEASE` each of them is renewed or expires.
     pub fn is_complete(&self, now: Duration) -> bool {
         self.started_at
             .is_some_and(|started_at| now >= started_at + lease::SESSION_LEASE)
     }
 
-    /// Returns the version of a partition, up to `published`, that every session at this node has confirmed.
+    /// Returns the version of a partition, up to `published`, that every session at this node has confirmed. None while
+    /// not all sessions are known.
     pub fn confirmed_version(&self, now: Duration, partition: u8, published: u64) -> Option<u64> {
         let lowest = self.local.confirmed_versions(partition).min();
         self.is_complete(now)
@@ -220,8 +222,8 @@
         self.local.infos().chain(reported).collect()
     }
 
-    /// Returns the edges that confirmed a newer version of a published partition than this one: all such edges with a
-    /// session at this node, and of each other node the edge with the newest confirmed version.
+    /// Returns the edges that confirmed a version of a published partition newer than `version`: all such edges with a
+    /// session at this node, and at most one edge per other node, the one with the newest confirmed version.
     pub fn edges_ahead_of(&self, partition: u8, version: u64) -> BTreeSet<SocketAddr> {
         let local = self.local.infos().filter_map(|info| {
             let confirmed = info.version_vector.get(usize::from(partition))?;
--- a/control-plane/src/sessions/local_sessions.rs
+++ b/control-plane/src/sessions/local_sessions.rs
@@ -133,7 +133,8 @@
             .filter_map(move |info| info.version_vector.get(at).copied())
     }
 
-    /// Returns the changes that a peer lacks that received the table up to this revision.
+    /// Returns the changes after this revision, for a peer that received the table up to it; the full table if those
+    /// changes are not all known.
     pub(super) fn delta_since(&self, revision: u64) -> SessionsDelta {
         let is_covered = revision <= self.revision && revision >= self.delta_floor;
         let from = if is_covered { revision } else { 0 };
--- a/control-plane/src/succession_version.rs
+++ b/control-plane/src/succession_version.rs
@@ -1,6 +1,6 @@
 //! Versions of membership tables: successions without a majority are counted in the upper half of the bits, changes by
-//! a majority in the lower half. So a table that lost members may still write never has the version of a table that
-//! follows theirs.
+//! a majority in the lower half. So a table that the lost members may still write never has the same version as a table
+//! written to replace them.
 
 /// Number of bits of a version that count changes by a majority.
 const SUCCESSION_SHIFT: u32 = 32;
--- a/control-plane/src/update_replies.rs
+++ b/control-plane/src/update_replies.rs
@@ -7,7 +7,8 @@
 
 /// Maximum number of cached replies: edges that renew at the same time have one of only a few versions.
 const MAX_CACHED_REPLIES: usize = 8;
-/// Size in bytes below which replies are sent with every renewal that lacks them.
+/// Size in bytes from which a reply is not sent again while it may still be in flight; smaller replies are sent with
+/// every renewal.
 const LARGE_REPLY_BYTES: usize = 16 * 1024;
 /// Bandwidth of the slowest supported link: 4 Mbit/s. Over it, a large reply takes longer to arrive than the interval
 /// between renewals.
--- a/control-plane/tests/faults/cluster.rs
+++ b/control-plane/tests/faults/cluster.rs
@@ -29,7 +29,7 @@
     control_node: ControlNode,
     run: u64,
     disk: Vec<Vec<u8>>,
-    /// True while it fails writes.
+    /// True while the disk fails writes.
     full: bool,
 }
 
--- a/control-plane/tests/replication/model/cluster.rs
+++ b/control-plane/tests/replication/model/cluster.rs
@@ -141,7 +141,7 @@
         self
     }
 
-    /// Runs an election until this node has its promises; its state is in flight.
+    /// Runs an election until this node has its promises; the appends of the adopted state are still in flight.
     pub fn promised(mut self, leader: usize, partition: u8) -> Cluster {
         self.run(leader, |node| node.elect(partition));
         while !self.nodes[leader].is_active(partition) {
@@ -165,7 +165,7 @@
         self
     }
 
-    /// Writes a row on this node that reaches these disks only.
+    /// Writes a row as this node, which leads the partition; the row reaches these disks only.
     pub fn written(mut self, node: usize, partition: u8, reached: &[usize]) -> Cluster {
         self = self.with(Budget {
             writes: vec![(node, partition)],
--- a/control-plane/tests/replication/model/node.rs
+++ b/control-plane/tests/replication/model/node.rs
@@ -35,7 +35,7 @@
 pub struct Node {
     pub address: SocketAddr,
     pub replica: Replica,
-    /// State that a crash leaves, where it is behind `replica`: only without `ReplyAfterSync`.
+    /// State that a crash leaves, if it is behind `replica`; set only with the safeguard `ReplyAfterSync` disabled.
     disk: Option<Replica>,
     pub membership_version: u64,
     pub members: Vec<Peer>,
@@ -46,11 +46,11 @@
     retired: VecDeque<u64>,
     pub leaders: BTreeMap<u8, PartitionLeader>,
     pub recovery: Option<ReplicaRecovery>,
-    /// Replies of the first recovery round; used without `SecondRecoveryRound`.
+    /// Replies of the first recovery round; used only with the safeguard `SecondRecoveryRound` disabled.
     first_replies: Vec<SnapshotReply>,
     pub reads: Vec<PendingRead>,
     now: Duration,
-    /// True if it was assigned its slot by a later table.
+    /// True if the node was assigned its slot by a table after the first.
     joined: bool,
     disabled: Option<Safeguard>,
 }
@@ -105,7 +105,7 @@
 }
 
 impl Node {
-    /// Creates a member with a full disk, by the first table.
+    /// Creates a member of the first table, with a full disk.
     pub fn member(node: usize, members: Vec<Peer>, disabled: Option<Safeguard>) -> Node {
         let mut node = Node::joiner(node, disabled);
         node.members = members;
@@ -164,7 +164,7 @@
         at.or_else(in_earlier).map(|at| at as u8)
     }
 
-    /// Returns the node's slot by the table, if it has one.
+    /// Returns the node's slot in the table, if the node has one.
     pub fn slot(&self) -> Option<u8> {
         self.slot_of(&self.local_peer())
     }
--- a/control-plane/tests/replication/model/safeguard.rs
+++ b/control-plane/tests/replication/model/safeguard.rs
@@ -10,8 +10,7 @@
     GapRefused,
     /// An append that arrives after a later one of its epoch changes nothing.
     OutdatedAppendIgnored,
-    /// A leader serves only once a majority holds its adopted state under its
-    /// own epoch.
+    /// A leader serves only once a majority holds its adopted state under the leader's own epoch.
     StateRewrittenBeforeServing,
     /// A replica replies only once what it acknowledges is synced.
     ReplyAfterSync,
@@ -26,10 +25,10 @@
     SecondRecoveryRound,
     /// Replies of a disk that was replaced are ignored.
     RetiredIncarnationsIgnored,
-    /// Requests by an older membership table are refused.
+    /// Requests sent under an older membership table are refused.
     MembershipVersionFences,
     /// A joiner is included in quorums only once it was recovered by the new table's members.
     JoinerExcluded,
-    /// A survivor that uses the table of a succession acknowledges nothing by the earlier one.
+    /// A survivor that uses the table of a succession acknowledges nothing under the earlier one.
     SurvivorAbandonsEarlierTable,
 }
--- a/control-plane/tests/takeover.rs
+++ b/control-plane/tests/takeover.rs
@@ -93,8 +93,8 @@
     Some(reply)
 }
 
-/// Returns the replicas of a partition and their leader after writes, of which replicas miss some if the network is
-/// `lossy`, so that each lags differently. Committed rows are on three of five replicas.
+/// Returns the replicas of a partition and their leader after this number of writes. If the network is `lossy`,
+/// replicas miss some of the writes, so that each lags differently. Committed rows are on three of five replicas.
 fn replicas_after_writes(
     random: &mut SeededRandom,
     writes: u64,
