--- a/control-plane/src/control_node/changes/tests.rs
+++ b/control-plane/src/control_node/changes/tests.rs
@@ -231,7 +231,7 @@
     }
 }
 
-/// A document or a list with the version that it replaces is retried after the leader ended.
+/// A change that replaces the document or the list of a given version is retried after the leader ended.
 #[test]
 fn retry_after_takeover_reports_original_version() {
     for (partition, make) in [
@@ -350,7 +350,7 @@
 }
 
 /// The platform's list is read again only once the last one was acknowledged. An edge that is slow to apply a list must
-/// not delay that: an origin that is removed meanwhile would become known too late.
+/// not delay the acknowledgement: the removal of an origin in the meantime would be noticed too late.
 #[test]
 fn committed_acknowledgement_of_origins_ignores_slow_edge() {
     /// Time for which the edge applies no update.
--- a/control-plane/tests/replication/exhaustive.rs
+++ b/control-plane/tests/replication/exhaustive.rs
@@ -196,8 +196,8 @@
         })
 }
 
-/// Members considered lost return: the earlier leader writes and reaches the survivors, while a successor leads with
-/// the other one.
+/// Members considered lost return: the earlier leader writes and reaches one survivor, while a successor leads with the
+/// other survivor.
 fn earlier_leader_after_succession(disabled: Option<Safeguard>) -> Cluster {
     Cluster::of_four_with_two_joiners(disabled)
         .established(&[(3, LEDGER)])
