--- a/data-plane/src/abandoned_work.rs
+++ b/data-plane/src/abandoned_work.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct AbandonedWorkMonitor {
     /// The times at which clients disconnected, by request, for requests that have no
-    /// response yet or a call in flight.
+    /// response yet or still have a call in flight.
     disconnected_at: HashMap<u64, Duration>,
     /// The calls in flight, by call id.
     calls: HashMap<u64, ObservedCall>,
@@ -60,7 +60,8 @@
         self.disconnected_at.entry(request).or_insert(now);
     }
 
-    /// Records a call that is sent to its origin. Returns the violation, if it is one.
+    /// Records a call that is sent to its origin. Returns the violation, if the call is
+    /// one.
     pub fn call_started(
         &mut self,
         now: Duration,
--- a/data-plane/src/active_request/mod.rs
+++ b/data-plane/src/active_request/mod.rs
@@ -9,9 +9,9 @@
 
 /// A request that has no response yet. Invariants:
 /// - `request.routes` is the only configuration that this request uses.
-/// - `attempts.may_have_reached_origin` is set before a call may reach an origin.
-///   Once it is set, a keyed request makes no further call and "not run" is not
-///   reported.
+/// - `attempts.may_have_reached_origin` is set before a call may reach an origin, and
+///   cleared only if no call can have been executed. While it is set, a keyed request
+///   makes no further call and "not run" is not reported.
 /// - A keyed request calls an origin only while its claim is held.
 pub struct ActiveRequest {
     /// The client's request, with the route it matched.
--- a/data-plane/src/active_request/outgoing_call.rs
+++ b/data-plane/src/active_request/outgoing_call.rs
@@ -4,7 +4,8 @@
 /// Maximum number of connections from this edge to one origin, unless its group
 /// sets a limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 256;
-/// Timeout of an attempt that can be retried, as a multiple of the usual duration.
+/// Number of usual durations that the timeout of an attempt that can be retried covers,
+/// if the deadline leaves enough time.
 const USUAL_DURATIONS_PER_ATTEMPT: u32 = 6;
 /// Request headers that are not forwarded to origins: they belong to the client's
 /// connection or are set by this edge.
--- a/data-plane/src/admission/mod.rs
+++ b/data-plane/src/admission/mod.rs
@@ -26,11 +26,12 @@
 ///   response of the listed service and instance) is younger than
 ///   `ORIGIN_PROOF_VALIDITY` and a connection opened before the proof is still
 ///   open. So the process that listens there is the one that proved its identity.
+///   Groups with `Proof::Named` need no proof.
 /// - Within any five seconds an origin gets at most 110 % of its rate, even if permits
 ///   are used as late as `PERMIT_VALIDITY` allows.
 /// - Retries stay within the retry budget.
 /// - A lower rank takes no slot that higher ranks will need while its call runs, because
-///   calls in flight are not preempted.
+///   calls in flight are not preempted. If calls are short, no slots are reserved.
 pub struct AdmissionController {
     /// The service that the group's origins provide.
     pub service: String,
@@ -61,14 +62,15 @@
 const LARGE_QUEUE_LENGTH: usize = 64;
 /// Minimum time between two dispatches of a large queue.
 const LARGE_QUEUE_DISPATCH_INTERVAL: Duration = Duration::from_millis(5);
-/// The fraction of a total rate that the admission controller grants. The edges have a
-/// tenth of the total rate as their fallback quota for when the controller cannot be
-/// reached. They report those calls afterwards, and the controller counts them. With a
-/// change of controller, 0.95 x 5 s + 0.25 s + a burst of 0.1 s + 0.1 x 5.5 s stays
-/// below 110 % of 5 s, even while four of five edges cannot report.
+/// The fraction of a total rate that the admission controller of a group with
+/// `Proof::Named` grants. The edges have a tenth of the total rate as their fallback
+/// quota for when the controller cannot be reached. They report those calls afterwards,
+/// and the controller counts them. With a change of controller, 0.95 x 5 s + 0.25 s + a
+/// burst of 0.1 s + 0.1 x 5.5 s stays below 110 % of 5 s, even while four of five edges
+/// cannot report.
 const ADMISSION_FRACTION: f64 = 0.95;
-/// The initial tokens of a total rate, in seconds of that rate. Requests that waited
-/// for a controller arrive together.
+/// The initial tokens of a total rate, in seconds of that rate, because requests that
+/// waited for a controller arrive together.
 const INITIAL_TOTAL_BURST_S: f64 = 0.25;
 /// The window over which arrivals are counted, to predict which requests will not get
 /// a permit.
@@ -76,8 +78,8 @@
 /// Time for which a new controller grants nothing while edges report the calls in flight
 /// to it.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
-/// `TAKEOVER_DELAY` for groups whose origins reject excess calls, which are harmless
-/// there.
+/// Takeover delay of groups with `Proof::Named`. Their origins reject excess calls, so
+/// these do no harm.
 const NAMED_TAKEOVER_DELAY: Duration = Duration::from_millis(50);
 /// Time after its timeout for which a call is counted if its end is not reported.
 const UNREPORTED_CALL_GRACE: Duration = Duration::from_secs(1);
--- a/data-plane/src/admission/origin_health.rs
+++ b/data-plane/src/admission/origin_health.rs
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Returns the origins to probe now. A probe takes a token like any call. It precedes
-    /// requests, because none is sent without proof.
+    /// Returns the origins to probe now. A probe takes a token like any call. Probes are
+    /// sent before requests, because no request is sent without proof.
     pub fn start_probes(&mut self, now: Duration) -> Vec<Origin> {
         self.remove_expired(now);
         let mut probed = Vec::new();
--- a/data-plane/src/admission/permits.rs
+++ b/data-plane/src/admission/permits.rs
@@ -8,7 +8,7 @@
 
 /// A call is short if this many calls fit into the time that a request may wait.
 const SHORT_CALL_RATIO: f64 = 4.0;
-/// Number of slots from which an origin is taken to serve shared responses.
+/// Minimum number of slots of an origin that is assumed to serve shared responses.
 const HIGH_CAPACITY_SLOTS: f64 = 8.0;
 /// The network latency added to a call within a zone, within a region and beyond, in
 /// seconds.
@@ -24,9 +24,10 @@
 /// If higher ranks leave less than the capacity divided by this, even the first waiting
 /// request of a rank is expected to wait.
 const LEFTOVER_DIVISOR: f64 = 20.0;
-/// Lower bound of the rate left by higher ranks, in calls per second, as a divisor.
+/// Lower bound of the rate left by higher ranks, in calls per second, which keeps
+/// the divisor positive.
 const MIN_LEFTOVER_RATE: f64 = 0.01;
-/// Lower bound of the throughput in calls per second, as a divisor.
+/// Lower bound of the throughput in calls per second, which keeps the divisor positive.
 const MIN_THROUGHPUT: f64 = 0.001;
 /// Lower bound of a call's duration in the score, in seconds.
 const MIN_DURATION_S: f64 = 0.001;
@@ -112,8 +113,8 @@
         if duration * SHORT_CALL_RATIO <= max_wait.as_secs_f64() {
             return true;
         }
-        // A higher-ranked call of this age ends within `duration`. Its slot then serves
-        // the next one for a time as long as the age.
+        // A higher-ranked call that is `age` old ends in `duration - age`. Within
+        // `duration`, its slot can then serve another call for the remaining `age`.
         let reused: f64 = self
             .calls
             .iter()
@@ -158,7 +159,9 @@
         })
     }
 
-    /// Returns the time until the first ejection ends, if all origins are ejected.
+    /// Returns the time until the first ejection ends, if all origins are ejected because
+    /// of failures. A group that still has no origins after `EMPTY_GROUP_GRACE` counts as
+    /// ejected for `EJECTION`.
     fn all_origins_ejected_for(&self, now: Duration) -> Option<Duration> {
         let all_failed = self.origins.values().all(|state| state.has_failed(now));
         let may_be_listed_yet =
--- a/data-plane/src/admission/retry_budget.rs
+++ b/data-plane/src/admission/retry_budget.rs
@@ -3,10 +3,11 @@
 
 /// Limits retries relative to first attempts. Invariant: within ten seconds, retries
 /// stay within a fifth of the first attempts plus the allowance, even with two changes
-/// of controller. For that, a new controller starts with a fraction of a large
-/// allowance, or with none of a small one, and after ten seconds gets what two changes
-/// leave of it. Retries are counted for a `PERMIT_VALIDITY` longer and first attempts for a
-/// `PERMIT_VALIDITY` shorter, so that the invariant also holds at the origins.
+/// of controller. Therefore a new controller starts with a part of a large allowance, or
+/// with none of a small one. After ten seconds it has the allowance minus the parts with
+/// which two successors would start. Retries are counted for a `PERMIT_VALIDITY` longer
+/// and first attempts for a `PERMIT_VALIDITY` shorter, so that the invariant also holds
+/// at the origins.
 pub(super) struct RetryBudget {
     allowance: usize,
     started_at: Duration,
@@ -20,8 +21,8 @@
 const WINDOW: Duration = Duration::from_secs(10);
 /// Number of first attempts that permit one retry.
 const FIRST_ATTEMPTS_PER_RETRY: usize = 5;
-/// Two parts in this many of an allowance are available at once, if it is at least
-/// this large.
+/// A new controller starts with the allowance times two, divided by this. An allowance
+/// below this is not available at the start.
 const ALLOWANCE_DIVISOR: usize = 7;
 
 impl RetryBudget {
--- a/data-plane/src/cache_owner/handover.rs
+++ b/data-plane/src/cache_owner/handover.rs
@@ -157,7 +157,8 @@
         let is_shortened = slot.ttl < ttl;
         slot.stored = Some(StoredResponse {
             reply,
-            // Lower than the serial of any token issued here, whose put replaces it.
+            // Lower than the serial of any token issued here, so that any put replaces
+            // this response.
             serial: 0,
             purge_version,
             fetch_started_at: now.saturating_sub(age + delay),
--- a/data-plane/src/cache_owner/mod.rs
+++ b/data-plane/src/cache_owner/mod.rs
@@ -13,8 +13,8 @@
 /// The responses of the cache partitions that this edge owns. Each response has a minor
 /// and a major expiry, as in MashCache. Invariants:
 /// - `minor_expiry <= major_expiry`. Both are reset by a put. The major expiry is at most
-///   the time to live of the last request after the start of the fetch, which is when
-///   the token was issued.
+///   the start of the fetch plus the time to live in the last request. A fetch starts
+///   when its token is issued.
 /// - A key, even a cold one, has at most one refresher within the minor lifetime, unless
 ///   the refresher fails or times out.
 /// - `memory` counts all stored responses and stays within its limit: when it is
@@ -167,9 +167,9 @@
         self.send(waiter.requester.edge, copy);
     }
 
-    /// Stores a refresher's response. Returns false if the put came too late: under
-    /// another epoch, after a purge that matches the response, older than the stored
-    /// response, or after the time to live.
+    /// Stores a refresher's response. Returns false if the put came too late: its token
+    /// is of another epoch or no longer accepted, a later purge matches the response, a
+    /// newer response is stored, or the time to live is over.
     pub fn put(&mut self, now: Duration, put: CachePut, epoch: u64, purge_log: &PurgeLog) -> bool {
         let CachePut { key, token, reply } = put;
         let Some(slot) = self.slots.get_mut(&key) else {
--- a/data-plane/src/default_protocol.rs
+++ b/data-plane/src/default_protocol.rs
@@ -25,7 +25,8 @@
 /// The header of a response by which an origin states that it did not execute the
 /// request.
 const NOT_EXECUTED_HEADER: &str = "otterslip-not-run";
-/// The status sent by an instance that is not the one named, and that executed nothing.
+/// The status by which an instance states that it is not the one that the request names,
+/// and that it did not execute the request.
 const MISDIRECTED_REQUEST: u16 = 421;
 
 impl ProtocolAdapter for DefaultProtocol {
@@ -97,8 +98,8 @@
     }
 }
 
-/// Checks that the response names the called instance and the request. Returns the
-/// verdict on a response that does not as the error.
+/// Checks that the response names the called instance and the request. The error is the
+/// verdict on a response that fails the check.
 fn check_named(
     call: &Call,
     status: u16,
@@ -112,7 +113,7 @@
     if status == MISDIRECTED_REQUEST {
         return Err(OriginVerdict::WrongInstance);
     }
-    // Another instance may have executed the request, unless it refused it.
+    // Another instance that did not respond with 421 may have executed the request.
     if header(headers, INSTANCE_HEADER) != Some(call.origin.instance.as_str()) {
         let reason = "the response is from another instance".into();
         return Err(OriginVerdict::Rejected(reason));
@@ -120,8 +121,8 @@
     Ok(())
 }
 
-/// Checks that the response is signed for this call. Returns the verdict on a response
-/// that is not as the error.
+/// Checks that the response is signed for this call. The error is the verdict on a
+/// response that fails the check.
 fn check_signed(
     call: &Call,
     status: u16,
--- a/data-plane/src/edge_node/assignments.rs
+++ b/data-plane/src/edge_node/assignments.rs
@@ -3,7 +3,7 @@
 use super::{EdgeNode, RESEND_INTERVAL};
 use crate::prelude::*;
 
-/// The edges that are known to have or to have had a session.
+/// The edges that have or had a session.
 pub(super) struct EdgeRegistry<'a> {
     /// Edges whose sessions are valid.
     pub(super) members: &'a [Peer],
--- a/data-plane/src/edge_node/cached.rs
+++ b/data-plane/src/edge_node/cached.rs
@@ -1,7 +1,7 @@
 //! Requests that are served cached responses, from the near cache or by the cache owner.
 //!
 //! Of all requests at this edge that miss the same key, one is sent to the owner and
-//! the others wait for it (`Coalescer`). Its response is stored (`NearCache`) and
+//! the others wait for its response (`Coalescer`), which is stored (`NearCache`) and
 //! serves them all. An owner that does not respond is bypassed.
 use super::{EdgeNode, PURGE_GRACE};
 use crate::active_request::{is_cacheable_status, is_shareable};
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Removes a request that has ended from its group. If it was rejected before its
-    /// deadline without a call, its followers get the same rejection; otherwise the
-    /// next one becomes the leader.
+    /// Removes a request that has ended from its group. If a leader was rejected before
+    /// its deadline without a call, its followers get the same rejection; otherwise the
+    /// next follower becomes the leader.
     pub(super) fn remove_from_coalescing_group(
         &mut self,
         now: Duration,
--- a/data-plane/src/edge_node/mod.rs
+++ b/data-plane/src/edge_node/mod.rs
@@ -46,7 +46,8 @@
     completed_operations: VecDeque<CompletedOperation>,
     /// Time for which completed operations are kept.
     operation_retention: Duration,
-    /// Set if the last renewal reply requested a recall.
+    /// Set if the last renewal reply requested a recall: acknowledged operations may be
+    /// lost, and the edge reports those that it knows.
     recall_requested: bool,
 
     cache_owner: CacheOwner,
@@ -110,7 +111,7 @@
 /// Time without a response after which an admission controller is bypassed.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(250);
 /// The bit that is set in ids assigned here. Ids of client requests are assigned by
-/// the host, without it.
+/// the host, without this bit.
 const LOCAL_ID_BIT: u64 = 1 << 63;
 /// An odd multiplier that distributes incarnations over the id space.
 const INCARNATION_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -213,7 +214,7 @@
     }
 
     /// Returns the request that this response of an admission controller or cache
-    /// owner is for, and notes that there is nothing left to withdraw.
+    /// owner is for, and records that there is nothing left to withdraw.
     fn complete_exchange(&mut self, exchange: u64) -> Option<u64> {
         let id = self.request_awaiting(exchange)?;
         if let Some(active) = self.active_requests.get_mut(&id) {
--- a/data-plane/src/edge_node/renewal.rs
+++ b/data-plane/src/edge_node/renewal.rs
@@ -112,13 +112,14 @@
         }
         self.update_liveness(now);
         if has_applied {
-            // Confirms the updates at once, since their acknowledgement waits for it.
+            // Confirms the updates at once, since their acknowledgement waits for this
+            // confirmation.
             self.renew(now);
         }
     }
 
-    /// Publishes the link's delay, estimated from the round trip of a reply without
-    /// updates, which is small.
+    /// Publishes the link's delay, estimated from the round trip of a renewal. Only replies
+    /// without updates are used, because they are small.
     fn publish_link_delay(&mut self, now: Duration, control_node: SocketAddr, sent: Duration) {
         let round_trip = now.saturating_sub(sent);
         let delay = self
--- a/data-plane/src/edge_node/stage_messages.rs
+++ b/data-plane/src/edge_node/stage_messages.rs
@@ -11,7 +11,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 /// Maximum backoff between repeated requests to the owner.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
-/// Number of doublings after which the backoff no longer grows.
+/// Maximum number of doublings, which keeps the shift in range. `MAX_BACKOFF` is reached
+/// after fewer doublings.
 const MAX_DOUBLINGS: usize = 4;
 
 /// Returns the time after which a request that was sent `send_count` times is sent
--- a/data-plane/src/edge_node/updates.rs
+++ b/data-plane/src/edge_node/updates.rs
@@ -3,7 +3,8 @@
 use crate::prelude::*;
 
 impl EdgeNode {
-    /// Applies the updates that are newer than the known state. Returns true if any was.
+    /// Applies the updates that are newer than the known state. Returns true if
+    /// there were any.
     pub(super) fn apply_updates(&mut self, now: Duration, updates: SharedUpdates) -> bool {
         let mut has_applied = false;
         for update in updates.into_updates() {
@@ -115,8 +116,9 @@
         }
     }
 
-    /// Enters a new generation: drops the state of the old one, including its
-    /// assignments, except for what is recalled. All updates are applied again.
+    /// Enters a new generation: drops the state of the old one, including its assignments,
+    /// so that all updates are applied again. Routes and origins stay in force until then.
+    /// Completed operations are kept and reported again.
     pub(super) fn enter_generation(&mut self, now: Duration, generation: u64) {
         let before = std::mem::replace(&mut self.state.generation, generation);
         self.state.generation_entered_at = now;
--- a/data-plane/src/fallback_quota.rs
+++ b/data-plane/src/fallback_quota.rs
@@ -9,8 +9,9 @@
 /// admission controller does not respond. Invariants:
 /// - The quota applies only to groups whose origins check the name in each call, so that
 ///   no proof is needed.
-/// - The quotas of all edges and the admission controller's fraction together stay within
-///   the total rate: each registered edge has an equal quota of `FALLBACK_FRACTION`.
+/// - Each registered edge has an equal part of `FALLBACK_FRACTION` of the total rate. The
+///   admission controller grants only a fraction of the total rate, and counts the calls
+///   within the quotas once they are reported.
 /// - Only first attempts use the quota, because the retry budget is held by the admission
 ///   controller.
 #[derive(Default)]
@@ -29,9 +30,8 @@
 const EJECTION: Duration = Duration::from_secs(1);
 
 impl FallbackQuota {
-    /// Returns the origin to call now without a permit, if the quota allows a call: the
-    /// nearest origin, and among those the one with the fewest calls in flight from this
-    /// edge.
+    /// Returns the origin to call now without a permit, if the quota allows a call: of
+    /// the nearest origins, the one with the fewest calls in flight from this edge.
     pub fn pick(
         &mut self,
         now: Duration,
--- a/data-plane/src/http_frontend/handler.rs
+++ b/data-plane/src/http_frontend/handler.rs
@@ -28,8 +28,8 @@
 /// Size in bytes above which the expected response of a route is large. Requests for
 /// large responses are rejected while the link is full.
 const LARGE_RESPONSE_BYTES: f64 = 16.0 * 1024.0;
-/// The retry delay reported to a client that is rejected because the link is full. It
-/// may retry at any edge.
+/// The retry delay reported to a client that is rejected because the link is full. The
+/// client may retry at any edge.
 const LINK_FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// The index of the listener for the platform's readiness checks.
 const READINESS_LISTENER: usize = 1;
@@ -104,7 +104,7 @@
         self.respond(exchange, self.protocol.client_response(headers, &response));
     }
 
-    /// Serves a request of operators or the platform by a plug-in.
+    /// Serves a request from an operator or the platform with a plug-in.
     fn serve_plug_in(&self, exchange: u64, received: Request) {
         let request = rouille::Request::fake_http(
             received.method,
--- a/data-plane/src/link_delay_estimator.rs
+++ b/data-plane/src/link_delay_estimator.rs
@@ -18,7 +18,7 @@
     queueing_delay: Duration,
 }
 
-/// Maximum age of a measurement, in which there are two renewals.
+/// Maximum age of a measurement. Two renewals are sent within this time.
 const MEASUREMENT_VALIDITY: Duration = Duration::from_millis(400);
 
 impl LinkDelayEstimator {
--- a/data-plane/src/near_cache.rs
+++ b/data-plane/src/near_cache.rs
@@ -8,8 +8,8 @@
 ///   current time to live after the start of its fetch.
 /// - No purge known to this edge matches a stored response: callers of `put` check the
 ///   response against the purge log, and `purge` removes those that a later purge
-///   matches. A fenced edge serves no cached response, so the lease that commits a purge
-///   covers these responses as it covers the owner's.
+///   matches. A purge is settled once every live edge has applied it, and a fenced edge
+///   serves no cached response.
 /// - A response is replaced only by one whose fetch started no earlier.
 /// - `memory` counts all responses and is within its limit after each put: when it is
 ///   exceeded, the least recently used responses are evicted.
@@ -68,7 +68,8 @@
     Missing,
 }
 
-/// Bytes counted for each response in addition to its body, headers and name.
+/// Bytes counted for each response in addition to its body, headers, route name, host and
+/// URL.
 const ENTRY_OVERHEAD_BYTES: u64 = 512;
 
 impl StoredResponse {
--- a/data-plane/tests/client_disconnects.rs
+++ b/data-plane/tests/client_disconnects.rs
@@ -42,6 +42,7 @@
     Called(usize, CallEnding),
     Ledger(usize, LedgerReply),
     Owner(usize, OwnerReply),
+    /// This many milliseconds pass, then the leases are renewed.
     Wait(u64),
 }
 
--- a/data-plane/tests/near_cache.rs
+++ b/data-plane/tests/near_cache.rs
@@ -82,7 +82,7 @@
     outputs.iter().filter_map(extract).collect()
 }
 
-/// Renews and ticks every 50 ms. Returns all outputs.
+/// Renews the leases and ticks every 50 ms. Returns the outputs of the ticks.
 fn run(edge: &mut EdgeNode, from: u64, to: u64) -> Vec<Output> {
     let mut outputs = Vec::new();
     for now in (from..=to).step_by(50) {
@@ -141,7 +141,7 @@
     let outputs = start_request(&mut edge, 1000 + TTL_MS, 2);
     assert!(served(&outputs).is_empty());
     assert_eq!(gets(&outputs).len(), 1);
-    // Nor is it served as stale while another request fetches a new one.
+    // An expired response is not served as stale either while another request fetches.
     let outputs = start_request(&mut edge, 1000 + TTL_MS, 3);
     assert!(served(&outputs).is_empty());
 }
@@ -184,7 +184,7 @@
     let mut edge = edge_with_cached_response();
     run(&mut edge, 1000, 3000);
     let requested = gets(&start_request(&mut edge, 3000, 2));
-    // Its fetch started before that of the stored response.
+    // The fetch of this response started before that of the stored one.
     deliver(
         &mut edge,
         3010,
--- a/data-plane/tests/request_faults.rs
+++ b/data-plane/tests/request_faults.rs
@@ -40,8 +40,9 @@
         back: usize,
         outcome: LedgerReply,
     },
+    /// This many milliseconds pass, then the leases are renewed.
     Wait(u64),
-    /// Time passes without a renewal of the leases.
+    /// This many milliseconds pass without a renewal of the leases.
     MissedRenewals(u64),
     /// The edge receives a shutdown request.
     Shutdown,
