--- a/http-line/src/chunked_decoder.rs
+++ b/http-line/src/chunked_decoder.rs
@@ -18,7 +18,9 @@
 enum State {
     /// Chunk size read so far, and its number of digits.
     Size(usize, u8),
+    /// Chunk size, while the chunk's extension is skipped.
     Extension(usize),
+    /// Chunk size, while the line feed after it is expected.
     SizeLineFeed(usize),
     /// Number of bytes of the chunk that are still to be received.
     Data(usize),
--- a/http-line/src/client_connection.rs
+++ b/http-line/src/client_connection.rs
@@ -63,8 +63,8 @@
 
 /// Maximum number of correlation hashes kept for the last calls of a connection.
 const MAX_RECENT_CORRELATION_HASHES: usize = 64;
-/// Maximum time to establish a connection. The address was chosen from a list that
-/// becomes stale.
+/// Maximum time to establish a connection. It is short because the list that the
+/// address comes from may be outdated.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl ClientConnection {
--- a/http-line/src/connection.rs
+++ b/http-line/src/connection.rs
@@ -34,8 +34,9 @@
         connection: ServerConnection,
     },
     /// A client connection whose sending side was shut down after the last
-    /// response. Input is still read and discarded: closing a socket with unread
-    /// input sends a reset, which could destroy the response in transit.
+    /// response. Up to `remaining` bytes of input are still read and discarded:
+    /// closing a socket with unread input sends a reset, which could destroy the
+    /// response in transit.
     Linger { until: Instant, remaining: usize },
     /// A connection for calls to another address.
     Client(ClientConnection),
--- a/http-line/src/event_loop/server_io.rs
+++ b/http-line/src/event_loop/server_io.rs
@@ -10,7 +10,8 @@
 /// Result of one write that the pacer limits.
 struct PacedWriteProgress {
     progress: WriteProgress,
-    /// True if the allowance of the pacer was used up, rather than the socket buffer.
+    /// True if the write stopped because the allowance of the pacer was used up, and
+    /// not because the socket buffer was full.
     allowance_spent: bool,
 }
 
--- a/http-line/src/event_loop_handle.rs
+++ b/http-line/src/event_loop_handle.rs
@@ -22,7 +22,8 @@
     pub(crate) reused: AtomicU64,
     pub(crate) calls: AtomicU64,
     pub(crate) open: AtomicU64,
-    /// Number of connections with a request in flight.
+    /// Number of client connections on which a request is being read, or a response is
+    /// awaited or unsent.
     pub(crate) busy: AtomicUsize,
     /// True after `Finish`, once no client connection is left.
     pub(crate) finished: AtomicBool,
--- a/http-line/src/pacer/tests.rs
+++ b/http-line/src/pacer/tests.rs
@@ -39,8 +39,8 @@
     );
 }
 
-/// Other traffic uses a fixed share of the link. The pacer can detect the rest only
-/// by the delay.
+/// Other traffic uses a fixed share of the link. The pacer can infer the remaining
+/// bandwidth only from the delay.
 #[test]
 fn rate_adapts_to_link_delay() {
     for other_share in [0.3, 0.5, 0.7] {
--- a/http-line/src/server_connection.rs
+++ b/http-line/src/server_connection.rs
@@ -45,7 +45,8 @@
     continue_pending: bool,
     /// Time at which the first byte of the current request was received.
     request_started: Instant,
-    /// Time at which the last request was read or the last byte was written.
+    /// Time of the last progress: a request was read, a response was added while no
+    /// bytes were unsent, or bytes were written.
     last_progress: Instant,
 }
 
--- a/http-line/tests/loopback.rs
+++ b/http-line/tests/loopback.rs
@@ -169,7 +169,7 @@
 }
 
 /// Regression: requests read while the process waited for its last messages to be sent
-/// never got a response; in a later version, requests not read by then were reset.
+/// never got a response, and requests not read by then were reset.
 #[test]
 fn finishing_loop_ends_after_responses_to_all_requests() {
     let harness = Harness::new(Limits::default());
--- a/kernel/src/accepted.rs
+++ b/kernel/src/accepted.rs
@@ -91,7 +91,8 @@
         let dropped = self
             .forgotten
             .is_some_and(|last| requested.revision <= last);
-        // There is no space to remember it: it would be the first to be dropped.
+        // The bound is reached, so a revision older than all remembered ones would be
+        // dropped at once.
         let no_space = self.revisions.len() >= ACCEPTED_REVISIONS
             && self
                 .revisions
--- a/kernel/src/applied.rs
+++ b/kernel/src/applied.rs
@@ -1,5 +1,5 @@
-//! The changes applied to a row that is replaced as a whole. They allow a repeated
-//! change to be acknowledged again, and neither rejected nor applied twice.
+//! The changes applied to a row that is replaced as a whole. With these, a repeated
+//! change is acknowledged again instead of being rejected or applied twice.
 
 use crate::prelude::*;
 
--- a/kernel/src/call.rs
+++ b/kernel/src/call.rs
@@ -22,7 +22,7 @@
     pub request_id: Option<String>,
     /// Request id at the edge, which binds the response to this call.
     pub request_id_at_edge: u64,
-    /// The group's key for signatures.
+    /// The group's public key, which verifies the signature of the response.
     pub key: String,
     /// Method by which the origin proves its identity.
     pub proof: Proof,
@@ -56,7 +56,7 @@
     /// The origin's own response.
     Success(Reply),
     /// This process did not send the request: its lease has ended, or the client
-    /// has disconnected. It does not affect the origin's health.
+    /// has disconnected. The origin's health is not affected.
     NotSent,
     /// Nothing was sent: the connection to the origin failed.
     Unreachable,
--- a/kernel/src/client.rs
+++ b/kernel/src/client.rs
@@ -36,8 +36,8 @@
         &self.routes.document.entries[self.entry]
     }
 
-    /// Returns the entry's host; empty if the entry serves any host: cached
-    /// responses and operation keys are then shared between all host names.
+    /// Returns the entry's host, or an empty string if the entry serves any host.
+    /// Cached responses and operation keys are then shared between all host names.
     pub fn entry_host(&self) -> &str {
         self.entry().host.as_deref().unwrap_or_default()
     }
@@ -90,7 +90,7 @@
 }
 
 impl ClientResponse {
-    /// Creates a response that is shared with other clients, at most this old.
+    /// Creates a response that is shared with other clients and is at most `age` old.
     pub fn cached(reply: Reply, age: Duration) -> ClientResponse {
         ClientResponse::Reply {
             reply,
@@ -99,7 +99,7 @@
     }
 }
 
-/// An error towards clients; all errors have this format.
+/// An error reported to a client; all errors have this format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The HTTP status.
@@ -132,11 +132,11 @@
     serializer.serialize_some(&seconds.map(|seconds| seconds.ceil().max(1.0) as u64))
 }
 
-/// Retry delay of a fenced node: by then it mostly has renewed its lease, or another
-/// node serves.
+/// Retry delay that a fenced node sends: by then the node has usually renewed its
+/// lease, or another node serves.
 const FENCED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Retry delay of a node that shuts down as planned: other nodes already serve.
+/// Retry delay that a node sends during a planned shutdown: other nodes already serve.
 const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Execution state of a request: whether it may have been executed.
--- a/kernel/src/configuration.rs
+++ b/kernel/src/configuration.rs
@@ -36,7 +36,8 @@
     /// Maximum number of concurrent calls to one origin.
     #[validate(range(min = 1, max = 1000))]
     pub concurrency: u32,
-    /// ed25519 public key in base64; empty if origins are `Named`.
+    /// ed25519 public key, in base64, that verifies the origins' signatures; empty if
+    /// `proof` is `Named`.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub key: String,
     /// Method by which an origin's response is authenticated.
@@ -54,8 +55,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[validate(length(min = 1, max = 1024))]
     pub probe: Option<String>,
-    /// True if the service itself executes an operation key once, however often
-    /// it is called.
+    /// True if the service itself executes each operation key only once, even if it
+    /// is called several times with the key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub keeps_keys: bool,
 }
@@ -210,8 +211,8 @@
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Returns the time to live of a cached response, which is the major expiry;
-    /// the minor expiry is half of it.
+    /// Returns the time to live of a cached response, which ends at the major expiry.
+    /// At the minor expiry, after half of this time, the response is refreshed.
     pub fn cache_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.cache_ttl_s.unwrap_or(10.0))
     }
@@ -225,8 +226,8 @@
         self.groups.iter().find(|group| group.service == service)
     }
 
-    /// Validates the document as a document_json, after its parts were validated one by
-    /// one; places name the entry or group.
+    /// Validates the document as a whole, after its parts were validated one by one, and
+    /// returns all findings. The place of a finding names the group or entry.
     pub fn findings(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         let groups: Vec<Option<&Group>> = self.groups.iter().map(Some).collect();
--- a/kernel/src/frontend.rs
+++ b/kernel/src/frontend.rs
@@ -24,7 +24,7 @@
 /// their requests to the state machine through the port, and makes the state machine's
 /// calls to origins.
 pub trait Frontend: Send {
-    /// Starts to listen and serve; ends when the port is ending.
+    /// Starts to listen and serve; serving ends when the port is ending.
     fn open(&mut self, port: &Arc<Port>) -> Result<(), FrontendError>;
 
     /// Makes a call to an origin; `Input::CallCompleted` follows.
@@ -33,7 +33,7 @@
     /// Cancels a call in flight; no `Input::CallCompleted` follows.
     fn cancel_call(&self, _id: u64) {}
 
-    /// Sets the remaining time of a call in flight.
+    /// Extends the timeout of a call in flight; the limit is counted from now.
     fn extend_call(&self, _id: u64, _limit: Duration) {}
 
     /// Reports the measured delay of small messages on this machine's link.
--- a/kernel/src/items_change.rs
+++ b/kernel/src/items_change.rs
@@ -1,5 +1,5 @@
-//! Validates a call that sets or removes configuration items: the rows to put, or the
-//! reasons for its rejection.
+//! Validates a call, that is, an operator's request to set or remove configuration
+//! items. The result is the rows to put, or the reasons for the rejection.
 
 use crate::prelude::*;
 
@@ -11,8 +11,8 @@
 pub struct ItemsChange {
     /// Rows to put; empty if every item of the call was accepted earlier.
     pub rows: Vec<(String, Value)>,
-    /// Keys of the rows about the call's items. The call is acknowledged when the
-    /// state of these rows after the change has settled.
+    /// Keys of all rows of the call's items. The call is acknowledged once these rows,
+    /// as they are after the change, have settled.
     pub keys: BTreeSet<String>,
 }
 
--- a/kernel/src/lease.rs
+++ b/kernel/src/lease.rs
@@ -10,9 +10,9 @@
 //! majority write; every session then confirms it (after an update notice, or at
 //! the next edge tick) or lapses, at most `SESSION_LEASE` (800 ms) after its last
 //! renewal was received. Detecting and collecting that takes two more control
-//! ticks (200 ms), plus fsyncs. 0.8 + 0.2 + two fsyncs stays below 2 s, within the
-//! required 2 to 2.5 s. The change is acknowledged after that, so it is in effect
-//! everywhere by the time an operator reads the response.
+//! ticks (200 ms), plus fsyncs. The sum, 0.8 s + 0.2 s + two fsyncs, stays below
+//! 2 s; the requirement is 2 to 2.5 s. The change is acknowledged after that, so it
+//! is in effect everywhere by the time an operator reads the response.
 #[cfg(test)]
 mod tests;
 
@@ -29,7 +29,7 @@
 /// Time without a message after which a control node considers another one down.
 pub const CONTROL_PEER_TIMEOUT: Duration = Duration::from_millis(450);
 /// Lifetime of a permit from its grant: a draining origin gets no request later
-/// than this after the admission controller removed it. It is also the arrival
+/// than this after the admission controller removed it. This time is also the arrival
 /// jitter in the rate bound: any 5 s window can contain the calls of 5.2 s (104 %);
 /// the remainder up to 110 % is the token bucket's burst.
 pub const PERMIT_VALIDITY: Duration = Duration::from_millis(200);
@@ -41,8 +41,8 @@
 /// Age after which an origin's proof of identity is renewed by a health check.
 pub const ORIGIN_PROOF_REFRESH: Duration = Duration::from_secs(1);
 /// Time for which a partition that was founded, or lost a majority of its disks,
-/// collects reports from the edges before it replies: each edge renews five times
-/// in this period.
+/// collects reports from the edges before it replies: each edge renews at least five
+/// times in this period.
 pub const RECALL_PERIOD: Duration = Duration::from_millis(1200);
 /// Time after the loss of a majority during which unknown operations are not run:
 /// a client may still repeat an operation whose record was lost ("within about a
--- a/kernel/src/link/event_loop.rs
+++ b/kernel/src/link/event_loop.rs
@@ -11,7 +11,9 @@
 
 /// Token of the waker that `Links` triggers.
 const WAKER: usize = 0;
+/// Token of the listener.
 const LISTENER: usize = 1;
+/// Token of the first session.
 const FIRST_SESSION: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Minimum time between two attempts to connect to a peer.
@@ -28,7 +30,9 @@
 /// Size of the socket receive buffer. Kept small: a message is better held in the
 /// sender's queue, where urgent messages go first.
 const RECEIVE_BYTES: usize = 256 * 1024;
+/// Size of the buffer shared by all reads.
 const SCRATCH_BYTES: usize = 64 * 1024;
+/// Maximum number of events that one poll returns.
 const EVENT_CAPACITY: usize = 256;
 
 /// Owns the listener and all sessions. Invariants:
@@ -50,7 +54,7 @@
     outbound_tokens: HashMap<Token, SocketAddr>,
     /// Earliest time of the next attempt to connect to a peer.
     next_attempt: HashMap<SocketAddr, Instant>,
-    /// Times at which to check an outbound session, or a peer that is not connected, again.
+    /// Times at which an outbound session, or a peer without one, is checked again.
     deadlines: BTreeSet<(Instant, SocketAddr)>,
     /// Sessions with more to read.
     unread: Vec<Token>,
--- a/kernel/src/link/inbound.rs
+++ b/kernel/src/link/inbound.rs
@@ -13,7 +13,7 @@
     pub peer: Option<Peer>,
     /// True if the socket may hold unread bytes.
     pub unread: bool,
-    /// True if the peer has closed the session: it is read until its end.
+    /// True if the peer has closed the session, which is then read until its end.
     pub closed: bool,
     decoder: FrameDecoder,
 }
--- a/kernel/src/link/mod.rs
+++ b/kernel/src/link/mod.rs
@@ -35,8 +35,8 @@
 //!   proves less, never more.
 //! - `RecallReply` carries version and rows; rows are compared by their versions.
 //! - `CacheCopy`, `CachePut`, `HandoverReply`: the age of a response is counted from
-//!   the request, purges are compared by version, and a put is matched by its token,
-//!   after which a `CacheFillFailed` with another token changes nothing.
+//!   the request, purges are compared by version, and a put is matched by its token;
+//!   a `CacheFillFailed` with another token changes nothing.
 //! - Large changes and replies (configuration, lists) belong to other partitions than
 //!   the claims and purges sent in parallel, and are matched by id.
 //!
@@ -59,6 +59,7 @@
 use event_loop::EventLoop;
 use std::sync::MutexGuard;
 
+/// Token of the waker that interrupts a poll.
 const WAKER: mio::Token = mio::Token(0);
 /// Interval at which `drain` checks the queues.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Flushes, and waits until all queued messages are sent or `limit` is over.
+    /// Flushes, and waits until all queued messages are sent or `limit` has passed.
     pub fn drain(&self, limit: Duration) {
         let end = Instant::now() + limit;
         self.flush();
--- a/kernel/src/link/outbound.rs
+++ b/kernel/src/link/outbound.rs
@@ -29,13 +29,13 @@
 /// State of the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Connection {
-    /// The attempt fails at this time.
+    /// The attempt fails if the connection is not established by `until`.
     Connecting {
         until: Instant,
     },
     Open,
-    /// The socket buffer is full; closed at this time unless bytes are written
-    /// before.
+    /// The socket buffer is full; the session is closed at `until` unless bytes are
+    /// written before.
     Blocked {
         until: Instant,
     },
@@ -56,7 +56,7 @@
 }
 
 impl Outbound {
-    /// Starts to connect.
+    /// Starts to connect. The attempt fails at `until`; `stall` is the TCP user timeout.
     pub(super) fn connect(
         token: Token,
         to: SocketAddr,
--- a/kernel/src/link/priority.rs
+++ b/kernel/src/link/priority.rs
@@ -1,8 +1,9 @@
 //! Priorities of messages.
 use crate::prelude::*;
 
-/// The queue, of two, that a message waits in. The documentation of the parent
-/// module explains why no receiver depends on the order between the two.
+/// The priority of a message; each peer has one outgoing queue per priority. The
+/// documentation of the parent module explains why no receiver depends on the order
+/// between the two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Priority {
     /// Small messages that keep sessions, leases and consensus alive, or that a
@@ -13,8 +14,8 @@
 }
 
 /// Maximum size, in bytes, of urgent messages with rows of the partitions that all
-/// edges wait for (configuration, purges, origins, assignments, members): these do
-/// not queue behind ledgers, which are large and many after a loss.
+/// edges wait for (configuration, purges, origins, assignments, members): such
+/// messages do not wait behind ledger rows, which are large and numerous after a loss.
 const URGENT_STATE_BYTES: usize = 64 * 1024;
 
 impl Priority {
--- a/kernel/src/message/change.rs
+++ b/kernel/src/message/change.rs
@@ -34,9 +34,9 @@
     },
     /// Reads the configuration document.
     GetConfiguration,
-    /// Sets or removes named items, all or none. An item that is not newer than
-    /// the known one of its name has no effect. Name, revision and content make a
-    /// repeated request idempotent.
+    /// Sets or removes named items, all or none. An item takes effect only if its
+    /// revision is higher than the current one of its name. Name, revision and
+    /// content make a repeated request idempotent.
     PutItems {
         /// The items.
         items: Vec<Item>,
@@ -67,7 +67,7 @@
         /// The generation.
         generation: u64,
     },
-    /// Assigns the slot of a lost member to the peer, if there is one.
+    /// Assigns the slot of a lost member, if there is one, to the peer.
     JoinRequest {
         /// The empty node.
         peer: Peer,
--- a/kernel/src/message/session.rs
+++ b/kernel/src/message/session.rs
@@ -106,8 +106,8 @@
     Ejected,
 }
 
-/// Counters of the requests that an edge served since its start. Shown to
-/// operators as JSON, where the old field names are kept.
+/// Counters of the requests that an edge served since its start. The JSON that
+/// operators read has the names given by the `rename` attributes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Usage {
     /// Number of requests received.
--- a/kernel/src/partition.rs
+++ b/kernel/src/partition.rs
@@ -1,11 +1,12 @@
 //! Partitions of the control state and of the shared cache, and the names of
 //! the assignments that edges hold.
+//!
+//! Each partition of the control state has one leader at a time. The first
+//! [`PUBLISHED_PARTITIONS`] partitions are published to the edges, with one version
+//! each; the others hold the ledger of operations.
 use crate::prelude::*;
 
-/// Partition of the configuration document and its named items. The first
-/// [`PUBLISHED_PARTITIONS`] partitions are published to the edges, with one version
-/// each; the others hold the ledger of operations. Each partition has one leader at a
-/// time.
+/// Partition of the configuration: the document and the named items.
 pub const CONFIGURATION_PARTITION: u8 = 0;
 
 /// Partition of the purges of cached responses.
--- a/kernel/src/peer.rs
+++ b/kernel/src/peer.rs
@@ -51,9 +51,9 @@
 }
 
 impl Peer {
-    /// Returns the weighted rendezvous distance of this peer for an assignment: each
-    /// peer is chosen in proportion to its capacity. The peer with the lowest distance
-    /// is chosen.
+    /// Returns the rendezvous distance of this peer for an assignment, weighted by the
+    /// peer's capacity (`strength`). The peer with the lowest distance is chosen, so
+    /// each peer is chosen in proportion to its capacity.
     pub fn rendezvous_distance(&self, assignment: &str, strength: u32) -> f64 {
         let mut hash = std::hash::DefaultHasher::new();
         std::hash::Hash::hash(&(assignment, self.address), &mut hash);
--- a/kernel/src/plug_in.rs
+++ b/kernel/src/plug_in.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// An HTTP handler that registers itself and serves requests under its paths.
-/// Collected at link time; the kernel does not name any of them.
+/// The handlers are collected at link time; no code lists them.
 pub struct PlugIn {
     /// Human-readable name.
     pub name: &'static str,
--- a/kernel/src/port.rs
+++ b/kernel/src/port.rs
@@ -28,8 +28,8 @@
 }
 
 impl Port {
-    /// Creates a port that sends inputs to `inputs`. It is not live until a fence is
-    /// set. Fails if the operating system provides no random bytes.
+    /// Creates a port that sends inputs to `inputs`. The port is not live until
+    /// `set_fence` is called. Fails if the operating system provides no random bytes.
     pub fn new(inputs: Sender<Input>, startup: Startup) -> Result<Port, RandomnessError> {
         Ok(Port {
             inputs,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Sets the end of the lease; `ready`: the process is ready for clients.
+    /// Sets the end of the lease; `ready` is true if the process is ready for clients.
     pub fn set_fence(&self, until: Duration, ready: bool) {
         self.ready.store(ready, Ordering::Release);
         self.fence.store(until.as_nanos() as u64, Ordering::Release);
--- a/kernel/src/purge.rs
+++ b/kernel/src/purge.rs
@@ -38,7 +38,7 @@
     pub host: &'a str,
     /// Path and query.
     pub url: &'a str,
-    /// Tags of the response; `None` while it has not arrived yet: every tag then
+    /// Tags of the response; `None` until the response has arrived: every tag then
     /// matches.
     pub tags: Option<&'a [String]>,
 }
--- a/kernel/src/quorum/tests.rs
+++ b/kernel/src/quorum/tests.rs
@@ -44,10 +44,10 @@
     assert_eq!(sizes, [(2, 2), (3, 2), (3, 3), (5, 4)]);
 }
 
-/// The table grows by one slot at a time: a majority of the smaller table and one of the
-/// larger table share a disk, and a new disk that was refilled from an intersecting set
-/// of the larger table contacted a member of every majority, and of every set that keeps
-/// an edge live, of the smaller one.
+/// The table grows by one slot at a time. Every majority of the smaller table shares a
+/// disk with every majority of the larger one. A new disk is refilled from an intersecting
+/// set of the larger table, which shares a disk with every majority of the smaller table
+/// and with every set of its slots that keeps an edge live.
 #[test]
 fn quorums_of_adjacent_tables_intersect() {
     for slots in 1..8 {
--- a/kernel/src/row.rs
+++ b/kernel/src/row.rs
@@ -48,8 +48,8 @@
         members: Vec<Peer>,
         /// Edges whose session ended less than `lease::LEDGER_CLOSED_AFTER_LOSS` ago.
         departed: Vec<Peer>,
-        /// True if the ledger was complete at that time: these edges together
-        /// know of all operations.
+        /// True if the ledger was complete when this row was written: these edges
+        /// together know of all operations.
         complete: bool,
     },
     /// Edges whose entry in the registry has settled. Only these may claim
--- a/kernel/src/state_machine.rs
+++ b/kernel/src/state_machine.rs
@@ -26,7 +26,7 @@
         /// The serial of the last synced record.
         serial: u64,
     },
-    /// A write or sync failed. No record is stored until a complete snapshot is.
+    /// A write or sync failed. Records are dropped until the next complete snapshot.
     StoreFailed,
     /// A client's request was read completely.
     ClientRequest {
@@ -63,7 +63,7 @@
         /// True if it is open.
         open: bool,
     },
-    /// The process shall shut down: the node hands over, responds to the requests
+    /// The process is to shut down: the node hands over, responds to the requests
     /// that were read, and leaves the fleet.
     ShutdownRequested,
 }
--- a/kernel/tests/links.rs
+++ b/kernel/tests/links.rs
@@ -12,8 +12,9 @@
     inputs: Receiver<Input>,
 }
 
-/// Binds a listener on an IP address of its own. Connections originate from another
-/// address, so a connection to a port without a listener cannot connect to itself.
+/// Binds a listener on an IP address that no other listener uses. Connections originate
+/// from another address, so a connection to a port without a listener cannot connect to
+/// itself.
 fn listen() -> TcpListener {
     static NEXT: AtomicU16 = AtomicU16::new(2);
     let [high, low] = NEXT.fetch_add(1, Ordering::SeqCst).to_be_bytes();
--- a/kernel/tests/store.rs
+++ b/kernel/tests/store.rs
@@ -65,7 +65,7 @@
     snapshot(3, vec![1, 2]);
     assert!(matches!(next(), Input::StoreFailed), "it is still full");
     memory.full.store(false, Ordering::Release);
-    // Dropped: without a snapshot it would follow a missing record.
+    // This record is dropped: without a snapshot it would follow a missing record.
     append(4, vec![4]);
     snapshot(5, vec![1, 2, 4]);
     assert!(matches!(next(), Input::Stored { serial: 5 }));
--- a/segment-log/src/frame.rs
+++ b/segment-log/src/frame.rs
@@ -1,7 +1,7 @@
 //! The file format: a header, followed by checksummed frames that contain records.
 
-/// Header of a file. The last byte is the format version. Files of version 0 have no
-/// header, and a frame contains one record instead of a batch; they can still be read.
+/// Header of a file. The last byte is the format version. Files of version 0 can still
+/// be read: they have no header, and each frame contains one record instead of a batch.
 pub(crate) const HEADER: [u8; 8] = *b"OTSLOG\0\x01";
 /// Size of the length and checksum before a frame's content.
 pub(crate) const FRAME_PREFIX_BYTES: usize = 8;
--- a/segment-log/src/open_error.rs
+++ b/segment-log/src/open_error.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// Reasons why a log could not be opened. In this case nothing was changed on disk.
+/// Reasons why a log could not be opened. Except for `Io`, nothing was changed on disk.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// A file system operation failed; the state of the disk is unknown.
@@ -14,7 +14,7 @@
         /// error's source.
         error: io::Error,
     },
-    /// A file was not written by this program, or by another version of it.
+    /// A file was written by another program, or by another version of this one.
     #[error("{file} is not a file of this program: {found}")]
     Foreign {
         /// Path of the file.
@@ -40,8 +40,8 @@
 }
 
 impl OpenError {
-    /// Returns true if the files belong to this log: it may be refilled from the other
-    /// replicas after these files were quarantined.
+    /// Returns true if the files belong to this log: after they are quarantined, the log
+    /// may be refilled from the other replicas.
     pub fn is_recoverable_from_peers(&self) -> bool {
         matches!(self, OpenError::Damaged { .. } | OpenError::Missing { .. })
     }
--- a/segment-log/src/recovery.rs
+++ b/segment-log/src/recovery.rs
@@ -75,8 +75,8 @@
     Ok(contents)
 }
 
-/// Reads the newest segment. If its header was not written completely, it is empty:
-/// the header is synced before anything follows it.
+/// Reads the newest segment. If its header was not written completely, the segment has
+/// no records: the header is synced before anything follows it.
 fn read_newest(folder: &impl Folder, name: &str) -> Result<FileContents, OpenError> {
     let bytes = read_bytes(folder, name)?;
     if bytes.len() <= HEADER.len() && bytes != HEADER {
--- a/segment-log/src/segment_log.rs
+++ b/segment-log/src/segment_log.rs
@@ -17,12 +17,14 @@
 ///   is synced, before older files are removed.
 /// - Between two fsyncs there is at most one write, of one batch: `length, checksum,
 ///   records`, each record with its length. Therefore, after a loss of power, a batch
-///   is either complete or discarded, in whatever order its bytes reach the disk, and
-///   only the newest segment may end in a torn batch.
+///   is either complete or discarded, regardless of the order in which its bytes reach
+///   the disk, and only the newest segment may end in a torn batch.
 pub struct SegmentLog<F: Folder = DiskFolder> {
     folder: F,
     /// Number of the segment that is appended to.
     number: u64,
+    /// Size of that segment in bytes, without the pending records. Approximate if
+    /// opening the log created the segment.
     segment_bytes: u64,
     /// Encoded records that the next sync writes as one batch.
     pending: Vec<u8>,
@@ -72,8 +74,8 @@
 }
 
 impl<F: Folder> SegmentLog<F> {
-    /// Opens the log. All files are read before anything is changed: files that
-    /// cannot be read are left unchanged.
+    /// Opens the log. All files are read before anything is changed, so the folder is
+    /// left unchanged if a file cannot be read.
     pub fn open_in(mut folder: F) -> Result<Loaded<F>, OpenError> {
         let snapshots = numbers_after(&folder, SNAPSHOT_PREFIX)?;
         let snapshot = snapshots.into_iter().max().unwrap_or(0);
--- a/segment-log/src/segment_log/tests.rs
+++ b/segment-log/src/segment_log/tests.rs
@@ -85,7 +85,7 @@
 }
 
 /// Power is lost at any byte written since the last fsync, including during a roll or a
-/// snapshot: all synced records are read in order, and none that was never written.
+/// snapshot: all synced records are read in order, and no record that was never written.
 #[test]
 fn synced_records_survive_power_loss_at_every_unsynced_byte() {
     let path = temporary_path("cut");
