--- a/programs/src/edge_node.rs
+++ b/programs/src/edge_node.rs
@@ -10,7 +10,8 @@
 /// and origins.
 pub fn run_edge_node(startup: Startup, protocol: Arc<dyn ProtocolAdapter>) -> Result<()> {
     let local_peer = Peer::new(startup.mesh.context("mesh address")?, new_incarnation()?);
-    // A quarter of the memory of the process is used for cached responses.
+    // Without a configured cache size, a quarter of the process's memory limit is used for
+    // cached responses.
     let cache_bytes = startup
         .cache_bytes
         .or(startup.memory_bytes.map(|bytes| bytes / 4))
--- a/programs/tests/whole_path.rs
+++ b/programs/tests/whole_path.rs
@@ -522,8 +522,8 @@
     }
 }
 
-/// Named items in addition to the document take effect like it. Each call is atomic, and an
-/// item with a revision older than the known one has no effect.
+/// Named items, which are set separately from the document, take effect at all edges too. Each
+/// call is atomic, and an item with a revision older than the known one has no effect.
 fn check_items_are_set_and_removed(system: &TestSystem) {
     let entry = |name: &str, revision: u64, group: &str| {
         json!({ "kind": "entry", "name": name, "revision": revision, "value":
--- a/simulate-fleet/src/bin/simulate-fleet/options.rs
+++ b/simulate-fleet/src/bin/simulate-fleet/options.rs
@@ -85,7 +85,7 @@
     pub(crate) late: u64,
 }
 
-/// Flags common to all actions.
+/// Flags that select the action, the deployment with its size, and the manner of the runs.
 struct BasicFlags {
     deployment: String,
     seconds: u64,
@@ -103,7 +103,7 @@
     figures: bool,
 }
 
-/// Flags that change the deployment or its faults.
+/// Further flags that change the deployment or its faults.
 struct FleetFlags {
     zones: usize,
     service_rate: String,
--- a/simulate-fleet/src/capacity.rs
+++ b/simulate-fleet/src/capacity.rs
@@ -8,8 +8,8 @@
 use crate::prelude::*;
 
 /// Simulation of the control traffic of a fleet without clients, with real state machines and
-/// real frames. Every message takes 1 ms and every disk sync 2 ms. Counts depend only on
-/// the fleet size; times depend on the machine.
+/// real frames. A message takes 1 ms, and update notices also queue at their sender; a disk
+/// sync takes 2 ms. Counts depend only on the fleet size; times depend on the machine.
 pub struct Capacity {
     now: Duration,
     serial: u64,
@@ -20,7 +20,7 @@
     tally: Tally,
 }
 
-/// Node without clients and real origins.
+/// Simulated node, without clients or real origins.
 struct CapacityNode {
     role: Role,
     peer: Peer,
--- a/simulate-fleet/src/capacity/tables.rs
+++ b/simulate-fleet/src/capacity/tables.rs
@@ -133,7 +133,7 @@
         ]
     }
 
-    /// Rows of the table of times and memory, which depend on the machine.
+    /// Rows of the table of times and memory, which depend on the machine, except virtual times.
     pub fn times(&self) -> Vec<(&'static str, f64)> {
         let longest = |tally: &Tally, role| {
             tally
--- a/simulate-fleet/src/fault.rs
+++ b/simulate-fleet/src/fault.rs
@@ -241,7 +241,8 @@
         }
     }
 
-    /// Duration of the fault, if it ends without a repair.
+    /// Duration of a fault of nodes, disks or links that ends without a repair; none for all
+    /// others.
     pub fn span(&self) -> Option<Duration> {
         match self {
             Fault::Pause(_, span)
@@ -253,7 +254,8 @@
         }
     }
 
-    /// Returns true if this ends an earlier fault; a shrunk schedule keeps repairs.
+    /// Returns true if this ends an earlier fault. Shrinking keeps repairs until the other
+    /// faults are reduced.
     pub fn is_repair(&self) -> bool {
         let good = OriginBehavior::Good;
         matches!(
--- a/simulate-fleet/src/figures.rs
+++ b/simulate-fleet/src/figures.rs
@@ -92,7 +92,8 @@
     }
 
     /// Time from the request to the acknowledgement of configurations and purges, in control
-    /// ticks: minimum, median, maximum.
+    /// ticks: minimum, median, maximum. With `isolate_edge`, one edge is isolated from just
+    /// before each configuration until 1 s after the purge that follows.
     pub fn acknowledgement_ticks(
         deployment: &Deployment,
         isolate_edge: bool,
@@ -153,8 +154,8 @@
         table
     }
 
-    /// Share of successful requests by rank if the rate limit of the second service is the
-    /// fraction `limit_share` of the demand.
+    /// Share of successful requests for uncached entries, by rank, if the rate limit of the
+    /// second service is the fraction `limit_share` of the demand.
     pub fn served_share_at_limit(limit_share: f64) -> BTreeMap<u32, f64> {
         let mut deployment = Deployment::find("mombasa").expect("deployment exists");
         let demand = deployment.rate as f64 * 0.35;
--- a/simulate-fleet/src/scenarios.rs
+++ b/simulate-fleet/src/scenarios.rs
@@ -213,7 +213,7 @@
 }
 
 /// Replays schedules that violated a rule in the past, shortened by `--shrink`. Each runs with
-/// several seeds, because the timing that failed has changed with the code.
+/// several seeds, because code changes since then have altered the timing that caused the failure.
 #[test]
 fn recorded_failing_schedules_hold_all_rules() {
     let deployment = Deployment::find("small").unwrap();
@@ -267,7 +267,8 @@
             )
         };
         let verdicts = World::new(plan).run().checker.verdicts();
-        // The rules that depend on leases: purges, configurations, assignments.
+        // Indices of the rules that depend on leases: purges (3), and configurations together
+        // with assignments (5).
         [3, 5]
             .iter()
             .any(|rule| matches!(verdicts[*rule].1, Verdict::Violated(_)))
--- a/simulate-fleet/src/scenarios/replacement.rs
+++ b/simulate-fleet/src/scenarios/replacement.rs
@@ -165,7 +165,7 @@
                     late: 20,
                 },
             ),
-            // Edges still receive its messages; the other control nodes do not.
+            // Edges still receive the messages of `lost`; the other control nodes do not.
             (
                 8_000,
                 Fault::DropLink(lost, NodeId::Control((seed as usize + 1) % 3)),
--- a/simulate-fleet/src/scenarios_membership.rs
+++ b/simulate-fleet/src/scenarios_membership.rs
@@ -270,7 +270,7 @@
     }
 }
 
-/// The replaced machine was partitioned, not dead: it keeps its disk and returns when its slot
+/// The replaced machine was partitioned, not lost: it keeps its disk and returns when its slot
 /// has a new holder. It must then wait as an empty node and take the slot of the next machine
 /// that leaves.
 #[test]
--- a/simulate-fleet/src/schedule.rs
+++ b/simulate-fleet/src/schedule.rs
@@ -217,7 +217,7 @@
             21 if at >= self.next_disk_loss => self.fill_disk(at, control),
             22 | 23 => self.draw_loss_on_trigger(at),
             31..=33 if at >= self.next_disk_loss => self.draw_disk_losses_on_trigger(at),
-            // The slot is absent for longer than an empty node needs to take it over.
+            // The slot's node is absent for longer than an empty node needs to take over the slot.
             34 => {
                 self.add(at, Fault::Start(NodeId::Control(self.control as usize)));
                 self.add(at, Fault::Kill(control));
--- a/simulate-fleet/src/script/read.rs
+++ b/simulate-fleet/src/script/read.rs
@@ -35,7 +35,7 @@
     /// Scope of a network partition.
     #[serde(default)]
     scope: Option<String>,
-    /// Percentage of messages, as in the two fields below.
+    /// Percentage of lost messages; `doubled` and `late` are percentages too.
     #[serde(default)]
     lost: Option<u64>,
     #[serde(default)]
--- a/simulate-fleet/src/world_clients.rs
+++ b/simulate-fleet/src/world_clients.rs
@@ -177,7 +177,8 @@
         self.client_finished(id, Some(response));
     }
 
-    /// Records a call that was sent for a single client after the edge had read its disconnect.
+    /// Records a call for a single client that was sent after the edge had read the client's
+    /// disconnect. It is a violation if it was sent more than `CALL_SEND_DELAY` later.
     pub(crate) fn check_call_after_disconnect(&mut self, call: &Call) {
         let Some(disconnect_read) = self.disconnects_read.get(&call.request_id_at_edge) else {
             return;
--- a/simulate-fleet/src/world_faults.rs
+++ b/simulate-fleet/src/world_faults.rs
@@ -246,7 +246,7 @@
         self.apply_fault(fault);
     }
 
-    /// Applies a fault of nodes, disks or links; all others are changes.
+    /// Applies a fault of nodes, disks or links, and passes all others to `apply_change`.
     fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(node_id) => {
--- a/simulate-fleet/src/world_operators.rs
+++ b/simulate-fleet/src/world_operators.rs
@@ -25,9 +25,9 @@
         self.send_operator_call(node, OperatorCall::Origins { list, at: 0.0 }, 0);
     }
 
-    /// Records draining origins of a settled list. They count as known from the time when a
-    /// ready node received the acknowledged call. During another fault they count as
-    /// known only from the acknowledgement, since no node may have been able to learn them.
+    /// Records the draining origins of a settled list. They count as known from the time when a
+    /// ready node received the acknowledged call. During another fault they count as known only
+    /// from the acknowledgement, because before it perhaps no node could apply the list.
     pub(crate) fn on_origins_outcome(&mut self, list: &[Origin], settled: bool, received_at: f64) {
         let update_waiting = self.origins_put_pending.take().unwrap_or(false);
         let disturbed = self.fleet_records.iter().rev().any(|record| {
--- a/stand-ins/src/bin/run-fleet/faults.rs
+++ b/stand-ins/src/bin/run-fleet/faults.rs
@@ -81,7 +81,7 @@
             self.elapsed_s(),
             node.name
         );
-        // Its clients may time out meanwhile, so this is not a planned change.
+        // Clients of a suspended node may time out, so this is not a planned change.
         self.fleet.record_event(
             "fault",
             if control {
--- a/stand-ins/src/bin/run-fleet/scripts.rs
+++ b/stand-ins/src/bin/run-fleet/scripts.rs
@@ -34,8 +34,8 @@
             .name
             .trim_start_matches("origin-")
             .to_string();
-        // The time counts from when a node reads the request, not from its
-        // response.
+        // The allowed time begins when a node reads the request, not when the
+        // node responds.
         self.fleet.record_event("fault", "origin-leave", 0, true);
         self.fleet.record_event("leaving", &draining, 0, true);
         self.fleet.put_origins(std::slice::from_ref(&draining))?;
--- a/stand-ins/src/bin/run-fleet/traffic.rs
+++ b/stand-ins/src/bin/run-fleet/traffic.rs
@@ -13,7 +13,7 @@
         self.configure(None)?;
         self.fleet.open_ledger()?;
         self.fleet.wait_for_edges(READY_LIMIT)?;
-        // Granting assignments and checking origins takes a moment.
+        // Time to grant assignments and check origins.
         thread::sleep(Duration::from_secs(2));
         println!(
             "started: {} control nodes, {} edges, {} origins",
--- a/stand-ins/src/checker.rs
+++ b/stand-ins/src/checker.rs
@@ -1,5 +1,5 @@
-//! Checks the record of a fleet run against the safety rules: one module a
-//! group of rules.
+//! Checks the record of a fleet run against the safety rules, with one module for
+//! each group of rules.
 mod configuration;
 mod figures;
 mod histories;
@@ -221,7 +221,8 @@
     })
 }
 
-/// Maximum number of calls to an origin in five seconds.
+/// Maximum number of calls to an origin in five seconds: 10 % above `rate` calls
+/// per second, but at least one call.
 fn rate_bound(rate: f64) -> f64 {
     (rate * 5.0 * 1.1).floor().max(1.0)
 }
--- a/stand-ins/src/checker/origins.rs
+++ b/stand-ins/src/checker/origins.rs
@@ -5,8 +5,8 @@
 impl Checker {
     /// Checks that draining origins and origins of other services get no calls.
     ///
-    /// The time counts from when a node that could apply the platform's request
-    /// read it, not from its response.
+    /// The allowed time begins when a node that can apply the platform's request
+    /// has read the request, not when the node responds.
     pub(super) fn calls_to_draining_origins(&self) -> Cases {
         let mut cases = Cases::default();
         for drained in self.fleet.iter().filter(|record| record.kind == "leaving") {
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -45,7 +45,7 @@
 }
 
 /// Returns an unused address that was not returned before. The port is below
-/// the ephemeral ports, because a connection might take one of those between
+/// the ephemeral ports, because a connection might take an ephemeral port between
 /// this call and the start of the node.
 pub fn free_address() -> Result<SocketAddr> {
     static ALLOCATED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test tools for otterslip: stand-in origins, clients and a process platform,
-//! and the checker of the safety rules.
+//! Test tools for otterslip: stand-in origins and clients, tools that run fleets
+//! of processes, and the checker of the safety rules.
 #![warn(missing_docs, unreachable_pub)]
 
 pub mod caller;
--- a/stand-ins/src/platform_soak/operators.rs
+++ b/stand-ins/src/platform_soak/operators.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Adds a route if it belongs to the worker, which the index determines.
+    /// Adds a route; returns an order for it if its index assigns it to this
+    /// worker.
     fn add_route(&self, worker: usize, random: &mut SeededRandom) -> Option<PreparedOrder> {
         let route = self.routes.add()?;
         if route % WORKERS != worker {
--- a/stand-ins/src/platform_soak/origin_pool.rs
+++ b/stand-ins/src/platform_soak/origin_pool.rs
@@ -12,7 +12,7 @@
 /// `VARIABLE_WORK_MS`, derived from the request id, is added.
 const MIN_WORK_MS: u64 = 5;
 const VARIABLE_WORK_MS: u64 = 40;
-/// Average number of requests for one with the processing time `LONG_WORK_MS`.
+/// On average, one of this many requests has the processing time `LONG_WORK_MS`.
 const LONG_WORK_ONE_IN: u64 = 50;
 const LONG_WORK_MS: u64 = 900;
 
@@ -100,8 +100,9 @@
         }
     }
 
-    /// Replaces an origin of a service: lists its successor, lists the origin
-    /// as draining, and stops it `extra` after the drain bound.
+    /// Replaces the oldest origin of a service: lists its successor, lists the
+    /// origin as draining, and stops it `extra` after the drain timeout plus
+    /// `lag_s`.
     ///
     /// # Errors
     ///
@@ -148,7 +149,7 @@
         };
         let origin = running.remove(at);
         origin.stop.store(true, Ordering::Release);
-        // Unblocks its listener.
+        // Unblocks the origin's listener.
         let _ = TcpStream::connect(origin.listed.address);
         let mut free = self.free_addresses.lock().expect("no holder panics");
         free.push((origin.listed.address, wall()));
--- a/stand-ins/src/platform_soak/series.rs
+++ b/stand-ins/src/platform_soak/series.rs
@@ -6,8 +6,9 @@
 use super::shape::FleetShape;
 use crate::prelude::*;
 
-/// Planned work and faults of a run, in addition to traffic, changes and
-/// releases of origins.
+/// Planned work and faults of a run, in addition to traffic and changes. All
+/// scenarios except `Quiet` also replace origins, reload settings and, for some
+/// seeds, make the platform's list slow or failing at times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     /// Traffic and changes only; the baseline for the other scenarios.
@@ -126,7 +127,8 @@
     fn roll_edges(&self, task_index: usize) {
         let mut random = self.random(100 + task_index as u64);
         let first = match self.scenario {
-            // A separate task restarts the control machines.
+            // On machines with a control process, `roll_control` restarts that
+            // process instead of the edge.
             Scenario::RolledFleet => self.shape.control_machines,
             _ => 0,
         };
--- a/stand-ins/src/platform_soak/verdict/contact.rs
+++ b/stand-ins/src/platform_soak/verdict/contact.rs
@@ -23,7 +23,8 @@
         let mut absent_since: HashMap<(usize, bool), f64> = HashMap::new();
         for event in events {
             let process = (event.machine, event.control);
-            // A process is absent from its end to its next start.
+            // A process is absent from its end to its next start, and while it
+            // is suspended.
             let from = match event.kind {
                 ProcessEventKind::Started | ProcessEventKind::Suspended => {
                     absent_since.remove(&process).unwrap_or(event.at)
--- a/stand-ins/src/platform_soak/verdict/drain.rs
+++ b/stand-ins/src/platform_soak/verdict/drain.rs
@@ -42,7 +42,8 @@
 
 impl RunObservations<'_> {
     /// Returns the time in seconds from `shown` to the end of the last list
-    /// fault. The drain timeout does not run while the list is slow or failing.
+    /// fault that overlaps the `delay` after it; 0 if there is none. The drain
+    /// timeout does not run while the list is slow or failing.
     fn list_fault_end(&self, shown: f64, delay: f64) -> f64 {
         let span = Interval {
             from: shown,
--- a/stand-ins/src/soak/relay.rs
+++ b/stand-ins/src/soak/relay.rs
@@ -115,8 +115,8 @@
         while !self.is_stopped() && self.mode() != RelayMode::Reset {
             let is_dropping = self.mode() == RelayMode::DropLink;
             let mut buffer = [0; BUFFER_BYTES];
-            // The relay also detects that an edge closes the connection while
-            // it drops all data.
+            // The read also detects that the edge closes the connection while
+            // the relay drops all data.
             match edge.read(&mut buffer) {
                 Ok(0) => break,
                 Ok(_) if is_dropping => {}
--- a/stand-ins/src/soak/verdict.rs
+++ b/stand-ins/src/soak/verdict.rs
@@ -21,9 +21,9 @@
 }
 
 /// Maximum time in seconds until work for a disconnected client ends; the
-/// users' rule says half a second. Observed from outside, it includes the time
-/// until the edge receives the close and the relay the end of the call, on a
-/// busy machine.
+/// users' rule says half a second. The measured time also includes the delay until the edge
+/// receives the close and the delay until the relay receives the end of the
+/// call, on a busy machine.
 const MAX_ABANDONED_WORK_S: f64 = 0.5;
 /// Time in seconds that a suspended or restarted node needs to resume.
 const RESUME_S: f64 = 0.5;
